--- a/boot/boot.go
+++ b/boot/boot.go
@@ -103,7 +103,7 @@
 	Listen   string   `help:"Where to listen for it, when that differs from the address."`
 	Caller   string   `help:"Sidecar only: address that callers use, ip:port."`
 	Node     string   `help:"Sidecar only: name of the node; its address if not given."`
-	District string   `help:"District (failure zone) of this machine."`
+	District string   `name:"zone" aliases:"district" help:"Failure zone of this machine."`
 	Seeds    []string `help:"Addresses of up to three other processes, ip:port."`
 	Founders []string `help:"Core only: addresses of all cores that form the first roster; the seeds and this core if not given and this core is among the seeds."`
 	Data     string   `help:"Core only: the one data folder."`
--- a/capacity/part/core.go
+++ b/capacity/part/core.go
@@ -9,14 +9,14 @@
 	"cottonarch.example/cottonarch/boot"
 	"cottonarch.example/cottonarch/capacity/plan"
 	"cottonarch.example/cottonarch/daemon/assemble"
-	daemon "cottonarch.example/cottonarch/daemon/core"
+	coredaemon "cottonarch.example/cottonarch/daemon/core"
 	"cottonarch.example/cottonarch/kernel/failure"
 	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 // core is the real daemon behind the meter.
 type core struct {
-	daemon *daemon.Core
+	daemon *coredaemon.Core
 	srv    *http.Server
 }
 
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -76,9 +76,10 @@
 	// Keys are the kinds of the keys that clients use.
 	Keys []KeyKind
 	// Clients is how many clients there are, Operations how many operations each may ask for.
-	Clients, Deeds int
+	Clients int
+	Deeds   int `json:"Deeds"`
 	// Owners is how many members, from the first on, take operations.
-	Owners int
+	Owners int `json:"Owners"`
 	// Waits are the spans by which time may pass.
 	Waits  []time.Duration
 	Faults map[Fault]int
@@ -86,7 +87,7 @@
 	Instant bool
 	// Ring has members write to the daemon's ring rather than to a plain list of records.
 	Ring  bool
-	Break Break
+	Break Break `json:"Break"`
 }
 
 // Factory makes clusters of these settings.
