--- a/kernel/failure/failure.go
+++ b/base/failure/failure.go
@@ -22,41 +22,41 @@
 
 // The kinds of failure.
 const (
-	Malformed      Kind = "malformed"
-	Invalid        Kind = "invalid"
-	Oversize       Kind = "oversize"
-	Conflict       Kind = "conflict"
-	NoRoute        Kind = "no-way"
-	NoWorkload     Kind = "no-workload"
-	Busy           Kind = "busy"
-	Late           Kind = "late"
-	Gate           Kind = "gate"
-	Unreached      Kind = "unreached"
-	BadResponse    Kind = "bad-return"
-	LostResponse   Kind = "lost-return"
-	NoMajority     Kind = "no-majority"
-	UnknownOutcome Kind = "unknown-fate"
-	Missing        Kind = "missing"
-	Held           Kind = "held"
-	NotHolder      Kind = "not-holder"
-	Forgotten      Kind = "forgotten"
-	Stopping       Kind = "stopping"
-	NotReady       Kind = "not-ready"
-	Damaged        Kind = "damaged"
-	DiskFailed     Kind = "disk-failed"
-	BadSettings    Kind = "bad-boot"
-	NotPermitted   Kind = "not-permitted"
-	Internal       Kind = "internal"
-	Full           Kind = "full"
+	Malformed        Kind = "malformed"
+	Invalid          Kind = "invalid"
+	Oversize         Kind = "oversize"
+	Conflict         Kind = "conflict"
+	NoRoute          Kind = "no-way"
+	NoWorkload       Kind = "no-workload"
+	Busy             Kind = "busy"
+	DeadlineExceeded Kind = "late"
+	EndpointRejected Kind = "gate"
+	Unreachable      Kind = "unreached"
+	BadResponse      Kind = "bad-return"
+	LostResponse     Kind = "lost-return"
+	NoMajority       Kind = "no-majority"
+	UnknownOutcome   Kind = "unknown-fate"
+	NotFound         Kind = "missing"
+	LockHeld         Kind = "held"
+	NotHolder        Kind = "not-holder"
+	Compacted        Kind = "forgotten"
+	Stopping         Kind = "stopping"
+	NotReady         Kind = "not-ready"
+	Damaged          Kind = "damaged"
+	DiskFailed       Kind = "disk-failed"
+	BadSettings      Kind = "bad-boot"
+	NotPermitted     Kind = "not-permitted"
+	Internal         Kind = "internal"
+	Exhausted        Kind = "full"
 )
 
 // codes maps each kind to its HTTP status.
-var statuses = map[Kind]int{
+var statusByKind = map[Kind]int{
 	Malformed: 400, Invalid: 422, Oversize: 413, Conflict: 409, NoRoute: 404, NoWorkload: 503,
-	Busy: 503, Late: 504, Gate: 503, Unreached: 503, BadResponse: 502, LostResponse: 502,
-	NoMajority: 503, UnknownOutcome: 504, Missing: 404, Held: 409, NotHolder: 409, Forgotten: 410,
+	Busy: 503, DeadlineExceeded: 504, EndpointRejected: 503, Unreachable: 503, BadResponse: 502, LostResponse: 502,
+	NoMajority: 503, UnknownOutcome: 504, NotFound: 404, LockHeld: 409, NotHolder: 409, Compacted: 410,
 	Stopping: 503, NotReady: 503, Damaged: 500, DiskFailed: 503, BadSettings: 400, NotPermitted: 405,
-	Internal: 500, Full: 507,
+	Internal: 500, Exhausted: 507,
 }
 
 // Error is one failure. Invariant: Kind is one of the constants above.
@@ -84,43 +84,43 @@
 	if e.Note != "" {
 		text += ": " + e.Note
 	}
-	for _, f := range e.Faults {
-		text += fmt.Sprintf("\n  %s: %s", f.Path, f.Note)
+	for _, fault := range e.Faults {
+		text += fmt.Sprintf("\n  %s: %s", fault.Path, fault.Note)
 	}
 	return text
 }
 
 // Status is the HTTP status for the failure.
 func (e *Error) Status() int {
-	if code, ok := statuses[e.Kind]; ok {
+	if code, ok := statusByKind[e.Kind]; ok {
 		return code
 	}
 	return 500
 }
 
 // New makes an error whose operation certainly did not happen.
-func New(kind Kind, form string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: NotExecuted, Note: fmt.Sprintf(form, args...)}
+func New(kind Kind, format string, args ...any) *Error {
+	return &Error{Kind: kind, Outcome: NotExecuted, Note: fmt.Sprintf(format, args...)}
 }
 
-// Unsure makes an error whose operation may have happened.
-func Unsure(kind Kind, form string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: OutcomeUnknown, Note: fmt.Sprintf(form, args...)}
+// NewUnknown makes an error whose operation may have happened.
+func NewUnknown(kind Kind, format string, args ...any) *Error {
+	return &Error{Kind: kind, Outcome: OutcomeUnknown, Note: fmt.Sprintf(format, args...)}
 }
 
-// Later adds a Retry-After.
-func (e *Error) Later(s float64) *Error { e.RetryAfter = s; return e }
+// WithRetryAfter adds a Retry-After.
+func (e *Error) WithRetryAfter(seconds float64) *Error { e.RetryAfter = seconds; return e }
 
-// Of finds the typed error within an error, or wraps it as internal with an unknown outcome.
-func Of(err error) *Error {
+// From finds the typed error within an error, or wraps it as internal with an unknown outcome.
+func From(err error) *Error {
 	if err == nil {
 		return nil
 	}
-	var d *Error
-	if errors.As(err, &d) {
-		return d
+	var typed *Error
+	if errors.As(err, &typed) {
+		return typed
 	}
-	return Unsure(Internal, "%s", err.Error())
+	return NewUnknown(Internal, "%s", err.Error())
 }
 
 // Unwrap gives the cause, if there is one.
@@ -134,5 +134,5 @@
 	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Note: note + ": " + err.Error(), cause: err})
 }
 
-// Find looks for a typed error within an error.
-func Find(err error, d **Error) bool { return errors.As(err, d) }
+// As looks for a typed error within an error.
+func As(err error, target **Error) bool { return errors.As(err, target) }
--- a/kernel/ident/clock_test.go
+++ b/base/ident/clock_test.go
@@ -14,25 +14,25 @@
 // also back, changes nothing: not an id, not an order, not a wait. Steps read no clock at
 // all.
 func TestNobodyReadsTheWallClock(t *testing.T) {
-	wall := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
-	clock := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
-	read := 0
+	wallClockRead := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
+	clockRead := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
+	filesRead := 0
 	for _, dir := range []string{"adapter", "boot", "control", "daemon", "kernel", "mesh", "storage", "wire"} {
-		must.NoError(t, filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, e os.DirEntry, err error) error {
-			if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		must.NoError(t, filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, entry os.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			raw, err := os.ReadFile(path)
+			source, err := os.ReadFile(path)
 			if err != nil {
 				return err
 			}
-			read++
-			must.False(t, wall.Match(raw), must.Sprint(path, " reads the wall clock"))
+			filesRead++
+			must.False(t, wallClockRead.Match(source), must.Sprint(path, " reads the wall clock"))
 			if dir == "control" || dir == "mesh" || dir == "storage" {
-				must.False(t, clock.Match(raw), must.Sprint(path, " reads a clock"))
+				must.False(t, clockRead.Match(source), must.Sprint(path, " reads a clock"))
 			}
 			return nil
 		}))
 	}
-	must.Greater(t, 60, read)
+	must.Greater(t, 60, filesRead)
 }
--- a/kernel/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -7,12 +7,12 @@
 )
 
 // Marks made at the very same moment differ: nothing of a clock is in them.
-func TestMarksAreUniqueWithoutAClock(t *testing.T) {
+func TestIDsAreUniqueWithoutAClock(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10000 {
-		m := Mark()
-		must.Eq(t, 32, len(m))
-		must.False(t, seen[m])
-		seen[m] = true
+		id := NewID()
+		must.Eq(t, 32, len(id))
+		must.False(t, seen[id])
+		seen[id] = true
 	}
 }
--- a/capacity/fit/fit.go
+++ b/capacity/fit/fit.go
@@ -7,66 +7,66 @@
 	"math"
 )
 
-// XY is one measured figure at a size.
-type XY struct{ X, Y float64 }
+// Point is one measured figure at a size.
+type Point struct{ X, Y float64 }
 
 // Line is Y = A + B·X^Power. Invariants: A and B are not below nought, so that no figure
 // falls with the size; Power is 0 (no growth), 1 or 2.
 type Line struct {
-	Power float64 `json:"power"`
-	A     float64 `json:"a"`
-	B     float64 `json:"b"`
-	Off   float64 `json:"off"`  // farthest point from the line, as a part of it
-	From  float64 `json:"from"` // smallest and
-	To    float64 `json:"to"`   // largest size measured
-	N     int     `json:"n"`
+	Exponent         float64 `json:"power"`
+	Intercept        float64 `json:"a"`
+	Coefficient      float64 `json:"b"`
+	MaxRelativeError float64 `json:"off"`  // farthest point from the line, as a part of it
+	MinSize          float64 `json:"from"` // smallest and
+	MaxSize          float64 `json:"to"`   // largest size measured
+	PointCount       int     `json:"n"`
 }
 
-// At gives the figure at a size.
-func (l Line) At(x float64) float64 { return l.A + l.B*math.Pow(x, l.Power) }
+// ValueAt gives the figure at a size.
+func (l Line) ValueAt(x float64) float64 { return l.Intercept + l.Coefficient*math.Pow(x, l.Exponent) }
 
 // Slope is how much one more adds at a size.
 func (l Line) Slope(x float64) float64 {
-	if l.Power == 0 {
+	if l.Exponent == 0 {
 		return 0
 	}
-	return l.B * l.Power * math.Pow(x, l.Power-1)
+	return l.Coefficient * l.Exponent * math.Pow(x, l.Exponent-1)
 }
 
-// Text shows the form.
-func (l Line) Text() string {
-	switch l.Power {
+// Formula shows the form.
+func (l Line) Formula() string {
+	switch l.Exponent {
 	case 0:
-		return fmt.Sprintf("%.3g", l.A)
+		return fmt.Sprintf("%.3g", l.Intercept)
 	case 1:
-		return fmt.Sprintf("%.3g + %.3g·n", l.A, l.B)
+		return fmt.Sprintf("%.3g + %.3g·n", l.Intercept, l.Coefficient)
 	}
-	return fmt.Sprintf("%.3g + %.3g·n²", l.A, l.B)
+	return fmt.Sprintf("%.3g + %.3g·n²", l.Intercept, l.Coefficient)
 }
 
-// Enough is how many sizes a line needs.
-const Enough = 4
+// MinPoints is how many sizes a line needs.
+const MinPoints = 4
 
-// Draw fits no growth, growth with the size and growth with its square, by least squares
+// BestLine fits no growth, growth with the size and growth with its square, by least squares
 // of the parts by which the points are off, and keeps the simplest of which no other is
 // nearer by a quarter, or for the square by half. It is false when there are fewer sizes than Enough.
-func Draw(list []XY) (Line, bool) {
-	if len(list) < Enough {
+func BestLine(points []Point) (Line, bool) {
+	if len(points) < MinPoints {
 		return Line{}, false
 	}
 	var best Line
 	found := false
 	for _, form := range []struct{ power, nearer float64 }{{0, 1}, {1, 0.75}, {2, 0.5}} {
-		l := draw(list, form.power)
-		if !found || l.miss(list) < form.nearer*best.miss(list) {
+		l := fitExponent(points, form.power)
+		if !found || l.relativeRMS(points) < form.nearer*best.relativeRMS(points) {
 			best, found = l, true
 		}
 	}
-	best.N, best.From, best.To = len(list), list[0].X, list[0].X
-	for _, p := range list {
-		best.From, best.To = min(best.From, p.X), max(best.To, p.X)
-		if at := best.At(p.X); at > 0 {
-			best.Off = max(best.Off, math.Abs(p.Y-at)/at)
+	best.PointCount, best.MinSize, best.MaxSize = len(points), points[0].X, points[0].X
+	for _, p := range points {
+		best.MinSize, best.MaxSize = min(best.MinSize, p.X), max(best.MaxSize, p.X)
+		if expected := best.ValueAt(p.X); expected > 0 {
+			best.MaxRelativeError = max(best.MaxRelativeError, math.Abs(p.Y-expected)/expected)
 		}
 	}
 	return best, true
@@ -76,61 +76,61 @@
 // gives there, or of the point itself before there is one. A point far below the highest
 // weighs no more than one of a tenth of it, so that a figure of nought, which is below
 // what can be told, does not draw the line to itself.
-func weights(list []XY, at func(XY) float64) []float64 {
-	top := 0.0
-	for _, p := range list {
-		top = max(top, at(p))
+func weights(points []Point, expected func(Point) float64) []float64 {
+	highest := 0.0
+	for _, p := range points {
+		highest = max(highest, expected(p))
 	}
-	out := make([]float64, len(list))
-	for i, p := range list {
-		y := max(at(p), top/10, 1e-9)
+	out := make([]float64, len(points))
+	for i, p := range points {
+		y := max(expected(p), highest/10, 1e-9)
 		out[i] = 1 / (y * y)
 	}
 	return out
 }
 
-func own(p XY) float64 { return p.Y }
+func measuredValue(p Point) float64 { return p.Y }
 
-// rounds is how often a line is drawn anew with the weights that it gives itself; without
+// reweightingRounds is how often a line is drawn anew with the weights that it gives itself; without
 // that, points that happen to be low would draw it down.
-const rounds = 4
+const reweightingRounds = 4
 
-func draw(list []XY, power float64) Line {
-	l := one(list, power, weights(list, own))
-	for range rounds {
-		l = one(list, power, weights(list, func(p XY) float64 { return l.At(p.X) }))
+func fitExponent(points []Point, exponent float64) Line {
+	l := leastSquares(points, exponent, weights(points, measuredValue))
+	for range reweightingRounds {
+		l = leastSquares(points, exponent, weights(points, func(p Point) float64 { return l.ValueAt(p.X) }))
 	}
 	return l
 }
 
-func one(list []XY, power float64, weigh []float64) Line {
+func leastSquares(points []Point, exponent float64, pointWeights []float64) Line {
 	var w, wx, wy, wxx, wxy float64
-	for i, p := range list {
-		k, x := weigh[i], math.Pow(p.X, power)
-		w, wx, wy, wxx, wxy = w+k, wx+k*x, wy+k*p.Y, wxx+k*x*x, wxy+k*x*p.Y
+	for i, p := range points {
+		weight, x := pointWeights[i], math.Pow(p.X, exponent)
+		w, wx, wy, wxx, wxy = w+weight, wx+weight*x, wy+weight*p.Y, wxx+weight*x*x, wxy+weight*x*p.Y
 	}
-	flat := Line{Power: 0, A: wy / w}
-	if power == 0 {
+	flat := Line{Exponent: 0, Intercept: wy / w}
+	if exponent == 0 {
 		return flat
 	}
-	det := w*wxx - wx*wx
-	if det <= 0 {
+	determinant := w*wxx - wx*wx
+	if determinant <= 0 {
 		return flat
 	}
-	l := Line{Power: power, A: (wy*wxx - wx*wxy) / det, B: (w*wxy - wx*wy) / det}
+	l := Line{Exponent: exponent, Intercept: (wy*wxx - wx*wxy) / determinant, Coefficient: (w*wxy - wx*wy) / determinant}
 	switch {
-	case l.B <= 0:
+	case l.Coefficient <= 0:
 		return flat
-	case l.A < 0:
-		l.A, l.B = 0, wxy/wxx
+	case l.Intercept < 0:
+		l.Intercept, l.Coefficient = 0, wxy/wxx
 	}
 	return l
 }
 
-func (l Line) miss(list []XY) (sum float64) {
-	for i, w := range weights(list, own) {
-		d := l.At(list[i].X) - list[i].Y
+func (l Line) relativeRMS(points []Point) (sum float64) {
+	for i, w := range weights(points, measuredValue) {
+		d := l.ValueAt(points[i].X) - points[i].Y
 		sum += d * d * w
 	}
-	return math.Sqrt(sum/float64(len(list))) + 1e-3
+	return math.Sqrt(sum/float64(len(points))) + 1e-3
 }
--- a/capacity/meter/cut.go
+++ b/capacity/meter/cut.go
@@ -5,49 +5,55 @@
 	"sync"
 )
 
-// cuts holds up what passes between regions while they are apart. Invariant: a byte
+// partition holds up what passes between regions while they are apart. Invariant: a byte
 // between two regions waits while the cut is on, in both directions, and is not lost
 // unless its connection is closed meanwhile.
-type cuts struct {
-	region func(string) int
-	mu     sync.Mutex
-	on     bool
-	wake   chan struct{}
+type partition struct {
+	regionOf func(string) int
+	mu       sync.Mutex
+	active   bool
+	changed  chan struct{}
 }
 
-func newCuts(region func(string) int) *cuts { return &cuts{region: region, wake: make(chan struct{})} }
+func newPartition(regionOf func(string) int) *partition {
+	return &partition{regionOf: regionOf, changed: make(chan struct{})}
+}
 
-// Apart cuts the regions apart, or joins them again.
-func (m *Meter) Apart(on bool) {
-	m.cut.mu.Lock()
-	defer m.cut.mu.Unlock()
-	m.cut.on = on
-	close(m.cut.wake)
-	m.cut.wake = make(chan struct{})
+// SetPartitioned cuts the regions apart, or joins them again.
+func (m *Meter) SetPartitioned(partitioned bool) {
+	m.partition.mu.Lock()
+	defer m.partition.mu.Unlock()
+	m.partition.active = partitioned
+	close(m.partition.changed)
+	m.partition.changed = make(chan struct{})
 }
 
-func (c *cuts) state() (bool, chan struct{}) { c.mu.Lock(); defer c.mu.Unlock(); return c.on, c.wake }
+func (p *partition) state() (bool, chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.active, p.changed
+}
 
 type listener struct {
 	net.Listener
-	m *Meter
+	meter *Meter
 }
 
-// Listen counts what passes through a listener's connections.
-func (m *Meter) Listen(l net.Listener) net.Listener { return listener{l, m} }
+// WrapListener counts what passes through a listener's connections.
+func (m *Meter) WrapListener(l net.Listener) net.Listener { return listener{l, m} }
 
 // Accept waits for the next connection.
 func (l listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	near, far := ip(c.LocalAddr()), ip(c.RemoteAddr())
-	a, b := l.m.cut.region(near), l.m.cut.region(far)
-	return &conn{Conn: c, c: l.m.peers.at(far), cut: l.m.cut, far: a >= 0 && b >= 0 && a != b, over: make(chan struct{})}, nil
+	localIP, remoteIP := hostIP(accepted.LocalAddr()), hostIP(accepted.RemoteAddr())
+	localRegion, remoteRegion := l.meter.partition.regionOf(localIP), l.meter.partition.regionOf(remoteIP)
+	return &conn{Conn: accepted, counter: l.meter.peers.counter(remoteIP), partition: l.meter.partition, crossesRegions: localRegion >= 0 && remoteRegion >= 0 && localRegion != remoteRegion, closed: make(chan struct{})}, nil
 }
 
-func ip(a net.Addr) string {
+func hostIP(a net.Addr) string {
 	if t, ok := a.(*net.TCPAddr); ok {
 		return t.IP.String()
 	}
@@ -56,23 +62,23 @@
 
 type conn struct {
 	net.Conn
-	c    *cell
-	cut  *cuts
-	far  bool // its ends are in two regions
-	once sync.Once
-	over chan struct{}
+	counter        *trafficCounter
+	partition      *partition
+	crossesRegions bool // its ends are in two regions
+	once           sync.Once
+	closed         chan struct{}
 }
 
-// pass waits while the regions are apart.
-func (c *conn) pass() error {
-	for c.far {
-		on, wake := c.cut.state()
-		if !on {
+// waitUntilJoined waits while the regions are apart.
+func (c *conn) waitUntilJoined() error {
+	for c.crossesRegions {
+		active, changed := c.partition.state()
+		if !active {
 			return nil
 		}
 		select {
-		case <-wake:
-		case <-c.over:
+		case <-changed:
+		case <-c.closed:
 			return net.ErrClosed
 		}
 	}
@@ -81,23 +87,23 @@
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if e := c.pass(); e != nil {
-		return 0, e
+	if waitErr := c.waitUntilJoined(); waitErr != nil {
+		return 0, waitErr
 	}
-	c.c.in.Add(int64(n))
+	c.counter.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.pass(); err != nil {
+	if err := c.waitUntilJoined(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.c.out.Add(int64(n))
+	c.counter.bytesOut.Add(int64(n))
 	return n, err
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.over) })
+	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/capacity/meter/duty.go
+++ b/capacity/meter/duty.go
@@ -8,14 +8,14 @@
 
 	"github.com/google/pprof/profile"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Carrier is a duty with the package that carries it.
-type Carrier struct{ Duty, Package string }
+// Activity is a duty with the package that carries it.
+type Activity struct{ Name, Package string }
 
-// carriers gives each path's duty; a path that is not here counts as a duty of its own.
-var carriers = map[string]Carrier{
+// activityByPath gives each path's duty; a path that is not here counts as a duty of its own.
+var activityByPath = map[string]Activity{
 	"/cottonarch/v1/renew":    {"leases", "mesh/lease"},
 	"/cottonarch/v1/claim":    {"entry", "adapter/mesh, control/coordination"},
 	"/cottonarch/v1/share":    {"shares", "control/coordination/share"},
@@ -33,103 +33,103 @@
 	"/watch":                  {"coordination", "control/coordination"},
 }
 
-// Of gives the duty of a path.
-func Of(path string) Carrier {
-	if c, ok := carriers[path]; ok {
+// ActivityOf gives the duty of a path.
+func ActivityOf(path string) Activity {
+	if c, ok := activityByPath[path]; ok {
 		return c
 	}
-	return Carrier{strings.TrimPrefix(path, "/cottonarch"), "?"}
+	return Activity{strings.TrimPrefix(path, "/cottonarch"), "?"}
 }
 
-const root = "cottonarch.example/cottonarch/"
+const modulePrefix = "cottonarch.example/cottonarch/"
 
-// frames gives the duty of work that no path is labelled on, by the start of a function's
+// activityByFunction gives the duty of work that no path is labelled on, by the start of a function's
 // name; the first that fits, from the innermost function out, counts.
-var frames = []struct {
+var activityByFunction = []struct {
 	start string
-	Carrier
+	Activity
 }{
-	{"adapter/mesh.surface.renew", Carrier{"leases", "mesh/lease"}},
-	{"adapter/mesh.surface.news", Carrier{"registry", "mesh/registry, mesh/lease/table"}},
-	{"mesh/lease/table.(*Table).Feed", Carrier{"registry", "mesh/registry, mesh/lease/table"}},
-	{"mesh/lease/table.(*Table).Manifest", Carrier{"registry", "mesh/registry, mesh/lease/table"}},
-	{"mesh/lease", Carrier{"leases", "mesh/lease"}},
-	{"mesh/registry", Carrier{"registry", "mesh/registry, mesh/lease/table"}},
-	{"control/register/survey", Carrier{"sweep", "control/register/survey"}},
-	{"control/register/replica.(*Replica).Scan", Carrier{"sweep", "control/register/survey"}},
-	{"control/core/node.(*Node).sweep", Carrier{"sweep", "control/register/survey"}},
-	{"control/manifest", Carrier{"manifests", "control/manifest, adapter/mesh"}},
-	{"control/audit", Carrier{"manifests", "control/manifest, adapter/mesh"}},
-	{"daemon/core.(*Core).Newest", Carrier{"manifests", "control/manifest, adapter/mesh"}},
-	{"daemon/core.(*Core).post", Carrier{"core to core", "control/core, control/register"}},
-	{"daemon/core.(*Core).journal", Carrier{"disk", "storage/ring"}},
-	{"storage/ring", Carrier{"disk", "storage/ring"}},
-	{"control/", Carrier{"core to core", "control/core, control/register"}},
-	{"daemon/core", Carrier{"loop of the core", "daemon/core"}},
-	{"mesh/witness", Carrier{"witness", "mesh/witness"}},
-	{"mesh/gate", Carrier{"beats", "mesh/gate"}},
-	{"daemon/sidecar.(*Sidecar).renew", Carrier{"leases", "mesh/lease"}},
-	{"daemon/sidecar.(*Sidecar).share", Carrier{"shares", "control/coordination/share"}},
-	{"daemon/sidecar.(*Sidecar).follow", Carrier{"registry", "mesh/registry, mesh/lease/table"}},
-	{"daemon/sidecar.(*Sidecar).enforce", Carrier{"manifests", "control/manifest, adapter/mesh"}},
-	{"daemon/sidecar.(*Sidecar).tell", Carrier{"witness", "mesh/witness"}},
-	{"daemon/sidecar.(*Sidecar).askPeer", Carrier{"witness", "mesh/witness"}},
-	{"daemon/sidecar.(*Sidecar).neighbours", Carrier{"witness", "mesh/witness"}},
-	{"daemon/sidecar", Carrier{"loops of the sidecar", "daemon/sidecar"}},
-	{"capacity/", Carrier{"the measuring itself", "capacity"}},
+	{"adapter/mesh.surface.renew", Activity{"leases", "mesh/lease"}},
+	{"adapter/mesh.surface.news", Activity{"registry", "mesh/registry, mesh/lease/table"}},
+	{"mesh/lease/table.(*Table).Feed", Activity{"registry", "mesh/registry, mesh/lease/table"}},
+	{"mesh/lease/table.(*Table).Manifest", Activity{"registry", "mesh/registry, mesh/lease/table"}},
+	{"mesh/lease", Activity{"leases", "mesh/lease"}},
+	{"mesh/registry", Activity{"registry", "mesh/registry, mesh/lease/table"}},
+	{"control/register/survey", Activity{"sweep", "control/register/survey"}},
+	{"control/register/replica.(*Replica).Scan", Activity{"sweep", "control/register/survey"}},
+	{"control/core/node.(*Node).sweep", Activity{"sweep", "control/register/survey"}},
+	{"control/manifest", Activity{"manifests", "control/manifest, adapter/mesh"}},
+	{"control/audit", Activity{"manifests", "control/manifest, adapter/mesh"}},
+	{"daemon/core.(*Core).Newest", Activity{"manifests", "control/manifest, adapter/mesh"}},
+	{"daemon/core.(*Core).post", Activity{"core to core", "control/core, control/register"}},
+	{"daemon/core.(*Core).journal", Activity{"disk", "storage/ring"}},
+	{"storage/ring", Activity{"disk", "storage/ring"}},
+	{"control/", Activity{"core to core", "control/core, control/register"}},
+	{"daemon/core", Activity{"loop of the core", "daemon/core"}},
+	{"mesh/witness", Activity{"witness", "mesh/witness"}},
+	{"mesh/gate", Activity{"beats", "mesh/gate"}},
+	{"daemon/sidecar.(*Sidecar).renew", Activity{"leases", "mesh/lease"}},
+	{"daemon/sidecar.(*Sidecar).share", Activity{"shares", "control/coordination/share"}},
+	{"daemon/sidecar.(*Sidecar).follow", Activity{"registry", "mesh/registry, mesh/lease/table"}},
+	{"daemon/sidecar.(*Sidecar).enforce", Activity{"manifests", "control/manifest, adapter/mesh"}},
+	{"daemon/sidecar.(*Sidecar).tell", Activity{"witness", "mesh/witness"}},
+	{"daemon/sidecar.(*Sidecar).askPeer", Activity{"witness", "mesh/witness"}},
+	{"daemon/sidecar.(*Sidecar).neighbours", Activity{"witness", "mesh/witness"}},
+	{"daemon/sidecar", Activity{"loops of the sidecar", "daemon/sidecar"}},
+	{"capacity/", Activity{"the measuring itself", "capacity"}},
 }
 
-// outer gives the duty of the rest by its outermost function.
-var outer = []struct {
+// activityByOutermost gives the duty of the rest by its outermost function.
+var activityByOutermost = []struct {
 	start string
-	Carrier
+	Activity
 }{
-	{"net/http.", Carrier{"transport", "net/http, kratos"}},
-	{"runtime.gcBgMarkWorker", Carrier{"garbage collection", "Go runtime"}},
-	{"runtime.bgsweep", Carrier{"garbage collection", "Go runtime"}},
-	{"runtime.bgscavenge", Carrier{"garbage collection", "Go runtime"}},
-	{"runtime.", Carrier{"scheduling, timers", "Go runtime"}},
+	{"net/http.", Activity{"transport", "net/http, kratos"}},
+	{"runtime.gcBgMarkWorker", Activity{"garbage collection", "Go runtime"}},
+	{"runtime.bgsweep", Activity{"garbage collection", "Go runtime"}},
+	{"runtime.bgscavenge", Activity{"garbage collection", "Go runtime"}},
+	{"runtime.", Activity{"scheduling, timers", "Go runtime"}},
 }
 
-func duty(s *profile.Sample) string {
-	if list := s.Label[Label]; len(list) > 0 {
-		return Of(list[0]).Duty
+func activityOfSample(sample *profile.Sample) string {
+	if labels := sample.Label[PathLabel]; len(labels) > 0 {
+		return ActivityOf(labels[0]).Name
 	}
-	last := ""
-	for _, at := range s.Location {
-		for _, line := range at.Line {
+	outermost := ""
+	for _, location := range sample.Location {
+		for _, line := range location.Line {
 			if line.Function == nil {
 				continue
 			}
-			last = line.Function.Name
-			name, ours := strings.CutPrefix(last, root)
+			outermost = line.Function.Name
+			name, ours := strings.CutPrefix(outermost, modulePrefix)
 			if !ours {
 				continue
 			}
-			for _, f := range frames {
+			for _, f := range activityByFunction {
 				if strings.HasPrefix(name, f.start) {
-					return f.Duty
+					return f.Name
 				}
 			}
 		}
 	}
-	for _, f := range outer {
-		if strings.HasPrefix(last, f.start) {
-			return f.Duty
+	for _, f := range activityByOutermost {
+		if strings.HasPrefix(outermost, f.start) {
+			return f.Name
 		}
 	}
 	return "other"
 }
 
-// Package gives the package that carries a duty.
-func Package(duty string) string {
-	for _, c := range carriers {
-		if c.Duty == duty {
+// PackageOf gives the package that carries a duty.
+func PackageOf(activity string) string {
+	for _, c := range activityByPath {
+		if c.Name == activity {
 			return c.Package
 		}
 	}
-	for _, f := range append(frames, outer...) {
-		if f.Duty == duty {
+	for _, f := range append(activityByFunction, activityByOutermost...) {
+		if f.Name == activity {
 			return f.Package
 		}
 	}
@@ -139,30 +139,30 @@
 // Profile watches this process for a while and gives each duty's part of its processor
 // time; the parts sum to 1. Work done under a request's label is that path's; other work
 // is told by the innermost function of this project.
-func Profile(span time.Duration) (map[string]float64, error) {
+func Profile(duration time.Duration) (map[string]float64, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "profile")
 	}
-	<-time.After(span)
+	<-time.After(duration)
 	pprof.StopCPUProfile()
 	p, err := profile.Parse(&raw)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "profile")
 	}
-	return Parts(p), nil
+	return ShareByActivity(p), nil
 }
 
-// Parts sums a profile by duty.
-func Parts(p *profile.Profile) map[string]float64 {
-	out, all := map[string]float64{}, 0.0
-	for _, s := range p.Sample {
-		v := float64(s.Value[len(s.Value)-1])
-		out[duty(s)] += v
-		all += v
+// ShareByActivity sums a profile by duty.
+func ShareByActivity(parsed *profile.Profile) map[string]float64 {
+	shares, total := map[string]float64{}, 0.0
+	for _, sample := range parsed.Sample {
+		value := float64(sample.Value[len(sample.Value)-1])
+		shares[activityOfSample(sample)] += value
+		total += value
 	}
-	for d := range out {
-		out[d] /= max(all, 1)
+	for d := range shares {
+		shares[d] /= max(total, 1)
 	}
-	return out
+	return shares
 }
--- a/capacity/meter/meter.go
+++ b/capacity/meter/meter.go
@@ -13,64 +13,64 @@
 	"sync/atomic"
 )
 
-// Label is the profile's label that names the path a sample was spent on.
-const Label = "path"
+// PathLabel is the profile's label that names the path a sample was spent on.
+const PathLabel = "path"
 
-// Count is what came and went on one path or with one address. Bytes of a path are
+// Traffic is what came and went on one path or with one address. Bytes of a path are
 // bodies and heads as text, those of an address are all that TCP carried.
-type Count struct {
+type Traffic struct {
 	Messages int64 `json:"messages,omitempty"`
 	Failed   int64 `json:"failed,omitempty"`
-	In       int64 `json:"in"`
-	Out      int64 `json:"out"`
+	BytesIn  int64 `json:"in"`
+	BytesOut int64 `json:"out"`
 }
 
 // Sub is what was added since.
-func (c Count) Sub(o Count) Count {
-	return Count{c.Messages - o.Messages, c.Failed - o.Failed, c.In - o.In, c.Out - o.Out}
+func (t Traffic) Sub(older Traffic) Traffic {
+	return Traffic{t.Messages - older.Messages, t.Failed - older.Failed, t.BytesIn - older.BytesIn, t.BytesOut - older.BytesOut}
 }
 
 // Add sums.
-func (c Count) Add(o Count) Count {
-	return Count{c.Messages + o.Messages, c.Failed + o.Failed, c.In + o.In, c.Out + o.Out}
+func (t Traffic) Add(other Traffic) Traffic {
+	return Traffic{t.Messages + other.Messages, t.Failed + other.Failed, t.BytesIn + other.BytesIn, t.BytesOut + other.BytesOut}
 }
 
-type cell struct{ messages, failed, in, out atomic.Int64 }
+type trafficCounter struct{ messages, failed, bytesIn, bytesOut atomic.Int64 }
 
-func (c *cell) read() Count {
-	return Count{c.messages.Load(), c.failed.Load(), c.in.Load(), c.out.Load()}
+func (c *trafficCounter) read() Traffic {
+	return Traffic{c.messages.Load(), c.failed.Load(), c.bytesIn.Load(), c.bytesOut.Load()}
 }
 
-// table is cells by name. Invariant: a name's cell never changes.
-type table struct {
-	mu  sync.RWMutex
-	all map[string]*cell
+// counterTable is cells by name. Invariant: a name's cell never changes.
+type counterTable struct {
+	mu     sync.RWMutex
+	byName map[string]*trafficCounter
 }
 
-func (t *table) at(name string) *cell {
+func (t *counterTable) counter(name string) *trafficCounter {
 	t.mu.RLock()
-	c := t.all[name]
+	c := t.byName[name]
 	t.mu.RUnlock()
 	if c != nil {
 		return c
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.all == nil {
-		t.all = map[string]*cell{}
+	if t.byName == nil {
+		t.byName = map[string]*trafficCounter{}
 	}
-	if c = t.all[name]; c == nil {
-		c = &cell{}
-		t.all[name] = c
+	if c = t.byName[name]; c == nil {
+		c = &trafficCounter{}
+		t.byName[name] = c
 	}
 	return c
 }
 
-func (t *table) read() map[string]Count {
+func (t *counterTable) read() map[string]Traffic {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	out := map[string]Count{}
-	for n, c := range t.all {
+	out := map[string]Traffic{}
+	for n, c := range t.byName {
 		out[n] = c.read()
 	}
 	return out
@@ -78,35 +78,35 @@
 
 // Meter is the counters of one process.
 type Meter struct {
-	paths, peers table
-	cut          *cuts
+	paths, peers counterTable
+	partition    *partition
 }
 
 // New makes one; region tells in which region an address lies, -1 for none.
-func New(region func(ip string) int) *Meter { return &Meter{cut: newCuts(region)} }
+func New(regionOf func(ip string) int) *Meter { return &Meter{partition: newPartition(regionOf)} }
 
 // Paths reads the counts by path, Peers by the other side's address.
-func (m *Meter) Paths() map[string]Count { return m.paths.read() }
+func (m *Meter) Paths() map[string]Traffic { return m.paths.read() }
 
 // Peers reads the counts by the other side's address.
-func (m *Meter) Peers() map[string]Count { return m.peers.read() }
-
-// Sub takes an older reading off a newer one, and leaves out what did not move.
-func Sub(now, old map[string]Count) map[string]Count {
-	out := map[string]Count{}
-	for n, c := range now {
-		if d := c.Sub(old[n]); d != (Count{}) {
-			out[n] = d
+func (m *Meter) Peers() map[string]Traffic { return m.peers.read() }
+
+// Subtract takes an older reading off a newer one, and leaves out what did not move.
+func Subtract(newer, older map[string]Traffic) map[string]Traffic {
+	out := map[string]Traffic{}
+	for n, c := range newer {
+		if difference := c.Sub(older[n]); difference != (Traffic{}) {
+			out[n] = difference
 		}
 	}
 	return out
 }
 
 // Sum adds b to a.
-func Sum(a, b map[string]Count) map[string]Count {
+func Sum(a, b map[string]Traffic) map[string]Traffic {
 	out := maps.Clone(a)
 	if out == nil {
-		out = map[string]Count{}
+		out = map[string]Traffic{}
 	}
 	for n, c := range b {
 		out[n] = out[n].Add(c)
@@ -114,45 +114,45 @@
 	return out
 }
 
-// Path is the form in which paths are counted: the mesh's own whole, of others the
+// CountedPath is the form in which paths are counted: the mesh's own whole, of others the
 // first part.
-func Path(p string) string {
-	if strings.HasPrefix(p, "/cottonarch/") {
-		return p
+func CountedPath(path string) string {
+	if strings.HasPrefix(path, "/cottonarch/") {
+		return path
 	}
-	head, _, _ := strings.Cut(strings.TrimPrefix(p, "/"), "/")
+	head, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return "/" + head
 }
 
-type body struct {
+type countedBody struct {
 	io.ReadCloser
-	n *atomic.Int64
+	bytes *atomic.Int64
 }
 
-func (b body) Read(p []byte) (int, error) {
+func (b countedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.n.Add(int64(n))
+	b.bytes.Add(int64(n))
 	return n, err
 }
 
-type writer struct {
+type countedWriter struct {
 	http.ResponseWriter
-	c    *cell
-	code int
+	counter *trafficCounter
+	status  int
 }
 
-func (w *writer) WriteHeader(code int) { w.code = code; w.ResponseWriter.WriteHeader(code) }
+func (w *countedWriter) WriteHeader(code int) { w.status = code; w.ResponseWriter.WriteHeader(code) }
 
-func (w *writer) Write(p []byte) (int, error) {
+func (w *countedWriter) Write(p []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(p)
-	w.c.out.Add(int64(n))
+	w.counter.bytesOut.Add(int64(n))
 	return n, err
 }
 
 // Unwrap lets http.ResponseController through.
-func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *countedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func text(h http.Header) (n int64) {
+func headerSize(h http.Header) (n int64) {
 	for k, list := range h {
 		for _, v := range list {
 			n += int64(len(k) + len(v) + 4)
@@ -161,20 +161,20 @@
 	return n
 }
 
-// Wrap counts what a handler serves, and labels its work for the profile.
-func (m *Meter) Wrap(next http.Handler) http.Handler {
+// WrapHandler counts what a handler serves, and labels its work for the profile.
+func (m *Meter) WrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name := Path(r.URL.Path)
-		c := m.paths.at(name)
+		name := CountedPath(r.URL.Path)
+		c := m.paths.counter(name)
 		c.messages.Add(1)
-		c.in.Add(int64(len(r.Method)+len(r.RequestURI)+len(r.Host)+21) + text(r.Header))
+		c.bytesIn.Add(int64(len(r.Method)+len(r.RequestURI)+len(r.Host)+21) + headerSize(r.Header))
 		if r.Body != nil {
-			r.Body = body{r.Body, &c.in}
+			r.Body = countedBody{r.Body, &c.bytesIn}
 		}
-		out := &writer{ResponseWriter: w, c: c, code: http.StatusOK}
-		pprof.Do(r.Context(), pprof.Labels(Label, name), func(context.Context) { next.ServeHTTP(out, r) })
-		c.out.Add(19 + text(w.Header()))
-		if out.code >= 400 {
+		out := &countedWriter{ResponseWriter: w, counter: c, status: http.StatusOK}
+		pprof.Do(r.Context(), pprof.Labels(PathLabel, name), func(context.Context) { next.ServeHTTP(out, r) })
+		c.bytesOut.Add(19 + headerSize(w.Header()))
+		if out.status >= 400 {
 			c.failed.Add(1)
 		}
 	})
--- a/capacity/meter/meter_test.go
+++ b/capacity/meter/meter_test.go
@@ -12,15 +12,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// up serves a handler behind a meter on loopback; 127.64 and 127.65 are two regions.
-func up(t *testing.T, h http.Handler) (*Meter, string) {
+// startServer serves a handler behind a meter on loopback; 127.64 and 127.65 are two regions.
+func startServer(t *testing.T, h http.Handler) (*Meter, string) {
 	m := New(func(ip string) int {
 		return map[bool]int{true: 0, false: -1}[strings.HasPrefix(ip, "127.64.")] + map[bool]int{true: 2}[strings.HasPrefix(ip, "127.65.")]
 	})
 	l, err := net.Listen("tcp", "127.64.0.1:0")
 	must.NoError(t, err)
-	s := &http.Server{Handler: m.Wrap(h)}
-	go func() { _ = s.Serve(m.Listen(l)) }()
+	s := &http.Server{Handler: m.WrapHandler(h)}
+	go func() { _ = s.Serve(m.WrapListener(l)) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return m, l.Addr().String()
 }
@@ -34,14 +34,14 @@
 }
 
 func TestCounts(t *testing.T) {
-	m, at := up(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	m, addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.URL.Path == "/keys/no" {
 			w.WriteHeader(http.StatusNotFound)
 		}
 		_, _ = io.WriteString(w, "0123456789")
 	}))
-	c, in, out := dial(t, "127.64.0.9", at), 0, 0
+	c, in, out := dial(t, "127.64.0.9", addr), 0, 0
 	r := bufio.NewReader(c)
 	for _, text := range []string{"POST /cottonarch/v1/renew HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello", "GET /keys/yes HTTP/1.1\r\nHost: x\r\n\r\n", "GET /keys/no HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		n, err := io.WriteString(c, text)
@@ -56,16 +56,16 @@
 	must.Eq(t, 1, paths["/cottonarch/v1/renew"].Messages)
 	must.Eq(t, 2, paths["/keys"].Messages)
 	must.Eq(t, 1, paths["/keys"].Failed)
-	must.Eq(t, int64(in), peers["127.64.0.9"].In)
-	must.Greater(t, int64(out+30), peers["127.64.0.9"].Out)
-	must.Eq(t, map[string]Count{}, Sub(paths, m.Paths()))
-	must.Eq(t, paths, Sub(Sum(paths, paths), paths))
+	must.Eq(t, int64(in), peers["127.64.0.9"].BytesIn)
+	must.Greater(t, int64(out+30), peers["127.64.0.9"].BytesOut)
+	must.Eq(t, map[string]Traffic{}, Subtract(paths, m.Paths()))
+	must.Eq(t, paths, Subtract(Sum(paths, paths), paths))
 }
 
-func TestRegionsApart(t *testing.T) {
-	m, at := up(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "yes") }))
-	const ask = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
-	hears := func(c net.Conn) chan bool {
+func TestRegionsPartitioned(t *testing.T) {
+	m, addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "yes") }))
+	const request = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
+	receives := func(c net.Conn) chan bool {
 		got := make(chan bool, 1)
 		go func() {
 			res, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -73,56 +73,56 @@
 		}()
 		return got
 	}
-	near, far := dial(t, "127.64.0.2", at), dial(t, "127.65.0.2", at)
-	m.Apart(true)
-	for _, c := range []net.Conn{near, far} {
-		_, err := io.WriteString(c, ask)
+	sameRegion, otherRegion := dial(t, "127.64.0.2", addr), dial(t, "127.65.0.2", addr)
+	m.SetPartitioned(true)
+	for _, c := range []net.Conn{sameRegion, otherRegion} {
+		_, err := io.WriteString(c, request)
 		must.NoError(t, err)
 	}
-	late := hears(far)
-	must.True(t, <-hears(near)) // the same region goes on
+	delayed := receives(otherRegion)
+	must.True(t, <-receives(sameRegion)) // the same region goes on
 	select {
-	case <-late:
+	case <-delayed:
 		t.Fatal("a byte passed between regions that are apart")
 	default:
 	}
-	must.Eq(t, 0, m.Peers()["127.65.0.2"].In)
-	m.Apart(false)
-	must.True(t, <-late) // what waited comes through
+	must.Eq(t, 0, m.Peers()["127.65.0.2"].BytesIn)
+	m.SetPartitioned(false)
+	must.True(t, <-delayed) // what waited comes through
 }
 
-func TestDuties(t *testing.T) {
+func TestActivities(t *testing.T) {
 	stack := func(v int64, label string, names ...string) *profile.Sample {
 		s := &profile.Sample{Value: []int64{v}}
 		if label != "" {
-			s.Label = map[string][]string{Label: {label}}
+			s.Label = map[string][]string{PathLabel: {label}}
 		}
 		for _, n := range names {
 			s.Location = append(s.Location, &profile.Location{Line: []profile.Line{{Function: &profile.Function{Name: n}}}})
 		}
 		return s
 	}
-	got := Parts(&profile.Profile{Sample: []*profile.Sample{
+	got := ShareByActivity(&profile.Profile{Sample: []*profile.Sample{
 		stack(10, "/cottonarch/v1/renew", "encoding/json.Unmarshal", "net/http.(*conn).serve"),
 		stack(10, "/cottonarch/v2/unheard", "runtime.mallocgc"),
-		stack(20, "", "sort.x", root+"mesh/lease/table.(*Table).Feed", root+"adapter/mesh.surface.renew.func1", root+"daemon/core.(*Core).loop"),
-		stack(20, "", root+"mesh/lease/table.(*Table).Tick", root+"control/core/node.(*Node).Tick", root+"daemon/core.(*Core).loop"),
+		stack(20, "", "sort.x", modulePrefix+"mesh/lease/table.(*Table).Feed", modulePrefix+"adapter/mesh.surface.renew.func1", modulePrefix+"daemon/core.(*Core).loop"),
+		stack(20, "", modulePrefix+"mesh/lease/table.(*Table).Tick", modulePrefix+"control/core/node.(*Node).Tick", modulePrefix+"daemon/core.(*Core).loop"),
 		stack(10, "", "runtime.scanobject", "runtime.gcBgMarkWorker"),
 		stack(10, "", "syscall.read", "net/http.(*conn).serve"),
 		stack(20, "", "runtime.futex", "runtime.mcall"),
 	}})
 	must.Eq(t, map[string]float64{"leases": 0.3, "/v2/unheard": 0.1, "registry": 0.2, "garbage collection": 0.1, "transport": 0.1, "scheduling, timers": 0.2}, got)
 	for d := range got {
-		must.NotEq(t, "", Package(d))
+		must.NotEq(t, "", PackageOf(d))
 	}
 }
 
-func TestSpentGrows(t *testing.T) {
-	a, m := Self(), Machine()
-	must.Positive(t, a.Memory)
-	must.Positive(t, m.All)
-	must.GreaterEq(t, a.At, Now())
-	must.GreaterEq(t, a.Cores, Self().Cores)
-	must.Eq(t, 0.25, Used(Ticks{100, 50}, Ticks{200, 125}))
-	must.Eq(t, 0, Used(m, m))
+func TestUsageGrows(t *testing.T) {
+	a, m := ProcessUsage(), MachineTicks()
+	must.Positive(t, a.ResidentBytes)
+	must.Positive(t, m.Total)
+	must.GreaterEq(t, a.ReadAt, Now())
+	must.GreaterEq(t, a.CPUSeconds, ProcessUsage().CPUSeconds)
+	must.Eq(t, 0.25, UsedShare(Ticks{100, 50}, Ticks{200, 125}))
+	must.Eq(t, 0, UsedShare(m, m))
 }
--- a/capacity/meter/spent.go
+++ b/capacity/meter/spent.go
@@ -16,20 +16,20 @@
 	return t.Nano()
 }
 
-// Spent is a reading of what this process has used.
-type Spent struct {
-	At     int64   `json:"at"`     // Now
-	Cores  float64 `json:"cores"`  // seconds of processor time, user and system (getrusage)
-	Memory float64 `json:"memory"` // bytes resident now
-	Peak   float64 `json:"peak"`   // bytes resident at most
+// Usage is a reading of what this process has used.
+type Usage struct {
+	ReadAt        int64   `json:"at"`     // Now
+	CPUSeconds    float64 `json:"cores"`  // seconds of processor time, user and system (getrusage)
+	ResidentBytes float64 `json:"memory"` // bytes resident now
+	PeakBytes     float64 `json:"peak"`   // bytes resident at most
 }
 
 // Ticks is how long all processors of this machine were there, and how long idle, in the
 // system's ticks.
-type Ticks struct{ All, Idle float64 }
+type Ticks struct{ Total, Idle float64 }
 
-// Machine reads the whole machine.
-func Machine() (t Ticks) {
+// MachineTicks reads the whole machine.
+func MachineTicks() (t Ticks) {
 	raw, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return t
@@ -40,7 +40,7 @@
 		if err != nil || i > 8 { // guests count as user time already
 			continue
 		}
-		t.All += v
+		t.Total += v
 		if i == 4 || i == 5 {
 			t.Idle += v
 		}
@@ -48,28 +48,28 @@
 	return t
 }
 
-// Used is the part of all processors that was used between two readings, 0 if it can't be
+// UsedShare is the part of all processors that was used between two readings, 0 if it can't be
 // told.
-func Used(a, b Ticks) float64 {
-	if b.All <= a.All {
+func UsedShare(before, after Ticks) float64 {
+	if after.Total <= before.Total {
 		return 0
 	}
-	return 1 - (b.Idle-a.Idle)/(b.All-a.All)
+	return 1 - (after.Idle-before.Idle)/(after.Total-before.Total)
 }
 
-// Self reads this process.
-func Self() Spent {
-	s := Spent{At: Now()}
-	var u unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_SELF, &u) == nil {
-		s.Cores = float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
-		s.Peak = float64(u.Maxrss) * 1024
+// ProcessUsage reads this process.
+func ProcessUsage() Usage {
+	usage := Usage{ReadAt: Now()}
+	var rusage unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_SELF, &rusage) == nil {
+		usage.CPUSeconds = float64(rusage.Utime.Nano()+rusage.Stime.Nano()) / 1e9
+		usage.PeakBytes = float64(rusage.Maxrss) * 1024
 	}
 	if raw, err := os.ReadFile("/proc/self/statm"); err == nil {
-		if f := strings.Fields(string(raw)); len(f) > 1 {
-			n, _ := strconv.ParseInt(f[1], 10, 64)
-			s.Memory = float64(n) * float64(os.Getpagesize())
+		if fields := strings.Fields(string(raw)); len(fields) > 1 {
+			pages, _ := strconv.ParseInt(fields[1], 10, 64)
+			usage.ResidentBytes = float64(pages) * float64(os.Getpagesize())
 		}
 	}
-	return s
+	return usage
 }
--- a/capacity/plan/plan_test.go
+++ b/capacity/plan/plan_test.go
@@ -9,49 +9,49 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/walk"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/validation"
 )
 
 func TestAddresses(t *testing.T) {
-	p := Default()
+	target := Default()
 	seen := map[string]bool{}
 	for i := range 5000 {
-		ip := p.NodeIP(i)
+		ip := target.NodeIP(i)
 		must.False(t, seen[ip])
 		must.True(t, strings.HasPrefix(ip, "127."))
 		seen[ip] = true
-		must.Eq(t, i%p.Districts/(p.Districts/p.Regions), p.Region(ip))
+		must.Eq(t, i%target.Zones/(target.Zones/target.Regions), target.Region(ip))
 	}
-	sum := map[int]int{}
-	for i := range p.Cores {
-		ip := p.CoreIP(i)
+	coresByRegion := map[int]int{}
+	for i := range target.Cores {
+		ip := target.CoreIP(i)
 		must.False(t, seen[ip])
 		seen[ip] = true
-		sum[p.Region(ip)]++
+		coresByRegion[target.Region(ip)]++
 	}
-	must.Eq(t, map[int]int{0: 3, 1: 2}, sum)
+	must.Eq(t, map[int]int{0: 3, 1: 2}, coresByRegion)
 	for _, ip := range []string{"127.0.0.1", "10.64.0.1", "127.200.0.1", "x", "::1"} {
-		must.Eq(t, -1, p.Region(ip))
+		must.Eq(t, -1, target.Region(ip))
 	}
 }
 
-func TestManifestsAreGoodAndChange(t *testing.T) {
-	p := Default()
-	raw, err := json.Marshal(p.Manifest(0))
+func TestConfigsAreValidAndChange(t *testing.T) {
+	target := Default()
+	raw, err := json.Marshal(target.Config(0))
 	must.NoError(t, err)
-	tree, d := walk.Parse(raw)
-	must.Nil(t, d)
-	m, d := check.Read(tree)
-	must.Nil(t, d)
-	must.SliceLen(t, p.Ways, m.Ways)
-	must.MapLen(t, p.Services, m.Services)
-	must.NotEq(t, p.Change(1), p.Change(2))
-	must.NotEq(t, p.Manifest(1), p.Manifest(2))
+	tree, fault := decode.Parse(raw)
+	must.Nil(t, fault)
+	config, fault := validation.Strict(tree)
+	must.Nil(t, fault)
+	must.SliceLen(t, target.Routes, config.Routes)
+	must.MapLen(t, target.Services, config.Services)
+	must.NotEq(t, target.Patch(1), target.Patch(2))
+	must.NotEq(t, target.Config(1), target.Config(2))
 }
 
 func TestTargets(t *testing.T) {
-	for text, good := range map[string]bool{
+	for text, valid := range map[string]bool{
 		`{}`:                            true,
 		`{"nodes":90,"cores":3}`:        true,
 		`{"budget":{"nodeMemory":1e6}}`: true,
@@ -66,11 +66,11 @@
 		file := filepath.Join(t.TempDir(), "t.json")
 		must.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		_, err := Read(file)
-		must.Eq(t, good, err == nil, must.Sprint(text))
+		must.Eq(t, valid, err == nil, must.Sprint(text))
 	}
-	p, err := Read(filepath.Join("..", "..", "samples", "capacity.json")) // what the how-to shows is the default
+	target, err := Read(filepath.Join("..", "..", "samples", "capacity.json")) // what the how-to shows is the default
 	must.NoError(t, err)
-	must.Eq(t, Default(), p)
+	must.Eq(t, Default(), target)
 	_, err = Read(filepath.Join(t.TempDir(), "none"))
 	must.Error(t, err)
 }
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// num shows a figure with three digits that count.
-func num(v float64) string {
+// formatNumber shows a figure with three digits that count.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0:
 		return "0"
@@ -28,201 +28,201 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-type table struct{ b strings.Builder }
+type table struct{ text strings.Builder }
 
-func (t *table) row(cells ...string) { t.b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+func (t *table) row(cells ...string) { t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 
-func (t *table) head(cells ...string) {
+func (t *table) header(cells ...string) {
 	t.row(cells...)
 	t.row(slices.Repeat([]string{"---"}, len(cells))...)
 }
 
-func (t *table) say(f string, args ...any) { fmt.Fprintf(&t.b, f+"\n", args...) }
+func (t *table) printf(format string, args ...any) { fmt.Fprintf(&t.text, format+"\n", args...) }
 
 // at tells where a figure at the size asked about comes from.
-func (r Row) from(n float64) string {
-	if r.Line.To >= n {
+func (r Row) reachedBy(n float64) string {
+	if r.Line.MaxSize >= n {
 		return "measured"
 	}
-	return fmt.Sprintf("×%.3g", n/r.Line.To)
+	return fmt.Sprintf("×%.3g", n/r.Line.MaxSize)
 }
 
 // Tables is the whole text, as it stands on the page.
-func Tables(res *run.Result) string {
-	rows, t := Rows(res), &table{}
-	t.say("Commit %s, %s, %d processors, window %s. `%s`\n", res.Commit, res.Go, res.Processors, res.Window, res.Command)
-	low, high := 1.0, 0.0
-	for _, p := range res.Points {
-		low, high = min(low, p.Machine), max(high, p.Machine)
+func Tables(result *run.Result) string {
+	rows, t := Rows(result), &table{}
+	t.printf("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
+	lowest, highest := 1.0, 0.0
+	for _, p := range result.Points {
+		lowest, highest = min(lowest, p.MachineCPU), max(highest, p.MachineCPU)
 	}
-	if high > 0 {
-		t.say("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; times of a crowded machine are not the mesh's.\n", 100*low, 100*high)
+	if highest > 0 {
+		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
 	}
-	for _, l := range res.Left {
-		t.say("- left out: %s", l)
+	for _, skipped := range result.Skipped {
+		t.printf("- left out: %s", skipped)
 	}
-	for _, p := range res.Points {
+	for _, p := range result.Points {
 		if p.Missing > 0 {
-			t.say("- %s at %d nodes: %d did not come to know in time", p.Load, p.Nodes, p.Missing)
+			t.printf("- %s at %d nodes: %d did not come to know in time", p.Load, p.Nodes, p.Missing)
 		}
 		if !p.Clean() {
-			t.say("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and a process was held up for %.1f s; its times are left out of the fits", p.Load, p.Nodes, 100*p.Busy, p.Held)
+			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and a process was held up for %.1f s; its times are left out of the fits", p.Load, p.Nodes, 100*p.MeshCPU, p.MaxStall)
 		}
 	}
-	t.budget(res, rows)
-	t.duties(res, rows, "core")
-	t.duties(res, rows, "sidecar")
-	t.walk(res)
-	t.figures(res, rows)
-	return t.b.String()
+	t.budget(result, rows)
+	t.activities(result, rows, "core")
+	t.activities(result, rows, "sidecar")
+	t.callLatency(result)
+	t.figures(result, rows)
+	return t.text.String()
 }
 
-// Spend is one line of the budget. Figure is at the size asked about.
-type Spend struct {
-	What, Unit, From string
-	Figure, Budget   float64
+// BudgetLine is one line of the budget. Figure is at the size asked about.
+type BudgetLine struct {
+	What, Unit, ReachedBy string
+	Figure, Budget        float64
 }
 
-// Over is how many times the budget it is.
-func (s Spend) Over() float64 { return s.Figure / s.Budget }
+// Ratio is how many times the budget it is.
+func (l BudgetLine) Ratio() float64 { return l.Figure / l.Budget }
 
-// Budget works out what the budgets are held against: the steady beats, and the day's
+// BudgetLines works out what the budgets are held against: the steady beats, and the day's
 // changes and restarts spread over the day.
-func Budget(res *run.Result, rows []Row) []Spend {
-	var out []Spend
-	b, n := res.Target.Budget, float64(res.Target.Nodes)
-	day := func(unit, event string) (float64, string, bool) {
-		r, ok := find(rows, "steady", "sidecar/all/"+unit)
+func BudgetLines(result *run.Result, rows []Row) []BudgetLine {
+	var out []BudgetLine
+	budget, targetNodes := result.Target.Budget, float64(result.Target.Nodes)
+	overDay := func(unit, event string) (float64, string, bool) {
+		r, ok := findRow(rows, "steady", "sidecar/all/"+unit)
 		if !ok {
 			return 0, "", false
 		}
-		v := r.At
-		if e, ok := find(rows, "changes", "sidecar/all/"+event); ok {
-			v += e.At * res.Target.ChangesDay / 86400
+		v := r.AtTarget
+		if e, ok := findRow(rows, "changes", "sidecar/all/"+event); ok {
+			v += e.AtTarget * result.Target.ChangesPerDay / 86400
 		}
-		if e, ok := find(rows, "restart", "sidecar/all/"+event); ok {
-			v += e.At / 86400
+		if e, ok := findRow(rows, "restart", "sidecar/all/"+event); ok {
+			v += e.AtTarget / 86400
 		}
-		return v, r.from(n), true
+		return v, r.reachedBy(targetNodes), true
 	}
-	if v, from, ok := day("processor cores", "processor seconds"); ok {
-		out = append(out, Spend{"a node's control, processor", "cores", from, v, b.NodeCores})
+	if v, from, ok := overDay("processor cores", "processor seconds"); ok {
+		out = append(out, BudgetLine{"a node's control, processor", "cores", from, v, budget.NodeCores})
 	}
-	if v, from, ok := day("bytes a second", "bytes"); ok {
-		out = append(out, Spend{"a node's control, both ways", "bytes a second", from, v, b.NodeBytesS})
+	if v, from, ok := overDay("bytes a second", "bytes"); ok {
+		out = append(out, BudgetLine{"a node's control, both ways", "bytes a second", from, v, budget.NodeBytesPerSecond})
 	}
-	top := Row{}
-	for _, l := range []string{"steady", "changes", "manifest", "restart"} {
+	highest := Row{}
+	for _, load := range []string{"steady", "changes", "manifest", "restart"} {
 		for _, name := range []string{"sidecar/all/memory", "sidecar/all/memory at its peak"} {
-			if r, ok := find(rows, l, name); ok && r.At > top.At {
-				top = r
+			if r, ok := findRow(rows, load, name); ok && r.AtTarget > highest.AtTarget {
+				highest = r
 			}
 		}
 	}
-	if top.Line != nil {
-		out = append(out, Spend{"a node's memory, " + top.Load, "bytes", top.from(n), top.At, b.NodeMemory})
+	if highest.Line != nil {
+		out = append(out, BudgetLine{"a node's memory, " + highest.Load, "bytes", highest.reachedBy(targetNodes), highest.AtTarget, budget.NodeMemoryBytes})
 	}
-	for _, l := range []string{"changes", "manifest"} {
-		if r, ok := find(rows, l, "mesh/known to all/seconds"); ok {
-			out = append(out, Spend{l + ": in force everywhere", "seconds", r.from(n), r.At, b.InForceS})
+	for _, load := range []string{"changes", "manifest"} {
+		if r, ok := findRow(rows, load, "mesh/known to all/seconds"); ok {
+			out = append(out, BudgetLine{load + ": in force everywhere", "seconds", r.reachedBy(targetNodes), r.AtTarget, budget.ApplySeconds})
 		}
-		if r, ok := find(rows, l, "mesh/known to all, less the other nodes' work/seconds"); ok {
-			out = append(out, Spend{l + ": in force everywhere, nodes on machines of their own", "seconds", r.from(n), r.At, b.InForceS})
+		if r, ok := findRow(rows, load, "mesh/known to all, less the other nodes' work/seconds"); ok {
+			out = append(out, BudgetLine{load + ": in force everywhere, nodes on machines of their own", "seconds", r.reachedBy(targetNodes), r.AtTarget, budget.ApplySeconds})
 		}
-		if r, ok := find(rows, l, "sidecar/all/bytes"); ok {
-			out = append(out, Spend{l + ": bytes to one node, spread over the time to be in force", "bytes a second", r.from(n), r.At / b.InForceS, b.NodeBytesS})
+		if r, ok := findRow(rows, load, "sidecar/all/bytes"); ok {
+			out = append(out, BudgetLine{load + ": bytes to one node, spread over the time to be in force", "bytes a second", r.reachedBy(targetNodes), r.AtTarget / budget.ApplySeconds, budget.NodeBytesPerSecond})
 		}
 	}
-	if len(res.Walk) > 0 {
-		w := res.Walk[len(res.Walk)-1]
+	if len(result.CallLatency) > 0 {
+		latency := result.CallLatency[len(result.CallLatency)-1]
 		from := "measured"
-		if w.Records < res.Target.Nodes {
-			from = fmt.Sprintf("at %d records", w.Records)
+		if latency.Records < result.Target.Nodes {
+			from = fmt.Sprintf("at %d records", latency.Records)
 		}
-		out = append(out, Spend{"added to a call, 99 in 100", "ms", from, w.Added["p99"], b.AddedMs})
+		out = append(out, BudgetLine{"added to a call, 99 in 100", "ms", from, latency.Added["p99"], budget.AddedLatencyMs})
 	}
 	return out
 }
 
-func (t *table) budget(res *run.Result, rows []Row) {
-	list := Budget(res, rows)
-	if len(list) == 0 {
+func (t *table) budget(result *run.Result, rows []Row) {
+	lines := BudgetLines(result, rows)
+	if len(lines) == 0 {
 		return
 	}
-	t.say("\n### At %d nodes, against the budget\n", res.Target.Nodes)
-	t.head("what", "figure", "budget", "", "reached by")
-	for _, s := range list {
-		word := "fits"
-		if s.Over() > 1 {
-			word = fmt.Sprintf("**over, ×%.3g**", s.Over())
+	t.printf("\n### At %d nodes, against the budget\n", result.Target.Nodes)
+	t.header("what", "figure", "budget", "", "reached by")
+	for _, line := range lines {
+		verdict := "fits"
+		if line.Ratio() > 1 {
+			verdict = fmt.Sprintf("**over, ×%.3g**", line.Ratio())
 		}
-		t.row(s.What, num(s.Figure)+" "+s.Unit, num(s.Budget), word, s.From)
+		t.row(line.What, formatNumber(line.Figure)+" "+line.Unit, formatNumber(line.Budget), verdict, line.ReachedBy)
 	}
-	n := float64(res.Target.Nodes)
+	n := float64(result.Target.Nodes)
 	for _, name := range []string{"core/busiest/processor cores", "core/all/memory", "core/all/messages a second", "core/all/bytes a second"} {
-		if r, ok := find(rows, "steady", name); ok {
+		if r, ok := findRow(rows, "steady", name); ok {
 			what := "each core: "
-			if r.Duty() == "busiest" {
+			if r.Activity() == "busiest" {
 				what = "the busiest core: "
 			}
-			t.row(what+strings.TrimPrefix(r.Unit(), "processor "), num(r.At), fmt.Sprintf("%d machines", res.Target.Budget.CoreMachine), "", r.from(n))
+			t.row(what+strings.TrimPrefix(r.Unit(), "processor "), formatNumber(r.AtTarget), fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines), "", r.reachedBy(n))
 		}
 	}
-	if len(res.Walk) > 0 {
-		w := res.Walk[len(res.Walk)-1]
-		t.row(fmt.Sprintf("a call %d deep, at the half of calls", res.Target.Deep), num(float64(res.Target.Deep)*w.Added["p50"])+" ms", "", "", fmt.Sprintf("%d × p50", res.Target.Deep))
+	if len(result.CallLatency) > 0 {
+		latency := result.CallLatency[len(result.CallLatency)-1]
+		t.row(fmt.Sprintf("a call %d deep, at the half of calls", result.Target.CallDepth), formatNumber(float64(result.Target.CallDepth)*latency.Added["p50"])+" ms", "", "", fmt.Sprintf("%d × p50", result.Target.CallDepth))
 	}
 }
 
-// duties is one role's work by duty at the size asked about.
-func (t *table) duties(res *run.Result, rows []Row, role string) {
-	n, list := float64(res.Target.Nodes), []string{}
+// activities is one role's work by duty at the size asked about.
+func (t *table) activities(result *run.Result, rows []Row, role string) {
+	n, activities := float64(result.Target.Nodes), []string{}
 	units := []string{"messages a second", "body bytes a second", "processor cores"}
-	cell := func(duty, unit string) string {
-		if r, ok := find(rows, "steady", role+"/"+duty+"/"+unit); ok {
-			return num(r.At)
+	figure := func(activity, unit string) string {
+		if r, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
+			return formatNumber(r.AtTarget)
 		}
 		return ""
 	}
 	for _, r := range rows {
-		if r.Load == "steady" && r.Role() == role && slices.Contains(units, r.Unit()) && !slices.Contains([]string{"all", "busiest", "hollow, mean"}, r.Duty()) && r.Line != nil && !slices.Contains(list, r.Duty()) {
-			list = append(list, r.Duty())
+		if r.Load == "steady" && r.Role() == role && slices.Contains(units, r.Unit()) && !slices.Contains([]string{"all", "busiest", "hollow, mean"}, r.Activity()) && r.Line != nil && !slices.Contains(activities, r.Activity()) {
+			activities = append(activities, r.Activity())
 		}
 	}
-	if len(list) == 0 {
+	if len(activities) == 0 {
 		return
 	}
-	t.say("\n### %s, steady beats at %.0f nodes, by duty\n", map[string]string{"core": "Each core", "sidecar": "The sidecar"}[role], n)
-	t.head("duty", "package", "messages a second", "body bytes a second", "processor cores")
-	for _, d := range list {
-		t.row(d, meter.Package(d), cell(d, units[0]), cell(d, units[1]), cell(d, units[2]))
+	t.printf("\n### %s, steady beats at %.0f nodes, by duty\n", map[string]string{"core": "Each core", "sidecar": "The sidecar"}[role], n)
+	t.header("duty", "package", "messages a second", "body bytes a second", "processor cores")
+	for _, activity := range activities {
+		t.row(activity, meter.PackageOf(activity), figure(activity, units[0]), figure(activity, units[1]), figure(activity, units[2]))
 	}
-	t.row("all", "", cell("all", units[0]), cell("all", "bytes a second")+" (TCP)", cell("all", units[2]))
+	t.row("all", "", figure("all", units[0]), figure("all", "bytes a second")+" (TCP)", figure("all", units[2]))
 }
 
-func (t *table) walk(res *run.Result) {
-	if len(res.Walk) == 0 {
+func (t *table) callLatency(result *run.Result) {
+	if len(result.CallLatency) == 0 {
 		return
 	}
-	t.say("\n### The walk: what both sidecars add to a call, ms\n")
-	t.head("records", "ways", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
-	for _, w := range res.Walk {
-		t.row(fmt.Sprint(w.Records), fmt.Sprint(w.Ways), fmt.Sprint(w.Pairs), num(w.Added["p50"]), num(w.Added["p99"]), num(w.Added["p99.9"]),
-			num(w.Through["p50"]), num(w.Through["p99"]), num(w.Direct["p50"]), num(w.Direct["p99"]))
+	t.printf("\n### The walk: what both sidecars add to a call, ms\n")
+	t.header("records", "ways", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
+	for _, point := range result.CallLatency {
+		t.row(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs), formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
+			formatNumber(point.ThroughMesh["p50"]), formatNumber(point.ThroughMesh["p99"]), formatNumber(point.Direct["p50"]), formatNumber(point.Direct["p99"]))
 	}
 }
 
-func value(list []fit.XY, n int) string {
-	for _, p := range list {
+func valueAtSize(points []fit.Point, n int) string {
+	for _, p := range points {
 		if p.X == float64(n) {
-			return num(p.Y)
+			return formatNumber(p.Y)
 		}
 	}
 	return ""
 }
 
 // figures is every figure that stands on a line.
-func (t *table) figures(res *run.Result, rows []Row) {
+func (t *table) figures(result *run.Result, rows []Row) {
 	last := ""
 	for _, r := range rows {
 		if len(r.Points) == 0 {
@@ -230,21 +230,21 @@
 		}
 		if r.Load != last {
 			last = r.Load
-			t.say("\n### Load: %s\n", last)
+			t.printf("\n### Load: %s\n", last)
 			cells := []string{"figure"}
-			for _, n := range res.Sizes {
+			for _, n := range result.Sizes {
 				cells = append(cells, fmt.Sprint(n))
 			}
-			t.head(append(cells, "line", "farthest off", fmt.Sprintf("at %d", res.Target.Nodes), "reached by")...)
+			t.header(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
 		}
 		cells := []string{strings.ReplaceAll(r.Name, "/", ": ")}
-		for _, n := range res.Sizes {
-			cells = append(cells, value(r.Points, n))
+		for _, n := range result.Sizes {
+			cells = append(cells, valueAtSize(r.Points, n))
 		}
 		if r.Line == nil {
 			cells = append(cells, fmt.Sprintf("%d sizes are too few", len(r.Points)), "", "", "")
 		} else {
-			cells = append(cells, r.Line.Text(), fmt.Sprintf("%.0f %%", 100*r.Line.Off), num(r.At), r.from(float64(res.Target.Nodes)))
+			cells = append(cells, r.Line.Formula(), fmt.Sprintf("%.0f %%", 100*r.Line.MaxRelativeError), formatNumber(r.AtTarget), r.reachedBy(float64(result.Target.Nodes)))
 		}
 		t.row(cells...)
 	}
--- a/capacity/report/write.go
+++ b/capacity/report/write.go
@@ -9,51 +9,51 @@
 
 	"github.com/wcharczuk/go-chart/v2"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/capacity/run"
-	"cottonarch.example/cottonarch/kernel/failure"
 )
 
 // Figures is the file of what was measured, Text that of the tables.
 const (
-	Figures = "capacity.json"
-	Text    = "tables.md"
+	FiguresFile = "capacity.json"
+	TablesFile  = "tables.md"
 )
 
-// Load reads an earlier run's figures.
-func Load(file string) (*run.Result, error) {
+// ReadResult reads an earlier run's figures.
+func ReadResult(file string) (*run.Result, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, failure.New(failure.BadSettings, "%v", err)
 	}
-	res := &run.Result{}
-	if err := json.Unmarshal(raw, res); err != nil {
+	result := &run.Result{}
+	if err := json.Unmarshal(raw, result); err != nil {
 		return nil, failure.New(failure.BadSettings, "%s: %v", file, err)
 	}
-	return res, nil
+	return result, nil
 }
 
 // Write writes figures, tables and plots into a folder and gives the tables.
-func Write(res *run.Result, dir string) (string, error) {
+func Write(result *run.Result, dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", failure.Wrap(err, failure.Internal, "folder")
 	}
-	raw, err := json.MarshalIndent(res, "", " ")
+	raw, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return "", failure.Wrap(err, failure.Internal, "figures")
 	}
-	text := Tables(res)
-	put := map[string][]byte{Figures: append(raw, '\n'), Text: []byte(text)}
-	rows := Rows(res)
+	text := Tables(result)
+	files := map[string][]byte{FiguresFile: append(raw, '\n'), TablesFile: []byte(text)}
+	rows := Rows(result)
 	for _, p := range plots {
-		svg, err := p.draw(res, rows)
+		svg, err := p.draw(result, rows)
 		if err != nil {
 			return "", failure.Wrap(err, failure.Internal, "plot "+p.file)
 		}
 		if svg != nil {
-			put[p.file+".svg"] = svg
+			files[p.file+".svg"] = svg
 		}
 	}
-	for name, data := range put {
+	for name, data := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), data, 0o644); err != nil {
 			return "", failure.Wrap(err, failure.Internal, "write")
 		}
@@ -64,7 +64,7 @@
 // plot is figures of one unit in one picture; the lines run on to the size asked about.
 type plot struct {
 	file, title string
-	rows        [][3]string // load, name, shown as
+	series      [][3]string // load, name, shown as
 }
 
 var plots = []plot{
@@ -76,49 +76,49 @@
 		{"restart", "mesh/known to all/seconds", "restarts"}, {"zone back", "mesh/known to all/seconds", "a zone back"}, {"apart", "mesh/known to all/seconds", "regions joined"}, {"start", "mesh/known to all/seconds", "all start at once"}}},
 }
 
-const steps = 40
+const lineSteps = 40
 
-func (p plot) draw(res *run.Result, rows []Row) ([]byte, error) {
-	c := chart.Chart{Title: p.title, Width: 760, Height: 420, Background: chart.Style{Padding: chart.Box{Top: 50, Left: 20, Right: 20, Bottom: 20}}, XAxis: chart.XAxis{Name: "nodes"}, YAxis: chart.YAxis{Name: p.title, ValueFormatter: func(v any) string {
+func (p plot) draw(result *run.Result, rows []Row) ([]byte, error) {
+	picture := chart.Chart{Title: p.title, Width: 760, Height: 420, Background: chart.Style{Padding: chart.Box{Top: 50, Left: 20, Right: 20, Bottom: 20}}, XAxis: chart.XAxis{Name: "nodes"}, YAxis: chart.YAxis{Name: p.title, ValueFormatter: func(v any) string {
 		if f, ok := v.(float64); ok {
-			return num(f)
+			return formatNumber(f)
 		}
 		return ""
 	}}}
-	for i, want := range p.rows {
-		r, ok := find(rows, want[0], want[1])
+	for i, series := range p.series {
+		r, ok := findRow(rows, series[0], series[1])
 		if !ok {
 			continue
 		}
 		color := chart.GetDefaultColor(i)
-		dots := chart.ContinuousSeries{Name: want[2], Style: chart.Style{StrokeWidth: chart.Disabled, DotWidth: 4, DotColor: color, StrokeColor: color}}
-		for _, at := range r.Points {
-			dots.XValues, dots.YValues = append(dots.XValues, at.X), append(dots.YValues, at.Y)
+		dots := chart.ContinuousSeries{Name: series[2], Style: chart.Style{StrokeWidth: chart.Disabled, DotWidth: 4, DotColor: color, StrokeColor: color}}
+		for _, point := range r.Points {
+			dots.XValues, dots.YValues = append(dots.XValues, point.X), append(dots.YValues, point.Y)
 		}
-		line := chart.ContinuousSeries{Name: want[2] + ", line", Style: chart.Style{StrokeColor: color, StrokeWidth: 1}}
-		to := max(float64(res.Target.Nodes), r.Line.To)
-		for k := range steps + 1 {
-			x := r.Line.From + (to-r.Line.From)*float64(k)/steps
-			line.XValues, line.YValues = append(line.XValues, x), append(line.YValues, r.Line.At(x))
+		line := chart.ContinuousSeries{Name: series[2] + ", line", Style: chart.Style{StrokeColor: color, StrokeWidth: 1}}
+		to := max(float64(result.Target.Nodes), r.Line.MaxSize)
+		for k := range lineSteps + 1 {
+			x := r.Line.MinSize + (to-r.Line.MinSize)*float64(k)/lineSteps
+			line.XValues, line.YValues = append(line.XValues, x), append(line.YValues, r.Line.ValueAt(x))
 		}
-		c.Series = append(c.Series, dots, line)
+		picture.Series = append(picture.Series, dots, line)
 	}
-	if len(c.Series) == 0 {
+	if len(picture.Series) == 0 {
 		return nil, nil
 	}
-	top := 0.0
-	for _, s := range c.Series {
+	highest := 0.0
+	for _, s := range picture.Series {
 		for _, y := range s.(chart.ContinuousSeries).YValues {
-			top = max(top, y)
+			highest = max(highest, y)
 		}
 	}
-	if top <= 0 {
+	if highest <= 0 {
 		return nil, nil // there is nothing to see
 	}
-	c.YAxis.Range = &chart.ContinuousRange{Min: 0, Max: top * 1.05}
-	c.Elements = []chart.Renderable{chart.LegendThin(&c)}
+	picture.YAxis.Range = &chart.ContinuousRange{Min: 0, Max: highest * 1.05}
+	picture.Elements = []chart.Renderable{chart.LegendThin(&picture)}
 	var out bytes.Buffer
-	if err := c.Render(chart.SVG, &out); err != nil {
+	if err := picture.Render(chart.SVG, &out); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
@@ -126,22 +126,22 @@
 
 // Begin and End mark where a page holds the tables.
 const (
-	Begin = "<!-- capacity: begin -->"
-	End   = "<!-- capacity: end -->"
+	BeginMark = "<!-- capacity: begin -->"
+	EndMark   = "<!-- capacity: end -->"
 )
 
-// Page puts the tables between the marks of a page.
-func Page(file, text string) error {
+// UpdatePage puts the tables between the marks of a page.
+func UpdatePage(file, text string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return failure.New(failure.BadSettings, "%v", err)
 	}
-	head, rest, a := strings.Cut(string(raw), Begin)
-	_, tail, b := strings.Cut(rest, End)
-	if !a || !b {
-		return failure.New(failure.BadSettings, "%s has no marks %s and %s", file, Begin, End)
+	head, rest, hasBegin := strings.Cut(string(raw), BeginMark)
+	_, tail, hasEnd := strings.Cut(rest, EndMark)
+	if !hasBegin || !hasEnd {
+		return failure.New(failure.BadSettings, "%s has no marks %s and %s", file, BeginMark, EndMark)
 	}
-	if err := os.WriteFile(file, []byte(head+Begin+"\n"+text+End+tail), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(head+BeginMark+"\n"+text+EndMark+tail), 0o644); err != nil {
 		return failure.Wrap(err, failure.Internal, "page")
 	}
 	return nil
--- a/capacity/run/run_test.go
+++ b/capacity/run/run_test.go
@@ -7,14 +7,14 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/capacity/part"
 	"cottonarch.example/cottonarch/capacity/plan"
+	"cottonarch.example/cottonarch/capacity/process"
 )
 
 // TestMain lets this test's own program be the parts of a mesh.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "capacity-part" {
-		if part.Run(os.Stdin, os.Stdout) != nil {
+		if process.Run(os.Stdin, os.Stdout) != nil {
 			os.Exit(1)
 		}
 		os.Exit(0)
@@ -27,46 +27,46 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	p := plan.Default()
-	p.Cores, p.Ways, p.Services, p.NodesAProcess = 1, 60, 12, 3
-	res, err := Measure(Boot{Self: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: p, Sizes: []int{6}, Loads: Loads(), For: 1200 * time.Millisecond,
-		Limit: 2 * time.Minute, Memory: 4e9, Process: 20, Say: t.Logf})
+	target := plan.Default()
+	target.Cores, target.Routes, target.Services, target.NodesPerProcess = 1, 60, 12, 3
+	res, err := Measure(Options{ProcessCommand: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: target, Sizes: []int{6}, Workloads: WorkloadNames(), Window: 1200 * time.Millisecond,
+		TimeLimit: 2 * time.Minute, MemoryLimit: 4e9, MaxProcesses: 20, Logf: t.Logf})
 	must.NoError(t, err)
-	must.SliceEmpty(t, res.Left)
+	must.SliceEmpty(t, res.Skipped)
 	seen := map[string]bool{}
-	for _, at := range res.Points {
-		seen[at.Load] = true
-		must.Eq(t, 6, at.Nodes)
-		must.Eq(t, 0, at.Missing, must.Sprint(at.Load))
-		if at.Load != "steady" {
-			must.Positive(t, at.Values["mesh/known to all/seconds"], must.Sprint(at.Load))
+	for _, point := range res.Points {
+		seen[point.Load] = true
+		must.Eq(t, 6, point.Nodes)
+		must.Eq(t, 0, point.Missing, must.Sprint(point.Load))
+		if point.Load != "steady" {
+			must.Positive(t, point.Values["mesh/known to all/seconds"], must.Sprint(point.Load))
 		}
 	}
 	for _, l := range []string{"steady", "leave", "changes", "manifest", "restart", "zone lost", "zone back", "apart", "start"} {
 		must.True(t, seen[l], must.Sprint(l))
 	}
-	v := res.Points[0].Values
+	values := res.Points[0].Values
 	for _, n := range []string{"core/all/processor cores", "core/all/memory", "core/all/messages a second", "core/leases/messages a second",
 		"sidecar/all/processor cores", "sidecar/all/memory", "sidecar/all/bytes a second", "sidecar/its endpoint/bytes a second"} {
-		must.Positive(t, v[n], must.Sprint(n))
+		must.Positive(t, values[n], must.Sprint(n))
 	}
-	must.SliceLen(t, 1, res.Walk)
-	must.Positive(t, res.Walk[0].Pairs)
-	must.Zero(t, res.Walk[0].Failed)
+	must.SliceLen(t, 1, res.CallLatency)
+	must.Positive(t, res.CallLatency[0].Pairs)
+	must.Zero(t, res.CallLatency[0].Failed)
 }
 
 // What does not fit is left out, and named.
 func TestBounds(t *testing.T) {
-	p := plan.Default()
-	b := Boot{Self: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: p, Sizes: []int{500, 1000}, Loads: []string{"steady"}, For: time.Second, Limit: time.Minute, Memory: 1e9, Process: 10, Say: t.Logf}
-	res, err := Measure(b)
+	target := plan.Default()
+	options := Options{ProcessCommand: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: target, Sizes: []int{500, 1000}, Workloads: []string{"steady"}, Window: time.Second, TimeLimit: time.Minute, MemoryLimit: 1e9, MaxProcesses: 10, Logf: t.Logf}
+	res, err := Measure(options)
 	must.Error(t, err)
-	must.SliceLen(t, 2, res.Left)
-	for _, bad := range []func(*Boot){
-		func(b *Boot) { b.Sizes = []int{10, 15} }, func(b *Boot) { b.Sizes = nil }, func(b *Boot) { b.Sizes = []int{1} },
-		func(b *Boot) { b.Loads = []string{"no such"} }, func(b *Boot) { b.For = time.Hour },
+	must.SliceLen(t, 2, res.Skipped)
+	for _, bad := range []func(*Options){
+		func(options *Options) { options.Sizes = []int{10, 15} }, func(options *Options) { options.Sizes = nil }, func(options *Options) { options.Sizes = []int{1} },
+		func(options *Options) { options.Workloads = []string{"no such"} }, func(options *Options) { options.Window = time.Hour },
 	} {
-		c := b
+		c := options
 		bad(&c)
 		_, err := Measure(c)
 		must.Error(t, err)
--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"cottonarch.example/cottonarch/capacity/part"
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/capacity/plan"
+	"cottonarch.example/cottonarch/capacity/process"
 	"cottonarch.example/cottonarch/capacity/report"
 	"cottonarch.example/cottonarch/capacity/run"
-	"cottonarch.example/cottonarch/kernel/failure"
 )
 
 type capacityCmd struct {
@@ -31,12 +31,12 @@
 type capacityPartCmd struct{}
 
 // Run is one process of a measured mesh.
-func (capacityPartCmd) Run() error { return part.Run(os.Stdin, os.Stdout) }
+func (capacityPartCmd) Run() error { return process.Run(os.Stdin, os.Stdout) }
 
 func (c capacityCmd) Run() error {
 	say := func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) }
 	if c.From != "" {
-		res, err := report.Load(c.From)
+		res, err := report.ReadResult(c.From)
 		if err != nil {
 			return err
 		}
@@ -50,17 +50,17 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "own program")
 	}
-	b := run.Boot{Self: []string{self, "capacity-part"}, Dir: c.Disks, Target: t, Sizes: c.Sizes, Loads: c.Loads, Commit: c.Commit, Command: "cottonarch " + strings.Join(os.Args[1:], " "), For: c.For, Limit: c.Limit, Memory: c.Memory, Process: c.Most, Say: say}
-	if b.Memory <= 0 {
-		b.Memory = run.Half()
+	b := run.Options{ProcessCommand: []string{self, "capacity-part"}, Dir: c.Disks, Target: t, Sizes: c.Sizes, Workloads: c.Loads, Commit: c.Commit, Command: "cottonarch " + strings.Join(os.Args[1:], " "), Window: c.For, TimeLimit: c.Limit, MemoryLimit: c.Memory, MaxProcesses: c.Most, Logf: say}
+	if b.MemoryLimit <= 0 {
+		b.MemoryLimit = run.HalfOfMemory()
 	}
-	b.Keep = func(res *run.Result) {
+	b.OnSize = func(res *run.Result) {
 		if _, err := report.Write(res, c.Out); err != nil {
 			say("%v", err)
 		}
 	}
 	if len(c.Loads) == 1 && c.Loads[0] == "all" {
-		b.Loads = run.Loads()
+		b.Workloads = run.WorkloadNames()
 	}
 	res, err := run.Measure(b)
 	if err != nil {
@@ -75,7 +75,7 @@
 		return err
 	}
 	if c.Page != "" {
-		if err := report.Page(c.Page, text); err != nil {
+		if err := report.UpdatePage(c.Page, text); err != nil {
 			return err
 		}
 	}
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -8,9 +8,9 @@
 
 	"github.com/alecthomas/kong"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/explore"
 	"cottonarch.example/cottonarch/explore/cluster"
-	"cottonarch.example/cottonarch/kernel/failure"
 )
 
 type exploreCmd struct {
@@ -37,7 +37,7 @@
 	for _, f := range cluster.Faults() {
 		faults = append(faults, string(f))
 	}
-	return kong.Vars{"explore_faults": strings.Join(faults, ", "), "explore_breaks": strings.Join(explore.BreakNames(), ", ")}
+	return kong.Vars{"explore_faults": strings.Join(faults, ", "), "explore_breaks": strings.Join(explore.MutantNames(), ", ")}
 }
 
 // Run explores, or replays.
@@ -46,11 +46,11 @@
 		return c.replay()
 	}
 	o := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
-		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Break: cluster.Break(c.Break), Faults: map[cluster.Fault]int{}}
+		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Mutant: cluster.Mutant(c.Break), Faults: map[cluster.Fault]int{}}
 	for name, n := range c.Faults {
 		o.Faults[cluster.Fault(name)] = n
 	}
-	if bad := o.Check(); bad != nil {
+	if bad := o.Validate(); bad != nil {
 		return bad
 	}
 	if c.For > 0 {
@@ -60,7 +60,7 @@
 	parts := explore.Run(o)
 	fmt.Print(explore.Text(parts))
 	last := parts[len(parts)-1]
-	if last.Breach == nil {
+	if last.Violation == nil {
 		fmt.Println("all held")
 		return nil
 	}
@@ -69,7 +69,7 @@
 			return failure.New(failure.BadSettings, "can't write the trace: %v", err)
 		}
 	}
-	return failure.New(failure.Conflict, "%s", last.Breach)
+	return failure.New(failure.Conflict, "%s", last.Violation)
 }
 
 func (c exploreCmd) replay() error {
--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -15,15 +15,15 @@
 	"github.com/go-kratos/kratos/v2/transport"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/boot"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/capacity/run"
-	"cottonarch.example/cottonarch/daemon/assemble"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/daemon"
 	"cottonarch.example/cottonarch/platform"
-	"cottonarch.example/cottonarch/sim/plan"
-	"cottonarch.example/cottonarch/stand/caller"
-	"cottonarch.example/cottonarch/stand/endpoint"
+	"cottonarch.example/cottonarch/settings"
+	"cottonarch.example/cottonarch/sim/scenario"
+	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
 	"cottonarch.example/cottonarch/wire/server"
 )
 
@@ -41,9 +41,9 @@
 }
 
 type bootFlags struct {
-	Boot       string `short:"b" help:"Boot file (JSON)." type:"path"`
-	boot.Flags `embed:""`
-	Check      bool `help:"Check the boot and end."`
+	Boot           string `short:"b" help:"Boot file (JSON)." type:"path"`
+	settings.Flags `embed:""`
+	Check          bool `help:"Check the boot and end."`
 }
 
 func (b bootFlags) tree() (map[string]any, error) {
@@ -86,10 +86,10 @@
 	return daemon(b, log)
 }
 
-func (c coreCmd) Run() error { return start(c.bootFlags, boot.ReadCore, runCore) }
+func (c coreCmd) Run() error { return start(c.bootFlags, settings.ReadCore, runCore) }
 
-func runCore(b boot.Core, log *zap.Logger) error {
-	daemon, srv, err := assemble.Core(b, log)
+func runCore(b settings.Core, log *zap.Logger) error {
+	daemon, srv, err := daemon.Core(b, log)
 	if err != nil {
 		return err
 	}
@@ -98,10 +98,10 @@
 	return serve(log, "core", func() { daemon.Leave(10 * time.Second) }, srv)
 }
 
-func (c sidecarCmd) Run() error { return start(c.bootFlags, boot.ReadSidecar, runSidecar) }
+func (c sidecarCmd) Run() error { return start(c.bootFlags, settings.ReadSidecar, runSidecar) }
 
-func runSidecar(b boot.Sidecar, log *zap.Logger) error {
-	daemon, srv, front := assemble.Sidecar(b, log)
+func runSidecar(b settings.Sidecar, log *zap.Logger) error {
+	daemon, srv, front := daemon.Sidecar(b, log)
 	daemon.Start()
 	defer daemon.Close()
 	return serve(log, "sidecar", daemon.Leave, srv, front)
@@ -185,25 +185,25 @@
 }
 
 func (c callerCmd) Run() error {
-	book := &caller.Book{}
+	book := &client.Book{}
 	ctx, stop := context.WithTimeout(context.Background(), c.For)
 	defer stop()
-	caller.Run(ctx, caller.Boot{Name: "caller", Addr: ident.Addr(c.Address), Rate: c.Rate, Book: book, Seed: 1, Limit: 10 * time.Second,
-		Kinds: []caller.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}}})
-	sums := map[caller.Fate]int{}
+	client.Run(ctx, client.Boot{Name: "caller", Addr: ident.Addr(c.Address), Rate: c.Rate, Book: book, Seed: 1, Limit: 10 * time.Second,
+		Kinds: []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}}})
+	sums := map[client.Fate]int{}
 	for _, t := range book.All() {
 		sums[t.Fate]++
 	}
-	fmt.Printf("served %d, not run %d, unknown %d, dropped %d, wrong %d\n", sums[caller.Served], sums[caller.NotRun], sums[caller.Unknown], sums[caller.Dropped], sums[caller.Wrong])
-	if sums[caller.Wrong]+sums[caller.Dropped] > 0 {
-		return failure.New(failure.BadResponse, "%d returns were wrong or dropped", sums[caller.Wrong]+sums[caller.Dropped])
+	fmt.Printf("served %d, not run %d, unknown %d, dropped %d, wrong %d\n", sums[client.Served], sums[client.NotRun], sums[client.Unknown], sums[client.Dropped], sums[client.Wrong])
+	if sums[client.Wrong]+sums[client.Dropped] > 0 {
+		return failure.New(failure.BadResponse, "%d returns were wrong or dropped", sums[client.Wrong]+sums[client.Dropped])
 	}
 	return nil
 }
 
 func main() {
 	k := kong.Parse(&app, kong.Name("cottonarch"), kong.Description("A service mesh: cores hold the control state, sidecars carry the traffic."), kong.UsageOnError(),
-		exploreVars(), kong.Vars{"faults": strings.Join(plan.Names(), ", "), "breaks": strings.Join(plan.BreakNames(), ", "), "loads": strings.Join(run.Loads(), ", ")},
+		exploreVars(), kong.Vars{"faults": strings.Join(scenario.FaultNames(), ", "), "breaks": strings.Join(scenario.MutantNames(), ", "), "loads": strings.Join(run.WorkloadNames(), ", ")},
 		kong.Exit(func(code int) {
 			if code != 0 && code != 1 {
 				code = 2 // a wrong command line is bad input too
@@ -214,7 +214,7 @@
 	if err == nil {
 		return
 	}
-	d := failure.Of(err)
+	d := failure.From(err)
 	fmt.Fprintln(os.Stderr, "cottonarch:", d.Error())
 	os.Exit(exits(d))
 }
--- a/cmd/cottonarch/operator.go
+++ b/cmd/cottonarch/operator.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/control/audit/tree"
-	"cottonarch.example/cottonarch/kernel/failure"
 )
 
 type operatorCmds struct {
@@ -39,7 +39,7 @@
 	}
 	res, err := (&http.Client{Timeout: 70 * time.Second}).Do(req)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unreached, t.Core)
+		return nil, failure.Wrap(err, failure.Unreachable, t.Core)
 	}
 	defer func() { _ = res.Body.Close() }()
 	data, err := io.ReadAll(res.Body)
@@ -49,7 +49,7 @@
 	if res.StatusCode >= 300 {
 		d := &failure.Error{}
 		if json.Unmarshal(data, d) != nil || d.Kind == "" {
-			return nil, failure.Unsure(failure.BadResponse, "status %d: %s", res.StatusCode, data)
+			return nil, failure.NewUnknown(failure.BadResponse, "status %d: %s", res.StatusCode, data)
 		}
 		d.Note = fmt.Sprintf("%s (changed: %s)", d.Note, d.Outcome)
 		return nil, d
@@ -152,7 +152,7 @@
 		}
 		old = string(raw)
 	}
-	if err := tree.Check(log, old); err != nil {
+	if err := tree.Verify(log, old); err != nil {
 		return err
 	}
 	if c.Save != "" {
@@ -162,7 +162,7 @@
 	}
 	if c.Leaves {
 		for _, l := range log.Leaves {
-			fmt.Printf("%d %s\n", l.Epoch, l.Sum)
+			fmt.Printf("%d %s\n", l.Revision, l.SHA256)
 		}
 	}
 	fmt.Print(log.Checkpoint)
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/sim/check"
-	"cottonarch.example/cottonarch/sim/plan"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/sim/invariant"
+	"cottonarch.example/cottonarch/sim/scenario"
 	"cottonarch.example/cottonarch/sim/world"
 
 	"os"
@@ -39,7 +39,7 @@
 
 func (c simulateCmd) Run() error {
 	d, wrong := describe(c.Deployment)
-	q := plan.What{For: c.For, Faults: c.Faults, FaultEvery: c.Every, AddCores: c.AddCores, LoseDist: c.LoseDistrict, Burden: c.Burden, LastHeavy: c.Heavy, Cells: c.Cells, Platform: c.Platform, Links: !c.Calm, Cost: c.Cost, Break: world.Break(c.Break)}
+	q := scenario.Options{Duration: c.For, Faults: c.Faults, FaultInterval: c.Every, AddCores: c.AddCores, LoseZone: c.LoseDistrict, LoadFactor: c.Burden, FinalOutage: c.Heavy, Keyspaces: c.Cells, Platform: c.Platform, LossyLinks: !c.Calm, CoreMessageCost: c.Cost, Mutant: world.Mutant(c.Break)}
 	bad := failure.New(failure.BadSettings, "the what-if can't be run")
 	for _, at := range c.At {
 		name, when, ok := strings.Cut(at, "@")
@@ -48,15 +48,15 @@
 			bad.Faults = append(bad.Faults, failure.Fault{Path: "at", Note: fmt.Sprintf("%q is no fault@time", at)})
 			continue
 		}
-		q.At = append(q.At, plan.Timed{Fault: name, After: t})
+		q.Schedule = append(q.Schedule, scenario.ScheduledFault{Fault: name, After: t})
 	}
-	if more := q.Check(); more != nil {
+	if more := q.Validate(); more != nil {
 		bad.Faults = append(bad.Faults, more.Faults...)
 	}
 	if c.Seeds < 1 || c.Seeds > 100000 {
 		bad.Faults = append(bad.Faults, failure.Fault{Path: "seeds", Note: "must be from 1 to 100000"})
 	}
-	if found := (*failure.Error)(nil); wrong != nil && failure.Find(wrong, &found) {
+	if found := (*failure.Error)(nil); wrong != nil && failure.As(wrong, &found) {
 		if len(found.Faults) == 0 {
 			found.Faults = []failure.Fault{{Path: "deployment", Note: found.Note}}
 		}
@@ -68,7 +68,7 @@
 	var mu sync.Mutex
 	var out sync.WaitGroup
 	slots := make(chan struct{}, 8)
-	texts, broken, sum := make([]string, c.Seeds), map[string]int{}, check.New()
+	texts, broken, sum := make([]string, c.Seeds), map[string]int{}, invariant.New()
 	for i := range c.Seeds {
 		out.Add(1)
 		slots <- struct{}{}
@@ -76,14 +76,14 @@
 			defer func() { <-slots; out.Done() }()
 			one := q
 			one.Seed = c.Seed + uint64(i)
-			w := plan.Simulate(d, one)
+			w := scenario.Simulate(d, one)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, b := range w.Check.Breaches {
+			for _, b := range w.Checker.Violations {
 				broken[b.Rule]++
 			}
-			sum.Sum(w.Check)
-			if c.Seeds == 1 || len(w.Check.Breaches) > 0 {
+			sum.Merge(w.Checker)
+			if c.Seeds == 1 || len(w.Checker.Violations) > 0 {
 				texts[i] = fmt.Sprintf("seed %d of %s, %v under faults\n%s", one.Seed, d.Name, c.For, w.Text())
 				if c.Trace {
 					texts[i] += strings.Join(w.Trace, "\n") + "\n"
@@ -99,7 +99,7 @@
 		fmt.Printf("%d seeds from %d\n%s", c.Seeds, c.Seed, sum.Text())
 	}
 	if len(broken) == 0 {
-		fmt.Println(sum.Verdict())
+		fmt.Println(sum.Summary())
 		return nil
 	}
 	var names []string
@@ -111,39 +111,39 @@
 }
 
 // describe finds a deployment by name, or reads it from a file.
-func describe(name string) (plan.Deployment, error) {
-	if d, ok := plan.Deployments[name]; ok {
+func describe(name string) (scenario.Deployment, error) {
+	if d, ok := scenario.Deployments[name]; ok {
 		return d, nil
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		return plan.Deployment{}, failure.New(failure.BadSettings, "deployment %q is neither prairie, volta nor a file", name)
+		return scenario.Deployment{}, failure.New(failure.BadSettings, "deployment %q is neither prairie, volta nor a file", name)
 	}
-	m, bad := walk.Parse(raw)
+	m, bad := decode.Parse(raw)
 	if bad != nil {
 		bad.Kind = failure.BadSettings
-		return plan.Deployment{}, bad
-	}
-	f := &walk.Faults{}
-	s := walk.Top(m, f)
-	s.Only("name", "cores", "moreCores", "sidecars", "districts", "services", "requests", "rate", "locks", "coordination", "manifestEveryS")
-	d := plan.Deployment{Name: s.Text("name", name), Cores: int(s.Whole("cores", 3, 1, 9)), MoreCores: int(s.Whole("moreCores", 0, 0, 32)), Sides: int(s.Whole("sidecars", 6, 1, 500)), Districts: int(s.Whole("districts", 3, 1, 50)),
-		Rate: s.Real("rate", 100, 0.1, 100000), Locks: int(s.Whole("locks", 10, 1, 10000)), Keys: 300, Coord: s.Real("coordination", 20, 1, 10000),
-		Manifests: time.Duration(s.Real("manifestEveryS", 3, 0.1, 3600) * float64(time.Second))}
+		return scenario.Deployment{}, bad
+	}
+	f := &decode.Faults{}
+	s := decode.Root(m, f)
+	s.RejectUnknown("name", "cores", "moreCores", "sidecars", "districts", "services", "requests", "rate", "locks", "coordination", "manifestEveryS")
+	d := scenario.Deployment{Name: s.String("name", name), Cores: int(s.Int("cores", 3, 1, 9)), ExtraCores: int(s.Int("moreCores", 0, 0, 32)), Sidecars: int(s.Int("sidecars", 6, 1, 500)), Zones: int(s.Int("districts", 3, 1, 50)),
+		Rate: s.Float("rate", 100, 0.1, 100000), Locks: int(s.Int("locks", 10, 1, 10000)), Keys: 300, CoordinationRate: s.Float("coordination", 20, 1, 10000),
+		ConfigInterval: time.Duration(s.Float("manifestEveryS", 3, 0.1, 3600) * float64(time.Second))}
 	if d.Cores%2 == 0 {
 		s.Fault("cores", "an odd number of cores forms the first roster")
 	}
-	services := s.Down("services")
-	for _, n := range services.Names() {
-		one := services.Down(n)
-		one.Only("host", "endpoints")
-		d.Services = append(d.Services, plan.Service{Name: ident.Service(n), Host: one.Must("host"), Endpoints: int(one.Whole("endpoints", 2, 1, 1000))})
-	}
-	requests := s.Down("requests")
-	for _, n := range requests.Names() {
-		one := requests.Down(n)
-		one.Only("method", "service", "path", "weight")
-		k := world.Kind{Name: n, Method: one.Text("method", "GET"), Path: one.Text("path", "/"), Service: ident.Service(one.Must("service")), Weight: int(one.Whole("weight", 1, 1, 1000))}
+	services := s.Child("services")
+	for _, n := range services.FieldNames() {
+		one := services.Child(n)
+		one.RejectUnknown("host", "endpoints")
+		d.Services = append(d.Services, scenario.Service{Name: ident.Service(n), Host: one.RequiredString("host"), Endpoints: int(one.Int("endpoints", 2, 1, 1000))})
+	}
+	requests := s.Child("requests")
+	for _, n := range requests.FieldNames() {
+		one := requests.Child(n)
+		one.RejectUnknown("method", "service", "path", "weight")
+		k := world.RequestKind{Name: n, Method: one.String("method", "GET"), Path: one.String("path", "/"), Service: ident.Service(one.RequiredString("service")), Weight: int(one.Int("weight", 1, 1, 1000))}
 		for _, svc := range d.Services {
 			if svc.Name == k.Service {
 				k.Host = svc.Host
@@ -152,15 +152,15 @@
 		if k.Host == "" {
 			one.Fault("service", "there is no service %q", k.Service)
 		}
-		d.Kinds = append(d.Kinds, k)
+		d.RequestKinds = append(d.RequestKinds, k)
 	}
 	if len(d.Services) == 0 {
 		s.Fault("services", "at least one service")
 	}
-	if len(d.Kinds) == 0 {
+	if len(d.RequestKinds) == 0 {
 		s.Fault("requests", "at least one kind of request")
 	}
-	if bad := f.Defect(failure.BadSettings); bad != nil {
+	if bad := f.Err(failure.BadSettings); bad != nil {
 		return d, bad
 	}
 	return d, nil
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -10,9 +10,9 @@
 
 	"github.com/alecthomas/kong"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/fleet/run"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/sim/plan"
+	"cottonarch.example/cottonarch/sim/scenario"
 )
 
 var app struct {
@@ -33,12 +33,12 @@
 	add := func(path, form string, args ...any) {
 		d.Faults = append(d.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(form, args...)})
 	}
-	if _, ok := plan.Deployments[app.Deployment]; !ok {
+	if _, ok := scenario.Deployments[app.Deployment]; !ok {
 		add("deployment", "there is no deployment %q; there are prairie, volta", app.Deployment)
 	}
 	for _, name := range faults {
 		if run.Faults[name] == nil {
-			add("faults", "there is no fault %q; there are all, %s", name, strings.Join(run.Names(), ", "))
+			add("faults", "there is no fault %q; there are all, %s", name, strings.Join(run.FaultNames(), ", "))
 		}
 	}
 	if app.For < 20*time.Second || app.For > time.Hour {
@@ -72,7 +72,7 @@
 		}))
 	faults := app.Faults
 	if len(faults) == 1 && faults[0] == "all" {
-		faults = run.Names()
+		faults = run.FaultNames()
 	}
 	if d := check(faults); d != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", d.Error())
@@ -80,24 +80,24 @@
 	}
 	dir, err := os.MkdirTemp("", "fleet")
 	k.FatalIfErrorf(err)
-	f, err := run.Up(run.Boot{Bin: app.Bin, Old: app.Old, Dir: dir, Deployment: plan.Deployments[app.Deployment], For: app.For, Faults: faults, Every: app.Every, Seed: app.Seed, Scale: app.Scale,
-		Say: func(form string, args ...any) { fmt.Printf(form+"\n", args...) }})
+	f, err := run.Start(run.Options{Binary: app.Bin, OldBinary: app.Old, Dir: dir, Deployment: scenario.Deployments[app.Deployment], Duration: app.For, Faults: faults, FaultInterval: app.Every, Seed: app.Seed, Scale: app.Scale,
+		Logf: func(form string, args ...any) { fmt.Printf(form+"\n", args...) }})
 	if f != nil {
-		defer f.Down()
+		defer f.Stop()
 	}
 	if err == nil {
-		f.Drive()
-		fmt.Print(f.Text())
+		f.Run()
+		fmt.Print(f.Report())
 	}
 	code := 0
 	if err != nil {
 		fmt.Println(err)
 		code = 2
-	} else if len(f.Check.Breaches) > 0 {
+	} else if len(f.Checker.Violations) > 0 {
 		code = 1
 	}
 	if f != nil {
-		f.Down()
+		f.Stop()
 	}
 	if app.Keep || code != 0 {
 		fmt.Println("boot files and logs:", dir)
--- a/control/audit/tree/tree.go
+++ b/control/audit/tree/tree.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/mod/sumdb/tlog"
 
-	"cottonarch.example/cottonarch/control/manifest/offer"
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/config/proposal"
 )
 
 // Origin is the first line of a checkpoint.
@@ -20,82 +20,82 @@
 
 // Log is what a core gives out.
 type Log struct {
-	Checkpoint string       `json:"checkpoint"`
-	Leaves     []offer.Line `json:"leaves"`
+	Checkpoint string                `json:"checkpoint"`
+	Leaves     []proposal.AuditEntry `json:"leaves"`
 }
 
 // Build makes the log of the leaves.
-func Build(leaves []offer.Line) (Log, error) {
+func Build(leaves []proposal.AuditEntry) (Log, error) {
 	root, err := Root(leaves)
 	if err != nil {
 		return Log{}, err
 	}
 	if leaves == nil {
-		leaves = []offer.Line{}
+		leaves = []proposal.AuditEntry{}
 	}
 	return Log{Checkpoint: fmt.Sprintf("%s\n%d\n%s\n", Origin, len(leaves), base64.StdEncoding.EncodeToString(root[:])), Leaves: leaves}, nil
 }
 
 // Root is the hash over all leaves.
-func Root(leaves []offer.Line) (tlog.Hash, error) {
-	var held []tlog.Hash
-	reader := tlog.HashReaderFunc(func(at []int64) ([]tlog.Hash, error) {
-		out := make([]tlog.Hash, len(at))
-		for i, x := range at {
-			out[i] = held[x]
+func Root(leaves []proposal.AuditEntry) (tlog.Hash, error) {
+	var hashes []tlog.Hash
+	reader := tlog.HashReaderFunc(func(indexes []int64) ([]tlog.Hash, error) {
+		found := make([]tlog.Hash, len(indexes))
+		for i, index := range indexes {
+			found[i] = hashes[index]
 		}
-		return out, nil
+		return found, nil
 	})
-	for i, l := range leaves {
-		raw, err := json.Marshal(l)
+	for i, leaf := range leaves {
+		raw, err := json.Marshal(leaf)
 		if err != nil {
 			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "leaf")
 		}
-		more, err := tlog.StoredHashes(int64(i), raw, reader)
+		stored, err := tlog.StoredHashes(int64(i), raw, reader)
 		if err != nil {
 			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "hashes")
 		}
-		held = append(held, more...)
+		hashes = append(hashes, stored...)
 	}
 	root, err := tlog.TreeHash(int64(len(leaves)), reader)
 	return root, failure.Wrap(err, failure.Internal, "tree")
 }
 
-// Check checks a log against its own checkpoint and, when one is given, against an
+// Verify checks a log against its own checkpoint and, when one is given, against an
 // older checkpoint: what that one covered must be the beginning of this log.
-func Check(l Log, old string) error {
-	again, err := Build(l.Leaves)
+func Verify(log Log, olderCheckpoint string) error {
+	rebuilt, err := Build(log.Leaves)
 	if err != nil {
 		return err
 	}
-	if again.Checkpoint != l.Checkpoint {
+	if rebuilt.Checkpoint != log.Checkpoint {
 		return failure.New(failure.Damaged, "the leaves do not make the checkpoint")
 	}
-	for i := 1; i < len(l.Leaves); i++ {
-		if l.Leaves[i].Epoch <= l.Leaves[i-1].Epoch {
-			return failure.New(failure.Damaged, "epoch %d stands after %d", l.Leaves[i].Epoch, l.Leaves[i-1].Epoch)
+	for i := 1; i < len(log.Leaves); i++ {
+		if log.Leaves[i].Revision <= log.Leaves[i-1].Revision {
+			return failure.New(failure.Damaged, "epoch %d stands after %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
 		}
 	}
-	if old == "" {
+	if olderCheckpoint == "" {
 		return nil
 	}
-	lines := strings.Split(old, "\n")
+	lines := strings.Split(olderCheckpoint, "\n")
 	if len(lines) < 3 || lines[0] != Origin {
 		return failure.New(failure.Malformed, "the older checkpoint is none of ours")
 	}
-	n, err := strconv.Atoi(lines[1])
-	if err != nil || n < 0 {
+	size, err := strconv.Atoi(lines[1])
+	if err != nil || size < 0 {
 		return failure.New(failure.Malformed, "the older checkpoint has no size")
 	}
-	if n > len(l.Leaves) {
-		return failure.New(failure.Damaged, "the log has %d leaves, it had %d", len(l.Leaves), n)
+	if size > len(log.Leaves) {
+		return failure.New(failure.Damaged, "the log has %d leaves, it had %d", len(log.Leaves), size)
 	}
-	part, err := Build(l.Leaves[:n])
+	prefix, err := Build(log.Leaves[:size])
 	if err != nil {
 		return err
 	}
-	if strings.TrimSpace(part.Checkpoint) != strings.TrimSpace(old) {
-		return failure.New(failure.Damaged, "the first %d leaves are not those of the older checkpoint", n)
+	if strings.TrimSpace(prefix.Checkpoint) != strings.TrimSpace(olderCheckpoint) {
+		return failure.New(failure.Damaged, "the first %d leaves are not those of the older checkpoint", size)
 	}
 	return nil
 }
--- a/control/manifest/delta/delta.go
+++ b/control/config/delta/delta.go
@@ -8,11 +8,11 @@
 	"encoding/json"
 	"reflect"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/merge"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/manifest/merge"
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 // Delta turns the configuration of one revision into that of a later one. Invariant: laid
@@ -25,11 +25,11 @@
 	Patch  json.RawMessage `json:"patch"`
 }
 
-// Version is one configuration with its revision, as parsed and as stored.
-type Version struct {
-	Epoch ident.Epoch
-	Tree  map[string]any
-	Raw   json.RawMessage
+// Snapshot is one configuration with its revision, as parsed and as stored.
+type Snapshot struct {
+	Revision ident.Epoch
+	Tree     map[string]any
+	Raw      json.RawMessage
 }
 
 // Digest is the sum by which a whole configuration is known.
@@ -40,8 +40,8 @@
 
 // Between makes the delta from one version to a later one. It answers false when there is
 // none that is worth sending: a patch can't say it, or would be no smaller than the whole.
-func Between(from, to Version) (Delta, bool) {
-	if from.Epoch == 0 || from.Epoch >= to.Epoch {
+func Between(from, to Snapshot) (Delta, bool) {
+	if from.Revision == 0 || from.Revision >= to.Revision {
 		return Delta{}, false
 	}
 	patch := difference(from.Tree, to.Tree)
@@ -52,7 +52,7 @@
 	if len(raw) >= len(to.Raw) {
 		return Delta{}, false
 	}
-	return Delta{From: from.Epoch, To: to.Epoch, Digest: Digest(to.Raw), Patch: raw}, true
+	return Delta{From: from.Revision, To: to.Revision, Digest: Digest(to.Raw), Patch: raw}, true
 }
 
 // difference gives the patch that merge lays over base to get want. Where a patch can't say
@@ -69,13 +69,13 @@
 		if known && reflect.DeepEqual(old, value) {
 			continue
 		}
-		patch[name] = changed(old, value)
+		patch[name] = fieldPatch(old, value)
 	}
 	return patch
 }
 
-// changed gives the patch of one field: of two objects their difference, else the new value.
-func changed(old, value any) any {
+// fieldPatch gives the patch of one field: of two objects their difference, else the new value.
+func fieldPatch(old, value any) any {
 	oldObject, wasObject := old.(map[string]any)
 	object, isObject := value.(map[string]any)
 	if wasObject && isObject {
@@ -86,19 +86,19 @@
 
 // Apply lays the delta over the stored form of the configuration of From. It gives the
 // stored and the parsed form of the configuration of To.
-func (d Delta) Apply(base json.RawMessage) (Version, *failure.Error) {
-	tree, fault := walk.Parse(base)
-	if fault != nil {
-		return Version{}, fault
+func (d Delta) Apply(base json.RawMessage) (Snapshot, *failure.Error) {
+	tree, err := decode.Parse(base)
+	if err != nil {
+		return Snapshot{}, err
 	}
-	patch, fault := walk.Parse(d.Patch)
-	if fault != nil {
-		return Version{}, fault
+	patch, err := decode.Parse(d.Patch)
+	if err != nil {
+		return Snapshot{}, err
 	}
-	out := Version{Epoch: d.To, Tree: merge.Merge(tree, patch)}
-	out.Raw = operation.Encode(out.Tree)
-	if Digest(out.Raw) != d.Digest {
-		return Version{}, failure.New(failure.BadResponse, "the delta from revision %d to %d does not give what its digest says", d.From, d.To)
+	snapshot := Snapshot{Revision: d.To, Tree: merge.Merge(tree, patch)}
+	snapshot.Raw = operation.Encode(snapshot.Tree)
+	if Digest(snapshot.Raw) != d.Digest {
+		return Snapshot{}, failure.New(failure.BadResponse, "the delta from revision %d to %d does not give what its digest says", d.From, d.To)
 	}
-	return out, nil
+	return snapshot, nil
 }
--- /dev/null
+++ b/control/config/merge/merge.go
@@ -0,0 +1,25 @@
+// Package merge lays a partial manifest over a whole one.
+package merge
+
+// Merge gives base with part laid over it: objects are merged field by field, null
+// takes a field away, anything else replaces. Neither input is changed.
+func Merge(base, overlay map[string]any) map[string]any {
+	merged := make(map[string]any, len(base)+len(overlay))
+	for name, value := range base {
+		merged[name] = value
+	}
+	for name, value := range overlay {
+		if value == nil {
+			delete(merged, name)
+			continue
+		}
+		object, ok := value.(map[string]any)
+		if !ok {
+			merged[name] = value
+			continue
+		}
+		existing, _ := merged[name].(map[string]any)
+		merged[name] = Merge(existing, object)
+	}
+	return merged
+}
--- a/control/manifest/check/check_test.go
+++ b/control/config/validation/check_test.go
@@ -1,4 +1,4 @@
-package check_test
+package validation_test
 
 import (
 	"fmt"
@@ -8,41 +8,41 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-const wire = `{"release":7,"ways":{"r-n2ctnfz":{"host":"jepu9.example","pathStart":"/lepu270/","repeat":"repeatable","timeoutMs":500.5,"aimMs":200,"rank":3,"split":[{"service":"kafi81c","weight":0.1},{"service":"huvo11a","weight":0.9}],"tries":2},` +
+const wireDocument = `{"release":7,"ways":{"r-n2ctnfz":{"host":"jepu9.example","pathStart":"/lepu270/","repeat":"repeatable","timeoutMs":500.5,"aimMs":200,"rank":3,"split":[{"service":"kafi81c","weight":0.1},{"service":"huvo11a","weight":0.9}],"tries":2},` +
 	`"r-s989anu":{"host":"hulo84.example","pathStart":"/xapu221/ny95/","repeat":"one_shot","timeoutMs":600,"aimMs":250,"rank":1,"service":"wuno96b","tries":2}},` +
 	`"services":{"huvo11a":{"checkPath":"/health","connections":100,"protocol":"h1","encrypted":false},"wuno96b":{},"kafi81c":{}},"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000}}`
 
-func loose(t *testing.T, body string) (*check.Manifest, *failure.Error) {
+func readLeniently(t *testing.T, body string) (*validation.Config, *failure.Error) {
 	t.Helper()
-	tree, d := walk.Parse([]byte(body))
+	tree, d := decode.Parse([]byte(body))
 	must.Nil(t, d)
-	return check.Loose(tree)
+	return validation.Lenient(tree)
 }
 
 // The manifest of the wire is read into its types, by both readers alike.
-func TestWire(t *testing.T) {
-	m, d := loose(t, wire)
+func TestWireDocument(t *testing.T) {
+	config, d := readLeniently(t, wireDocument)
 	must.Nil(t, d)
-	must.Eq(t, 7, m.Release)
-	must.Eq(t, check.Limits{HeadBytes: 16384, BodyBytes: 67108864, Head: 3 * time.Second, Idle: 15 * time.Second}, m.Limits)
-	must.Eq(t, check.Way{Name: "r-n2ctnfz", Host: "jepu9.example", PathStart: "/lepu270/", Service: "huvo11a", Repeat: check.Repeatable, Rank: 3, Aim: 200 * time.Millisecond,
-		Split: []check.Split{{Service: "kafi81c", Percent: 10}}, Limit: 500500 * time.Microsecond, Tries: 2}, m.Ways[0])
-	must.Eq(t, "/health", m.Services["huvo11a"].CheckPath)
-	must.Eq(t, 100, m.Services["huvo11a"].Connections)
-	tree, _ := walk.Parse([]byte(wire))
-	n, d := check.Read(tree)
+	must.Eq(t, 7, config.Version)
+	must.Eq(t, validation.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 67108864, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}, config.Limits)
+	must.Eq(t, validation.Route{Name: "r-n2ctnfz", Host: "jepu9.example", PathPrefix: "/lepu270/", Service: "huvo11a", Repeat: validation.Repeatable, Priority: 3, TargetLatency: 200 * time.Millisecond,
+		Split: []validation.WeightedService{{Service: "kafi81c", Percent: 10}}, Timeout: 500500 * time.Microsecond, MaxAttempts: 2}, config.Routes[0])
+	must.Eq(t, "/health", config.Services["huvo11a"].HealthCheckPath)
+	must.Eq(t, 100, config.Services["huvo11a"].MaxConnections)
+	tree, _ := decode.Parse([]byte(wireDocument))
+	strictConfig, d := validation.Strict(tree)
 	must.Nil(t, d)
-	must.Eq(t, m, n)
-	bare, d := loose(t, `{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`)
+	must.Eq(t, config, strictConfig)
+	bare, d := readLeniently(t, `{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`)
 	must.Nil(t, d)
-	must.Eq(t, check.Usual, bare.Limits)
-	must.Eq(t, []int{0, 2}, []int{bare.Ways[0].Rank, bare.Ways[1].Rank})
+	must.Eq(t, validation.DefaultLimits, bare.Limits)
+	must.Eq(t, []int{0, 2}, []int{bare.Routes[0].Priority, bare.Routes[1].Priority})
 }
 
 // Each thing that makes a manifest invalid does so by itself, for both readers.
@@ -64,36 +64,36 @@
 		`"headMs":3000`:         {`"headMs":"x"`},
 		`"services":{`:          {`"services":7,"x":{`},
 	} {
-		must.StrContains(t, wire, old)
+		must.StrContains(t, wireDocument, old)
 		for _, b := range bad {
-			tree, d := walk.Parse([]byte(strings.Replace(wire, old, b, 1)))
+			tree, d := decode.Parse([]byte(strings.Replace(wireDocument, old, b, 1)))
 			must.Nil(t, d, must.Sprint(b))
-			_, d = check.Loose(tree)
+			_, d = validation.Lenient(tree)
 			must.NotNil(t, d, must.Sprint(b))
 			must.Eq(t, failure.Invalid, d.Kind)
-			_, d = check.Read(tree)
+			_, d = validation.Strict(tree)
 			must.NotNil(t, d, must.Sprint(b))
 		}
 	}
 }
 
 // Unknown fields and free names are taken by the loose reader alone.
-func TestLoose(t *testing.T) {
+func TestLenient(t *testing.T) {
 	for _, body := range []string{
 		`{"x":1}`, `{"limits":{"x":1}}`, `{"services":{"a":{"x":{}}}}`, `{"services":{"Ä/1":{}}}`,
 		`{"services":{"a":{}},"ways":{"w_":{"host":"h","service":"a"}}}`, `{"services":{"a":{}},"ways":{"w":{"host":"h","split":[{"service":"a","weight":1,"x":2}]}}}`,
 	} {
-		_, d := loose(t, body)
+		_, d := readLeniently(t, body)
 		must.Nil(t, d, must.Sprint(body))
-		tree, _ := walk.Parse([]byte(body))
-		_, d = check.Read(tree)
+		tree, _ := decode.Parse([]byte(body))
+		_, d = validation.Strict(tree)
 		must.NotNil(t, d, must.Sprint(body))
 	}
 }
 
 // Parts keep the proportions of any weights to a millionth; the heaviest, first by name
 // among equals, takes what is left; nothing goes to a service without weight.
-func TestShares(t *testing.T) {
+func TestWeightedSplits(t *testing.T) {
 	for list, want := range map[string]string{
 		`a 1`:                "a",
 		`b 1 a 1`:            "a b500000",
@@ -106,43 +106,43 @@
 		`a 3 b 3 c 3`:        "a b333333 c333333",
 	} {
 		var parts []string
-		words := strings.Fields(list)
-		for i := 0; i < len(words); i += 2 {
-			parts = append(parts, fmt.Sprintf(`{"service":%q,"weight":%s}`, words[i], words[i+1]))
+		tokens := strings.Fields(list)
+		for i := 0; i < len(tokens); i += 2 {
+			parts = append(parts, fmt.Sprintf(`{"service":%q,"weight":%s}`, tokens[i], tokens[i+1]))
 		}
-		m, d := loose(t, `{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`)
+		config, d := readLeniently(t, `{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`)
 		must.Nil(t, d)
-		got := string(m.Ways[0].Service)
-		for _, s := range m.Ways[0].Split {
-			got += fmt.Sprintf(" %s%d", s.Service, s.Millionths())
+		got := string(config.Routes[0].Service)
+		for _, part := range config.Routes[0].Split {
+			got += fmt.Sprintf(" %s%d", part.Service, part.Millionths())
 		}
 		must.Eq(t, want, got)
 	}
 }
 
 // What may run twice, for every kind of repeat and a method of each sort.
-func TestSafe(t *testing.T) {
-	for r, want := range map[check.Repeat][2]bool{check.ByMethod: {true, false}, check.Repeatable: {true, true}, check.Download: {true, true}, check.OneShot: {}, check.Upload: {}, "other": {}} {
-		must.Eq(t, want, [2]bool{r.Safe("GET"), r.Safe("POST")}, must.Sprint(r))
+func TestRepeatPolicies(t *testing.T) {
+	for policy, want := range map[validation.RepeatPolicy][2]bool{validation.ByMethod: {true, false}, validation.Repeatable: {true, true}, validation.Download: {true, true}, validation.OneShot: {}, validation.Upload: {}, "other": {}} {
+		must.Eq(t, want, [2]bool{policy.Allows("GET"), policy.Allows("POST")}, must.Sprint(policy))
 	}
 }
 
-func many(n int) []byte {
-	out := []string{}
+func manyRoutes(n int) []byte {
+	routes := []string{}
 	for i := range n {
-		out = append(out, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"huvo11a","weight":90},{"service":"kafi81c","weight":10}],"tries":2}`, i*7919, i%9, i, i))
+		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"huvo11a","weight":90},{"service":"kafi81c","weight":10}],"tries":2}`, i*7919, i%9, i, i))
 	}
-	return []byte(`{"release":7,"ways":{` + strings.Join(out, ",") + `},"services":{"huvo11a":{},"kafi81c":{}}}`)
+	return []byte(`{"release":7,"ways":{` + strings.Join(routes, ",") + `},"services":{"huvo11a":{},"kafi81c":{}}}`)
 }
 
 func BenchmarkRead500(b *testing.B) {
-	raw := many(500)
+	raw := manyRoutes(500)
 	b.SetBytes(int64(len(raw)))
 	b.ReportAllocs()
 	for b.Loop() {
-		tree, d := walk.Parse(raw)
+		tree, d := decode.Parse(raw)
 		if d == nil {
-			_, d = check.Loose(tree)
+			_, d = validation.Lenient(tree)
 		}
 		if d != nil {
 			b.Fatal(d)
@@ -151,10 +151,10 @@
 }
 
 func BenchmarkCheck500(b *testing.B) {
-	tree, _ := walk.Parse(many(500))
+	tree, _ := decode.Parse(manyRoutes(500))
 	b.ReportAllocs()
 	for b.Loop() {
-		if m, d := check.Loose(tree); d != nil || m.Services[ident.Service("huvo11a")].Part == 0 {
+		if config, d := validation.Lenient(tree); d != nil || config.Services[ident.Service("huvo11a")].RetryRatio == 0 {
 			b.Fatal(d)
 		}
 	}
--- a/control/manifest/check/fuzz_test.go
+++ b/control/config/validation/fuzz_test.go
@@ -1,4 +1,4 @@
-package check_test
+package validation_test
 
 import (
 	"encoding/json"
@@ -6,15 +6,15 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/manifest/change"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/merge"
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/mesh/way"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/merge"
+	"cottonarch.example/cottonarch/control/config/patch"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/mesh/routetable"
 )
 
-// wholeSeeds are manifests, some of them with faults.
-var wholeSeeds = []string{
+// documentSeeds are manifests, some of them with faults.
+var documentSeeds = []string{
 	`{}`, `null`, `[]`, `{"release":1}x`, `{"release":1e400}`, `{"release":-0.0,"services":{}}`,
 	`{"release":7,"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000},"services":{"a":{"connections":100,"checkPath":"/health"},"b":{}},
 "ways":{"v":{"host":"v.example","pathStart":"/x/","service":"a","repeat":"one_shot","rank":1,"aimMs":250,"timeoutMs":600,"tries":2},
@@ -28,7 +28,7 @@
 func stored(t *testing.T, tree map[string]any) map[string]any {
 	raw, err := json.Marshal(tree)
 	must.NoError(t, err)
-	back, d := walk.Parse(raw)
+	back, d := decode.Parse(raw)
 	must.Nil(t, d)
 	again, err := json.Marshal(back)
 	must.NoError(t, err)
@@ -40,27 +40,27 @@
 // after it was stored, what the strict check takes the loose one takes as the same, and a
 // manifest that was accepted is accepted again, as the same, from the store.
 func FuzzManifest(f *testing.F) {
-	for _, seed := range wholeSeeds {
+	for _, seed := range documentSeeds {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		tree, d := walk.Parse(raw)
+		tree, d := decode.Parse(raw)
 		if d != nil {
 			return
 		}
 		back := stored(t, tree)
-		strict, strictFaults := check.Read(tree)
-		loose, looseFaults := check.Loose(tree)
-		must.Eq(t, loose == nil, looseFaults != nil)
-		if strictFaults == nil {
-			must.Nil(t, looseFaults)
-			must.Eq(t, strict, loose)
+		strictConfig, strictErr := validation.Strict(tree)
+		lenientConfig, lenientErr := validation.Lenient(tree)
+		must.Eq(t, lenientConfig == nil, lenientErr != nil)
+		if strictErr == nil {
+			must.Nil(t, lenientErr)
+			must.Eq(t, strictConfig, lenientConfig)
 		}
-		again, d := check.Loose(back)
-		must.Eq(t, looseFaults == nil, d == nil)
-		must.Eq(t, loose, again)
-		if looseFaults == nil {
-			way.Build(loose)
+		again, d := validation.Lenient(back)
+		must.Eq(t, lenientErr == nil, d == nil)
+		must.Eq(t, lenientConfig, again)
+		if lenientErr == nil {
+			routetable.New(lenientConfig)
 		}
 	})
 }
@@ -69,27 +69,27 @@
 // does what it did the first time, changes neither of its inputs, and leaves a tree that
 // can be stored.
 func FuzzChange(f *testing.F) {
-	for _, seed := range wholeSeeds {
+	for _, seed := range documentSeeds {
 		for _, part := range []string{`{"release":9,"upsert":{"services":{"c":{}}},"remove":{"ways":["w"]}}`, `{"ways":{"w":null},"services":{"a":{"x":{"y":null}}}}`,
 			`{"upsert":{"ways":[]},"remove":{"ways":{}}}`, `{"remove":{"release":["x"]},"upsert":{"limits":{"headBytes":1}}}`} {
 			f.Add([]byte(seed), []byte(part))
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw, over []byte) {
-		base, d := walk.Parse(raw)
+		base, d := decode.Parse(raw)
 		if d != nil {
 			return
 		}
-		part, d := walk.Parse(over)
+		part, d := decode.Parse(over)
 		if d != nil {
 			return
 		}
 		before := stored(t, base)
 		stored(t, merge.Merge(base, part))
 		must.Eq(t, stored(t, merge.Merge(base, part)), stored(t, merge.Merge(merge.Merge(base, part), part)))
-		if next, d := change.Apply(base, part, true); d == nil {
+		if next, d := patch.Apply(base, part, true); d == nil {
 			once := stored(t, next)
-			twice, d := change.Apply(next, part, true)
+			twice, d := patch.Apply(next, part, true)
 			must.Nil(t, d)
 			must.Eq(t, once, stored(t, twice))
 		}
--- a/control/coordination/operation/operation.go
+++ b/control/coordination/operation/operation.go
@@ -6,25 +6,25 @@
 	"encoding/json"
 	"slices"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 // opsMax is how many past operations a key remembers.
-const maxPast = 64
+const maxPastOperations = 64
 
-// Past is one past operation with its response.
-type Past struct {
-	Op   ident.Op        `json:"op"`
-	Body json.RawMessage `json:"body,omitempty"`
+// PastOperation is one past operation with its response.
+type PastOperation struct {
+	Op   ident.OperationID `json:"op"`
+	Body json.RawMessage   `json:"body,omitempty"`
 }
 
 // Value is the value of every control key. Invariant: Past holds only operations
 // whose effect is in State.
 type Value struct {
-	State json.RawMessage `json:"state,omitempty"`
-	Past  []Past          `json:"ops,omitempty"`
+	State          json.RawMessage `json:"state,omitempty"`
+	PastOperations []PastOperation `json:"ops,omitempty"`
 }
 
 // Result is what a handler makes of an operation. Invariants: State is new if and only if
@@ -37,11 +37,11 @@
 	Decoded any
 }
 
-// openValue is a value with the decoded form of its state, as kept between operations. Invariant:
+// decodedValue is a value with the decoded form of its state, as kept between operations. Invariant:
 // neither it nor its Past are changed once they are kept.
-type openValue struct {
-	value   Value
-	decoded any
+type decodedValue struct {
+	value Value
+	state any
 }
 
 // Handler serves one kind of operation.
@@ -50,9 +50,9 @@
 // Table is a table of handlers.
 type Table map[string]Handler
 
-// servedAnew lists the operations whose response says how long from now on something holds. A repeat
+// executedAgain lists the operations whose response says how long from now on something holds. A repeat
 // of one is served anew: the old response would be counted from the repeat on.
-var servedAnew = map[string]bool{"lock/claim": true}
+var executedAgain = map[string]bool{"lock/claim": true}
 
 // stateless lists the operations that need nothing of the value but its revision: it may be large,
 // and they come often.
@@ -63,63 +63,63 @@
 var selfIdentifying = map[string]bool{"group/put": true, "share/enter": true}
 
 // Apply serves an operation.
-func (b Table) Apply(context proposer.Context, value json.RawMessage, op proposer.Operation) proposer.Result {
-	handle, ok := b[op.Kind]
+func (t Table) Apply(context proposer.Context, value json.RawMessage, op proposer.Operation) proposer.Result {
+	handler, ok := t[op.Kind]
 	if !ok {
 		return proposer.Result{Failure: failure.New(failure.Malformed, "no deed %q", op.Kind)}
 	}
 	if stateless[op.Kind] {
-		result := handle(context, nil, op.Args)
+		result := handler(context, nil, op.Args)
 		return proposer.Result{Body: result.Body, Failure: result.Failure, Decoded: context.Decoded}
 	}
-	held, ok := context.Decoded.(*openValue)
+	current, ok := context.Decoded.(*decodedValue)
 	if !ok {
-		held = &openValue{}
+		current = &decodedValue{}
 		if len(value) > 0 {
-			if err := json.Unmarshal(value, &held.value); err != nil {
+			if err := json.Unmarshal(value, &current.value); err != nil {
 				return proposer.Result{Failure: failure.New(failure.Damaged, "page: %v", err)}
 			}
 		}
 	}
-	current := held.value
-	remember := op.Op != "" && !op.Repeatable && !servedAnew[op.Kind] && !selfIdentifying[op.Kind]
+	next := current.value
+	remember := op.Op != "" && !op.Repeatable && !executedAgain[op.Kind] && !selfIdentifying[op.Kind]
 	if remember {
-		for _, past := range current.Past {
+		for _, past := range next.PastOperations {
 			if past.Op == op.Op {
-				return proposer.Result{Body: past.Body, Decoded: held}
+				return proposer.Result{Body: past.Body, Decoded: current}
 			}
 		}
 	}
-	context.Decoded = held.decoded
-	result := handle(context, current.State, op.Args)
+	context.Decoded = current.state
+	result := handler(context, next.State, op.Args)
 	if result.Decoded == nil && result.State == nil {
-		result.Decoded = held.decoded
+		result.Decoded = current.state
 	}
 	if result.Failure != nil || result.State == nil {
-		return proposer.Result{Body: result.Body, Failure: result.Failure, Decoded: &openValue{held.value, result.Decoded}}
+		return proposer.Result{Body: result.Body, Failure: result.Failure, Decoded: &decodedValue{current.value, result.Decoded}}
 	}
-	current.State = result.State
+	next.State = result.State
 	if remember {
-		current.Past = append(slices.Clip(current.Past), Past{op.Op, result.Body})
-		if len(current.Past) > maxPast {
-			current.Past = current.Past[len(current.Past)-maxPast:]
+		next.PastOperations = append(slices.Clip(next.PastOperations), PastOperation{op.Op, result.Body})
+		if len(next.PastOperations) > maxPastOperations {
+			next.PastOperations = next.PastOperations[len(next.PastOperations)-maxPastOperations:]
 		}
 	}
-	out, err := current.encode()
+	out, err := next.encode()
 	if err != nil {
 		return proposer.Result{Failure: failure.New(failure.Malformed, "page: %v", err)}
 	}
-	return proposer.Result{Value: out, Changed: true, Body: result.Body, Decoded: &openValue{current, result.Decoded}}
+	return proposer.Result{Value: out, Changed: true, Body: result.Body, Decoded: &decodedValue{next, result.Decoded}}
 }
 
 // encode is json.Marshal but for a value of state alone, which needs no second pass over a
 // state that is JSON already.
-func (p Value) encode() (json.RawMessage, error) {
-	if len(p.Past) > 0 {
-		return json.Marshal(p)
+func (v Value) encode() (json.RawMessage, error) {
+	if len(v.PastOperations) > 0 {
+		return json.Marshal(v)
 	}
-	out := make(json.RawMessage, 0, len(p.State)+12)
-	return append(append(append(out, `{"state":`...), p.State...), '}'), nil
+	out := make(json.RawMessage, 0, len(v.State)+12)
+	return append(append(append(out, `{"state":`...), v.State...), '}'), nil
 }
 
 // State reads the state out of a value.
@@ -132,14 +132,14 @@
 }
 
 // Decode decodes state and args; an error says which was wrong.
-func Decode(state, args json.RawMessage, s, a any) *failure.Error {
+func Decode(state, args json.RawMessage, stateInto, argsInto any) *failure.Error {
 	if len(state) > 0 {
-		if err := json.Unmarshal(state, s); err != nil {
+		if err := json.Unmarshal(state, stateInto); err != nil {
 			return failure.New(failure.Damaged, "state: %v", err)
 		}
 	}
 	if len(args) > 0 {
-		if err := json.Unmarshal(args, a); err != nil {
+		if err := json.Unmarshal(args, argsInto); err != nil {
 			return failure.New(failure.Malformed, "%v", err)
 		}
 	}
@@ -156,4 +156,4 @@
 }
 
 // Rejected makes a result of an error.
-func Rejected(d *failure.Error) Result { return Result{Failure: d} }
+func Rejected(err *failure.Error) Result { return Result{Failure: err} }
--- a/control/coordination/operation/operation_test.go
+++ b/control/coordination/operation/operation_test.go
@@ -7,31 +7,31 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/coordination/number"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/coordination/sequence"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 // A repeated operation acts once and a loose one again, of which nothing is stored; with
 // and without the form kept from the operation before, the same is stored and said.
 func TestRepeats(t *testing.T) {
-	for _, keep := range []bool{false, true} {
+	for _, keepDecoded := range []bool{false, true} {
 		var value json.RawMessage
-		var kept any
-		for i, x := range []struct {
-			op    ident.Op
-			loose bool
-			want  string
+		var decoded any
+		for i, step := range []struct {
+			op         ident.OperationID
+			repeatable bool
+			want       string
 		}{{"a", false, "1"}, {"a", false, "1"}, {"b", true, "2"}, {"b", true, "3"}, {"a", false, "1"}, {"c", false, "4"}, {"c", false, "4"}} {
-			v := number.Handlers().Apply(proposer.Context{Decoded: kept}, value, proposer.Operation{Op: x.op, Kind: "number/next", Repeatable: x.loose})
-			must.Nil(t, v.Failure)
-			must.Eq(t, `{"number":`+x.want+`}`, string(v.Body), must.Sprint(i))
-			if v.Changed {
-				value = v.Value
+			result := sequence.Handlers().Apply(proposer.Context{Decoded: decoded}, value, proposer.Operation{Op: step.op, Kind: "number/next", Repeatable: step.repeatable})
+			must.Nil(t, result.Failure)
+			must.Eq(t, `{"number":`+step.want+`}`, string(result.Body), must.Sprint(i))
+			if result.Changed {
+				value = result.Value
 			}
-			if keep {
-				kept = v.Decoded
+			if keepDecoded {
+				decoded = result.Decoded
 			}
 		}
 		must.Eq(t, `{"number":4}`, string(operation.State(value)))
--- /dev/null
+++ b/control/coordination/quota/enter_test.go
@@ -0,0 +1,131 @@
+package quota
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+)
+
+func (err *fixture) join(joiners ...Joiner) []Joined {
+	result := Handlers().Apply(proposer.Context{}, err.value, proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})})
+	must.Nil(err.t, result.Failure)
+	err.value = result.Value
+	var joined []Joined
+	must.NoError(err.t, json.Unmarshal(result.Body, &joined))
+	must.Len(err.t, len(joiners), joined)
+	return joined
+}
+
+// Claims rise over every claim that was given before: by batches, by a release with a
+// counter for each node, or as a core has heard; also when a release that does not know
+// the count has left it out.
+func TestEpochsOfBatchesRise(t *testing.T) {
+	f := &fixture{t: t}
+	f.apply("share/take", Args{Node: "old", LeaseEpoch: 77})
+	first := f.join(Joiner{Node: "old"}, Joiner{Node: "a"})
+	must.Eq(t, firstBatchEpoch+1, first[0].LeaseEpoch)
+	must.Eq(t, firstBatchEpoch+2, first[1].LeaseEpoch)
+	must.Eq(t, firstBatchEpoch+4, f.join(Joiner{Node: "b"}, Joiner{Node: "a"})[1].LeaseEpoch)
+	s, _ := f.state()
+	s.HighestEpoch = 0
+	f.value = operation.Encode(operation.Value{State: operation.Encode(s)})
+	must.Eq(t, firstBatchEpoch+5, f.join(Joiner{Node: "c"})[0].LeaseEpoch)
+	must.Eq(t, 5000001+firstBatchEpoch, f.join(Joiner{Node: "d", KnownEpoch: firstBatchEpoch + 5000000})[0].LeaseEpoch)
+	must.Eq(t, 5000002+firstBatchEpoch, f.join(Joiner{Node: "d", KnownEpoch: 1<<64 - 1})[0].LeaseEpoch)
+	f.apply("share/free", Args{Node: "d", LeaseEpoch: firstBatchEpoch + 5000002})
+	must.Eq(t, 5000003+firstBatchEpoch, f.join(Joiner{Node: "d"})[0].LeaseEpoch)
+}
+
+// A repeat under one mark of a run keeps its claim, until a higher one was heard of; no
+// operation is kept for it, so the state does not grow with batches.
+func TestRepeatedJoinKeepsItsEpoch(t *testing.T) {
+	f := &fixture{t: t}
+	firstRun := Joiner{Node: "a", Run: "one"}
+	epoch := f.join(firstRun)[0].LeaseEpoch
+	must.Eq(t, epoch, f.join(firstRun, Joiner{Node: "b", Run: "x"})[0].LeaseEpoch)
+	must.Eq(t, epoch, f.join(Joiner{Node: "a", Run: "one", KnownEpoch: epoch})[0].LeaseEpoch)
+	must.Less(t, f.join(Joiner{Node: "a", Run: "one", KnownEpoch: epoch + 5})[0].LeaseEpoch, epoch+5)
+	secondRunEpoch := f.join(Joiner{Node: "a", Run: "two"})[0].LeaseEpoch
+	must.Less(t, f.join(firstRun)[0].LeaseEpoch, secondRunEpoch)
+	var value operation.Value
+	must.NoError(t, json.Unmarshal(f.value, &value))
+	must.Len(t, 0, value.PastOperations)
+}
+
+// Nodes of a cold start are granted the fair share of all of them, not the first of them
+// more than the last.
+func TestBatchSharesFairly(t *testing.T) {
+	f := &fixture{t: t}
+	var joiners []Joiner
+	for n := range 84 {
+		joiners = append(joiners, Joiner{Node: nodeName(n), Total: 208})
+	}
+	for _, joined := range f.join(joiners...) {
+		must.Eq(t, Share{Amount: 2, FairShare: 2, Total: 208}, joined.Share)
+	}
+	_, sum := f.state()
+	must.Eq(t, 168, sum)
+}
+
+// In any order of batches, takes, promises and frees, of any totals: a grant raises the sum
+// of the shares to no more than the smallest total, only a promise lowers a share, and the
+// claim of a node only rises.
+func TestBatchesKeepTheTotal(t *testing.T) {
+	for seed := range uint64(200) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		f := &fixture{t: t}
+		lastEpoch := map[ident.Node]ident.Epoch{}
+		totals := []int{60, 178, 208}
+		for range 40 {
+			before, sumBefore := State{}, 0
+			if len(f.value) > 0 {
+				before, sumBefore = f.state()
+			}
+			switch n := nodeName(rng.IntN(30)); rng.IntN(4) {
+			case 0:
+				if grant, ok := before.Nodes[n]; ok {
+					f.apply("share/free", Args{Node: n, LeaseEpoch: grant.LeaseEpoch})
+					continue
+				}
+			case 1:
+				if grant, ok := before.Nodes[n]; ok {
+					used := rng.IntN(grant.Share + 1)
+					f.apply("share/take", Args{Node: n, LeaseEpoch: grant.LeaseEpoch, Seq: grant.Seq + 1, Used: &used, Total: totals[rng.IntN(3)]})
+				}
+			default:
+				var joiners []Joiner
+				for _, i := range rng.Perm(30)[:1+rng.IntN(20)] {
+					joiners = append(joiners, Joiner{Node: nodeName(i), Total: totals[rng.IntN(3)]})
+				}
+				for i, joined := range f.join(joiners...) {
+					must.Less(t, joined.LeaseEpoch, lastEpoch[joiners[i].Node])
+					lastEpoch[joiners[i].Node] = joined.LeaseEpoch
+					must.GreaterEq(t, before.Nodes[joiners[i].Node].Share, joined.Share.Amount)
+				}
+			}
+			if len(f.value) == 0 {
+				continue
+			}
+			after, sum := f.state()
+			must.LessEq(t, max(sumBefore, after.smallestTotal()), sum, must.Sprint(seed))
+		}
+	}
+}
+
+// What is no batch is refused and changes nothing.
+func TestInvalidBatchesAreRefused(t *testing.T) {
+	for _, args := range []JoinArgs{{}, {[]Joiner{{}}}, {[]Joiner{{Node: "a"}, {Node: "a"}}}, {make([]Joiner, MaxBatch+1)}, {[]Joiner{{Node: "a", Run: string(make([]byte, MaxRunIDBytes+1))}}}} {
+		result := Handlers().Apply(proposer.Context{}, nil, proposer.Operation{Kind: JoinKind, Args: operation.Encode(args)})
+		must.NotNil(t, result.Failure)
+		must.False(t, result.Changed)
+	}
+}
+
+func nodeName(n int) ident.Node { return ident.Node(fmt.Sprint("node-", n)) }
--- a/control/coordination/watch/watch.go
+++ b/control/coordination/watch/watch.go
@@ -6,19 +6,19 @@
 	"encoding/json"
 	"slices"
 
-	"cottonarch.example/cottonarch/control/coordination/key"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/keyvalue"
 )
 
-// Place is where a watcher stands: the revision it has seen of each key. It is
+// Cursor is where a watcher stands: the revision it has seen of each key. It is
 // opaque outside. Invariant: it names no core, so it holds at any of them, also
 // after restarts and changes of proposer.
-type Place map[ident.Key]ident.Revision
+type Cursor map[ident.Key]ident.Revision
 
 // Encode makes the opaque form.
-func (p Place) Encode() string {
-	raw, err := json.Marshal(p)
+func (c Cursor) Encode() string {
+	raw, err := json.Marshal(c)
 	if err != nil {
 		return ""
 	}
@@ -26,53 +26,53 @@
 }
 
 // Decode reads the opaque form.
-func Decode(s string) (Place, *failure.Error) {
-	p := Place{}
-	if s == "" {
-		return p, nil
+func Decode(encoded string) (Cursor, *failure.Error) {
+	cursor := Cursor{}
+	if encoded == "" {
+		return cursor, nil
 	}
-	raw, err := base64.RawURLEncoding.DecodeString(s)
+	raw, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err == nil {
-		err = json.Unmarshal(raw, &p)
+		err = json.Unmarshal(raw, &cursor)
 	}
 	if err != nil {
 		return nil, failure.New(failure.Malformed, "that is not a place of ours")
 	}
-	return p, nil
+	return cursor, nil
 }
 
 // Event is one change told to a watcher.
 type Event struct {
 	Key ident.Key `json:"key"`
-	key.Change
+	keyvalue.Change
 }
 
-// Due lists, in order, the keys whose revision is above the watcher's place.
-func (p Place) Due(seen map[ident.Key]ident.Revision) []ident.Key {
-	var out []ident.Key
-	for k, r := range seen {
-		if r > p[k] {
-			out = append(out, k)
+// Behind lists, in order, the keys whose revision is above the watcher's place.
+func (c Cursor) Behind(revisions map[ident.Key]ident.Revision) []ident.Key {
+	var behind []ident.Key
+	for key, revision := range revisions {
+		if revision > c[key] {
+			behind = append(behind, key)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(behind)
+	return behind
 }
 
-// Tell makes events of a reading and moves the place on. A Forgotten failure says
+// Advance makes events of a reading and moves the place on. A Forgotten failure says
 // that changes were missed; the history is kept so that this takes over a minute.
-func (p Place) Tell(k ident.Key, r key.Reading) ([]Event, *failure.Error) {
-	if r.Cut {
-		if _, known := p[k]; known {
-			return nil, failure.New(failure.Forgotten, "changes of %s after revision %d are forgotten", k, p[k])
+func (c Cursor) Advance(key ident.Key, response keyvalue.Response) ([]Event, *failure.Error) {
+	if response.Truncated {
+		if _, known := c[key]; known {
+			return nil, failure.New(failure.Compacted, "changes of %s after revision %d are forgotten", key, c[key])
 		}
 	}
-	var out []Event
-	for _, c := range r.Changes {
-		if c.Revision > p[k] {
-			out = append(out, Event{k, c})
-			p[k] = c.Revision
+	var events []Event
+	for _, change := range response.Changes {
+		if change.Revision > c[key] {
+			events = append(events, Event{key, change})
+			c[key] = change.Revision
 		}
 	}
-	return out, nil
+	return events, nil
 }
--- /dev/null
+++ b/control/core/joinqueue/admission.go
@@ -0,0 +1,200 @@
+// Package joinqueue queues the joins of sidecars at one core and takes them into batches,
+// so that many that come together cost a few rounds of quorum and not some for each.
+package joinqueue
+
+import (
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+)
+
+const (
+	// MaxBatch bounds the joins of one batch.
+	MaxBatch = 128
+	// MaxWaiting bounds the joins that wait at one core.
+	MaxWaiting = 512
+	// minRetryAfter and retryMost bound what a refused sidecar is told to wait.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// initialBatchDuration is how long a batch is taken to last before one has ended.
+	initialBatchDuration = 250 * time.Millisecond
+)
+
+// Request is a sidecar's wish to join. Run marks this attempt of one run of the sidecar: a
+// repeat under the same mark is the same join.
+type Request struct {
+	Node       ident.Node
+	Run        string
+	RetryTotal int // of further tries, as in share.Args
+}
+
+// Refusal ends one waiting join.
+type Refusal struct {
+	Ticket  uint64
+	Failure *failure.Error
+}
+
+// waiter is one caller that waits for a join, at most until its deadline.
+type waiter struct {
+	ticket   uint64
+	deadline monotime.Time
+}
+
+type join struct {
+	Request
+	queuedAt monotime.Time
+	waiters  []waiter
+}
+
+// Queue is the step function. Invariants: at most one batch is out; a node is at most once
+// in a batch; every ticket that was added ends once, by Refuse, Expire or End.
+type Queue struct {
+	waiting           []*join
+	batch             []*join
+	batchStarted      monotime.Time
+	lastBatchDuration time.Duration // of the last batch
+}
+
+// Len is how many joins wait for a batch.
+func (q *Queue) Len() int { return len(q.waiting) }
+
+// BatchInFlight tells whether a batch is out.
+func (q *Queue) BatchInFlight() bool { return len(q.batch) > 0 }
+
+// Add queues a join until a deadline, or tells why it is refused.
+func (q *Queue) Add(now monotime.Time, ticket uint64, r Request, deadline monotime.Time) *failure.Error {
+	w := waiter{ticket, deadline}
+	if j := q.find(r); j != nil {
+		j.waiters = append(j.waiters, w)
+		return nil
+	}
+	if len(q.waiting) >= MaxWaiting {
+		return q.busyError(r, "%d joins wait here", len(q.waiting))
+	}
+	q.waiting = append(q.waiting, &join{Request: r, queuedAt: now, waiters: []waiter{w}})
+	return nil
+}
+
+// find looks for the same join, waiting or under way.
+func (q *Queue) find(r Request) *join {
+	if r.Run == "" {
+		return nil
+	}
+	for _, list := range [][]*join{q.waiting, q.batch} {
+		for _, j := range list {
+			if j.Node == r.Node && j.Run == r.Run {
+				return j
+			}
+		}
+	}
+	return nil
+}
+
+// BeginBatch takes the next batch out; it has none while one is out.
+func (q *Queue) BeginBatch(now monotime.Time) []Request {
+	if len(q.batch) > 0 {
+		return nil
+	}
+	var batch []Request
+	nodes := map[ident.Node]bool{}
+	var remaining []*join
+	for _, j := range q.waiting {
+		if len(batch) == MaxBatch || nodes[j.Node] {
+			remaining = append(remaining, j)
+			continue
+		}
+		nodes[j.Node] = true
+		q.batch, batch = append(q.batch, j), append(batch, j.Request)
+	}
+	q.waiting, q.batchStarted = remaining, now
+	return batch
+}
+
+// EndBatch ends the batch that is out; one that went well shows how long a batch takes. It gives
+// the tickets that wait for each of its joins, in the order of the batch.
+func (q *Queue) EndBatch(now monotime.Time, succeeded bool) [][]uint64 {
+	tickets := make([][]uint64, len(q.batch))
+	for i, j := range q.batch {
+		for _, w := range j.waiters {
+			tickets[i] = append(tickets[i], w.ticket)
+		}
+	}
+	q.batch = nil
+	if succeeded {
+		q.lastBatchDuration = now.Since(q.batchStarted)
+	}
+	return tickets
+}
+
+// Expire refuses the joins whose deadline is over. One whose batch is out may yet be
+// granted.
+func (q *Queue) Expire(now monotime.Time) []Refusal {
+	var refusals []Refusal
+	for _, j := range q.waiting {
+		refusals = append(refusals, q.expireWaiters(now, j, q.busyError(j.Request, "its time was over before its batch began"))...)
+	}
+	q.waiting = slices.DeleteFunc(q.waiting, func(j *join) bool { return len(j.waiters) == 0 })
+	for _, j := range q.batch {
+		timedOut := failure.NewUnknown(failure.UnknownOutcome, "the batch did not end in time")
+		timedOut.RetryAfter = q.busyError(j.Request, "").RetryAfter
+		refusals = append(refusals, q.expireWaiters(now, j, timedOut)...)
+	}
+	return refusals
+}
+
+// expireWaiters takes the waiters out whose time is over.
+func (q *Queue) expireWaiters(now monotime.Time, j *join, refusal *failure.Error) (refusals []Refusal) {
+	j.waiters = slices.DeleteFunc(j.waiters, func(w waiter) bool {
+		if !now.After(w.deadline) {
+			return false
+		}
+		refusals = append(refusals, Refusal{w.ticket, refusal})
+		return true
+	})
+	return refusals
+}
+
+// RefuseWaiting refuses those that wait, are in no batch and came no later than a moment.
+func (q *Queue) RefuseWaiting(queuedBy monotime.Time, kind failure.Kind, reason string) []Refusal {
+	var refusals []Refusal
+	q.waiting = slices.DeleteFunc(q.waiting, func(j *join) bool {
+		if j.queuedAt.After(queuedBy) {
+			return false
+		}
+		refusal := failure.New(kind, "%s", reason).WithRetryAfter(q.RetryAfter(j.Request).Seconds())
+		for _, w := range j.waiters {
+			refusals = append(refusals, Refusal{w.ticket, refusal})
+		}
+		return true
+	})
+	return refusals
+}
+
+func (q *Queue) busyError(r Request, format string, args ...any) *failure.Error {
+	return failure.New(failure.Busy, format, args...).WithRetryAfter(q.RetryAfter(r).Seconds())
+}
+
+// RetryAfter is when a refused join may come back: once the batches before it have ended,
+// and by its own hash up to as long again, so that those refused together do not come back
+// together.
+func (q *Queue) RetryAfter(r Request) time.Duration {
+	batchDuration := q.lastBatchDuration
+	if batchDuration == 0 {
+		batchDuration = initialBatchDuration
+	}
+	batches := 1 + len(q.waiting)/MaxBatch
+	wait := min(max(time.Duration(batches)*batchDuration, minRetryAfter), maxRetryAfter)
+	return wait + time.Duration(float64(wait)*jitter(r))
+}
+
+// jitter is a number from 0 to 1 that is a join's own.
+func jitter(r Request) float64 {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(r.Node))
+	_, _ = hash.Write([]byte(r.Run))
+	return float64(hash.Sum32()%1024) / 1024
+}
--- a/control/core/membership/twoleave_test.go
+++ b/control/core/membership/twoleave_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // Two voters leave as planned at the same moment, or one shortly after the other, while writes
@@ -19,51 +19,53 @@
 		for _, gap := range []time.Duration{0, 20 * time.Millisecond, 150 * time.Millisecond, 600 * time.Millisecond} {
 			t.Run(fmt.Sprint(size, gap), func(t *testing.T) {
 				c := newCluster(t, size.members, size.slots, size.canLose, 12)
-				c.run(8 * time.Second)
+				c.advance(8 * time.Second)
 				c.writing = true
-				c.run(200 * time.Millisecond)
-				must.Eq(t, 2, c.leaveBoth(addrOf(1), addrOf(2), gap), must.Sprint("done in time"))
-				must.SliceEmpty(t, c.faults)
+				c.advance(200 * time.Millisecond)
+				must.Eq(t, 2, c.leaveTogether(addrOf(1), addrOf(2), gap), must.Sprint("done in time"))
+				must.SliceEmpty(t, c.violations)
 				c.writing = false
-				c.boot(addrOf(1))
-				c.boot(addrOf(2))
+				c.startMachine(addrOf(1))
+				c.startMachine(addrOf(2))
 				// An even number of slots is one fewer when a voter has left it.
 				atLeast := (size.slots-1)/2*2 + 1
-				whole := func() bool { return c.whole(c.chosen().Size()) && c.chosen().Size() >= atLeast }
-				for back := c.now; !whole() && c.now.Since(back) < catchUp; {
-					c.run(20 * time.Millisecond)
+				restored := func() bool {
+					return c.fullyReplicated(c.chosenMembership().Size()) && c.chosenMembership().Size() >= atLeast
 				}
-				must.True(t, whole())
-				must.SliceEmpty(t, c.faults)
+				for bootedAt := c.now; !restored() && c.now.Since(bootedAt) < catchUpLimit; {
+					c.advance(20 * time.Millisecond)
+				}
+				must.True(t, restored())
+				must.SliceEmpty(t, c.violations)
 			})
 		}
 	}
 }
 
-// leaveBoth stops two processes as planned, the second a while after the first, each until it
+// leaveTogether stops two processes as planned, the second a while after the first, each until it
 // is done or its time is over, and tells how many were done.
-func (c *cluster) leaveBoth(first, second ident.Addr, gap time.Duration) (inTime int) {
-	const look = 30 * time.Millisecond
-	begins := map[ident.Addr]time.Duration{first: 0, second: gap}
+func (c *cluster) leaveTogether(first, second ident.Addr, gap time.Duration) (inTime int) {
+	const pollEvery = 30 * time.Millisecond
+	leaveAfter := map[ident.Addr]time.Duration{first: 0, second: gap}
 	began, left := c.now, map[ident.Addr]bool{}
-	for len(left) < len(begins) {
+	for len(left) < len(leaveAfter) {
 		for _, a := range []ident.Addr{first, second} {
-			m, since := c.members[a], c.now.Since(began)-begins[a]
+			m, since := c.machines[a], c.now.Since(began)-leaveAfter[a]
 			if since < 0 || left[a] {
 				continue
 			}
-			c.out(m, m.node.Leave(c.now, leaveLimit)) // does nothing but the first time
-			done, fx := m.node.Left(c.now)
-			c.out(m, fx)
+			c.apply(m, m.node.Leave(c.now, leaveLimit)) // does nothing but the first time
+			done, fx := m.node.ContinueLeave(c.now)
+			c.apply(m, fx)
 			if done {
 				inTime++
 			}
 			if done || since >= leaveLimit {
-				c.kill(a)
+				c.killProcess(a)
 				left[a] = true
 			}
 		}
-		c.run(look)
+		c.advance(pollEvery)
 	}
 	return inTime
 }
--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -4,13 +4,13 @@
 import (
 	"hash/fnv"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/leasetable"
 	"cottonarch.example/cottonarch/control/membership/acceptor"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/control/rollout/drive"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/lease/table"
+	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
 // Message is one message. Invariants: exactly one part is set; To is empty or the
@@ -19,7 +19,7 @@
 type Message struct {
 	From               ident.Addr           `json:"from,omitempty"`
 	To                 string               `json:"to,omitempty"`
-	Hello              *Hello               `json:"hello,omitempty"`
+	Heartbeat          *Heartbeat           `json:"hello,omitempty"`
 	Request            *quorum.Request      `json:"ask,omitempty"`
 	Response           *quorum.Response     `json:"return,omitempty"`
 	Scan               *quorum.Scan         `json:"scan,omitempty"`
@@ -27,88 +27,88 @@
 	MembershipRequest  *acceptor.Request    `json:"rosterAsk,omitempty"`
 	MembershipResponse *acceptor.Response   `json:"rosterSays,omitempty"`
 	Forward            *Forward             `json:"forward,omitempty"`
-	Carried            *Carried             `json:"carried,omitempty"`
+	ForwardResult      *ForwardResult       `json:"carried,omitempty"`
 	Learned            *Learned             `json:"learned,omitempty"`
 	Handover           *Handover            `json:"handover,omitempty"`
-	LeaseUpdate        *table.Update        `json:"kept,omitempty"`
-	Want               *Want                `json:"want,omitempty"`
-	Quiet              *Quiet               `json:"quiet,omitempty"`
+	LeaseUpdate        *leasetable.Update   `json:"kept,omitempty"`
+	ResendRequest      *ResendRequest       `json:"want,omitempty"`
+	SilenceCheck       *SilenceCheck        `json:"quiet,omitempty"`
 }
 
 // Empty tells whether no part is set.
 func (m Message) Empty() bool { return m == Message{From: m.From, To: m.To} }
 
-// Hello is what cores tell each other several times a second. A brief one leaves out what
+// Heartbeat is what cores tell each other several times a second. A brief one leaves out what
 // the last whole one of the same Run said. Invariants: Run stands for Mark; No rises with
 // every hello of one run; Ack is the newest No of the run Of whose Sum was that of the list held here, so
 // that this core has heard of every renewal that hello told of.
-type Hello struct {
-	Run   uint64 `json:"run"`
-	Brief bool   `json:"brief,omitempty"`
-	No    uint64 `json:"no"`
-	Of    uint64 `json:"of,omitempty"`
-	Ack   uint64 `json:"ack,omitempty"`
-	// Heard is the newest No of the run Of that was taken at all; it is left out when it
+type Heartbeat struct {
+	Run         uint64 `json:"run"`
+	Brief       bool   `json:"brief,omitempty"`
+	Seq         uint64 `json:"no"`
+	AckInstance uint64 `json:"of,omitempty"`
+	AckSeq      uint64 `json:"ack,omitempty"`
+	// ReceivedSeq is the newest No of the run Of that was taken at all; it is left out when it
 	// is Ack.
-	Heard    uint64      `json:"heard,omitempty"`
-	Sum      uint64      `json:"sum,omitempty"` // of the sidecars kept at the sender
-	At       ident.Epoch `json:"at,omitempty"`  // of the membership
-	Manifest ident.Epoch `json:"manifest"`
-	// AgeMs is how long ago, plus one, the sender knew that nothing newer than Manifest
+	ReceivedSeq     uint64      `json:"heard,omitempty"`
+	LeaseChecksum   uint64      `json:"sum,omitempty"` // of the sidecars kept at the sender
+	MembershipEpoch ident.Epoch `json:"at,omitempty"`  // of the membership
+	ConfigRevision  ident.Epoch `json:"manifest"`
+	// ConfigAgeMs is how long ago, plus one, the sender knew that nothing newer than Manifest
 	// was confirmed; 0 is never.
-	AgeMs   int64                        `json:"ageMs,omitempty"`
-	Duty    bool                         `json:"duty,omitempty"`    // the sender holds the anti-entropy duty
-	Rolling bool                         `json:"rolling,omitempty"` // a roll-out runs: say Ends
-	Ends    map[ident.Service]drive.Ends `json:"ends,omitempty"`
+	ConfigAgeMs   int64                                  `json:"ageMs,omitempty"`
+	HoldsDuty     bool                                   `json:"duty,omitempty"`    // the sender holds the anti-entropy duty
+	RolloutActive bool                                   `json:"rolling,omitempty"` // a roll-out runs: say Ends
+	CallOutcomes  map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
 	// What a brief one leaves out.
-	Mark       string             `json:"mark,omitempty"`
+	InstanceID string             `json:"mark,omitempty"`
 	Disk       ident.Disk         `json:"disk,omitempty"`
-	District   ident.District     `json:"district,omitempty"`
+	Zone       ident.Zone         `json:"district,omitempty"`
 	Membership *quorum.Membership `json:"roster,omitempty"`
 	Leaving    bool               `json:"leaving,omitempty"`
-	Broken     bool               `json:"broken,omitempty"`
+	DiskFailed bool               `json:"broken,omitempty"`
 	Cores      []ident.Addr       `json:"cores,omitempty"`
-	// Patches says that this process takes accepts that carry a quorum.Patch.
-	Patches bool `json:"patches,omitempty"`
-	// Echo says that this process's hellos tell what it has Heard.
-	Echo bool `json:"echo,omitempty"`
+	// AcceptsPatches says that this process takes accepts that carry a quorum.Patch.
+	AcceptsPatches bool `json:"patches,omitempty"`
+	// ReportsReceived says that this process's hellos tell what it has Heard.
+	ReportsReceived bool `json:"echo,omitempty"`
 }
 
-// Run stands for the mark of a run.
-func Run(mark string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(mark))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>33
+// InstanceHash stands for the mark of a run.
+func InstanceHash(instanceID string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(instanceID))
+	mixed := hash.Sum64()
+	mixed ^= mixed >> 33
+	mixed *= 0xff51afd7ed558ccd
+	return mixed ^ mixed>>33
 }
 
-// Over lays a later hello of the same run over this one.
-func (h Hello) Over(later Hello) Hello {
+// MergedWith lays a later hello of the same run over this one.
+func (h Heartbeat) MergedWith(later Heartbeat) Heartbeat {
 	if !later.Brief {
 		return later
 	}
-	later.Brief, later.Mark = h.Brief, h.Mark
-	later.Disk, later.District, later.Membership, later.Leaving, later.Broken, later.Cores = h.Disk, h.District, h.Membership, h.Leaving, h.Broken, h.Cores
-	later.Patches, later.Echo = h.Patches, h.Echo
-	if later.Ends == nil {
-		later.Ends = h.Ends
+	later.Brief, later.InstanceID = h.Brief, h.InstanceID
+	later.Disk, later.Zone, later.Membership, later.Leaving, later.DiskFailed, later.Cores = h.Disk, h.Zone, h.Membership, h.Leaving, h.DiskFailed, h.Cores
+	later.AcceptsPatches, later.ReportsReceived = h.AcceptsPatches, h.ReportsReceived
+	if later.CallOutcomes == nil {
+		later.CallOutcomes = h.CallOutcomes
 	}
 	return later
 }
 
-// Want asks for a whole hello, or for all sidecars kept at the receiver.
-type Want struct {
-	Hello  bool `json:"hello,omitempty"`
-	Leases bool `json:"kept,omitempty"`
+// ResendRequest asks for a whole hello, or for all sidecars kept at the receiver.
+type ResendRequest struct {
+	Heartbeat bool `json:"hello,omitempty"`
+	Leases    bool `json:"kept,omitempty"`
 }
 
-// Quiet asks a voter which of the nodes it has not heard for table.SilentAfter, or says so.
-type Quiet struct {
-	Round uint64       `json:"turn"`
-	Says  ident.Disk   `json:"says,omitempty"` // empty in the question
-	Nodes []ident.Node `json:"nodes,omitempty"`
+// SilenceCheck asks a voter which of the nodes it has not heard for table.SilentAfter, or says so.
+type SilenceCheck struct {
+	Round     uint64       `json:"turn"`
+	Responder ident.Disk   `json:"says,omitempty"` // empty in the question
+	Nodes     []ident.Node `json:"nodes,omitempty"`
 }
 
 // Forward carries an operation to its key's proposer. LeftMs is how much longer its client waits, a
@@ -120,8 +120,8 @@
 	LeftMs    int64              `json:"leftMs,omitempty"`
 }
 
-// Carried is the end of a forwarded operation.
-type Carried struct {
+// ForwardResult is the end of a forwarded operation.
+type ForwardResult struct {
 	Ticket   uint64         `json:"ticket"`
 	Body     []byte         `json:"body,omitempty"`
 	Failure  *failure.Error `json:"defect,omitempty"`
--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -6,50 +6,50 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
-// swept gives the last anti-entropy pass of whoever holds the duty.
-func (x *trio) swept(t *testing.T) node.Pass {
-	var got []node.Pass
-	for _, a := range three {
-		if s, ok := x.nodes[a].LastPass(); ok && !x.dead[a] {
-			got = append(got, s)
+// lastPass gives the last anti-entropy pass of whoever holds the duty.
+func (cluster *threeCores) lastPass(t *testing.T) node.AntiEntropyPass {
+	var passes []node.AntiEntropyPass
+	for _, addr := range coreAddrs {
+		if pass, ok := cluster.nodes[addr].LastPass(); ok && !cluster.down[addr] {
+			passes = append(passes, pass)
 		}
 	}
-	must.Len(t, 1, got)
-	return got[0]
+	must.Len(t, 1, passes)
+	return passes[0]
 }
 
 // What the anti-entropy pass says is so: a copy that forgot all is counted as differing until it is
 // repaired, and a disk that says nothing as not read.
-func TestAntiEntropySaysWhetherAllCopiesAreWhole(t *testing.T) {
-	x := newTrio(t)
+func TestAntiEntropyReportsLaggingCopies(t *testing.T) {
+	cluster := newThreeCores(t)
 	for i, k := range []ident.Key{"number/a", "number/b", "number/c"} {
-		x.submit("a:1", uint64(i+1), "number/next", k)
+		cluster.submit("a:1", uint64(i+1), "number/next", k)
 	}
-	x.run(12 * time.Second)
-	s := x.swept(t)
-	must.Eq(t, node.Pass{At: s.At, Read: 3, Of: 3}, s)
-	loser := three[0]
-	for _, a := range three {
-		if !x.nodes[a].Duty() {
+	cluster.advance(12 * time.Second)
+	pass := cluster.lastPass(t)
+	must.Eq(t, node.AntiEntropyPass{FinishedAt: pass.FinishedAt, Read: 3, CountedDisks: 3}, pass)
+	loser := coreAddrs[0]
+	for _, a := range coreAddrs {
+		if !cluster.nodes[a].HoldsDuty() {
 			loser = a
 		}
 	}
-	x.nodes[loser].Amnesia()
-	before := s.At
-	for ; x.swept(t).At == before; x.run(10 * time.Millisecond) {
+	cluster.nodes[loser].ForgetRecords()
+	before := pass.FinishedAt
+	for ; cluster.lastPass(t).FinishedAt == before; cluster.advance(10 * time.Millisecond) {
 	}
-	s = x.swept(t)
-	must.Eq(t, 3, s.Read)
-	must.GreaterEq(t, 3, s.Behind)
-	x.run(12 * time.Second)
-	must.Eq(t, 0, x.swept(t).Behind)
-	x.dead[loser] = true
-	x.run(12 * time.Second)
-	s = x.swept(t)
-	must.Eq(t, 2, s.Read)
-	must.Eq(t, 3, s.Of)
+	pass = cluster.lastPass(t)
+	must.Eq(t, 3, pass.Read)
+	must.GreaterEq(t, 3, pass.LaggingKeys)
+	cluster.advance(12 * time.Second)
+	must.Eq(t, 0, cluster.lastPass(t).LaggingKeys)
+	cluster.down[loser] = true
+	cluster.advance(12 * time.Second)
+	pass = cluster.lastPass(t)
+	must.Eq(t, 2, pass.Read)
+	must.Eq(t, 3, pass.CountedDisks)
 }
--- a/control/core/node/cut_test.go
+++ b/control/core/node/cut_test.go
@@ -7,17 +7,17 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/coordination/group"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/coordination/keyspace"
 	"cottonarch.example/cottonarch/control/coordination/lock"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/coordination/share"
+	"cottonarch.example/cottonarch/control/coordination/quota"
 	"cottonarch.example/cottonarch/control/core/message"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/registry/record"
+	"cottonarch.example/cottonarch/control/registry/record"
 )
 
 // cuts are the ways in which a core may be cut off from the others.
@@ -27,31 +27,31 @@
 	"out":  func(at, to ident.Addr, m message.Message) bool { return m.From == at && to != at },
 }
 
-func (x *trio) cut(at ident.Addr, way string) {
-	x.lost = func(to ident.Addr, m message.Message) bool { return cuts[way](at, to, m) }
+func (cluster *threeCores) cut(core ident.Addr, direction string) {
+	cluster.drop = func(to ident.Addr, m message.Message) bool { return cuts[direction](core, to, m) }
 }
 
 // call runs an operation at a core until it has ended.
-func (x *trio) call(at ident.Addr, d proposer.Operation, budget time.Duration) (e failureOrBody) {
-	x.tickets++
-	ticket, began := x.tickets, x.now
-	x.out(at, x.nodes[at].Submit(x.now, ticket, d, budget))
-	for x.end(ticket) == nil && x.now.Since(began) < budget+time.Second {
-		x.run(10 * time.Millisecond)
+func (cluster *threeCores) call(core ident.Addr, op proposer.Operation, budget time.Duration) (e callResult) {
+	cluster.lastTicket++
+	ticket, began := cluster.lastTicket, cluster.now
+	cluster.apply(core, cluster.nodes[core].Submit(cluster.now, ticket, op, budget))
+	for cluster.ticketResult(ticket) == nil && cluster.now.Since(began) < budget+time.Second {
+		cluster.advance(10 * time.Millisecond)
 	}
-	if end := x.end(ticket); end != nil {
-		return failureOrBody{string(end.Body), end.Failure, x.now.Since(began)}
+	if end := cluster.ticketResult(ticket); end != nil {
+		return callResult{string(end.Body), end.Failure, cluster.now.Since(began)}
 	}
-	return failureOrBody{took: -1}
+	return callResult{took: -1}
 }
 
-type failureOrBody struct {
+type callResult struct {
 	body    string
 	failure *failure.Error
 	took    time.Duration
 }
 
-func (e failureOrBody) kind() failure.Kind {
+func (e callResult) failureKind() failure.Kind {
 	if e.failure == nil {
 		return ""
 	}
@@ -62,53 +62,53 @@
 	return proposer.Operation{Key: key, Kind: kind, Args: operation.Encode(args), Repeatable: true}
 }
 
-// known are calls that a core which owns every key answers, or refuses, when it is well:
+// knownCalls are calls that a core which owns every key answers, or refuses, when it is well:
 // each names the answer, which it knows from its own term's memory.
-var known = []struct {
-	operation proposer.Operation
-	says      failure.Kind // "" for a yes
+var knownCalls = []struct {
+	operation   proposer.Operation
+	failureKind failure.Kind // "" for a yes
 }{
-	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "other", TTL: 60000}), failure.Held},
-	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000, Keep: true}), ""},
-	{operationOf("lock/l", "lock/renew", lock.Args{Holder: "me", Fence: 1, TTL: 60000}), ""},
-	{operationOf("lock/l", "lock/renew", lock.Args{Holder: "me", Fence: 7}), failure.NotHolder},
-	{operationOf("lock/l", "lock/release", lock.Args{Holder: "other", Fence: 1}), failure.NotHolder},
+	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "other", TTL: 60000}), failure.LockHeld},
+	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000, KeepToken: true}), ""},
+	{operationOf("lock/l", "lock/renew", lock.Args{Holder: "me", FencingToken: 1, TTL: 60000}), ""},
+	{operationOf("lock/l", "lock/renew", lock.Args{Holder: "me", FencingToken: 7}), failure.NotHolder},
+	{operationOf("lock/l", "lock/release", lock.Args{Holder: "other", FencingToken: 1}), failure.NotHolder},
 	{operationOf("lock/l", "lock/read", lock.Args{}), ""},
 	{operationOf("number/n", "number/next", map[string]int{}), ""},
 	{operationOf("number/n", "number/read", map[string]int{}), ""},
-	{operationOf(group.Key("g."), "group/read", group.Args{Name: "a"}), ""},
-	{operationOf(group.Key("g."), "group/read", group.Args{Name: "none"}), failure.Missing},
-	{operationOf(group.Key("g."), "group/put", group.Args{Name: "a", Value: []byte(`"1"`)}), ""},
-	{operationOf(group.Key("g."), "group/put", group.Args{Name: "a", Value: []byte(`"2"`), If: new(ident.Revision)}), failure.Conflict},
-	{operationOf(group.Key("g."), "group/since", group.Args{After: new(ident.Revision)}), ""},
-	{operationOf(offer.Key, "manifest/epoch", nil), ""},
-	{operationOf(offer.Key, "manifest/read", nil), ""},
-	{operationOf(offer.Key, "manifest/offer", offer.Args{BaseRelease: new(uint64), Loose: true, Body: []byte(`{"release":9}`)}), failure.Conflict},
-	{operationOf(offer.Key, "manifest/offer", offer.Args{Body: []byte(`{"ways":{"w":{"host":"h","service":"none"}}}`)}), failure.Invalid},
-	{operationOf("share", "share/take", share.Args{Node: "s", Claim: 1}), failure.Conflict},
+	{operationOf(keyspace.ControlKey("g."), "group/read", keyspace.Args{Name: "a"}), ""},
+	{operationOf(keyspace.ControlKey("g."), "group/read", keyspace.Args{Name: "none"}), failure.NotFound},
+	{operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"1"`)}), ""},
+	{operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"2"`), IfRevision: new(ident.Revision)}), failure.Conflict},
+	{operationOf(keyspace.ControlKey("g."), "group/since", keyspace.Args{After: new(ident.Revision)}), ""},
+	{operationOf(proposal.Key, "manifest/epoch", nil), ""},
+	{operationOf(proposal.Key, "manifest/read", nil), ""},
+	{operationOf(proposal.Key, "manifest/offer", proposal.Args{BaseVersion: new(uint64), AllowUnknown: true, Body: []byte(`{"release":9}`)}), failure.Conflict},
+	{operationOf(proposal.Key, "manifest/offer", proposal.Args{Body: []byte(`{"ways":{"w":{"host":"h","service":"none"}}}`)}), failure.Invalid},
+	{operationOf("share", "share/take", quota.Args{Node: "s", LeaseEpoch: 1}), failure.Conflict},
 	{operationOf("share", "share/read", nil), ""},
 	{operationOf("number/n", "no/such", nil), failure.Malformed},
 }
 
-// fill gives every key of the table a state, and has one core own them all.
-func (x *trio) fill(t *testing.T, at ident.Addr) {
-	for _, d := range []proposer.Operation{
+// fillAllKeys gives every key of the table a state, and has one core own them all.
+func (cluster *threeCores) fillAllKeys(t *testing.T, core ident.Addr) {
+	for _, op := range []proposer.Operation{
 		operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000}),
 		operationOf("number/n", "number/next", map[string]int{}),
-		operationOf(group.Key("g."), "group/put", group.Args{Name: "a", Value: []byte(`"1"`)}),
-		operationOf(offer.Key, "manifest/offer", offer.Args{Loose: true, Body: []byte(`{"release":3}`)}),
-		operationOf("share", "share/take", share.Args{Node: "s", Claim: 2}),
+		operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"1"`)}),
+		operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":3}`)}),
+		operationOf("share", "share/take", quota.Args{Node: "s", LeaseEpoch: 2}),
 	} {
-		x.out(at, x.nodes[at].Step(x.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{d.Key}}}))
-		x.run(50 * time.Millisecond)
-		must.Eq(t, "", x.call(at, d, 4*time.Second).kind(), must.Sprint(d.Kind))
+		cluster.apply(core, cluster.nodes[core].Step(cluster.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{op.Key}}}))
+		cluster.advance(50 * time.Millisecond)
+		must.Eq(t, "", cluster.call(core, op, 4*time.Second).failureKind(), must.Sprint(op.Kind))
 	}
 }
 
-// own makes one core own a key again, by taking it.
-func (x *trio) own(at ident.Addr, k ident.Key) {
-	x.out(at, x.nodes[at].Step(x.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{k}}}))
-	x.run(50 * time.Millisecond)
+// takeOver makes one core own a key again, by taking it.
+func (cluster *threeCores) takeOver(core ident.Addr, k ident.Key) {
+	cluster.apply(core, cluster.nodes[core].Step(cluster.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{k}}}))
+	cluster.advance(50 * time.Millisecond)
 }
 
 // A core that owns a key, and so remembers all of its state, neither answers nor refuses
@@ -117,32 +117,32 @@
 // said was not done is not done afterwards. Well, it gives each of the answers.
 func TestCutOffCoreAnswersNothingFromMemory(t *testing.T) {
 	const budget = 900 * time.Millisecond
-	for way := range cuts {
+	for direction := range cuts {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond, 2 * time.Second, 3100 * time.Millisecond} {
-			x := newTrio(t)
-			x.fill(t, "a:1")
-			for i, c := range known {
-				must.Eq(t, c.says, x.call("a:1", c.operation, budget).kind(), must.Sprint(i, c.operation.Kind))
+			cluster := newThreeCores(t)
+			cluster.fillAllKeys(t, "a:1")
+			for i, call := range knownCalls {
+				must.Eq(t, call.failureKind, cluster.call("a:1", call.operation, budget).failureKind(), must.Sprint(i, call.operation.Kind))
 			}
-			x.call("a:1", operationOf("number/n", "number/next", map[string]int{}), budget)
-			for i, c := range known {
-				x.own("a:1", c.operation.Key)
-				x.cut("a:1", way)
-				x.run(after)
-				at := fmt.Sprintf("call %d, %s, cut %s, %v after it", i, c.operation.Kind, way, after)
-				got := x.call("a:1", c.operation, budget)
-				must.NotNil(t, got.failure, must.Sprint(at, got.body))
-				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.kind(), must.Sprint(at))
-				must.Eq(t, got.kind() == failure.NoMajority, got.failure.Outcome == failure.NotExecuted, must.Sprint(at))
-				must.Between(t, 0, got.took, budget+50*time.Millisecond, must.Sprint(at))
-				if way != "out" && after > 1200*time.Millisecond || after > 3*time.Second {
-					must.Eq(t, failure.NoMajority, got.kind(), must.Sprint(at))
-					must.Less(t, 50*time.Millisecond, got.took, must.Sprint(at))
+			cluster.call("a:1", operationOf("number/n", "number/next", map[string]int{}), budget)
+			for i, call := range knownCalls {
+				cluster.takeOver("a:1", call.operation.Key)
+				cluster.cut("a:1", direction)
+				cluster.advance(after)
+				where := fmt.Sprintf("call %d, %s, cut %s, %v after it", i, call.operation.Kind, direction, after)
+				got := cluster.call("a:1", call.operation, budget)
+				must.NotNil(t, got.failure, must.Sprint(where, got.body))
+				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(where))
+				must.Eq(t, got.failureKind() == failure.NoMajority, got.failure.Outcome == failure.NotExecuted, must.Sprint(where))
+				must.Between(t, 0, got.took, budget+50*time.Millisecond, must.Sprint(where))
+				if direction != "out" && after > 1200*time.Millisecond || after > 3*time.Second {
+					must.Eq(t, failure.NoMajority, got.failureKind(), must.Sprint(where))
+					must.Less(t, 50*time.Millisecond, got.took, must.Sprint(where))
 				}
-				x.lost = nil
-				x.run(time.Second)
-				if c.operation.Kind == "number/next" && got.failure.Outcome == failure.NotExecuted {
-					must.Eq(t, `{"number":3}`, x.call("b:1", operationOf("number/n", "number/read", nil), budget).body, must.Sprint(at))
+				cluster.drop = nil
+				cluster.advance(time.Second)
+				if call.operation.Kind == "number/next" && got.failure.Outcome == failure.NotExecuted {
+					must.Eq(t, `{"number":3}`, cluster.call("b:1", operationOf("number/n", "number/read", nil), budget).body, must.Sprint(where))
 				}
 			}
 		}
@@ -157,88 +157,88 @@
 	const budget = 4 * time.Second
 	next, read := operationOf("number/n", "number/next", map[string]int{}), operationOf("number/n", "number/read", map[string]int{})
 	next.Repeatable = false // so that the copies of one call act once
-	start := func(way string) *trio {
-		x := newTrio(t)
-		x.fill(t, "a:1")
-		x.own("a:1", "number/n")
-		x.cut("a:1", way)
-		return x
+	startCutOff := func(direction string) *threeCores {
+		cluster := newThreeCores(t)
+		cluster.fillAllKeys(t, "a:1")
+		cluster.takeOver("a:1", "number/n")
+		cluster.cut("a:1", direction)
+		return cluster
 	}
-	for _, way := range []string{"both", "in"} {
-		x := start(way)
-		got := x.call("a:1", read, budget)
-		must.Eq(t, failure.NoMajority, got.kind())
+	for _, direction := range []string{"both", "in"} {
+		cluster := startCutOff(direction)
+		got := cluster.call("a:1", read, budget)
+		must.Eq(t, failure.NoMajority, got.failureKind())
 		must.Less(t, 1300*time.Millisecond, got.took)
 
 		// The first change is in a round; the ones behind it are not begun.
-		x = start(way)
+		cluster = startCutOff(direction)
 		for ticket := uint64(1); ticket <= 3; ticket++ {
-			x.out("a:1", x.nodes["a:1"].Submit(x.now, ticket, next, budget))
+			cluster.apply("a:1", cluster.nodes["a:1"].Submit(cluster.now, ticket, next, budget))
 		}
-		x.run(1300 * time.Millisecond)
-		must.Nil(t, x.end(1))
+		cluster.advance(1300 * time.Millisecond)
+		must.Nil(t, cluster.ticketResult(1))
 		for ticket := uint64(2); ticket <= 3; ticket++ {
-			must.NotNil(t, x.end(ticket))
-			must.Eq(t, failure.NotExecuted, x.end(ticket).Failure.Outcome)
+			must.NotNil(t, cluster.ticketResult(ticket))
+			must.Eq(t, failure.NotExecuted, cluster.ticketResult(ticket).Failure.Outcome)
 		}
-		x.lost = nil
-		x.run(budget)
-		must.Nil(t, x.end(1).Failure)
-		must.Eq(t, `{"number":3}`, x.call("b:1", next, budget).body, must.Sprint("one of three took effect"))
+		cluster.drop = nil
+		cluster.advance(budget)
+		must.Nil(t, cluster.ticketResult(1).Failure)
+		must.Eq(t, `{"number":3}`, cluster.call("b:1", next, budget).body, must.Sprint("one of three took effect"))
 	}
 }
 
 // A core that has just started, and has heard no majority yet, keeps a call until it hears
 // one: those that live may not have said so.
 func TestStartingCoreKeepsCalls(t *testing.T) {
-	x := newTrio(t)
-	x.dead["c:1"] = true
-	x.start(t, "c:1", "", three)
-	got := x.call("c:1", operationOf("number/n", "number/next", map[string]int{}), 2*time.Second)
+	cluster := newThreeCores(t)
+	cluster.down["c:1"] = true
+	cluster.start(t, "c:1", "", coreAddrs)
+	got := cluster.call("c:1", operationOf("number/n", "number/next", map[string]int{}), 2*time.Second)
 	must.Nil(t, got.failure)
 }
 
-// hold has a core hold the manifest of an epoch, as the daemon does once it has read it.
-func (x *trio) hold(at ident.Addr, e ident.Epoch) {
-	x.nodes[at].Leases.Manifest(&check.Manifest{Epoch: e})
+// holdConfig has a core hold the manifest of an epoch, as the daemon does once it has read it.
+func (cluster *threeCores) holdConfig(core ident.Addr, revision ident.Epoch) {
+	cluster.nodes[core].Leases.SetConfig(&validation.Config{Revision: revision})
 }
 
-// stale asks as a sidecar that renews whether a core can tell what the newest manifest is.
-func (x *trio) stale(t *testing.T, at ident.Addr) bool {
-	got, fx, d := x.nodes[at].Renew(x.now, record.Renewal{Node: "s", LeaseEpoch: 1, Seq: 1, Report: &record.Report{Node: "s"}})
-	must.Nil(t, d)
-	x.out(at, fx)
-	return got.Stale
+// isStale asks as a sidecar that renews whether a core can tell what the newest manifest is.
+func (cluster *threeCores) isStale(t *testing.T, core ident.Addr) bool {
+	renewed, fx, rejected := cluster.nodes[core].Renew(cluster.now, record.Renewal{Node: "s", LeaseEpoch: 1, Seq: 1, Report: &record.Report{Node: "s"}})
+	must.Nil(t, rejected)
+	cluster.apply(core, fx)
+	return renewed.Stale
 }
 
 // A core that is cut off tells the sidecars that renew at it so in time, however it is cut:
 // within a second once it hears no majority, and within one after it has heard of a
 // manifest that it can't get. Well, it never does.
-func TestCutOffCoreSendsItsSidecarsAway(t *testing.T) {
-	for way := range cuts {
-		x := newTrio(t)
-		x.fill(t, "a:1")
-		for _, a := range three {
-			x.hold(a, 1)
+func TestCutOffCoreTellsItsSidecarsToLeave(t *testing.T) {
+	for direction := range cuts {
+		cluster := newThreeCores(t)
+		cluster.fillAllKeys(t, "a:1")
+		for _, a := range coreAddrs {
+			cluster.holdConfig(a, 1)
 		}
 		for range 50 {
-			x.run(100 * time.Millisecond)
-			must.False(t, x.stale(t, "a:1"), must.Sprint(way))
+			cluster.advance(100 * time.Millisecond)
+			must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction))
 		}
-		x.cut("a:1", way)
-		x.run(1300 * time.Millisecond) // the others take the key over
-		must.Eq(t, way != "out", x.stale(t, "a:1"), must.Sprint(way))
-		must.Eq(t, "", x.call("b:1", operationOf(offer.Key, "manifest/offer", offer.Args{Loose: true, Body: []byte(`{"release":4}`)}), time.Second).kind(), must.Sprint(way))
-		x.hold("b:1", 2)
-		x.hold("c:1", 2)
-		x.run(1300 * time.Millisecond)
-		must.True(t, x.stale(t, "a:1"), must.Sprint(way, ": it holds an older manifest and does not say so"))
-		must.False(t, x.stale(t, "b:1"), must.Sprint(way))
-		x.lost = nil
-		x.run(time.Second)
-		x.hold("a:1", 2)
-		x.run(100 * time.Millisecond)
-		must.False(t, x.stale(t, "a:1"), must.Sprint(way, ": healed"))
+		cluster.cut("a:1", direction)
+		cluster.advance(1300 * time.Millisecond) // the others take the key over
+		must.Eq(t, direction != "out", cluster.isStale(t, "a:1"), must.Sprint(direction))
+		must.Eq(t, "", cluster.call("b:1", operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":4}`)}), time.Second).failureKind(), must.Sprint(direction))
+		cluster.holdConfig("b:1", 2)
+		cluster.holdConfig("c:1", 2)
+		cluster.advance(1300 * time.Millisecond)
+		must.True(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": it holds an older manifest and does not say so"))
+		must.False(t, cluster.isStale(t, "b:1"), must.Sprint(direction))
+		cluster.drop = nil
+		cluster.advance(time.Second)
+		cluster.holdConfig("a:1", 2)
+		cluster.advance(100 * time.Millisecond)
+		must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": healed"))
 	}
 }
 
@@ -248,35 +248,35 @@
 func TestReplacedWhileCutOff(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	next, read := operationOf("number/n", "number/next", nil), operationOf("number/n", "number/read", nil)
-	for way := range cuts {
-		x := newTrio(t)
-		x.start(t, "d:1", "disk-d:1", three)
-		x.run(10 * time.Second)
-		x.fill(t, "a:1")
-		x.own("a:1", "number/n")
-		disk := x.nodes["a:1"].Disk
-		x.cut("a:1", way)
-		for began := x.now; x.now.Since(began) < 20*time.Second; {
-			if got := x.call("b:1", next, budget); x.now.Since(began) > 4*time.Second {
-				must.Nil(t, got.failure, must.Sprint(way, ": a core that has a majority serves not, after ", x.now.Since(began)))
+	for direction := range cuts {
+		cluster := newThreeCores(t)
+		cluster.start(t, "d:1", "disk-d:1", coreAddrs)
+		cluster.advance(10 * time.Second)
+		cluster.fillAllKeys(t, "a:1")
+		cluster.takeOver("a:1", "number/n")
+		disk := cluster.nodes["a:1"].Disk
+		cluster.cut("a:1", direction)
+		for began := cluster.now; cluster.now.Since(began) < 20*time.Second; {
+			if got := cluster.call("b:1", next, budget); cluster.now.Since(began) > 4*time.Second {
+				must.Nil(t, got.failure, must.Sprint(direction, ": a core that has a majority serves not, after ", cluster.now.Since(began)))
 			}
-			for _, d := range []proposer.Operation{read, next, known[0].operation, known[9].operation, known[15].operation} {
-				got := x.call("a:1", d, budget)
-				must.NotNil(t, got.failure, must.Sprint(way, d.Kind, got.body))
-				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.kind(), must.Sprint(way, d.Kind))
+			for _, op := range []proposer.Operation{read, next, knownCalls[0].operation, knownCalls[9].operation, knownCalls[15].operation} {
+				got := cluster.call("a:1", op, budget)
+				must.NotNil(t, got.failure, must.Sprint(direction, op.Kind, got.body))
+				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(direction, op.Kind))
 			}
 		}
-		if way != "in" { // else the others hear it
-			_, in := x.nodes["b:1"].Membership().Find(disk)
-			must.False(t, in, must.Sprint(way, ": the spare did not take the slot"))
+		if direction != "in" { // else the others hear it
+			_, in := cluster.nodes["b:1"].Membership().Find(disk)
+			must.False(t, in, must.Sprint(direction, ": the spare did not take the slot"))
 		}
-		top := x.call("b:1", read, budget).body
-		x.lost = nil
-		x.run(5 * time.Second)
-		if way != "in" {
-			must.NotEq(t, disk, x.nodes["a:1"].Disk, must.Sprint(way))
+		last := cluster.call("b:1", read, budget).body
+		cluster.drop = nil
+		cluster.advance(5 * time.Second)
+		if direction != "in" {
+			must.NotEq(t, disk, cluster.nodes["a:1"].Disk, must.Sprint(direction))
 		}
-		must.Eq(t, top, x.call("a:1", read, budget).body, must.Sprint(way))
-		must.Eq(t, failure.Held, x.call("a:1", known[0].operation, budget).kind(), must.Sprint(way))
+		must.Eq(t, last, cluster.call("a:1", read, budget).body, must.Sprint(direction))
+		must.Eq(t, failure.LockHeld, cluster.call("a:1", knownCalls[0].operation, budget).failureKind(), must.Sprint(direction))
 	}
 }
--- a/control/core/node/duties.go
+++ b/control/core/node/duties.go
@@ -4,15 +4,15 @@
 	"encoding/json"
 	"time"
 
-	"cottonarch.example/cottonarch/control/audit/chunk"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/audit/segment"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/lock"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorumread"
 	rollout "cottonarch.example/cottonarch/control/rollout/state"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // dutyKey is the claim on the anti-entropy duty. Its holder names a successor when it
@@ -22,78 +22,78 @@
 // rollEvery is how often the duty's holder looks at the roll-outs while one is known to
 // run, and idleRoll how often else: the word of a new one may be lost.
 const (
-	rollEvery = 500 * time.Millisecond
-	idleRoll  = 2500 * time.Millisecond
+	rolloutReadInterval     = 500 * time.Millisecond
+	idleRolloutReadInterval = 2500 * time.Millisecond
 )
 
-// internal runs an operation of the core's own.
-func (n *Node) internal(now monotime.Time, d proposer.Operation, fx *Effects, done func(monotime.Time, End, *Effects)) {
-	n.begin(now, &pending{operation: d, until: now.Add(2 * time.Second), done: done}, fx)
+// submitInternal runs an operation of the core's own.
+func (n *Node) submitInternal(now monotime.Time, op proposer.Operation, fx *Effects, onDone func(monotime.Time, Result, *Effects)) {
+	n.begin(now, &pending{operation: op, deadline: now.Add(2 * time.Second), onDone: onDone}, fx)
 }
 
-// duties claims the anti-entropy duty and does it while it is held.
-func (n *Node) duties(now monotime.Time, fx *Effects) {
-	if !n.holds {
-		n.passFound = Pass{}
+// runDuties claims the anti-entropy duty and does it while it is held.
+func (n *Node) runDuties(now monotime.Time, fx *Effects) {
+	if !n.holdsDuty {
+		n.passResult = AntiEntropyPass{}
 	}
-	if !n.Votes() || n.leaving || !n.Majority(now) {
-		n.holds, n.passFound = false, Pass{}
+	if !n.IsVoter() || n.leaving || !n.HasMajority(now) {
+		n.holdsDuty, n.passResult = false, AntiEntropyPass{}
 		return
 	}
-	if now.Since(n.dutied) >= dutyEvery && (n.holds || !n.served(now)) {
-		n.dutied = now
-		d := proposer.Operation{Key: dutyKey, Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: string(n.Disk), TTL: dutyTTL})}
-		if n.holds { // costs no disk
-			d.Kind, d.Args = "lock/renew", operation.Encode(lock.Args{Holder: string(n.Disk), Fence: n.fence})
+	if now.Since(n.dutyRenewedAt) >= dutyRenewInterval && (n.holdsDuty || !n.dutyHeldElsewhere(now)) {
+		n.dutyRenewedAt = now
+		op := proposer.Operation{Key: dutyKey, Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: string(n.Disk), TTL: dutyLeaseTTLMs})}
+		if n.holdsDuty { // costs no disk
+			op.Kind, op.Args = "lock/renew", operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.dutyFence})
 		}
-		n.internal(now, d, fx, func(_ monotime.Time, e End, _ *Effects) {
-			var g lock.Grant
-			n.holds = e.Failure == nil && operation.Decode(nil, e.Body, nil, &g) == nil && g.Holder == string(n.Disk)
-			n.fence = g.Fence
+		n.submitInternal(now, op, fx, func(_ monotime.Time, result Result, _ *Effects) {
+			var grant lock.Grant
+			n.holdsDuty = result.Failure == nil && operation.Decode(nil, result.Body, nil, &grant) == nil && grant.Holder == string(n.Disk)
+			n.dutyFence = grant.FencingToken
 		})
 	}
-	if n.holds && (now.Since(n.rolled) >= idleRoll || n.Rolling(now) && now.Since(n.rolled) >= rollEvery) {
-		n.rolled = now
-		n.quorumRead(now, &reading{until: now.Add(time.Second), done: n.roll}, rollout.Prefix, true, "", fx)
+	if n.holdsDuty && (now.Since(n.rolloutsReadAt) >= idleRolloutReadInterval || n.RolloutActive(now) && now.Since(n.rolloutsReadAt) >= rolloutReadInterval) {
+		n.rolloutsReadAt = now
+		n.startRead(now, &pendingRead{deadline: now.Add(time.Second), onDone: n.reconcileRollouts}, rollout.Prefix, true, "", fx)
 	}
-	if n.holds && n.Epoch > n.audited && now.Since(n.auditAt) >= time.Second {
-		n.auditAt = now
-		n.quorumRead(now, &reading{until: now.Add(time.Second), done: n.audit}, n.auditPrefix(), true, "", fx)
+	if n.holdsDuty && n.ConfigRevision > n.auditedRevision && now.Since(n.auditReadAt) >= time.Second {
+		n.auditReadAt = now
+		n.startRead(now, &pendingRead{deadline: now.Add(time.Second), onDone: n.extendAudit}, n.auditPrefix(), true, "", fx)
 	}
-	if n.holds && now.Since(n.lastPass) >= antiEntropyEvery {
-		n.lastPass = now
+	if n.holdsDuty && now.Since(n.lastPassAt) >= antiEntropyInterval {
+		n.lastPassAt = now
 		n.AntiEntropyPasses++
-		n.quorumRead(now, &reading{until: now.Add(time.Second), all: true, buckets: buckets(n.Records()), done: n.antiEntropy}, "", false, "", fx)
+		n.startRead(now, &pendingRead{deadline: now.Add(time.Second), everyVoter: true, buckets: bucketCount(n.RecordCount()), onDone: n.repairLagging}, "", false, "", fx)
 		n.reclaimShares(now, fx)
 	}
 }
 
-// served tells whether another core that lives says that it holds the duty.
-func (n *Node) served(now monotime.Time) bool {
+// dutyHeldElsewhere tells whether another core that lives says that it holds the duty.
+func (n *Node) dutyHeldElsewhere(now monotime.Time) bool {
 	for _, p := range n.peers {
-		if p.hello.Duty && !p.hello.Leaving && p.live(now) {
+		if p.heartbeat.HoldsDuty && !p.heartbeat.Leaving && p.live(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// roll carries every roll-out one operation further.
-func (n *Node) roll(now monotime.Time, s *quorumread.Reader, fx *Effects) {
-	if s == nil {
+// reconcileRollouts carries every roll-out one operation further.
+func (n *Node) reconcileRollouts(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
+	if reader == nil {
 		return
 	}
-	all := s.Found()
-	for _, k := range sortedKeys(all) {
+	found := reader.Entries()
+	for _, k := range sortedKeys(found) {
 		var r rollout.Rollout
-		if st := operation.State(all[k].Record.Value); !all[k].Agreed || len(st) == 0 || json.Unmarshal(st, &r) != nil {
+		if state := operation.State(found[k].Record.Value); !found[k].Agreed || len(state) == 0 || json.Unmarshal(state, &r) != nil {
 			continue
 		}
-		if r.Phase == rollout.Running || r.Phase == rollout.Backing {
-			n.rolling = now
+		if r.Phase == rollout.Running || r.Phase == rollout.RollingBack {
+			n.rolloutSeenAt = now
 		}
-		if d, due := n.rolls.Plan(now, r, n.Leases.InForce(), n.Leases.Ends); due {
-			n.internal(now, d, fx, func(monotime.Time, End, *Effects) {})
+		if op, due := n.reconciler.Next(now, r, n.Leases.Config(), n.Leases.AttemptCounts); due {
+			n.submitInternal(now, op, fx, func(monotime.Time, Result, *Effects) {})
 		}
 	}
 }
@@ -101,113 +101,115 @@
 // auditPrefix is where the next leaf of the audit log belongs, as far as this core knows;
 // without any knowledge it is the whole log. What stands before is not read again.
 func (n *Node) auditPrefix() string {
-	if n.leaves == 0 {
-		return chunk.Prefix
+	if n.auditLength == 0 {
+		return segment.Prefix
 	}
-	return string(chunk.Key(n.leaves))
+	return string(segment.Key(n.auditLength))
 }
 
-// audit adds to the audit log what the newest manifests brought.
-func (n *Node) audit(now monotime.Time, s *quorumread.Reader, fx *Effects) {
-	if s == nil {
+// extendAudit adds to the audit log what the newest manifests brought.
+func (n *Node) extendAudit(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
+	if reader == nil {
 		return
 	}
-	leaves, ok := Leaves(s.Found())
-	if !ok {
+	logged, complete := AuditEntries(reader.Entries())
+	if !complete {
 		return // an append is under way, or was left on a minority: look again
 	}
-	from, part := 0, s.Prefix != chunk.Prefix
-	if part {
-		from = n.leaves - n.leaves%chunk.Size
+	from, partial := 0, reader.Prefix != segment.Prefix
+	if partial {
+		from = n.auditLength - n.auditLength%segment.MaxEntries
 	}
-	if part && s.Prefix != n.auditPrefix() || from+len(leaves) < n.leaves {
+	if partial && reader.Prefix != n.auditPrefix() || from+len(logged) < n.auditLength {
 		return // it was read before an append that ended meanwhile
 	}
-	n.leaves = from + len(leaves)
-	if len(leaves) > 0 {
-		n.audited = leaves[len(leaves)-1].Epoch
+	n.auditLength = from + len(logged)
+	if len(logged) > 0 {
+		n.auditedRevision = logged[len(logged)-1].Revision
 	}
-	if part && len(leaves) == chunk.Size {
+	if partial && len(logged) == segment.MaxEntries {
 		return // another core may have begun the next chunk: look there first
 	}
-	n.internal(now, proposer.Operation{Key: offer.Key, Kind: "manifest/lines", Args: operation.Encode(offer.LinesArgs{After: n.audited})}, fx, func(now monotime.Time, e End, fx *Effects) {
-		var lines []offer.Line
-		if e.Failure != nil || json.Unmarshal(e.Body, &lines) != nil {
+	n.submitInternal(now, proposer.Operation{Key: proposal.Key, Kind: "manifest/lines", Args: operation.Encode(proposal.AuditArgs{After: n.auditedRevision})}, fx, func(now monotime.Time, result Result, fx *Effects) {
+		var entries []proposal.AuditEntry
+		if result.Failure != nil || json.Unmarshal(result.Body, &entries) != nil {
 			return
 		}
-		n.append(now, n.leaves, n.audited, lines, fx)
+		n.appendAudit(now, n.auditLength, n.auditedRevision, entries, fx)
 	})
 }
 
-// append adds the lines after an epoch, one after the other.
-func (n *Node) append(now monotime.Time, at int, last ident.Epoch, lines []offer.Line, fx *Effects) {
-	for len(lines) > 0 && lines[0].Epoch <= last {
-		lines = lines[1:]
+// appendAudit adds the lines after an epoch, one after the other.
+func (n *Node) appendAudit(now monotime.Time, index int, audited ident.Epoch, entries []proposal.AuditEntry, fx *Effects) {
+	for len(entries) > 0 && entries[0].Revision <= audited {
+		entries = entries[1:]
 	}
-	if len(lines) == 0 {
+	if len(entries) == 0 {
 		return
 	}
-	args := operation.Encode(chunk.Append{Index: at, Leaf: lines[0]})
-	n.internal(now, proposer.Operation{Key: chunk.Key(at), Kind: "audit/append", Args: args}, fx, func(now monotime.Time, e End, fx *Effects) {
-		if e.Failure != nil {
+	args := operation.Encode(segment.AppendArgs{Index: index, Entry: entries[0]})
+	n.submitInternal(now, proposer.Operation{Key: segment.Key(index), Kind: "audit/append", Args: args}, fx, func(now monotime.Time, result Result, fx *Effects) {
+		if result.Failure != nil {
 			return
 		}
-		n.audited, n.leaves = lines[0].Epoch, at+1
-		n.append(now, at+1, n.audited, lines[1:], fx)
+		n.auditedRevision, n.auditLength = entries[0].Revision, index+1
+		n.appendAudit(now, index+1, n.auditedRevision, entries[1:], fx)
 	})
 }
 
-// Leaves puts the audit log together; it is not ok unless a majority agrees on all of
+// AuditEntries puts the audit log together; it is not ok unless a majority agrees on all of
 // it.
-func Leaves(all map[ident.Key]quorumread.Found) (leaves []offer.Line, ok bool) {
-	for _, k := range sortedKeys(all) {
-		var c chunk.Chunk
-		if st := operation.State(all[k].Record.Value); len(st) > 0 && json.Unmarshal(st, &c) != nil {
+func AuditEntries(found map[ident.Key]quorumread.Entry) (entries []proposal.AuditEntry, complete bool) {
+	for _, k := range sortedKeys(found) {
+		var c segment.State
+		if state := operation.State(found[k].Record.Value); len(state) > 0 && json.Unmarshal(state, &c) != nil {
 			return nil, false
 		}
-		if !all[k].Agreed {
+		if !found[k].Agreed {
 			return nil, false
 		}
-		leaves = append(leaves, c.Leaves...)
+		entries = append(entries, c.Entries...)
 	}
-	return leaves, true
+	return entries, true
 }
 
-// buckets is how many digests an anti-entropy pass compares for so many keys.
-func buckets(keys int) int {
-	out := 16
-	for out < keys/2 && out < 1024 {
-		out *= 2
+// bucketCount is how many digests an anti-entropy pass compares for so many keys.
+func bucketCount(keys int) int {
+	count := 16
+	for count < keys/2 && count < 1024 {
+		count *= 2
 	}
-	return out
+	return count
 }
 
-// Pass is what the last whole anti-entropy pass of this core found. Invariant: of Of counted disks
+// AntiEntropyPass is what the last whole anti-entropy pass of this core found. Invariant: of Of counted disks
 // Read were compared, and on one of these at least Behind keys were behind; At is 0 when
 // there was none.
-type Pass struct {
-	At       monotime.Time
-	Read, Of int
-	Behind   int
+type AntiEntropyPass struct {
+	FinishedAt         monotime.Time
+	Read, CountedDisks int
+	LaggingKeys        int
 }
 
 // LastPass is the last anti-entropy pass; it is nobody's once the duty is another's.
-func (n *Node) LastPass() (Pass, bool) { return n.passFound, n.holds && n.passFound.At != 0 }
+func (n *Node) LastPass() (AntiEntropyPass, bool) {
+	return n.passResult, n.holdsDuty && n.passResult.FinishedAt != 0
+}
 
-// antiEntropy reads every key whose copies differ; the read repairs them.
-func (n *Node) antiEntropy(now monotime.Time, s *quorumread.Reader, fx *Effects) {
-	if s == nil {
+// repairLagging reads every key whose copies differ; the read repairs them.
+func (n *Node) repairLagging(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
+	if reader == nil {
 		return
 	}
-	all := s.Found()
-	n.passFound = Pass{At: now}
-	n.passFound.Read, n.passFound.Of = s.Coverage()
-	for _, k := range sortedKeys(all) {
-		if len(s.Lagging(all[k])) == 0 {
+	found := reader.Entries()
+	n.passResult = AntiEntropyPass{FinishedAt: now}
+	n.passResult.Read, n.passResult.CountedDisks = reader.Coverage()
+	for _, k := range sortedKeys(found) {
+		if len(reader.Lagging(found[k])) == 0 {
 			continue
 		}
-		n.passFound.Behind++
+		n.passResult.LaggingKeys++
 		n.Repaired++
-		n.internal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, func(monotime.Time, End, *Effects) {})
+		n.submitInternal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, func(monotime.Time, Result, *Effects) {})
 	}
 }
