--- a/control/register/proposer/run_test.go
+++ b/control/register/proposer/run_test.go
@@ -11,10 +11,10 @@
 )
 
 // restart makes a new run of a proposer's process, with nothing of what the old one knew.
-func (b *bench) restart(from, to string) {
-	delete(b.proposers, from)
-	b.proposers[to] = proposer.New(to, putMachine{})
-	b.proposers[to].SetMembership(b.now, b.membership)
+func (c *cluster) restart(from, to string) {
+	delete(c.proposers, from)
+	c.proposers[to] = proposer.New(to, putMachine{})
+	c.proposers[to].SetMembership(c.now, c.membership)
 }
 
 // A process is restarted while answers to its earlier run's rounds still wait in other
@@ -22,39 +22,39 @@
 // of its own messages arrives: the old answers alone make no majority for it, and so it
 // tells nothing. Meanwhile another proposer has confirmed a newer value.
 func TestAnswersToAnEarlierRunCountForNothing(t *testing.T) {
-	b := newBench(t, "d1.a1", "d2.b1")
+	c := newCluster(t, "d1.a1", "d2.b1")
 	var late []quorum.Response
 	// settle runs a proposer until its last operation has ended, and keeps what it was answered.
-	settle := func(o string) {
-		for had := len(b.ends[o]); len(b.ends[o]) == had; b.tick(o, 20*time.Millisecond) {
-			for len(b.requests) > 0 {
-				m := b.requests[0]
-				b.requests = b.requests[1:]
-				if r, _, say := b.acceptors[m.to].Step(1, m.request); say {
+	settle := func(name string) {
+		for had := len(c.outcomes[name]); len(c.outcomes[name]) == had; c.tick(name, 20*time.Millisecond) {
+			for len(c.requests) > 0 {
+				m := c.requests[0]
+				c.requests = c.requests[1:]
+				if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers {
 					if m.from == "d1.a1" {
 						late = append(late, r)
 					}
-					b.collect(m.from, b.proposers[m.from].Step(b.now, r))
+					c.collect(m.from, c.proposers[m.from].Step(c.now, r))
 				}
 			}
 		}
 	}
-	b.submit("d1.a1", "write", "one")
+	c.submit("d1.a1", "write", "one")
 	settle("d1.a1")
-	b.submit("d1.a1", "read", "")
+	c.submit("d1.a1", "read", "")
 	settle("d1.a1")
-	must.Eq(t, `"one"`, string(b.last("d1.a1").Body))
-	b.submit("d2.b1", "write", "two")
+	must.Eq(t, `"one"`, string(c.last("d1.a1").Body))
+	c.submit("d2.b1", "write", "two")
 	settle("d2.b1")
-	must.Eq(t, `"two"`, string(b.last("d2.b1").Body))
+	must.Eq(t, `"two"`, string(c.last("d2.b1").Body))
 
-	b.restart("d1.a1", "d1.a2")
-	b.submit("d1.a2", "write", "three")
+	c.restart("d1.a1", "d1.a2")
+	c.submit("d1.a2", "write", "three")
 	for _, r := range late {
-		b.collect("d1.a2", b.proposers["d1.a2"].Step(b.now, r))
+		c.collect("d1.a2", c.proposers["d1.a2"].Step(c.now, r))
 	}
-	must.SliceEmpty(t, b.ends["d1.a2"], must.Sprint("answered from an earlier run's returns"))
-	for _, m := range b.requests {
+	must.SliceEmpty(t, c.outcomes["d1.a2"], must.Sprint("answered from an earlier run's returns"))
+	for _, m := range c.requests {
 		must.Eq(t, quorum.Prepare, m.request.Kind, must.Sprint("it went on from an earlier run's returns"))
 	}
 }
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -3,9 +3,9 @@
 import (
 	"encoding/json"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 type stage int
@@ -13,7 +13,7 @@
 const (
 	idle stage = iota
 	preparing
-	settling
+	reproposing
 	established
 	writing
 	confirming
@@ -65,7 +65,7 @@
 }
 
 // advance moves a term on when no round is out.
-func (p *Proposer) advance(now monotime.Time, t *term, fx *Effects) {
+func (p *Proposer) advance(now monotime.Time, t *term, effects *Effects) {
 	if len(t.waiting) == 0 || p.membership.Epoch == 0 {
 		if len(t.waiting) > 0 {
 			p.active[t.key] = t
@@ -76,36 +76,36 @@
 	switch t.stage {
 	case idle:
 		if !t.pausedUntil.After(now) {
-			p.prepare(now, t, fx)
+			p.prepare(now, t, effects)
 		}
 	case established:
-		p.apply(now, t, fx)
+		p.apply(now, t, effects)
 	}
 }
 
-func (p *Proposer) prepare(now monotime.Time, t *term, fx *Effects) {
+func (p *Proposer) prepare(now monotime.Time, t *term, effects *Effects) {
 	t.highestEpoch++
-	t.ballot = ident.Ballot{Epoch: t.highestEpoch, Owner: p.instance}
+	t.ballot = ident.Ballot{Epoch: t.highestEpoch, Proposer: p.instance}
 	t.membership, t.stage = p.membership.Epoch, preparing
 	t.memory, t.remembered, t.decoded, t.baseHolders = map[string]monotime.Time{}, nil, nil, map[ident.Disk]bool{}
 	p.active[t.key] = t
 	p.Prepares++
-	a := quorum.Request{Kind: quorum.Prepare, Ballot: t.ballot}
+	request := quorum.Request{Kind: quorum.Prepare, Ballot: t.ballot}
 	if p.Local != nil {
 		t.local = p.Local(t.key)
-		a.Held = &quorum.Held{Accepted: t.local.Accepted, Revision: t.local.Revision}
+		request.Held = &quorum.HeldState{Accepted: t.local.Accepted, Revision: t.local.Revision}
 	}
-	p.beginRound(now, t, a, fx)
+	p.beginRound(now, t, request, effects)
 	t.prepareRound = t.round
 }
 
 // abandon ends a term; whatever was out is answered as abandoned.
-func (p *Proposer) abandon(t *term, fx *Effects) {
-	for _, out := range t.batch {
-		fx.Outcomes = append(fx.Outcomes, Outcome{Operation: out.Operation, Abandoned: true, MayHaveTakenEffect: out.Changed})
+func (p *Proposer) abandon(t *term, effects *Effects) {
+	for _, outcome := range t.batch {
+		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: outcome.Operation, Abandoned: true, MayHaveTakenEffect: outcome.Changed})
 	}
-	for _, d := range t.waiting {
-		fx.Outcomes = append(fx.Outcomes, Outcome{Operation: d, Abandoned: true})
+	for _, operation := range t.waiting {
+		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Abandoned: true})
 	}
 	if t.stage != idle {
 		p.AbandonedTerms++
@@ -114,19 +114,19 @@
 	delete(p.active, t.key)
 }
 
-func (p *Proposer) finish(now monotime.Time, t *term, fx *Effects) {
-	for _, m := range t.remembered {
-		t.memory[m] = now
+func (p *Proposer) finish(now monotime.Time, t *term, effects *Effects) {
+	for _, instance := range t.remembered {
+		t.memory[instance] = now
 	}
 	for i := range t.batch {
 		t.batch[i].Ballot = t.ballot
 	}
-	fx.Outcomes = append(fx.Outcomes, t.batch...)
+	effects.Outcomes = append(effects.Outcomes, t.batch...)
 	t.batch, t.stage = nil, established
-	p.proceed(now, t, fx)
+	p.proceed(now, t, effects)
 }
 
-func (p *Proposer) proceed(now monotime.Time, t *term, fx *Effects) {
+func (p *Proposer) proceed(now monotime.Time, t *term, effects *Effects) {
 	delete(p.active, t.key)
-	p.advance(now, t, fx)
+	p.advance(now, t, effects)
 }
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -4,7 +4,7 @@
 	"hash/crc32"
 	"unicode/utf8"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // PatchAccept is an Accept that carries a Patch in place of its value. It is a kind of its
@@ -23,7 +23,7 @@
 	Prefix       int            `json:"head"`
 	Suffix       int            `json:"tail"`
 	Middle       string         `json:"mid,omitempty"`
-	Sum          uint32         `json:"sum"`
+	Checksum     uint32         `json:"sum"`
 
 	Pieces []Piece `json:"pieces,omitempty"`
 }
@@ -31,10 +31,10 @@
 // patchOverhead is about what a patch takes besides its bytes, escapes included.
 const patchOverhead = 256
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is the sum of a value that a Patch carries.
-func Sum(value []byte) uint32 { return crc32.Checksum(value, table) }
+// Checksum is the sum of a value that a Patch carries.
+func Checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
 // Diff makes the patch from the base's value to the next one, which is to be accepted under
 // a ballot; it is nil unless it takes less than half of what the next value does.
@@ -42,13 +42,13 @@
 	if len(next) < 2*patchOverhead {
 		return nil
 	}
-	head, tail := shared(base.Value, next)
+	head, tail := commonEnds(base.Value, next)
 	middle := next[head : len(next)-tail]
-	p := &Patch{BaseRevision: base.Revision, Prefix: head, Suffix: tail, Sum: Sum(next)}
+	p := &Patch{BaseRevision: base.Revision, Prefix: head, Suffix: tail, Checksum: Checksum(next)}
 	cost := len(middle)
 	if cost > patchOverhead {
-		if pieces := divide(base.Value, next); size(pieces) < cost && validPieces(pieces) {
-			cost, p.Prefix, p.Suffix, p.Pieces = size(pieces), piecesHead, 0, pieces
+		if pieces := diffPieces(base.Value, next); encodedSize(pieces) < cost && validPieces(pieces) {
+			cost, p.Prefix, p.Suffix, p.Pieces = encodedSize(pieces), piecesMarker, 0, pieces
 		}
 	}
 	if 2*(cost+patchOverhead) > len(next) || p.Pieces == nil && !utf8.Valid(middle) {
@@ -63,9 +63,9 @@
 	return p
 }
 
-// shared is how much two values have in common at the front and at the end. No character
+// commonEnds is how much two values have in common at the front and at the end. No character
 // is cut, for what is between travels as a text.
-func shared(baseValue, next []byte) (head, tail int) {
+func commonEnds(baseValue, next []byte) (head, tail int) {
 	shorter := min(len(baseValue), len(next))
 	for head < shorter && baseValue[head] == next[head] {
 		head++
@@ -84,22 +84,22 @@
 
 // Apply gives the value that the patch makes of the record's, and false unless the record is
 // the patch's base and the value the one that the patch was made for.
-func (p *Patch) Apply(c Record, ballot ident.Ballot) ([]byte, bool) {
+func (p *Patch) Apply(base Record, ballot ident.Ballot) ([]byte, bool) {
 	if p != nil && p.BaseBallot != nil {
 		ballot = *p.BaseBallot
 	}
-	if p == nil || c.Accepted != ballot || c.Revision != p.BaseRevision {
+	if p == nil || base.Accepted != ballot || base.Revision != p.BaseRevision {
 		return nil, false
 	}
 	if len(p.Pieces) > 0 {
-		out, ok := join(c.Value, p.Pieces)
-		return out, ok && p.Prefix == piecesHead && Sum(out) == p.Sum
+		out, ok := joinPieces(base.Value, p.Pieces)
+		return out, ok && p.Prefix == piecesMarker && Checksum(out) == p.Checksum
 	}
-	if p.Prefix < 0 || p.Suffix < 0 || p.Prefix > len(c.Value)-p.Suffix {
+	if p.Prefix < 0 || p.Suffix < 0 || p.Prefix > len(base.Value)-p.Suffix {
 		return nil, false
 	}
 	out := make([]byte, 0, p.Prefix+len(p.Middle)+p.Suffix)
-	out = append(append(out, c.Value[:p.Prefix]...), p.Middle...)
-	out = append(out, c.Value[len(c.Value)-p.Suffix:]...)
-	return out, Sum(out) == p.Sum
+	out = append(append(out, base.Value[:p.Prefix]...), p.Middle...)
+	out = append(out, base.Value[len(base.Value)-p.Suffix:]...)
+	return out, Checksum(out) == p.Checksum
 }
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -9,17 +9,17 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 var (
-	mine   = ident.Ballot{Epoch: 3, Owner: "a"}
-	theirs = ident.Ballot{Epoch: 2, Owner: "b"}
+	ownBallot   = ident.Ballot{Epoch: 3, Proposer: "a"}
+	otherBallot = ident.Ballot{Epoch: 2, Proposer: "b"}
 )
 
-// wire is a patch as the other side reads it.
-func wire(t *testing.T, p *quorum.Patch) *quorum.Patch {
+// roundTrip is a patch as the other side reads it.
+func roundTrip(t *testing.T, p *quorum.Patch) *quorum.Patch {
 	raw, err := json.Marshal(p)
 	must.NoError(t, err)
 	out := &quorum.Patch{}
@@ -47,18 +47,18 @@
 			from, to = to, from
 		}
 		next := baseValue[:from] + text(rng.IntN(30)) + baseValue[to:]
-		base := quorum.Record{Promised: mine, Accepted: mine, Revision: 7, Value: []byte(baseValue)}
+		base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: []byte(baseValue)}
 		if i%2 == 0 {
-			base.Accepted = theirs
+			base.Accepted = otherBallot
 		}
-		p := quorum.Diff(base, mine, []byte(next))
+		p := quorum.Diff(base, ownBallot, []byte(next))
 		if p == nil {
 			none++
 			continue
 		}
 		made++
 		must.LessEq(t, len(next)/2, len(p.Middle))
-		got, ok := wire(t, p).Apply(base, mine)
+		got, ok := roundTrip(t, p).Apply(base, ownBallot)
 		must.True(t, ok)
 		must.Eq(t, next, string(got))
 	}
@@ -85,10 +85,10 @@
 			items[n] = fmt.Sprintf(`"n-%x":%q`, rng.Uint32(), parts[rng.IntN(len(parts))])
 		}
 		next := []byte(strings.Join(items, ","))
-		base := quorum.Record{Promised: mine, Accepted: mine, Revision: 7, Value: baseValue}
-		p := quorum.Diff(base, mine, next)
+		base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: baseValue}
+		p := quorum.Diff(base, ownBallot, next)
 		must.NotNil(t, p, must.Sprint(i))
-		got, ok := wire(t, p).Apply(base, mine)
+		got, ok := roundTrip(t, p).Apply(base, ownBallot)
 		must.True(t, ok)
 		must.Eq(t, string(next), string(got))
 		if p.Pieces == nil {
@@ -100,16 +100,16 @@
 		must.NoError(t, err)
 		must.Less(t, 200+400*edits, len(raw), must.Sprint(i))
 		for name, edit := range map[string]func(*quorum.Patch){
-			"a piece behind the end":  func(p *quorum.Patch) { p.Pieces[0].At = len(baseValue) - p.Pieces[0].Len + 1 },
-			"a piece before the base": func(p *quorum.Patch) { p.Pieces[0].At = -1 },
-			"less than nothing":       func(p *quorum.Patch) { p.Pieces[0].Len = -1 },
-			"a piece too long":        func(p *quorum.Patch) { p.Pieces[0].Len = 1 << 62 },
-			"another piece":           func(p *quorum.Patch) { p.Pieces[0].At++ },
+			"a piece behind the end":  func(p *quorum.Patch) { p.Pieces[0].Offset = len(baseValue) - p.Pieces[0].Length + 1 },
+			"a piece before the base": func(p *quorum.Patch) { p.Pieces[0].Offset = -1 },
+			"less than nothing":       func(p *quorum.Patch) { p.Pieces[0].Length = -1 },
+			"a piece too long":        func(p *quorum.Patch) { p.Pieces[0].Length = 1 << 62 },
+			"another piece":           func(p *quorum.Patch) { p.Pieces[0].Offset++ },
 			"a head beside pieces":    func(p *quorum.Patch) { p.Prefix = 0 },
 		} {
-			odd := wire(t, p)
-			edit(odd)
-			_, ok := odd.Apply(base, mine)
+			altered := roundTrip(t, p)
+			edit(altered)
+			_, ok := altered.Apply(base, ownBallot)
 			must.False(t, ok, must.Sprint(name))
 		}
 	}
@@ -119,31 +119,31 @@
 // A patch is rejected by whatever is not its base.
 func TestPatchTakesItsBaseAlone(t *testing.T) {
 	long := strings.Repeat("0123456789", 100)
-	base := quorum.Record{Promised: mine, Accepted: mine, Revision: 7, Value: []byte(long)}
+	base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: []byte(long)}
 	next := []byte(long[:500] + "x" + long[500:])
 	for name, edit := range map[string]func(*quorum.Record, *quorum.Patch){
-		"an older revision": func(c *quorum.Record, _ *quorum.Patch) { c.Revision-- },
-		"a newer revision":  func(c *quorum.Record, _ *quorum.Patch) { c.Revision++ },
-		"another ballot":    func(c *quorum.Record, _ *quorum.Patch) { c.Accepted = theirs },
-		"no record":         func(c *quorum.Record, _ *quorum.Patch) { *c = quorum.Record{} },
-		"another byte":      func(c *quorum.Record, _ *quorum.Patch) { c.Value = append([]byte("1"), c.Value[1:]...) },
-		"a shorter value":   func(c *quorum.Record, _ *quorum.Patch) { c.Value = c.Value[:20] },
+		"an older revision": func(record *quorum.Record, _ *quorum.Patch) { record.Revision-- },
+		"a newer revision":  func(record *quorum.Record, _ *quorum.Patch) { record.Revision++ },
+		"another ballot":    func(record *quorum.Record, _ *quorum.Patch) { record.Accepted = otherBallot },
+		"no record":         func(record *quorum.Record, _ *quorum.Patch) { *record = quorum.Record{} },
+		"another byte":      func(record *quorum.Record, _ *quorum.Patch) { record.Value = append([]byte("1"), record.Value[1:]...) },
+		"a shorter value":   func(record *quorum.Record, _ *quorum.Patch) { record.Value = record.Value[:20] },
 		"more kept":         func(_ *quorum.Record, p *quorum.Patch) { p.Prefix++ },
 		"less than nothing": func(_ *quorum.Record, p *quorum.Patch) { p.Prefix = -1 },
 		"a tail below it":   func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = -1 },
 		"a tail too long":   func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = 1 << 62 },
-		"another base":      func(_ *quorum.Record, p *quorum.Patch) { p.BaseBallot = &theirs },
+		"another base":      func(_ *quorum.Record, p *quorum.Patch) { p.BaseBallot = &otherBallot },
 	} {
-		c, p := base, quorum.Diff(base, mine, next)
+		record, p := base, quorum.Diff(base, ownBallot, next)
 		must.NotNil(t, p)
-		edit(&c, p)
-		_, ok := p.Apply(c, mine)
+		edit(&record, p)
+		_, ok := p.Apply(record, ownBallot)
 		must.False(t, ok, must.Sprint(name))
 	}
-	_, ok := (*quorum.Patch)(nil).Apply(base, mine)
+	_, ok := (*quorum.Patch)(nil).Apply(base, ownBallot)
 	must.False(t, ok)
-	must.Nil(t, quorum.Diff(base, mine, []byte(strings.Repeat("x", 1000))), must.Sprint("a value that differs all over"))
-	must.Nil(t, quorum.Diff(base, mine, []byte("short")), must.Sprint("a short value"))
+	must.Nil(t, quorum.Diff(base, ownBallot, []byte(strings.Repeat("x", 1000))), must.Sprint("a value that differs all over"))
+	must.Nil(t, quorum.Diff(base, ownBallot, []byte("short")), must.Sprint("a short value"))
 }
 
 // A batch with a value of 10 KB, whole and as a patch: to JSON and back.
@@ -154,24 +154,24 @@
 	}
 	value := []byte(`{"state":{"f":1,"l":[` + strings.Join(list, ",") + `],"n":300}}`)
 	next := []byte(strings.Replace(string(value), `],"n":300`, `,["a1","0123456789abcdef",301]],"n":301`, 1))
-	base := quorum.Record{Accepted: mine, Revision: 7, Value: value}
-	request := quorum.Request{Kind: quorum.Accept, Round: 9, Membership: 1, Key: "group/g.", Ballot: mine, Revision: 8}
-	for _, how := range []string{"whole", "patch"} {
-		b.Run(how, func(b *testing.B) {
+	base := quorum.Record{Accepted: ownBallot, Revision: 7, Value: value}
+	request := quorum.Request{Kind: quorum.Accept, Round: 9, Membership: 1, Key: "group/g.", Ballot: ownBallot, Revision: 8}
+	for _, encoding := range []string{"whole", "patch"} {
+		b.Run(encoding, func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				a := request
-				if a.Value = next; how == "patch" {
-					a.Value, a.Patch = nil, quorum.Diff(base, mine, next)
+				sent := request
+				if sent.Value = next; encoding == "patch" {
+					sent.Value, sent.Patch = nil, quorum.Diff(base, ownBallot, next)
 				}
-				raw, _ := json.Marshal([]quorum.Request{a})
+				raw, _ := json.Marshal([]quorum.Request{sent})
 				size = len(raw)
 				var back []quorum.Request
 				if json.Unmarshal(raw, &back) != nil {
 					b.Fatal("no JSON")
 				}
-				if how == "patch" {
-					if _, ok := back[0].Patch.Apply(base, mine); !ok {
+				if encoding == "patch" {
+					if _, ok := back[0].Patch.Apply(base, ownBallot); !ok {
 						b.Fatal("turned away")
 					}
 				}
@@ -189,9 +189,9 @@
 	}
 	value := []byte(`{"n":300,"l":{` + strings.Join(list, ",") + `},"end":300}`)
 	next := []byte(strings.Replace(strings.ReplaceAll(string(value), `:300`, `:301`), "jepu5", "jepu7", 1))
-	base := quorum.Record{Accepted: mine, Revision: 7, Value: value}
+	base := quorum.Record{Accepted: ownBallot, Revision: 7, Value: value}
 	for b.Loop() {
-		if p := quorum.Diff(base, mine, next); p == nil || p.Pieces == nil {
+		if p := quorum.Diff(base, ownBallot, next); p == nil || p.Pieces == nil {
 			b.Fatal("no pieces")
 		}
 	}
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"hash/fnv"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // Record is what one disk holds of one key. Invariants: Accepted is never above
@@ -20,15 +20,17 @@
 }
 
 // Newer tells whether c's accepted state comes after d's.
-func (c Record) Newer(d Record) bool {
-	if c.Accepted != d.Accepted {
-		return d.Accepted.Less(c.Accepted)
+func (r Record) Newer(other Record) bool {
+	if r.Accepted != other.Accepted {
+		return other.Accepted.Less(r.Accepted)
 	}
-	return c.Revision > d.Revision
+	return r.Revision > other.Revision
 }
 
 // Same tells whether both hold the same accepted state.
-func (c Record) Same(d Record) bool { return c.Accepted == d.Accepted && c.Revision == d.Revision }
+func (r Record) Same(other Record) bool {
+	return r.Accepted == other.Accepted && r.Revision == other.Revision
+}
 
 // Kind is the kind of a quorum message.
 type Kind string
@@ -55,19 +57,19 @@
 	Patch *Patch `json:"patch,omitempty"`
 	// Held names, in a prepare, an accepted state whose value the proposer holds: it need not
 	// travel. An acceptor that does not know the field sends the value all the same.
-	Held *Held `json:"have,omitempty"`
+	Held *HeldState `json:"have,omitempty"`
 }
 
-// Held names one accepted state. Invariant: an accepted ballot and revision have one
+// HeldState names one accepted state. Invariant: an accepted ballot and revision have one
 // value, wherever and whenever they are met.
-type Held struct {
+type HeldState struct {
 	Accepted ident.Ballot   `json:"a"`
 	Revision ident.Revision `json:"r"`
 }
 
 // Same tells whether the record holds that very state.
-func (h *Held) Same(c Record) bool {
-	return h != nil && c.Accepted == h.Accepted && c.Revision == h.Revision
+func (h *HeldState) Same(record Record) bool {
+	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
 
 // Response answers a Request. Invariant: it leaves the acceptor only after everything
@@ -97,24 +99,24 @@
 type Membership struct {
 	Epoch  ident.Epoch `json:"epoch"`
 	Voters []Voter     `json:"voters"`
-	// Need, when set, stands in for the majority; only the simulator sets it, to see
+	// MajorityOverride, when set, stands in for the majority; only the simulator sets it, to see
 	// its checkers catch a quorum that is none.
-	Need int `json:"-"`
+	MajorityOverride int `json:"-"`
 }
 
 // Majority is the number of counted responses that a round needs.
-func (r Membership) Majority() int {
-	if r.Need > 0 {
-		return r.Need
+func (m Membership) Majority() int {
+	if m.MajorityOverride > 0 {
+		return m.MajorityOverride
 	}
-	return r.Size()/2 + 1
+	return m.Size()/2 + 1
 }
 
 // Size is the number of slots that majorities are of.
-func (r Membership) Size() int {
+func (m Membership) Size() int {
 	n := 0
-	for _, v := range r.Voters {
-		if !v.Joining {
+	for _, voter := range m.Voters {
+		if !voter.Joining {
 			n++
 		}
 	}
@@ -122,19 +124,19 @@
 }
 
 // Find looks a disk up.
-func (r Membership) Find(d ident.Disk) (Voter, bool) {
-	for _, v := range r.Voters {
-		if v.Disk == d {
-			return v, true
+func (m Membership) Find(disk ident.Disk) (Voter, bool) {
+	for _, voter := range m.Voters {
+		if voter.Disk == disk {
+			return voter, true
 		}
 	}
 	return Voter{}, false
 }
 
 // Counts tells whether a response of that disk counts.
-func (r Membership) Counts(d ident.Disk) bool {
-	v, ok := r.Find(d)
-	return ok && v.Counted
+func (m Membership) Counts(disk ident.Disk) bool {
+	voter, ok := m.Find(disk)
+	return ok && voter.Counted
 }
 
 // Scan asks an acceptor for its records below a prefix. With Buckets it asks for a digest of
@@ -151,26 +153,26 @@
 }
 
 // Bucket is the bucket that a key lies in, of so many.
-func Bucket(k ident.Key, of int) int {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(k))
-	return int(h.Sum32() % uint32(of))
+func Bucket(key ident.Key, buckets int) int {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(key))
+	return int(hash.Sum32() % uint32(buckets))
 }
 
 // DigestBytes is the size of the digest of one bucket.
 const DigestBytes = 8
 
-// Digest adds a record's accepted state into the digests of all buckets. Buckets that hold
+// AddToDigests adds a record's accepted state into the digests of all buckets. Buckets that hold
 // the same accepted states have the same digest, in whatever order they were added in.
-func Digest(all []byte, k ident.Key, c Record) {
-	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s\x00%d\x00%s\x00%d", k, c.Accepted.Epoch, c.Accepted.Owner, c.Revision)
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	at := all[Bucket(k, len(all)/DigestBytes)*DigestBytes:]
-	binary.LittleEndian.PutUint64(at, binary.LittleEndian.Uint64(at)+x)
+func AddToDigests(digests []byte, key ident.Key, record Record) {
+	hash := fnv.New64a()
+	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s\x00%d", key, record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
+	mixed := hash.Sum64()
+	mixed ^= mixed >> 33
+	mixed *= 0xff51afd7ed558ccd
+	mixed ^= mixed >> 33
+	digest := digests[Bucket(key, len(digests)/DigestBytes)*DigestBytes:]
+	binary.LittleEndian.PutUint64(digest, binary.LittleEndian.Uint64(digest)+mixed)
 }
 
 // Row is one record in a Scan's response.
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -5,24 +5,24 @@
 	"bytes"
 	"time"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // resendAfter is how long a page may stay out before it is asked for again.
 const resendAfter = 200 * 1e6
 
-// Found is one key as a majority has it. Invariant: when Agreed, every response of
+// Entry is one key as a majority has it. Invariant: when Agreed, every response of
 // the majority held the same accepted state, so that state is chosen and was the
 // newest when the read began or later.
-type Found struct {
+type Entry struct {
 	Key    ident.Key
 	Record quorum.Record
 	Agreed bool
 }
 
-type reply struct {
+type diskProgress struct {
 	digest   []byte
 	rows     map[ident.Key]quorum.Record
 	lastKey  ident.Key
@@ -38,17 +38,17 @@
 	Values     bool
 	Membership quorum.Membership
 	Excluded   ident.Disk
-	// All waits for every counted voter, as anti-entropy must: the copy that is behind
+	// WaitForAll waits for every counted voter, as anti-entropy must: the copy that is behind
 	// may well be the slowest.
-	All bool
+	WaitForAll bool
 	// Buckets, when set, first compares digests of so many buckets of keys, and reads only
 	// those that differ. Invariant: differing is set once that is known, and is empty when all
 	// that answered hold the same.
-	Buckets   int
-	differing []int
-	compared  bool
-	began     monotime.Time
-	replies   map[ident.Disk]*reply
+	Buckets        int
+	differing      []int
+	compared       bool
+	began          monotime.Time
+	progressByDisk map[ident.Disk]*diskProgress
 }
 
 // digestWait is how long the digests of all disks are waited for; then those of a
@@ -61,77 +61,77 @@
 	Scan quorum.Scan
 }
 
-// Begin starts a quorum read; excluded is a disk whose responses do not count.
-func Begin(round uint64, membership quorum.Membership, prefix string, values bool, excluded ident.Disk) *Reader {
-	return &Reader{Round: round, Prefix: prefix, Values: values, Membership: membership, Excluded: excluded, replies: map[ident.Disk]*reply{}}
+// New starts a quorum read; excluded is a disk whose responses do not count.
+func New(round uint64, membership quorum.Membership, prefix string, values bool, excluded ident.Disk) *Reader {
+	return &Reader{Round: round, Prefix: prefix, Values: values, Membership: membership, Excluded: excluded, progressByDisk: map[ident.Disk]*diskProgress{}}
 }
 
 // Tick asks, and asks again, for what is out.
-func (s *Reader) Tick(now monotime.Time) []Send {
-	var out []Send
-	if s.began == 0 {
-		s.began = now
+func (r *Reader) Tick(now monotime.Time) []Send {
+	var sends []Send
+	if r.began == 0 {
+		r.began = now
 	}
-	if s.Buckets > 0 && !s.compared && now.Since(s.began) >= digestWait {
-		s.compare(s.Membership.Majority())
+	if r.Buckets > 0 && !r.compared && now.Since(r.began) >= digestWait {
+		r.compareDigests(r.Membership.Majority())
 	}
-	for _, v := range s.Membership.Voters {
-		if !v.Counted || v.Disk == s.Excluded {
+	for _, voter := range r.Membership.Voters {
+		if !voter.Counted || voter.Disk == r.Excluded {
 			continue
 		}
-		st := s.replies[v.Disk]
-		if st == nil {
-			st = &reply{rows: map[ident.Key]quorum.Record{}}
-			s.replies[v.Disk] = st
+		progress := r.progressByDisk[voter.Disk]
+		if progress == nil {
+			progress = &diskProgress{rows: map[ident.Key]quorum.Record{}}
+			r.progressByDisk[voter.Disk] = progress
 		}
-		if st.done || s.Buckets > 0 && !s.compared && st.digest != nil || st.lastSent != 0 && now.Since(st.lastSent) < resendAfter {
+		if progress.done || r.Buckets > 0 && !r.compared && progress.digest != nil || progress.lastSent != 0 && now.Since(progress.lastSent) < resendAfter {
 			continue
 		}
-		out = append(out, s.scan(now, v, st))
+		sends = append(sends, r.scanNextPage(now, voter, progress))
 	}
-	return out
+	return sends
 }
 
-func (s *Reader) scan(now monotime.Time, v quorum.Voter, st *reply) Send {
-	st.lastSent = now
-	return Send{v, quorum.Scan{Round: s.Round, Membership: s.Membership.Epoch, Prefix: s.Prefix, After: st.lastKey, Values: s.Values, Buckets: s.Buckets, OnlyBuckets: s.differing}}
+func (r *Reader) scanNextPage(now monotime.Time, voter quorum.Voter, progress *diskProgress) Send {
+	progress.lastSent = now
+	return Send{voter, quorum.Scan{Round: r.Round, Membership: r.Membership.Epoch, Prefix: r.Prefix, After: progress.lastKey, Values: r.Values, Buckets: r.Buckets, OnlyBuckets: r.differing}}
 }
 
-// compare learns which buckets differ, once so many digests are there.
-func (s *Reader) compare(need int) {
-	got, differ := 0, make([]bool, s.Buckets)
+// compareDigests learns which buckets differ, once so many digests are there.
+func (r *Reader) compareDigests(required int) {
+	digests, differs := 0, make([]bool, r.Buckets)
 	var first []byte
-	for _, v := range s.Membership.Voters {
-		st := s.replies[v.Disk]
-		if st == nil || len(st.digest) != s.Buckets*quorum.DigestBytes {
+	for _, voter := range r.Membership.Voters {
+		progress := r.progressByDisk[voter.Disk]
+		if progress == nil || len(progress.digest) != r.Buckets*quorum.DigestBytes {
 			continue
 		}
-		got++
+		digests++
 		if first == nil {
-			first = st.digest
+			first = progress.digest
 		}
-		for i := range differ {
-			at := i * quorum.DigestBytes
-			differ[i] = differ[i] || !bytes.Equal(first[at:at+quorum.DigestBytes], st.digest[at:at+quorum.DigestBytes])
+		for i := range differs {
+			offset := i * quorum.DigestBytes
+			differs[i] = differs[i] || !bytes.Equal(first[offset:offset+quorum.DigestBytes], progress.digest[offset:offset+quorum.DigestBytes])
 		}
 	}
-	if got < need {
+	if digests < required {
 		return
 	}
-	s.compared = true
-	for i, is := range differ {
-		if is {
-			s.differing = append(s.differing, i)
+	r.compared = true
+	for i, bucketDiffers := range differs {
+		if bucketDiffers {
+			r.differing = append(r.differing, i)
 		}
 	}
-	for _, st := range s.replies {
-		st.lastSent, st.done = 0, len(s.differing) == 0 && st.digest != nil
+	for _, progress := range r.progressByDisk {
+		progress.lastSent, progress.done = 0, len(r.differing) == 0 && progress.digest != nil
 	}
 }
 
-func (s *Reader) counted() (n int) {
-	for _, v := range s.Membership.Voters {
-		if v.Counted && v.Disk != s.Excluded {
+func (r *Reader) countedVoters() (n int) {
+	for _, voter := range r.Membership.Voters {
+		if voter.Counted && voter.Disk != r.Excluded {
 			n++
 		}
 	}
@@ -139,109 +139,115 @@
 }
 
 // Step takes one page in; done is true once a majority has been read whole.
-func (s *Reader) Step(now monotime.Time, r quorum.ScanResponse) (out []Send, done bool) {
-	v, ok := s.Membership.Find(r.Disk)
-	st := s.replies[r.Disk]
-	if r.Round != s.Round || r.Membership != s.Membership.Epoch || !ok || !v.Counted || st == nil || st.done || r.After != st.lastKey {
-		return nil, s.Done()
+func (r *Reader) Step(now monotime.Time, page quorum.ScanResponse) (out []Send, done bool) {
+	voter, ok := r.Membership.Find(page.Disk)
+	progress := r.progressByDisk[page.Disk]
+	if page.Round != r.Round || page.Membership != r.Membership.Epoch || !ok || !voter.Counted || progress == nil || progress.done || page.After != progress.lastKey {
+		return nil, r.Done()
 	}
-	if s.Buckets > 0 && !s.compared {
-		if st.digest = r.Digest; st.digest == nil {
+	if r.Buckets > 0 && !r.compared {
+		if progress.digest = page.Digest; progress.digest == nil {
 			return nil, false
 		}
-		if s.compare(s.counted()); !s.compared {
+		if r.compareDigests(r.countedVoters()); !r.compared {
 			return nil, false
 		}
-		return s.Tick(now), s.Done()
+		return r.Tick(now), r.Done()
 	}
-	if r.Digest != nil {
-		return nil, s.Done() // late
+	if page.Digest != nil {
+		return nil, r.Done() // late
 	}
-	for _, row := range r.Rows {
-		st.rows[row.Key] = row.Record
-		st.lastKey = row.Key
+	for _, row := range page.Rows {
+		progress.rows[row.Key] = row.Record
+		progress.lastKey = row.Key
 	}
-	if r.More && len(r.Rows) > 0 {
-		return []Send{s.scan(now, v, st)}, false
+	if page.More && len(page.Rows) > 0 {
+		return []Send{r.scanNextPage(now, voter, progress)}, false
 	}
-	st.done = true
-	return nil, s.Done()
+	progress.done = true
+	return nil, r.Done()
 }
 
 // Done tells whether a majority has been read.
-func (s *Reader) Done() bool {
-	if s.Buckets > 0 && !s.compared {
+func (r *Reader) Done() bool {
+	if r.Buckets > 0 && !r.compared {
 		return false
 	}
-	if s.compared && len(s.differing) == 0 {
+	if r.compared && len(r.differing) == 0 {
 		return true
 	}
-	n := 0
-	for _, st := range s.replies {
-		if st.done {
-			n++
+	done := 0
+	for _, progress := range r.progressByDisk {
+		if progress.done {
+			done++
 		}
 	}
-	if s.All {
-		return n == s.counted()
+	if r.WaitForAll {
+		return done == r.countedVoters()
 	}
-	return n >= s.Membership.Majority()
+	return done >= r.Membership.Majority()
 }
 
-// Enough tells whether what was read is a majority, all or not.
-func (s *Reader) Enough() bool { all := s.All; s.All = false; ok := s.Done(); s.All = all; return ok }
+// HasMajority tells whether what was read is a majority, all or not.
+func (r *Reader) HasMajority() bool {
+	waitForAll := r.WaitForAll
+	r.WaitForAll = false
+	ok := r.Done()
+	r.WaitForAll = waitForAll
+	return ok
+}
 
-// Found joins what was read, newest first for each key, promises included.
-func (s *Reader) Found() map[ident.Key]Found {
-	out := map[ident.Key]Found{}
-	for _, st := range s.replies {
-		if !st.done {
+// Entries joins what was read, newest first for each key, promises included.
+func (r *Reader) Entries() map[ident.Key]Entry {
+	entries := map[ident.Key]Entry{}
+	for _, progress := range r.progressByDisk {
+		if !progress.done {
 			continue
 		}
-		for key := range st.rows {
-			out[key] = Found{Key: key, Agreed: true}
+		for key := range progress.rows {
+			entries[key] = Entry{Key: key, Agreed: true}
 		}
 	}
-	for key, f := range out {
+	for key, entry := range entries {
 		first := true
-		for _, st := range s.replies {
-			if !st.done {
+		for _, progress := range r.progressByDisk {
+			if !progress.done {
 				continue
 			}
-			c := st.rows[key]
-			if !first && !c.Same(f.Record) {
-				f.Agreed = false
+			record := progress.rows[key]
+			if !first && !record.Same(entry.Record) {
+				entry.Agreed = false
 			}
-			top := f.Record.Promised
-			if top.Less(c.Promised) {
-				top = c.Promised
+			highestPromise := entry.Record.Promised
+			if highestPromise.Less(record.Promised) {
+				highestPromise = record.Promised
 			}
-			if first || c.Newer(f.Record) {
-				f.Record = c
+			if first || record.Newer(entry.Record) {
+				entry.Record = record
 			}
-			f.Record.Promised = top
+			entry.Record.Promised = highestPromise
 			first = false
 		}
-		out[key] = f
+		entries[key] = entry
 	}
-	return out
+	return entries
 }
 
 // Coverage tells how many counted disks were read, and how many there are.
-func (s *Reader) Coverage() (read, of int) {
-	for _, st := range s.replies {
-		if st.done {
+func (r *Reader) Coverage() (read, counted int) {
+	for _, progress := range r.progressByDisk {
+		if progress.done {
 			read++
 		}
 	}
-	return read, s.counted()
+	return read, r.countedVoters()
 }
 
-// Holders counts the disks read, but for one, whose copy of the key is not behind a state.
-func (s *Reader) Holders(key ident.Key, state quorum.Record, without ident.Disk) int {
+// CountHolders counts the disks read, but for one, whose copy of the key is not behind a state.
+func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
 	holders := 0
-	for disk, st := range s.replies {
-		if disk != without && st.done && !state.Newer(st.rows[key]) {
+	for disk, progress := range r.progressByDisk {
+		if disk != without && progress.done && !state.Newer(progress.rows[key]) {
 			holders++
 		}
 	}
@@ -249,12 +255,12 @@
 }
 
 // Lagging lists the disks whose copy of the key is behind the newest one read.
-func (s *Reader) Lagging(f Found) []ident.Disk {
-	var out []ident.Disk
-	for disk, st := range s.replies {
-		if st.done && f.Record.Newer(st.rows[f.Key]) {
-			out = append(out, disk)
+func (r *Reader) Lagging(entry Entry) []ident.Disk {
+	var disks []ident.Disk
+	for disk, progress := range r.progressByDisk {
+		if progress.done && entry.Record.Newer(progress.rows[entry.Key]) {
+			disks = append(disks, disk)
 		}
 	}
-	return out
+	return disks
 }
--- a/control/register/quorumread/quorumread_test.go
+++ b/control/register/quorumread/quorumread_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/register/acceptor"
 	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/control/register/quorumread"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // Four disks with a few hundred keys, some of which differ: a quorum read that compares digests
@@ -31,12 +31,12 @@
 		for k := range 300 {
 			key := ident.Key(fmt.Sprintf("key/%d", k))
 			for _, d := range voters {
-				c := quorum.Record{Accepted: ident.Ballot{Epoch: 1, Owner: "o"}, Revision: 3, Value: []byte(`"v"`)}
+				record := quorum.Record{Accepted: ident.Ballot{Epoch: 1, Proposer: "o"}, Revision: 3, Value: []byte(`"v"`)}
 				if rng.IntN(300) == 0 {
-					c.Revision = ident.Revision(1 + rng.IntN(3))
+					record.Revision = ident.Revision(1 + rng.IntN(3))
 				}
 				if rng.IntN(300) != 0 {
-					disks[d].Learn(quorum.Row{Key: key, Record: c})
+					disks[d].Merge(quorum.Row{Key: key, Record: record})
 				}
 			}
 		}
@@ -47,14 +47,14 @@
 		case 2:
 			slow = "b"
 		}
-		run := func(buckets int) (lags map[ident.Key]int, rows int) {
-			s := quorumread.Begin(1, membership, "", false, "")
-			s.All, s.Buckets = true, buckets
+		run := func(buckets int) (lagging map[ident.Key]int, rows int) {
+			reader := quorumread.New(1, membership, "", false, "")
+			reader.WaitForAll, reader.Buckets = true, buckets
 			type late struct {
 				at monotime.Time
 				r  quorum.ScanResponse
 			}
-			var post []late
+			var inFlight []late
 			done := false
 			send := func(now monotime.Time, list []quorumread.Send) {
 				for _, out := range list {
@@ -67,37 +67,37 @@
 					if out.To.Disk == slow {
 						wait = 250 * time.Millisecond
 					}
-					post = append(post, late{now.Add(wait), r})
+					inFlight = append(inFlight, late{now.Add(wait), r})
 				}
 			}
 			for now := monotime.Time(time.Second); now < monotime.Time(2*time.Second) && !done; now = now.Add(5 * time.Millisecond) {
-				send(now, s.Tick(now))
-				list := post
-				post = nil
-				for _, l := range list {
-					if l.at > now {
-						post = append(post, l)
+				send(now, reader.Tick(now))
+				list := inFlight
+				inFlight = nil
+				for _, page := range list {
+					if page.at > now {
+						inFlight = append(inFlight, page)
 						continue
 					}
-					rows += len(l.r.Rows)
-					out, over := s.Step(now, l.r)
-					done = done || over
+					rows += len(page.r.Rows)
+					out, complete := reader.Step(now, page.r)
+					done = done || complete
 					send(now, out)
 				}
 			}
-			must.Eq(t, silent == "" || s.Done(), done)
-			must.True(t, s.Enough(), must.Sprintf("seed %d", seed))
-			lags = map[ident.Key]int{}
-			for k, f := range s.Found() {
-				if n := len(s.Lagging(f)); n > 0 {
-					lags[k] = n
+			must.Eq(t, silent == "" || reader.Done(), done)
+			must.True(t, reader.HasMajority(), must.Sprintf("seed %d", seed))
+			lagging = map[ident.Key]int{}
+			for k, entry := range reader.Entries() {
+				if n := len(reader.Lagging(entry)); n > 0 {
+					lagging[k] = n
 				}
 			}
-			return lags, rows
+			return lagging, rows
 		}
-		plain, all := run(0)
-		short, few := run(256)
+		plain, plainRows := run(0)
+		short, shortRows := run(256)
 		must.Eq(t, plain, short, must.Sprintf("seed %d", seed))
-		must.Less(t, all/4, few, must.Sprintf("seed %d", seed))
+		must.Less(t, plainRows/4, shortRows, must.Sprintf("seed %d", seed))
 	}
 }
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -15,30 +15,30 @@
 
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/control/core/admission"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/metrics"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/queue"
+	"cottonarch.example/cottonarch/control/core/joinqueue"
 	"cottonarch.example/cottonarch/control/core/node"
+	"cottonarch.example/cottonarch/control/leasetable"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/count"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/kernel/queue"
-	"cottonarch.example/cottonarch/mesh/lease/table"
-	"cottonarch.example/cottonarch/mesh/registry/record"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/settings"
 	"cottonarch.example/cottonarch/storage/ring"
 	"cottonarch.example/cottonarch/wire/client"
 )
 
 const (
-	tickEvery = 25 * time.Millisecond
-	inboxSize = 8192
-	diskSize  = 4096
-	peerSize  = 4096
-	batchMost = 256
-	bulkMost  = 4 << 20
-	// stallAfter is how long a batch may take before the disk counts as stalled.
-	stallAfter = 1500 * time.Millisecond
+	tickInterval     = 25 * time.Millisecond
+	stepQueueSize    = 8192
+	journalQueueSize = 4096
+	peerQueueSize    = 4096
+	maxBatch         = 256
+	maxBatchBytes    = 4 << 20
+	// stallTimeout is how long a batch may take before the disk counts as stalled.
+	stallTimeout = 1500 * time.Millisecond
 )
 
 // Core is the running daemon. Invariants: only the loop touches node; only the disk
@@ -46,64 +46,64 @@
 // it rests on. clock shows the time that this process watched go by, so that neither a
 // clock that jumps nor a time of being held up makes a claim look older than it is.
 type Core struct {
-	Boot     boot.Core
-	Log      *zap.Logger
-	Board    *count.Board
-	clock    monotime.Clock
-	node     *node.Node
-	ring     *ring.Ring
-	dir      Folder
-	pool     *client.Pool
-	inbox    *queue.Ring[func(monotime.Time) node.Effects]
-	disk     *queue.Ring[node.Effects]
-	done     chan struct{}
-	ticket   atomic.Uint64
-	mu       sync.Mutex
-	waits    map[uint64]chan node.End
-	peers    map[ident.Addr]*line
-	signal   chan struct{}               // closed and made anew when something is learned
-	moved    map[ident.Key]chan struct{} // closed and taken out when that key is learned of
-	feed     chan struct{}               // the same for the registry
-	held     atomic.Pointer[Manifest]
-	versions versions
-	learned  atomic.Uint64 // the newest manifest epoch that the node knows of
-	view     atomic.Pointer[View]
-	leaving  atomic.Bool
-	failed   atomic.Bool
-	full     atomic.Bool
-	unsynced atomic.Int64 // effects on their way through the disk's duty
-	busy     atomic.Int64 // since when the disk is at a batch, 0 when it is not
-	wake     chan struct{}
-	fresh    chan json.RawMessage
-	stop     chan struct{} // closed when a planned stop begins
+	Settings            settings.Core
+	Log                 *zap.Logger
+	Metrics             *metrics.Registry
+	clock               monotime.Clock
+	node                *node.Node
+	ring                *ring.Ring
+	folder              Folder
+	pool                *client.Pool
+	steps               *queue.Queue[func(monotime.Time) node.Effects]
+	journalQueue        *queue.Queue[node.Effects]
+	done                chan struct{}
+	lastTicket          atomic.Uint64
+	mu                  sync.Mutex
+	waiters             map[uint64]chan node.Result
+	peers               map[ident.Addr]*peerQueue
+	keysChanged         chan struct{}               // closed and made anew when something is learned
+	keyChanged          map[ident.Key]chan struct{} // closed and taken out when that key is learned of
+	registryChanged     chan struct{}               // the same for the registry
+	config              atomic.Pointer[Config]
+	configVersions      configHistory
+	knownConfigRevision atomic.Uint64 // the newest manifest epoch that the node knows of
+	view                atomic.Pointer[View]
+	leaving             atomic.Bool
+	diskFailed          atomic.Bool
+	diskFull            atomic.Bool
+	pendingEffects      atomic.Int64 // effects on their way through the disk's duty
+	diskBusySince       atomic.Int64 // since when the disk is at a batch, 0 when it is not
+	configWake          chan struct{}
+	confirmedConfigs    chan json.RawMessage
+	stopping            chan struct{} // closed when a planned stop begins
 }
 
 // View is a copy of what pages show.
 type View struct {
-	Disk     ident.Disk     `json:"disk"`
-	Roster   any            `json:"roster"`
-	Votes    bool           `json:"votes"`
-	Voters   int            `json:"voters"`
-	Majority bool           `json:"majority"`
-	Owned    int            `json:"owned"`
-	Cells    int            `json:"cells"`
-	Duty     bool           `json:"duty"`
-	Cores    []ident.Addr   `json:"cores"`
-	Places   []record.Place `json:"-"`
-	Sight    string         `json:"-"` // stands for Places
-	Epoch    ident.Epoch    `json:"epoch,omitempty"`
-	Members  any            `json:"members"`
-	Sweep    *Sweep         `json:"sweep,omitempty"` // set while this core holds the anti-entropy duty
+	Disk            ident.Disk            `json:"disk"`
+	Membership      any                   `json:"roster"`
+	Votes           bool                  `json:"votes"`
+	Voters          int                   `json:"voters"`
+	Majority        bool                  `json:"majority"`
+	HeldKeys        int                   `json:"owned"`
+	Records         int                   `json:"cells"`
+	AntiEntropyDuty bool                  `json:"duty"`
+	Cores           []ident.Addr          `json:"cores"`
+	Places          []record.CoreLocation `json:"-"`
+	PlacesDigest    string                `json:"-"` // stands for Places
+	ConfigRevision  ident.Epoch           `json:"epoch,omitempty"`
+	Members         any                   `json:"members"`
+	AntiEntropy     *AntiEntropyPass      `json:"sweep,omitempty"` // set while this core holds the anti-entropy duty
 }
 
-// Sweep is what the last sweep found, for pages. Invariant: Whole if and only if every disk
+// AntiEntropyPass is what the last sweep found, for pages. Invariant: Whole if and only if every disk
 // that counts was compared and no key differed.
-type Sweep struct {
-	Whole  bool  `json:"whole"`
-	Read   int   `json:"read"`
-	Of     int   `json:"of"`
-	Differ int   `json:"differ"`
-	Ago    int64 `json:"agoMs"`
+type AntiEntropyPass struct {
+	Complete      bool  `json:"whole"`
+	DisksRead     int   `json:"read"`
+	DisksCounted  int   `json:"of"`
+	KeysDiffering int   `json:"differ"`
+	AgeMillis     int64 `json:"agoMs"`
 }
 
 // Folder is the data folder; closing it lets it go.
@@ -113,39 +113,39 @@
 }
 
 // Open recovers the core from its data folder, which it closes when it ends.
-func Open(b boot.Core, log *zap.Logger, dir Folder) (*Core, error) {
-	c := &Core{Boot: b, Log: log, Board: count.New(), clock: monotime.Watched(monotime.Process()), pool: client.New(b.Addr), done: make(chan struct{}),
-		inbox: queue.Make[func(monotime.Time) node.Effects](inboxSize), disk: queue.Make[node.Effects](diskSize),
-		waits: map[uint64]chan node.End{}, moved: map[ident.Key]chan struct{}{}, peers: map[ident.Addr]*line{},
-		signal: make(chan struct{}), feed: make(chan struct{}), wake: make(chan struct{}, 1), fresh: make(chan json.RawMessage, 4), stop: make(chan struct{})}
+func Open(options settings.Core, log *zap.Logger, folder Folder) (*Core, error) {
+	c := &Core{Settings: options, Log: log, Metrics: metrics.New(), clock: monotime.LimitSteps(monotime.ProcessClock()), pool: client.New(options.Addr), done: make(chan struct{}),
+		steps: queue.New[func(monotime.Time) node.Effects](stepQueueSize), journalQueue: queue.New[node.Effects](journalQueueSize),
+		waiters: map[uint64]chan node.Result{}, keyChanged: map[ident.Key]chan struct{}{}, peers: map[ident.Addr]*peerQueue{},
+		keysChanged: make(chan struct{}), registryChanged: make(chan struct{}), configWake: make(chan struct{}, 1), confirmedConfigs: make(chan json.RawMessage, 4), stopping: make(chan struct{})}
 	var err error
-	c.dir = dir
-	if c.ring, err = ring.Open(c.dir, ring.Boot{Files: b.Rings, Size: b.RingFile}); err != nil {
+	c.folder = folder
+	if c.ring, err = ring.Open(c.folder, ring.Options{FileCount: options.RingFiles, FileSize: options.RingFileBytes}); err != nil {
 		return nil, err
 	}
-	recs := c.ring.Records()
-	var first []ring.Record
-	c.node, first, err = node.New(c.clock(), node.Boot{Addr: b.Addr, District: b.District, Seeds: b.Seeds, Founders: b.Founders, Voters: b.Voters, CanLose: b.CanLose,
-		History: b.History, Full: c.full.Load, Mark: ident.Mark(), NewDisk: func() ident.Disk { return ident.Disk(ident.Mark()) }}, recs)
+	records := c.ring.Records()
+	var firstRecords []ring.Record
+	c.node, firstRecords, err = node.New(c.clock(), node.Config{Addr: options.Addr, Zone: options.Zone, Seeds: options.Seeds, Founders: options.Founders, MaxVoters: options.Voters, CanLose: options.ToleratedLosses,
+		History: options.WatchHistory, DiskFull: c.diskFull.Load, InstanceID: ident.NewID(), NewDisk: func() ident.Disk { return ident.Disk(ident.NewID()) }}, records)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.ring.Append(first); err != nil {
+	if err := c.ring.Append(firstRecords); err != nil {
 		return nil, err
 	}
 	if err := c.ring.Sync(); err != nil {
 		return nil, err
 	}
-	c.look(c.clock())
-	log.Info("disk read", zap.String("disk", string(c.node.Disk)), zap.Int("records", len(recs)), zap.Uint64("roster", uint64(c.node.Membership().Epoch)))
+	c.refreshView(c.clock())
+	log.Info("disk read", zap.String("disk", string(c.node.Disk)), zap.Int("records", len(records)), zap.Uint64("roster", uint64(c.node.Membership().Epoch)))
 	return c, nil
 }
 
 // Start starts the duties.
 func (c *Core) Start() {
 	go c.loop()
-	go c.journal()
-	go c.follow()
+	go c.journalLoop()
+	go c.followConfig()
 	go c.discover()
 }
 
@@ -153,234 +153,238 @@
 func (c *Core) Close() {
 	close(c.done)
 	c.pool.Close()
-	_ = c.dir.Close()
+	_ = c.folder.Close()
 }
 
-// Do runs a step in the loop; it is turned away when the inbox is full.
-func (c *Core) Do(step func(monotime.Time) node.Effects) bool {
-	if c.inbox.Offer(step) {
+// RunStep runs a step in the loop; it is turned away when the inbox is full.
+func (c *Core) RunStep(step func(monotime.Time) node.Effects) bool {
+	if c.steps.TryPut(step) {
 		return true
 	}
-	c.Board.Add("inbox_turned_away", 1)
+	c.Metrics.Add("inbox_turned_away", 1)
 	return false
 }
 
 func (c *Core) loop() {
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
-	last := c.clock()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	viewedAt := c.clock()
 	for {
-		var fx node.Effects
+		var effects node.Effects
 		select {
-		case step := <-c.inbox.Out():
-			fx = step(c.clock())
-		case <-tick.C:
+		case step := <-c.steps.Out():
+			effects = step(c.clock())
+		case <-ticker.C:
 			now := c.clock()
 			// A disk that stalls is left out until it goes on; one that failed for good.
-			at := c.busy.Load()
-			stall := at != 0 && now.Since(monotime.Time(at)) > stallAfter
-			if c.node.Break(stall || c.failed.Load()) {
-				c.Log.Warn("disk", zap.Bool("stalled", stall), zap.Bool("failed", c.failed.Load()))
+			since := c.diskBusySince.Load()
+			stalled := since != 0 && now.Since(monotime.Time(since)) > stallTimeout
+			if c.node.SetDiskFailed(stalled || c.diskFailed.Load()) {
+				c.Log.Warn("disk", zap.Bool("stalled", stalled), zap.Bool("failed", c.diskFailed.Load()))
 			}
-			fx = c.node.Tick(now)
-			c.learned.Store(uint64(c.node.Epoch))
-			if now.Since(last) > 200*time.Millisecond {
-				last = now
-				c.look(now)
+			effects = c.node.Tick(now)
+			c.knownConfigRevision.Store(uint64(c.node.ConfigRevision))
+			if now.Since(viewedAt) > 200*time.Millisecond {
+				viewedAt = now
+				c.refreshView(now)
 			}
 		case <-c.done:
 			return
 		}
-		gated := fx.Gate()
-		c.letOut(fx)
+		gated := effects.SplitDurable()
+		c.release(effects)
 		switch {
 		case len(gated.Records) == 0 && len(gated.Sends) == 0:
-		case len(gated.Records) == 0 && c.synced():
-			c.letOut(gated)
+		case len(gated.Records) == 0 && c.allSynced():
+			c.release(gated)
 		default:
-			c.unsynced.Add(1)
-			if !c.disk.Put(gated, c.done) {
+			c.pendingEffects.Add(1)
+			if !c.journalQueue.Put(gated, c.done) {
 				return
 			}
 		}
 	}
 }
 
-// synced tells whether the disk holds all that the steps wrote so far; only the loop may
+// allSynced tells whether the disk holds all that the steps wrote so far; only the loop may
 // ask.
-func (c *Core) synced() bool { return c.unsynced.Load() == 0 && !c.failed.Load() }
+func (c *Core) allSynced() bool { return c.pendingEffects.Load() == 0 && !c.diskFailed.Load() }
 
-// look copies what pages show, and logs changes of state.
-func (c *Core) look(now monotime.Time) {
+// refreshView copies what pages show, and logs changes of state.
+func (c *Core) refreshView(now monotime.Time) {
 	n := c.node
-	v := &View{Disk: n.Disk, Roster: n.Membership(), Votes: n.Votes(), Voters: len(n.Membership().Voters), Majority: n.Majority(now), Owned: len(n.HeldKeys()), Cells: n.Records(),
-		Duty: n.Duty(), Cores: n.Fresh(now), Places: n.Places(now), Members: n.Leases.Members()}
-	v.Sight = sight(v.Places)
-	if m := c.held.Load(); m != nil {
-		v.Epoch = m.Epoch
+	view := &View{Disk: n.Disk, Membership: n.Membership(), Votes: n.IsVoter(), Voters: len(n.Membership().Voters), Majority: n.HasMajority(now), HeldKeys: len(n.HeldKeys()), Records: n.RecordCount(),
+		AntiEntropyDuty: n.HoldsDuty(), Cores: n.ActiveCores(now), Places: n.CoreZones(now), Members: n.Leases.Members()}
+	view.PlacesDigest = placesDigest(view.Places)
+	if config := c.config.Load(); config != nil {
+		view.ConfigRevision = config.Revision
 	}
-	if s, ok := n.LastPass(); ok {
-		v.Sweep = &Sweep{Whole: s.Read == s.Of && s.Behind == 0, Read: s.Read, Of: s.Of, Differ: s.Behind, Ago: now.Since(s.At).Milliseconds()}
+	if pass, ok := n.LastPass(); ok {
+		view.AntiEntropy = &AntiEntropyPass{Complete: pass.Read == pass.CountedDisks && pass.LaggingKeys == 0, DisksRead: pass.Read, DisksCounted: pass.CountedDisks, KeysDiffering: pass.LaggingKeys, AgeMillis: now.Since(pass.FinishedAt).Milliseconds()}
 	}
-	old := c.view.Swap(v)
-	o := n.Proposer()
-	for name, x := range map[string]uint64{"takes": o.Prepares, "rounds": o.Rounds, "mended": o.Repaired, "losses": o.AbandonedTerms, "patches": o.PatchesSent, "patches_refused": o.PatchesRejected, "sweeps": n.AntiEntropyPasses, "swept_keys": n.Repaired,
+	old := c.view.Swap(view)
+	counters := n.Proposer()
+	for name, value := range map[string]uint64{"takes": counters.Prepares, "rounds": counters.Rounds, "mended": counters.Repaired, "losses": counters.AbandonedTerms, "patches": counters.PatchesSent, "patches_refused": counters.PatchesRejected, "sweeps": n.AntiEntropyPasses, "swept_keys": n.Repaired,
 		"join_batches": n.JoinBatches, "joins_refused": n.JoinsRefused} {
-		c.Board.Set(name, int64(x))
+		c.Metrics.Set(name, int64(value))
 	}
-	c.Board.Set("owned", int64(v.Owned))
-	c.Board.Set("cells", int64(v.Cells))
+	c.Metrics.Set("owned", int64(view.HeldKeys))
+	c.Metrics.Set("cells", int64(view.Records))
 	if old == nil {
 		return
 	}
-	if old.Votes != v.Votes || old.Majority != v.Majority || old.Duty != v.Duty || old.Disk != v.Disk {
-		c.Log.Info("state", zap.String("disk", string(v.Disk)), zap.Bool("votes", v.Votes), zap.Bool("majority", v.Majority), zap.Bool("duty", v.Duty),
+	if old.Votes != view.Votes || old.Majority != view.Majority || old.AntiEntropyDuty != view.AntiEntropyDuty || old.Disk != view.Disk {
+		c.Log.Info("state", zap.String("disk", string(view.Disk)), zap.Bool("votes", view.Votes), zap.Bool("majority", view.Majority), zap.Bool("duty", view.AntiEntropyDuty),
 			zap.Uint64("roster", uint64(n.Membership().Epoch)))
 	}
 }
 
-// sight stands for a list of places: equal lists have equal ones.
-func sight(all []record.Place) string {
-	h := fnv.New64a()
-	for _, p := range all {
-		_, _ = fmt.Fprintf(h, "%s %s\n", p.Addr, p.District)
+// placesDigest stands for a list of places: equal lists have equal ones.
+func placesDigest(places []record.CoreLocation) string {
+	hash := fnv.New64a()
+	for _, place := range places {
+		_, _ = fmt.Fprintf(hash, "%s %s\n", place.Addr, place.Zone)
 	}
-	return strconv.FormatUint(h.Sum64(), 36)
+	return strconv.FormatUint(hash.Sum64(), 36)
 }
 
 // View is the newest copy.
 func (c *Core) View() *View { return c.view.Load() }
 
-func (c *Core) stir() {
+func (c *Core) notifyRegistryChanged() {
 	c.mu.Lock()
-	close(c.feed)
-	c.feed = make(chan struct{})
+	close(c.registryChanged)
+	c.registryChanged = make(chan struct{})
 	c.mu.Unlock()
 }
 
-// Signal closes when any key is learned to have changed; Feed when the registry or
+// KeysChanged closes when any key is learned to have changed; Feed when the registry or
 // the manifest has.
-func (c *Core) Signal() <-chan struct{} { c.mu.Lock(); defer c.mu.Unlock(); return c.signal }
+func (c *Core) KeysChanged() <-chan struct{} { c.mu.Lock(); defer c.mu.Unlock(); return c.keysChanged }
 
-// Moved closes when that key is learned to have changed; ask for it before reading.
-func (c *Core) Moved(k ident.Key) <-chan struct{} {
+// KeyChanged closes when that key is learned to have changed; ask for it before reading.
+func (c *Core) KeyChanged(key ident.Key) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.moved[k] == nil {
-		c.moved[k] = make(chan struct{})
+	if c.keyChanged[key] == nil {
+		c.keyChanged[key] = make(chan struct{})
 	}
-	return c.moved[k]
+	return c.keyChanged[key]
 }
 
-// Feed closes at the next change of the registry.
-func (c *Core) Feed() <-chan struct{} { c.mu.Lock(); defer c.mu.Unlock(); return c.feed }
+// RegistryChanged closes at the next change of the registry.
+func (c *Core) RegistryChanged() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.registryChanged
+}
 
 // Stopping closes when a planned stop begins: long polls end then.
-func (c *Core) Stopping() <-chan struct{} { return c.stop }
+func (c *Core) Stopping() <-chan struct{} { return c.stopping }
 
 // Done closes when the daemon ends.
 func (c *Core) Done() <-chan struct{} { return c.done }
 
 // await runs a step that begins a request and waits for its end.
-func (c *Core) await(ctx context.Context, begin func(now monotime.Time, ticket uint64) node.Effects) node.End {
-	ticket := c.ticket.Add(1)
-	ch := make(chan node.End, 1)
+func (c *Core) await(ctx context.Context, start func(now monotime.Time, ticket uint64) node.Effects) node.Result {
+	ticket := c.lastTicket.Add(1)
+	ended := make(chan node.Result, 1)
 	c.mu.Lock()
-	c.waits[ticket] = ch
+	c.waiters[ticket] = ended
 	c.mu.Unlock()
-	drop := func() {
+	forget := func() {
 		c.mu.Lock()
-		delete(c.waits, ticket)
+		delete(c.waiters, ticket)
 		c.mu.Unlock()
 	}
-	if !c.Do(func(now monotime.Time) node.Effects { return begin(now, ticket) }) {
-		drop()
-		return node.End{Failure: failure.New(failure.Busy, "the core's inbox is full").Later(1)}
+	if !c.RunStep(func(now monotime.Time) node.Effects { return start(now, ticket) }) {
+		forget()
+		return node.Result{Failure: failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1)}
 	}
 	select {
-	case e := <-ch:
-		return e
+	case end := <-ended:
+		return end
 	case <-ctx.Done():
-		drop()
-		return node.End{Failure: failure.Unsure(failure.UnknownOutcome, "no return came in time")}
+		forget()
+		return node.Result{Failure: failure.NewUnknown(failure.UnknownOutcome, "no return came in time")}
 	case <-c.done:
-		drop()
-		return node.End{Failure: failure.Unsure(failure.Stopping, "the core stops")}
+		forget()
+		return node.Result{Failure: failure.NewUnknown(failure.Stopping, "the core stops")}
 	}
 }
 
-// Deed runs one operation and waits for its end, at most budget; what it waits for the loop
+// Execute runs one operation and waits for its end, at most budget; what it waits for the loop
 // counts, so a process that was held up begins nothing that nobody waits for any more.
-func (c *Core) Deed(ctx context.Context, d proposer.Operation, budget time.Duration) node.End {
-	c.Board.Add("deeds", 1)
-	ctx, stop := context.WithTimeout(ctx, budget+time.Second)
-	defer stop()
-	came := monotime.Process()
-	began := came()
-	return c.await(ctx, func(now monotime.Time, t uint64) node.Effects {
-		left := budget - came().Since(began)
+func (c *Core) Execute(ctx context.Context, operation proposer.Operation, budget time.Duration) node.Result {
+	c.Metrics.Add("deeds", 1)
+	ctx, cancel := context.WithTimeout(ctx, budget+time.Second)
+	defer cancel()
+	clock := monotime.ProcessClock()
+	start := clock()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		left := budget - clock().Since(start)
 		if left <= 0 {
-			return node.Effects{Ends: []node.End{{Ticket: t, Failure: failure.New(failure.Busy, "its time was over before it was begun").Later(1)}}}
+			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: failure.New(failure.Busy, "its time was over before it was begun").WithRetryAfter(1)}}}
 		}
-		return c.node.Submit(now, t, d, left)
+		return c.node.Submit(now, ticket, operation, left)
 	})
 }
 
 // Join lets a sidecar join and waits for the end.
-func (c *Core) Join(ctx context.Context, r admission.Request) node.End {
-	ctx, stop := context.WithTimeout(ctx, node.JoinBudget+time.Second)
-	defer stop()
-	came := monotime.Process()
-	began := came()
-	return c.await(ctx, func(now monotime.Time, t uint64) node.Effects {
-		return c.node.Join(now, t, r, node.JoinBudget-came().Since(began))
+func (c *Core) Join(ctx context.Context, request joinqueue.Request) node.Result {
+	ctx, cancel := context.WithTimeout(ctx, node.JoinBudget+time.Second)
+	defer cancel()
+	clock := monotime.ProcessClock()
+	start := clock()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		return c.node.Join(now, ticket, request, node.JoinBudget-clock().Since(start))
 	})
 }
 
-// Survey reads a prefix from a majority.
-func (c *Core) Survey(ctx context.Context, prefix string, values bool, budget time.Duration) node.End {
-	c.Board.Add("surveys", 1)
-	ctx, stop := context.WithTimeout(ctx, budget+time.Second)
-	defer stop()
-	return c.await(ctx, func(now monotime.Time, t uint64) node.Effects {
-		return c.node.QuorumRead(now, t, prefix, values, budget)
+// QuorumRead reads a prefix from a majority.
+func (c *Core) QuorumRead(ctx context.Context, prefix string, values bool, budget time.Duration) node.Result {
+	c.Metrics.Add("surveys", 1)
+	ctx, cancel := context.WithTimeout(ctx, budget+time.Second)
+	defer cancel()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		return c.node.QuorumRead(now, ticket, prefix, values, budget)
 	})
 }
 
 // discover asks the seeds, which may be cores or sidecars, for the cores they know
 // while this core has no majority.
 func (c *Core) discover() {
-	t := time.NewTicker(500 * time.Millisecond)
-	defer t.Stop()
+	ticker := time.NewTicker(500 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-c.done:
 			return
 		}
-		if v := c.View(); v == nil || v.Majority {
+		if view := c.View(); view == nil || view.Majority {
 			continue
 		}
-		for _, a := range c.Boot.Seeds {
-			if a == c.Boot.Addr {
+		for _, seed := range c.Settings.Seeds {
+			if seed == c.Settings.Addr {
 				continue
 			}
-			ctx, stop := context.WithTimeout(context.Background(), 500*time.Millisecond)
-			var got Known
-			if c.pool.Ask(ctx, a, "GET", "/cottonarch/v1/cores", nil, &got) == nil {
-				c.Do(func(now monotime.Time) node.Effects { c.node.Know(now, got.Cores); return node.Effects{} })
+			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
+			var known KnownCores
+			if c.pool.Ask(ctx, seed, "GET", "/cottonarch/v1/cores", nil, &known) == nil {
+				c.RunStep(func(now monotime.Time) node.Effects { c.node.AddKnownCores(now, known.Cores); return node.Effects{} })
 			}
-			stop()
+			cancel()
 		}
 	}
 }
 
-// Known is what any process tells of the cores it knows.
-type Known struct {
+// KnownCores is what any process tells of the cores it knows.
+type KnownCores struct {
 	Cores []ident.Addr `json:"cores"`
-	// Core says that the answer is a core's own, so all of Cores are cores; a sidecar may
+	// FromCore says that the answer is a core's own, so all of Cores are cores; a sidecar may
 	// list seeds that it has not met.
-	Core bool `json:"core,omitempty"`
+	FromCore bool `json:"core,omitempty"`
 }
 
 // Leave is the planned stop: successors are named, what is in hand is finished.
@@ -389,22 +393,22 @@
 		return
 	}
 	c.Log.Info("stopping")
-	close(c.stop)
-	c.Do(func(now monotime.Time) node.Effects { return c.node.Leave(now, limit) })
-	until := time.Now().Add(limit)
-	t := time.NewTicker(30 * time.Millisecond)
-	defer t.Stop()
-	for time.Now().Before(until) {
-		<-t.C
-		ok := make(chan bool, 1)
-		if !c.Do(func(now monotime.Time) node.Effects {
-			left, fx := c.node.Left(now)
-			ok <- left
-			return fx
+	close(c.stopping)
+	c.RunStep(func(now monotime.Time) node.Effects { return c.node.Leave(now, limit) })
+	deadline := time.Now().Add(limit)
+	ticker := time.NewTicker(30 * time.Millisecond)
+	defer ticker.Stop()
+	for time.Now().Before(deadline) {
+		<-ticker.C
+		finished := make(chan bool, 1)
+		if !c.RunStep(func(now monotime.Time) node.Effects {
+			left, effects := c.node.ContinueLeave(now)
+			finished <- left
+			return effects
 		}) {
 			continue
 		}
-		if <-ok {
+		if <-finished {
 			return
 		}
 	}
@@ -415,12 +419,12 @@
 
 // Ready tells whether the core serves.
 func (c *Core) Ready() bool {
-	v := c.View()
-	return v != nil && v.Majority && !c.leaving.Load()
+	view := c.View()
+	return view != nil && view.Majority && !c.leaving.Load()
 }
 
 // Leases is the node's ledger; only steps run by Do may touch it.
-func (c *Core) Leases() *table.Table { return c.node.Leases }
+func (c *Core) Leases() *leasetable.Table { return c.node.Leases }
 
 // Node is the node; only steps run by Do may touch it.
 func (c *Core) Node() *node.Node { return c.node }
--- a/daemon/core/journal.go
+++ b/daemon/core/journal.go
@@ -3,107 +3,107 @@
 import (
 	"go.uber.org/zap"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/offer"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
-// journal is the disk's duty: it writes the records of a batch of steps, syncs once
+// journalLoop is the disk's duty: it writes the records of a batch of steps, syncs once
 // and only then lets out what rests on them.
-func (c *Core) journal() {
+func (c *Core) journalLoop() {
 	var batch []node.Effects
 	for {
 		batch = batch[:0]
 		select {
-		case fx := <-c.disk.Out():
-			batch = append(batch, fx)
+		case effects := <-c.journalQueue.Out():
+			batch = append(batch, effects)
 		case <-c.done:
 			return
 		}
-		batch = c.disk.Drain(batch, batchMost)
+		batch = c.journalQueue.Drain(batch, maxBatch)
 		wrote := false
 		var err error
-		c.busy.Store(int64(c.clock()))
-		for _, fx := range batch {
-			if len(fx.Records) > 0 && err == nil {
+		c.diskBusySince.Store(int64(c.clock()))
+		for _, effects := range batch {
+			if len(effects.Records) > 0 && err == nil {
 				wrote = true
-				err = c.ring.Append(fx.Records)
+				err = c.ring.Append(effects.Records)
 			}
 		}
 		if wrote && err == nil {
 			err = c.ring.Sync()
-			c.Board.Add("syncs", 1)
+			c.Metrics.Add("syncs", 1)
 		}
-		if wrote && err != nil && !c.failed.Swap(true) {
+		if wrote && err != nil && !c.diskFailed.Swap(true) {
 			c.Log.Error("the disk failed; this core votes no more", zap.Error(err))
 		}
-		c.busy.Store(0)
-		for _, fx := range batch {
-			if !c.failed.Load() {
-				c.letOut(fx)
+		c.diskBusySince.Store(0)
+		for _, effects := range batch {
+			if !c.diskFailed.Load() {
+				c.release(effects)
 			}
 		}
-		c.unsynced.Add(-int64(len(batch)))
-		c.full.Store(c.ring.Room() < 0.25)
-		c.Board.Set("ring_room_percent", int64(c.ring.Room()*100))
-		c.Board.Set("ring_appends", int64(c.ring.Appends))
-		c.Board.Set("ring_moves", int64(c.ring.Moves))
-		c.Board.Set("ring_bytes", int64(c.ring.Bytes))
+		c.pendingEffects.Add(-int64(len(batch)))
+		c.diskFull.Store(c.ring.FreeFraction() < 0.25)
+		c.Metrics.Set("ring_room_percent", int64(c.ring.FreeFraction()*100))
+		c.Metrics.Set("ring_appends", int64(c.ring.Appends))
+		c.Metrics.Set("ring_moves", int64(c.ring.Moves))
+		c.Metrics.Set("ring_bytes", int64(c.ring.BytesWritten))
 	}
 }
 
-func (c *Core) letOut(fx node.Effects) {
-	for _, s := range fx.Sends {
-		s.Msg.From = c.Boot.Addr
-		if s.To == c.Boot.Addr {
-			m := s.Msg
-			c.Do(func(now monotime.Time) node.Effects { return c.node.Step(now, m) })
+func (c *Core) release(effects node.Effects) {
+	for _, send := range effects.Sends {
+		send.Msg.From = c.Settings.Addr
+		if send.To == c.Settings.Addr {
+			msg := send.Msg
+			c.RunStep(func(now monotime.Time) node.Effects { return c.node.Step(now, msg) })
 			continue
 		}
-		if !c.peer(s.To).offer(s.Msg) {
-			c.Board.Add("messages_dropped", 1)
+		if !c.queueTo(send.To).push(send.Msg) {
+			c.Metrics.Add("messages_dropped", 1)
 		}
 	}
-	for _, e := range fx.Ends {
+	for _, end := range effects.Results {
 		c.mu.Lock()
-		ch := c.waits[e.Ticket]
-		delete(c.waits, e.Ticket)
+		waiter := c.waiters[end.Ticket]
+		delete(c.waiters, end.Ticket)
 		c.mu.Unlock()
-		if ch != nil {
-			ch <- e
+		if waiter != nil {
+			waiter <- end
 		}
 	}
-	if len(fx.Learned) > 0 {
+	if len(effects.Learned) > 0 {
 		c.mu.Lock()
-		close(c.signal)
-		c.signal = make(chan struct{})
+		close(c.keysChanged)
+		c.keysChanged = make(chan struct{})
 		c.mu.Unlock()
-		for _, l := range fx.Learned {
-			c.stirred(l.Key)
-			if l.Key == offer.Key && fx.Confirmed == nil {
-				c.kick()
+		for _, learned := range effects.Learned {
+			c.notifyKeyChanged(learned.Key)
+			if learned.Key == proposal.Key && effects.ConfirmedConfig == nil {
+				c.wakeConfigFollower()
 			}
 		}
 	}
-	if fx.Changed {
-		c.stir()
+	if effects.SidecarViewChanged {
+		c.notifyRegistryChanged()
 	}
-	if fx.Confirmed != nil {
+	if effects.ConfirmedConfig != nil {
 		select {
-		case c.fresh <- fx.Confirmed:
+		case c.confirmedConfigs <- effects.ConfirmedConfig:
 		default:
-			c.kick()
+			c.wakeConfigFollower()
 		}
 	}
 }
 
-// stirred wakes who waits for a key.
-func (c *Core) stirred(k ident.Key) {
+// notifyKeyChanged wakes who waits for a key.
+func (c *Core) notifyKeyChanged(key ident.Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ch := c.moved[k]; ch != nil {
+	if ch := c.keyChanged[key]; ch != nil {
 		close(ch)
-		delete(c.moved, k)
+		delete(c.keyChanged, key)
 	}
 }
--- a/daemon/core/manifest.go
+++ b/daemon/core/manifest.go
@@ -8,148 +8,148 @@
 
 	"go.uber.org/zap"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/delta"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/delta"
-	"cottonarch.example/cottonarch/control/manifest/offer"
-	"cottonarch.example/cottonarch/control/manifest/walk"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
-// Manifest is a confirmed manifest. Invariant: Held only moves to higher epochs.
-type Manifest struct {
-	offer.Held
-	Parsed *check.Manifest
-	Packed *delta.Packed
+// Config is a confirmed manifest. Invariant: Held only moves to higher epochs.
+type Config struct {
+	proposal.State
+	Parsed *validation.Config
+	Packed *delta.Compressed
 }
 
-// versions keeps the newest manifests for deltas between them.
-type versions struct {
+// configHistory keeps the newest manifests for deltas between them.
+type configHistory struct {
 	mu sync.Mutex
 	delta.History
 }
 
-// Since gives the delta from a revision to the newest manifest here, nil if there is none.
-func (c *Core) Since(from ident.Epoch) *delta.Delta {
-	c.versions.mu.Lock()
-	defer c.versions.mu.Unlock()
-	return c.versions.Since(from)
+// ConfigDelta gives the delta from a revision to the newest manifest here, nil if there is none.
+func (c *Core) ConfigDelta(from ident.Epoch) *delta.Delta {
+	c.configVersions.mu.Lock()
+	defer c.configVersions.mu.Unlock()
+	return c.configVersions.Since(from)
 }
 
-// remember keeps a manifest for deltas from it and to it.
-func (c *Core) remember(v delta.Version) {
-	c.versions.mu.Lock()
-	defer c.versions.mu.Unlock()
-	c.versions.Add(v)
+// rememberConfig keeps a manifest for deltas from it and to it.
+func (c *Core) rememberConfig(version delta.Snapshot) {
+	c.configVersions.mu.Lock()
+	defer c.configVersions.mu.Unlock()
+	c.configVersions.Add(version)
 }
 
-// kick wakes the duty that follows the manifest.
-func (c *Core) kick() {
+// wakeConfigFollower wakes the duty that follows the manifest.
+func (c *Core) wakeConfigFollower() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.configWake <- struct{}{}:
 	default:
 	}
 }
 
-// Held is the newest manifest that this core knows to be confirmed, nil if none.
-func (c *Core) Held() *Manifest { return c.held.Load() }
+// Config is the newest manifest that this core knows to be confirmed, nil if none.
+func (c *Core) Config() *Config { return c.config.Load() }
 
-// Newest reads the manifest through its proposer, so it is not older than any confirmed
+// NewestConfig reads the manifest through its proposer, so it is not older than any confirmed
 // before the call.
-func (c *Core) Newest(ctx context.Context, budget time.Duration) (*Manifest, *failure.Error) {
-	e := c.Deed(ctx, proposer.Operation{Key: offer.Key, Kind: "manifest/epoch"}, budget)
-	if e.Failure != nil {
-		return nil, e.Failure
+func (c *Core) NewestConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}, budget)
+	if end.Failure != nil {
+		return nil, end.Failure
 	}
-	var yes offer.Yes
-	if err := json.Unmarshal(e.Body, &yes); err != nil {
+	var answer proposal.Accepted
+	if err := json.Unmarshal(end.Body, &answer); err != nil {
 		return nil, failure.New(failure.Damaged, "epoch: %v", err)
 	}
-	if have := c.held.Load(); have != nil && have.Epoch >= yes.Epoch {
+	if have := c.config.Load(); have != nil && have.Revision >= answer.Revision {
 		return have, nil
 	}
-	if yes.Epoch == 0 {
-		return &Manifest{Parsed: &check.Manifest{}}, nil
+	if answer.Revision == 0 {
+		return &Config{Parsed: &validation.Config{}}, nil
 	}
-	return c.readManifest(ctx, budget)
+	return c.readConfig(ctx, budget)
 }
 
-// readManifest reads the newest manifest whole, through its proposer, and takes it in.
-func (c *Core) readManifest(ctx context.Context, budget time.Duration) (*Manifest, *failure.Error) {
-	e := c.Deed(ctx, proposer.Operation{Key: offer.Key, Kind: "manifest/read"}, budget)
-	if e.Failure != nil {
-		return nil, e.Failure
+// readConfig reads the newest manifest whole, through its proposer, and takes it in.
+func (c *Core) readConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, budget)
+	if end.Failure != nil {
+		return nil, end.Failure
 	}
-	return c.install(e.Body)
+	return c.installConfig(end.Body)
 }
 
-// install takes a confirmed manifest in, unless a newer one is known.
-func (c *Core) install(raw json.RawMessage) (*Manifest, *failure.Error) {
-	var h offer.Held
-	if err := json.Unmarshal(raw, &h); err != nil {
+// installConfig takes a confirmed manifest in, unless a newer one is known.
+func (c *Core) installConfig(raw json.RawMessage) (*Config, *failure.Error) {
+	var taken proposal.State
+	if err := json.Unmarshal(raw, &taken); err != nil {
 		return nil, failure.New(failure.Damaged, "manifest: %v", err)
 	}
-	h.Lines, h.Chain = nil, nil
-	if have := c.held.Load(); have != nil && have.Epoch >= h.Epoch {
+	taken.AuditEntries, taken.Log = nil, nil
+	if have := c.config.Load(); have != nil && have.Revision >= taken.Revision {
 		return have, nil
 	}
-	tree, d := walk.Parse(h.Manifest)
-	if d != nil {
-		return nil, d
+	tree, fail := decode.Parse(taken.Document)
+	if fail != nil {
+		return nil, fail
 	}
-	parsed, d := check.Loose(tree)
-	if d != nil {
-		return nil, d
+	parsed, fail := validation.Lenient(tree)
+	if fail != nil {
+		return nil, fail
 	}
-	parsed.Epoch = h.Epoch
-	m := &Manifest{Held: h, Parsed: parsed, Packed: delta.Pack(h.Manifest)}
-	c.remember(delta.Version{Epoch: h.Epoch, Tree: tree, Raw: h.Manifest})
+	parsed.Revision = taken.Revision
+	config := &Config{State: taken, Parsed: parsed, Packed: delta.NewCompressed(taken.Document)}
+	c.rememberConfig(delta.Snapshot{Revision: taken.Revision, Tree: tree, Raw: taken.Document})
 	for {
-		old := c.held.Load()
-		if old != nil && old.Epoch >= m.Epoch {
+		old := c.config.Load()
+		if old != nil && old.Revision >= config.Revision {
 			return old, nil
 		}
-		if c.held.CompareAndSwap(old, m) {
+		if c.config.CompareAndSwap(old, config) {
 			break
 		}
 	}
-	c.Log.Info("manifest", zap.Uint64("epoch", uint64(m.Epoch)), zap.Int("ways", len(parsed.Ways)), zap.Int("services", len(parsed.Services)))
-	c.Board.Set("manifest_epoch", int64(m.Epoch))
-	c.Do(func(monotime.Time) node.Effects {
-		return node.Effects{Changed: c.node.Leases.Manifest(parsed)}
+	c.Log.Info("manifest", zap.Uint64("epoch", uint64(config.Revision)), zap.Int("ways", len(parsed.Routes)), zap.Int("services", len(parsed.Services)))
+	c.Metrics.Set("manifest_epoch", int64(config.Revision))
+	c.RunStep(func(monotime.Time) node.Effects {
+		return node.Effects{SidecarViewChanged: c.node.Leases.SetConfig(parsed)}
 	})
-	return m, nil
+	return config, nil
 }
 
-// follow is the duty of having the newest confirmed manifest that the node knows of: at
+// followConfig is the duty of having the newest confirmed manifest that the node knows of: at
 // once when told of one, and every quarter second while it is not here.
-func (c *Core) follow() {
-	t := time.NewTicker(250 * time.Millisecond)
-	defer t.Stop()
+func (c *Core) followConfig() {
+	ticker := time.NewTicker(250 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
-		case raw := <-c.fresh:
-			if _, d := c.install(raw); d != nil {
-				c.Log.Error("a confirmed manifest can't be read", zap.Error(d))
+		case raw := <-c.confirmedConfigs:
+			if _, fail := c.installConfig(raw); fail != nil {
+				c.Log.Error("a confirmed manifest can't be read", zap.Error(fail))
 			}
 			continue
-		case <-c.wake:
-		case <-t.C:
-			if have := c.held.Load(); c.learned.Load() == 0 || have != nil && uint64(have.Epoch) >= c.learned.Load() {
+		case <-c.configWake:
+		case <-ticker.C:
+			if have := c.config.Load(); c.knownConfigRevision.Load() == 0 || have != nil && uint64(have.Revision) >= c.knownConfigRevision.Load() {
 				continue
 			}
 		case <-c.done:
 			return
 		}
-		if v := c.View(); v == nil || !v.Majority {
+		if view := c.View(); view == nil || !view.Majority {
 			continue
 		}
 		// That there is a newer one is known: its number need not be asked for first.
-		if _, d := c.readManifest(context.Background(), time.Second); d != nil {
-			c.Board.Add("manifest_reads_failed", 1)
+		if _, fail := c.readConfig(context.Background(), time.Second); fail != nil {
+			c.Metrics.Add("manifest_reads_failed", 1)
 		}
 	}
 }
--- a/daemon/core/post.go
+++ b/daemon/core/post.go
@@ -7,63 +7,63 @@
 	"syscall"
 	"time"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/queue"
 	"cottonarch.example/cottonarch/control/core/message"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/kernel/queue"
 )
 
-// line is what waits to be sent to one peer. Invariant: of hellos only the newest waits,
+// peerQueue is what waits to be sent to one peer. Invariant: of hellos only the newest waits,
 // with what the ones before it said laid under it; an empty message in the queue stands
 // for it.
-type line struct {
-	*queue.Ring[message.Message]
-	mu    sync.Mutex
-	hello *message.Hello
+type peerQueue struct {
+	*queue.Queue[message.Message]
+	mu        sync.Mutex
+	heartbeat *message.Heartbeat
 }
 
-// offer puts a message in, or says false when there is no room.
-func (l *line) offer(m message.Message) bool {
-	if m.Hello == nil {
-		return l.Offer(m)
+// push puts a message in, or says false when there is no room.
+func (q *peerQueue) push(m message.Message) bool {
+	if m.Heartbeat == nil {
+		return q.TryPut(m)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.hello != nil {
-		h := *m.Hello
-		if l.hello.Run == h.Run {
-			h = l.hello.Over(h)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.heartbeat != nil {
+		merged := *m.Heartbeat
+		if q.heartbeat.Run == merged.Run {
+			merged = q.heartbeat.MergedWith(merged)
 		}
-		l.hello = &h
+		q.heartbeat = &merged
 		return true
 	}
-	if !l.Offer(message.Message{From: m.From, To: m.To}) {
+	if !q.TryPut(message.Message{From: m.From, To: m.To}) {
 		return false
 	}
-	l.hello = m.Hello
+	q.heartbeat = m.Heartbeat
 	return true
 }
 
-// take puts the hello in the place that stands for it.
-func (l *line) take(list []message.Message) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := range list {
-		if m := &list[i]; m.Empty() && l.hello != nil {
-			m.Hello, l.hello = l.hello, nil
+// attachHeartbeat puts the hello in the place that stands for it.
+func (q *peerQueue) attachHeartbeat(messages []message.Message) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for i := range messages {
+		if m := &messages[i]; m.Empty() && q.heartbeat != nil {
+			m.Heartbeat, q.heartbeat = q.heartbeat, nil
 		}
 	}
 }
 
-func (c *Core) peer(addr ident.Addr) *line {
+func (c *Core) queueTo(addr ident.Addr) *peerQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.peers[addr]
 	if q == nil {
-		q = &line{Ring: queue.Make[message.Message](peerSize)}
+		q = &peerQueue{Queue: queue.New[message.Message](peerQueueSize)}
 		c.peers[addr] = q
-		go c.post(addr, q)
+		go c.sendTo(addr, q)
 	}
 	return q
 }
@@ -75,49 +75,49 @@
 	Messages []message.Message `json:"messages,omitempty"`
 }
 
-// post is the duty of sending to one peer. A batch whose fate is unknown is not sent
+// sendTo is the duty of sending to one peer. A batch whose fate is unknown is not sent
 // again: the steps repeat what they need.
-func (c *Core) post(addr ident.Addr, q *line) {
-	var held []message.Message
+func (c *Core) sendTo(addr ident.Addr, q *peerQueue) {
+	var messages []message.Message
 	for {
-		held = held[:0]
+		messages = messages[:0]
 		select {
 		case m := <-q.Out():
-			held = append(held, m)
+			messages = append(messages, m)
 		case <-c.done:
 			return
 		}
-		held = q.Drain(held, batchMost)
-		q.take(held)
-		for i := range held {
-			held[i].From = "" // the batch says it
+		messages = q.Drain(messages, maxBatch)
+		q.attachHeartbeat(messages)
+		for i := range messages {
+			messages[i].From = "" // the batch says it
 		}
-		for len(held) > 0 {
-			n, bulk := 0, 0
-			for n < len(held) && (n == 0 || bulk < bulkMost) {
-				bulk += weight(held[n])
-				n++
+		for len(messages) > 0 {
+			count, size := 0, 0
+			for count < len(messages) && (count == 0 || size < maxBatchBytes) {
+				size += approximateSize(messages[count])
+				count++
 			}
-			ctx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
-			var back Batch
-			if err := c.pool.Ask(ctx, addr, "POST", "/cottonarch/v1/messages", Batch{c.Boot.Addr, held[:n]}, &back); err != nil {
-				c.Board.Add("posts_failed", 1)
+			ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
+			var reply Batch
+			if err := c.pool.Ask(ctx, addr, "POST", "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages[:count]}, &reply); err != nil {
+				c.Metrics.Add("posts_failed", 1)
 				if errors.Is(err, syscall.ECONNREFUSED) {
-					c.Do(func(now monotime.Time) node.Effects { return c.node.Down(now, addr) })
+					c.RunStep(func(now monotime.Time) node.Effects { return c.node.MarkUnreachable(now, addr) })
 				}
 			}
-			stop()
-			for _, m := range back.Messages {
+			cancel()
+			for _, m := range reply.Messages {
 				m.From = addr
-				c.Do(func(now monotime.Time) node.Effects { return c.node.Step(now, m) })
+				c.RunStep(func(now monotime.Time) node.Effects { return c.node.Step(now, m) })
 			}
-			c.Board.Add("posts", 1)
-			held = held[n:]
+			c.Metrics.Add("posts", 1)
+			messages = messages[count:]
 		}
 	}
 }
 
-func weight(m message.Message) int {
+func approximateSize(m message.Message) int {
 	switch {
 	case m.Request != nil:
 		if m.Request.Patch != nil {
@@ -126,8 +126,8 @@
 		return len(m.Request.Value) + 200
 	case m.Response != nil:
 		return len(m.Response.Record.Value) + 200
-	case m.Carried != nil:
-		return len(m.Carried.Body) + 200
+	case m.ForwardResult != nil:
+		return len(m.ForwardResult.Body) + 200
 	case m.Forward != nil:
 		return len(m.Forward.Operation.Args) + 200
 	case m.ScanResponse != nil:
@@ -136,55 +136,55 @@
 	return 400
 }
 
-// Take takes a batch of messages in, and gives what the steps want said to their sender at
+// Receive takes a batch of messages in, and gives what the steps want said to their sender at
 // once: it goes back as the return. What has to wait for the disk is posted later.
-func (c *Core) Take(ctx context.Context, b Batch) (back Batch) {
-	last := make(chan []message.Message, len(b.Messages))
-	waits := 0
-	for _, m := range b.Messages {
+func (c *Core) Receive(ctx context.Context, batch Batch) (reply Batch) {
+	replies := make(chan []message.Message, len(batch.Messages))
+	pending := 0
+	for _, m := range batch.Messages {
 		if m.From == "" {
-			m.From = b.From
+			m.From = batch.From
 		}
-		if c.Do(func(now monotime.Time) node.Effects {
-			fx := c.node.Step(now, m)
-			last <- c.say(m.From, &fx)
-			return fx
+		if c.RunStep(func(now monotime.Time) node.Effects {
+			effects := c.node.Step(now, m)
+			replies <- c.takeReplies(m.From, &effects)
+			return effects
 		}) {
-			waits++
+			pending++
 		}
 	}
-	for ; waits > 0; waits-- {
+	for ; pending > 0; pending-- {
 		select {
-		case list := <-last:
-			back.Messages = append(back.Messages, list...)
+		case list := <-replies:
+			reply.Messages = append(reply.Messages, list...)
 		case <-ctx.Done():
-			return back
+			return reply
 		case <-c.done:
-			return back
+			return reply
 		}
 	}
-	return back
+	return reply
 }
 
-// say takes out of the effects what goes to one core and rests on nothing that is not
+// takeReplies takes out of the effects what goes to one core and rests on nothing that is not
 // synced; it runs in the loop.
-func (c *Core) say(to ident.Addr, fx *node.Effects) (out []message.Message) {
-	gated := fx.Gate()
-	var rest []node.Send
-	pick := func(list []node.Send) {
-		for _, s := range list {
-			if s.To != to || to == c.Boot.Addr {
-				rest = append(rest, s)
+func (c *Core) takeReplies(to ident.Addr, effects *node.Effects) (replies []message.Message) {
+	gated := effects.SplitDurable()
+	var others []node.Send
+	split := func(sends []node.Send) {
+		for _, send := range sends {
+			if send.To != to || to == c.Settings.Addr {
+				others = append(others, send)
 				continue
 			}
-			out = append(out, s.Msg)
+			replies = append(replies, send.Msg)
 		}
 	}
-	pick(fx.Sends)
-	if len(gated.Records) == 0 && c.synced() {
-		pick(gated.Sends)
+	split(effects.Sends)
+	if len(gated.Records) == 0 && c.allSynced() {
+		split(gated.Sends)
 		gated.Sends = nil
 	}
-	fx.Records, fx.Sends = gated.Records, append(rest, gated.Sends...)
-	return out
+	effects.Records, effects.Sends = gated.Records, append(others, gated.Sends...)
+	return replies
 }
--- a/daemon/proof/cut_test.go
+++ b/daemon/integration/cut_test.go
@@ -1,4 +1,4 @@
-package proof
+package integration
 
 import (
 	"net/http"
@@ -11,7 +11,7 @@
 // answer or refuse with a majority, it now says 503, or 504 where a change may have been
 // begun, on every surface of a core. With the majority back it gives the same answers.
 func TestCoreLeftAloneNeitherAnswersNorRefuses(t *testing.T) {
-	c := upCores(t, 3)
+	c := startCores(t, 3)
 	calls := []struct {
 		method, path, body string
 		code               int // with a majority
@@ -42,25 +42,25 @@
 		{"POST", "/cottonarch/v1/claim", `{"node":"n"}`, 200},
 		{"POST", "/cottonarch/v1/share", `{"node":"n","claim":0}`, 409},
 	}
-	say := func(i int) int {
-		x := calls[i]
-		code, _ := ask(x.method, c.addrs[0], "", x.path, []byte(x.body), nil)
+	statusOf := func(i int) int {
+		call := calls[i]
+		code, _ := request(call.method, c.addrs[0], "", call.path, []byte(call.body), nil)
 		return code
 	}
-	for i, x := range calls {
-		must.Eq(t, x.code, say(i), must.Sprint(x))
+	for i, call := range calls {
+		must.Eq(t, call.code, statusOf(i), must.Sprint(call))
 	}
-	c.lose(1)
-	c.lose(2)
-	c.await(0, "majority", false)
-	for i, x := range calls {
-		code := say(i)
-		must.True(t, code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout && x.method != "GET", must.Sprint(x, code))
+	c.powerOff(1)
+	c.powerOff(2)
+	c.awaitStatus(0, "majority", false)
+	for i, call := range calls {
+		code := statusOf(i)
+		must.True(t, code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout && call.method != "GET", must.Sprint(call, code))
 	}
 	c.start(1)
 	c.start(2)
-	c.await(0, "majority", true)
-	for i, x := range calls {
-		eventually(t, x.method+" "+x.path, func() bool { return say(i) == x.code })
+	c.awaitStatus(0, "majority", true)
+	for i, call := range calls {
+		eventually(t, call.method+" "+call.path, func() bool { return statusOf(i) == call.code })
 	}
 }
--- a/daemon/sidecar/early_test.go
+++ b/daemon/sidecar/early_test.go
@@ -8,37 +8,37 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
 // A peer that turns a large request away before it read the body, and closes: its word is
 // heard all the same, the request is told as not run, and the next one is not disturbed.
-func TestPeerTurnsALargeRequestAwayEarly(t *testing.T) {
-	st := newStage(t)
-	j := newJournal(nil, nil)
-	st.journals.Store("1", j)
-	open, full := node("b", "127.0.0.1:2", st.endpoints...), node("b", "127.0.0.1:2", st.endpoints...)
-	full.Boot.Hand = 0
-	s := node("a", "127.0.0.1:1")
-	s.knows("b", gated(t, st.peer.Load), "b0", "b1")
-	s.limits.Store(&check.Limits{HeadBytes: 4 << 10, BodyBytes: 32 << 20})
+func TestPeerRejectsALargeRequestEarly(t *testing.T) {
+	stage := newStage(t)
+	log := newJournal(nil, nil)
+	stage.journals.Store("1", log)
+	accepting, rejecting := newTestSidecar("b", "127.0.0.1:2", stage.endpoints...), newTestSidecar("b", "127.0.0.1:2", stage.endpoints...)
+	rejecting.Settings.MaxInFlight = 0
+	s := newTestSidecar("a", "127.0.0.1:1")
+	s.addWorkloads("b", startPeerServer(t, stage.peer.Load), "b0", "b1")
+	s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	for round := range 2 {
-		st.peer.Store(full)
+		stage.peer.Store(rejecting)
 		for _, size := range []int{100, 300 << 10, 16 << 20} {
 			r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
 			r.Host = "h"
-			r.Header.Set(testId, "1-large")
+			r.Header.Set(testIDHeader, "1-large")
 			w := httptest.NewRecorder()
-			s.Intake(w, r)
-			say := must.Sprintf("round %d, %d bytes: %s", round, size, w.Body)
-			must.Eq(t, http.StatusServiceUnavailable, w.Code, say)
-			must.Eq(t, string(failure.NotExecuted), w.Header().Get(reply.FateHeader), say)
+			s.ServeCaller(w, r)
+			message := must.Sprintf("round %d, %d bytes: %s", round, size, w.Body)
+			must.Eq(t, http.StatusServiceUnavailable, w.Code, message)
+			must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.FateHeader), message)
 		}
-		st.peer.Store(open)
-		must.Eq(t, http.StatusOK, s.asks("/once/y", "1-small", patientLimit).Code)
+		stage.peer.Store(accepting)
+		must.Eq(t, http.StatusOK, s.sendAsCaller("/once/y", "1-small", patientLimit).Code)
 	}
-	must.Eq(t, 0, len(j.arrivals["1-large"]))
-	must.Eq(t, 2, len(j.arrivals["1-small"]))
+	must.Eq(t, 0, len(log.arrivals["1-large"]))
+	must.Eq(t, 2, len(log.arrivals["1-small"]))
 }
--- a/daemon/sidecar/follow.go
+++ b/daemon/sidecar/follow.go
@@ -9,259 +9,259 @@
 
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/control/coordination/share"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/quota"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
-	"cottonarch.example/cottonarch/mesh/registry/record"
 )
 
-// cored lists the cores; seeds that turned out to be sidecars only while there is
+// usableCores lists the cores; seeds that turned out to be sidecars only while there is
 // nothing better.
-func (s *Sidecar) cored() []ident.Addr {
+func (s *Sidecar) usableCores() []ident.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.real()
+	return s.usableCoresLocked()
 }
 
-// real is cored for those who hold mu.
-func (s *Sidecar) real() []ident.Addr {
-	real := slices.DeleteFunc(slices.Clone(s.cores), func(a ident.Addr) bool { return s.sides[a] })
-	if len(real) == 0 {
+// usableCoresLocked is cored for those who hold mu.
+func (s *Sidecar) usableCoresLocked() []ident.Addr {
+	usable := slices.DeleteFunc(slices.Clone(s.cores), func(addr ident.Addr) bool { return s.sidecarSeeds[addr] })
+	if len(usable) == 0 {
 		return slices.Clone(s.cores)
 	}
-	return real
+	return usable
 }
 
-// renewals claims membership, then renews at the keeper.
-func (s *Sidecar) renewals() {
-	t := time.NewTimer(0)
-	defer t.Stop()
-	turn := 0
+// runRenewals claims membership, then renews at the keeper.
+func (s *Sidecar) runRenewals() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	budgetRequests := 0
 	for {
 		select {
-		case <-t.C:
-		case <-s.push:
+		case <-timer.C:
+		case <-s.renewNow:
 		case <-s.done:
 			return
 		}
-		if !s.entered.Load() {
-			s.askToJoin()
-			if !s.entered.Load() {
-				s.pause(s.joiner.Wait(s.clock()))
-				s.kick(s.push) // ask the next one then
+		if !s.leaseHeld.Load() {
+			s.tryJoin()
+			if !s.leaseHeld.Load() {
+				s.sleep(s.joiner.Backoff(s.clock()))
+				s.notify(s.renewNow) // ask the next one then
 				continue
 			}
 		}
-		cores := s.cored()
+		cores := s.usableCores()
 		s.mu.Lock()
 		now := s.clock()
-		ask, share := s.budgetShare.Ask(s.slow(), s.Boot.Node, s.leaseEpoch)
-		s.lease.ChooseRegistrar(now, s.Boot.Node, s.Boot.District, cores)
-		rep := s.report()
-		s.news = s.lease.Changed(s.leaseEpoch, rep)
-		var to []ident.Addr
-		var out record.Renewal
-		if s.lease.Due(now, s.news) {
-			if s.news {
-				s.news = false
-				s.seq++
-				rep.Seq = s.seq
+		budgetRequest, budgetDue := s.budgetShare.NextRequest(s.watchedClock(), s.Settings.Node, s.leaseEpoch)
+		s.lease.ChooseRegistrar(now, s.Settings.Node, s.Settings.Zone, cores)
+		report := s.buildReport()
+		s.reportChanged = s.lease.ReportChanged(s.leaseEpoch, report)
+		var targets []ident.Addr
+		var renewal record.Renewal
+		if s.lease.RenewalDue(now, s.reportChanged) {
+			if s.reportChanged {
+				s.reportChanged = false
+				s.reportSeq++
+				report.Seq = s.reportSeq
 			}
-			to = s.lease.Targets()
-			out = s.lease.Begin(now, rep, s.path.Ends())
+			targets = s.lease.Targets()
+			renewal = s.lease.BeginRenewal(now, report, s.router.Outcomes())
 		}
-		t.Reset(max(s.lease.Wait(now), 20*time.Millisecond))
+		timer.Reset(max(s.lease.UntilNextRenewal(now), 20*time.Millisecond))
 		s.mu.Unlock()
-		if share {
-			turn++
-			go s.share(cores[turn%len(cores)], ask)
+		if budgetDue {
+			budgetRequests++
+			go s.requestBudgetShare(cores[budgetRequests%len(cores)], budgetRequest)
 		}
-		for _, a := range to {
-			go s.renew(a, out)
+		for _, core := range targets {
+			go s.renew(core, renewal)
 		}
 	}
 }
 
-// floor is the epoch below which nothing may be shown here.
-func (s *Sidecar) floor() ident.Epoch {
+// minRevision is the epoch below which nothing may be shown here.
+func (s *Sidecar) minRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.Floor
+	return s.router.MinRevision
 }
 
-// point tells the following duty which core to turn to.
-func (s *Sidecar) point(core ident.Addr) {
+// redirectWatch tells the following duty which core to turn to.
+func (s *Sidecar) redirectWatch(core ident.Addr) {
 	select {
-	case s.poke <- core:
+	case s.watchRedirect <- core:
 	default:
 	}
 }
 
-// join takes the cores' addresses as a core knows them; seeds stay, others go when no
+// addCores takes the cores' addresses as a core knows them; seeds stay, others go when no
 // core has told of them for a minute.
-func (s *Sidecar) join(cores []ident.Addr) {
+func (s *Sidecar) addCores(cores []ident.Addr) {
 	now := s.clock()
-	for _, a := range cores {
-		s.told[a] = now
-		if !slices.Contains(s.cores, a) && len(s.cores) < 32 {
-			s.cores = append(s.cores, a)
+	for _, addr := range cores {
+		s.coreListedAt[addr] = now
+		if !slices.Contains(s.cores, addr) && len(s.cores) < 32 {
+			s.cores = append(s.cores, addr)
 		}
 	}
-	s.cores = slices.DeleteFunc(s.cores, func(a ident.Addr) bool {
-		if slices.Contains(s.Boot.Seeds, a) || now.Since(s.told[a]) < time.Minute {
+	s.cores = slices.DeleteFunc(s.cores, func(addr ident.Addr) bool {
+		if slices.Contains(s.Settings.Seeds, addr) || now.Since(s.coreListedAt[addr]) < time.Minute {
 			return false
 		}
-		delete(s.told, a)
+		delete(s.coreListedAt, addr)
 		return true
 	})
 }
 
-func (s *Sidecar) kick(ch chan struct{}) {
+func (s *Sidecar) notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// report is what this machine says of itself; mu is held.
-func (s *Sidecar) report() record.Report {
-	return record.Report{Node: s.Boot.Node, Addr: s.Boot.Addr, District: s.Boot.District, LeaseEpoch: s.leaseEpoch, Seq: s.seq,
-		Manifest: s.path.Epoch(), Ready: s.Ready(), Leaving: s.leaving.Load(), Workloads: s.gate.Workloads()}
+// buildReport is what this machine says of itself; mu is held.
+func (s *Sidecar) buildReport() record.Report {
+	return record.Report{Node: s.Settings.Node, Addr: s.Settings.Addr, Zone: s.Settings.Zone, LeaseEpoch: s.leaseEpoch, Seq: s.reportSeq,
+		ConfigRevision: s.router.Revision(), Ready: s.Ready(), Leaving: s.leaving.Load(), Workloads: s.endpoints.Workloads()}
 }
 
-// share sends a promise or a wish about this sidecar's share.
-func (s *Sidecar) share(core ident.Addr, ask share.Args) {
-	ctx, stop := context.WithTimeout(context.Background(), 3500*time.Millisecond)
-	defer stop()
-	var told share.Told
-	if err := s.pool.Ask(ctx, core, "POST", "/cottonarch/v1/share", ask, &told); err != nil {
-		s.Board.Add("shares_failed", 1)
-		if d := (*failure.Error)(nil); failure.Find(err, &d) && d.Kind == failure.Conflict {
-			s.superseded(ask.Claim, err)
+// requestBudgetShare sends a promise or a wish about this sidecar's share.
+func (s *Sidecar) requestBudgetShare(core ident.Addr, request quota.Args) {
+	ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
+	defer cancel()
+	var grant quota.Share
+	if err := s.apiClient.Ask(ctx, core, "POST", "/cottonarch/v1/share", request, &grant); err != nil {
+		s.Metrics.Add("shares_failed", 1)
+		if fail := (*failure.Error)(nil); failure.As(err, &fail) && fail.Kind == failure.Conflict {
+			s.handleSuperseded(request.LeaseEpoch, err)
 		}
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ask.Claim == s.leaseEpoch {
-		s.budgetShare.Granted(s.slow(), told)
-		s.path.Tree.Grant(s.budgetShare.Usable())
+	if request.LeaseEpoch == s.leaseEpoch {
+		s.budgetShare.ApplyGrant(s.watchedClock(), grant)
+		s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 	}
 }
 
-// superseded gives up a claim that a core knows a newer one than: this sidecar joins anew. It
+// handleSuperseded gives up a claim that a core knows a newer one than: this sidecar joins anew. It
 // may have been a join of an earlier run that came late.
-func (s *Sidecar) superseded(claim ident.Epoch, err error) {
+func (s *Sidecar) handleSuperseded(leaseEpoch ident.Epoch, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if claim == s.leaseEpoch {
+	if leaseEpoch == s.leaseEpoch {
 		s.Log.Warn("claim superseded", zap.Error(err))
-		s.entered.Store(false)
-		s.kick(s.push)
+		s.leaseHeld.Store(false)
+		s.notify(s.renewNow)
 	}
 }
 
-// renewal is what a core answered to a renewal.
-type renewal struct {
-	got record.Renewed
-	err error
+// renewalResult is what a core answered to a renewal.
+type renewalResult struct {
+	response record.RenewalResponse
+	err      error
 }
 
 // renew renews the lease at one core. An answer that comes after the time for it has still
 // its news, and the question is not broken off: that would close its connection, and over a
 // full link a new one takes longer than the answer.
-func (s *Sidecar) renew(core ident.Addr, r record.Renewal) {
-	answer := make(chan renewal, 1)
+func (s *Sidecar) renew(core ident.Addr, request record.Renewal) {
+	results := make(chan renewalResult, 1)
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), lateLimit)
-		defer stop()
-		var a renewal
-		a.err = s.pool.Ask(ctx, core, "POST", "/cottonarch/v1/renew", r, &a.got)
-		answer <- a
+		ctx, cancel := context.WithTimeout(context.Background(), lateResponseTimeout)
+		defer cancel()
+		var result renewalResult
+		result.err = s.apiClient.Ask(ctx, core, "POST", "/cottonarch/v1/renew", request, &result.response)
+		results <- result
 	}()
-	limit := time.NewTimer(holder.RenewTimeout)
-	defer limit.Stop()
+	timeout := time.NewTimer(holder.RenewTimeout)
+	defer timeout.Stop()
 	select {
-	case a := <-answer:
-		s.renewed(core, r, a.got, a.err)
+	case result := <-results:
+		s.handleRenewal(core, request, result.response, result.err)
 		return
-	case <-limit.C:
+	case <-timeout.C:
 	}
-	s.renewed(core, r, record.Renewed{}, failure.Unsure(failure.LostResponse, "a renewal was not answered in time"))
-	if a := <-answer; a.err == nil {
-		s.renewedLate(core, a.got)
+	s.handleRenewal(core, request, record.RenewalResponse{}, failure.NewUnknown(failure.LostResponse, "a renewal was not answered in time"))
+	if result := <-results; result.err == nil {
+		s.handleLateRenewal(core, result.response)
 	}
 }
 
-// renewedLate takes the news of an answer that came too late to count.
-func (s *Sidecar) renewedLate(core ident.Addr, got record.Renewed) {
+// handleLateRenewal takes the news of an answer that came too late to count.
+func (s *Sidecar) handleLateRenewal(core ident.Addr, response record.RenewalResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Board.Add("renewals_late", 1)
-	s.lease.Late(core, got)
-	s.join(s.lease.KnownCores())
-	if !got.Stale {
-		s.lastCore = s.clock()
+	s.Metrics.Add("renewals_late", 1)
+	s.lease.HandleLateResponse(core, response)
+	s.addCores(s.lease.CoreAddrs())
+	if !response.Stale {
+		s.lastCoreContact = s.clock()
 	}
-	s.wit.Told(s.clock(), got.Manifest)
+	s.configCache.ObserveCore(s.clock(), response.ConfigRevision)
 }
 
-// renewed takes the end of a renewal.
-func (s *Sidecar) renewed(core ident.Addr, r record.Renewal, got record.Renewed, err error) {
+// handleRenewal takes the end of a renewal.
+func (s *Sidecar) handleRenewal(core ident.Addr, request record.Renewal, response record.RenewalResponse, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.kick(s.push) // there may be more to say
+	defer s.notify(s.renewNow) // there may be more to say
 	if err != nil {
-		s.Board.Add("renewals_failed", 1)
-		if d := (*failure.Error)(nil); failure.Find(err, &d) && d.Kind == failure.Conflict {
-			s.lease.Ended()
-			if r.LeaseEpoch == s.leaseEpoch {
+		s.Metrics.Add("renewals_failed", 1)
+		if fail := (*failure.Error)(nil); failure.As(err, &fail) && fail.Kind == failure.Conflict {
+			s.lease.LeaseEnded()
+			if request.LeaseEpoch == s.leaseEpoch {
 				s.Log.Warn("claim superseded", zap.Error(err))
-				s.entered.Store(false)
+				s.leaseHeld.Store(false)
 			}
 			return
 		}
-		s.lease.Failed(s.clock(), core)
+		s.lease.HandleFailure(s.clock(), core)
 		s.chooseRegistrar() // the poll that is out goes on until another core answers
 		return
 	}
-	s.lease.Renewed(s.clock(), core, got)
-	s.join(s.lease.KnownCores())
-	s.lastCore = s.clock()
-	s.budgetShare.Members(s.slow(), got.Members)
-	s.path.Tree.Grant(s.budgetShare.Usable())
-	if at := s.lease.MajorityAsOf(); at != 0 {
-		s.path.Tree.Renewed(at)
+	s.lease.HandleResponse(s.clock(), core, response)
+	s.addCores(s.lease.CoreAddrs())
+	s.lastCoreContact = s.clock()
+	s.budgetShare.SetMembers(s.watchedClock(), response.Members)
+	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
+	if majorityAsOf := s.lease.MajorityAsOf(); majorityAsOf != 0 {
+		s.router.RetryBudget.ShareRenewed(majorityAsOf)
 	}
-	s.wit.Told(s.clock(), got.Manifest)
+	s.configCache.ObserveCore(s.clock(), response.ConfigRevision)
 	s.chooseRegistrar()
 	followed := s.lease.Followed()
 	switch {
-	case followed != s.polled:
-		s.point(followed)
-	case got.Manifest <= s.wit.Holds(s.path.Epoch()):
+	case followed != s.polledCore:
+		s.redirectWatch(followed)
+	case response.ConfigRevision <= s.configCache.NewestHeld(s.router.Revision()):
 	case core != followed:
 		go func() {
-			if err := s.fetch(core); err != nil {
-				s.Board.Add("manifest_fetches_failed", 1)
+			if err := s.fetchConfig(core); err != nil {
+				s.Metrics.Add("manifest_fetches_failed", 1)
 			}
 		}()
 	default:
-		s.point(core)
+		s.redirectWatch(core)
 	}
 }
 
 // chooseRegistrar chooses the core to renew at; mu is held.
 func (s *Sidecar) chooseRegistrar() {
-	s.lease.ChooseRegistrar(s.clock(), s.Boot.Node, s.Boot.District, s.real())
+	s.lease.ChooseRegistrar(s.clock(), s.Settings.Node, s.Settings.Zone, s.usableCoresLocked())
 }
 
-// follow keeps the copy of the registry and the manifest by long polls at the keeper.
-func (s *Sidecar) follow() {
-	var last ident.Addr
-	mark, place := "", uint64(0)
+// runWatch keeps the copy of the registry and the manifest by long polls at the keeper.
+func (s *Sidecar) runWatch() {
+	var lastCore ident.Addr
+	instanceID, feedVersion := "", uint64(0)
 	for {
 		select {
 		case <-s.done:
@@ -269,101 +269,101 @@
 		default:
 		}
 		s.mu.Lock()
-		core, have := s.lease.Followed(), s.wit.Holds(s.path.Epoch())
-		s.polled = core
+		core, haveRevision := s.lease.Followed(), s.configCache.NewestHeld(s.router.Revision())
+		s.polledCore = core
 		s.mu.Unlock()
-		if !s.entered.Load() || core == "" {
-			s.pause(10 * time.Millisecond)
+		if !s.leaseHeld.Load() || core == "" {
+			s.sleep(10 * time.Millisecond)
 			continue
 		}
-		if again := s.refeed.Swap(false); again || core != last {
-			last, mark, place = core, "", 0
+		if resync := s.resyncRegistry.Swap(false); resync || core != lastCore {
+			lastCore, instanceID, feedVersion = core, "", 0
 		}
-		q := url.Values{"mark": {mark}, "place": {fmt.Sprint(place)}, "manifest": {fmt.Sprint(uint64(have))}, "waitMs": {fmt.Sprint(newsWait.Milliseconds())}}
-		got, turned, err := s.poll(core, q)
-		if turned {
+		query := url.Values{"mark": {instanceID}, "place": {fmt.Sprint(feedVersion)}, "manifest": {fmt.Sprint(uint64(haveRevision))}, "waitMs": {fmt.Sprint(watchTimeout.Milliseconds())}}
+		update, redirected, err := s.poll(core, query)
+		if redirected {
 			continue
 		}
 		if err != nil {
-			s.Board.Add("news_failed", 1)
-			s.hurry()
-			s.pause(20 * time.Millisecond)
+			s.Metrics.Add("news_failed", 1)
+			s.suspectRegistrar()
+			s.sleep(20 * time.Millisecond)
 			continue
 		}
 		s.mu.Lock()
-		s.lastCore = s.clock()
-		if s.path.Index.Merge(got.Sets) {
-			s.Board.Add("registry_changes", 1)
+		s.lastCoreContact = s.clock()
+		if s.router.Index.Merge(update.Sets) {
+			s.Metrics.Add("registry_changes", 1)
 		}
 		s.mu.Unlock()
-		mark, place = got.Mark, got.Place
-		if got.Manifest > have {
-			s.confirmed(got.Manifest)
-			if err := s.bring(core, got); err != nil {
-				s.Board.Add("manifest_fetches_failed", 1)
-				s.pause(20 * time.Millisecond)
-			} else if got.Manifest < s.floor() {
-				s.pause(20 * time.Millisecond) // this core is behind: it gives nothing to show
+		instanceID, feedVersion = update.InstanceID, update.FeedVersion
+		if update.ConfigRevision > haveRevision {
+			s.noteConfirmed(update.ConfigRevision)
+			if err := s.obtainConfig(core, update); err != nil {
+				s.Metrics.Add("manifest_fetches_failed", 1)
+				s.sleep(20 * time.Millisecond)
+			} else if update.ConfigRevision < s.minRevision() {
+				s.sleep(20 * time.Millisecond) // this core is behind: it gives nothing to show
 			}
 		}
-		if got.Leaving || got.Stale {
-			s.hurry()
-			s.pause(20 * time.Millisecond)
+		if update.Leaving || update.Stale {
+			s.suspectRegistrar()
+			s.sleep(20 * time.Millisecond)
 		}
 	}
 }
 
-// confirmed notes that a core said of an epoch that it is confirmed.
-func (s *Sidecar) confirmed(epoch ident.Epoch) {
+// noteConfirmed notes that a core said of an epoch that it is confirmed.
+func (s *Sidecar) noteConfirmed(revision ident.Epoch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wit.Told(s.clock(), epoch)
+	s.configCache.ObserveCore(s.clock(), revision)
 }
 
-// bring gets the manifest that the news tell of: by the delta that came with them, else by a
+// obtainConfig gets the manifest that the news tell of: by the delta that came with them, else by a
 // fetch from the core that told.
-func (s *Sidecar) bring(core ident.Addr, got mesh.News) error {
-	if got.Delta != nil {
-		if d := s.apply(*got.Delta); d == nil {
+func (s *Sidecar) obtainConfig(core ident.Addr, update mesh.WatchResponse) error {
+	if update.Delta != nil {
+		if fail := s.applyDelta(*update.Delta); fail == nil {
 			return nil
 		}
-		s.Board.Add("deltas_refused", 1)
+		s.Metrics.Add("deltas_refused", 1)
 	}
-	return s.fetch(core)
+	return s.fetchConfig(core)
 }
 
-// newsWait is how long a core holds a long poll that has nothing to tell. That the core is
+// watchTimeout is how long a core holds a long poll that has nothing to tell. That the core is
 // gone shows in the renewals.
-const newsWait = 10 * time.Second
+const watchTimeout = 10 * time.Second
 
 // poll asks for news; turned says that it was broken off to ask anew, because the keeper
 // is another one or a renewal told of a newer manifest.
-func (s *Sidecar) poll(core ident.Addr, q url.Values) (got mesh.News, turned bool, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), newsWait+2*time.Second)
-	defer stop()
-	over, broke := make(chan struct{}), make(chan bool, 1)
+func (s *Sidecar) poll(core ident.Addr, query url.Values) (update mesh.WatchResponse, redirected bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+2*time.Second)
+	defer cancel()
+	finished, redirects := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		select {
-		case <-s.poke:
-			broke <- true
-			stop()
+		case <-s.watchRedirect:
+			redirects <- true
+			cancel()
 			return
-		case <-over:
+		case <-finished:
 		case <-s.done:
-			stop()
+			cancel()
 		}
-		broke <- false
+		redirects <- false
 	}()
-	err = s.pool.Ask(ctx, core, "GET", "/cottonarch/v1/news?"+q.Encode(), nil, &got)
-	close(over)
-	turned = <-broke && err != nil
-	return got, turned, err
+	err = s.apiClient.Ask(ctx, core, "GET", "/cottonarch/v1/news?"+query.Encode(), nil, &update)
+	close(finished)
+	redirected = <-redirects && err != nil
+	return update, redirected, err
 }
 
-// hurry makes the keeper be asked at once whether it is still there.
-func (s *Sidecar) hurry() {
+// suspectRegistrar makes the keeper be asked at once whether it is still there.
+func (s *Sidecar) suspectRegistrar() {
 	s.mu.Lock()
 	s.lease.Suspect()
 	s.mu.Unlock()
-	s.kick(s.push)
+	s.notify(s.renewNow)
 }
--- a/daemon/sidecar/follow_test.go
+++ b/daemon/sidecar/follow_test.go
@@ -12,39 +12,39 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
-	"cottonarch.example/cottonarch/mesh/registry/record"
+	"cottonarch.example/cottonarch/settings"
 )
 
 // slowCore is a core that answers renewals after a while, never if it is negative, and holds
 // each poll for news until it is broken off.
 type slowCore struct {
-	renewAfter   time.Duration
-	renewals     atomic.Int64
-	polls        atomic.Int64
-	pollsBroken  atomic.Int64
-	polledSignal chan struct{}
+	renewAfter    time.Duration
+	renewals      atomic.Int64
+	polls         atomic.Int64
+	pollsCanceled atomic.Int64
+	polledSignal  chan struct{}
 }
 
 func (c *slowCore) serve(t *testing.T) ident.Addr {
 	c.polledSignal = make(chan struct{}, 100)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/cottonarch/v1/renew", func(w http.ResponseWriter, r *http.Request) {
 		c.renewals.Add(1)
 		if c.renewAfter < 0 {
-			<-over
+			<-done
 			return
 		}
-		late := time.NewTimer(c.renewAfter)
-		defer late.Stop()
+		delay := time.NewTimer(c.renewAfter)
+		defer delay.Stop()
 		select {
-		case <-late.C:
-			_ = json.NewEncoder(w).Encode(record.Renewed{})
-		case <-over:
+		case <-delay.C:
+			_ = json.NewEncoder(w).Encode(record.RenewalResponse{})
+		case <-done:
 		}
 	})
 	mux.HandleFunc("/cottonarch/v1/news", func(w http.ResponseWriter, r *http.Request) {
@@ -52,22 +52,22 @@
 		c.polledSignal <- struct{}{}
 		select {
 		case <-r.Context().Done():
-			c.pollsBroken.Add(1)
-		case <-over:
-			_ = json.NewEncoder(w).Encode(mesh.News{})
+			c.pollsCanceled.Add(1)
+		case <-done:
+			_ = json.NewEncoder(w).Encode(mesh.WatchResponse{})
 		}
 	})
-	at := httptest.NewServer(mux)
-	t.Cleanup(func() { close(over); at.Close() })
-	return ident.Addr(strings.TrimPrefix(at.URL, "http://"))
+	listener := httptest.NewServer(mux)
+	t.Cleanup(func() { close(done); listener.Close() })
+	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// following runs the duties of a sidecar that renew its lease and poll for news.
-func following(t *testing.T, cores ...ident.Addr) *Sidecar {
-	s := New(boot.Sidecar{Node: "n", Seeds: cores}, zap.NewNop())
-	s.entered.Store(true)
-	go s.renewals()
-	go s.follow()
+// startRenewingSidecar runs the duties of a sidecar that renew its lease and poll for news.
+func startRenewingSidecar(t *testing.T, cores ...ident.Addr) *Sidecar {
+	s := New(settings.Sidecar{Node: "n", Seeds: cores}, zap.NewNop())
+	s.leaseHeld.Store(true)
+	go s.runRenewals()
+	go s.runWatch()
 	t.Cleanup(func() { close(s.done) })
 	return s
 }
@@ -77,19 +77,19 @@
 func TestPollGoesOnWhileAllCoresAreLate(t *testing.T) {
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
-	s := following(t, a.serve(t), b.serve(t))
-	for s.Board.At("renewals_failed").Load() < renewalsFailed {
+	s := startRenewingSidecar(t, a.serve(t), b.serve(t))
+	for s.Metrics.Counter("renewals_failed").Load() < renewalsFailed {
 		time.Sleep(10 * time.Millisecond)
 	}
 	must.Eq(t, 1, a.polls.Load()+b.polls.Load())
-	must.Eq(t, 0, a.pollsBroken.Load()+b.pollsBroken.Load())
+	must.Eq(t, 0, a.pollsCanceled.Load()+b.pollsCanceled.Load())
 }
 
 // A core that says nothing more is left as soon as another one answers a renewal.
 func TestPollTurnsToACoreThatAnswers(t *testing.T) {
 	for range 6 { // which of the two comes first hangs on their ports
 		silent, answers := &slowCore{renewAfter: -1}, &slowCore{}
-		following(t, silent.serve(t), answers.serve(t))
+		startRenewingSidecar(t, silent.serve(t), answers.serve(t))
 		select {
 		case <-answers.polledSignal:
 		case <-time.After(20 * time.Second):
--- a/daemon/sidecar/gated.go
+++ b/daemon/sidecar/gated.go
@@ -6,194 +6,194 @@
 	"strconv"
 	"time"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/mesh/admission"
+	"cottonarch.example/cottonarch/settings"
 	"cottonarch.example/cottonarch/wire/exchange"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
-// Gated serves another sidecar's request for an endpoint of this machine; it answers
+// ServePeer serves another sidecar's request for an endpoint of this machine; it answers
 // false when the request is none.
-func (s *Sidecar) Gated(w http.ResponseWriter, r *http.Request) bool {
+func (s *Sidecar) ServePeer(w http.ResponseWriter, r *http.Request) bool {
 	server, service := r.Header.Get(TargetHeader), r.Header.Get(ServiceHeader)
 	if server == "" || service == "" {
 		return false
 	}
-	turn := func(word string, d *failure.Error) {
-		w.Header().Set(GateHeader, word)
-		reply.Defect(w, d)
+	reject := func(resultCode string, fail *failure.Error) {
+		w.Header().Set(PeerResultHeader, resultCode)
+		response.Defect(w, fail)
 	}
 	s.mu.Lock()
-	most := s.Boot.Hand
+	limit := s.Settings.MaxInFlight
 	if r.Header.Get(UrgentHeader) == "" {
-		most -= most / 4 // a quarter is kept for urgent ways
+		limit -= limit / 4 // a quarter is kept for urgent ways
 	}
-	full := s.hand >= most
-	if !full {
-		s.hand++
+	atLimit := s.inFlight >= limit
+	if !atLimit {
+		s.inFlight++
 	}
 	s.mu.Unlock()
-	if full {
-		turn(gateTurned, failure.New(failure.Busy, "too many requests are in hand at %s", s.Boot.Node))
+	if atLimit {
+		reject(resultRejected, failure.New(failure.Busy, "too many requests are in hand at %s", s.Settings.Node))
 		return true
 	}
 	defer func() {
 		s.mu.Lock()
-		s.hand--
+		s.inFlight--
 		s.mu.Unlock()
 	}()
-	ms, err := strconv.Atoi(r.Header.Get(LimitHeader))
-	if err != nil || ms <= 0 {
-		turn(gateTurned, failure.New(failure.Late, "no time is left"))
+	limitMs, err := strconv.Atoi(r.Header.Get(LimitHeader))
+	if err != nil || limitMs <= 0 {
+		reject(resultRejected, failure.New(failure.DeadlineExceeded, "no time is left"))
 		return true
 	}
-	until := time.Now().Add(time.Duration(ms) * time.Millisecond)
-	want, again := wantOf(r.Header.Get(WantHeader)), 0.0
-	received, d := s.bodyAdmits(r.ContentLength)
-	if d != nil {
-		turn(gateNoRoom, d)
+	deadline := time.Now().Add(time.Duration(limitMs) * time.Millisecond)
+	hints, retryFraction := parseHints(r.Header.Get(AdmissionHintsHeader)), 0.0
+	received, fail := s.reserveInbound(r.ContentLength)
+	if fail != nil {
+		reject(resultNoCapacity, fail)
 		return true
 	}
-	body, free, d := s.whole(r)
+	body, release, fail := s.readRequest(r)
 	received()
-	if d != nil {
-		turn(gateTurned, d)
+	if fail != nil {
+		reject(resultRejected, fail)
 		return true
 	}
-	defer free()
-	if x := r.Header.Get(RepeatHeader); x != "" {
-		again, _ = strconv.ParseFloat(x, 64)
+	defer release()
+	if fraction := r.Header.Get(RetryFractionHeader); fraction != "" {
+		retryFraction, _ = strconv.ParseFloat(fraction, 64)
 	}
-	req := exchange.Call{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: strip(r.Header), Body: body}
-	if d := s.linkAdmits(want); d != nil {
+	call := exchange.Call{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: stripMeshHeaders(r.Header), Body: body}
+	if fail := s.reserveOutbound(hints); fail != nil {
 		w.Header()[LoadReportHeader] = []string{s.loadReport(ident.Server(server))}
-		turn(gateNoRoom, d)
+		reject(resultNoCapacity, fail)
 		return true
 	}
-	got := s.pass(until, ident.Server(server), ident.Service(service), req, min(1, max(0, again)), want)
-	s.linkSent(want, got.ret)
-	if got.told != "" {
-		w.Header()[LoadReportHeader] = []string{got.told}
+	result := s.sendToEndpoint(deadline, ident.Server(server), ident.Service(service), call, min(1, max(0, retryFraction)), hints)
+	s.releaseOutbound(hints, result.response)
+	if result.loadReport != "" {
+		w.Header()[LoadReportHeader] = []string{result.loadReport}
 	}
-	if got.d != nil {
-		turn(got.word, got.d)
+	if result.failure != nil {
+		reject(result.result, result.failure)
 		return true
 	}
-	w.Header()[GateHeader] = []string{gateReturn}
-	w.Header()[TookHeader] = []string{strconv.FormatInt(got.took.Microseconds(), 10)}
-	give(w, got.ret)
+	w.Header()[PeerResultHeader] = []string{resultResponse}
+	w.Header()[TookHeader] = []string{strconv.FormatInt(result.duration.Microseconds(), 10)}
+	writeResponse(w, result.response)
 	return true
 }
 
-// passed is what became of a request at the gate. Invariant: ret is set if and only if
+// endpointResult is what became of a request at the gate. Invariant: ret is set if and only if
 // word is gateReturn, and d if and only if it is not.
-type passed struct {
-	ret  *exchange.Return
-	word string
-	d    *failure.Error
-	told string        // the endpoint's load report, as text
-	took time.Duration // how long the endpoint had it
+type endpointResult struct {
+	response   *exchange.Return
+	result     string
+	failure    *failure.Error
+	loadReport string        // the endpoint's load report, as text
+	duration   time.Duration // how long the endpoint had it
 }
 
-// pass is the gate: it asks whether the endpoint is still the one that is meant, waits
+// sendToEndpoint is the gate: it asks whether the endpoint is still the one that is meant, waits
 // for its turn in the admission queue, and asks again before the first byte. The word says what became
 // of the request: gateTurned and gateNoRoom that certainly nothing of it left for the
 // endpoint, gateShed that the endpoint said itself that it did not run it.
-func (s *Sidecar) pass(until time.Time, server ident.Server, service ident.Service, req exchange.Call, again float64, w want) (out passed) {
-	turn := func(word string, d *failure.Error) passed {
-		return passed{word: word, d: d, told: s.loadReport(server)}
+func (s *Sidecar) sendToEndpoint(deadline time.Time, server ident.Server, service ident.Service, call exchange.Call, retryFraction float64, hints admissionHints) (result endpointResult) {
+	reject := func(resultCode string, fail *failure.Error) endpointResult {
+		return endpointResult{result: resultCode, failure: fail, loadReport: s.loadReport(server)}
 	}
 	s.mu.Lock()
-	_, _, d := s.gate.Pass(s.clock(), server, service)
+	_, _, fail := s.endpoints.Check(s.clock(), server, service)
 	s.mu.Unlock()
-	if d != nil {
-		return passed{word: gateTurned, d: d}
+	if fail != nil {
+		return endpointResult{result: resultRejected, failure: fail}
 	}
-	id, d := s.waitForSlot(until, server, w)
-	if d != nil {
-		return turn(gateNoRoom, d)
+	slot, fail := s.waitForSlot(deadline, server, hints)
+	if fail != nil {
+		return reject(resultNoCapacity, fail)
 	}
-	end, took := admission.GivenUp, time.Duration(0)
+	outcome, duration := admission.GivenUp, time.Duration(0)
 	defer func() {
-		s.releaseSlot(server, id, end, took)
-		out.told, out.took = s.loadReport(server), took
+		s.releaseSlot(server, slot, outcome, duration)
+		result.loadReport, result.duration = s.loadReport(server), duration
 	}()
 	s.mu.Lock()
-	addr, _, d := s.gate.Pass(s.clock(), server, service)
-	if d == nil && !s.path.Tree.Begin(s.clock(), again) {
-		d = failure.New(failure.Busy, "a repeat has no room below").Later(soon)
+	addr, _, fail := s.endpoints.Check(s.clock(), server, service)
+	if fail == nil && !s.router.RetryBudget.BeginRun(s.clock(), retryFraction) {
+		fail = failure.New(failure.Busy, "a repeat has no room below").WithRetryAfter(retryAfterSeconds)
 	}
-	if d == nil {
-		s.gate.Hand(server, 1)
+	if fail == nil {
+		s.endpoints.AddInFlight(server, 1)
 	}
-	if m := s.path.Manifest(); m != nil {
-		req.Conns = m.Services[service].Connections
+	if config := s.router.Config(); config != nil {
+		call.Conns = config.Services[service].MaxConnections
 	}
 	s.mu.Unlock()
-	if d != nil {
-		return turn(gateTurned, d)
+	if fail != nil {
+		return reject(resultRejected, fail)
 	}
 	defer func() {
 		s.mu.Lock()
-		s.path.Tree.End(again)
-		s.gate.Hand(server, -1)
+		s.router.RetryBudget.EndRun(retryFraction)
+		s.endpoints.AddInFlight(server, -1)
 		s.mu.Unlock()
 	}()
-	heads := s.Boot.Headers
-	req = toEndpoint(heads, req, server, until)
-	req.Last = func() *failure.Error {
+	headers := s.Settings.Headers
+	call = endpointCall(headers, call, server, deadline)
+	call.Last = func() *failure.Error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		now, _, d := s.gate.Pass(s.clock(), server, service)
-		if d == nil && now != addr {
-			d = failure.New(failure.Gate, "server %q has moved", server)
+		currentAddr, _, fail := s.endpoints.Check(s.clock(), server, service)
+		if fail == nil && currentAddr != addr {
+			fail = failure.New(failure.EndpointRejected, "server %q has moved", server)
 		}
-		return d
+		return fail
 	}
-	began := s.clock()
-	ret, sent, d := s.ends.Do(context.Background(), addr, req)
-	if d != nil && d.Kind == failure.Unreached {
+	sentAt := s.clock()
+	resp, sent, fail := s.endpointExchange.Do(context.Background(), addr, call)
+	if fail != nil && fail.Kind == failure.Unreachable {
 		s.mu.Lock()
-		s.changed(s.gate.Failed(s.clock(), server))
+		s.applyEndpointChange(s.endpoints.ConnectFailed(s.clock(), server))
 		s.mu.Unlock()
 	}
 	switch {
-	case d != nil && sent:
-		if end = admission.Failed; d.Kind == failure.Late {
-			end, took = admission.GivenUp, s.clock().Since(began)
+	case fail != nil && sent:
+		if outcome = admission.Failed; fail.Kind == failure.DeadlineExceeded {
+			outcome, duration = admission.GivenUp, s.clock().Since(sentAt)
 		}
-		return turn(gateUnsure, d)
-	case d != nil:
-		return turn(gateTurned, d)
+		return reject(resultUnknown, fail)
+	case fail != nil:
+		return reject(resultRejected, fail)
 	}
-	out.ret, out.word, out.d = judge(heads, ret)
+	result.response, result.result, result.failure = classifyResponse(headers, resp)
 	switch {
-	case out.word == gateShed:
-	case out.word != gateReturn || ret.Status >= 500 && ret.Status != http.StatusGatewayTimeout:
-		end = admission.Failed
-	case ret.Status == http.StatusGatewayTimeout:
-		took = s.clock().Since(began)
+	case result.result == resultShed:
+	case result.result != resultResponse || resp.Status >= 500 && resp.Status != http.StatusGatewayTimeout:
+		outcome = admission.Failed
+	case resp.Status == http.StatusGatewayTimeout:
+		duration = s.clock().Since(sentAt)
 	default:
-		end, took = admission.Served, s.clock().Since(began)
+		outcome, duration = admission.Served, s.clock().Since(sentAt)
 	}
-	return out
+	return result
 }
 
-// judge tells an endpoint's return from its word that it did not run the request. That it
+// classifyResponse tells an endpoint's return from its word that it did not run the request. That it
 // is a return to this request, sealed and whole, the exchange has seen to.
-func judge(heads boot.Headers, ret *exchange.Return) (*exchange.Return, string, *failure.Error) {
-	if ret.Status == http.StatusMisdirectedRequest || heads.NotRun != "" && first(ret.Header, heads.NotRun) != "" {
-		return nil, gateShed, failure.New(failure.Busy, "the endpoint turned it away").Later(soon)
+func classifyResponse(headers settings.Headers, resp *exchange.Return) (*exchange.Return, string, *failure.Error) {
+	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
+		return nil, resultShed, failure.New(failure.Busy, "the endpoint turned it away").WithRetryAfter(retryAfterSeconds)
 	}
-	return ret, gateReturn, nil
+	return resp, resultResponse, nil
 }
 
-// first is Header.Get for a name in canonical form.
-func first(h http.Header, name string) string {
-	if v := h[name]; len(v) > 0 {
-		return v[0]
+// firstValue is Header.Get for a name in canonical form.
+func firstValue(headers http.Header, name string) string {
+	if values := headers[name]; len(values) > 0 {
+		return values[0]
 	}
 	return ""
 }
--- a/daemon/sidecar/greet.go
+++ b/daemon/sidecar/greet.go
@@ -7,80 +7,80 @@
 	"strings"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/gate"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/mesh/endpoint"
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
 const (
-	// greetMost is how often a sidecar that starts asks the endpoint beside it, greetEvery
+	// maxProbes is how often a sidecar that starts asks the endpoint beside it, greetEvery
 	// the pause between, and greetWait how long one question waits.
-	greetMost  = 4
-	greetEvery = 300 * time.Millisecond
-	greetWait  = 700 * time.Millisecond
-	// greetSlots is how many requests an endpoint is given at once that did not say how
+	maxProbes     = 4
+	probeInterval = 300 * time.Millisecond
+	probeTimeout  = 700 * time.Millisecond
+	// defaultSlots is how many requests an endpoint is given at once that did not say how
 	// many it works on, until its first beat.
-	greetSlots = 4
+	defaultSlots = 4
 )
 
-// greet asks the endpoint beside a sidecar that was just started whether it is well: its
+// probeEndpoint asks the endpoint beside a sidecar that was just started whether it is well: its
 // next beat may be a whole pace away, and until then nothing could be sent to it. What it
 // says counts as a beat. It needs to be told where the endpoint is and which service it
 // serves, and a manifest that names the path to ask.
-func (s *Sidecar) greet() {
-	if s.Boot.App == "" || s.Boot.Own == "" || s.Boot.Headers.Server == "" {
+func (s *Sidecar) probeEndpoint() {
+	if s.Settings.EndpointAddr == "" || s.Settings.EndpointService == "" || s.Settings.Headers.ServerID == "" {
 		return
 	}
-	for !s.inUse.Load() {
-		if s.pause(5 * time.Millisecond); s.ended() {
+	for !s.configActive.Load() {
+		if s.sleep(5 * time.Millisecond); s.closing() {
 			return
 		}
 	}
-	for range greetMost {
+	for range maxProbes {
 		s.mu.Lock()
-		path := s.path.Manifest().Services[s.Boot.Own].CheckPath
-		known := len(s.gate.Workloads()) > 0 || s.leaving.Load()
+		checkPath := s.router.Config().Services[s.Settings.EndpointService].HealthCheckPath
+		hasWorkloads := len(s.endpoints.Workloads()) > 0 || s.leaving.Load()
 		s.mu.Unlock()
-		if known || path == "" {
+		if hasWorkloads || checkPath == "" {
 			return
 		}
-		ret, _, d := s.ends.Do(context.Background(), s.Boot.App, exchange.Call{Method: http.MethodGet, Target: path, Host: string(s.Boot.App), Fresh: true, Until: time.Now().Add(greetWait)})
-		s.Board.Add("greetings", 1)
-		if b, ok := s.greeted(ret); d == nil && ok {
+		resp, _, fail := s.endpointExchange.Do(context.Background(), s.Settings.EndpointAddr, exchange.Call{Method: http.MethodGet, Target: checkPath, Host: string(s.Settings.EndpointAddr), Fresh: true, Until: time.Now().Add(probeTimeout)})
+		s.Metrics.Add("greetings", 1)
+		if heartbeat, ok := s.heartbeatFromProbe(resp); fail == nil && ok {
 			s.mu.Lock()
-			if known := len(s.gate.Workloads()) > 0; !known {
+			if hasWorkloads := len(s.endpoints.Workloads()) > 0; !hasWorkloads {
 				now := s.clock()
-				if c, d := s.gate.Take(now, b); d == nil {
-					s.changed(c)
-					s.endpointBeat(now, b)
+				if change, fail := s.endpoints.HandleHeartbeat(now, heartbeat); fail == nil {
+					s.applyEndpointChange(change)
+					s.updateSlots(now, heartbeat)
 				}
 			}
 			s.mu.Unlock()
 			return
 		}
-		if s.pause(greetEvery); s.ended() {
+		if s.sleep(probeInterval); s.closing() {
 			return
 		}
 	}
 }
 
-// greeted makes a beat of what the endpoint said; it is none unless it says that it is
+// heartbeatFromProbe makes a beat of what the endpoint said; it is none unless it says that it is
 // well, and who it is.
-func (s *Sidecar) greeted(ret *exchange.Return) (gate.Beat, bool) {
-	if ret == nil || ret.Status != http.StatusOK || first(ret.Header, s.Boot.Headers.Server) == "" {
-		return gate.Beat{}, false
+func (s *Sidecar) heartbeatFromProbe(resp *exchange.Return) (endpoint.Heartbeat, bool) {
+	if resp == nil || resp.Status != http.StatusOK || firstValue(resp.Header, s.Settings.Headers.ServerID) == "" {
+		return endpoint.Heartbeat{}, false
 	}
-	b := gate.Beat{Server: ident.Server(first(ret.Header, s.Boot.Headers.Server)), Service: s.Boot.Own, Addr: s.Boot.App, State: gate.Alive, Slots: greetSlots}
-	if parts := strings.Split(first(ret.Header, s.Boot.Headers.LoadReport), ","); len(parts) == 3 {
-		if n, err := strconv.Atoi(strings.TrimSpace(parts[2])); err == nil && n > 0 {
-			b.Slots = n
+	heartbeat := endpoint.Heartbeat{Server: ident.Server(firstValue(resp.Header, s.Settings.Headers.ServerID)), Service: s.Settings.EndpointService, Addr: s.Settings.EndpointAddr, State: endpoint.Alive, Slots: defaultSlots}
+	if fields := strings.Split(firstValue(resp.Header, s.Settings.Headers.LoadReport), ","); len(fields) == 3 {
+		if slots, err := strconv.Atoi(strings.TrimSpace(fields[2])); err == nil && slots > 0 {
+			heartbeat.Slots = slots
 		}
 	}
-	return b, true
+	return heartbeat, true
 }
 
-// ended tells whether the duties end.
-func (s *Sidecar) ended() bool {
+// closing tells whether the duties end.
+func (s *Sidecar) closing() bool {
 	select {
 	case <-s.done:
 		return true
--- a/daemon/sidecar/hops_test.go
+++ b/daemon/sidecar/hops_test.go
@@ -19,11 +19,11 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/gate"
-	"cottonarch.example/cottonarch/mesh/registry/record"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/mesh/endpoint"
+	"cottonarch.example/cottonarch/settings"
 	"cottonarch.example/cottonarch/wire/server"
 )
 
@@ -49,28 +49,28 @@
 
 // endpointMove is what an endpoint does with one request that it has read whole.
 type endpointMove struct {
-	name string
-	runs bool
-	says func(id string, past []string) string
-	end  connectionEnd
+	name   string
+	runs   bool
+	answer func(id string, past []string) string
+	end    connectionEnd
 	evidence
 }
 
 const (
-	testId   = "X-Call-Id"
-	testSeal = "X-Sealed"
+	testIDHeader   = "X-Call-Id"
+	testSealHeader = "X-Sealed"
 )
 
 func ownBody(id string) string { return `{"ran":"` + id + `"}` }
 
 func answerTo(status int, id, extra string) string {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, testId, id, extra, len(ownBody(id)), ownBody(id))
+	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, testIDHeader, id, extra, len(ownBody(id)), ownBody(id))
 }
 
-func sealedAnswer(id string, _ []string) string { return answerTo(200, id, testSeal+": s\r\n") }
+func sealedAnswer(id string, _ []string) string { return answerTo(200, id, testSealHeader+": s\r\n") }
 
-// newest is the answer to the request before this one, said once more.
-func newest(past []string) string {
+// newestAnswer is the answer to the request before this one, said once more.
+func newestAnswer(past []string) string {
 	if len(past) == 0 {
 		return sealedAnswer("before", nil)
 	}
@@ -82,11 +82,11 @@
 	{"answers and closes", true, sealedAnswer, closes, proven},
 	{"answers and forgets the connection", true, sealedAnswer, forgets, proven},
 	{"answers twice", true, func(id string, _ []string) string { return sealedAnswer(id, nil) + sealedAnswer(id, nil) }, stays, proven},
-	{"answers an older one late, then this", true, func(id string, past []string) string { return newest(past) + sealedAnswer(id, nil) }, stays, proven},
-	{"fails", true, func(id string, _ []string) string { return answerTo(500, id, testSeal+": s\r\n") }, stays, proven},
+	{"answers an older one late, then this", true, func(id string, past []string) string { return newestAnswer(past) + sealedAnswer(id, nil) }, stays, proven},
+	{"fails", true, func(id string, _ []string) string { return answerTo(500, id, testSealHeader+": s\r\n") }, stays, proven},
 	{"refuses", false, func(id string, _ []string) string { return answerTo(503, id, "X-Not-Run: 1\r\n") }, stays, refused},
 	{"is another", false, func(id string, _ []string) string { return answerTo(421, id, "") }, stays, refused},
-	{"answers an older one only", true, func(_ string, past []string) string { return newest(past) }, closes, doubt},
+	{"answers an older one only", true, func(_ string, past []string) string { return newestAnswer(past) }, closes, doubt},
 	{"runs and resets", true, func(string, []string) string { return "" }, resets, doubt},
 	{"resets when full", false, func(string, []string) string { return "" }, resets, doubt},
 	{"runs and breaks off", true, func(id string, _ []string) string { return sealedAnswer(id, nil)[:60] }, resets, doubt},
@@ -99,13 +99,13 @@
 // in which requests come in, whatever the endpoint and the connection; then every one is the
 // first.
 type journal struct {
-	mu       sync.Mutex
-	script   []endpointMove
-	relays   []relayMove
-	past     []string
-	arrivals map[string][]endpointMove // at endpoints, by id
-	lost     map[string]bool           // a relay left it in doubt
-	ended    bool                      // a connection was ended by its far end
+	mu              sync.Mutex
+	script          []endpointMove
+	relayScript     []relayMove
+	pastIDs         []string
+	arrivals        map[string][]endpointMove // at endpoints, by id
+	inDoubt         map[string]bool           // a relay left it in doubt
+	connectionEnded bool                      // a connection was ended by its far end
 }
 
 func (j *journal) next(id string) (endpointMove, []string) {
@@ -115,15 +115,15 @@
 	if len(j.script) > 0 {
 		move, j.script = j.script[0], j.script[1:]
 	}
-	past := slices.Clone(j.past)
-	j.past = append(j.past, id)
+	past := slices.Clone(j.pastIDs)
+	j.pastIDs = append(j.pastIDs, id)
 	j.arrivals[id] = append(j.arrivals[id], move)
-	j.ended = j.ended || move.end != stays
+	j.connectionEnded = j.connectionEnded || move.end != stays
 	return move, past
 }
 
-// listens serves every connection of a listener of its own until the test ends.
-func listens(t testing.TB, serve func(*net.TCPConn)) ident.Addr {
+// listen serves every connection of a listener of its own until the test ends.
+func listen(t testing.TB, serve func(*net.TCPConn)) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -139,8 +139,8 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// ends carries out the end of a connection and tells whether it stays.
-func ends(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
+// endConnection carries out the end of a connection and tells whether it stays.
+func endConnection(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
 	switch end {
 	case stays:
 		return true
@@ -155,53 +155,53 @@
 	return false
 }
 
-// stage holds the sockets of one place of endpoints and peers, which serve one order after
+// testStage holds the sockets of one place of endpoints and peers, which serve one order after
 // the other: each has a journal and sidecars of its own. Ids begin with the number of their
 // order, so a request that arrives after its order is over is still seen.
-type stage struct {
+type testStage struct {
 	orders    atomic.Int64
 	journals  sync.Map
 	endpoints []ident.Addr
 	peer      atomic.Pointer[Sidecar]
-	hop       ident.Addr // the relay before the peer
+	relayAddr ident.Addr // the relay before the peer
 }
 
-func newStage(t *testing.T) *stage {
-	st := &stage{}
+func newStage(t *testing.T) *testStage {
+	st := &testStage{}
 	st.endpoints = []ident.Addr{st.endpoint(t), st.endpoint(t)}
-	peer := gated(t, func() *Sidecar { return st.peer.Load() })
-	anew := node("b", "127.0.0.1:2")
-	st.hop = st.relay(t, peer, gated(t, func() *Sidecar { return anew }))
+	peer := startPeerServer(t, func() *Sidecar { return st.peer.Load() })
+	restarted := newTestSidecar("b", "127.0.0.1:2")
+	st.relayAddr = st.relay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
 	return st
 }
 
-// journal is that of the order which an id belongs to.
-func (st *stage) journal(id string) *journal {
+// journalOf is that of the order which an id belongs to.
+func (st *testStage) journalOf(id string) *journal {
 	order, _, _ := strings.Cut(id, "-")
-	j, _ := st.journals.Load(order)
-	return j.(*journal)
+	log, _ := st.journals.Load(order)
+	return log.(*journal)
 }
 
 // endpoint plays the moves of the journals.
-func (st *stage) endpoint(t *testing.T) ident.Addr {
-	return listens(t, func(c *net.TCPConn) {
+func (st *testStage) endpoint(t *testing.T) ident.Addr {
+	return listen(t, func(c *net.TCPConn) {
 		eachRequest(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
-			id := req.Header.Get(testId)
-			move, past := st.journal(id).next(id)
-			_, _ = io.WriteString(c, move.says(id, past))
-			return ends(c, r, move.end)
+			id := req.Header.Get(testIDHeader)
+			move, past := st.journalOf(id).next(id)
+			_, _ = io.WriteString(c, move.answer(id, past))
+			return endConnection(c, r, move.end)
 		})
 	})
 }
 
 // relayMove is what the hop between two sidecars does with one request.
 type relayMove struct {
-	name     string
-	forwards bool               // to the sidecar behind
-	reborn   bool               // that sidecar was started anew and knows no endpoint yet
-	part     func(size int) int // how many bytes of the answer come through
-	end      connectionEnd
-	doubt    bool
+	name      string
+	forwards  bool               // to the sidecar behind
+	restarted bool               // that sidecar was started anew and knows no endpoint yet
+	truncate  func(size int) int // how many bytes of the answer come through
+	end       connectionEnd
+	inDoubt   bool
 }
 
 func allOf(size int) int { return size }
@@ -225,38 +225,38 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	move := relayMoves[0]
-	if len(j.relays) > 0 {
-		move, j.relays = j.relays[0], j.relays[1:]
+	if len(j.relayScript) > 0 {
+		move, j.relayScript = j.relayScript[0], j.relayScript[1:]
 	}
-	j.lost[id] = j.lost[id] || move.doubt
-	j.ended = j.ended || move.end != stays
+	j.inDoubt[id] = j.inDoubt[id] || move.inDoubt
+	j.connectionEnded = j.connectionEnded || move.end != stays
 	return move
 }
 
 // relay stands between two sidecars: behind it are one that knows its endpoints, and one
 // that was started anew.
-func (st *stage) relay(t *testing.T, behind, reborn ident.Addr) ident.Addr {
-	return listens(t, func(c *net.TCPConn) {
+func (st *testStage) relay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
+	return listen(t, func(c *net.TCPConn) {
 		eachRequest(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
 			req.Body = io.NopCloser(bytes.NewReader(body))
-			id := req.Header.Get(testId)
-			move := st.journal(id).nextRelay(id)
-			to := behind
-			if move.reborn {
-				to = reborn
+			id := req.Header.Get(testIDHeader)
+			move := st.journalOf(id).nextRelay(id)
+			target := peer
+			if move.restarted {
+				target = restarted
 			}
 			if move.forwards {
-				answer := forwarded(t, to, req)
-				_, _ = c.Write(answer[:move.part(len(answer))])
+				answer := forwarded(t, target, req)
+				_, _ = c.Write(answer[:move.truncate(len(answer))])
 			}
-			return ends(c, r, move.end)
+			return endConnection(c, r, move.end)
 		})
 	})
 }
 
 // forwarded sends a request on over a connection of its own and gives the answer's bytes.
-func forwarded(t *testing.T, to ident.Addr, req *http.Request) []byte {
-	c, err := net.Dial("tcp", string(to))
+func forwarded(t *testing.T, target ident.Addr, req *http.Request) []byte {
+	c, err := net.Dial("tcp", string(target))
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, req.Write(c))
@@ -267,53 +267,53 @@
 	return raw
 }
 
-var testManifest = &check.Manifest{Epoch: 1, Services: map[ident.Service]check.Service{"s": {Hostname: "s", Part: 0.2}}, Ways: []check.Way{
-	{Name: "again", Host: "h", PathStart: "/again/", Service: "s", Limit: time.Minute, Tries: 3, Repeat: check.Repeatable},
-	{Name: "once", Host: "h", PathStart: "/once/", Service: "s", Limit: time.Minute, Tries: 3, Repeat: check.OneShot},
+var testConfig = &validation.Config{Revision: 1, Services: map[ident.Service]validation.Service{"s": {Hostname: "s", RetryRatio: 0.2}}, Routes: []validation.Route{
+	{Name: "again", Host: "h", PathPrefix: "/again/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.Repeatable},
+	{Name: "once", Host: "h", PathPrefix: "/once/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.OneShot},
 }}
 
-// node is a sidecar without its duties, with the endpoints of its own machine.
-func node(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
-	s := New(boot.Sidecar{Node: name, Addr: addr, District: "d", Senders: 16, Queue: 16, Hand: 64, Fenced: true, Beat: time.Hour,
-		Headers: boot.Headers{Id: testId, Limit: "X-Limit-Left-Ms", Calling: "X-Calling-Service", Seal: testSeal, NotRun: "X-Not-Run", Fractions: true}}, zap.NewNop())
-	s.path.Tree.Free = true
-	s.path.Enforce(testManifest)
-	for n, at := range endpoints {
-		_ = s.Beat(gate.Beat{Server: ident.Server(fmt.Sprint(name, n)), Service: "s", Addr: at, State: gate.Alive, Seq: 1})
+// newTestSidecar is a sidecar without its duties, with the endpoints of its own machine.
+func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
+	s := New(settings.Sidecar{Node: name, Addr: addr, Zone: "d", Senders: 16, QueueCapacity: 16, MaxInFlight: 64, EndpointsVerifyTarget: true, HeartbeatInterval: time.Hour,
+		Headers: settings.Headers{RequestID: testIDHeader, Deadline: "X-Limit-Left-Ms", CallingService: "X-Calling-Service", SuccessMark: testSealHeader, NotExecuted: "X-Not-Run", FractionalRetryAfter: true}}, zap.NewNop())
+	s.router.RetryBudget.Unlimited = true
+	s.router.Enforce(testConfig)
+	for n, endpointAddr := range endpoints {
+		_ = s.Heartbeat(endpoint.Heartbeat{Server: ident.Server(fmt.Sprint(name, n)), Service: "s", Addr: endpointAddr, State: endpoint.Alive, Seq: 1})
 	}
 	return s
 }
 
-// knows lets a sidecar know the endpoints of a node, behind an address.
-func (s *Sidecar) knows(author ident.Node, behind ident.Addr, servers ...ident.Server) {
+// addWorkloads lets a sidecar know the endpoints of a node, behind an address.
+func (s *Sidecar) addWorkloads(author ident.Node, sidecarAddr ident.Addr, servers ...ident.Server) {
 	var records []record.Address
 	for _, id := range servers {
-		records = append(records, record.Address{Workload: &record.Workload{UID: id, Service: "s", Gate: behind, Weight: 1, Status: record.Healthy}})
+		records = append(records, record.Address{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: sidecarAddr, Weight: 1, Status: record.Healthy}})
 	}
-	s.path.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
+	s.router.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
 }
 
-// gated serves a sidecar towards the mesh, on the daemon's own kind of server.
-func gated(t *testing.T, s func() *Sidecar) ident.Addr {
-	near := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool { return s().Gated(w, r) })
-	at := httptest.NewServer(near.Handler)
-	t.Cleanup(at.Close)
-	return ident.Addr(strings.TrimPrefix(at.URL, "http://"))
+// startPeerServer serves a sidecar towards the mesh, on the daemon's own kind of server.
+func startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
+	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool { return s().ServePeer(w, r) })
+	listener := httptest.NewServer(peerServer.Handler)
+	t.Cleanup(listener.Close)
+	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// asks sends a request to a sidecar as its caller would.
-func (s *Sidecar) asks(path, id string, limit time.Duration) *httptest.ResponseRecorder {
+// sendAsCaller sends a request to a sidecar as its caller would.
+func (s *Sidecar) sendAsCaller(path, id string, limit time.Duration) *httptest.ResponseRecorder {
 	r := httptest.NewRequest("POST", path, strings.NewReader(`{"to":"`+id+`"}`))
 	r.Host = "h"
 	if id != "" {
-		r.Header.Set(testId, id)
+		r.Header.Set(testIDHeader, id)
 	}
 	r.Header.Set("X-Limit-Left-Ms", fmt.Sprint(limit.Milliseconds()))
 	w := httptest.NewRecorder()
-	s.Intake(w, r)
+	s.ServeCaller(w, r)
 	return w
 }
 
 func newJournal(script []endpointMove, relays []relayMove) *journal {
-	return &journal{script: script, relays: relays, arrivals: map[string][]endpointMove{}, lost: map[string]bool{}}
+	return &journal{script: script, relayScript: relays, arrivals: map[string][]endpointMove{}, inDoubt: map[string]bool{}}
 }
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/link"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/mesh/bandwidth"
+	"cottonarch.example/cottonarch/settings"
+	"cottonarch.example/cottonarch/wire/response"
 	"cottonarch.example/cottonarch/wire/server"
 )
 
@@ -34,16 +34,16 @@
 	return n, err
 }
 
-// gatedThrough is gated, with the bodies counted that the sidecar reads.
-func (c *countedBodies) gatedThrough(t *testing.T, s func() *Sidecar) ident.Addr {
-	near := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool {
+// startPeerServer is gated, with the bodies counted that the sidecar reads.
+func (c *countedBodies) startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
+	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool {
 		counted := *r // the server must go on to see its own body
 		counted.Body = countedBody{r.Body, &c.bytes}
-		return s().Gated(w, &counted)
+		return s().ServePeer(w, &counted)
 	})
-	at := httptest.NewServer(near.Handler)
-	t.Cleanup(at.Close)
-	return ident.Addr(strings.TrimPrefix(at.URL, "http://"))
+	listener := httptest.NewServer(peerServer.Handler)
+	t.Cleanup(listener.Close)
+	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
 // A machine whose link is full of what comes in does not ask for another large body: the
@@ -51,34 +51,34 @@
 // link is free the large one is taken too.
 func TestBodyWaitsForRoomOnTheLink(t *testing.T) {
 	const large, comingIn = 300 << 10, 2_000_000
-	st := newStage(t)
-	j := newJournal(nil, nil)
-	st.journals.Store("1", j)
-	destination := node("b", "127.0.0.1:2", st.endpoints...)
-	destination.inbound = link.NewInbound(11 * boot.BytesPerMegabit)
-	_, ok := destination.inbound.Admit(comingIn)
+	stage := newStage(t)
+	log := newJournal(nil, nil)
+	stage.journals.Store("1", log)
+	destination := newTestSidecar("b", "127.0.0.1:2", stage.endpoints...)
+	destination.inboundLink = bandwidth.NewInbound(11 * settings.BytesPerMegabit)
+	_, ok := destination.inboundLink.Admit(comingIn)
 	must.True(t, ok)
-	st.peer.Store(destination)
-	read := &countedBodies{}
-	s := node("a", "127.0.0.1:1")
-	s.knows("b", read.gatedThrough(t, st.peer.Load), "b0", "b1")
-	s.limits.Store(&check.Limits{HeadBytes: 4 << 10, BodyBytes: 32 << 20})
+	stage.peer.Store(destination)
+	bodies := &countedBodies{}
+	s := newTestSidecar("a", "127.0.0.1:1")
+	s.addWorkloads("b", bodies.startPeerServer(t, stage.peer.Load), "b0", "b1")
+	s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	post := func(id string, size int) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
 		r.Host = "h"
-		r.Header.Set(testId, id)
+		r.Header.Set(testIDHeader, id)
 		w := httptest.NewRecorder()
-		s.Intake(w, r)
+		s.ServeCaller(w, r)
 		return w
 	}
-	refused := post("1-large", large)
-	must.Eq(t, http.StatusServiceUnavailable, refused.Code, must.Sprint(refused.Body))
-	must.Eq(t, string(failure.NotExecuted), refused.Header().Get(reply.FateHeader))
-	must.Eq(t, 0, read.bytes.Load())
-	must.Positive(t, destination.Board.At("bodies_not_asked_for").Load())
+	rejected := post("1-large", large)
+	must.Eq(t, http.StatusServiceUnavailable, rejected.Code, must.Sprint(rejected.Body))
+	must.Eq(t, string(failure.NotExecuted), rejected.Header().Get(response.FateHeader))
+	must.Eq(t, 0, bodies.bytes.Load())
+	must.Positive(t, destination.Metrics.Counter("bodies_not_asked_for").Load())
 	must.Eq(t, http.StatusOK, post("1-small", 100).Code)
-	destination.inbound.Received(comingIn)
+	destination.inboundLink.Received(comingIn)
 	must.Eq(t, http.StatusOK, post("1-free", large).Code)
-	must.Eq(t, 0, len(j.arrivals["1-large"]))
-	must.Eq(t, 1, len(j.arrivals["1-free"]))
+	must.Eq(t, 0, len(log.arrivals["1-large"]))
+	must.Eq(t, 1, len(log.arrivals["1-free"]))
 }
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -6,121 +6,121 @@
 
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/daemon/core"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
 	"cottonarch.example/cottonarch/mesh/lease/joiner"
 )
 
 const (
-	// coresLimit is how long a core may take to list the cores.
-	coresLimit = 500 * time.Millisecond
-	// coresEvery bounds how often a sidecar without a lease asks for the list.
-	coresEvery = time.Second
-	// runMark is the length of the mark of a join. It tells the joins of one node apart, and
+	// coresTimeout is how long a core may take to list the cores.
+	coresTimeout = 500 * time.Millisecond
+	// coresInterval bounds how often a sidecar without a lease asks for the list.
+	coresInterval = time.Second
+	// joinAttemptIDLength is the length of the mark of a join. It tells the joins of one node apart, and
 	// the cores keep it for every node.
-	runMark = 12
+	joinAttemptIDLength = 12
 )
 
-// askToJoin asks one core for a lease. Before any core has listed the others, one of the
+// tryJoin asks one core for a lease. Before any core has listed the others, one of the
 // seeds is asked for them, so that a herd does not join at the seeds alone.
-func (s *Sidecar) askToJoin() {
-	if s.run == "" {
-		s.run = ident.Mark()[:runMark]
+func (s *Sidecar) tryJoin() {
+	if s.joinAttemptID == "" {
+		s.joinAttemptID = ident.NewID()[:joinAttemptIDLength]
 	}
-	at := s.joinCore()
-	if s.learned == 0 {
-		if !s.learnCores(at) {
-			s.joiner.Failed(s.clock(), at)
+	coreAddr := s.nextJoinCore()
+	if s.coresLearnedAt == 0 {
+		if !s.learnCores(coreAddr) {
+			s.joiner.HandleFailure(s.clock(), coreAddr)
 			return
 		}
-		at = s.joinCore()
+		coreAddr = s.nextJoinCore()
 	}
-	ctx, stop := context.WithTimeout(context.Background(), joiner.Patience)
-	defer stop()
-	var got mesh.Entry
-	if err := s.pool.Ask(ctx, at, "POST", "/cottonarch/v1/claim", mesh.JoinRequest{Node: s.Boot.Node, Run: s.run}, &got); err != nil {
-		s.joinFailed(at, err)
+	ctx, cancel := context.WithTimeout(context.Background(), joiner.JoinTimeout)
+	defer cancel()
+	var granted mesh.JoinResponse
+	if err := s.apiClient.Ask(ctx, coreAddr, "POST", "/cottonarch/v1/claim", mesh.JoinRequest{Node: s.Settings.Node, Run: s.joinAttemptID}, &granted); err != nil {
+		s.joinFailed(coreAddr, err)
 		return
 	}
-	s.joined(at, got)
+	s.completeJoin(coreAddr, granted)
 }
 
-// joinCore is the core to ask for a lease.
-func (s *Sidecar) joinCore() ident.Addr {
+// nextJoinCore is the core to ask for a lease.
+func (s *Sidecar) nextJoinCore() ident.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.joiner.Core(s.real(), s.lease.Places())
+	return s.joiner.NextCore(s.usableCoresLocked(), s.lease.CoreLocations())
 }
 
 // joinFailed takes a refusal, or the silence of a core.
-func (s *Sidecar) joinFailed(at ident.Addr, err error) {
-	s.Board.Add("claims_failed", 1)
-	d := (*failure.Error)(nil)
-	if failure.Find(err, &d) && d.Kind == failure.Busy && d.RetryAfter > 0 {
-		s.joiner.Refused(s.clock(), at, time.Duration(d.RetryAfter*float64(time.Second)))
+func (s *Sidecar) joinFailed(coreAddr ident.Addr, err error) {
+	s.Metrics.Add("claims_failed", 1)
+	fail := (*failure.Error)(nil)
+	if failure.As(err, &fail) && fail.Kind == failure.Busy && fail.RetryAfter > 0 {
+		s.joiner.HandleRejection(s.clock(), coreAddr, time.Duration(fail.RetryAfter*float64(time.Second)))
 	} else {
-		s.joiner.Failed(s.clock(), at)
+		s.joiner.HandleFailure(s.clock(), coreAddr)
 	}
-	side := d != nil && d.Kind == failure.Missing // a sidecar: it knows cores
-	answered := d != nil && d.Kind != failure.LostResponse
+	isSidecar := fail != nil && fail.Kind == failure.NotFound // a sidecar: it knows cores
+	answered := fail != nil && fail.Kind != failure.LostResponse
 	if answered {
 		s.mu.Lock()
-		s.sides[at] = side
+		s.sidecarSeeds[coreAddr] = isSidecar
 		s.mu.Unlock()
 	}
-	if side || answered && s.clock().Since(s.learned) > coresEvery {
-		s.learnCores(at)
+	if isSidecar || answered && s.clock().Since(s.coresLearnedAt) > coresInterval {
+		s.learnCores(coreAddr)
 	}
 }
 
 // learnCores asks a core, or a seed that is a sidecar, for the cores that it knows. It
 // tells whether there was an answer.
-func (s *Sidecar) learnCores(at ident.Addr) bool {
-	ctx, stop := context.WithTimeout(context.Background(), coresLimit)
-	defer stop()
-	var known core.Known
-	if s.pool.Ask(ctx, at, "GET", "/cottonarch/v1/cores", nil, &known) != nil {
+func (s *Sidecar) learnCores(addr ident.Addr) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
+	defer cancel()
+	var known core.KnownCores
+	if s.apiClient.Ask(ctx, addr, "GET", "/cottonarch/v1/cores", nil, &known) != nil {
 		return false
 	}
 	now := s.clock()
-	s.learned = now
+	s.coresLearnedAt = now
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.join(known.Cores)
-	if known.Core {
-		for _, a := range append(known.Cores, at) {
-			delete(s.sides, a)
-			s.noPeer[a] = now.Add(coreEvery)
+	s.addCores(known.Cores)
+	if known.FromCore {
+		for _, coreAddr := range append(known.Cores, addr) {
+			delete(s.sidecarSeeds, coreAddr)
+			s.notPeerUntil[coreAddr] = now.Add(coreSeedInterval)
 		}
 	}
 	return true
 }
 
-// joined takes a lease, and the manifest from the core that gave it unless a peer was
+// completeJoin takes a lease, and the manifest from the core that gave it unless a peer was
 // faster.
-func (s *Sidecar) joined(at ident.Addr, got mesh.Entry) {
+func (s *Sidecar) completeJoin(coreAddr ident.Addr, granted mesh.JoinResponse) {
 	s.mu.Lock()
-	s.leaseEpoch, s.seq = got.Claim, 1
-	s.path.Floor = max(s.path.Floor, got.Manifest)
-	s.wit.Entered()
-	s.lease.Joined()
-	s.budgetShare.Begin(s.slow(), got.Share)
-	s.path.Tree.Grant(s.budgetShare.Usable())
-	s.lease.LearnCores(got.View, got.Cores)
-	s.join(s.lease.KnownCores())
-	s.lastCore = s.clock()
-	have := s.wit.Holds(s.path.Epoch())
+	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
+	s.router.MinRevision = max(s.router.MinRevision, granted.ConfigRevision)
+	s.configCache.MarkJoined()
+	s.lease.LeaseGranted()
+	s.budgetShare.Start(s.watchedClock(), granted.BudgetShare)
+	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
+	s.lease.SetCores(granted.CoresVersion, granted.Cores)
+	s.addCores(s.lease.CoreAddrs())
+	s.lastCoreContact = s.clock()
+	haveRevision := s.configCache.NewestHeld(s.router.Revision())
 	s.mu.Unlock()
-	s.run = "" // the next join, if there is one, is another
-	s.joiner.Joined()
-	s.entered.Store(true)
-	if got.Manifest > have {
-		if err := s.fetch(at); err != nil {
-			s.Board.Add("manifest_fetches_failed", 1)
+	s.joinAttemptID = "" // the next join, if there is one, is another
+	s.joiner.Reset()
+	s.leaseHeld.Store(true)
+	if granted.ConfigRevision > haveRevision {
+		if err := s.fetchConfig(coreAddr); err != nil {
+			s.Metrics.Add("manifest_fetches_failed", 1)
 		}
 	}
-	s.Log.Info("entry granted", zap.Uint64("claim", uint64(got.Claim)), zap.Int("share", got.Share.N), zap.Uint64("manifest", uint64(got.Manifest)))
-	s.point(at)
+	s.Log.Info("entry granted", zap.Uint64("claim", uint64(granted.LeaseEpoch)), zap.Int("share", granted.BudgetShare.Amount), zap.Uint64("manifest", uint64(granted.ConfigRevision)))
+	s.redirectWatch(coreAddr)
 }
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -13,25 +13,25 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/control/coordination/share"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/coordination/quota"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/daemon/core"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/settings"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
 // fakeCore answers joins by a table; it tells of the cores that it is given.
 type fakeCore struct {
-	addr  ident.Addr
-	mu    sync.Mutex
-	cores []ident.Addr
-	core  bool
-	say   func(mesh.JoinRequest) (mesh.Entry, *failure.Error)
-	asked []mesh.JoinRequest
-	parts int
+	addr          ident.Addr
+	mu            sync.Mutex
+	cores         []ident.Addr
+	core          bool
+	answerJoin    func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error)
+	joinRequests  []mesh.JoinRequest
+	otherRequests int
 }
 
 func newFakeCore(t *testing.T) *fakeCore {
@@ -47,42 +47,42 @@
 	defer f.mu.Unlock()
 	switch {
 	case strings.HasSuffix(r.URL.Path, "/cores"):
-		reply.JSON(w, http.StatusOK, core.Known{Cores: f.cores, Core: f.core})
+		response.JSON(w, http.StatusOK, core.KnownCores{Cores: f.cores, FromCore: f.core})
 	case strings.HasSuffix(r.URL.Path, "/claim"):
-		var ask mesh.JoinRequest
-		_ = json.NewDecoder(r.Body).Decode(&ask)
-		f.asked = append(f.asked, ask)
-		if e, d := f.say(ask); d != nil {
-			reply.Defect(w, d)
+		var joinRequest mesh.JoinRequest
+		_ = json.NewDecoder(r.Body).Decode(&joinRequest)
+		f.joinRequests = append(f.joinRequests, joinRequest)
+		if granted, fail := f.answerJoin(joinRequest); fail != nil {
+			response.Defect(w, fail)
 		} else {
-			reply.JSON(w, http.StatusOK, e)
+			response.JSON(w, http.StatusOK, granted)
 		}
 	default:
-		f.parts++
-		reply.Defect(w, failure.New(failure.Missing, "none"))
+		f.otherRequests++
+		response.Defect(w, failure.New(failure.NotFound, "none"))
 	}
 }
 
-func granted(mesh.JoinRequest) (mesh.Entry, *failure.Error) {
-	return mesh.Entry{Claim: 7, Share: share.Told{N: 2, Fair: 2}}, nil
+func grantJoin(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+	return mesh.JoinResponse{LeaseEpoch: 7, BudgetShare: quota.Share{Amount: 2, FairShare: 2}}, nil
 }
 
-func busy(mesh.JoinRequest) (mesh.Entry, *failure.Error) {
-	return mesh.Entry{}, failure.New(failure.Busy, "full").Later(0.3)
+func rejectJoin(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+	return mesh.JoinResponse{}, failure.New(failure.Busy, "full").WithRetryAfter(0.3)
 }
 
 func (f *fakeCore) joins() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.asked)
+	return len(f.joinRequests)
 }
 
-func newJoining(seeds ...ident.Addr) *Sidecar {
-	return New(boot.Sidecar{Addr: "127.0.0.1:9", Node: "node-1", Seeds: seeds}, zap.NewNop())
+func newUnjoinedSidecar(seeds ...ident.Addr) *Sidecar {
+	return New(settings.Sidecar{Addr: "127.0.0.1:9", Node: "node-1", Seeds: seeds}, zap.NewNop())
 }
 
-// closed is an address that refuses connections.
-func closed(t *testing.T) ident.Addr {
+// refusingAddr is an address that refuses connections.
+func refusingAddr(t *testing.T) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -91,21 +91,21 @@
 
 // A sidecar asks a seed for the cores before it joins, so a herd with one seed spreads.
 func TestJoinsSpreadFromOneSeed(t *testing.T) {
-	var all []*fakeCore
+	var fakes []*fakeCore
 	var addrs []ident.Addr
 	for range 4 {
 		f := newFakeCore(t)
-		f.say = granted
-		all, addrs = append(all, f), append(addrs, f.addr)
+		f.answerJoin = grantJoin
+		fakes, addrs = append(fakes, f), append(addrs, f.addr)
 	}
-	all[0].cores = addrs
+	fakes[0].cores = addrs
 	for n := range 40 {
-		s := New(boot.Sidecar{Addr: "127.0.0.1:9", Node: ident.Node(strings.Repeat("n", n+1)), Seeds: addrs[:1]}, zap.NewNop())
-		s.askToJoin()
-		must.True(t, s.entered.Load())
+		s := New(settings.Sidecar{Addr: "127.0.0.1:9", Node: ident.Node(strings.Repeat("n", n+1)), Seeds: addrs[:1]}, zap.NewNop())
+		s.tryJoin()
+		must.True(t, s.leaseHeld.Load())
 		must.Eq(t, 7, s.leaseEpoch)
 	}
-	for _, f := range all {
+	for _, f := range fakes {
 		must.Positive(t, f.joins())
 	}
 }
@@ -114,35 +114,35 @@
 // next join is another.
 func TestRepeatedJoinKeepsItsMarkAndTheWait(t *testing.T) {
 	f := newFakeCore(t)
-	f.say = busy
-	s := newJoining(f.addr)
-	s.askToJoin()
-	must.False(t, s.entered.Load())
-	must.Between(t, 200*time.Millisecond, s.joiner.Wait(s.clock()), 375*time.Millisecond)
-	f.say = granted
-	s.askToJoin()
-	must.True(t, s.entered.Load())
-	s.superseded(7, nil)
-	must.False(t, s.entered.Load())
-	s.askToJoin()
-	must.Eq(t, f.asked[0].Run, f.asked[1].Run)
-	must.NotEq(t, f.asked[1].Run, f.asked[2].Run)
+	f.answerJoin = rejectJoin
+	s := newUnjoinedSidecar(f.addr)
+	s.tryJoin()
+	must.False(t, s.leaseHeld.Load())
+	must.Between(t, 200*time.Millisecond, s.joiner.Backoff(s.clock()), 375*time.Millisecond)
+	f.answerJoin = grantJoin
+	s.tryJoin()
+	must.True(t, s.leaseHeld.Load())
+	s.handleSuperseded(7, nil)
+	must.False(t, s.leaseHeld.Load())
+	s.tryJoin()
+	must.Eq(t, f.joinRequests[0].Run, f.joinRequests[1].Run)
+	must.NotEq(t, f.joinRequests[1].Run, f.joinRequests[2].Run)
 }
 
 // A core that refuses connections, and a seed that is a sidecar, are passed by soon.
 func TestJoinPassesByWhoIsNoCore(t *testing.T) {
-	f, side := newFakeCore(t), newFakeCore(t)
-	f.say = granted
-	side.cores = []ident.Addr{f.addr}
-	side.say = func(mesh.JoinRequest) (mesh.Entry, *failure.Error) {
-		return mesh.Entry{}, failure.New(failure.Missing, "no such path")
+	f, sidecarSeed := newFakeCore(t), newFakeCore(t)
+	f.answerJoin = grantJoin
+	sidecarSeed.cores = []ident.Addr{f.addr}
+	sidecarSeed.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+		return mesh.JoinResponse{}, failure.New(failure.NotFound, "no such path")
 	}
-	s := newJoining(closed(t), side.addr)
-	for n := 0; n < 8 && !s.entered.Load(); n++ {
-		s.askToJoin()
-		must.LessEq(t, 600*time.Millisecond, s.joiner.Wait(s.clock()))
+	s := newUnjoinedSidecar(refusingAddr(t), sidecarSeed.addr)
+	for n := 0; n < 8 && !s.leaseHeld.Load(); n++ {
+		s.tryJoin()
+		must.LessEq(t, 600*time.Millisecond, s.joiner.Backoff(s.clock()))
 	}
-	must.True(t, s.entered.Load())
+	must.True(t, s.leaseHeld.Load())
 	must.Eq(t, 1, f.joins())
 }
 
@@ -150,36 +150,40 @@
 // that the join proved is kept.
 func TestJoinFetchesOnlyWhatIsNewer(t *testing.T) {
 	f := newFakeCore(t)
-	f.say = func(mesh.JoinRequest) (mesh.Entry, *failure.Error) { return mesh.Entry{Claim: 7, Manifest: 5}, nil }
-	s := newJoining(f.addr)
-	must.NoError(t, s.enforce(5, []byte(`{"services":{},"ways":{}}`)))
-	s.askToJoin()
-	must.True(t, s.entered.Load())
-	must.Eq(t, 5, s.floor())
-	must.Eq(t, 0, f.parts)
-	f.say = func(mesh.JoinRequest) (mesh.Entry, *failure.Error) { return mesh.Entry{Claim: 8, Manifest: 6}, nil }
-	s.askToJoin()
-	must.Eq(t, 6, s.floor())
-	must.Eq(t, 1, f.parts)
+	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+		return mesh.JoinResponse{LeaseEpoch: 7, ConfigRevision: 5}, nil
+	}
+	s := newUnjoinedSidecar(f.addr)
+	must.NoError(t, s.acceptWhole(5, []byte(`{"services":{},"ways":{}}`)))
+	s.tryJoin()
+	must.True(t, s.leaseHeld.Load())
+	must.Eq(t, 5, s.minRevision())
+	must.Eq(t, 0, f.otherRequests)
+	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+		return mesh.JoinResponse{LeaseEpoch: 8, ConfigRevision: 6}, nil
+	}
+	s.tryJoin()
+	must.Eq(t, 6, s.minRevision())
+	must.Eq(t, 1, f.otherRequests)
 }
 
 // A seed is asked as a peer at the usual pace only once it has answered as a sidecar: a core
 // among the seeds would else be asked by every sidecar that waits for it.
 func TestSeedsThatAreCoresAreNotAskedAsPeers(t *testing.T) {
 	f := newFakeCore(t)
-	s := newJoining(f.addr)
-	must.False(t, s.seedPeer(f.addr)) // it may yet answer as a core
-	s.noPeer = map[ident.Addr]monotime.Time{}
-	must.True(t, s.seedPeer(f.addr))
-	must.False(t, s.seedPeer(f.addr))
-	s.askPeer(f.addr, true) // says that it has no such path, as a core does
-	must.Between(t, seedEvery, s.noPeer[f.addr].Since(s.clock()), coreEvery)
-	s.seedSaid(f.addr, nil)
-	must.True(t, s.seedPeer(f.addr))
-	must.True(t, s.seedPeer(f.addr))
-	s.askPeer(f.addr, true)
-	must.False(t, s.seedPeer(f.addr))
-	must.Eq(t, 2, f.parts)
+	s := newUnjoinedSidecar(f.addr)
+	must.False(t, s.mayQuerySeed(f.addr)) // it may yet answer as a core
+	s.notPeerUntil = map[ident.Addr]monotime.Time{}
+	must.True(t, s.mayQuerySeed(f.addr))
+	must.False(t, s.mayQuerySeed(f.addr))
+	s.queryPeer(f.addr, true) // says that it has no such path, as a core does
+	must.Between(t, unknownSeedInterval, s.notPeerUntil[f.addr].Since(s.clock()), coreSeedInterval)
+	s.noteSeedAnswer(f.addr, nil)
+	must.True(t, s.mayQuerySeed(f.addr))
+	must.True(t, s.mayQuerySeed(f.addr))
+	s.queryPeer(f.addr, true)
+	must.False(t, s.mayQuerySeed(f.addr))
+	must.Eq(t, 2, f.otherRequests)
 }
 
 // The list of a core says who else is one; the list of a sidecar does not.
@@ -187,10 +191,10 @@
 	for _, isCore := range []bool{false, true} {
 		f := newFakeCore(t)
 		f.cores, f.core = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
-		s := newJoining(f.addr, "127.0.0.1:1")
-		s.noPeer = map[ident.Addr]monotime.Time{}
+		s := newUnjoinedSidecar(f.addr, "127.0.0.1:1")
+		s.notPeerUntil = map[ident.Addr]monotime.Time{}
 		must.True(t, s.learnCores(f.addr))
-		must.Eq(t, !isCore, s.seedPeer("127.0.0.1:1"))
-		must.Eq(t, !isCore, s.seedPeer(f.addr))
+		must.Eq(t, !isCore, s.mayQuerySeed("127.0.0.1:1"))
+		must.Eq(t, !isCore, s.mayQuerySeed(f.addr))
 	}
 }
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -1,48 +1,48 @@
 package sidecar
 
 import (
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// linkAdmits decides whether this machine's link has room for the answer to another
+// reserveOutbound decides whether this machine's link has room for the answer to another
 // sidecar's request. What it admits must be ended with linkSent.
-func (s *Sidecar) linkAdmits(w want) *failure.Error {
+func (s *Sidecar) reserveOutbound(hints admissionHints) *failure.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	retryAfter, ok := s.link.Admit(s.clock(), w.bytes, w.must)
+	retryAfter, ok := s.outboundLink.Admit(s.clock(), hints.responseBytes, hints.lastResort)
 	if ok {
 		return nil
 	}
-	s.Board.Add("link_turned_away", 1)
-	return failure.New(failure.Busy, "the link of %s is full", s.Boot.Node).Later(retryAfter.Seconds())
+	s.Metrics.Add("link_turned_away", 1)
+	return failure.New(failure.Busy, "the link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 }
 
-// linkSent counts the answer that goes out now; there is none if ret is nil.
-func (s *Sidecar) linkSent(w want, ret *exchange.Return) {
+// releaseOutbound counts the answer that goes out now; there is none if ret is nil.
+func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Return) {
 	bytes := 0
-	if ret != nil {
-		bytes = len(ret.Body)
+	if resp != nil {
+		bytes = len(resp.Body)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link.Sent(s.clock(), w.bytes, bytes)
+	s.outboundLink.Sent(s.clock(), hints.responseBytes, bytes)
 }
 
-// bodyAdmits decides whether this machine's link has room for the body of another sidecar's
+// reserveInbound decides whether this machine's link has room for the body of another sidecar's
 // request, before any of it is read. received must be called once it was, or was not.
-func (s *Sidecar) bodyAdmits(size int64) (received func(), d *failure.Error) {
+func (s *Sidecar) reserveInbound(size int64) (received func(), fail *failure.Error) {
 	size = max(0, size)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	retryAfter, ok := s.inbound.Admit(size)
+	retryAfter, ok := s.inboundLink.Admit(size)
 	if !ok {
-		s.Board.Add("bodies_not_asked_for", 1)
-		return nil, failure.New(failure.Busy, "the link of %s is full of what comes in", s.Boot.Node).Later(retryAfter.Seconds())
+		s.Metrics.Add("bodies_not_asked_for", 1)
+		return nil, failure.New(failure.Busy, "the link of %s is full of what comes in", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.inbound.Received(size)
+		s.inboundLink.Received(size)
 	}, nil
 }
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -8,41 +8,41 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/boot"
+	"cottonarch.example/cottonarch/settings"
 )
 
 // A request whose answer has no room on this machine's link is turned away before anything
 // of it is done, with a time to come back; one that ended without an answer takes no room.
-func TestFullLinkTurnsAway(t *testing.T) {
-	s := New(boot.Sidecar{Hand: 8, Link: 11 * boot.BytesPerMegabit}, zap.NewNop())
-	ask := func(bytes int) (word, retryAfter string) {
+func TestFullLinkRejects(t *testing.T) {
+	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
+	send := func(bytes int) (result, retryAfter string) {
 		r := httptest.NewRequest("GET", "/x", nil)
 		r.Header.Set(TargetHeader, "gone")
 		r.Header.Set(ServiceHeader, "s.prairie")
 		r.Header.Set(LimitHeader, "500")
-		r.Header.Set(WantHeader, want{work: time.Millisecond, bytes: bytes}.text())
-		rec := httptest.NewRecorder()
-		must.True(t, s.Gated(rec, r))
-		must.Eq(t, 503, rec.Code)
-		return rec.Header().Get(GateHeader), rec.Header().Get("Retry-After")
+		r.Header.Set(AdmissionHintsHeader, admissionHints{expectedTime: time.Millisecond, responseBytes: bytes}.encode())
+		recorder := httptest.NewRecorder()
+		must.True(t, s.ServePeer(recorder, r))
+		must.Eq(t, 503, recorder.Code)
+		return recorder.Header().Get(PeerResultHeader), recorder.Header().Get("Retry-After")
 	}
 	for range 20 {
-		word, _ := ask(90_000) // there is no such endpoint: nothing was sent
-		must.Eq(t, gateTurned, word)
+		result, _ := send(90_000) // there is no such endpoint: nothing was sent
+		must.Eq(t, resultRejected, result)
 	}
-	s.link.Sent(s.clock(), 0, 1_000_000)
-	word, retryAfter := ask(90_000)
-	must.Eq(t, gateNoRoom, word)
+	s.outboundLink.Sent(s.clock(), 0, 1_000_000)
+	result, retryAfter := send(90_000)
+	must.Eq(t, resultNoCapacity, result)
 	must.NotEq(t, "", retryAfter)
-	must.Eq(t, int64(1), s.Board.At("link_turned_away").Load())
-	word, _ = ask(0)
-	must.Eq(t, gateTurned, word)
+	must.Eq(t, int64(1), s.Metrics.Counter("link_turned_away").Load())
+	result, _ = send(0)
+	must.Eq(t, resultRejected, result)
 }
 
 // What a release that knows six fields of a want wrote is read as before.
-func TestWantOfAnEarlierRelease(t *testing.T) {
-	w := want{rank: 2, work: time.Millisecond, early: 2 * time.Millisecond, aim: 3 * time.Millisecond, peers: 0.25, must: true, bytes: 77}
-	must.Eq(t, w, wantOf(w.text()))
-	w.bytes = 0
-	must.Eq(t, w, wantOf("2,1000,2000,3000,250,1"))
+func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
+	hints := admissionHints{priority: 2, expectedTime: time.Millisecond, earlyTarget: 2 * time.Millisecond, latencyTarget: 3 * time.Millisecond, peerFailureRate: 0.25, lastResort: true, responseBytes: 77}
+	must.Eq(t, hints, parseHints(hints.encode()))
+	hints.responseBytes = 0
+	must.Eq(t, hints, parseHints("2,1000,2000,3000,250,1"))
 }
--- a/daemon/sidecar/look.go
+++ b/daemon/sidecar/look.go
@@ -1,26 +1,26 @@
 package sidecar
 
 import (
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/registry/index"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// Look gives what this sidecar's copy of the registry says of one server of a service;
+// Lookup gives what this sidecar's copy of the registry says of one server of a service;
 // it is false when the copy does not hold it.
-func (s *Sidecar) Look(svc ident.Service, server ident.Server) (index.Entry, bool) {
+func (s *Sidecar) Lookup(service ident.Service, server ident.Server) (registry.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.path.Index.Workloads(svc) {
-		if e.UID == server {
-			return e, true
+	for _, entry := range s.router.Index.Workloads(service) {
+		if entry.UID == server {
+			return entry, true
 		}
 	}
-	return index.Entry{}, false
+	return registry.Entry{}, false
 }
 
-// Epoch is that of the manifest in force here, 0 if none is.
-func (s *Sidecar) Epoch() ident.Epoch {
+// ConfigRevision is that of the manifest in force here, 0 if none is.
+func (s *Sidecar) ConfigRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.Epoch()
+	return s.router.Revision()
 }
--- a/daemon/sidecar/manifest.go
+++ b/daemon/sidecar/manifest.go
@@ -8,147 +8,147 @@
 
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/delta"
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/witness"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/delta"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
+	"cottonarch.example/cottonarch/mesh/configcache"
 )
 
-// partWait is how long one part of a manifest may take to come.
-const partWait = 2 * time.Second
+// partTimeout is how long one part of a manifest may take to come.
+const partTimeout = 2 * time.Second
 
-// fetch takes a manifest: as a delta from what is here if the giver has one, else whole, in
+// fetchConfig takes a manifest: as a delta from what is here if the giver has one, else whole, in
 // bounded parts. A part of another epoch begins it anew.
-func (s *Sidecar) fetch(from ident.Addr) error {
-	s.fetching.Add(1)
-	defer s.fetching.Add(-1)
-	have := s.heldEpoch()
-	var whole parts
-	for !whole.done() {
-		p, err := s.askPart(from, len(whole.data), have)
+func (s *Sidecar) fetchConfig(from ident.Addr) error {
+	s.fetchesInFlight.Add(1)
+	defer s.fetchesInFlight.Add(-1)
+	haveRevision := s.newestRevision()
+	var assembly configAssembly
+	for !assembly.complete() {
+		part, err := s.fetchPart(from, len(assembly.data), haveRevision)
 		if err != nil {
 			return err
 		}
-		if p.Epoch <= s.heldEpoch() {
+		if part.Revision <= s.newestRevision() {
 			return nil // it came by another way meanwhile
 		}
-		if p.Delta != nil {
-			if d := s.apply(*p.Delta); d == nil {
+		if part.Delta != nil {
+			if fail := s.applyDelta(*part.Delta); fail == nil {
 				return nil
 			}
-			s.Board.Add("deltas_refused", 1)
-			have = 0 // ask for the whole
+			s.Metrics.Add("deltas_refused", 1)
+			haveRevision = 0 // ask for the whole
 			continue
 		}
-		if d := whole.take(p); d != nil {
-			return d
+		if fail := assembly.add(part); fail != nil {
+			return fail
 		}
 	}
-	raw, d := whole.raw()
-	if d != nil {
-		return d
+	raw, fail := assembly.bytes()
+	if fail != nil {
+		return fail
 	}
-	return s.enforce(whole.epoch, raw)
+	return s.acceptWhole(assembly.revision, raw)
 }
 
-// askPart asks for one part; have names the epoch here, 0 if no delta will do.
-func (s *Sidecar) askPart(from ident.Addr, at int, have ident.Epoch) (p mesh.Part, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), partWait)
-	defer stop()
-	path := fmt.Sprintf("/cottonarch/v1/part?at=%d&packed=1", at)
-	if have > 0 {
-		path += fmt.Sprintf("&have=%d", uint64(have))
+// fetchPart asks for one part; have names the epoch here, 0 if no delta will do.
+func (s *Sidecar) fetchPart(from ident.Addr, offset int, haveRevision ident.Epoch) (part mesh.ConfigPart, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
+	defer cancel()
+	path := fmt.Sprintf("/cottonarch/v1/part?at=%d&packed=1", offset)
+	if haveRevision > 0 {
+		path += fmt.Sprintf("&have=%d", uint64(haveRevision))
 	}
-	err = s.pool.Ask(ctx, from, "GET", path, nil, &p)
-	return p, err
+	err = s.apiClient.Ask(ctx, from, "GET", path, nil, &part)
+	return part, err
 }
 
-// apply lays a delta over what is held here.
-func (s *Sidecar) apply(change delta.Delta) *failure.Error {
+// applyDelta lays a delta over what is held here.
+func (s *Sidecar) applyDelta(update delta.Delta) *failure.Error {
 	s.mu.Lock()
-	have, base := s.holds()
+	haveRevision, base := s.newestConfig()
 	s.mu.Unlock()
-	if change.To <= have {
+	if update.To <= haveRevision {
 		return nil
 	}
-	if change.From != have {
-		return failure.New(failure.BadResponse, "a delta from revision %d, not from %d", change.From, have)
+	if update.From != haveRevision {
+		return failure.New(failure.BadResponse, "a delta from revision %d, not from %d", update.From, haveRevision)
 	}
-	v, d := change.Apply(base.raw)
-	if d != nil {
-		return d
+	version, fail := update.Apply(base.raw)
+	if fail != nil {
+		return fail
 	}
-	s.Board.Add("deltas_applied", 1)
-	return s.take(v, &change)
+	s.Metrics.Add("deltas_applied", 1)
+	return s.acceptVersion(version, &update)
 }
 
-func (s *Sidecar) enforce(epoch ident.Epoch, raw []byte) error {
-	tree, d := walk.Parse(raw)
-	if d != nil {
-		return d
+func (s *Sidecar) acceptWhole(revision ident.Epoch, raw []byte) error {
+	tree, fail := decode.Parse(raw)
+	if fail != nil {
+		return fail
 	}
-	if d := s.take(delta.Version{Epoch: epoch, Tree: tree, Raw: raw}, nil); d != nil {
-		return d
+	if fail := s.acceptVersion(delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}, nil); fail != nil {
+		return fail
 	}
 	return nil
 }
 
-// take holds a confirmed manifest and tells peers of it; change is the delta that it came by.
-func (s *Sidecar) take(v delta.Version, change *delta.Delta) *failure.Error {
-	m, d := check.Loose(v.Tree)
-	if d != nil {
-		return d
+// acceptVersion holds a confirmed manifest and tells peers of it; change is the delta that it came by.
+func (s *Sidecar) acceptVersion(version delta.Snapshot, update *delta.Delta) *failure.Error {
+	config, fail := validation.Lenient(version.Tree)
+	if fail != nil {
+		return fail
 	}
-	m.Epoch = v.Epoch
+	config.Revision = version.Revision
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	peers := s.gates()
+	peers := s.peerAddrs()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	if s.wit.Take(s.clock(), m, s.path.Epoch(), len(peers)) {
-		s.next = stored{raw: v.Raw, packed: delta.Pack(v.Raw), change: change}
-		for _, g := range peers[:min(len(peers), witness.Ask)] {
-			go s.tell(g, v.Epoch)
+	if s.configCache.Add(s.clock(), config, s.router.Revision(), len(peers)) {
+		s.pendingConfig = storedConfig{raw: version.Raw, compressed: delta.NewCompressed(version.Raw), delta: update}
+		for _, peer := range peers[:min(len(peers), configcache.MaxNotified)] {
+			go s.notifyPeer(peer, version.Revision)
 		}
 	}
-	s.show()
+	s.activatePending()
 	return nil
 }
 
-// show puts the manifest that is held in force, once peers hold it too; mu is held.
-func (s *Sidecar) show() {
-	m := s.wit.Due(s.clock())
-	if m == nil {
+// activatePending puts the manifest that is held in force, once peers hold it too; mu is held.
+func (s *Sidecar) activatePending() {
+	config := s.configCache.TakeReady(s.clock())
+	if config == nil {
 		return
 	}
-	next := s.next
-	s.next = stored{}
-	if !s.path.Enforce(m) {
+	pending := s.pendingConfig
+	s.pendingConfig = storedConfig{}
+	if !s.router.Enforce(config) {
 		return
 	}
-	s.shown = next
-	if m.Limits != (check.Limits{}) {
-		s.limits.Store(&m.Limits)
+	s.activeConfig = pending
+	if config.Limits != (validation.Limits{}) {
+		s.limits.Store(&config.Limits)
 	}
-	s.inUse.Store(true)
-	s.Log.Info("manifest", zap.Uint64("epoch", uint64(m.Epoch)), zap.Int("ways", len(m.Ways)))
-	s.kick(s.push)
+	s.configActive.Store(true)
+	s.Log.Info("manifest", zap.Uint64("epoch", uint64(config.Revision)), zap.Int("ways", len(config.Routes)))
+	s.notify(s.renewNow)
 }
 
-// heldEpoch is the epoch of the newest manifest here.
-func (s *Sidecar) heldEpoch() ident.Epoch {
+// newestRevision is the epoch of the newest manifest here.
+func (s *Sidecar) newestRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	epoch, _ := s.holds()
-	return epoch
+	revision, _ := s.newestConfig()
+	return revision
 }
 
-// holds is the newest manifest here, in force or not yet; mu is held.
-func (s *Sidecar) holds() (ident.Epoch, stored) {
-	if m := s.wit.Next(); m != nil && s.next.raw != nil {
-		return m.Epoch, s.next
+// newestConfig is the newest manifest here, in force or not yet; mu is held.
+func (s *Sidecar) newestConfig() (ident.Epoch, storedConfig) {
+	if config := s.configCache.Pending(); config != nil && s.pendingConfig.raw != nil {
+		return config.Revision, s.pendingConfig
 	}
-	return s.path.Epoch(), s.shown
+	return s.router.Revision(), s.activeConfig
 }
