--- a/daemon/sidecar/once_test.go
+++ b/daemon/sidecar/once_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
 // These tests play all orders of what the far ends of a request's hops may do, over the
@@ -28,54 +28,54 @@
 	shortLimit   = 60 * time.Millisecond
 )
 
-// promises are the statuses that promise that a request has not run and never will.
-var promises = map[int]bool{408: true, 421: true, 429: true, 503: true}
+// notExecutedStatuses are the statuses that promise that a request has not run and never will.
+var notExecutedStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// place puts the two endpoints of a service on the stage and gives the sidecar that is asked.
-type place func(*stage) *Sidecar
+// topology puts the two endpoints of a service on the stage and gives the sidecar that is asked.
+type topology func(*testStage) *Sidecar
 
-func beside(st *stage) *Sidecar {
-	s := node("a", "127.0.0.1:1", st.endpoints...)
-	s.knows("a", "127.0.0.1:1", "a0", "a1")
+func localEndpoints(st *testStage) *Sidecar {
+	s := newTestSidecar("a", "127.0.0.1:1", st.endpoints...)
+	s.addWorkloads("a", "127.0.0.1:1", "a0", "a1")
 	return s
 }
 
-func behind(st *stage) *Sidecar {
-	st.peer.Store(node("b", "127.0.0.1:2", st.endpoints...))
-	s := node("a", "127.0.0.1:1")
-	s.knows("b", st.hop, "b0", "b1")
+func remoteEndpoints(st *testStage) *Sidecar {
+	st.peer.Store(newTestSidecar("b", "127.0.0.1:2", st.endpoints...))
+	s := newTestSidecar("a", "127.0.0.1:1")
+	s.addWorkloads("b", st.relayAddr, "b0", "b1")
 	return s
 }
 
-// play sends requests one after the other against one order of moves. It is judged when
+// playScript sends requests one after the other against one order of moves. It is judged when
 // they are answered, and again when all of the stage is over: what was refused never runs.
-func (st *stage) play(t *testing.T, at place, limit time.Duration, paths []string, script []endpointMove, relays []relayMove) {
-	j, order := newJournal(script, relays), fmt.Sprint(st.orders.Add(1))
-	st.journals.Store(order, j)
-	s := at(st)
-	defer st.over(s)
+func (st *testStage) playScript(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointMove, relays []relayMove) {
+	log, order := newJournal(script, relays), fmt.Sprint(st.orders.Add(1))
+	st.journals.Store(order, log)
+	s := place(st)
+	defer st.closeConnections(s)
 	answers := make([]*httptest.ResponseRecorder, len(paths))
 	for n, path := range paths {
-		answers[n] = s.asks(path, fmt.Sprint(order, "-r", n), limit)
+		answers[n] = s.sendAsCaller(path, fmt.Sprint(order, "-r", n), limit)
 	}
-	judge := func() {
+	checkAll := func() {
 		for n, path := range paths {
-			j.judge(t, path, fmt.Sprint(order, "-r", n), answers[n], orderText(paths, script, relays))
+			log.checkAnswer(t, path, fmt.Sprint(order, "-r", n), answers[n], orderText(paths, script, relays))
 		}
 	}
-	judge()
-	t.Cleanup(judge)
+	checkAll()
+	t.Cleanup(checkAll)
 }
 
-// over closes the connections that an order kept.
-func (st *stage) over(s *Sidecar) {
-	for _, one := range []*Sidecar{s, st.peer.Swap(nil)} {
-		if one == nil {
+// closeConnections closes the connections that an order kept.
+func (st *testStage) closeConnections(s *Sidecar) {
+	for _, sidecar := range []*Sidecar{s, st.peer.Swap(nil)} {
+		if sidecar == nil {
 			continue
 		}
-		for _, addr := range append(st.endpoints, st.hop) {
-			one.ends.Drop(addr)
-			one.peers.Drop(addr)
+		for _, addr := range append(st.endpoints, st.relayAddr) {
+			sidecar.endpointExchange.Drop(addr)
+			sidecar.peerExchange.Drop(addr)
 		}
 	}
 }
@@ -91,44 +91,44 @@
 	return strings.Join(names, "; ")
 }
 
-// judge holds the answer to one request against what the endpoints saw of it.
-func (j *journal) judge(t *testing.T, path, id string, got *httptest.ResponseRecorder, order string) {
+// checkAnswer holds the answer to one request against what the endpoints saw of it.
+func (j *journal) checkAnswer(t *testing.T, path, id string, got *httptest.ResponseRecorder, order string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	ran, unproved := 0, j.lost[id]
+	ran, inDoubt := 0, j.inDoubt[id]
 	for n, move := range j.arrivals[id] {
 		if move.runs {
 			ran++
 		}
-		unproved = unproved || move.evidence == doubt
+		inDoubt = inDoubt || move.evidence == doubt
 		if n > 0 && strings.HasPrefix(path, "/once/") {
 			must.Eq(t, refused, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", order, id))
 		}
 	}
-	say := must.Sprintf("%s: %s ran %d times, was told %d %s %s", order, id, ran, got.Code, got.Header().Get(reply.FateHeader), got.Body)
+	message := must.Sprintf("%s: %s ran %d times, was told %d %s %s", order, id, ran, got.Code, got.Header().Get(response.FateHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
-		must.LessEq(t, 1, ran, say)
+		must.LessEq(t, 1, ran, message)
 	}
-	fate := failure.Outcome(got.Header().Get(reply.FateHeader))
-	if fate == "" { // an endpoint's own
-		must.Eq(t, ownBody(id), got.Body.String(), say)
-		must.Eq(t, []string{id}, got.Header()[testId], say)
-		must.Greater(t, 0, ran, say)
-		must.True(t, got.Code >= 300 || got.Header().Get(testSeal) != "", say)
+	outcome := failure.Outcome(got.Header().Get(response.FateHeader))
+	if outcome == "" { // an endpoint's own
+		must.Eq(t, ownBody(id), got.Body.String(), message)
+		must.Eq(t, []string{id}, got.Header()[testIDHeader], message)
+		must.Greater(t, 0, ran, message)
+		must.True(t, got.Code >= 300 || got.Header().Get(testSealHeader) != "", message)
 		return
 	}
-	must.False(t, got.Code < 300, say)
-	must.Eq(t, fate == failure.NotExecuted, promises[got.Code], say)
-	if fate == failure.NotExecuted {
-		must.Eq(t, 0, ran, say)
+	must.False(t, got.Code < 300, message)
+	must.Eq(t, outcome == failure.NotExecuted, notExecutedStatuses[got.Code], message)
+	if outcome == failure.NotExecuted {
+		must.Eq(t, 0, ran, message)
 	} else {
-		must.Eq(t, failure.OutcomeUnknown, fate, say)
-		must.True(t, unproved || j.ended, say) // not unsure without a cause
+		must.Eq(t, failure.OutcomeUnknown, outcome, message)
+		must.True(t, inDoubt || j.connectionEnded, message) // not unsure without a cause
 	}
 }
 
-// quick are the moves that nothing ends by time.
-func quick() (list []endpointMove) {
+// movesWithoutHang are the moves that nothing ends by time.
+func movesWithoutHang() (list []endpointMove) {
 	for _, m := range endpointMoves {
 		if m.end != hangs {
 			list = append(list, m)
@@ -139,8 +139,8 @@
 
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
-// named gives the moves of an endpoint that have these names.
-func named(names ...string) (list []endpointMove) {
+// movesNamed gives the moves of an endpoint that have these names.
+func movesNamed(names ...string) (list []endpointMove) {
 	for _, m := range endpointMoves {
 		if slices.Contains(names, m.name) {
 			list = append(list, m)
@@ -151,16 +151,16 @@
 
 // All orders of three moves of two endpoints beside the sidecar, against two requests.
 func TestAllOrdersBesideTheSidecar(t *testing.T) {
-	last := named("answers", "answers an older one late, then this", "refuses", "runs and resets")
+	last := movesNamed("answers", "answers an older one late, then this", "refuses", "runs and resets")
 	must.SliceLen(t, 4, last)
-	for _, first := range quick() {
+	for _, first := range movesWithoutHang() {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
 			st := newStage(t)
-			for _, second := range quick() {
+			for _, second := range movesWithoutHang() {
 				for _, third := range last {
 					for _, paths := range pathPairs {
-						st.play(t, beside, patientLimit, paths, []endpointMove{first, second, third}, nil)
+						st.playScript(t, localEndpoints, patientLimit, paths, []endpointMove{first, second, third}, nil)
 					}
 				}
 			}
@@ -170,7 +170,7 @@
 
 // All orders of two moves of the hop between sidecars and two of the endpoints behind it.
 func TestAllOrdersBehindAPeer(t *testing.T) {
-	moves := named("answers", "answers and closes", "answers twice", "refuses", "runs and resets")
+	moves := movesNamed("answers", "answers and closes", "answers twice", "refuses", "runs and resets")
 	must.SliceLen(t, 5, moves)
 	for _, first := range relayMoves {
 		t.Run(first.name, func(t *testing.T) {
@@ -179,7 +179,7 @@
 			for _, second := range relayMoves {
 				for _, one := range moves {
 					for _, two := range moves {
-						st.play(t, behind, patientLimit, pathPairs[0], []endpointMove{one, two}, []relayMove{first, second})
+						st.playScript(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointMove{one, two}, []relayMove{first, second})
 					}
 				}
 			}
@@ -189,7 +189,7 @@
 
 // The same with a request that may run again before one that may not: three moves of the hop.
 func TestAllOrdersOfTheHopForWhatMayRunAgain(t *testing.T) {
-	moves := named("answers", "runs and resets")
+	moves := movesNamed("answers", "runs and resets")
 	must.SliceLen(t, 2, moves)
 	for _, first := range relayMoves {
 		t.Run(first.name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 			for _, second := range relayMoves {
 				for _, third := range relayMoves {
 					for _, one := range moves {
-						st.play(t, behind, patientLimit, pathPairs[1], []endpointMove{one}, []relayMove{first, second, third})
+						st.playScript(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointMove{one}, []relayMove{first, second, third})
 					}
 				}
 			}
@@ -209,18 +209,18 @@
 // A peer that hangs ends the request at its time: whether it ran is unknown, nothing goes
 // out again, and its connection carries nothing after it.
 func TestAllOrdersWithAPeerThatHangs(t *testing.T) {
-	hang := endpointMoves[len(endpointMoves)-1]
-	must.Eq(t, hangs, hang.end)
+	hanging := endpointMoves[len(endpointMoves)-1]
+	must.Eq(t, hangs, hanging.end)
 	silent := relayMove{"hangs", true, false, none, hangs, true}
 	for _, other := range endpointMoves {
 		t.Run(other.name, func(t *testing.T) {
 			t.Parallel()
 			st := newStage(t)
-			for _, script := range [][]endpointMove{{hang, other}, {other, hang}} {
+			for _, script := range [][]endpointMove{{hanging, other}, {other, hanging}} {
 				for _, paths := range pathPairs {
-					st.play(t, beside, shortLimit, paths, script, nil)
-					st.play(t, behind, shortLimit, paths, script, nil)
-					st.play(t, behind, shortLimit, paths, script[:1], []relayMove{silent})
+					st.playScript(t, localEndpoints, shortLimit, paths, script, nil)
+					st.playScript(t, remoteEndpoints, shortLimit, paths, script, nil)
+					st.playScript(t, remoteEndpoints, shortLimit, paths, script[:1], []relayMove{silent})
 				}
 			}
 		})
@@ -232,38 +232,38 @@
 func TestManyAtOnce(t *testing.T) {
 	const callers, each = 8, 30
 	for seed := range uint64(6) {
-		for name, at := range map[string]place{"beside": beside, "behind": behind} {
+		for name, setUp := range map[string]topology{"beside": localEndpoints, "behind": remoteEndpoints} {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
-				draw := rand.New(rand.NewPCG(seed, 1))
+				rng := rand.New(rand.NewPCG(seed, 1))
 				var script []endpointMove
 				var relays []relayMove
 				for range 2 * callers * each { // half of the moves are well
-					script = append(script, endpointMoves[0], oneOf(draw, quick()))
-					relays = append(relays, relayMoves[0], oneOf(draw, relayMoves))
+					script = append(script, endpointMoves[0], oneOf(rng, movesWithoutHang()))
+					relays = append(relays, relayMoves[0], oneOf(rng, relayMoves))
 				}
-				st := newStage(t)
-				j := newJournal(script, relays)
-				st.journals.Store("1", j)
-				s := at(st)
-				defer st.over(s)
+				stage := newStage(t)
+				log := newJournal(script, relays)
+				stage.journals.Store("1", log)
+				s := setUp(stage)
+				defer stage.closeConnections(s)
 				var answers [callers][each]*httptest.ResponseRecorder
 				path := func(n int) string { return []string{"/once/x", "/again/y"}[n%2] }
-				id := func(who, n int) string { return fmt.Sprintf("1-%d-%d", who, n) }
-				var all sync.WaitGroup
-				for who := range callers {
-					all.Go(func() {
+				id := func(caller, n int) string { return fmt.Sprintf("1-%d-%d", caller, n) }
+				var senders sync.WaitGroup
+				for caller := range callers {
+					senders.Go(func() {
 						for n := range each {
-							answers[who][n] = s.asks(path(n), id(who, n), patientLimit)
+							answers[caller][n] = s.sendAsCaller(path(n), id(caller, n), patientLimit)
 						}
 					})
 				}
-				all.Wait()
+				senders.Wait()
 				served := 0
-				for who := range callers {
+				for caller := range callers {
 					for n := range each {
-						got := answers[who][n]
-						j.judge(t, path(n), id(who, n), got, fmt.Sprint("seed ", seed))
+						got := answers[caller][n]
+						log.checkAnswer(t, path(n), id(caller, n), got, fmt.Sprint("seed ", seed))
 						if got.Code == http.StatusOK {
 							served++
 						}
@@ -275,4 +275,4 @@
 	}
 }
 
-func oneOf[T any](draw *rand.Rand, list []T) T { return list[draw.IntN(len(list))] }
+func oneOf[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
--- a/daemon/sidecar/parts.go
+++ b/daemon/sidecar/parts.go
@@ -3,65 +3,65 @@
 import (
 	"encoding/json"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/delta"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/delta"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 )
 
-// manifestMost bounds a manifest that is taken from another process.
-const manifestMost = 2 * check.BytesMax
+// maxConfigBytes bounds a manifest that is taken from another process.
+const maxConfigBytes = 2 * validation.MaxBytes
 
-// stored is a manifest as it was stored, its compressed form for peers, and the delta that
+// storedConfig is a manifest as it was stored, its compressed form for peers, and the delta that
 // it came by, nil if it came whole.
-type stored struct {
-	raw    json.RawMessage
-	packed *delta.Packed
-	change *delta.Delta
+type storedConfig struct {
+	raw        json.RawMessage
+	compressed *delta.Compressed
+	delta      *delta.Delta
 }
 
-// since gives the delta that it came by to those who have the manifest before it.
-func (m stored) since(from ident.Epoch) *delta.Delta {
-	if m.change == nil || m.change.From != from {
+// deltaFrom gives the delta that it came by to those who have the manifest before it.
+func (config storedConfig) deltaFrom(from ident.Epoch) *delta.Delta {
+	if config.delta == nil || config.delta.From != from {
 		return nil
 	}
-	return m.change
+	return config.delta
 }
 
-// parts puts a manifest together. Invariant: data is the beginning of one form of one epoch.
-type parts struct {
-	epoch  ident.Epoch
-	packed bool
-	size   int
-	data   []byte
+// configAssembly puts a manifest together. Invariant: data is the beginning of one form of one epoch.
+type configAssembly struct {
+	revision   ident.Epoch
+	compressed bool
+	size       int
+	data       []byte
 }
 
-func (p *parts) done() bool { return p.epoch != 0 && len(p.data) == p.size }
+func (p *configAssembly) complete() bool { return p.revision != 0 && len(p.data) == p.size }
 
-// take takes the next part; one of another epoch, or in another form, begins anew.
-func (p *parts) take(in mesh.Part) *failure.Error {
-	if in.Epoch != p.epoch || in.Packed != p.packed {
-		if in.At != 0 {
-			*p = parts{}
+// add takes the next part; one of another epoch, or in another form, begins anew.
+func (p *configAssembly) add(part mesh.ConfigPart) *failure.Error {
+	if part.Revision != p.revision || part.Compressed != p.compressed {
+		if part.Offset != 0 {
+			*p = configAssembly{}
 			return nil
 		}
-		if in.Epoch == 0 || in.Size <= 0 || in.Size > manifestMost {
-			return failure.New(failure.BadResponse, "a manifest of %d bytes", in.Size)
+		if part.Revision == 0 || part.Size <= 0 || part.Size > maxConfigBytes {
+			return failure.New(failure.BadResponse, "a manifest of %d bytes", part.Size)
 		}
-		*p = parts{epoch: in.Epoch, packed: in.Packed, size: in.Size, data: make([]byte, 0, in.Size)}
+		*p = configAssembly{revision: part.Revision, compressed: part.Compressed, size: part.Size, data: make([]byte, 0, part.Size)}
 	}
-	if in.At != len(p.data) || in.Size != p.size || len(in.Data) == 0 || len(p.data)+len(in.Data) > p.size {
+	if part.Offset != len(p.data) || part.Size != p.size || len(part.Data) == 0 || len(p.data)+len(part.Data) > p.size {
 		return failure.New(failure.BadResponse, "a part of the manifest does not fit")
 	}
-	p.data = append(p.data, in.Data...)
+	p.data = append(p.data, part.Data...)
 	return nil
 }
 
-// raw gives the manifest as it is stored.
-func (p *parts) raw() (json.RawMessage, *failure.Error) {
-	if !p.packed {
+// bytes gives the manifest as it is stored.
+func (p *configAssembly) bytes() (json.RawMessage, *failure.Error) {
+	if !p.compressed {
 		return p.data, nil
 	}
-	return delta.Unpack(p.data, manifestMost)
+	return delta.Decompress(p.data, maxConfigBytes)
 }
--- a/daemon/sidecar/parts_test.go
+++ b/daemon/sidecar/parts_test.go
@@ -11,31 +11,31 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
-	"cottonarch.example/cottonarch/boot"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/delta"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/manifest/delta"
-	"cottonarch.example/cottonarch/control/manifest/walk"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
+	"cottonarch.example/cottonarch/settings"
 )
 
-// giver is a process that gives parts of a manifest and counts the bytes of its returns.
-type giver struct {
-	source mesh.Source
-	old    bool // it knows neither deltas nor compressed parts
-	bytes  int
-	asked  []string
+// configSource is a process that gives parts of a manifest and counts the bytes of its returns.
+type configSource struct {
+	source  mesh.ConfigSource
+	old     bool // it knows neither deltas nor compressed parts
+	bytes   int
+	queries []string
 }
 
-func (g *giver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.asked = append(g.asked, r.URL.RawQuery)
-	src := g.source
-	if g.old {
-		src.Packed, src.Since = nil, nil
+func (s *configSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.queries = append(s.queries, r.URL.RawQuery)
+	src := s.source
+	if s.old {
+		src.Compressed, src.DeltaFrom = nil, nil
 	}
 	rec := httptest.NewRecorder()
-	mesh.GivePart(rec, r, src)
-	g.bytes += rec.Body.Len()
+	mesh.ServeConfigPart(rec, r, src)
+	s.bytes += rec.Body.Len()
 	for name, values := range rec.Header() {
 		w.Header()[name] = values
 	}
@@ -43,94 +43,94 @@
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
-// give puts a manifest of so many ways in, one of which has its own timeout.
-func (g *giver) give(t *testing.T, epoch ident.Epoch, ways, timeout int) delta.Version {
+// setConfig puts a manifest of so many ways in, one of which has its own timeout.
+func (s *configSource) setConfig(t *testing.T, revision ident.Epoch, routeCount, timeout int) delta.Snapshot {
 	t.Helper()
-	all := map[string]any{}
-	for i := range ways {
-		all[fmt.Sprintf("route-%d", i)] = map[string]any{"host": "a.example", "pathStart": fmt.Sprintf("/%d/", i), "service": "s.prairie", "timeoutMs": 500}
+	routes := map[string]any{}
+	for i := range routeCount {
+		routes[fmt.Sprintf("route-%d", i)] = map[string]any{"host": "a.example", "pathStart": fmt.Sprintf("/%d/", i), "service": "s.prairie", "timeoutMs": 500}
 	}
-	all["route-0"].(map[string]any)["timeoutMs"] = timeout
-	raw := operation.Encode(map[string]any{"services": map[string]any{"s.prairie": map[string]any{}}, "ways": all})
-	tree, d := walk.Parse(raw)
-	must.Nil(t, d)
-	g.source.Epoch, g.source.Raw, g.source.Packed = epoch, raw, delta.Pack(raw)
-	return delta.Version{Epoch: epoch, Tree: tree, Raw: raw}
+	routes["route-0"].(map[string]any)["timeoutMs"] = timeout
+	raw := operation.Encode(map[string]any{"services": map[string]any{"s.prairie": map[string]any{}}, "ways": routes})
+	tree, fail := decode.Parse(raw)
+	must.Nil(t, fail)
+	s.source.Revision, s.source.Raw, s.source.Compressed = revision, raw, delta.NewCompressed(raw)
+	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
 }
 
-// shown is the manifest in force at a sidecar.
-func shown(s *Sidecar) (ident.Epoch, json.RawMessage) {
+// activeConfig is the manifest in force at a sidecar.
+func activeConfig(s *Sidecar) (ident.Epoch, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.path.Epoch(), s.shown.raw
+	return s.router.Revision(), s.activeConfig.raw
 }
 
 // A sidecar takes a manifest whole the first time and then what changed; a delta that does
 // not fit, and a giver of an earlier release, cost a whole one. What is in force is always
 // to the byte what was given, and what is here already is not taken again.
-func TestManifestIsTakenByDifference(t *testing.T) {
-	g := &giver{}
-	server := httptest.NewServer(g)
+func TestConfigIsFetchedByDelta(t *testing.T) {
+	source := &configSource{}
+	server := httptest.NewServer(source)
 	defer server.Close()
 	from := ident.Addr(strings.TrimPrefix(server.URL, "http://"))
-	s := New(boot.Sidecar{}, zap.NewNop())
-	s.wit.Entered()
+	s := New(settings.Sidecar{}, zap.NewNop())
+	s.configCache.MarkJoined()
 	var history delta.History
-	change := func(epoch ident.Epoch, timeout int) {
-		history.Add(g.give(t, epoch, 400, timeout))
-		g.source.Since = history.Since
+	change := func(revision ident.Epoch, timeout int) {
+		history.Add(source.setConfig(t, revision, 400, timeout))
+		source.source.DeltaFrom = history.Since
 	}
 	fetch := func() (bytes int) {
-		before := g.bytes
-		must.NoError(t, s.fetch(from))
-		epoch, raw := shown(s)
-		must.Eq(t, g.source.Epoch, epoch)
-		must.Eq(t, string(g.source.Raw), string(raw))
-		return g.bytes - before
+		before := source.bytes
+		must.NoError(t, s.fetchConfig(from))
+		revision, raw := activeConfig(s)
+		must.Eq(t, source.source.Revision, revision)
+		must.Eq(t, string(source.source.Raw), string(raw))
+		return source.bytes - before
 	}
 
 	change(1, 500)
-	whole := fetch()
-	must.Less(t, len(g.source.Raw)/2, whole) // compressed
+	wholeBytes := fetch()
+	must.Less(t, len(source.source.Raw)/2, wholeBytes) // compressed
 	change(2, 600)
 	must.Less(t, 400, fetch())
-	must.Eq(t, int64(1), s.Board.At("deltas_applied").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter("deltas_applied").Load())
 
 	change(3, 700)
-	spoilt := *history.Since(2)
-	spoilt.Digest = strings.Repeat("0", 64)
-	g.source.Since = func(ident.Epoch) *delta.Delta { return &spoilt }
-	must.Greater(t, whole/2, fetch())
-	must.Eq(t, int64(1), s.Board.At("deltas_refused").Load())
+	corrupted := *history.Since(2)
+	corrupted.Digest = strings.Repeat("0", 64)
+	source.source.DeltaFrom = func(ident.Epoch) *delta.Delta { return &corrupted }
+	must.Greater(t, wholeBytes/2, fetch())
+	must.Eq(t, int64(1), s.Metrics.Counter("deltas_refused").Load())
 
-	g.old = true
+	source.old = true
 	change(4, 800)
-	must.Greater(t, len(g.source.Raw), fetch())
-	must.Eq(t, int64(1), s.Board.At("deltas_applied").Load())
+	must.Greater(t, len(source.source.Raw), fetch())
+	must.Eq(t, int64(1), s.Metrics.Counter("deltas_applied").Load())
 
-	g.old, g.asked = false, nil
-	must.NoError(t, s.fetch(from))
-	must.SliceLen(t, 1, g.asked)
-	epoch, _ := shown(s)
-	must.Eq(t, ident.Epoch(4), epoch)
+	source.old, source.queries = false, nil
+	must.NoError(t, s.fetchConfig(from))
+	must.SliceLen(t, 1, source.queries)
+	revision, _ := activeConfig(s)
+	must.Eq(t, ident.Epoch(4), revision)
 }
 
 // A peer hands on the delta by which its manifest came, and only to who has the one before.
 func TestPeersHandOnTheDelta(t *testing.T) {
-	g := &giver{}
-	before, after := g.give(t, 5, 40, 1), g.give(t, 6, 40, 2)
+	source := &configSource{}
+	before, after := source.setConfig(t, 5, 40, 1), source.setConfig(t, 6, 40, 2)
 	change, ok := delta.Between(before, after)
 	must.True(t, ok)
-	s := New(boot.Sidecar{}, zap.NewNop())
-	s.wit.Entered()
-	must.NoError(t, s.enforce(before.Epoch, before.Raw))
-	must.Nil(t, s.apply(change))
-	for have, told := range map[string]bool{"5": true, "4": false, "6": false, "": false} {
+	s := New(settings.Sidecar{}, zap.NewNop())
+	s.configCache.MarkJoined()
+	must.NoError(t, s.acceptWhole(before.Revision, before.Raw))
+	must.Nil(t, s.applyDelta(change))
+	for haveRevision, wantDelta := range map[string]bool{"5": true, "4": false, "6": false, "": false} {
 		rec := httptest.NewRecorder()
-		s.onPart(rec, httptest.NewRequest("GET", "/cottonarch/v1/part?at=0&have="+have, nil))
-		var p mesh.Part
+		s.handleConfigPart(rec, httptest.NewRequest("GET", "/cottonarch/v1/part?at=0&have="+haveRevision, nil))
+		var p mesh.ConfigPart
 		must.NoError(t, json.Unmarshal(rec.Body.Bytes(), &p))
-		must.Eq(t, told, p.Delta != nil, must.Sprint(have))
-		must.Eq(t, ident.Epoch(6), p.Epoch)
+		must.Eq(t, wantDelta, p.Delta != nil, must.Sprint(haveRevision))
+		must.Eq(t, ident.Epoch(6), p.Revision)
 	}
 }
--- a/daemon/sidecar/paths.go
+++ b/daemon/sidecar/paths.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"net/http"
 
-	"cottonarch.example/cottonarch/adapter/mesh"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/daemon/core"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/gate"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/mesh/endpoint"
+	"cottonarch.example/cottonarch/wire/response"
 	"cottonarch.example/cottonarch/wire/server"
 
 	"github.com/gorilla/mux"
@@ -18,94 +18,94 @@
 // Paths is what endpoints, peers and operators may ask a sidecar.
 func (s *Sidecar) Paths() server.Paths {
 	return server.Paths{
-		"/beat":               {"POST": s.onBeat},
-		"/manifest":           {"GET": s.onManifest},
-		"/address/{key:.+}":   {"GET": s.onAddress},
-		"/cottonarch/v1/peer": {"GET": s.onPeer},
+		"/beat":               {"POST": s.handleHeartbeat},
+		"/manifest":           {"GET": s.handleConfig},
+		"/address/{key:.+}":   {"GET": s.handleAddress},
+		"/cottonarch/v1/peer": {"GET": s.handlePeerState},
 		"/cottonarch/v1/cores": {"GET": func(w http.ResponseWriter, _ *http.Request) {
-			reply.JSON(w, http.StatusOK, core.Known{Cores: s.cored()})
+			response.JSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
 		}},
-		"/cottonarch/v1/part":  {"GET": s.onPart},
-		"/cottonarch/v1/heard": {"POST": s.onHeard},
+		"/cottonarch/v1/part":  {"GET": s.handleConfigPart},
+		"/cottonarch/v1/heard": {"POST": s.handleRevisionNotice},
 	}
 }
 
-func (s *Sidecar) onBeat(w http.ResponseWriter, r *http.Request) {
-	var b gate.Beat
-	if d := reply.Decode(r, 1<<16, &b); d != nil {
-		reply.Defect(w, d)
+func (s *Sidecar) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	var heartbeat endpoint.Heartbeat
+	if fail := response.Decode(r, 1<<16, &heartbeat); fail != nil {
+		response.Defect(w, fail)
 		return
 	}
-	if d := s.Beat(b); d != nil {
-		reply.Defect(w, d)
+	if fail := s.Heartbeat(heartbeat); fail != nil {
+		response.Defect(w, fail)
 		return
 	}
-	reply.JSON(w, http.StatusOK, map[string]any{"beatEveryMs": gate.BeatEvery.Milliseconds(), "silentAfterMs": gate.Silent.Milliseconds()})
+	response.JSON(w, http.StatusOK, map[string]any{"beatEveryMs": endpoint.HeartbeatInterval.Milliseconds(), "silentAfterMs": endpoint.HeartbeatTimeout.Milliseconds()})
 }
 
-// inForce gives the manifest in force, or says that there is none.
-func (s *Sidecar) inForce(w http.ResponseWriter) (epoch ident.Epoch, raw json.RawMessage) {
+// activeConfigOrNotFound gives the manifest in force, or says that there is none.
+func (s *Sidecar) activeConfigOrNotFound(w http.ResponseWriter) (revision ident.Epoch, raw json.RawMessage) {
 	s.mu.Lock()
-	epoch, raw = s.path.Epoch(), s.shown.raw
+	revision, raw = s.router.Revision(), s.activeConfig.raw
 	s.mu.Unlock()
-	if epoch == 0 {
-		reply.Defect(w, failure.New(failure.Missing, "no manifest is in force yet"))
+	if revision == 0 {
+		response.Defect(w, failure.New(failure.NotFound, "no manifest is in force yet"))
 	}
 	return
 }
 
-// onManifest shows what is in force here.
-func (s *Sidecar) onManifest(w http.ResponseWriter, _ *http.Request) {
-	if epoch, raw := s.inForce(w); epoch > 0 {
-		reply.JSON(w, http.StatusOK, map[string]any{"epoch": epoch, "manifest": raw})
+// handleConfig shows what is in force here.
+func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
+	if revision, raw := s.activeConfigOrNotFound(w); revision > 0 {
+		response.JSON(w, http.StatusOK, map[string]any{"epoch": revision, "manifest": raw})
 	}
 }
 
-func (s *Sidecar) onAddress(w http.ResponseWriter, r *http.Request) {
-	k := mux.Vars(r)["key"]
+func (s *Sidecar) handleAddress(w http.ResponseWriter, r *http.Request) {
+	key := mux.Vars(r)["key"]
 	s.mu.Lock()
-	a, ok := s.path.Index.Look(k)
+	address, ok := s.router.Index.Lookup(key)
 	s.mu.Unlock()
 	if !ok {
-		reply.Defect(w, failure.New(failure.Missing, "no address %q", k))
+		response.Defect(w, failure.New(failure.NotFound, "no address %q", key))
 		return
 	}
-	reply.JSON(w, http.StatusOK, a)
+	response.JSON(w, http.StatusOK, address)
 }
 
-func (s *Sidecar) onPeer(w http.ResponseWriter, r *http.Request) {
+func (s *Sidecar) handlePeerState(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	epoch, _ := s.holds()
-	p := Peer{Manifest: epoch, Heard: s.wit.Heard(), Entered: s.entered.Load(), Sets: s.path.Index.Sets()}
+	revision, _ := s.newestConfig()
+	state := PeerState{ConfigRevision: revision, NewestKnownRevision: s.configCache.NewestKnown(), Joined: s.leaseHeld.Load(), Sets: s.router.Index.Sets()}
 	s.mu.Unlock()
-	if query := r.URL.Query(); query.Get("brief") != "" || query.Get("have") == sum(p.Sets) {
-		p.Sets = nil
+	if query := r.URL.Query(); query.Get("brief") != "" || query.Get("have") == registryDigest(state.Sets) {
+		state.Sets = nil
 	}
-	reply.JSON(w, http.StatusOK, p)
+	response.JSON(w, http.StatusOK, state)
 }
 
-func (s *Sidecar) onPart(w http.ResponseWriter, r *http.Request) {
+func (s *Sidecar) handleConfigPart(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	epoch, held := s.holds()
+	revision, held := s.newestConfig()
 	s.mu.Unlock()
-	if epoch == 0 {
-		reply.Defect(w, failure.New(failure.Missing, "no manifest is here yet"))
+	if revision == 0 {
+		response.Defect(w, failure.New(failure.NotFound, "no manifest is here yet"))
 		return
 	}
-	mesh.GivePart(w, r, mesh.Source{Epoch: epoch, Raw: held.raw, Packed: held.packed, Since: held.since})
+	mesh.ServeConfigPart(w, r, mesh.ConfigSource{Revision: revision, Raw: held.raw, Compressed: held.compressed, DeltaFrom: held.deltaFrom})
 }
 
-func (s *Sidecar) onHeard(w http.ResponseWriter, r *http.Request) {
-	var h Heard
-	if d := reply.Decode(r, 1<<16, &h); d != nil {
-		reply.Defect(w, d)
+func (s *Sidecar) handleRevisionNotice(w http.ResponseWriter, r *http.Request) {
+	var notice RevisionNotice
+	if fail := response.Decode(r, 1<<16, &notice); fail != nil {
+		response.Defect(w, fail)
 		return
 	}
-	reply.JSON(w, http.StatusOK, s.Hear(h))
+	response.JSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
 }
 
-// Front takes every request of the callers' address.
-func (s *Sidecar) Front(w http.ResponseWriter, r *http.Request) bool {
-	s.Intake(w, r)
+// HandleCaller takes every request of the callers' address.
+func (s *Sidecar) HandleCaller(w http.ResponseWriter, r *http.Request) bool {
+	s.ServeCaller(w, r)
 	return true
 }
--- a/daemon/sidecar/peers.go
+++ b/daemon/sidecar/peers.go
@@ -10,191 +10,191 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/registry/record"
-	"cottonarch.example/cottonarch/mesh/witness"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/mesh/configcache"
 )
 
-// gates lists the peers that are known; mu is held.
-func (s *Sidecar) gates() []ident.Addr {
-	var out []ident.Addr
-	for _, set := range s.path.Index.Sets() {
-		for _, a := range set.Records {
-			if a.Workload != nil && a.Workload.Gate != s.Boot.Addr && !slices.Contains(out, a.Workload.Gate) {
-				out = append(out, a.Workload.Gate)
+// peerAddrs lists the peers that are known; mu is held.
+func (s *Sidecar) peerAddrs() []ident.Addr {
+	var peers []ident.Addr
+	for _, set := range s.router.Index.Sets() {
+		for _, address := range set.Records {
+			if address.Workload != nil && address.Workload.SidecarAddr != s.Settings.Addr && !slices.Contains(peers, address.Workload.SidecarAddr) {
+				peers = append(peers, address.Workload.SidecarAddr)
 			}
 		}
 	}
-	return out
+	return peers
 }
 
-// neighbours is the duty of asking peers, while no core is heard, for a newer manifest
+// runPeerQueries is the duty of asking peers, while no core is heard, for a newer manifest
 // and for their registry.
-func (s *Sidecar) neighbours() {
-	t := time.NewTicker(peersEvery)
-	defer t.Stop()
+func (s *Sidecar) runPeerQueries() {
+	ticker := time.NewTicker(peerQueryInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-s.done:
 			return
 		}
 		now := s.clock()
 		s.mu.Lock()
-		lonely := s.wit.Lonely(now, s.lastCore, s.path.Epoch())
-		if !lonely {
+		isolated := s.configCache.ShouldAskPeers(now, s.lastCoreContact, s.router.Revision())
+		if !isolated {
 			s.mu.Unlock()
 			continue
 		}
-		gates, alone := s.gates(), s.wit.Alone(now, s.lastCore)
+		peers, wantRegistry := s.peerAddrs(), s.configCache.CoresSilent(now, s.lastCoreContact)
 		s.mu.Unlock()
-		for _, a := range s.Boot.Seeds {
-			if !slices.Contains(gates, a) && s.seedPeer(a) {
-				gates = append(gates, a)
+		for _, seed := range s.Settings.Seeds {
+			if !slices.Contains(peers, seed) && s.mayQuerySeed(seed) {
+				peers = append(peers, seed)
 			}
 		}
-		rand.Shuffle(len(gates), func(i, j int) { gates[i], gates[j] = gates[j], gates[i] })
-		var out sync.WaitGroup
-		for i, g := range gates[:min(len(gates), peersMost)] {
-			out.Add(1)
+		rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+		var queries sync.WaitGroup
+		for i, peer := range peers[:min(len(peers), maxPeersAsked)] {
+			queries.Add(1)
 			go func() {
-				defer out.Done()
+				defer queries.Done()
 				// The registry of one of them will do, and only while no core gives it: that
 				// of all would fill a small link.
-				s.askPeer(g, alone && i == 0)
+				s.queryPeer(peer, wantRegistry && i == 0)
 			}()
 		}
-		out.Wait()
+		queries.Wait()
 	}
 }
 
-// seedPeer tells whether a seed may be asked as a peer now. Seeds may be cores: until one has
+// mayQuerySeed tells whether a seed may be asked as a peer now. Seeds may be cores: until one has
 // answered as a sidecar it is asked seldom, as all sidecars of a herd ask the same seeds.
-func (s *Sidecar) seedPeer(a ident.Addr) bool {
+func (s *Sidecar) mayQuerySeed(seed ident.Addr) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
-	if !s.sides[a] && s.noPeer[a].After(now) {
+	if !s.sidecarSeeds[seed] && s.notPeerUntil[seed].After(now) {
 		return false
 	}
-	s.noPeer[a] = now.Add(seedEvery)
+	s.notPeerUntil[seed] = now.Add(unknownSeedInterval)
 	return true
 }
 
-// seedSaid takes what the answer of a seed tells of it: a core knows no peers.
-func (s *Sidecar) seedSaid(a ident.Addr, err error) {
-	if !slices.Contains(s.Boot.Seeds, a) {
+// noteSeedAnswer takes what the answer of a seed tells of it: a core knows no peers.
+func (s *Sidecar) noteSeedAnswer(seed ident.Addr, err error) {
+	if !slices.Contains(s.Settings.Seeds, seed) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if d := (*failure.Error)(nil); err == nil {
-		s.sides[a] = true
-	} else if failure.Find(err, &d) && d.Kind == failure.Missing {
-		delete(s.sides, a)
-		s.noPeer[a] = s.clock().Add(coreEvery)
+	if fail := (*failure.Error)(nil); err == nil {
+		s.sidecarSeeds[seed] = true
+	} else if failure.As(err, &fail) && fail.Kind == failure.NotFound {
+		delete(s.sidecarSeeds, seed)
+		s.notPeerUntil[seed] = s.clock().Add(coreSeedInterval)
 	}
 }
 
-// askPeer asks one peer for what it holds, and for its registry if that is wanted.
-func (s *Sidecar) askPeer(g ident.Addr, registry bool) {
-	ctx, stop := context.WithTimeout(context.Background(), peerLimit)
-	defer stop()
-	var p Peer
-	question := "/cottonarch/v1/peer?brief=1"
-	if registry {
+// queryPeer asks one peer for what it holds, and for its registry if that is wanted.
+func (s *Sidecar) queryPeer(peer ident.Addr, wantRegistry bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
+	defer cancel()
+	var state PeerState
+	path := "/cottonarch/v1/peer?brief=1"
+	if wantRegistry {
 		s.mu.Lock()
-		question = "/cottonarch/v1/peer?have=" + sum(s.path.Index.Sets())
+		path = "/cottonarch/v1/peer?have=" + registryDigest(s.router.Index.Sets())
 		s.mu.Unlock()
 	}
-	err := s.pool.Ask(ctx, g, "GET", question, nil, &p)
-	s.seedSaid(g, err)
+	err := s.apiClient.Ask(ctx, peer, "GET", path, nil, &state)
+	s.noteSeedAnswer(peer, err)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	if s.path.Index.Merge(p.Sets) {
-		s.refeed.Store(true)
-		s.point(s.lease.Followed())
+	if s.router.Index.Merge(state.Sets) {
+		s.resyncRegistry.Store(true)
+		s.redirectWatch(s.lease.Followed())
 	}
 	now := s.clock()
-	s.wit.Prior(now, p.Heard, p.Entered)
-	newer := p.Manifest > s.wit.Holds(s.path.Epoch()) && s.wit.Believes(now)
+	s.configCache.HandlePeerAnswer(now, state.NewestKnownRevision, state.Joined)
+	newer := state.ConfigRevision > s.configCache.NewestHeld(s.router.Revision()) && s.configCache.TrustsPeers(now)
 	s.mu.Unlock()
-	if newer && s.fetch(g) == nil {
-		s.Board.Add("manifests_from_peers", 1)
+	if newer && s.fetchConfig(peer) == nil {
+		s.Metrics.Add("manifests_from_peers", 1)
 	}
 }
 
-// sum stands for a copy of the registry: equal copies have equal ones.
-func sum(sets []record.Set) string {
-	h := fnv.New64a()
-	for _, s := range sets {
-		_, _ = fmt.Fprintf(h, "%s %d %d %d %v\n", s.Author, s.LeaseEpoch, s.Seq, s.Built, s.Lapsed)
+// registryDigest stands for a copy of the registry: equal copies have equal ones.
+func registryDigest(sets []record.Set) string {
+	digest := fnv.New64a()
+	for _, set := range sets {
+		_, _ = fmt.Fprintf(digest, "%s %d %d %d %v\n", set.Author, set.LeaseEpoch, set.Seq, set.ConfigRevision, set.Lapsed)
 	}
-	return strconv.FormatUint(h.Sum64(), 36)
+	return strconv.FormatUint(digest.Sum64(), 36)
 }
 
-// Peer is what a sidecar tells a peer that is cut from the core. Sets is left out when
+// PeerState is what a sidecar tells a peer that is cut from the core. Sets is left out when
 // the asker has the same or does not want them. Manifest is the newest
 // epoch that it holds, Heard the newest that it knows some sidecar to hold.
-type Peer struct {
-	Manifest ident.Epoch  `json:"manifest"`
-	Heard    ident.Epoch  `json:"heard"`
-	Entered  bool         `json:"entered"`
-	Sets     []record.Set `json:"sets,omitempty"`
+type PeerState struct {
+	ConfigRevision      ident.Epoch  `json:"manifest"`
+	NewestKnownRevision ident.Epoch  `json:"heard"`
+	Joined              bool         `json:"entered"`
+	Sets                []record.Set `json:"sets,omitempty"`
 }
 
-// Heard is how a sidecar tells a peer of an epoch that it holds and is about to show.
-type Heard struct {
-	Epoch ident.Epoch `json:"epoch"`
-	From  ident.Addr  `json:"from"`
+// RevisionNotice is how a sidecar tells a peer of an epoch that it holds and is about to show.
+type RevisionNotice struct {
+	Revision ident.Epoch `json:"epoch"`
+	From     ident.Addr  `json:"from"`
 }
 
-// Held is the return: whether the peer holds it too.
-type Held struct {
+// RevisionAck is the return: whether the peer holds it too.
+type RevisionAck struct {
 	Held bool `json:"held"`
 }
 
-// tell tells one peer of an epoch.
-func (s *Sidecar) tell(g ident.Addr, e ident.Epoch) {
-	ctx, stop := context.WithTimeout(context.Background(), 250*time.Millisecond)
-	defer stop()
-	var got Held
-	err := s.pool.Ask(ctx, g, "POST", "/cottonarch/v1/heard", Heard{Epoch: e, From: s.Boot.Addr}, &got)
+// notifyPeer tells one peer of an epoch.
+func (s *Sidecar) notifyPeer(peer ident.Addr, revision ident.Epoch) {
+	ctx, cancel := context.WithTimeout(context.Background(), 250*time.Millisecond)
+	defer cancel()
+	var ack RevisionAck
+	err := s.apiClient.Ask(ctx, peer, "POST", "/cottonarch/v1/heard", RevisionNotice{Revision: revision, From: s.Settings.Addr}, &ack)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wit.Said(e, err == nil && got.Held)
-	s.show()
+	s.configCache.HandleAck(revision, err == nil && ack.Held)
+	s.activatePending()
 }
 
-// Hear takes a peer's word of an epoch. The manifest is taken from that peer if it does
+// ReceiveRevisionNotice takes a peer's word of an epoch. The manifest is taken from that peer if it does
 // not come by itself; the return is true once it is here.
-func (s *Sidecar) Hear(h Heard) Held {
-	here := func() bool {
+func (s *Sidecar) ReceiveRevisionNotice(notice RevisionNotice) RevisionAck {
+	held := func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.wit.Holds(s.path.Epoch()) >= h.Epoch
+		return s.configCache.NewestHeld(s.router.Revision()) >= notice.Revision
 	}
 	s.mu.Lock()
-	low := h.Epoch < s.path.Floor // it may not be shown here, so it is not held either
-	if !low {
-		s.wit.Hear(s.clock(), h.Epoch)
+	belowFloor := notice.Revision < s.router.MinRevision // it may not be shown here, so it is not held either
+	if !belowFloor {
+		s.configCache.ObservePeer(s.clock(), notice.Revision)
 	}
 	s.mu.Unlock()
-	if low || here() {
-		return Held{!low}
+	if belowFloor || held() {
+		return RevisionAck{!belowFloor}
 	}
-	s.pause(witness.Pull)
+	s.sleep(configcache.PullDelay)
 	// A fetch that is under way brings it, or something newer.
-	for n := 0; n < pullWaits && !here() && s.fetching.Load() > 0; n++ {
-		s.pause(10 * time.Millisecond)
+	for n := 0; n < maxFetchWaits && !held() && s.fetchesInFlight.Load() > 0; n++ {
+		s.sleep(10 * time.Millisecond)
 	}
-	if !here() && s.fetching.Load() == 0 {
-		if err := s.fetch(h.From); err != nil {
-			s.Board.Add("manifest_fetches_failed", 1)
+	if !held() && s.fetchesInFlight.Load() == 0 {
+		if err := s.fetchConfig(notice.From); err != nil {
+			s.Metrics.Add("manifest_fetches_failed", 1)
 		}
 	}
-	return Held{here()}
+	return RevisionAck{held()}
 }
--- a/daemon/sidecar/renew_test.go
+++ b/daemon/sidecar/renew_test.go
@@ -13,22 +13,22 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/registry/record"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
-	"cottonarch.example/cottonarch/mesh/registry/record"
+	"cottonarch.example/cottonarch/settings"
 )
 
 // An answer to a renewal that comes after its time has its news still, and the connection it
 // came by serves the next renewal: over a full link a new one may not come up in time.
 func TestLateRenewalKeepsItsConnection(t *testing.T) {
-	slow := make(chan struct{})
-	var connections, asked atomic.Int64
+	answerNow := make(chan struct{})
+	var connections, requests atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) == 1 {
-			<-slow
+		if requests.Add(1) == 1 {
+			<-answerNow
 		}
-		_ = json.NewEncoder(w).Encode(record.Renewed{Manifest: 7})
+		_ = json.NewEncoder(w).Encode(record.RenewalResponse{ConfigRevision: 7})
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -38,38 +38,38 @@
 	server.Start()
 	defer server.Close()
 	core := ident.Addr(strings.TrimPrefix(server.URL, "http://"))
-	s := New(boot.Sidecar{Seeds: []ident.Addr{core}}, zap.NewNop())
-	s.entered.Store(true)
-	s.wit.Entered()
+	s := New(settings.Sidecar{Seeds: []ident.Addr{core}}, zap.NewNop())
+	s.leaseHeld.Store(true)
+	s.configCache.MarkJoined()
 
 	began := time.Now()
-	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(slow) })
+	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(answerNow) })
 	s.renew(core, record.Renewal{})
 	must.Greater(t, holder.RenewTimeout, time.Since(began))
-	must.Eq(t, int64(1), s.Board.At("renewals_failed").Load())
-	must.Eq(t, int64(1), s.Board.At("renewals_late").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter("renewals_late").Load())
 	s.mu.Lock()
-	must.True(t, s.wit.Lonely(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
+	must.True(t, s.configCache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
 	s.mu.Unlock()
 
 	s.renew(core, record.Renewal{})
-	must.Eq(t, int64(1), s.Board.At("renewals_failed").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
 	must.Eq(t, int64(1), connections.Load())
 }
 
 // Of the peers that are asked only one gives its registry, and none while a core does.
 func TestPeersAreAskedBriefly(t *testing.T) {
-	s := New(boot.Sidecar{}, zap.NewNop())
-	s.path.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Seq: 1, Records: []record.Address{{Workload: &record.Workload{UID: "u"}}}}})
-	for query, sets := range map[string]int{"": 1, "have=other": 1, "brief=1": 0, "have=" + sum(s.path.Index.Sets()): 0} {
+	s := New(settings.Sidecar{}, zap.NewNop())
+	s.router.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Seq: 1, Records: []record.Address{{Workload: &record.Workload{UID: "u"}}}}})
+	for query, sets := range map[string]int{"": 1, "have=other": 1, "brief=1": 0, "have=" + registryDigest(s.router.Index.Sets()): 0} {
 		rec := httptest.NewRecorder()
-		s.onPeer(rec, httptest.NewRequest("GET", "/cottonarch/v1/peer?"+query, nil))
-		var p Peer
+		s.handlePeerState(rec, httptest.NewRequest("GET", "/cottonarch/v1/peer?"+query, nil))
+		var p PeerState
 		must.NoError(t, json.Unmarshal(rec.Body.Bytes(), &p))
 		must.Len(t, sets, p.Sets, must.Sprint(query))
 	}
-	s.wit.Entered()
+	s.configCache.MarkJoined()
 	now := s.clock()
-	must.False(t, s.wit.Alone(now, now))
-	must.True(t, s.wit.Alone(now.Add(time.Second), now))
+	must.False(t, s.configCache.CoresSilent(now, now))
+	must.True(t, s.configCache.CoresSilent(now.Add(time.Second), now))
 }
--- a/daemon/sidecar/walk.go
+++ b/daemon/sidecar/walk.go
@@ -7,146 +7,146 @@
 	"strconv"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/mesh/path"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/mesh/attempt"
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// job is one request between the stages. Invariant: turn is closed once, when the
+// queuedRequest is one request between the stages. Invariant: turn is closed once, when the
 // request may be sent; who waits for it then walks with it.
-type job struct {
-	call   *path.Call
-	began  monotime.Time
-	req    exchange.Call
-	urgent bool
-	turn   chan struct{}
+type queuedRequest struct {
+	call       *attempt.Call
+	receivedAt monotime.Time
+	outgoing   exchange.Call
+	urgentSlot bool
+	dispatched chan struct{}
 }
 
-// ending is how a walk ended. Invariant: without ret there is d.
-type ending struct {
-	ret *exchange.Return
-	d   *failure.Error
+// requestResult is how a walk ended. Invariant: without ret there is d.
+type requestResult struct {
+	response *exchange.Return
+	failure  *failure.Error
 }
 
-// turns is the sending stage: the next one queued is sent while there is room. mu
+// dispatchQueued is the sending stage: the next one queued is sent while there is room. mu
 // is held. What is queued when the duties end is sent as well: a planned stop waits for
 // it.
-func (s *Sidecar) turns() {
+func (s *Sidecar) dispatchQueued() {
 	for {
-		j, urgent, ok := s.queue.Take()
+		request, urgent, ok := s.sendQueue.Dequeue()
 		if !ok {
 			return
 		}
-		j.urgent = urgent
-		close(j.turn)
+		request.urgentSlot = urgent
+		close(request.dispatched)
 	}
 }
 
-// walk tries until there is a return, or nothing more may be tried.
-func (s *Sidecar) walk(j *job) ending {
-	var last *exchange.Return // an endpoint's own word that it failed, while others are tried
+// sendWithRetries tries until there is a return, or nothing more may be tried.
+func (s *Sidecar) sendWithRetries(request *queuedRequest) requestResult {
+	var lastResponse *exchange.Return // an endpoint's own word that it failed, while others are tried
 	for {
 		s.mu.Lock()
-		choice := s.path.Next(s.clock(), j.call)
+		choice := s.router.Next(s.clock(), request.call)
 		s.mu.Unlock()
 		if choice.Failure != nil {
-			return ending{ret: last, d: choice.Failure}
+			return requestResult{response: lastResponse, failure: choice.Failure}
 		}
-		ret, end := s.try(j, choice)
+		resp, attemptEnd := s.sendOnce(request, choice)
 		s.mu.Lock()
-		again := s.path.Ended(s.clock(), j.call, end)
-		if end.Verdict != path.Ran && !again {
-			d := s.path.Final(j.call)
+		retry := s.router.Finished(s.clock(), request.call, attemptEnd)
+		if attemptEnd.Outcome != attempt.Executed && !retry {
+			fail := s.router.FinalFailure(request.call)
 			s.mu.Unlock()
-			return ending{ret: last, d: d}
+			return requestResult{response: lastResponse, failure: fail}
 		}
 		s.mu.Unlock()
-		if end.Verdict == path.Ran {
-			if last = ret; !again {
-				return ending{ret: ret}
+		if attemptEnd.Outcome == attempt.Executed {
+			if lastResponse = resp; !retry {
+				return requestResult{response: resp}
 			}
 		}
 	}
 }
 
-// try sends once: to the gate here, or to that of the endpoint's machine.
-func (s *Sidecar) try(j *job, c path.Choice) (*exchange.Return, path.End) {
-	until := time.Now().Add(c.Limit)
-	w := wanted(s.clock(), j.began, j.call, c)
-	if c.Entry.Gate == s.Boot.Addr {
-		got := s.pass(until, c.Entry.UID, c.Entry.Service, j.req, c.Repeat, w)
-		end := verdict(got.d, got.word)
-		end.Told, end.Took = heard(got.told), got.took
-		return sized(j, got.ret, end)
+// sendOnce sends once: to the gate here, or to that of the endpoint's machine.
+func (s *Sidecar) sendOnce(request *queuedRequest, choice attempt.Decision) (*exchange.Return, attempt.Result) {
+	deadline := time.Now().Add(choice.Timeout)
+	hints := hintsFor(s.clock(), request.receivedAt, request.call, choice)
+	if choice.Entry.SidecarAddr == s.Settings.Addr {
+		local := s.sendToEndpoint(deadline, choice.Entry.UID, choice.Entry.Service, request.outgoing, choice.RepeatChance, hints)
+		result := endForResult(local.failure, local.result)
+		result.LoadReport, result.Elapsed = parseLoadReport(local.loadReport), local.duration
+		return withSize(request, local.response, result)
 	}
-	req := j.req
-	req.Until, req.Expect = until, true
+	call := request.outgoing
+	call.Until, call.Expect = deadline, true
 	// The gate gives up a little before this side does, so that its word is heard.
-	limit := strconv.FormatInt((c.Limit - min(c.Limit/10, 20*time.Millisecond)).Milliseconds(), 10)
-	req.Set = append(make([]exchange.Field, 0, 8), j.req.Set...)
-	req.Set = append(req.Set, exchange.Field{Name: TargetHeader, Value: string(c.Entry.UID)}, exchange.Field{Name: ServiceHeader, Value: string(c.Entry.Service)},
-		exchange.Field{Name: LimitHeader, Value: limit}, exchange.Field{Name: WantHeader, Value: w.text()})
-	if j.call.Way.Urgent {
-		req.Set = append(req.Set, exchange.Field{Name: UrgentHeader, Value: "1"})
+	limitMs := strconv.FormatInt((choice.Timeout - min(choice.Timeout/10, 20*time.Millisecond)).Milliseconds(), 10)
+	call.Set = append(make([]exchange.Field, 0, 8), request.outgoing.Set...)
+	call.Set = append(call.Set, exchange.Field{Name: TargetHeader, Value: string(choice.Entry.UID)}, exchange.Field{Name: ServiceHeader, Value: string(choice.Entry.Service)},
+		exchange.Field{Name: LimitHeader, Value: limitMs}, exchange.Field{Name: AdmissionHintsHeader, Value: hints.encode()})
+	if request.call.Route.Urgent {
+		call.Set = append(call.Set, exchange.Field{Name: UrgentHeader, Value: "1"})
 	}
-	if c.Repeat > 0 {
-		req.Set = append(req.Set, exchange.Field{Name: RepeatHeader, Value: strconv.FormatFloat(c.Repeat, 'f', 3, 64)})
+	if choice.RepeatChance > 0 {
+		call.Set = append(call.Set, exchange.Field{Name: RetryFractionHeader, Value: strconv.FormatFloat(choice.RepeatChance, 'f', 3, 64)})
 	}
-	ret, sent, d := s.peers.Do(context.Background(), c.Entry.Gate, req)
-	if d != nil {
+	resp, sent, fail := s.peerExchange.Do(context.Background(), choice.Entry.SidecarAddr, call)
+	if fail != nil {
 		if !sent {
-			return nil, path.End{Verdict: path.NotRun, Failure: d, Lost: true}
+			return nil, attempt.Result{Outcome: attempt.NotExecuted, Failure: fail, Unreachable: true}
 		}
-		return nil, path.End{Verdict: path.Unsure, Failure: d, Lost: d.Kind == failure.LostResponse}
+		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: fail, Unreachable: fail.Kind == failure.LostResponse}
 	}
-	return read(j, ret)
+	return parsePeerResponse(request, resp)
 }
 
-// headBytes is about what the heads of a request and its return take between sidecars.
-const headBytes = 800
+// approxHeaderBytes is about what the heads of a request and its return take between sidecars.
+const approxHeaderBytes = 800
 
-// sized adds what a return itself tells of its end.
-func sized(j *job, ret *exchange.Return, end path.End) (*exchange.Return, path.End) {
-	if ret != nil {
-		end.Bad, end.Size = ret.Status >= 500, int64(len(j.req.Body)+len(ret.Body)+headBytes)
+// withSize adds what a return itself tells of its end.
+func withSize(request *queuedRequest, resp *exchange.Return, result attempt.Result) (*exchange.Return, attempt.Result) {
+	if resp != nil {
+		result.EndpointFailed, result.ResponseBytes = resp.Status >= 500, int64(len(request.outgoing.Body)+len(resp.Body)+approxHeaderBytes)
 	}
-	return ret, end
+	return resp, result
 }
 
-// read tells a gate's own word from an endpoint's return that it passes on.
-func read(j *job, ret *exchange.Return) (*exchange.Return, path.End) {
-	word := ret.Header.Get(GateHeader)
-	told := heard(ret.Header.Get(LoadReportHeader))
-	if word == gateReturn {
-		micro, _ := strconv.ParseInt(ret.Header.Get(TookHeader), 10, 64)
-		return sized(j, ret, path.End{Verdict: path.Ran, Told: told, Took: time.Duration(max(0, micro)) * time.Microsecond})
+// parsePeerResponse tells a gate's own word from an endpoint's return that it passes on.
+func parsePeerResponse(request *queuedRequest, resp *exchange.Return) (*exchange.Return, attempt.Result) {
+	result := resp.Header.Get(PeerResultHeader)
+	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
+	if result == resultResponse {
+		microseconds, _ := strconv.ParseInt(resp.Header.Get(TookHeader), 10, 64)
+		return withSize(request, resp, attempt.Result{Outcome: attempt.Executed, LoadReport: report, Elapsed: time.Duration(max(0, microseconds)) * time.Microsecond})
 	}
-	d := &failure.Error{}
-	if _, known := verdicts[word]; known && j.req.Method == http.MethodHead {
-		d = bodiless(word)
-	} else if err := json.Unmarshal(ret.Body, d); err != nil || d.Kind == "" || word == "" {
-		return nil, path.End{Verdict: path.Unsure, Failure: failure.Unsure(failure.BadResponse, "the gate's return can't be read")}
+	fail := &failure.Error{}
+	if _, known := endByResult[result]; known && request.outgoing.Method == http.MethodHead {
+		fail = failureWithoutBody(result)
+	} else if err := json.Unmarshal(resp.Body, fail); err != nil || fail.Kind == "" || result == "" {
+		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "the gate's return can't be read")}
 	}
-	end := verdict(d, word)
-	end.Told = told
-	return nil, end
+	attemptEnd := endForResult(fail, result)
+	attemptEnd.LoadReport = report
+	return nil, attemptEnd
 }
 
-// verdicts says what each word of a gate means.
-var verdicts = map[string]path.End{
-	gateReturn: {Verdict: path.Ran},
-	gateTurned: {Verdict: path.NotRun, Turned: true},
-	gateNoRoom: {Verdict: path.NotRun, Turned: true, Shed: true},
-	gateShed:   {Verdict: path.NotRun, Arrived: true},
-	gateUnsure: {Verdict: path.Unsure},
+// endByResult says what each word of a gate means.
+var endByResult = map[string]attempt.Result{
+	resultResponse:   {Outcome: attempt.Executed},
+	resultRejected:   {Outcome: attempt.NotExecuted, Rejected: true},
+	resultNoCapacity: {Outcome: attempt.NotExecuted, Rejected: true, Shed: true},
+	resultShed:       {Outcome: attempt.NotExecuted, ReachedEndpoint: true},
+	resultUnknown:    {Outcome: attempt.Unknown},
 }
 
-func verdict(d *failure.Error, word string) path.End {
-	end, ok := verdicts[word]
+func endForResult(fail *failure.Error, result string) attempt.Result {
+	end, ok := endByResult[result]
 	if !ok {
-		end = verdicts[gateUnsure]
+		end = endByResult[resultUnknown]
 	}
-	end.Failure = d
+	end.Failure = fail
 	return end
 }
--- a/daemon/sidecar/whole_test.go
+++ b/daemon/sidecar/whole_test.go
@@ -7,40 +7,40 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/boot"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/settings"
 )
 
 // A request is taken whole within the limits of the manifest and the room for bodies, with
 // a length or in pieces; what is turned away has not run and leaves no room taken.
 func TestRequestsAreTakenWithinLimits(t *testing.T) {
-	s := New(boot.Sidecar{Bulk: 1000}, nil)
-	s.limits.Store(&check.Limits{HeadBytes: 500, BodyBytes: 800})
+	s := New(settings.Sidecar{MaxBodyBytes: 1000}, nil)
+	s.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
 	for _, pieces := range []bool{false, true} {
 		for _, c := range []struct {
 			body, head, held int
 			kind             failure.Kind
 		}{{0, 0, 0, ""}, {800, 0, 0, ""}, {801, 0, 0, failure.Oversize}, {0, 9000, 0, failure.Oversize}, {500, 0, 500, ""}, {501, 0, 500, failure.Busy}, {0, 0, 1000, ""}} {
-			s.bulk.Store(int64(c.held))
+			s.bodyBytesInFlight.Store(int64(c.held))
 			r := httptest.NewRequest("POST", "/x", strings.NewReader(strings.Repeat("b", c.body)))
 			if pieces {
 				r.ContentLength = -1
 			}
 			r.Header.Set("X-Long", strings.Repeat("h", c.head))
-			body, free, d := s.whole(r)
+			body, release, fail := s.readRequest(r)
 			if c.kind != "" {
-				must.NotNil(t, d, must.Sprint(pieces, c))
-				must.Eq(t, c.kind, d.Kind, must.Sprint(pieces, c))
-				must.Eq(t, failure.NotExecuted, d.Outcome)
-				must.Eq(t, int64(c.held), s.bulk.Load())
+				must.NotNil(t, fail, must.Sprint(pieces, c))
+				must.Eq(t, c.kind, fail.Kind, must.Sprint(pieces, c))
+				must.Eq(t, failure.NotExecuted, fail.Outcome)
+				must.Eq(t, int64(c.held), s.bodyBytesInFlight.Load())
 				continue
 			}
-			must.Nil(t, d, must.Sprint(pieces, c))
+			must.Nil(t, fail, must.Sprint(pieces, c))
 			must.Eq(t, c.body, len(body))
-			must.Eq(t, int64(c.held+c.body), s.bulk.Load())
-			free()
-			must.Eq(t, int64(c.held), s.bulk.Load())
+			must.Eq(t, int64(c.held+c.body), s.bodyBytesInFlight.Load())
+			release()
+			must.Eq(t, int64(c.held), s.bodyBytesInFlight.Load())
 		}
 	}
 }
--- a/explore/canon/canon.go
+++ b/explore/canon/canon.go
@@ -11,7 +11,7 @@
 	"slices"
 	"sync"
 
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/monotime"
 )
 
 // Encoder writes values in a canonical form. Invariants: maps are written in the order of
@@ -20,37 +20,37 @@
 // and a zero moment, which means never, stays apart from all others.
 type Encoder struct {
 	// Now is the moment that others are written relative to.
-	Now  monotime.Time
-	plan *Plan
-	buf  bytes.Buffer
+	Now    monotime.Time
+	filter *FieldFilter
+	buf    bytes.Buffer
 }
 
-// Plan says which fields of struct types are written. Many encoders may share one.
-type Plan struct {
-	skip   map[string][]string
-	fields sync.Map // reflect.Type to []int
-	free   sync.Pool
+// FieldFilter says which fields of struct types are written. Many encoders may share one.
+type FieldFilter struct {
+	skip       map[string][]string
+	fieldCache sync.Map // reflect.Type to []int
+	encoders   sync.Pool
 }
 
-// NewPlan makes a plan that leaves out fields of struct types, named as package.Type, that
+// NewFieldFilter makes a plan that leaves out fields of struct types, named as package.Type, that
 // no step reads, such as counters.
-func NewPlan(skip map[string][]string) *Plan { return &Plan{skip: skip} }
+func NewFieldFilter(skip map[string][]string) *FieldFilter { return &FieldFilter{skip: skip} }
 
 // Encoder makes an empty encoder. Whoever has done with it gives it back by Free.
-func (p *Plan) Encoder() *Encoder {
-	if e, ok := p.free.Get().(*Encoder); ok {
+func (p *FieldFilter) Encoder() *Encoder {
+	if e, ok := p.encoders.Get().(*Encoder); ok {
 		e.buf.Reset()
 		return e
 	}
-	return &Encoder{plan: p}
+	return &Encoder{filter: p}
 }
 
-// Free gives the encoder back, to be used again.
-func (e *Encoder) Free() { e.plan.free.Put(e) }
+// Release gives the encoder back, to be used again.
+func (e *Encoder) Release() { e.filter.encoders.Put(e) }
 
-// of lists the fields of a type that are written.
-func (p *Plan) of(t reflect.Type) []int {
-	if known, ok := p.fields.Load(t); ok {
+// fieldsOf lists the fields of a type that are written.
+func (p *FieldFilter) fieldsOf(t reflect.Type) []int {
+	if known, ok := p.fieldCache.Load(t); ok {
 		return known.([]int)
 	}
 	var out []int
@@ -59,12 +59,12 @@
 			out = append(out, i)
 		}
 	}
-	p.fields.Store(t, out)
+	p.fieldCache.Store(t, out)
 	return out
 }
 
 // Put appends one value.
-func (e *Encoder) Put(value any) { e.put(reflect.ValueOf(value)) }
+func (e *Encoder) Put(value any) { e.putValue(reflect.ValueOf(value)) }
 
 // Bytes gives what was written so far.
 func (e *Encoder) Bytes() []byte { return e.buf.Bytes() }
@@ -78,19 +78,19 @@
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
-var momentType = reflect.TypeFor[monotime.Time]()
+var timeType = reflect.TypeFor[monotime.Time]()
 
-func (e *Encoder) number(x uint64) {
+func (e *Encoder) putUvarint(x uint64) {
 	var raw [binary.MaxVarintLen64]byte
 	e.buf.Write(raw[:binary.PutUvarint(raw[:], x)])
 }
 
-func (e *Encoder) text(s string) {
-	e.number(uint64(len(s)))
+func (e *Encoder) putString(s string) {
+	e.putUvarint(uint64(len(s)))
 	e.buf.WriteString(s)
 }
 
-func (e *Encoder) flag(on bool) {
+func (e *Encoder) putBool(on bool) {
 	if on {
 		e.buf.WriteByte(1)
 		return
@@ -98,86 +98,86 @@
 	e.buf.WriteByte(0)
 }
 
-func (e *Encoder) put(v reflect.Value) {
+func (e *Encoder) putValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Invalid:
 		e.buf.WriteByte(0)
 	case reflect.Bool:
-		e.flag(v.Bool())
+		e.putBool(v.Bool())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		e.integer(v)
+		e.putInt(v)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		e.number(v.Uint())
+		e.putUvarint(v.Uint())
 	case reflect.Float32, reflect.Float64:
-		e.number(math.Float64bits(v.Float()))
+		e.putUvarint(math.Float64bits(v.Float()))
 	case reflect.String:
-		e.text(v.String())
+		e.putString(v.String())
 	case reflect.Slice, reflect.Array:
-		e.list(v)
+		e.putSequence(v)
 	case reflect.Map:
-		e.table(v)
+		e.putMap(v)
 	case reflect.Struct:
-		e.fields(v)
+		e.putStruct(v)
 	case reflect.Pointer, reflect.Interface:
-		e.target(v)
+		e.putPointer(v)
 	default: // functions and channels have no content
-		e.flag(!v.IsNil())
+		e.putBool(!v.IsNil())
 	}
 }
 
-func (e *Encoder) integer(v reflect.Value) {
-	if v.Type() != momentType {
-		e.number(uint64(v.Int()))
+func (e *Encoder) putInt(v reflect.Value) {
+	if v.Type() != timeType {
+		e.putUvarint(uint64(v.Int()))
 		return
 	}
-	e.flag(v.Int() != 0)
+	e.putBool(v.Int() != 0)
 	if v.Int() != 0 {
-		e.number(uint64(v.Int() - int64(e.Now)))
+		e.putUvarint(uint64(v.Int() - int64(e.Now)))
 	}
 }
 
-func (e *Encoder) list(v reflect.Value) {
-	e.number(uint64(v.Len()))
+func (e *Encoder) putSequence(v reflect.Value) {
+	e.putUvarint(uint64(v.Len()))
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
 		e.buf.Write(v.Bytes())
 		return
 	}
 	for i := range v.Len() {
-		e.put(v.Index(i))
+		e.putValue(v.Index(i))
 	}
 }
 
-func (e *Encoder) target(v reflect.Value) {
-	e.flag(!v.IsNil())
+func (e *Encoder) putPointer(v reflect.Value) {
+	e.putBool(!v.IsNil())
 	if v.IsNil() {
 		return
 	}
 	if v.Kind() == reflect.Interface {
-		e.text(v.Elem().Type().String())
+		e.putString(v.Elem().Type().String())
 	}
-	e.put(v.Elem())
+	e.putValue(v.Elem())
 }
 
-func (e *Encoder) fields(v reflect.Value) {
-	for _, i := range e.plan.of(v.Type()) {
-		e.put(v.Field(i))
+func (e *Encoder) putStruct(v reflect.Value) {
+	for _, i := range e.filter.fieldsOf(v.Type()) {
+		e.putValue(v.Field(i))
 	}
 }
 
-// table writes each entry on its own and puts the entries in order of their bytes.
-func (e *Encoder) table(v reflect.Value) {
+// putMap writes each entry on its own and puts the entries in order of their bytes.
+func (e *Encoder) putMap(v reflect.Value) {
 	rows := make([][]byte, 0, v.Len())
-	row := e.plan.Encoder()
-	defer row.Free()
+	row := e.filter.Encoder()
+	defer row.Release()
 	row.Now = e.Now
 	for iter := v.MapRange(); iter.Next(); {
 		row.buf.Reset()
-		row.put(iter.Key())
-		row.put(iter.Value())
+		row.putValue(iter.Key())
+		row.putValue(iter.Value())
 		rows = append(rows, bytes.Clone(row.buf.Bytes()))
 	}
 	slices.SortFunc(rows, bytes.Compare)
-	e.number(uint64(len(rows)))
+	e.putUvarint(uint64(len(rows)))
 	for _, row := range rows {
 		e.buf.Write(row)
 	}
--- a/explore/canon/canon_test.go
+++ b/explore/canon/canon_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/explore/canon"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 type inner struct {
@@ -31,7 +31,7 @@
 }
 
 func hash(now monotime.Time, s state) uint64 {
-	e := canon.NewPlan(map[string][]string{"canon_test.state": {"hidden"}}).Encoder()
+	e := canon.NewFieldFilter(map[string][]string{"canon_test.state": {"hidden"}}).Encoder()
 	e.Now = now
 	e.Put(s)
 	return e.Hash()
--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"fmt"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/explore/search"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // KeyKind is the kind of a control key.
@@ -18,142 +18,142 @@
 // The kinds of key.
 const (
 	ValueKey    KeyKind = "value"
-	NumberKey   KeyKind = "number"
-	CellKey     KeyKind = "cell"
-	ManifestKey KeyKind = "manifest"
+	SequenceKey KeyKind = "number"
+	EntryKey    KeyKind = "cell"
+	ConfigKey   KeyKind = "manifest"
 	LockKey     KeyKind = "lock"
 	AuditKey    KeyKind = "audit"
 )
 
-// makers make the object of each kind, for the key of an index.
-var makers = map[KeyKind]func(int) object{
-	ValueKey: newValue, NumberKey: newNumber, CellKey: newCells, ManifestKey: newManifest, LockKey: newLock, AuditKey: newAudit,
+// objectFactories make the object of each kind, for the key of an index.
+var objectFactories = map[KeyKind]func(int) object{
+	ValueKey: newValue, SequenceKey: newSequence, EntryKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
 }
 
 // object is one control key with what its clients were told of it.
 type object interface {
 	key() ident.Key
-	// menu lists what a client may ask for.
-	menu(c *client) []string
+	// operations lists what a client may ask for.
+	operations(c *client) []string
 	// operation makes the order's kind and arguments; it notes what the asker may count on.
-	deed(o *order) (kind string, args json.RawMessage)
-	// told judges the sure end of an order.
-	told(c *Cluster, o *order, out proposer.Outcome)
-	// turned notes that an order surely did not take effect.
-	turned(o *order)
+	prepare(op *clientOperation) (kind string, args json.RawMessage)
+	// succeeded judges the sure end of an order.
+	succeeded(c *Cluster, op *clientOperation, out proposer.Outcome)
+	// rejected notes that an order surely did not take effect.
+	rejected(op *clientOperation)
 	// inspect judges what a majority read would find.
 	inspect(c *Cluster, found quorum.Record)
 }
 
-// order is one operation of one client. Invariant: floor is what had been acknowledged of the
+// clientOperation is one operation of one client. Invariant: floor is what had been acknowledged of the
 // object when it was sent.
-type order struct {
+type clientOperation struct {
 	Tag     uint64
 	Client  int
-	Count   int
+	Number  int
 	Object  int
 	Name    string
-	Sent    monotime.Time
+	SentAt  monotime.Time
 	Floor   uint64
 	Kind    string
 	Args    json.RawMessage
-	Again   bool
+	Resent  bool
 	Base    uint64
 	Content string
 }
 
 // client asks for one operation at a time. Invariant: last is its last order on a base release.
 type client struct {
-	number int
-	asked  int
-	open   *order
-	last   *order
-	bases  map[int]uint64
+	number       int
+	sent         int
+	pending      *clientOperation
+	lastProposal *clientOperation
+	bases        map[int]uint64
 }
 
 func (cl *client) base(object int) uint64 { return cl.bases[object] }
 
-func (cl *client) know(object int, base uint64) {
+func (cl *client) setBase(object int, base uint64) {
 	if cl.bases == nil {
 		cl.bases = map[int]uint64{}
 	}
 	cl.bases[object] = base
 }
 
-// ask sends a client's operation to a member.
-func (c *Cluster) ask(m *member, choice search.Choice) {
+// issue sends a client's operation to a member.
+func (c *Cluster) issue(m *member, choice search.Choice) {
 	cl := c.clients[choice.Client-1]
-	cl.asked++
-	o := &order{Client: cl.number, Count: cl.asked, Object: choice.Key, Name: choice.Deed, Sent: c.now, Base: cl.base(choice.Key)}
-	o.Content = fmt.Sprintf("%d-%d", o.Client, o.Count)
-	o.Kind, o.Args = c.objects[o.Object].deed(o)
-	if o.Kind == orderKind && o.Name == offerRelease {
-		cl.last = o
+	cl.sent++
+	op := &clientOperation{Client: cl.number, Number: cl.sent, Object: choice.Key, Name: choice.Operation, SentAt: c.now, Base: cl.base(choice.Key)}
+	op.Content = fmt.Sprintf("%d-%d", op.Client, op.Number)
+	op.Kind, op.Args = c.objects[op.Object].prepare(op)
+	if op.Kind == proposeKind && op.Name == proposeOnVersion {
+		cl.lastProposal = op
 	}
-	c.submit(m, cl, o)
+	c.submit(m, cl, op)
 }
 
-// again sends a client's last order once more, as a caller that heard no answer does.
-func (c *Cluster) again(m *member, cl *client) {
-	o := *cl.last
-	o.Again, o.Sent = true, c.now
-	if m, ok := c.objects[o.Object].(*manifest); ok {
-		delete(m.Turned, o.Content) // it may be taken now
+// resend sends a client's last order once more, as a caller that heard no answer does.
+func (c *Cluster) resend(m *member, cl *client) {
+	op := *cl.lastProposal
+	op.Resent, op.SentAt = true, c.now
+	if m, ok := c.objects[op.Object].(*configObject); ok {
+		delete(m.Rejected, op.Content) // it may be taken now
 	}
-	c.submit(m, cl, &o)
+	c.submit(m, cl, &op)
 }
 
-func (c *Cluster) submit(m *member, cl *client, o *order) {
-	c.tags++
-	o.Tag = c.tags
-	cl.open = o
-	m.orders[o.Tag] = o
-	op := ident.Op(fmt.Sprintf("op%d", o.Tag))
-	d := proposer.Operation{Ticket: o.Tag, Op: op, Key: c.objects[o.Object].key(), Kind: o.Kind, Args: o.Args}
-	c.owned(m, m.own.Submit(c.clock(m), d))
+func (c *Cluster) submit(m *member, cl *client, op *clientOperation) {
+	c.lastTag++
+	op.Tag = c.lastTag
+	cl.pending = op
+	m.operations[op.Tag] = op
+	id := ident.OperationID(fmt.Sprintf("op%d", op.Tag))
+	operation := proposer.Operation{Ticket: op.Tag, Op: id, Key: c.objects[op.Object].key(), Kind: op.Kind, Args: op.Args}
+	c.applyEffects(m, m.proposer.Submit(c.clock(m), operation))
 }
 
-// ended takes the end of an operation.
-func (c *Cluster) ended(m *member, out proposer.Outcome) {
-	o := m.orders[out.Operation.Ticket]
-	if o == nil {
-		if out.Operation.Ticket == c.mending && !out.Abandoned {
-			c.mending = 0
+// operationEnded takes the end of an operation.
+func (c *Cluster) operationEnded(m *member, out proposer.Outcome) {
+	op := m.operations[out.Operation.Ticket]
+	if op == nil {
+		if out.Operation.Ticket == c.repairTag && !out.Abandoned {
+			c.repairTag = 0
 		}
 		return
 	}
-	delete(m.orders, o.Tag)
+	delete(m.operations, op.Tag)
 	switch {
-	case out.Abandoned && out.MayHaveTakenEffect && c.set.Break != BreakFate:
-		c.unknown(o)
+	case out.Abandoned && out.MayHaveTakenEffect && c.settings.Mutant != MutantOutcome:
+		c.outcomeUnknown(op)
 		return
-	case out.Abandoned, out.Failure != nil && out.Failure.Outcome == failure.NotExecuted && out.Failure.Kind != failure.Forgotten:
-		c.refused(o, out)
+	case out.Abandoned, out.Failure != nil && out.Failure.Outcome == failure.NotExecuted && out.Failure.Kind != failure.Compacted:
+		c.operationRejected(op, out)
 	case out.Failure != nil && out.Failure.Outcome != failure.NotExecuted:
-		c.unknown(o)
+		c.outcomeUnknown(op)
 		return
 	default:
-		c.objects[o.Object].told(c, o, out)
+		c.objects[op.Object].succeeded(c, op, out)
 	}
-	c.close(o)
+	c.closeOperation(op)
 }
 
-// refused takes a sure no.
-func (c *Cluster) refused(o *order, out proposer.Outcome) {
-	object := c.objects[o.Object]
-	if m, ok := object.(*manifest); ok && !out.Abandoned {
-		m.refused(c, o, out.Failure)
+// operationRejected takes a sure no.
+func (c *Cluster) operationRejected(op *clientOperation, out proposer.Outcome) {
+	obj := c.objects[op.Object]
+	if m, ok := obj.(*configObject); ok && !out.Abandoned {
+		m.checkResend(c, op, out.Failure)
 	}
-	if !o.Again {
-		object.turned(o)
+	if !op.Resent {
+		obj.rejected(op)
 	}
 }
 
-// unknown ends an order whose fate nobody can tell.
-func (c *Cluster) unknown(o *order) { c.close(o) }
+// outcomeUnknown ends an order whose fate nobody can tell.
+func (c *Cluster) outcomeUnknown(op *clientOperation) { c.closeOperation(op) }
 
-func (c *Cluster) close(o *order) {
-	if cl := c.clients[o.Client-1]; cl.open != nil && cl.open.Tag == o.Tag {
-		cl.open = nil
+func (c *Cluster) closeOperation(op *clientOperation) {
+	if cl := c.clients[op.Client-1]; cl.pending != nil && cl.pending.Tag == op.Tag {
+		cl.pending = nil
 	}
 }
--- a/explore/cluster/cluster_test.go
+++ b/explore/cluster/cluster_test.go
@@ -11,20 +11,20 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-func settings() cluster.Settings {
-	all := map[cluster.Fault]int{}
+func testSettings() cluster.Settings {
+	faults := map[cluster.Fault]int{}
 	for _, f := range cluster.Faults() {
-		all[f] = 2
+		faults[f] = 2
 	}
-	return cluster.Settings{Members: 3, Spares: 1, Keys: []cluster.KeyKind{cluster.ValueKey, cluster.NumberKey}, Clients: 2, Deeds: 4, Owners: 2,
-		Waits: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond}, Faults: all, Instant: true}
+	return cluster.Settings{Members: 3, Spares: 1, Keys: []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey}, Clients: 2, Operations: 4, Proposers: 2,
+		Waits: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond}, Faults: faults, Instant: true}
 }
 
 // The same choices lead to the same state, and looking at a state does not change it.
 func TestSameChoicesSameState(t *testing.T) {
 	for _, ring := range []bool{false, true} {
 		for seed := range uint64(20) {
-			set := settings()
+			set := testSettings()
 			set.Ring = ring
 			rng := rand.New(rand.NewPCG(seed, 1))
 			one, two := set.Factory()(), set.Factory()()
@@ -37,7 +37,7 @@
 				c := choices[rng.IntN(len(choices))]
 				one.Apply(c)
 				one.Hash()
-				one.Breach()
+				one.Violation()
 				two.Apply(c)
 				must.Eq(t, one.Hash(), two.Hash())
 			}
@@ -48,11 +48,11 @@
 // Deliveries to two members that have nothing to do with each other lead to one state in
 // either order, so the search goes on from it once.
 func TestIndependentChoicesMeet(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Members, set.Spares, set.Instant = 5, 0, false
 	hash := func(order []int) uint64 {
 		s := set.Factory()()
-		pick := func(want search.Kind, other int) {
+		apply := func(want search.Kind, other int) {
 			for _, c := range s.Choices() {
 				if c.Kind == want && (other == 0 || c.Other == other) {
 					s.Apply(c)
@@ -61,9 +61,9 @@
 			}
 			t.Fatal("no such choice")
 		}
-		pick("ask", 0)
+		apply("ask", 0)
 		for _, to := range order {
-			pick("late", to)
+			apply("late", to)
 		}
 		return s.Hash()
 	}
@@ -73,7 +73,7 @@
 
 // Without any fault every client is answered in the end, and nothing is broken.
 func TestSettlesWithoutFaults(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.Faults = nil
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -86,17 +86,17 @@
 			s.Apply(choices[rng.IntN(len(choices))])
 		}
 		s.Settle()
-		must.Nil(t, s.Breach())
+		must.Nil(t, s.Violation())
 	}
 }
 
 // Settings that no cluster can have are refused.
 func TestBadSettings(t *testing.T) {
-	set := settings()
-	must.Nil(t, set.Check())
+	set := testSettings()
+	must.Nil(t, set.Validate())
 	set.Keys = []cluster.KeyKind{"none"}
-	must.NotNil(t, set.Check())
-	set = settings()
+	must.NotNil(t, set.Validate())
+	set = testSettings()
 	set.Members = 40
-	must.NotNil(t, set.Check())
+	must.NotNil(t, set.Validate())
 }
--- a/explore/cluster/disk.go
+++ b/explore/cluster/disk.go
@@ -4,14 +4,14 @@
 	"maps"
 	"slices"
 
-	"cottonarch.example/cottonarch/sim/broken"
+	"cottonarch.example/cottonarch/sim/mutant"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
 // disk is what a member writes on. Invariant: durable is the newest synced record of each
 // tag, pending are the records that no sync has covered, in order.
 type disk interface {
-	append(recs []ring.Record) error
+	append(records []ring.Record) error
 	sync() error
 	// unsynced counts the writes that a loss of power may take.
 	unsynced() int
@@ -19,8 +19,8 @@
 	lose(mask uint64) error
 	// open reads what a new run finds, and syncs it, as opening a ring does.
 	open() ([]ring.Record, error)
-	// shows is what opening would find, without opening.
-	shows() []ring.Record
+	// contents is what opening would find, without opening.
+	contents() []ring.Record
 	state() any
 }
 
@@ -33,14 +33,14 @@
 
 func newPlainDisk() *plainDisk { return &plainDisk{Durable: map[string]string{}} }
 
-func (d *plainDisk) append(recs []ring.Record) error {
-	d.Pending = append(d.Pending, recs...)
+func (d *plainDisk) append(records []ring.Record) error {
+	d.Pending = append(d.Pending, records...)
 	return nil
 }
 
 func (d *plainDisk) sync() error {
-	for _, rec := range d.Pending {
-		d.Durable[rec.Tag] = string(rec.Data)
+	for _, record := range d.Pending {
+		d.Durable[record.Key] = string(record.Data)
 	}
 	d.Pending = nil
 	return nil
@@ -49,9 +49,9 @@
 func (d *plainDisk) unsynced() int { return len(d.Pending) }
 
 func (d *plainDisk) lose(mask uint64) error {
-	for i, rec := range d.Pending {
-		if keeps(mask, i) {
-			d.Durable[rec.Tag] = string(rec.Data)
+	for i, record := range d.Pending {
+		if keepsWrite(mask, i) {
+			d.Durable[record.Key] = string(record.Data)
 		}
 	}
 	d.Pending = nil
@@ -60,42 +60,42 @@
 
 func (d *plainDisk) open() ([]ring.Record, error) {
 	_ = d.sync()
-	return d.shows(), nil
+	return d.contents(), nil
 }
 
-func (d *plainDisk) shows() []ring.Record {
+func (d *plainDisk) contents() []ring.Record {
 	newest := maps.Clone(d.Durable)
-	for _, rec := range d.Pending {
-		newest[rec.Tag] = string(rec.Data)
+	for _, record := range d.Pending {
+		newest[record.Key] = string(record.Data)
 	}
 	out := make([]ring.Record, 0, len(newest))
 	for _, tag := range slices.Sorted(maps.Keys(newest)) {
-		out = append(out, ring.Record{Tag: tag, Data: []byte(newest[tag])})
+		out = append(out, ring.Record{Key: tag, Data: []byte(newest[tag])})
 	}
 	return out
 }
 
 func (d *plainDisk) state() any { return d }
 
-// ringBoot is small: a run writes little, and each run begins with empty disks.
-var ringBoot = ring.Boot{Files: 4, Size: 2 << 10}
+// ringSettings is small: a run writes little, and each run begins with empty disks.
+var ringSettings = ring.Options{FileCount: 4, FileSize: 2 << 10}
 
 // ringDisk is the ring that the daemon uses, in memory. It is slower, and shows what
 // recovery makes of lost writes.
 type ringDisk struct {
 	plainDisk
-	mem  *ring.Mem
+	mem  *ring.MemoryFolder
 	ring *ring.Ring
 	lazy bool
 }
 
 func newRingDisk(lazy bool) *ringDisk {
-	return &ringDisk{plainDisk: *newPlainDisk(), mem: ring.NewMem(), lazy: lazy}
+	return &ringDisk{plainDisk: *newPlainDisk(), mem: ring.NewMemoryFolder(), lazy: lazy}
 }
 
-func (d *ringDisk) append(recs []ring.Record) error {
-	_ = d.plainDisk.append(recs)
-	return d.ring.Append(recs)
+func (d *ringDisk) append(records []ring.Record) error {
+	_ = d.plainDisk.append(records)
+	return d.ring.Append(records)
 }
 
 func (d *ringDisk) sync() error {
@@ -109,13 +109,13 @@
 	write := 0
 	d.mem.Crash(func(n int) int {
 		write++
-		if keeps(mask, write-1) {
+		if keepsWrite(mask, write-1) {
 			return n
 		}
 		return 0
 	})
 	d.plainDisk = *newPlainDisk()
-	r, err := ring.Open(d.mem, ringBoot)
+	r, err := ring.Open(d.mem, ringSettings)
 	if err != nil {
 		return err
 	}
@@ -126,11 +126,11 @@
 func (d *ringDisk) open() ([]ring.Record, error) {
 	var folder ring.Folder = d.mem
 	if d.lazy {
-		folder = broken.Lazy{Folder: d.mem}
+		folder = mutant.LazySyncFolder{Folder: d.mem}
 	} else {
 		_ = d.plainDisk.sync()
 	}
-	r, err := ring.Open(folder, ringBoot)
+	r, err := ring.Open(folder, ringSettings)
 	if err != nil {
 		return nil, err
 	}
--- a/explore/cluster/encode.go
+++ b/explore/cluster/encode.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/explore/canon"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
-// plan leaves out the counters of an owner, which no step reads, and functions that are the
+// stateFilter leaves out the counters of an owner, which no step reads, and functions that are the
 // same for all.
-var plan = canon.NewPlan(map[string][]string{
+var stateFilter = canon.NewFieldFilter(map[string][]string{
 	"proposer.Proposer":            {"machine", "Local", "Prepares", "Rounds", "Repaired", "AbandonedTerms", "PatchesSent", "PatchesRejected"},
 	"reconfiguration.Reconfigurer": {"change"},
 	"ring.MemFile":                 {"owner"},
@@ -17,47 +17,47 @@
 
 // Hash names the state: all that a later step, choice or check may depend on.
 func (c *Cluster) Hash() uint64 {
-	e := plan.Encoder()
-	defer e.Free()
+	e := stateFilter.Encoder()
+	defer e.Release()
 	e.Now = c.now
-	e.Put(c.used)
+	e.Put(c.faultsUsed)
 	e.Put(c.cuts)
-	e.Put(c.chosen)
-	e.Put(c.disks)
+	e.Put(c.chosenMemberships)
+	e.Put(c.diskCount)
 	e.Put(c.objects)
 	e.Put(c.clients)
 	for _, m := range c.members {
 		c.putMember(e, m)
 	}
-	for _, one := range c.waiting() {
-		e.Put(one.id)
+	for _, envelope := range c.messagesInTransit() {
+		e.Put(envelope.id)
 	}
-	e.Put([]bool{c.harsh, c.found != nil})
+	e.Put([]bool{c.majorityLost, c.violation != nil})
 	return e.Hash()
 }
 
 func (c *Cluster) putMember(e *canon.Encoder, m *member) {
 	e.Now = c.now
-	e.Put([]bool{m.up, m.leaving, m.silent})
-	e.Put(m.run)
-	e.Put(m.disk)
+	e.Put([]bool{m.running, m.leaving, m.unheard})
+	e.Put(m.generation)
+	e.Put(m.diskID)
 	e.Put(m.store.state())
 	for _, k := range c.keys() {
-		e.Put(m.rep.Peek(k))
+		e.Put(m.registerAcceptor.Peek(k))
 	}
-	e.Put(m.acc.State)
-	if !m.up {
+	e.Put(m.membershipAcceptor.State)
+	if !m.running {
 		return
 	}
 	e.Now = c.clock(m)
-	e.Put(m.own)
-	e.Put(m.make)
-	e.Put(m.copy)
-	e.Put([]ident.Epoch{m.copied, ident.Epoch(m.turns), ident.Epoch(m.awaits)})
-	for _, one := range m.gated {
-		e.Put(one.id)
+	e.Put(m.proposer)
+	e.Put(m.reconfigurer)
+	e.Put(m.copyReader)
+	e.Put([]ident.Epoch{m.copiedAt, ident.Epoch(m.lastRound), ident.Epoch(m.awaitedRound)})
+	for _, envelope := range m.unsyncedResponses {
+		e.Put(envelope.id)
 	}
-	for _, tag := range slices.Sorted(slices.Values(sortedTags(m.orders))) {
+	for _, tag := range slices.Sorted(slices.Values(sortedTags(m.operations))) {
 		e.Put(tag)
 	}
 }
--- a/explore/cluster/inspect.go
+++ b/explore/cluster/inspect.go
@@ -6,20 +6,20 @@
 	"math/bits"
 	"slices"
 
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 // inspect reads, for every chosen roster that a majority could still serve, each key from
 // every majority, as a new owner's prepare would: what was acknowledged must be there.
 func (c *Cluster) inspect() {
-	newest := c.newest().Epoch
-	for _, epoch := range slices.Sorted(maps.Keys(c.chosen)) {
-		r := c.chosen[epoch]
+	newest := c.newestMembership().Epoch
+	for _, epoch := range slices.Sorted(maps.Keys(c.chosenMemberships)) {
+		r := c.chosenMemberships[epoch]
 		disks := c.serving(r, epoch == newest)
-		groups := majorities(disks, majority(r))
-		for _, o := range c.objects {
-			c.read(o, groups)
+		majorities := majorities(disks, majority(r))
+		for _, obj := range c.objects {
+			c.inspectObject(obj, majorities)
 		}
 	}
 }
@@ -28,8 +28,8 @@
 func (c *Cluster) serving(r quorum.Membership, newest bool) []*member {
 	var out []*member
 	for _, v := range r.Voters {
-		m := c.holder(v.Disk)
-		if v.Counted && m != nil && (newest || m.acc.Current.Epoch <= r.Epoch) {
+		m := c.holderOf(v.Disk)
+		if v.Counted && m != nil && (newest || m.membershipAcceptor.Current.Epoch <= r.Epoch) {
 			out = append(out, m)
 		}
 	}
@@ -37,42 +37,42 @@
 }
 
 // majorities lists every choice of so many members.
-func majorities(all []*member, size int) [][]*member {
+func majorities(members []*member, size int) [][]*member {
 	var out [][]*member
-	for mask := range 1 << len(all) {
+	for mask := range 1 << len(members) {
 		if bits.OnesCount(uint(mask)) != size {
 			continue
 		}
-		var one []*member
-		for i, m := range all {
+		var majority []*member
+		for i, m := range members {
 			if mask>>i&1 == 1 {
-				one = append(one, m)
+				majority = append(majority, m)
 			}
 		}
-		out = append(out, one)
+		out = append(out, majority)
 	}
 	return out
 }
 
-// read looks at what each majority has of an object, at the same cell once.
-func (c *Cluster) read(o object, groups [][]*member) {
-	var looked []quorum.Record
-	for _, group := range groups {
-		found := newestCell(group, o.key())
+// inspectObject looks at what each majority has of an object, at the same cell once.
+func (c *Cluster) inspectObject(obj object, majorities [][]*member) {
+	var inspected []quorum.Record
+	for _, group := range majorities {
+		found := newestRecord(group, obj.key())
 		known := func(other quorum.Record) bool { return found.Same(other) && bytes.Equal(found.Value, other.Value) }
-		if slices.ContainsFunc(looked, known) {
+		if slices.ContainsFunc(inspected, known) {
 			continue
 		}
-		looked = append(looked, found)
-		o.inspect(c, found)
+		inspected = append(inspected, found)
+		obj.inspect(c, found)
 	}
 }
 
-// newestCell is what a prepare at these members would find.
-func newestCell(group []*member, key ident.Key) quorum.Record {
+// newestRecord is what a prepare at these members would find.
+func newestRecord(group []*member, key ident.Key) quorum.Record {
 	var best quorum.Record
 	for _, m := range group {
-		if got := m.rep.Peek(key); got.Newer(best) {
+		if got := m.registerAcceptor.Peek(key); got.Newer(best) {
 			best = got
 		}
 	}
--- a/explore/cluster/locks.go
+++ b/explore/cluster/locks.go
@@ -4,100 +4,100 @@
 	"encoding/json"
 	"fmt"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/coordination/lock"
 	"cottonarch.example/cottonarch/control/coordination/operation"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // lockTTL is how long a claim holds.
 const lockTTL = 1000 // ms
 
-// hold is what a client counts on. Invariant: it counts from the sending of its claim, by a
+// grant is what a client counts on. Invariant: it counts from the sending of its claim, by a
 // clock that runs true, until the claim's time is over or it gives it up.
-type hold struct {
-	Fence uint64
-	Until monotime.Time
+type grant struct {
+	Fence     uint64
+	ExpiresAt monotime.Time
 }
 
-// locks is one lock with what its clients hold. Invariant: Given tells to whom each fence
+// lockObject is one lock with what its clients hold. Invariant: Given tells to whom each fence
 // was given, Fence is the highest of these.
-type locks struct {
-	Index int
-	Holds map[int]hold
-	Given map[uint64]int
-	Fence uint64
+type lockObject struct {
+	Index        int
+	Grants       map[int]grant
+	FenceHolder  map[uint64]int
+	HighestFence uint64
 }
 
 func newLock(index int) object {
-	return &locks{Index: index, Holds: map[int]hold{}, Given: map[uint64]int{}}
+	return &lockObject{Index: index, Grants: map[int]grant{}, FenceHolder: map[uint64]int{}}
 }
 
-func (l *locks) key() ident.Key { return ident.Key(fmt.Sprintf("lock/%d", l.Index)) }
+func (l *lockObject) key() ident.Key { return ident.Key(fmt.Sprintf("lock/%d", l.Index)) }
 
-func (l *locks) menu(cl *client) []string {
+func (l *lockObject) operations(cl *client) []string {
 	out := []string{"claim", "keep"}
-	if l.Holds[cl.number].Fence > 0 {
+	if l.Grants[cl.number].Fence > 0 {
 		out = append(out, "renew", "release")
 	}
 	return out
 }
 
-func (l *locks) deed(o *order) (string, json.RawMessage) {
-	o.Floor = l.Fence
-	a := lock.Args{Holder: fmt.Sprintf("client%d", o.Client), TTL: lockTTL}
-	switch o.Name {
+func (l *lockObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = l.HighestFence
+	args := lock.Args{Holder: fmt.Sprintf("client%d", op.Client), TTL: lockTTL}
+	switch op.Name {
 	case "keep":
-		a.Keep = true
+		args.KeepToken = true
 	case "renew":
-		a.Fence = l.Holds[o.Client].Fence
+		args.FencingToken = l.Grants[op.Client].Fence
 	case "release":
-		a.Fence = l.Holds[o.Client].Fence
-		delete(l.Holds, o.Client) // from here on it does not count on it
+		args.FencingToken = l.Grants[op.Client].Fence
+		delete(l.Grants, op.Client) // from here on it does not count on it
 	}
-	kind := o.Name
+	kind := op.Name
 	if kind == "keep" {
 		kind = "claim"
 	}
-	return "lock/" + kind, operation.Encode(a)
+	return "lock/" + kind, operation.Encode(args)
 }
 
-func (l *locks) told(c *Cluster, o *order, out proposer.Outcome) {
-	if o.Name == "release" {
+func (l *lockObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	if op.Name == "release" {
 		return
 	}
-	var g lock.Grant
-	_ = json.Unmarshal(out.Body, &g)
-	until := o.Sent.Add(lockTTL * 1e6)
+	var given lock.Grant
+	_ = json.Unmarshal(out.Body, &given)
+	until := op.SentAt.Add(lockTTL * 1e6)
 	for _, cl := range c.clients {
-		other := l.Holds[cl.number]
-		if cl.number != o.Client && other.Until.After(c.now) && until.After(c.now) {
-			c.breach(RuleLock, "%s is held by client %d, fence %d, and client %d, fence %d", l.key(), cl.number, other.Fence, o.Client, g.Fence)
+		other := l.Grants[cl.number]
+		if cl.number != op.Client && other.ExpiresAt.After(c.now) && until.After(c.now) {
+			c.violate(RuleLock, "%s is held by client %d, fence %d, and client %d, fence %d", l.key(), cl.number, other.Fence, op.Client, given.FencingToken)
 		}
 	}
-	if o.Name == "claim" && g.Fence <= o.Floor {
-		c.breach(RuleFence, "%s: fence %d was given after %d", l.key(), g.Fence, o.Floor)
+	if op.Name == "claim" && given.FencingToken <= op.Floor {
+		c.violate(RuleFence, "%s: fence %d was given after %d", l.key(), given.FencingToken, op.Floor)
 	}
-	if who := l.Given[g.Fence]; who != 0 && who != o.Client {
-		c.breach(RuleFence, "%s: fence %d was given to client %d and client %d", l.key(), g.Fence, who, o.Client)
+	if holder := l.FenceHolder[given.FencingToken]; holder != 0 && holder != op.Client {
+		c.violate(RuleFence, "%s: fence %d was given to client %d and client %d", l.key(), given.FencingToken, holder, op.Client)
 	}
-	l.Given[g.Fence] = o.Client
-	l.Fence = max(l.Fence, g.Fence)
-	l.Holds[o.Client] = hold{g.Fence, until}
+	l.FenceHolder[given.FencingToken] = op.Client
+	l.HighestFence = max(l.HighestFence, given.FencingToken)
+	l.Grants[op.Client] = grant{given.FencingToken, until}
 }
 
-func (l *locks) turned(o *order) {
-	if o.Name == "renew" {
-		delete(l.Holds, o.Client)
+func (l *lockObject) rejected(op *clientOperation) {
+	if op.Name == "renew" {
+		delete(l.Grants, op.Client)
 	}
 }
 
-func (l *locks) inspect(c *Cluster, found quorum.Record) {
-	var state lock.Lock
+func (l *lockObject) inspect(c *Cluster, found quorum.Record) {
+	var state lock.State
 	_ = json.Unmarshal(operation.State(found.Value), &state)
-	if state.Fence < l.Fence {
-		c.breach(RuleLost, "a majority knows %s up to fence %d, %d was given", l.key(), state.Fence, l.Fence)
+	if state.FencingToken < l.HighestFence {
+		c.violate(RuleLost, "a majority knows %s up to fence %d, %d was given", l.key(), state.FencingToken, l.HighestFence)
 	}
 }
--- a/explore/cluster/manifest.go
+++ b/explore/cluster/manifest.go
@@ -6,127 +6,129 @@
 	"maps"
 	"slices"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 const (
-	orderKind    = "manifest/offer"
-	offerEpoch   = "order on its epoch"
-	offerRelease = "order on its release"
-	readOrder    = "read"
+	proposeKind       = "manifest/offer"
+	proposeOnRevision = "order on its epoch"
+	proposeOnVersion  = "order on its release"
+	readConfig        = "read"
 )
 
-// manifest is the configuration. Releases are kept equal to epochs, so an order builds on
+// configObject is the configuration. Releases are kept equal to epochs, so an order builds on
 // one base whichever way it names it. Invariants: Taken holds the content of the order that
 // was acknowledged, by the epoch that it made; Turned the contents that were refused.
-type manifest struct {
-	Taken  map[uint64]string
-	Floor  uint64
-	Turned map[string]bool
+type configObject struct {
+	Accepted map[uint64]string
+	Floor    uint64
+	Rejected map[string]bool
 }
 
-func newManifest(int) object {
-	return &manifest{Taken: map[uint64]string{}, Turned: map[string]bool{}}
+func newConfig(int) object {
+	return &configObject{Accepted: map[uint64]string{}, Rejected: map[string]bool{}}
 }
 
-func (m *manifest) key() ident.Key { return offer.Key }
+func (m *configObject) key() ident.Key { return proposal.Key }
 
-func (m *manifest) menu(*client) []string { return []string{offerEpoch, offerRelease, readOrder} }
+func (m *configObject) operations(*client) []string {
+	return []string{proposeOnRevision, proposeOnVersion, readConfig}
+}
 
-func (m *manifest) deed(o *order) (string, json.RawMessage) {
-	o.Floor = m.Floor
-	if o.Name == readOrder {
+func (m *configObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = m.Floor
+	if op.Name == readConfig {
 		return "manifest/read", nil
 	}
-	body := fmt.Sprintf(`{"release":%d,"by":%q}`, o.Base+1, o.Content)
-	a := offer.Args{Loose: true, Body: json.RawMessage(body)}
-	if o.Name == offerRelease {
-		a.BaseRelease = &o.Base
+	body := fmt.Sprintf(`{"release":%d,"by":%q}`, op.Base+1, op.Content)
+	args := proposal.Args{AllowUnknown: true, Body: json.RawMessage(body)}
+	if op.Name == proposeOnVersion {
+		args.BaseVersion = &op.Base
 	} else {
-		base := ident.Epoch(o.Base)
-		a.Base = &base
+		base := ident.Epoch(op.Base)
+		args.BaseRevision = &base
 	}
-	return orderKind, operation.Encode(a)
+	return proposeKind, operation.Encode(args)
 }
 
-func (m *manifest) told(c *Cluster, o *order, out proposer.Outcome) {
-	if o.Name == readOrder {
-		m.shown(c, o, out)
+func (m *configObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	if op.Name == readConfig {
+		m.checkRead(c, op, out)
 		return
 	}
-	var yes offer.Yes
+	var yes proposal.Accepted
 	_ = json.Unmarshal(out.Body, &yes)
-	epoch := uint64(yes.Epoch)
-	old, known := m.Taken[epoch]
+	epoch := uint64(yes.Revision)
+	old, known := m.Accepted[epoch]
 	switch {
-	case known && old != o.Content:
-		c.breach(RuleBase, "%s and %s were both taken as epoch %d", old, o.Content, epoch)
-	case !known && epoch <= o.Floor && !o.Again:
-		c.breach(RuleRepeated, "epoch %d was given after %d", epoch, o.Floor)
+	case known && old != op.Content:
+		c.violate(RuleBase, "%s and %s were both taken as epoch %d", old, op.Content, epoch)
+	case !known && epoch <= op.Floor && !op.Resent:
+		c.violate(RuleRepeated, "epoch %d was given after %d", epoch, op.Floor)
 	}
-	for _, other := range slices.Sorted(maps.Keys(m.Taken)) {
-		if m.Taken[other] == o.Content && other != epoch {
-			c.breach(RuleResend, "%s was taken as epoch %d and, sent again, as %d", o.Content, other, epoch)
+	for _, other := range slices.Sorted(maps.Keys(m.Accepted)) {
+		if m.Accepted[other] == op.Content && other != epoch {
+			c.violate(RuleResend, "%s was taken as epoch %d and, sent again, as %d", op.Content, other, epoch)
 		}
 	}
-	if epoch != o.Base+1 {
-		c.breach(RuleBase, "%s built on epoch %d and was taken as epoch %d, after another on that base", o.Content, o.Base, epoch)
+	if epoch != op.Base+1 {
+		c.violate(RuleBase, "%s built on epoch %d and was taken as epoch %d, after another on that base", op.Content, op.Base, epoch)
 	}
-	m.Taken[epoch] = o.Content
+	m.Accepted[epoch] = op.Content
 	m.Floor = max(m.Floor, epoch)
-	c.clients[o.Client-1].know(o.Object, epoch)
+	c.clients[op.Client-1].setBase(op.Object, epoch)
 }
 
-// shown judges a read.
-func (m *manifest) shown(c *Cluster, o *order, out proposer.Outcome) {
-	var h offer.Held
-	_ = json.Unmarshal(out.Body, &h)
-	if uint64(h.Epoch) < o.Floor {
-		c.breach(RuleStale, "client %d read epoch %d, %d had been acknowledged", o.Client, h.Epoch, o.Floor)
+// checkRead judges a read.
+func (m *configObject) checkRead(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	var held proposal.State
+	_ = json.Unmarshal(out.Body, &held)
+	if uint64(held.Revision) < op.Floor {
+		c.violate(RuleStale, "client %d read epoch %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
 	}
-	m.check(c, h)
-	m.Floor = max(m.Floor, uint64(h.Epoch))
-	c.clients[o.Client-1].know(o.Object, uint64(h.Epoch))
+	m.compare(c, held)
+	m.Floor = max(m.Floor, uint64(held.Revision))
+	c.clients[op.Client-1].setBase(op.Object, uint64(held.Revision))
 }
 
-// check compares a configuration with what was acknowledged and refused.
-func (m *manifest) check(c *Cluster, h offer.Held) {
+// compare compares a configuration with what was acknowledged and refused.
+func (m *configObject) compare(c *Cluster, held proposal.State) {
 	var body struct {
 		By string `json:"by"`
 	}
-	_ = json.Unmarshal(h.Manifest, &body)
-	if old, known := m.Taken[uint64(h.Epoch)]; known && old != body.By {
-		c.breach(RuleLost, "epoch %d has %s, %s was acknowledged", h.Epoch, body.By, old)
+	_ = json.Unmarshal(held.Document, &body)
+	if old, known := m.Accepted[uint64(held.Revision)]; known && old != body.By {
+		c.violate(RuleLost, "epoch %d has %s, %s was acknowledged", held.Revision, body.By, old)
 	}
-	if m.Turned[body.By] {
-		c.breach(RuleTurned, "%s was refused and is in force as epoch %d", body.By, h.Epoch)
+	if m.Rejected[body.By] {
+		c.violate(RuleRejected, "%s was refused and is in force as epoch %d", body.By, held.Revision)
 	}
 }
 
-// refused judges a sure no to an order that was taken before.
-func (m *manifest) refused(c *Cluster, o *order, d *failure.Error) {
-	for _, epoch := range slices.Sorted(maps.Keys(m.Taken)) {
-		if o.Again && m.Taken[epoch] == o.Content {
-			c.breach(RuleResend, "%s was taken as epoch %d and, sent again, is refused: %s", o.Content, epoch, d.Note)
+// checkResend judges a sure no to an order that was taken before.
+func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
+	for _, epoch := range slices.Sorted(maps.Keys(m.Accepted)) {
+		if op.Resent && m.Accepted[epoch] == op.Content {
+			c.violate(RuleResend, "%s was taken as epoch %d and, sent again, is refused: %s", op.Content, epoch, rejection.Note)
 		}
 	}
 }
 
-func (m *manifest) turned(o *order) { m.Turned[o.Content] = true }
+func (m *configObject) rejected(op *clientOperation) { m.Rejected[op.Content] = true }
 
-func (m *manifest) inspect(c *Cluster, found quorum.Record) {
-	var h offer.Held
-	_ = json.Unmarshal(operation.State(found.Value), &h)
-	if uint64(h.Epoch) < m.Floor {
-		c.breach(RuleLost, "a majority knows epoch %d, %d was acknowledged", h.Epoch, m.Floor)
+func (m *configObject) inspect(c *Cluster, found quorum.Record) {
+	var held proposal.State
+	_ = json.Unmarshal(operation.State(found.Value), &held)
+	if uint64(held.Revision) < m.Floor {
+		c.violate(RuleLost, "a majority knows epoch %d, %d was acknowledged", held.Revision, m.Floor)
 		return
 	}
-	if uint64(h.Epoch) == m.Floor && m.Floor > 0 {
-		m.check(c, h)
+	if uint64(held.Revision) == m.Floor && m.Floor > 0 {
+		m.compare(c, held)
 	}
 }
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/core/message"
 	membership "cottonarch.example/cottonarch/control/membership/acceptor"
 	"cottonarch.example/cottonarch/control/membership/reconfiguration"
@@ -10,8 +12,6 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/control/register/quorumread"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
@@ -20,46 +20,46 @@
 // member is one core. Invariants: rep holds, while the process is down, what its disk
 // would give back; gated holds the returns that wait for a sync.
 type member struct {
-	number  int
-	run     int
-	up      bool
-	leaving bool
-	silent  bool
-	store   disk
-	disk    ident.Disk
-	acc     *membership.Acceptor
-	rep     *acceptor.Acceptor
-	own     *proposer.Proposer
-	make    *reconfiguration.Reconfigurer
-	copy    *quorumread.Reader
-	copied  ident.Epoch
-	turns   uint64
-	awaits  uint64 // the turn of the word that a copy is synced, 0 if none is awaited
-	gated   []envelope
-	skew    monotime.Span
-	watch   monotime.Watch
-	// orders are the operations in hand, by tag.
-	orders map[uint64]*order
+	number             int
+	generation         int
+	running            bool
+	leaving            bool
+	unheard            bool
+	store              disk
+	diskID             ident.Disk
+	membershipAcceptor *membership.Acceptor
+	registerAcceptor   *acceptor.Acceptor
+	proposer           *proposer.Proposer
+	reconfigurer       *reconfiguration.Reconfigurer
+	copyReader         *quorumread.Reader
+	copiedAt           ident.Epoch
+	lastRound          uint64
+	awaitedRound       uint64 // the turn of the word that a copy is synced, 0 if none is awaited
+	unsyncedResponses  []envelope
+	clockOffset        monotime.Duration
+	clockWatch         monotime.StepLimiter
+	// operations are the operations in hand, by tag.
+	operations map[uint64]*clientOperation
 }
 
 func (m *member) addr() ident.Addr { return ident.Addr(fmt.Sprintf("m%d", m.number)) }
 
-func (m *member) mark() string { return fmt.Sprintf("%s-%d", m.addr(), m.run) }
+func (m *member) instance() string { return fmt.Sprintf("%s-%d", m.addr(), m.generation) }
 
-func (m *member) counted() bool { return m.up && m.acc.Current.Counts(m.disk) }
+func (m *member) counted() bool { return m.running && m.membershipAcceptor.Current.Counts(m.diskID) }
 
-// append writes records without a sync.
-func (m *member) append(recs []ring.Record) error {
-	if len(recs) == 0 {
+// appendRecords writes records without a sync.
+func (m *member) appendRecords(records []ring.Record) error {
+	if len(records) == 0 {
 		return nil
 	}
-	return m.store.append(recs)
+	return m.store.append(records)
 }
 
-// blank is an empty disk.
-func (c *Cluster) blank() disk {
-	if c.set.Ring {
-		return newRingDisk(c.set.Break == BreakSoft)
+// newDisk is an empty disk.
+func (c *Cluster) newDisk() disk {
+	if c.settings.Ring {
+		return newRingDisk(c.settings.Mutant == MutantLazySync)
 	}
 	return newPlainDisk()
 }
@@ -68,222 +68,222 @@
 func (c *Cluster) open(m *member) bool {
 	records, err := m.store.open()
 	if err != nil {
-		c.breach(RuleDisk, "m%d can't read its own disk: %v", m.number, err)
+		c.violate(RuleDisk, "m%d can't read its own disk: %v", m.number, err)
 		return false
 	}
 	c.rebuild(m, records)
 	return true
 }
 
-// recall makes of a member that is down what its disk would give back; it opens nothing,
+// reload makes of a member that is down what its disk would give back; it opens nothing,
 // for to open a disk syncs it.
-func (c *Cluster) recall(m *member) { c.rebuild(m, m.store.shows()) }
+func (c *Cluster) reload(m *member) { c.rebuild(m, m.store.contents()) }
 
 // rebuild makes replica and acceptor of what was read.
 func (c *Cluster) rebuild(m *member, records []ring.Record) {
-	m.disk = ""
-	for _, rec := range records {
-		if rec.Tag == diskTag {
-			m.disk = ident.Disk(rec.Data)
+	m.diskID = ""
+	for _, record := range records {
+		if record.Key == diskTag {
+			m.diskID = ident.Disk(record.Data)
 		}
 	}
-	m.rep, m.acc = acceptor.New(m.disk), membership.New(m.disk)
-	for _, rec := range records {
-		if err := m.take(rec); err != nil {
-			c.breach(RuleDisk, "m%d can't read %s: %v", m.number, rec.Tag, err)
+	m.registerAcceptor, m.membershipAcceptor = acceptor.New(m.diskID), membership.New(m.diskID)
+	for _, record := range records {
+		if err := m.load(record); err != nil {
+			c.violate(RuleDisk, "m%d can't read %s: %v", m.number, record.Key, err)
 		}
 	}
-	m.acc.Current.Need = c.set.need()
+	m.membershipAcceptor.Current.MajorityOverride = c.settings.quorumOverride()
 }
 
-func (m *member) take(rec ring.Record) error {
+func (m *member) load(record ring.Record) error {
 	switch {
-	case len(rec.Data) == 0, rec.Tag == diskTag:
+	case len(record.Data) == 0, record.Key == diskTag:
 		return nil
-	case rec.Tag == membership.Tag:
-		return m.acc.Load(rec.Data)
+	case record.Key == membership.Tag:
+		return m.membershipAcceptor.Load(record.Data)
 	}
-	_, err := m.rep.Load(rec)
+	_, err := m.registerAcceptor.Load(record)
 	return err
 }
 
 // start begins a run from what the disk holds.
 func (c *Cluster) start(m *member) {
-	m.run++
+	m.generation++
 	if !c.open(m) {
 		return
 	}
-	m.up, m.leaving, m.gated, m.orders = true, false, nil, map[uint64]*order{}
-	if m.disk == "" {
-		c.name(m)
-		c.must(m, m.append([]ring.Record{{Tag: diskTag, Data: []byte(m.disk)}}))
-		c.must(m, m.store.sync())
+	m.running, m.leaving, m.unsyncedResponses, m.operations = true, false, nil, map[uint64]*clientOperation{}
+	if m.diskID == "" {
+		c.assignDisk(m)
+		c.checkWrite(m, m.appendRecords([]ring.Record{{Key: diskTag, Data: []byte(m.diskID)}}))
+		c.checkWrite(m, m.store.sync())
 	}
-	m.watch = monotime.Watch{}
-	c.begin(m)
+	m.clockWatch = monotime.StepLimiter{}
+	c.beginRun(m)
 }
 
-// name gives a member's disk a new name.
-func (c *Cluster) name(m *member) {
-	c.disks++
-	m.disk = ident.Disk(fmt.Sprintf("disk%d", c.disks))
-	now := m.acc.Current
-	m.rep, m.acc = acceptor.New(m.disk), membership.New(m.disk)
-	m.acc.Current = now
+// assignDisk gives a member's disk a new name.
+func (c *Cluster) assignDisk(m *member) {
+	c.diskCount++
+	m.diskID = ident.Disk(fmt.Sprintf("disk%d", c.diskCount))
+	now := m.membershipAcceptor.Current
+	m.registerAcceptor, m.membershipAcceptor = acceptor.New(m.diskID), membership.New(m.diskID)
+	m.membershipAcceptor.Current = now
 }
 
-// begin makes the parts of a run that hold nothing of the disk.
-func (c *Cluster) begin(m *member) {
-	m.make, m.copy, m.copied, m.awaits = reconfiguration.New(m.disk, m.mark()), nil, 0, 0
-	m.turns = ident.FirstNumber(m.mark())
-	m.own = proposer.New(string(m.disk)+"."+m.mark(), c.machine)
-	m.own.Local = func(k ident.Key) quorum.Record { return m.rep.Peek(k) }
+// beginRun makes the parts of a run that hold nothing of the disk.
+func (c *Cluster) beginRun(m *member) {
+	m.reconfigurer, m.copyReader, m.copiedAt, m.awaitedRound = reconfiguration.New(m.diskID, m.instance()), nil, 0, 0
+	m.lastRound = ident.FirstRequestNumber(m.instance())
+	m.proposer = proposer.New(string(m.diskID)+"."+m.instance(), c.stateMachine)
+	m.proposer.Local = func(k ident.Key) quorum.Record { return m.registerAcceptor.Peek(k) }
 	for _, other := range c.members {
-		if other.disk != "" {
-			m.own.SetPatchCapable(other.disk, true)
+		if other.diskID != "" {
+			m.proposer.SetPatchCapable(other.diskID, true)
 		}
 	}
-	m.own.SetMembership(c.clock(m), m.acc.Current)
+	m.proposer.SetMembership(c.clock(m), m.membershipAcceptor.Current)
 }
 
 // clock is what the member's steps are told: time that was watched go by, unless that rule
 // is broken.
 func (c *Cluster) clock(m *member) monotime.Time {
-	raw := c.now.Add(m.skew)
-	if c.set.Break == BreakClock {
+	raw := c.now.Add(m.clockOffset)
+	if c.settings.Mutant == MutantClock {
 		return raw
 	}
-	return m.watch.Look(raw)
+	return m.clockWatch.Observe(raw)
 }
 
 // kill ends the process; the operations in hand end with an unknown outcome.
 func (c *Cluster) kill(m *member) {
-	for _, tag := range sortedTags(m.orders) {
-		c.unknown(m.orders[tag])
+	for _, tag := range sortedTags(m.operations) {
+		c.outcomeUnknown(m.operations[tag])
 	}
-	m.up, m.leaving, m.gated, m.orders, m.own, m.make, m.copy = false, false, nil, nil, nil, nil, nil
+	m.running, m.leaving, m.unsyncedResponses, m.operations, m.proposer, m.reconfigurer, m.copyReader = false, false, nil, nil, nil, nil, nil
 }
 
-// adopt takes a chosen roster in, as a node does.
-func (c *Cluster) adopt(m *member, r quorum.Membership) {
-	_, was := m.acc.Current.Find(m.disk)
-	r.Need = c.set.need()
-	recs, newer := m.acc.Adopt(r)
+// adoptMembership takes a chosen roster in, as a node does.
+func (c *Cluster) adoptMembership(m *member, r quorum.Membership) {
+	_, wasVoter := m.membershipAcceptor.Current.Find(m.diskID)
+	r.MajorityOverride = c.settings.quorumOverride()
+	records, newer := m.membershipAcceptor.Adopt(r)
 	if !newer {
 		return
 	}
-	c.must(m, m.append(recs))
-	m.make.Adopted(r)
-	m.copy, m.awaits = nil, 0
-	c.owned(m, m.own.SetMembership(c.clock(m), r))
-	if _, is := r.Find(m.disk); was && !is {
+	c.checkWrite(m, m.appendRecords(records))
+	m.reconfigurer.Adopted(r)
+	m.copyReader, m.awaitedRound = nil, 0
+	c.applyEffects(m, m.proposer.SetMembership(c.clock(m), r))
+	if _, isVoter := r.Find(m.diskID); wasVoter && !isVoter {
 		c.wipe(m)
 	}
 }
 
 // wipe makes this a new disk: its slot was taken while it was away.
 func (c *Cluster) wipe(m *member) {
-	var recs []ring.Record
-	for _, tag := range m.rep.Tags() {
-		recs = append(recs, ring.Record{Tag: tag})
+	var records []ring.Record
+	for _, tag := range m.registerAcceptor.RingKeys() {
+		records = append(records, ring.Record{Key: tag})
 	}
-	for _, tag := range sortedTags(m.orders) {
-		c.unknown(m.orders[tag])
+	for _, tag := range sortedTags(m.operations) {
+		c.outcomeUnknown(m.operations[tag])
 	}
-	m.orders = map[uint64]*order{}
-	c.name(m)
-	recs = append(recs, ring.Record{Tag: diskTag, Data: []byte(m.disk)}, m.acc.Record())
-	c.must(m, m.append(recs))
-	c.begin(m)
+	m.operations = map[uint64]*clientOperation{}
+	c.assignDisk(m)
+	records = append(records, ring.Record{Key: diskTag, Data: []byte(m.diskID)}, m.membershipAcceptor.Record())
+	c.checkWrite(m, m.appendRecords(records))
+	c.beginRun(m)
 }
 
 // take part in the roster: the next step towards being counted, as a node does it.
-func (c *Cluster) join(m *member) {
-	now, r := c.clock(m), m.acc.Current
-	slot, in := r.Find(m.disk)
-	me := quorum.Voter{Disk: m.disk, Addr: m.addr()}
+func (c *Cluster) takeJoinStep(m *member) {
+	now, r := c.clock(m), m.membershipAcceptor.Current
+	slot, isVoter := r.Find(m.diskID)
+	self := quorum.Voter{Disk: m.diskID, Addr: m.addr()}
 	switch {
-	case in && slot.Counted:
-	case in && slot.Joining && !c.grows(m):
-		c.rosterSends(m, m.make.Begin(now, r, reconfiguration.TakeSlot(me, rosterMost, false)))
-	case in && m.copied == r.Epoch:
-		c.rosterSends(m, m.make.Begin(now, r, reconfiguration.CountIn(m.disk)))
-	case in && m.copy == nil:
-		m.turns++
-		m.copy = quorumread.Begin(m.turns, r, "", true, m.disk)
-		c.scans(m, m.copy.Tick(now))
-	case !in:
-		c.rosterSends(m, m.make.Begin(now, r, reconfiguration.TakeSlot(me, rosterMost, true)))
+	case isVoter && slot.Counted:
+	case isVoter && slot.Joining && !c.canGrow(m):
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.TakeSlot(self, maxVoters, false)))
+	case isVoter && m.copiedAt == r.Epoch:
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.CountIn(m.diskID)))
+	case isVoter && m.copyReader == nil:
+		m.lastRound++
+		m.copyReader = quorumread.New(m.lastRound, r, "", true, m.diskID)
+		c.sendScans(m, m.copyReader.Tick(now))
+	case !isVoter:
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.TakeSlot(self, maxVoters, true)))
 	}
 }
 
-// rosterMost is how many slots a roster has at most.
-const rosterMost = 5
+// maxVoters is how many slots a roster has at most.
+const maxVoters = 5
 
-// grows tells whether a slot that has joined may be counted in.
-func (c *Cluster) grows(m *member) bool {
+// canGrow tells whether a slot that has joined may be counted in.
+func (c *Cluster) canGrow(m *member) bool {
 	others := 0
-	for _, v := range m.acc.Current.Voters {
-		other := c.holder(v.Disk)
-		well := other != nil && other.up && !other.silent && !other.leaving
+	for _, v := range m.membershipAcceptor.Current.Voters {
+		other := c.holderOf(v.Disk)
+		healthy := other != nil && other.running && !other.unheard && !other.leaving
 		switch {
-		case v.Joining && other != m && well:
+		case v.Joining && other != m && healthy:
 			others++
-		case !v.Joining && !well:
+		case !v.Joining && !healthy:
 			return false
 		}
 	}
-	return m.acc.Current.Size()%2 == 0 || others > 0
+	return m.membershipAcceptor.Current.Size()%2 == 0 || others > 0
 }
 
-// copiedAll takes in what a majority held. As in a node the copy is done only once it is
+// learnCopy takes in what a majority held. As in a node the copy is done only once it is
 // synced: the word of that waits behind its records.
-func (c *Cluster) copiedAll(m *member) {
-	all := m.copy.Found()
+func (c *Cluster) learnCopy(m *member) {
+	copied := m.copyReader.Entries()
 	for _, k := range c.keys() {
-		if found, ok := all[k]; ok {
-			c.must(m, m.append(m.rep.Learn(quorum.Row{Key: k, Record: found.Record})))
+		if found, ok := copied[k]; ok {
+			c.checkWrite(m, m.appendRecords(m.registerAcceptor.Merge(quorum.Row{Key: k, Record: found.Record})))
 		}
 	}
-	m.turns++
-	m.awaits = m.turns
-	synced := quorum.ScanResponse{Round: m.awaits, Disk: m.disk, Membership: m.copy.Membership.Epoch}
-	m.gated = append(m.gated, seal(m.number, m.number, message.Message{ScanResponse: &synced}))
+	m.lastRound++
+	m.awaitedRound = m.lastRound
+	synced := quorum.ScanResponse{Round: m.awaitedRound, Disk: m.diskID, Membership: m.copyReader.Membership.Epoch}
+	m.unsyncedResponses = append(m.unsyncedResponses, seal(m.number, m.number, message.Message{ScanResponse: &synced}))
 }
 
 // copySynced takes the word that the copy is synced.
 func (m *member) copySynced(r quorum.ScanResponse) {
-	m.awaits = 0
-	if r.Membership == m.acc.Current.Epoch {
-		m.copied, m.copy = r.Membership, nil
+	m.awaitedRound = 0
+	if r.Membership == m.membershipAcceptor.Current.Epoch {
+		m.copiedAt, m.copyReader = r.Membership, nil
 	}
 }
 
-// alive lists the disks that a voter has lately heard.
-func (c *Cluster) alive(at *member) []ident.Disk {
-	out := []ident.Disk{at.disk}
+// aliveDisks lists the disks that a voter has lately heard.
+func (c *Cluster) aliveDisks(at *member) []ident.Disk {
+	out := []ident.Disk{at.diskID}
 	for _, m := range c.members {
-		if m != at && m.up && !m.silent && !c.cut(m.number, at.number) {
-			out = append(out, m.disk)
+		if m != at && m.running && !m.unheard && !c.isCut(m.number, at.number) {
+			out = append(out, m.diskID)
 		}
 	}
 	return out
 }
 
-// holder is the member that has a disk, nil if none has.
-func (c *Cluster) holder(d ident.Disk) *member {
+// holderOf is the member that has a disk, nil if none has.
+func (c *Cluster) holderOf(d ident.Disk) *member {
 	for _, m := range c.members {
-		if m.disk == d && d != "" {
+		if m.diskID == d && d != "" {
 			return m
 		}
 	}
 	return nil
 }
 
-// must notes that a write failed, which nothing here may cause.
-func (c *Cluster) must(m *member, err error) {
+// checkWrite notes that a write failed, which nothing here may cause.
+func (c *Cluster) checkWrite(m *member, err error) {
 	if err != nil {
-		c.breach(RuleDisk, "m%d can't write: %v", m.number, err)
+		c.violate(RuleDisk, "m%d can't write: %v", m.number, err)
 	}
 }
 
@@ -292,50 +292,50 @@
 	now := c.clock(m)
 	switch {
 	case msg.Request != nil:
-		return c.onAsk(m, *msg.Request)
+		return c.onRequest(m, *msg.Request)
 	case msg.MembershipRequest != nil:
-		says, recs, say := m.acc.Step(*msg.MembershipRequest, c.alive(m))
-		c.must(m, m.append(recs))
-		if say {
-			return []message.Message{{MembershipResponse: &says}}
+		response, records, respond := m.membershipAcceptor.Step(*msg.MembershipRequest, c.aliveDisks(m))
+		c.checkWrite(m, m.appendRecords(records))
+		if respond {
+			return []message.Message{{MembershipResponse: &response}}
 		}
 	case msg.Scan != nil && m.counted():
-		if page, ok := m.rep.Scan(m.acc.Current.Epoch, *msg.Scan); ok {
+		if page, ok := m.registerAcceptor.Scan(m.membershipAcceptor.Current.Epoch, *msg.Scan); ok {
 			return []message.Message{{ScanResponse: &page}}
 		}
 	case msg.Response != nil:
-		c.owned(m, m.own.Step(now, *msg.Response))
+		c.applyEffects(m, m.proposer.Step(now, *msg.Response))
 	case msg.MembershipResponse != nil:
-		c.onRosterSays(m, *msg.MembershipResponse)
-	case msg.ScanResponse != nil && from == m.number && msg.ScanResponse.Round == m.awaits:
+		c.onMembershipResponse(m, *msg.MembershipResponse)
+	case msg.ScanResponse != nil && from == m.number && msg.ScanResponse.Round == m.awaitedRound:
 		m.copySynced(*msg.ScanResponse)
-	case msg.ScanResponse != nil && m.copy != nil && m.awaits == 0:
-		sends, done := m.copy.Step(now, *msg.ScanResponse)
-		c.scans(m, sends)
+	case msg.ScanResponse != nil && m.copyReader != nil && m.awaitedRound == 0:
+		sends, done := m.copyReader.Step(now, *msg.ScanResponse)
+		c.sendScans(m, sends)
 		if done {
-			c.copiedAll(m)
+			c.learnCopy(m)
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) onAsk(m *member, a quorum.Request) []message.Message {
-	if _, in := m.acc.Current.Find(m.disk); !in {
+func (c *Cluster) onRequest(m *member, a quorum.Request) []message.Message {
+	if _, in := m.membershipAcceptor.Current.Find(m.diskID); !in {
 		return nil
 	}
-	r, recs, say := m.rep.Step(m.acc.Current.Epoch, a)
-	c.must(m, m.append(recs))
-	if !say {
+	r, records, respond := m.registerAcceptor.Step(m.membershipAcceptor.Current.Epoch, a)
+	c.checkWrite(m, m.appendRecords(records))
+	if !respond {
 		return nil
 	}
 	return []message.Message{{Response: &r}}
 }
 
-func (c *Cluster) onRosterSays(m *member, r membership.Response) {
-	sends, next := m.make.Step(c.clock(m), r)
-	c.rosterSends(m, sends)
+func (c *Cluster) onMembershipResponse(m *member, r membership.Response) {
+	sends, next := m.reconfigurer.Step(c.clock(m), r)
+	c.sendMembershipRequests(m, sends)
 	if next != nil {
-		c.decided(m, *next)
-		c.adopt(m, *next)
+		c.membershipChosen(m, *next)
+		c.adoptMembership(m, *next)
 	}
 }
--- a/explore/cluster/objects.go
+++ b/explore/cluster/objects.go
@@ -6,249 +6,249 @@
 	"maps"
 	"slices"
 
-	"cottonarch.example/cottonarch/control/audit/chunk"
-	"cottonarch.example/cottonarch/control/coordination/group"
-	"cottonarch.example/cottonarch/control/coordination/key"
-	"cottonarch.example/cottonarch/control/coordination/number"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/audit/segment"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/coordination/keyspace"
+	"cottonarch.example/cottonarch/control/coordination/keyvalue"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/manifest/offer"
+	"cottonarch.example/cottonarch/control/coordination/sequence"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
-// register is what is common to objects whose revisions have one value each. Invariants:
+// revisionedObject is what is common to objects whose revisions have one value each. Invariants:
 // Values holds what was acknowledged or read, by revision; Floor is the newest of these;
 // Turned holds the contents that were surely refused.
-type register struct {
-	Index  int
-	Values map[uint64]string
-	Floor  uint64
-	Turned map[string]bool
+type revisionedObject struct {
+	Index    int
+	Values   map[uint64]string
+	Floor    uint64
+	Rejected map[string]bool
 }
 
-func newRegister(index int) register {
-	return register{Index: index, Values: map[uint64]string{}, Turned: map[string]bool{}}
+func newRevisionedObject(index int) revisionedObject {
+	return revisionedObject{Index: index, Values: map[uint64]string{}, Rejected: map[string]bool{}}
 }
 
-// shown notes that a revision has a value.
-func (r *register) shown(c *Cluster, at ident.Key, rev uint64, value string) {
-	if old, known := r.Values[rev]; known && old != value {
-		c.breach(RuleOrder, "revision %d of %s is %s, and before it was %s", rev, at, value, old)
+// observeValue notes that a revision has a value.
+func (r *revisionedObject) observeValue(c *Cluster, key ident.Key, revision uint64, value string) {
+	if old, known := r.Values[revision]; known && old != value {
+		c.violate(RuleOrder, "revision %d of %s is %s, and before it was %s", revision, key, value, old)
 	}
 	for other, old := range r.Values {
-		if old == value && other != rev {
-			c.breach(RuleOrder, "%s of %s has revisions %d and %d", value, at, min(rev, other), max(rev, other))
+		if old == value && other != revision {
+			c.violate(RuleOrder, "%s of %s has revisions %d and %d", value, key, min(revision, other), max(revision, other))
 		}
 	}
-	if r.Turned[value] {
-		c.breach(RuleTurned, "%s of %s was refused and is shown at revision %d", value, at, rev)
+	if r.Rejected[value] {
+		c.violate(RuleRejected, "%s of %s was refused and is shown at revision %d", value, key, revision)
 	}
-	r.Values[rev] = value
-	r.Floor = max(r.Floor, rev)
+	r.Values[revision] = value
+	r.Floor = max(r.Floor, revision)
 }
 
-// fresh checks that a read is no older than what had been acknowledged.
-func (r *register) fresh(c *Cluster, at ident.Key, o *order, rev uint64) {
-	if rev < o.Floor {
-		c.breach(RuleStale, "client %d read %s at revision %d, %d had been acknowledged", o.Client, at, rev, o.Floor)
+// checkFresh checks that a read is no older than what had been acknowledged.
+func (r *revisionedObject) checkFresh(c *Cluster, key ident.Key, op *clientOperation, revision uint64) {
+	if revision < op.Floor {
+		c.violate(RuleStale, "client %d read %s at revision %d, %d had been acknowledged", op.Client, key, revision, op.Floor)
 	}
 }
 
-func (r *register) turned(o *order) { r.Turned[o.Content] = true }
+func (r *revisionedObject) rejected(op *clientOperation) { r.Rejected[op.Content] = true }
 
-// value is a key with its history.
-type value struct{ register }
+// valueObject is a key with its history.
+type valueObject struct{ revisionedObject }
 
-func newValue(index int) object { return &value{newRegister(index)} }
+func newValue(index int) object { return &valueObject{newRevisionedObject(index)} }
 
-func (v *value) key() ident.Key { return ident.Key(fmt.Sprintf("key/%d", v.Index)) }
+func (v *valueObject) key() ident.Key { return ident.Key(fmt.Sprintf("key/%d", v.Index)) }
 
-func (v *value) menu(*client) []string { return []string{"write", "read"} }
+func (v *valueObject) operations(*client) []string { return []string{"write", "read"} }
 
-func (v *value) deed(o *order) (string, json.RawMessage) {
-	o.Floor = v.Floor
-	if o.Name == "read" {
-		return "key/read", operation.Encode(key.Args{Since: new(ident.Revision)})
+func (v *valueObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = v.Floor
+	if op.Name == "read" {
+		return "key/read", operation.Encode(keyvalue.Args{Since: new(ident.Revision)})
 	}
-	return "key/write", operation.Encode(key.Args{Value: operation.Encode(o.Content)})
+	return "key/write", operation.Encode(keyvalue.Args{Value: operation.Encode(op.Content)})
 }
 
-func (v *value) told(c *Cluster, o *order, out proposer.Outcome) {
-	var r key.Reading
-	_ = json.Unmarshal(out.Body, &r)
-	if o.Name == "write" {
-		v.shown(c, v.key(), uint64(r.Revision), text(r.Value))
+func (v *valueObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	var reading keyvalue.Response
+	_ = json.Unmarshal(out.Body, &reading)
+	if op.Name == "write" {
+		v.observeValue(c, v.key(), uint64(reading.Revision), decodeString(reading.Value))
 		return
 	}
-	v.fresh(c, v.key(), o, uint64(r.Revision))
-	for _, change := range r.Changes {
-		v.shown(c, v.key(), uint64(change.Revision), text(change.Value))
+	v.checkFresh(c, v.key(), op, uint64(reading.Revision))
+	for _, change := range reading.Changes {
+		v.observeValue(c, v.key(), uint64(change.Revision), decodeString(change.Value))
 	}
-	v.complete(c, r.Changes, uint64(r.Revision))
+	v.checkHistory(c, reading.Changes, uint64(reading.Revision))
 }
 
-// complete checks that a history up to a revision holds all that was acknowledged.
-func (v *value) complete(c *Cluster, past []key.Change, top uint64) {
-	for _, rev := range slices.Sorted(maps.Keys(v.Values)) {
-		holds := func(change key.Change) bool { return uint64(change.Revision) == rev }
-		if rev <= top && !slices.ContainsFunc(past, holds) {
-			c.breach(RuleHistory, "%s at revision %d has forgotten revision %d", v.key(), top, rev)
+// checkHistory checks that a history up to a revision holds all that was acknowledged.
+func (v *valueObject) checkHistory(c *Cluster, past []keyvalue.Change, newest uint64) {
+	for _, revision := range slices.Sorted(maps.Keys(v.Values)) {
+		holds := func(change keyvalue.Change) bool { return uint64(change.Revision) == revision }
+		if revision <= newest && !slices.ContainsFunc(past, holds) {
+			c.violate(RuleHistory, "%s at revision %d has forgotten revision %d", v.key(), newest, revision)
 		}
 	}
 }
 
-func (v *value) inspect(c *Cluster, found quorum.Record) {
-	var k key.Key
+func (v *valueObject) inspect(c *Cluster, found quorum.Record) {
+	var k keyvalue.State
 	_ = json.Unmarshal(operation.State(found.Value), &k)
 	if uint64(found.Revision) < v.Floor {
-		c.breach(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", v.key(), found.Revision, v.Floor)
+		c.violate(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", v.key(), found.Revision, v.Floor)
 		return
 	}
-	for _, change := range k.Past {
-		if old, known := v.Values[uint64(change.Revision)]; known && old != text(change.Value) {
-			c.breach(RuleLost, "a majority has %s for revision %d of %s, %s was acknowledged", text(change.Value), change.Revision, v.key(), old)
+	for _, change := range k.History {
+		if old, known := v.Values[uint64(change.Revision)]; known && old != decodeString(change.Value) {
+			c.violate(RuleLost, "a majority has %s for revision %d of %s, %s was acknowledged", decodeString(change.Value), change.Revision, v.key(), old)
 		}
-		if v.Turned[text(change.Value)] && uint64(change.Revision) <= v.Floor {
-			c.breach(RuleTurned, "%s of %s was refused and took effect", text(change.Value), v.key())
+		if v.Rejected[decodeString(change.Value)] && uint64(change.Revision) <= v.Floor {
+			c.violate(RuleRejected, "%s of %s was refused and took effect", decodeString(change.Value), v.key())
 		}
 	}
-	v.complete(c, k.Past, uint64(found.Revision))
+	v.checkHistory(c, k.History, uint64(found.Revision))
 }
 
-func text(raw json.RawMessage) string {
+func decodeString(raw json.RawMessage) string {
 	var s string
 	_ = json.Unmarshal(raw, &s)
 	return s
 }
 
-// counter is a key of rising numbers.
-type counter struct{ register }
+// sequenceObject is a key of rising numbers.
+type sequenceObject struct{ revisionedObject }
 
-func newNumber(index int) object { return &counter{newRegister(index)} }
+func newSequence(index int) object { return &sequenceObject{newRevisionedObject(index)} }
 
-func (n *counter) key() ident.Key { return ident.Key(fmt.Sprintf("number/%d", n.Index)) }
+func (n *sequenceObject) key() ident.Key { return ident.Key(fmt.Sprintf("number/%d", n.Index)) }
 
-func (n *counter) menu(*client) []string { return []string{"next"} }
+func (n *sequenceObject) operations(*client) []string { return []string{"next"} }
 
-func (n *counter) deed(o *order) (string, json.RawMessage) {
-	o.Floor = n.Floor
+func (n *sequenceObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = n.Floor
 	return "number/next", nil
 }
 
-func (n *counter) told(c *Cluster, o *order, out proposer.Outcome) {
-	var got number.Number
+func (n *sequenceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	var got sequence.State
 	_ = json.Unmarshal(out.Body, &got)
-	if who, twice := n.Values[got.N]; twice {
-		c.breach(RuleRepeated, "number %d was given to %s and %s", got.N, who, o.Content)
+	if holder, twice := n.Values[got.Last]; twice {
+		c.violate(RuleRepeated, "number %d was given to %s and %s", got.Last, holder, op.Content)
 	}
-	if got.N <= o.Floor {
-		c.breach(RuleRepeated, "number %d was given after %d", got.N, o.Floor)
+	if got.Last <= op.Floor {
+		c.violate(RuleRepeated, "number %d was given after %d", got.Last, op.Floor)
 	}
-	n.Values[got.N] = o.Content
-	n.Floor = max(n.Floor, got.N)
+	n.Values[got.Last] = op.Content
+	n.Floor = max(n.Floor, got.Last)
 }
 
-func (n *counter) inspect(c *Cluster, found quorum.Record) {
-	var got number.Number
+func (n *sequenceObject) inspect(c *Cluster, found quorum.Record) {
+	var got sequence.State
 	_ = json.Unmarshal(operation.State(found.Value), &got)
-	if got.N < n.Floor {
-		c.breach(RuleLost, "a majority knows %s up to %d, %d was given", n.key(), got.N, n.Floor)
+	if got.Last < n.Floor {
+		c.violate(RuleLost, "a majority knows %s up to %d, %d was given", n.key(), got.Last, n.Floor)
 	}
 }
 
-// cells is a group of cells with a watch.
-type cells struct{ register }
+// keyspaceObject is a group of cells with a watch.
+type keyspaceObject struct{ revisionedObject }
 
-func newCells(index int) object { return &cells{newRegister(index)} }
+func newKeyspace(index int) object { return &keyspaceObject{newRevisionedObject(index)} }
 
-func (g *cells) key() ident.Key { return group.Key(fmt.Sprintf("g%d", g.Index)) }
+func (g *keyspaceObject) key() ident.Key { return keyspace.ControlKey(fmt.Sprintf("g%d", g.Index)) }
 
-func (g *cells) menu(*client) []string { return []string{"put", "read", "since"} }
+func (g *keyspaceObject) operations(*client) []string { return []string{"put", "read", "since"} }
 
-func (g *cells) deed(o *order) (string, json.RawMessage) {
-	o.Floor = g.Floor
-	a := group.Args{Name: "x"}
-	switch o.Name {
+func (g *keyspaceObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = g.Floor
+	args := keyspace.Args{Name: "x"}
+	switch op.Name {
 	case "put":
-		a.Value = operation.Encode(o.Content)
+		args.Value = operation.Encode(op.Content)
 	case "since":
-		a.After = new(ident.Revision)
+		args.After = new(ident.Revision)
 	}
-	return "group/" + o.Name, operation.Encode(a)
+	return "group/" + op.Name, operation.Encode(args)
 }
 
-func (g *cells) told(c *Cluster, o *order, out proposer.Outcome) {
+func (g *keyspaceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	if out.Failure != nil { // forgotten: no run is as long as the history
-		c.breach(RuleHistory, "a watch of %s is told that it is too old", g.key())
+		c.violate(RuleHistory, "a watch of %s is told that it is too old", g.key())
 		return
 	}
-	if o.Name == "since" {
-		var news group.News
-		_ = json.Unmarshal(out.Body, &news)
-		g.fresh(c, g.key(), o, uint64(news.Revision))
-		g.complete(c, news)
+	if op.Name == "since" {
+		var batch keyspace.Changes
+		_ = json.Unmarshal(out.Body, &batch)
+		g.checkFresh(c, g.key(), op, uint64(batch.Revision))
+		g.checkWatch(c, batch)
 		return
 	}
-	var p group.Put
-	_ = json.Unmarshal(out.Body, &p)
-	if o.Name == "read" {
-		g.fresh(c, g.key(), o, uint64(p.Revision))
-	} else if uint64(p.Revision) <= o.Floor {
-		c.breach(RuleOrder, "%s of %s got revision %d after %d", o.Content, g.key(), p.Revision, o.Floor)
+	var put keyspace.Put
+	_ = json.Unmarshal(out.Body, &put)
+	if op.Name == "read" {
+		g.checkFresh(c, g.key(), op, uint64(put.Revision))
+	} else if uint64(put.Revision) <= op.Floor {
+		c.violate(RuleOrder, "%s of %s got revision %d after %d", op.Content, g.key(), put.Revision, op.Floor)
 	}
-	g.shown(c, g.key(), uint64(p.Revision), text(p.Value))
+	g.observeValue(c, g.key(), uint64(put.Revision), decodeString(put.Value))
 }
 
-// complete checks that a watch was told all that was acknowledged.
-func (g *cells) complete(c *Cluster, news group.News) {
-	told := map[uint64]string{}
-	for _, p := range news.Events {
-		told[uint64(p.Revision)] = text(p.Value)
-		g.shown(c, g.key(), uint64(p.Revision), text(p.Value))
+// checkWatch checks that a watch was told all that was acknowledged.
+func (g *keyspaceObject) checkWatch(c *Cluster, batch keyspace.Changes) {
+	delivered := map[uint64]string{}
+	for _, put := range batch.Events {
+		delivered[uint64(put.Revision)] = decodeString(put.Value)
+		g.observeValue(c, g.key(), uint64(put.Revision), decodeString(put.Value))
 	}
-	for _, rev := range slices.Sorted(maps.Keys(g.Values)) {
-		if rev <= uint64(news.Revision) && told[rev] == "" {
-			c.breach(RuleHistory, "a watch of %s up to %d was not told of %d", g.key(), news.Revision, rev)
+	for _, revision := range slices.Sorted(maps.Keys(g.Values)) {
+		if revision <= uint64(batch.Revision) && delivered[revision] == "" {
+			c.violate(RuleHistory, "a watch of %s up to %d was not told of %d", g.key(), batch.Revision, revision)
 		}
 	}
 }
 
-func (g *cells) inspect(c *Cluster, found quorum.Record) {
+func (g *keyspaceObject) inspect(c *Cluster, found quorum.Record) {
 	if uint64(found.Revision) < g.Floor {
-		c.breach(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", g.key(), found.Revision, g.Floor)
+		c.violate(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", g.key(), found.Revision, g.Floor)
 	}
 }
 
-// audit is a chunk of the audit log.
-type audit struct{ register }
+// auditObject is a chunk of the audit log.
+type auditObject struct{ revisionedObject }
 
-func newAudit(index int) object { return &audit{newRegister(index)} }
+func newAudit(index int) object { return &auditObject{newRevisionedObject(index)} }
 
-func (a *audit) key() ident.Key { return chunk.Key(a.Index * chunk.Size) }
+func (a *auditObject) key() ident.Key { return segment.Key(a.Index * segment.MaxEntries) }
 
-func (a *audit) menu(*client) []string { return []string{"append"} }
+func (a *auditObject) operations(*client) []string { return []string{"append"} }
 
-// auditPace is the distance of the epochs that are appended.
-const auditPace = 5
+// auditRevisionStep is the distance of the epochs that are appended.
+const auditRevisionStep = 5
 
-func (a *audit) deed(o *order) (string, json.RawMessage) {
-	o.Floor = a.Floor
-	o.Base = a.Floor
-	leaf := offer.Line{Epoch: ident.Epoch(auditPace * (a.Floor + 1)), Sum: o.Content}
-	return "audit/append", operation.Encode(chunk.Append{Index: a.Index*chunk.Size + int(a.Floor), Leaf: leaf})
+func (a *auditObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = a.Floor
+	op.Base = a.Floor
+	leaf := proposal.AuditEntry{Revision: ident.Epoch(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
+	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: leaf})
 }
 
-func (a *audit) told(c *Cluster, o *order, _ proposer.Outcome) {
-	a.shown(c, a.key(), o.Base+1, o.Content)
+func (a *auditObject) succeeded(c *Cluster, op *clientOperation, _ proposer.Outcome) {
+	a.observeValue(c, a.key(), op.Base+1, op.Content)
 }
 
-func (a *audit) inspect(c *Cluster, found quorum.Record) {
-	var log chunk.Chunk
+func (a *auditObject) inspect(c *Cluster, found quorum.Record) {
+	var log segment.State
 	_ = json.Unmarshal(operation.State(found.Value), &log)
 	for _, at := range slices.Sorted(maps.Keys(a.Values)) {
-		if at > uint64(len(log.Leaves)) || log.Leaves[at-1].Sum != a.Values[at] {
-			c.breach(RuleLost, "a majority does not know leaf %d of %s, which was acknowledged", at, a.key())
+		if at > uint64(len(log.Entries)) || log.Entries[at-1].SHA256 != a.Values[at] {
+			c.violate(RuleLost, "a majority does not know leaf %d of %s, which was acknowledged", at, a.key())
 		}
 	}
 }
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -7,10 +7,10 @@
 import (
 	"time"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/explore/search"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/sim/broken"
+	"cottonarch.example/cottonarch/sim/mutant"
 )
 
 // Fault is a kind of fault that the adversary may choose.
@@ -20,53 +20,53 @@
 // lost, or late behind any number of others, needs none: delivery is itself a choice, and
 // may never come.
 const (
-	// Late lets a message be taken in whose writes are synced, and whose return is
+	// LateSync lets a message be taken in whose writes are synced, and whose return is
 	// delivered, later, by choices of their own.
-	Late Fault = "late"
-	// Double delivers a message and leaves a copy of it on its way.
-	Double Fault = "double"
-	// Lost takes a message away.
-	Lost Fault = "lost"
+	LateSync Fault = "late"
+	// Duplicate delivers a message and leaves a copy of it on its way.
+	Duplicate Fault = "double"
+	// MessageLoss takes a message away.
+	MessageLoss Fault = "lost"
 	// Crash ends a process; what it wrote stays, also unsynced.
 	Crash Fault = "crash"
-	// Power ends a process and lets each unsynced write be kept or lost.
-	Power Fault = "power"
-	// Empty ends a process and takes its disk: it comes back as a new, empty member.
-	Empty Fault = "empty"
-	// Leave is a planned stop.
-	Leave Fault = "leave"
-	// Cut and CutOneWay cut a pair of members.
-	Cut       Fault = "cut"
-	CutOneWay Fault = "cut-one-way"
-	// Silent makes the others hold a live member for dead.
-	Silent Fault = "silent"
-	// Jump moves a member's clock forward by an hour.
-	Jump Fault = "jump"
-	// Again sends an order again that was sent before.
-	Again Fault = "again"
-	// Wait lets time pass; without messages it is the only way on.
-	Wait Fault = "wait"
-	// Forget makes a replica forget all, which the break of that name alone may do.
-	Forget Fault = "forget"
+	// PowerLoss ends a process and lets each unsynced write be kept or lost.
+	PowerLoss Fault = "power"
+	// DiskLoss ends a process and takes its disk: it comes back as a new, empty member.
+	DiskLoss Fault = "empty"
+	// PlannedStop is a planned stop.
+	PlannedStop Fault = "leave"
+	// LinkCut and CutOneWay cut a pair of members.
+	LinkCut     Fault = "cut"
+	DirectedCut Fault = "cut-one-way"
+	// Unheard makes the others hold a live member for dead.
+	Unheard Fault = "silent"
+	// ClockJump moves a member's clock forward by an hour.
+	ClockJump Fault = "jump"
+	// Resend sends an order again that was sent before.
+	Resend Fault = "again"
+	// TimePasses lets time pass; without messages it is the only way on.
+	TimePasses Fault = "wait"
+	// Amnesia makes a replica forget all, which the break of that name alone may do.
+	Amnesia Fault = "forget"
 )
 
 // Faults lists the kinds that may be given a number.
 func Faults() []Fault {
-	return []Fault{Late, Double, Lost, Crash, Power, Empty, Leave, Cut, CutOneWay, Silent, Jump, Again, Wait}
+	return []Fault{LateSync, Duplicate, MessageLoss, Crash, PowerLoss, DiskLoss, PlannedStop, LinkCut, DirectedCut, Unheard, ClockJump, Resend, TimePasses}
 }
 
-// Break names a rule that is broken on purpose, as the simulator knows them.
-type Break string
+// Mutant names a rule that is broken on purpose, as the simulator knows them.
+type Mutant string
 
 // The breaks that are not handlers of operations; those are in sim/broken.
 const (
-	BreakQuorum  Break = "quorum"
-	BreakReplica Break = "replica"
-	BreakClock   Break = "clock"
-	BreakMend    Break = "mend"
-	BreakSoft    Break = "soft"
-	BreakStop    Break = "stop"
-	BreakFate    Break = "cell-fate"
+	MutantQuorum     Mutant = "quorum"
+	MutantAcceptor   Mutant = "replica"
+	MutantClock      Mutant = "clock"
+	MutantReadRepair Mutant = "mend"
+	MutantLazySync   Mutant = "soft"
+	MutantStop       Mutant = "stop"
+	MutantOutcome    Mutant = "cell-fate"
 )
 
 // Settings say what is explored.
@@ -76,53 +76,53 @@
 	// Keys are the kinds of the keys that clients use.
 	Keys []KeyKind
 	// Clients is how many clients there are, Operations how many operations each may ask for.
-	Clients int
-	Deeds   int `json:"Deeds"`
-	// Owners is how many members, from the first on, take operations.
-	Owners int `json:"Owners"`
+	Clients    int
+	Operations int `json:"Deeds"`
+	// Proposers is how many members, from the first on, take operations.
+	Proposers int `json:"Owners"`
 	// Waits are the spans by which time may pass.
 	Waits  []time.Duration
 	Faults map[Fault]int
 	// Instant has each member answer itself at once.
 	Instant bool
 	// Ring has members write to the daemon's ring rather than to a plain list of records.
-	Ring  bool
-	Break Break `json:"Break"`
+	Ring   bool
+	Mutant Mutant `json:"Break"`
 }
 
 // Factory makes clusters of these settings.
 func (s Settings) Factory() search.Factory {
-	machine := broken.Book(string(s.Break), history)
+	machine := mutant.Handlers(string(s.Mutant), historyRetention)
 	return func() search.System { return assemble(s, machine) }
 }
 
-// Check finds what is wrong with settings that were read from a file.
-func (s Settings) Check() *failure.Error {
-	if s.Members < 1 || s.Members+s.Spares > membersMost || s.Clients < 1 || s.Clients > clientsMost {
-		return failure.New(failure.BadSettings, "a cluster has 1 to %d members and 1 to %d clients", membersMost, clientsMost)
+// Validate finds what is wrong with settings that were read from a file.
+func (s Settings) Validate() *failure.Error {
+	if s.Members < 1 || s.Members+s.Spares > maxMembers || s.Clients < 1 || s.Clients > maxClients {
+		return failure.New(failure.BadSettings, "a cluster has 1 to %d members and 1 to %d clients", maxMembers, maxClients)
 	}
 	for _, kind := range s.Keys {
-		if makers[kind] == nil {
+		if objectFactories[kind] == nil {
 			return failure.New(failure.BadSettings, "there is no kind of key %q", kind)
 		}
 	}
 	return nil
 }
 
-// membersMost and clientsMost bound a cluster.
-const membersMost, clientsMost = 6, 16
+// maxMembers and clientsMost bound a cluster.
+const maxMembers, maxClients = 6, 16
 
-// need is the number of returns that stands in for the majority.
-func (s Settings) need() int {
-	if s.Break == BreakQuorum {
+// quorumOverride is the number of returns that stands in for the majority.
+func (s Settings) quorumOverride() int {
+	if s.Mutant == MutantQuorum {
 		return 1
 	}
 	return 0
 }
 
-// allowed is the number of faults of a kind.
-func (s Settings) allowed(f Fault) int {
-	if f == Forget && s.Break == BreakReplica {
+// faultLimit is the number of faults of a kind.
+func (s Settings) faultLimit(f Fault) int {
+	if f == Amnesia && s.Mutant == MutantAcceptor {
 		return 2
 	}
 	return s.Faults[f]
--- a/explore/cluster/settle.go
+++ b/explore/cluster/settle.go
@@ -4,71 +4,71 @@
 	"fmt"
 	"time"
 
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
 const (
 	// settleRounds is how many rounds of messages and time the end of a run has, and
 	// settlePace how long each is: together longer than any round may be out.
-	settleRounds = 16
-	settlePace   = 200 * time.Millisecond
-	// mendTries is how often a read is asked for whose term is lost to what was on its way.
-	mendTries = 3
-	// deliveries bounds the messages of one round.
-	deliveries = 500
+	settleRounds   = 16
+	settleInterval = 200 * time.Millisecond
+	// repairAttempts is how often a read is asked for whose term is lost to what was on its way.
+	repairAttempts = 3
+	// maxDeliveries bounds the messages of one round.
+	maxDeliveries = 500
 )
 
 // Settle ends the run without further faults: all members start, all messages arrive, time
 // passes. Then every key must be readable, and a read that is asked to mend must leave all
 // copies alike.
 func (c *Cluster) Settle() {
-	if c.found != nil {
+	if c.violation != nil {
 		return
 	}
-	c.heal()
+	c.healLinks()
 	for _, m := range c.members {
 		if m.leaving {
 			c.crash(m)
 		}
-		if !m.up && m.run > 0 {
+		if !m.running && m.generation > 0 {
 			c.start(m)
 		}
 	}
-	c.rounds(func() bool { return c.quiet() })
-	c.mendAll()
+	c.runRounds(func() bool { return c.quiescent() })
+	c.repairAll()
 }
 
-// rounds runs until done, or long enough.
-func (c *Cluster) rounds(done func() bool) {
+// runRounds runs until done, or long enough.
+func (c *Cluster) runRounds(done func() bool) {
 	for range settleRounds {
-		c.drain()
-		if c.found != nil || done() {
+		c.deliverAll()
+		if c.violation != nil || done() {
 			return
 		}
-		c.gather()
-		c.pass(settlePace)
+		c.spreadMembership()
+		c.passTime(settleInterval)
 	}
-	c.drain()
+	c.deliverAll()
 }
 
-// drain delivers all messages.
-func (c *Cluster) drain() {
-	for range deliveries {
+// deliverAll delivers all messages.
+func (c *Cluster) deliverAll() {
+	for range maxDeliveries {
 		sent := false
 		for _, m := range c.members {
-			if m.up && len(m.gated) > 0 {
+			if m.running && len(m.unsyncedResponses) > 0 {
 				c.sync(m)
 			}
 		}
-		for _, e := range c.waiting() {
+		for _, e := range c.messagesInTransit() {
 			if !c.deliverable(e) {
 				continue
 			}
-			delete(c.net, e.id)
+			delete(c.inTransit, e.id)
 			c.exchange(e)
-			c.flush()
+			c.deliverToSelf()
 			sent = true
 			break
 		}
@@ -78,108 +78,108 @@
 	}
 }
 
-// gather tells all of the newest roster in force, and has those that do not count join.
-func (c *Cluster) gather() {
-	for _, x := range c.rosterChoices() {
-		if x.Kind == tell && c.members[x.Member-1].acc.Current.Epoch > c.members[x.Other-1].acc.Current.Epoch || x.Kind == join && c.at(x).make.Idle() {
-			c.Apply(x)
+// spreadMembership tells all of the newest roster in force, and has those that do not count join.
+func (c *Cluster) spreadMembership() {
+	for _, choice := range c.membershipChoices() {
+		if choice.Kind == announceKind && c.members[choice.Member-1].membershipAcceptor.Current.Epoch > c.members[choice.Other-1].membershipAcceptor.Current.Epoch || choice.Kind == joinKind && c.memberOf(choice).reconfigurer.Idle() {
+			c.Apply(choice)
 		}
 	}
 }
 
-// quiet tells whether nobody waits and every founder's slot counts.
-func (c *Cluster) quiet() bool {
+// quiescent tells whether nobody waits and every founder's slot counts.
+func (c *Cluster) quiescent() bool {
 	for _, cl := range c.clients {
-		if cl.open != nil {
+		if cl.pending != nil {
 			return false
 		}
 	}
 	for _, m := range c.members {
-		if m.up && (!m.acc.Current.Counts(m.disk) || m.acc.Current.Epoch < c.newest().Epoch) {
+		if m.running && (!m.membershipAcceptor.Current.Counts(m.diskID) || m.membershipAcceptor.Current.Epoch < c.newestMembership().Epoch) {
 			return false
 		}
 	}
 	return true
 }
 
-// mendAll reads every key, asking that copies be mended, and compares the copies.
-func (c *Cluster) mendAll() {
+// repairAll reads every key, asking that copies be mended, and compares the copies.
+func (c *Cluster) repairAll() {
 	for _, k := range c.keys() {
-		if c.found != nil || !c.mend(k) {
+		if c.violation != nil || !c.repair(k) {
 			return
 		}
-		c.alike(k)
+		c.checkCopies(k)
 	}
 }
 
-// mend asks the first member that counts; it tells whether that was answered.
-func (c *Cluster) mend(k ident.Key) bool {
-	at := c.server()
-	if at == nil {
-		c.stuck("no member counts")
+// repair asks the first member that counts; it tells whether that was answered.
+func (c *Cluster) repair(k ident.Key) bool {
+	server := c.servingMember()
+	if server == nil {
+		c.notServing("no member counts")
 		return false
 	}
-	for range mendTries {
-		c.tags++
-		tag := c.tags
-		c.mending = tag
-		c.owned(at, at.own.Submit(c.clock(at), proposer.Operation{Ticket: tag, Key: k, Kind: proposer.Repair}))
-		c.flush()
-		c.rounds(func() bool { return c.mending != tag })
-		if c.mending != tag || c.found != nil {
-			return c.found == nil
+	for range repairAttempts {
+		c.lastTag++
+		tag := c.lastTag
+		c.repairTag = tag
+		c.applyEffects(server, server.proposer.Submit(c.clock(server), proposer.Operation{Ticket: tag, Key: k, Kind: proposer.Repair}))
+		c.deliverToSelf()
+		c.runRounds(func() bool { return c.repairTag != tag })
+		if c.repairTag != tag || c.violation != nil {
+			return c.violation == nil
 		}
 	}
-	c.stuck("%s can't be read after all faults have ended", k)
+	c.notServing("%s can't be read after all faults have ended", k)
 	return false
 }
 
-// stuck notes that the cluster does not serve though it should.
-func (c *Cluster) stuck(form string, args ...any) {
-	if !c.harsh {
-		c.breach(RuleStuck, form, args...)
+// notServing notes that the cluster does not serve though it should.
+func (c *Cluster) notServing(format string, args ...any) {
+	if !c.majorityLost {
+		c.violate(RuleStuck, format, args...)
 	}
 }
 
-// alike checks that all disks that count hold what the term of the mending read holds as
+// checkCopies checks that all disks that count hold what the term of the mending read holds as
 // chosen. A key that never was is left out: a change that a lost term left on a minority
 // of a key without any chosen value stays there until the key's first write.
-func (c *Cluster) alike(k ident.Key) {
+func (c *Cluster) checkCopies(k ident.Key) {
 	for range 3 { // a copy behind a stray promise is mended by the term above it
-		c.drain()
-		c.pass(settlePace)
+		c.deliverAll()
+		c.passTime(settleInterval)
 	}
-	at := c.server()
-	if at == nil {
+	server := c.servingMember()
+	if server == nil {
 		return
 	}
-	sure, held := at.own.Peek(k)
-	if !held || sure.Revision == 0 {
+	chosen, held := server.proposer.Peek(k)
+	if !held || chosen.Revision == 0 {
 		return
 	}
-	for _, v := range at.acc.Current.Voters {
-		m := c.holder(v.Disk)
-		if !v.Counted || m == nil || !m.up || m.acc.Current.Epoch != at.acc.Current.Epoch {
+	for _, v := range server.membershipAcceptor.Current.Voters {
+		m := c.holderOf(v.Disk)
+		if !v.Counted || m == nil || !m.running || m.membershipAcceptor.Current.Epoch != server.membershipAcceptor.Current.Epoch {
 			continue
 		}
-		if got := m.rep.Peek(k); !got.Same(sure) {
-			c.breach(RuleMended, "m%d has %s at %s, what is chosen is %s", m.number, k, version(got), version(sure))
+		if got := m.registerAcceptor.Peek(k); !got.Same(chosen) {
+			c.violate(RuleRepaired, "m%d has %s at %s, what is chosen is %s", m.number, k, describeRecord(got), describeRecord(chosen))
 		}
 	}
 }
 
-// server is a member that counts at the newest roster that any is at, nil if none does. A
+// servingMember is a member that counts at the newest roster that any is at, nil if none does. A
 // newer one may be chosen without anyone knowing.
-func (c *Cluster) server() *member {
+func (c *Cluster) servingMember() *member {
 	var best *member
 	for _, m := range c.members {
-		if m.counted() && (best == nil || m.acc.Current.Epoch > best.acc.Current.Epoch) {
+		if m.counted() && (best == nil || m.membershipAcceptor.Current.Epoch > best.membershipAcceptor.Current.Epoch) {
 			best = m
 		}
 	}
 	return best
 }
 
-func version(x quorum.Record) string {
-	return fmt.Sprintf("ballot %d.%s revision %d", x.Accepted.Epoch, x.Accepted.Owner, x.Revision)
+func describeRecord(record quorum.Record) string {
+	return fmt.Sprintf("ballot %d.%s revision %d", record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
 }
--- a/explore/run.go
+++ b/explore/run.go
@@ -7,29 +7,29 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// Part is one search of a run: of a model, under some faults, breadth first or by walks.
-type Part struct {
-	Model  Model
-	Faults map[cluster.Fault]int
-	Walked bool
+// SearchRun is one search of a run: of a model, under some faults, breadth first or by walks.
+type SearchRun struct {
+	Model       Model
+	Faults      map[cluster.Fault]int
+	RandomWalks bool
 	search.Report
 	settings cluster.Settings
 }
 
 // Run explores, model after model, every mix of faults breadth first and then by walks. It
 // ends with the first breach, which is that of the last part.
-func Run(o Options) []Part {
+func Run(o Options) []SearchRun {
 	o = o.Focused()
 	models := []Model{o.Model}
 	if o.Model == All {
 		models = Models()
 	}
-	var out []Part
+	var out []SearchRun
 	for _, model := range models {
-		for _, p := range o.plan(model) {
-			p.search(o)
-			out = append(out, p)
-			if p.Breach != nil {
+		for _, run := range o.searchRuns(model) {
+			run.search(o)
+			out = append(out, run)
+			if run.Violation != nil {
 				return out
 			}
 		}
@@ -37,21 +37,21 @@
 	return out
 }
 
-// plan lists the searches of a model. The states to remember are shared out evenly.
-func (o Options) plan(model Model) []Part {
-	var out []Part
-	for _, mix := range o.mixes(model) {
-		out = append(out, Part{Model: model, Faults: maps.Clone(mix), settings: o.settings(model, mix, deedsBreadth)})
+// searchRuns lists the searches of a model. The states to remember are shared out evenly.
+func (o Options) searchRuns(model Model) []SearchRun {
+	var out []SearchRun
+	for _, mix := range o.faultMixes(model) {
+		out = append(out, SearchRun{Model: model, Faults: maps.Clone(mix), settings: o.settings(model, mix, operationsBreadthFirst)})
 	}
-	drawn := o.drawn(model)
-	return append(out, Part{Model: model, Faults: maps.Clone(drawn), Walked: true, settings: o.settings(model, drawn, deedsWalked)})
+	walkFaults := o.walkFaults(model)
+	return append(out, SearchRun{Model: model, Faults: maps.Clone(walkFaults), RandomWalks: true, settings: o.settings(model, walkFaults, operationsPerWalk)})
 }
 
-func (p *Part) search(o Options) {
-	bound := search.Bound{Depth: o.Depth, States: o.States / len(o.mixes(p.Model)), Walks: o.Walks, Steps: o.Steps, Seed: o.Seed, Stop: o.Stop}
-	if p.Walked {
-		p.Report = search.Walks(p.settings.Factory(), bound)
+func (r *SearchRun) search(o Options) {
+	limits := search.Limits{Depth: o.Depth, States: o.States / len(o.faultMixes(r.Model)), Walks: o.Walks, Steps: o.Steps, Seed: o.Seed, Stop: o.Stop}
+	if r.RandomWalks {
+		r.Report = search.RandomWalks(r.settings.Factory(), limits)
 		return
 	}
-	p.Report = search.Breadth(p.settings.Factory(), bound)
+	r.Report = search.BreadthFirst(r.settings.Factory(), limits)
 }
--- a/explore/search/breadth.go
+++ b/explore/search/breadth.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// child is one state reached from a parent. Invariant: the parent's path and choice lead
+// successor is one state reached from a parent. Invariant: the parent's path and choice lead
 // to it.
-type child struct {
-	choice Choice
-	hash   uint64
-	breach *Breach
+type successor struct {
+	choice    Choice
+	hash      uint64
+	violation *Violation
 }
 
 // node is a remembered state: the choice that led to it and where from.
@@ -19,137 +19,137 @@
 	choice Choice
 }
 
-// layers is a breadth-first search under way.
-type layers struct {
-	bound  Bound
-	report Report
-	seen   map[uint64]bool
-	nodes  []node
-	now    []int32 // the states that the last layer found first
-	full   bool
+// breadthSearch is a breadth-first search under way.
+type breadthSearch struct {
+	limits   Limits
+	report   Report
+	seen     map[uint64]bool
+	nodes    []node
+	frontier []int32 // the states that the last layer found first
+	ended    bool
 }
 
-// Breadth explores layer by layer until a breach, the bound, or the end. States are
+// BreadthFirst explores layer by layer until a breach, the bound, or the end. States are
 // remembered by hash alone; a path is made again from its choices.
-func Breadth(begin Factory, b Bound) Report {
-	first := begin()
-	l := &layers{bound: b, seen: map[uint64]bool{first.Hash(): true}, nodes: []node{{parent: -1}}, now: []int32{0}}
-	l.report = Report{States: 1, Taken: map[Kind]int{}, Breach: first.Breach()}
-	for depth := 1; depth <= b.Depth && len(l.now) > 0 && l.report.Breach == nil; depth++ {
-		if l.next(begin); l.full {
+func BreadthFirst(newSystem Factory, limits Limits) Report {
+	first := newSystem()
+	search := &breadthSearch{limits: limits, seen: map[uint64]bool{first.Hash(): true}, nodes: []node{{parent: -1}}, frontier: []int32{0}}
+	search.report = Report{States: 1, ChoiceCounts: map[Kind]int{}, Violation: first.Violation()}
+	for depth := 1; depth <= limits.Depth && len(search.frontier) > 0 && search.report.Violation == nil; depth++ {
+		if search.exploreLayer(newSystem); search.ended {
 			break
 		}
-		l.report.Depth = depth
+		search.report.Depth = depth
 	}
-	l.report.Whole = len(l.now) == 0 && !l.full && l.report.Breach == nil
-	return l.report
+	search.report.Complete = len(search.frontier) == 0 && !search.ended && search.report.Violation == nil
+	return search.report
 }
 
-// next explores one layer more.
-func (l *layers) next(begin Factory) {
-	grown := grow(begin, l.bound, l.nodes, l.now)
-	l.now = nil
-	for _, f := range grown {
+// exploreLayer explores one layer more.
+func (s *breadthSearch) exploreLayer(newSystem Factory) {
+	expansions := expandLayer(newSystem, s.limits, s.nodes, s.frontier)
+	s.frontier = nil
+	for _, f := range expansions {
 		if f.skipped {
-			l.full = true
+			s.ended = true
 			return
 		}
-		for _, c := range f.children {
-			if l.take(f.parent, c); l.full {
+		for _, choice := range f.successors {
+			if s.record(f.parent, choice); s.ended {
 				return
 			}
 		}
 	}
 }
 
-// take notes one state reached; the search is full after a breach or the last state.
-func (l *layers) take(parent int32, c child) {
-	l.report.Runs++
-	l.report.Taken[c.choice.Kind]++
-	if c.breach != nil {
-		l.report.Breach, l.report.Trace = c.breach, append(path(l.nodes, parent), c.choice)
-		l.full = true
+// record notes one state reached; the search is full after a breach or the last state.
+func (s *breadthSearch) record(parent int32, choice successor) {
+	s.report.Runs++
+	s.report.ChoiceCounts[choice.choice.Kind]++
+	if choice.violation != nil {
+		s.report.Violation, s.report.Trace = choice.violation, append(pathTo(s.nodes, parent), choice.choice)
+		s.ended = true
 		return
 	}
-	if l.seen[c.hash] {
+	if s.seen[choice.hash] {
 		return
 	}
-	l.seen[c.hash] = true
-	l.report.States++
-	l.nodes = append(l.nodes, node{parent, c.choice})
-	l.now = append(l.now, int32(len(l.nodes)-1))
-	l.full = l.report.States >= l.bound.States
+	s.seen[choice.hash] = true
+	s.report.States++
+	s.nodes = append(s.nodes, node{parent, choice.choice})
+	s.frontier = append(s.frontier, int32(len(s.nodes)-1))
+	s.ended = s.report.States >= s.limits.States
 }
 
-// path lists the choices that lead to a remembered state.
-func path(nodes []node, at int32) []Choice {
-	var back []Choice
-	for ; nodes[at].parent >= 0; at = nodes[at].parent {
-		back = append(back, nodes[at].choice)
+// pathTo lists the choices that lead to a remembered state.
+func pathTo(nodes []node, index int32) []Choice {
+	var choices []Choice
+	for ; nodes[index].parent >= 0; index = nodes[index].parent {
+		choices = append(choices, nodes[index].choice)
 	}
-	for i, j := 0, len(back)-1; i < j; i, j = i+1, j-1 {
-		back[i], back[j] = back[j], back[i]
+	for i, j := 0, len(choices)-1; i < j; i, j = i+1, j-1 {
+		choices[i], choices[j] = choices[j], choices[i]
 	}
-	return back
+	return choices
 }
 
-// family is what one remembered state leads to.
-type family struct {
-	parent   int32
-	children []child
-	skipped  bool
+// expansion is what one remembered state leads to.
+type expansion struct {
+	parent     int32
+	successors []successor
+	skipped    bool
 }
 
-// grow tries every choice of every state of a layer. The families are in the order of the
+// expandLayer tries every choice of every state of a layer. The families are in the order of the
 // layer, whichever worker made them.
-func grow(begin Factory, b Bound, nodes []node, layer []int32) []family {
-	out := make([]family, len(layer))
-	workers := b.Workers
+func expandLayer(newSystem Factory, limits Limits, nodes []node, layer []int32) []expansion {
+	out := make([]expansion, len(layer))
+	workers := limits.Workers
 	if workers <= 0 {
 		workers = min(2, runtime.GOMAXPROCS(0))
 	}
 	next := 0
 	var mu sync.Mutex
-	take := func() int {
+	claimNext := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		next++
 		return next - 1
 	}
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range workers {
-		all.Go(func() {
-			for i := take(); i < len(layer); i = take() {
-				if b.stopped() {
+		group.Go(func() {
+			for i := claimNext(); i < len(layer); i = claimNext() {
+				if limits.stopRequested() {
 					out[i].skipped = true
 					continue
 				}
-				out[i] = family{parent: layer[i], children: children(begin, path(nodes, layer[i]))}
+				out[i] = expansion{parent: layer[i], successors: successorsOf(newSystem, pathTo(nodes, layer[i]))}
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 	return out
 }
 
-// children makes one run for each choice that a path leaves.
-func children(begin Factory, trace []Choice) (out []child) {
-	s := again(begin, trace)
-	for i, c := range s.Choices() {
+// successorsOf makes one run for each choice that a path leaves.
+func successorsOf(newSystem Factory, trace []Choice) (out []successor) {
+	system := replay(newSystem, trace)
+	for i, choice := range system.Choices() {
 		if i > 0 {
-			s = again(begin, trace)
+			system = replay(newSystem, trace)
 		}
-		s.Apply(c)
-		out = append(out, child{c, s.Hash(), s.Breach()})
+		system.Apply(choice)
+		out = append(out, successor{choice, system.Hash(), system.Violation()})
 	}
 	return out
 }
 
-// again makes a path's choices anew.
-func again(begin Factory, trace []Choice) System {
-	s := begin()
-	for _, c := range trace {
-		s.Apply(c)
+// replay makes a path's choices anew.
+func replay(newSystem Factory, trace []Choice) System {
+	system := newSystem()
+	for _, choice := range trace {
+		system.Apply(choice)
 	}
-	return s
+	return system
 }
--- a/explore/search/search.go
+++ b/explore/search/search.go
@@ -23,8 +23,8 @@
 	// Client is a client by number, from 1; Key is the index of a key.
 	Client int `json:"client,omitempty"`
 	Key    int `json:"key,omitempty"`
-	// Deed is what a client asks for.
-	Deed string `json:"deed,omitempty"`
+	// Operation is what a client asks for.
+	Operation string `json:"deed,omitempty"`
 	// Message names a message on its way by the hash of what it says.
 	Message uint64 `json:"message,omitempty"`
 	// Mask has one bit for each unsynced write that is kept.
@@ -33,28 +33,28 @@
 	Span time.Duration `json:"span,omitempty"`
 }
 
-// Breach is an invariant that does not hold.
-type Breach struct {
+// Violation is an invariant that does not hold.
+type Violation struct {
 	Rule string `json:"rule"`
 	Note string `json:"note"`
 }
 
 // String tells rule and note.
-func (b Breach) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.Note) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Note) }
 
 // System is one run of what is explored. Invariants: Choices lists in a fixed order; two systems of one
 // Factory with the same Hash have the same choices and, after each of them, the same Hash.
 type System interface {
 	// Choices lists what may happen next.
 	Choices() []Choice
-	// Say tells a choice in words, before it is applied.
-	Say(Choice) string
+	// Describe tells a choice in words, before it is applied.
+	Describe(Choice) string
 	// Apply makes one of the choices.
 	Apply(Choice)
 	// Hash names the state.
 	Hash() uint64
-	// Breach is the invariant that the run so far has broken, nil if none.
-	Breach() *Breach
+	// Violation is the invariant that the run so far has broken, nil if none.
+	Violation() *Violation
 	// Settle ends the run without further faults, to check what must hold in the end.
 	Settle()
 }
@@ -62,8 +62,8 @@
 // Factory makes a system in its first state.
 type Factory func() System
 
-// Bound says how far the search goes; 0 of States or Walks is none.
-type Bound struct {
+// Limits says how far the search goes; 0 of States or Walks is none.
+type Limits struct {
 	// Depth is how many choices long a run of the breadth-first search is.
 	Depth int
 	// States is how many states the breadth-first search remembers at most.
@@ -83,72 +83,72 @@
 	States, Runs int
 	// Depth is the number of choices up to which every order was tried; Whole says that no
 	// state was left unexplored, so more depth would show nothing new.
-	Depth int
-	Whole bool
+	Depth    int
+	Complete bool
 	// Walks and Met count the random walks and the different states they met.
-	Walks, Met int
-	// Taken counts the choices made, by kind, over all runs.
-	Taken map[Kind]int
+	Walks, WalkStates int
+	// ChoiceCounts counts the choices made, by kind, over all runs.
+	ChoiceCounts map[Kind]int
 	// Trace and Breach are the shortest run found that broke an invariant.
-	Trace  []Choice
-	Breach *Breach
+	Trace     []Choice
+	Violation *Violation
 }
 
-// reduce makes the trace of a breach shorter, if there is one.
-func (r *Report) reduce(begin Factory) {
-	if r.Breach == nil {
+// shortenTrace makes the trace of a breach shorter, if there is one.
+func (r *Report) shortenTrace(newSystem Factory) {
+	if r.Violation == nil {
 		return
 	}
-	trace := Reduce(begin, r.Trace, r.Breach.Rule)
-	if made, breach := Follow(begin, trace); breach != nil {
-		r.Trace, r.Breach = made, breach
+	trace := Shorten(newSystem, r.Trace, r.Violation.Rule)
+	if followed, violation := Follow(newSystem, trace); violation != nil {
+		r.Trace, r.Violation = followed, violation
 	}
 }
 
-func (b Bound) stopped() bool { return b.Stop != nil && b.Stop() }
+func (b Limits) stopRequested() bool { return b.Stop != nil && b.Stop() }
 
 // Follow makes those choices of a trace that are possible, and settles unless something
 // broke before. It gives the choices made and the breach.
-func Follow(begin Factory, trace []Choice) (made []Choice, breach *Breach) {
-	s := begin()
-	for _, c := range trace {
-		if !slices.Contains(s.Choices(), c) {
+func Follow(newSystem Factory, trace []Choice) (followed []Choice, violation *Violation) {
+	system := newSystem()
+	for _, choice := range trace {
+		if !slices.Contains(system.Choices(), choice) {
 			continue
 		}
-		s.Apply(c)
-		made = append(made, c)
-		if s.Breach() != nil {
-			return made, s.Breach()
+		system.Apply(choice)
+		followed = append(followed, choice)
+		if system.Violation() != nil {
+			return followed, system.Violation()
 		}
 	}
-	s.Settle()
-	return made, s.Breach()
+	system.Settle()
+	return followed, system.Violation()
 }
 
-// Reduce leaves out choices of a trace without which the same rule still breaks, first many
+// Shorten leaves out choices of a trace without which the same rule still breaks, first many
 // at a time, then one by one.
-func Reduce(begin Factory, trace []Choice, rule string) []Choice {
+func Shorten(newSystem Factory, trace []Choice, rule string) []Choice {
 	for span := max(1, len(trace)/2); span > 0; {
-		less := shorter(begin, trace, rule, span)
-		if len(less) == len(trace) {
+		shorter := removeSpans(newSystem, trace, rule, span)
+		if len(shorter) == len(trace) {
 			span /= 2
 			continue
 		}
-		trace = less
+		trace = shorter
 	}
 	return trace
 }
 
-// shorter leaves out span choices in a row wherever the rule still breaks without them.
-func shorter(begin Factory, trace []Choice, rule string, span int) []Choice {
-	for at := 0; at+span <= len(trace); {
-		less := append(append([]Choice{}, trace[:at]...), trace[at+span:]...)
-		made, breach := Follow(begin, less)
-		if breach != nil && breach.Rule == rule {
-			trace = made
+// removeSpans leaves out span choices in a row wherever the rule still breaks without them.
+func removeSpans(newSystem Factory, trace []Choice, rule string, span int) []Choice {
+	for start := 0; start+span <= len(trace); {
+		candidate := append(append([]Choice{}, trace[:start]...), trace[start+span:]...)
+		followed, violation := Follow(newSystem, candidate)
+		if violation != nil && violation.Rule == rule {
+			trace = followed
 			continue
 		}
-		at += span
+		start += span
 	}
 	return trace
 }
--- a/explore/search/walk.go
+++ b/explore/search/walk.go
@@ -2,92 +2,96 @@
 
 import "math/rand/v2"
 
-// guide remembers what walks have met, to lead later ones elsewhere.
-type guide struct {
-	seen  map[uint64]bool
-	taken map[choiceClass]int
+// walkGuide remembers what walks have met, to lead later ones elsewhere.
+type walkGuide struct {
+	seen        map[uint64]bool
+	classCounts map[choiceClass]int
 }
 
 // choiceClass groups choices that differ in their message alone.
 type choiceClass struct {
 	kind          Kind
 	member, other int
-	deed          string
+	operation     string
 }
 
-func class(c Choice) choiceClass { return choiceClass{c.Kind, c.Member, c.Other, c.Deed} }
+func classOf(choice Choice) choiceClass {
+	return choiceClass{choice.Kind, choice.Member, choice.Other, choice.Operation}
+}
 
-// Walks makes random walks until a breach. Each step draws two choices and keeps the one
+// RandomWalks makes random walks until a breach. Each step draws two choices and keeps the one
 // whose class was taken less often; a walk that meets no new state for long ends early.
-func Walks(begin Factory, b Bound) Report {
-	g := guide{seen: map[uint64]bool{}, taken: map[choiceClass]int{}}
-	r := Report{Taken: map[Kind]int{}}
-	for i := 0; i < b.Walks && r.Breach == nil && !b.stopped(); i++ {
-		r.Trace, r.Breach = g.walk(begin, b, uint64(i), &r)
+func RandomWalks(newSystem Factory, limits Limits) Report {
+	g := walkGuide{seen: map[uint64]bool{}, classCounts: map[choiceClass]int{}}
+	r := Report{ChoiceCounts: map[Kind]int{}}
+	for i := 0; i < limits.Walks && r.Violation == nil && !limits.stopRequested(); i++ {
+		r.Trace, r.Violation = g.walk(newSystem, limits, uint64(i), &r)
 		r.Walks++
 	}
-	r.Met = len(g.seen)
-	r.reduce(begin)
+	r.WalkStates = len(g.seen)
+	r.shortenTrace(newSystem)
 	return r
 }
 
-// staleMax is how many steps in a row may meet nothing new before a walk ends.
-const staleMax = 40
+// maxStaleSteps is how many steps in a row may meet nothing new before a walk ends.
+const maxStaleSteps = 40
 
-func (g *guide) walk(begin Factory, b Bound, number uint64, r *Report) (trace []Choice, breach *Breach) {
-	rng := rand.New(rand.NewPCG(b.Seed, number))
-	s := begin()
-	for stale := 0; len(trace) < b.Steps && stale < staleMax; {
-		choices := s.Choices()
+func (g *walkGuide) walk(newSystem Factory, limits Limits, number uint64, r *Report) (trace []Choice, violation *Violation) {
+	rng := rand.New(rand.NewPCG(limits.Seed, number))
+	system := newSystem()
+	for staleSteps := 0; len(trace) < limits.Steps && staleSteps < maxStaleSteps; {
+		choices := system.Choices()
 		if len(choices) == 0 {
 			break
 		}
-		c := g.draw(rng, share(number), choices)
-		s.Apply(c)
-		trace = append(trace, c)
-		r.Taken[c.Kind]++
-		g.taken[class(c)]++
-		if s.Breach() != nil {
-			return trace, s.Breach()
+		choice := g.draw(rng, calmPercent(number), choices)
+		system.Apply(choice)
+		trace = append(trace, choice)
+		r.ChoiceCounts[choice.Kind]++
+		g.classCounts[classOf(choice)]++
+		if system.Violation() != nil {
+			return trace, system.Violation()
 		}
-		stale++
-		if h := s.Hash(); !g.seen[h] {
-			g.seen[h] = true
-			stale = 0
+		staleSteps++
+		if hash := system.Hash(); !g.seen[hash] {
+			g.seen[hash] = true
+			staleSteps = 0
 		}
 	}
-	s.Settle()
-	return trace, s.Breach()
+	system.Settle()
+	return trace, system.Violation()
 }
 
-// share is how many choices in a hundred go to what is no fault, in a walk of a number:
+// calmPercent is how many choices in a hundred go to what is no fault, in a walk of a number:
 // some walks are full of faults, others have long spells between them.
-func share(number uint64) int { return sharesLeast + int(number%shares)*shareStep }
+func calmPercent(number uint64) int {
+	return minCalmPercent + int(number%calmPercentLevels)*calmPercentStep
+}
 
 const (
-	sharesLeast = 55
-	shares      = 5
-	shareStep   = 10
+	minCalmPercent    = 55
+	calmPercentLevels = 5
+	calmPercentStep   = 10
 )
 
 // draw takes a fault or not by the walk's share, and of two choices the one of the class
 // that was taken less often.
-func (g *guide) draw(rng *rand.Rand, share int, choices []Choice) Choice {
-	var calm, faults []Choice
-	for _, c := range choices {
-		if c.Fault {
-			faults = append(faults, c)
+func (g *walkGuide) draw(rng *rand.Rand, calmPercent int, choices []Choice) Choice {
+	var calmChoices, faults []Choice
+	for _, choice := range choices {
+		if choice.Fault {
+			faults = append(faults, choice)
 			continue
 		}
-		calm = append(calm, c)
+		calmChoices = append(calmChoices, choice)
 	}
-	from := calm
-	if len(calm) == 0 || len(faults) > 0 && rng.IntN(100) >= share {
-		from = faults
+	candidates := calmChoices
+	if len(calmChoices) == 0 || len(faults) > 0 && rng.IntN(100) >= calmPercent {
+		candidates = faults
 	}
-	one, two := from[rng.IntN(len(from))], from[rng.IntN(len(from))]
-	if g.taken[class(two)] < g.taken[class(one)] {
-		return two
+	first, second := candidates[rng.IntN(len(candidates))], candidates[rng.IntN(len(candidates))]
+	if g.classCounts[classOf(second)] < g.classCounts[classOf(first)] {
+		return second
 	}
-	return one
+	return first
 }
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -6,26 +6,26 @@
 	"slices"
 	"strings"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/explore/cluster"
 	"cottonarch.example/cottonarch/explore/search"
-	"cottonarch.example/cottonarch/kernel/failure"
 )
 
 // Trace is a run that can be made again. Invariant: Lines only say in words what Choices
 // are.
 type Trace struct {
-	Settings cluster.Settings `json:"settings"`
-	Breach   *search.Breach   `json:"breach"`
-	Lines    []string         `json:"lines"`
-	Choices  []search.Choice  `json:"choices"`
+	Settings cluster.Settings  `json:"settings"`
+	Breach   *search.Violation `json:"breach"`
+	Lines    []string          `json:"lines"`
+	Choices  []search.Choice   `json:"choices"`
 }
 
-// settled is the line for the end of a run, where no fault is left.
-const settled = "all members start, all messages arrive, and every key is read"
+// settledLine is the line for the end of a run, where no fault is left.
+const settledLine = "all members start, all messages arrive, and every key is read"
 
 // Trace is the run that broke an invariant.
-func (p Part) Trace() Trace {
-	t := Trace{Settings: p.settings, Breach: p.Breach, Choices: p.Report.Trace}
+func (r SearchRun) Trace() Trace {
+	t := Trace{Settings: r.settings, Breach: r.Violation, Choices: r.Report.Trace}
 	t.Lines, _, _ = t.Replay()
 	return t
 }
@@ -42,63 +42,63 @@
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return t, failure.New(failure.BadSettings, "this is no trace: %v", err)
 	}
-	if bad := t.Settings.Check(); bad != nil {
-		return t, bad
+	if invalid := t.Settings.Validate(); invalid != nil {
+		return t, invalid
 	}
 	return t, nil
 }
 
 // Replay makes the choices again and says them; the breach is nil when all held.
-func (t Trace) Replay() (lines []string, breach *search.Breach, bad *failure.Error) {
+func (t Trace) Replay() (lines []string, violation *search.Violation, invalid *failure.Error) {
 	s := t.Settings.Factory()()
 	for i, c := range t.Choices {
 		if !slices.Contains(s.Choices(), c) {
 			return lines, nil, failure.New(failure.BadSettings, "choice %d, %s, is not possible in this build", i+1, c.Kind)
 		}
-		lines = append(lines, fmt.Sprintf("%3d  %s", i+1, s.Say(c)))
+		lines = append(lines, fmt.Sprintf("%3d  %s", i+1, s.Describe(c)))
 		s.Apply(c)
-		if s.Breach() != nil {
-			return lines, s.Breach(), nil
+		if s.Violation() != nil {
+			return lines, s.Violation(), nil
 		}
 	}
-	lines = append(lines, fmt.Sprintf("%3d  %s", len(t.Choices)+1, settled))
+	lines = append(lines, fmt.Sprintf("%3d  %s", len(t.Choices)+1, settledLine))
 	s.Settle()
-	return lines, s.Breach(), nil
+	return lines, s.Violation(), nil
 }
 
 // Text tells what a run explored and found.
-func Text(parts []Part) string {
-	var out strings.Builder
-	for _, p := range parts {
-		out.WriteString(p.line() + "\n")
+func Text(runs []SearchRun) string {
+	var text strings.Builder
+	for _, run := range runs {
+		text.WriteString(run.summary() + "\n")
 	}
-	if last := parts[len(parts)-1]; last.Breach != nil {
-		fmt.Fprintf(&out, "breach of %s\n", last.Breach)
+	if last := runs[len(runs)-1]; last.Violation != nil {
+		fmt.Fprintf(&text, "breach of %s\n", last.Violation)
 		for _, line := range last.Trace().Lines {
-			out.WriteString(line + "\n")
+			text.WriteString(line + "\n")
 		}
 	}
-	return out.String()
+	return text.String()
 }
 
-// line tells one search.
-func (p Part) line() string {
-	under := faultText(p.Faults)
-	if p.Walked {
-		return fmt.Sprintf("%s, %s: %d walks, %d states", p.Model, under, p.Walks, p.Met)
+// summary tells one search.
+func (r SearchRun) summary() string {
+	faults := formatFaults(r.Faults)
+	if r.RandomWalks {
+		return fmt.Sprintf("%s, %s: %d walks, %d states", r.Model, faults, r.Walks, r.WalkStates)
 	}
-	bound := fmt.Sprintf("every order up to %d choices", p.Depth)
-	if p.Whole {
+	bound := fmt.Sprintf("every order up to %d choices", r.Depth)
+	if r.Complete {
 		bound = "every order there is"
 	}
-	return fmt.Sprintf("%s, %s: %d states by %d runs, %s", p.Model, under, p.States, p.Runs, bound)
+	return fmt.Sprintf("%s, %s: %d states by %d runs, %s", r.Model, faults, r.States, r.Runs, bound)
 }
 
-func faultText(all map[cluster.Fault]int) string {
+func formatFaults(limits map[cluster.Fault]int) string {
 	var out []string
 	for _, f := range cluster.Faults() {
-		if all[f] > 0 {
-			out = append(out, fmt.Sprintf("%s %d", f, all[f]))
+		if limits[f] > 0 {
+			out = append(out, fmt.Sprintf("%s %d", f, limits[f]))
 		}
 	}
 	if len(out) == 0 {
--- a/explore/trace_test.go
+++ b/explore/trace_test.go
@@ -11,17 +11,17 @@
 
 // A saved run breaks the same rule in the same way when it is replayed, found breadth first
 // or by a walk.
-func TestReplaySaysTheSameBreach(t *testing.T) {
+func TestReplayFindsTheSameViolation(t *testing.T) {
 	for _, name := range []string{"offer", "cell-old"} {
 		t.Run(name, func(t *testing.T) {
-			parts := explore.Run(ci(cluster.Break(name)))
-			found := parts[len(parts)-1]
-			must.NotNil(t, found.Breach)
-			trace, bad := explore.Decode(found.Trace().Encode())
-			must.Nil(t, bad)
-			lines, breach, bad := trace.Replay()
-			must.Nil(t, bad)
-			must.Eq(t, found.Breach, breach)
+			runs := explore.Run(ciOptions(cluster.Mutant(name)))
+			found := runs[len(runs)-1]
+			must.NotNil(t, found.Violation)
+			trace, invalid := explore.Decode(found.Trace().Encode())
+			must.Nil(t, invalid)
+			lines, violation, invalid := trace.Replay()
+			must.Nil(t, invalid)
+			must.Eq(t, found.Violation, violation)
 			must.Eq(t, found.Trace().Lines, lines)
 		})
 	}
@@ -29,19 +29,19 @@
 
 // The same options find the same run, however the work is shared out.
 func TestRunsAreTheSame(t *testing.T) {
-	first, second := explore.Run(ci("cell-old")), explore.Run(ci("cell-old"))
+	first, second := explore.Run(ciOptions("cell-old")), explore.Run(ciOptions("cell-old"))
 	must.Eq(t, explore.Text(first), explore.Text(second))
 }
 
 // A file that is no trace, or one whose choices are not possible, is bad input.
 func TestBadTraces(t *testing.T) {
-	_, bad := explore.Decode([]byte("no"))
-	must.NotNil(t, bad)
-	_, bad = explore.Decode([]byte(`{"settings":{"Members":99}}`))
-	must.NotNil(t, bad)
-	parts := explore.Run(ci("offer"))
-	trace := parts[len(parts)-1].Trace()
+	_, invalid := explore.Decode([]byte("no"))
+	must.NotNil(t, invalid)
+	_, invalid = explore.Decode([]byte(`{"settings":{"Members":99}}`))
+	must.NotNil(t, invalid)
+	runs := explore.Run(ciOptions("offer"))
+	trace := runs[len(runs)-1].Trace()
 	trace.Choices[0].Member = 9
-	_, _, bad = trace.Replay()
-	must.NotNil(t, bad)
+	_, _, invalid = trace.Replay()
+	must.NotNil(t, invalid)
 }
--- a/fleet/run/clients.go
+++ b/fleet/run/clients.go
@@ -11,52 +11,56 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/fleet/machine"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/fleet/process"
 )
 
-// clients are the small applications that use the cores.
-type clients struct {
-	f     *Fleet
-	mu    sync.Mutex
-	rng   *rand.Rand
-	holds map[string]*hold
-	nums  map[string]map[uint64]bool
-	floor map[string]uint64
-	revs  map[string]ident.Revision
-	vals  map[string]string
+// coordinationClients are the small applications that use the cores.
+type coordinationClients struct {
+	fleet          *Fleet
+	mu             sync.Mutex
+	rng            *rand.Rand
+	locks          map[string]*lockLease
+	numbers        map[string]map[uint64]bool
+	newestNumber   map[string]uint64
+	newestRevision map[string]ident.Revision
+	values         map[string]string
 }
 
-type hold struct {
-	who   string
-	fence uint64
-	until time.Time
+type lockLease struct {
+	holder  string
+	fence   uint64
+	expires time.Time
 }
 
-func newClients(f *Fleet) *clients {
-	return &clients{f: f, rng: rand.New(rand.NewPCG(f.Seed, 77)), holds: map[string]*hold{}, nums: map[string]map[uint64]bool{}, floor: map[string]uint64{},
-		revs: map[string]ident.Revision{}, vals: map[string]string{}}
+func newCoordinationClients(f *Fleet) *coordinationClients {
+	return &coordinationClients{fleet: f, rng: rand.New(rand.NewPCG(f.Seed, 77)), locks: map[string]*lockLease{}, numbers: map[string]map[uint64]bool{}, newestNumber: map[string]uint64{},
+		newestRevision: map[string]ident.Revision{}, values: map[string]string{}}
 }
 
-func (c *clients) n(n int) int { c.mu.Lock(); defer c.mu.Unlock(); return c.rng.IntN(n) }
+func (c *coordinationClients) randomInt(n int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rng.IntN(n)
+}
 
-// core picks a core that runs.
-func (c *clients) core() *machine.Machine {
+// anyCore picks a core that runs.
+func (c *coordinationClients) anyCore() *process.Process {
 	for range 20 {
-		n := c.n(len(c.f.Cores))
+		n := c.randomInt(len(c.fleet.Cores))
 		c.mu.Lock()
-		m := c.f.Cores[n]
+		core := c.fleet.Cores[n]
 		c.mu.Unlock()
-		if m.Up() {
-			return m
+		if core.Running() {
+			return core
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.f.Cores[0]
+	return c.fleet.Cores[0]
 }
 
-func (c *clients) ask(method, path string, in, out any) (code int, err error) {
+func (c *coordinationClients) request(method, path string, in, out any) (code int, err error) {
 	var body io.Reader
 	if in != nil {
 		raw, err := json.Marshal(in)
@@ -65,146 +69,150 @@
 		}
 		body = bytes.NewReader(raw)
 	}
-	code, err = c.core().Ask(6*time.Second, method, path, body, out)
+	code, err = c.anyCore().Request(6*time.Second, method, path, body, out)
 	switch {
 	case err != nil:
-		c.f.count("coordination no return")
+		c.fleet.increment("coordination no return")
 	case code == 200:
-		c.f.count("coordination ok")
+		c.fleet.increment("coordination ok")
 	case code == 504 || code == 502:
-		c.f.count("coordination unknown")
+		c.fleet.increment("coordination unknown")
 	default:
-		c.f.count("coordination no")
+		c.fleet.increment("coordination no")
 	}
 	return
 }
 
-func (c *clients) start(ctx context.Context, out *sync.WaitGroup) {
-	gap := time.Duration(float64(time.Second) * 12 / (c.f.Deployment.Coord * c.f.Scale))
+func (c *coordinationClients) start(ctx context.Context, running *sync.WaitGroup) {
+	interval := time.Duration(float64(time.Second) * 12 / (c.fleet.Deployment.CoordinationRate * c.fleet.Scale))
 	for i := range 4 {
-		c.loop(ctx, out, gap, func() { c.lock(ctx, fmt.Sprintf("app%d", i)) })
-		c.loop(ctx, out, gap, c.number)
-		c.loop(ctx, out, gap, c.key)
+		c.every(ctx, running, interval, func() { c.useLock(ctx, fmt.Sprintf("app%d", i)) })
+		c.every(ctx, running, interval, c.takeNumber)
+		c.every(ctx, running, interval, c.useKey)
 	}
-	out.Add(1)
-	go func() { defer out.Done(); c.watch(ctx) }()
+	running.Add(1)
+	go func() { defer running.Done(); c.followKeys(ctx) }()
 }
 
-func (c *clients) loop(ctx context.Context, out *sync.WaitGroup, gap time.Duration, do func()) {
-	out.Add(1)
+func (c *coordinationClients) every(ctx context.Context, running *sync.WaitGroup, interval time.Duration, action func()) {
+	running.Add(1)
 	go func() {
-		defer out.Done()
-		t := time.NewTicker(gap)
-		defer t.Stop()
+		defer running.Done()
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-t.C:
-				do()
+			case <-ticker.C:
+				action()
 			}
 		}
 	}()
 }
 
-func (c *clients) breach(rule, form string, args ...any) {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	c.f.Check.Break(c.f.now(), rule, form, args...)
+func (c *coordinationClients) recordBreach(rule, format string, args ...any) {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	c.fleet.Checker.Violate(c.fleet.now(), rule, format, args...)
 }
 
-func (c *clients) saw(rule string) { c.f.mu.Lock(); c.f.Check.Seen[rule]++; c.f.mu.Unlock() }
+func (c *coordinationClients) countCheck(rule string) {
+	c.fleet.mu.Lock()
+	c.fleet.Checker.Observed[rule]++
+	c.fleet.mu.Unlock()
+}
 
-func (c *clients) lock(ctx context.Context, who string) {
-	name := fmt.Sprintf("l%d", c.n(min(c.f.Deployment.Locks, 12)))
+func (c *coordinationClients) useLock(ctx context.Context, holder string) {
+	name := fmt.Sprintf("l%d", c.randomInt(min(c.fleet.Deployment.Locks, 12)))
 	ttl := 1500 * time.Millisecond
-	var g struct {
+	var granted struct {
 		Fence uint64 `json:"fence"`
 	}
 	sent := time.Now()
-	code, err := c.ask("POST", "/locks/"+name+"/claim", map[string]any{"holder": who, "ttlMs": ttl.Milliseconds()}, &g)
+	code, err := c.request("POST", "/locks/"+name+"/claim", map[string]any{"holder": holder, "ttlMs": ttl.Milliseconds()}, &granted)
 	if err != nil || code != 200 {
 		return
 	}
-	h := &hold{who, g.Fence, sent.Add(ttl)}
+	current := &lockLease{holder, granted.Fence, sent.Add(ttl)}
 	now := time.Now()
-	c.saw("lock-shared")
+	c.countCheck("lock-shared")
 	c.mu.Lock()
-	old := c.holds[name]
-	c.holds[name] = h
+	previous := c.locks[name]
+	c.locks[name] = current
 	c.mu.Unlock()
-	if old != nil && old.who != who && old.until.After(now) && h.until.After(now) {
-		c.breach("lock-shared", "%s held by %s (fence %d) and %s (fence %d)", name, old.who, old.fence, who, g.Fence)
+	if previous != nil && previous.holder != holder && previous.expires.After(now) && current.expires.After(now) {
+		c.recordBreach("lock-shared", "%s held by %s (fence %d) and %s (fence %d)", name, previous.holder, previous.fence, holder, granted.Fence)
 	}
-	if old != nil && g.Fence < old.fence {
-		c.breach("lock-shared", "%s: fence %d after %d", name, g.Fence, old.fence)
+	if previous != nil && granted.Fence < previous.fence {
+		c.recordBreach("lock-shared", "%s: fence %d after %d", name, granted.Fence, previous.fence)
 	}
-	t := time.NewTimer(time.Duration(50+c.n(300)) * time.Millisecond)
-	defer t.Stop()
+	timer := time.NewTimer(time.Duration(50+c.randomInt(300)) * time.Millisecond)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	if c.n(4) == 0 {
+	if c.randomInt(4) == 0 {
 		return // forgotten: it runs out by itself
 	}
 	c.mu.Lock()
-	h.until = time.Now()
+	current.expires = time.Now()
 	c.mu.Unlock()
-	_, _ = c.ask("POST", "/locks/"+name+"/release", map[string]any{"holder": who, "fence": g.Fence}, nil)
+	_, _ = c.request("POST", "/locks/"+name+"/release", map[string]any{"holder": holder, "fence": granted.Fence}, nil)
 }
 
-func (c *clients) number() {
-	name := fmt.Sprintf("n%d", c.n(4))
+func (c *coordinationClients) takeNumber() {
+	name := fmt.Sprintf("n%d", c.randomInt(4))
 	c.mu.Lock()
-	low := c.floor[name]
+	confirmed := c.newestNumber[name]
 	c.mu.Unlock()
-	var got struct {
+	var answer struct {
 		N uint64 `json:"number"`
 	}
-	code, err := c.ask("POST", "/numbers/"+name+"/next", nil, &got)
+	code, err := c.request("POST", "/numbers/"+name+"/next", nil, &answer)
 	if err != nil || code != 200 {
 		return
 	}
-	c.saw("number-repeated")
+	c.countCheck("number-repeated")
 	c.mu.Lock()
-	if c.nums[name] == nil {
-		c.nums[name] = map[uint64]bool{}
+	if c.numbers[name] == nil {
+		c.numbers[name] = map[uint64]bool{}
 	}
-	again := c.nums[name][got.N]
-	c.nums[name][got.N] = true
-	c.floor[name] = max(c.floor[name], got.N)
+	repeated := c.numbers[name][answer.N]
+	c.numbers[name][answer.N] = true
+	c.newestNumber[name] = max(c.newestNumber[name], answer.N)
 	c.mu.Unlock()
-	if again || got.N <= low {
-		c.breach("number-repeated", "%s gave %d (given before: %v), %d was confirmed", name, got.N, again, low)
+	if repeated || answer.N <= confirmed {
+		c.recordBreach("number-repeated", "%s gave %d (given before: %v), %d was confirmed", name, answer.N, repeated, confirmed)
 	}
 }
 
-func (c *clients) key() {
-	name := fmt.Sprintf("k%d", c.n(c.f.Deployment.Keys))
+func (c *coordinationClients) useKey() {
+	name := fmt.Sprintf("k%d", c.randomInt(c.fleet.Deployment.Keys))
 	c.mu.Lock()
-	low := c.revs[name]
+	confirmed := c.newestRevision[name]
 	c.mu.Unlock()
-	var got struct {
+	var answer struct {
 		Revision ident.Revision  `json:"revision"`
 		Value    json.RawMessage `json:"value"`
 	}
 	var code int
 	var err error
-	write := c.n(2) == 0
-	val := fmt.Sprintf("v%d", time.Now().UnixNano())
+	write := c.randomInt(2) == 0
+	value := fmt.Sprintf("v%d", time.Now().UnixNano())
 	if write {
-		q := ""
-		if c.n(2) == 0 {
-			q = fmt.Sprintf("?ifRevision=%d", low)
+		query := ""
+		if c.randomInt(2) == 0 {
+			query = fmt.Sprintf("?ifRevision=%d", confirmed)
 		}
-		code, err = c.ask("PUT", "/keys/"+name+q, val, &got)
+		code, err = c.request("PUT", "/keys/"+name+query, value, &answer)
 	} else {
-		code, err = c.ask("GET", "/keys/"+name, nil, &got)
+		code, err = c.request("GET", "/keys/"+name, nil, &answer)
 		if err == nil && code == 404 {
-			c.saw("stale-read")
-			if low > 0 {
-				c.breach("stale-read", "%s is missing, revision %d was confirmed", name, low)
+			c.countCheck("stale-read")
+			if confirmed > 0 {
+				c.recordBreach("stale-read", "%s is missing, revision %d was confirmed", name, confirmed)
 			}
 			return
 		}
@@ -212,28 +220,28 @@
 	if err != nil || code != 200 {
 		return
 	}
-	c.saw("stale-read")
-	id := fmt.Sprintf("%s/%d", name, got.Revision)
+	c.countCheck("stale-read")
+	valueID := fmt.Sprintf("%s/%d", name, answer.Revision)
 	c.mu.Lock()
-	old, known := c.vals[id]
-	now := string(got.Value)
-	c.vals[id] = now
-	c.revs[name] = max(c.revs[name], got.Revision)
+	previous, known := c.values[valueID]
+	current := string(answer.Value)
+	c.values[valueID] = current
+	c.newestRevision[name] = max(c.newestRevision[name], answer.Revision)
 	c.mu.Unlock()
-	if got.Revision < low || write && got.Revision <= low {
-		c.breach("stale-read", "%s shows revision %d, %d was confirmed", name, got.Revision, low)
+	if answer.Revision < confirmed || write && answer.Revision <= confirmed {
+		c.recordBreach("stale-read", "%s shows revision %d, %d was confirmed", name, answer.Revision, confirmed)
 	}
-	if known && old != now {
-		c.breach("number-repeated", "revision %s was %s and is %s", id, old, now)
+	if known && previous != current {
+		c.recordBreach("number-repeated", "revision %s was %s and is %s", valueID, previous, current)
 	}
 }
 
-// watch follows all keys from core to core.
-func (c *clients) watch(ctx context.Context) {
-	place, last := "", time.Now()
+// followKeys follows all keys from core to core.
+func (c *coordinationClients) followKeys(ctx context.Context) {
+	position, lastAnswer := "", time.Now()
 	seen := map[string]ident.Revision{}
 	for ctx.Err() == nil {
-		var got struct {
+		var answer struct {
 			Place  string `json:"place"`
 			Events []struct {
 				Key      string         `json:"key"`
@@ -241,11 +249,11 @@
 			} `json:"events"`
 			Defect string `json:"defect"`
 		}
-		code, err := c.core().Ask(8*time.Second, "GET", "/watch?waitMs=1500&prefix=&place="+url.QueryEscape(place), nil, &got)
+		code, err := c.anyCore().Request(8*time.Second, "GET", "/watch?waitMs=1500&prefix=&place="+url.QueryEscape(position), nil, &answer)
 		if err != nil || code != 200 {
-			if code == 410 && time.Since(last) < 20*time.Second {
-				c.breach("watch-forgotten", "a place %v old is forgotten", time.Since(last))
-				place = ""
+			if code == 410 && time.Since(lastAnswer) < 20*time.Second {
+				c.recordBreach("watch-forgotten", "a place %v old is forgotten", time.Since(lastAnswer))
+				position = ""
 			}
 			select {
 			case <-ctx.Done():
@@ -253,11 +261,11 @@
 			}
 			continue
 		}
-		last, place = time.Now(), got.Place
-		for _, e := range got.Events {
-			c.saw("watch-forgotten")
+		lastAnswer, position = time.Now(), answer.Place
+		for _, e := range answer.Events {
+			c.countCheck("watch-forgotten")
 			if old, ok := seen[e.Key]; ok && e.Revision != old+1 {
-				c.breach("watch-forgotten", "%s: told revision %d after %d", e.Key, e.Revision, old)
+				c.recordBreach("watch-forgotten", "%s: told revision %d after %d", e.Key, e.Revision, old)
 			}
 			seen[e.Key] = e.Revision
 		}
