--- a/fleet/run/faults.go
+++ b/fleet/run/faults.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/fleet/machine"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/sim/check"
-	"cottonarch.example/cottonarch/stand/caller"
-	"cottonarch.example/cottonarch/stand/endpoint"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/fleet/process"
+	"cottonarch.example/cottonarch/sim/invariant"
+	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
 )
 
 // Faults are what the fleet can bring about in real processes.
@@ -21,102 +21,102 @@
 	"core-move":        (*Fleet).coreMove,
 	"core-split":       (*Fleet).coreSplit,
 	"core-isolated":    (*Fleet).coreIsolated,
-	"burst":            (*Fleet).burst,
-	"manifest-large":   (*Fleet).manifestLarge,
+	"burst":            (*Fleet).configBurst,
+	"manifest-large":   (*Fleet).configLarge,
 	"service-empty":    (*Fleet).serviceEmpty,
-	"endpoint-gone":    (*Fleet).endpointGone,
+	"endpoint-gone":    (*Fleet).endpointRemove,
 	"endpoint-hang":    (*Fleet).endpointHang,
 	"core-freeze":      (*Fleet).coreFreeze,
-	"release":          (*Fleet).release,
+	"release":          (*Fleet).rollRelease,
 	"core-cut":         (*Fleet).coreCut,
 	"core-stop":        (*Fleet).coreStop,
-	"side-kill":        (*Fleet).sideKill,
-	"side-freeze":      (*Fleet).sideFreeze,
-	"side-cut":         (*Fleet).sideCut,
-	"side-cut-core":    (*Fleet).sideCutCore,
-	"side-stop":        (*Fleet).sideStop,
+	"side-kill":        (*Fleet).sidecarKill,
+	"side-freeze":      (*Fleet).sidecarFreeze,
+	"side-cut":         (*Fleet).sidecarCut,
+	"side-cut-core":    (*Fleet).sidecarCutFromCores,
+	"side-stop":        (*Fleet).sidecarStop,
 	"endpoint-replace": (*Fleet).endpointReplace,
-	"endpoint-reuse":   (*Fleet).endpointReuse,
-	"endpoint-bad":     (*Fleet).endpointBad,
-	"release-bad":      (*Fleet).releaseBad,
-	"herd":             (*Fleet).herd,
-	"crowd":            (*Fleet).crowd,
-	"district":         (*Fleet).district1,
-	"heavy":            (*Fleet).heavy,
-}
-
-// Names lists the faults.
-func Names() []string {
-	var out []string
+	"endpoint-reuse":   (*Fleet).addressReuse,
+	"endpoint-bad":     (*Fleet).badEndpoint,
+	"release-bad":      (*Fleet).badRelease,
+	"herd":             (*Fleet).killHalf,
+	"crowd":            (*Fleet).trafficSurge,
+	"district":         (*Fleet).zoneLoss,
+	"heavy":            (*Fleet).killCoresAndHalf,
+}
+
+// FaultNames lists the faults.
+func FaultNames() []string {
+	var names []string
 	for n := range Faults {
-		out = append(out, n)
+		names = append(names, n)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// faults runs the named faults in turn, spread over the run.
-func (f *Fleet) faults(ctx context.Context) {
-	f.pause(ctx, 8*time.Second)
-	for i := 0; len(f.Boot.Faults) > 0 && ctx.Err() == nil; i++ {
+// runFaults runs the named faults in turn, spread over the run.
+func (f *Fleet) runFaults(ctx context.Context) {
+	f.sleep(ctx, 8*time.Second)
+	for i := 0; len(f.Options.Faults) > 0 && ctx.Err() == nil; i++ {
 		if d, ok := ctx.Deadline(); ok && time.Until(d) < 9*time.Second {
 			return
 		}
-		name := f.Boot.Faults[i%len(f.Boot.Faults)]
-		f.Say("%6.1fs %s", time.Duration(f.now()).Seconds(), name)
-		f.count("fault " + name)
+		name := f.Options.Faults[i%len(f.Options.Faults)]
+		f.Logf("%6.1fs %s", time.Duration(f.now()).Seconds(), name)
+		f.increment("fault " + name)
 		Faults[name](f, ctx)
-		f.pause(ctx, f.Every)
+		f.sleep(ctx, f.FaultInterval)
 	}
 }
 
-func (f *Fleet) pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func (f *Fleet) sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Fleet) pick(list []*machine.Machine) *machine.Machine {
-	return list[f.rng.IntN(len(list))]
+func (f *Fleet) randomProcess(processes []*process.Process) *process.Process {
+	return processes[f.rng.IntN(len(processes))]
 }
 
-func (f *Fleet) back(m *machine.Machine) {
-	f.start(m)
-	f.ready(m)
+func (f *Fleet) restart(proc *process.Process) {
+	f.startProcess(proc)
+	f.awaitReady(proc)
 }
 
-// start starts the process and waits until it listens, which ends its being out.
-func (f *Fleet) start(m *machine.Machine) {
-	if err := m.Start(); err != nil {
-		f.Say("%s does not start: %v", m.Name, err)
+// startProcess starts the process and waits until it listens, which ends its being out.
+func (f *Fleet) startProcess(proc *process.Process) {
+	if err := proc.Start(); err != nil {
+		f.Logf("%s does not start: %v", proc.Name, err)
 	}
-	m.Live(10 * time.Second)
+	proc.WaitLive(10 * time.Second)
 }
 
-func (f *Fleet) ready(m *machine.Machine) {
-	if !m.Ready(20 * time.Second) {
+func (f *Fleet) awaitReady(proc *process.Process) {
+	if !proc.WaitReady(20 * time.Second) {
 		f.mu.Lock()
-		f.Check.Break(f.now(), "slow-recovery", "%s was not ready 20s after its start", m.Name)
+		f.Checker.Violate(f.now(), "slow-recovery", "%s was not ready 20s after its start", proc.Name)
 		f.mu.Unlock()
 	}
 }
 
-func (f *Fleet) coreKill(ctx context.Context, empty bool) {
-	m := f.pick(f.Cores)
-	m.Kill()
-	if empty {
-		if err := m.Empty(); err != nil {
-			f.Say("%v", err)
+func (f *Fleet) coreKill(ctx context.Context, wipe bool) {
+	core := f.randomProcess(f.Cores)
+	core.Kill()
+	if wipe {
+		if err := core.RemoveData(); err != nil {
+			f.Logf("%v", err)
 		}
 	}
-	f.pause(ctx, time.Second)
-	f.back(m)
-	if empty {
-		f.votes(m, 20*time.Second)
-		f.count("new disks that vote")
+	f.sleep(ctx, time.Second)
+	f.restart(core)
+	if wipe {
+		f.awaitVote(core, 20*time.Second)
+		f.increment("new disks that vote")
 	}
 }
 
@@ -124,221 +124,221 @@
 // are one core and two sidecars, takes its slot.
 func (f *Fleet) coreMove(context.Context) {
 	i := f.rng.IntN(len(f.Cores))
-	f.serve.mu.Lock()
+	f.clients.mu.Lock()
 	old := f.Cores[i]
-	f.serve.mu.Unlock()
+	f.clients.mu.Unlock()
 	old.Kill()
 	f.mu.Lock()
 	f.serial++
 	n := 20 + f.serial%200
 	f.mu.Unlock()
-	m, err := f.machine("core", n)
+	replacement, err := f.newProcess("core", n)
 	if err == nil {
-		err = m.Write(map[string]any{"address": m.Addr, "listen": m.Inner, "district": f.district(i), "data": m.Data, "ringFileMiB": 12, "ringFiles": 4,
-			"seeds": []string{f.Cores[(i+1)%len(f.Cores)].Addr, f.Sides[0].Addr, f.Sides[1].Addr}})
+		err = replacement.Write(map[string]any{"address": replacement.Addr, "listen": replacement.ListenAddr, "district": f.zone(i), "data": replacement.DataDir, "ringFileMiB": 12, "ringFiles": 4,
+			"seeds": []string{f.Cores[(i+1)%len(f.Cores)].Addr, f.Sidecars[0].Addr, f.Sidecars[1].Addr}})
 	}
 	if err == nil {
-		err = m.Start()
+		err = replacement.Start()
 	}
 	if err != nil {
-		f.Say("%v", err)
+		f.Logf("%v", err)
 		return
 	}
-	f.votes(m, 25*time.Second)
-	f.count("new disks that vote")
-	f.serve.mu.Lock()
-	f.Cores[i] = m
-	f.serve.mu.Unlock()
+	f.awaitVote(replacement, 25*time.Second)
+	f.increment("new disks that vote")
+	f.clients.mu.Lock()
+	f.Cores[i] = replacement
+	f.clients.mu.Unlock()
 }
 
-// votes waits until a core's disk votes.
-func (f *Fleet) votes(m *machine.Machine, limit time.Duration) {
-	t := time.NewTicker(100 * time.Millisecond)
-	defer t.Stop()
-	for until := time.Now().Add(limit); time.Now().Before(until); <-t.C {
-		var got struct {
+// awaitVote waits until a core's disk votes.
+func (f *Fleet) awaitVote(core *process.Process, timeout time.Duration) {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); <-ticker.C {
+		var status struct {
 			Votes bool `json:"votes"`
 		}
-		if _, err := m.Ask(500*time.Millisecond, "GET", "/status", nil, &got); err == nil && got.Votes {
+		if _, err := core.Request(500*time.Millisecond, "GET", "/status", nil, &status); err == nil && status.Votes {
 			return
 		}
 	}
 	f.mu.Lock()
-	f.Check.Break(f.now(), "slow-recovery", "%s does not vote %v after it came back empty", m.Name, limit)
+	f.Checker.Violate(f.now(), "slow-recovery", "%s does not vote %v after it came back empty", core.Name, timeout)
 	f.mu.Unlock()
 }
 
 func (f *Fleet) coreFreeze(ctx context.Context) {
-	m := f.pick(f.Cores)
-	m.Freeze()
-	f.pause(ctx, 3*time.Second)
-	m.Thaw()
+	core := f.randomProcess(f.Cores)
+	core.Freeze()
+	f.sleep(ctx, 3*time.Second)
+	core.Thaw()
 }
 
-func (f *Fleet) cutOff(m *machine.Machine, on bool) {
-	for _, o := range append(slices.Clone(f.Cores), f.Sides...) {
-		if o != m {
-			f.net.Cut(m.IP, o.IP, on)
-			f.net.Cut(o.IP, m.IP, on)
+func (f *Fleet) setIsolated(proc *process.Process, isolated bool) {
+	for _, other := range append(slices.Clone(f.Cores), f.Sidecars...) {
+		if other != proc {
+			f.network.SetCut(proc.IP, other.IP, isolated)
+			f.network.SetCut(other.IP, proc.IP, isolated)
 		}
 	}
 }
 
 func (f *Fleet) coreCut(ctx context.Context) {
-	m := f.pick(f.Cores)
-	f.cutOff(m, true)
-	f.pause(ctx, 3*time.Second)
-	f.cutOff(m, false)
+	core := f.randomProcess(f.Cores)
+	f.setIsolated(core, true)
+	f.sleep(ctx, 3*time.Second)
+	f.setIsolated(core, false)
 }
 
-func (f *Fleet) coreStop(context.Context) { f.stopCore(f.pick(f.cores())) }
+func (f *Fleet) coreStop(context.Context) { f.restartCore(f.randomProcess(f.currentCores())) }
 
-func (f *Fleet) stopCore(m *machine.Machine) {
-	if !m.Stop(20 * time.Second) {
+func (f *Fleet) restartCore(core *process.Process) {
+	if !core.Stop(20 * time.Second) {
 		f.mu.Lock()
-		f.Check.Break(f.now(), "dropped-in-stop", "%s did not stop in 20s", m.Name)
+		f.Checker.Violate(f.now(), "dropped-in-stop", "%s did not stop in 20s", core.Name)
 		f.mu.Unlock()
-		m.Kill()
+		core.Kill()
 	}
-	f.back(m)
+	f.restart(core)
 }
 
-// release rolls every process to the new release, cores first, one by one; until it is
+// rollRelease rolls every process to the new release, cores first, one by one; until it is
 // over the fleet is of both.
-func (f *Fleet) release(ctx context.Context) {
-	for _, m := range f.cores() {
-		m.Release(f.Bin)
-		f.stopCore(m)
-		f.votes(m, 20*time.Second)
+func (f *Fleet) rollRelease(ctx context.Context) {
+	for _, proc := range f.currentCores() {
+		proc.SetBinary(f.Binary)
+		f.restartCore(proc)
+		f.awaitVote(proc, 20*time.Second)
 	}
-	for _, m := range f.Sides {
-		m.Release(f.Bin)
-		f.stopSide(m)
-		f.pause(ctx, 200*time.Millisecond)
+	for _, proc := range f.Sidecars {
+		proc.SetBinary(f.Binary)
+		f.restartSidecar(proc)
+		f.sleep(ctx, 200*time.Millisecond)
 	}
 }
 
-func (f *Fleet) sideKill(ctx context.Context) {
-	m := f.pick(f.Sides)
-	up := f.out(m.Name, killed)
-	m.Kill()
-	f.pause(ctx, time.Second)
-	f.start(m)
-	up()
-	f.ready(m)
+func (f *Fleet) sidecarKill(ctx context.Context) {
+	sidecar := f.randomProcess(f.Sidecars)
+	endOutage := f.beginOutage(sidecar.Name, causeKilled)
+	sidecar.Kill()
+	f.sleep(ctx, time.Second)
+	f.startProcess(sidecar)
+	endOutage()
+	f.awaitReady(sidecar)
 }
 
-func (f *Fleet) sideFreeze(ctx context.Context) {
-	m := f.pick(f.Sides)
-	thaw := f.out(m.Name, frozen)
-	m.Freeze()
-	f.pause(ctx, 2500*time.Millisecond)
-	m.Thaw()
-	thaw()
+func (f *Fleet) sidecarFreeze(ctx context.Context) {
+	sidecar := f.randomProcess(f.Sidecars)
+	endOutage := f.beginOutage(sidecar.Name, causeFrozen)
+	sidecar.Freeze()
+	f.sleep(ctx, 2500*time.Millisecond)
+	sidecar.Thaw()
+	endOutage()
 }
 
-func (f *Fleet) sideCut(ctx context.Context) {
-	m := f.pick(f.Sides)
-	heal := f.out(m.Name, cutOff)
-	f.cutOff(m, true)
-	f.pause(ctx, 3*time.Second)
-	f.cutOff(m, false)
-	heal()
+func (f *Fleet) sidecarCut(ctx context.Context) {
+	sidecar := f.randomProcess(f.Sidecars)
+	endOutage := f.beginOutage(sidecar.Name, causeCutOff)
+	f.setIsolated(sidecar, true)
+	f.sleep(ctx, 3*time.Second)
+	f.setIsolated(sidecar, false)
+	endOutage()
 }
 
-// sideCutCore cuts a sidecar from the cores alone; manifests must still reach it, by
+// sidecarCutFromCores cuts a sidecar from the cores alone; manifests must still reach it, by
 // its peers, so it has no excuse.
-func (f *Fleet) sideCutCore(ctx context.Context) {
-	m := f.pick(f.Sides)
+func (f *Fleet) sidecarCutFromCores(ctx context.Context) {
+	sidecar := f.randomProcess(f.Sidecars)
 	cut := func(on bool) {
-		for _, o := range f.Cores {
-			f.net.Cut(m.IP, o.IP, on)
-			f.net.Cut(o.IP, m.IP, on)
+		for _, core := range f.Cores {
+			f.network.SetCut(sidecar.IP, core.IP, on)
+			f.network.SetCut(core.IP, sidecar.IP, on)
 		}
 	}
 	cut(true)
-	f.pause(ctx, 6*time.Second)
+	f.sleep(ctx, 6*time.Second)
 	cut(false)
 }
 
-// sideStop is a planned stop of a sidecar under traffic: what is in hand must end
+// sidecarStop is a planned stop of a sidecar under traffic: what is in hand must end
 // well. Its callers stop coming once it says that it is not ready, as the platform
 // would see to; here they go on, so those that find no one there are excused, and
 // those that were taken are not.
-func (f *Fleet) sideStop(context.Context) { f.stopSide(f.pick(f.Sides)) }
+func (f *Fleet) sidecarStop(context.Context) { f.restartSidecar(f.randomProcess(f.Sidecars)) }
 
-func (f *Fleet) stopSide(m *machine.Machine) {
-	up := f.out(m.Name, stopped)
-	if !m.Stop(25 * time.Second) {
+func (f *Fleet) restartSidecar(sidecar *process.Process) {
+	endOutage := f.beginOutage(sidecar.Name, causeStopped)
+	if !sidecar.Stop(25 * time.Second) {
 		f.mu.Lock()
-		f.Check.Break(f.now(), "dropped-in-stop", "%s did not stop in 25s", m.Name)
+		f.Checker.Violate(f.now(), "dropped-in-stop", "%s did not stop in 25s", sidecar.Name)
 		f.mu.Unlock()
-		m.Kill()
+		sidecar.Kill()
 	}
 	f.mu.Lock()
-	if m.Exit != 0 {
-		f.Check.Break(f.now(), "dropped-in-stop", "%s ended with %d", m.Name, m.Exit)
+	if sidecar.ExitCode != 0 {
+		f.Checker.Violate(f.now(), "dropped-in-stop", "%s ended with %d", sidecar.Name, sidecar.ExitCode)
 	}
 	f.mu.Unlock()
-	f.start(m)
-	up()
-	f.ready(m)
+	f.startProcess(sidecar)
+	endOutage()
+	f.awaitReady(sidecar)
 }
 
-// some picks an endpoint of a service that has so many at least.
-func (f *Fleet) some(least int) *end {
+// takeEndpoint picks an endpoint of a service that has so many at least.
+func (f *Fleet) takeEndpoint(minimum int) *managedEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := map[string]int{}
-	var live []*end
-	for _, e := range f.ends {
-		if !e.gone {
+	var available []*managedEndpoint
+	for _, e := range f.endpoints {
+		if !e.unavailable {
 			count[string(e.Service)]++
-			live = append(live, e)
+			available = append(available, e)
 		}
 	}
-	live = slices.DeleteFunc(live, func(e *end) bool { return count[string(e.Service)] < least })
-	if len(live) == 0 {
+	available = slices.DeleteFunc(available, func(e *managedEndpoint) bool { return count[string(e.Service)] < minimum })
+	if len(available) == 0 {
 		return nil
 	}
-	e := live[f.rng.IntN(len(live))]
-	e.gone = true
+	e := available[f.rng.IntN(len(available))]
+	e.unavailable = true
 	return e
 }
 
 func (f *Fleet) endpointReplace(context.Context) {
-	e := f.some(2)
+	e := f.takeEndpoint(2)
 	if e == nil {
 		return
 	}
-	f.leave(e)
-	if _, err := f.endpoint(e.side, e.svc, ""); err != nil {
-		f.Say("%v", err)
+	f.leaveEndpoint(e)
+	if _, err := f.startEndpoint(e.sidecar, e.spec, ""); err != nil {
+		f.Logf("%v", err)
 	}
 }
 
-// endpointReuse kills an endpoint; two seconds later its address serves another.
-func (f *Fleet) endpointReuse(ctx context.Context) {
-	e := f.some(2)
+// addressReuse kills an endpoint; two seconds later its address serves another.
+func (f *Fleet) addressReuse(ctx context.Context) {
+	e := f.takeEndpoint(2)
 	if e == nil {
 		return
 	}
 	other := f.Deployment.Services[f.rng.IntN(len(f.Deployment.Services))]
 	e.Die()
-	f.pause(ctx, 2*time.Second)
-	if _, err := f.endpoint(e.side, other, string(e.Addr)); err != nil {
-		f.Say("%v", err)
+	f.sleep(ctx, 2*time.Second)
+	if _, err := f.startEndpoint(e.sidecar, other, string(e.Addr)); err != nil {
+		f.Logf("%v", err)
 	}
-	if _, err := f.endpoint(e.side, e.svc, ""); err != nil {
-		f.Say("%v", err)
+	if _, err := f.startEndpoint(e.sidecar, e.spec, ""); err != nil {
+		f.Logf("%v", err)
 	}
 }
 
-func (f *Fleet) endpointBad(ctx context.Context) {
+func (f *Fleet) badEndpoint(ctx context.Context) {
 	f.mu.Lock()
-	var e *end
-	for _, x := range f.ends {
-		if !x.gone {
+	var e *managedEndpoint
+	for _, x := range f.endpoints {
+		if !x.unavailable {
 			e = x
 		}
 	}
@@ -347,129 +347,129 @@
 		return
 	}
 	e.Behave(endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.2, Garbage: 0.1, Cut: 0.1, Odd: 0.3})
-	f.pause(ctx, 4*time.Second)
+	f.sleep(ctx, 4*time.Second)
 	e.Behave(endpoint.Mood{Work: 4 * time.Millisecond})
 }
 
-// crowd: many users arrive at once, on every machine.
-func (f *Fleet) crowd(ctx context.Context) {
-	short, stop := context.WithTimeout(ctx, 5*time.Second)
-	defer stop()
-	var out sync.WaitGroup
-	for i, s := range f.Sides {
-		out.Add(1)
+// trafficSurge: many users arrive at once, on every machine.
+func (f *Fleet) trafficSurge(ctx context.Context) {
+	surge, cancel := context.WithTimeout(ctx, 5*time.Second)
+	defer cancel()
+	var running sync.WaitGroup
+	for i, sidecar := range f.Sidecars {
+		running.Add(1)
 		go func() {
-			defer out.Done()
-			caller.Run(short, caller.Boot{Name: fmt.Sprintf("%s-crowd%d", s.Name, time.Now().UnixNano()), Addr: ident.Addr(s.Caller), Kinds: f.kinds(),
-				Rate: 3 * f.Deployment.Rate * f.Scale / float64(len(f.Sides)), Book: f.book, Seed: f.Seed + 100 + uint64(i), Limit: 8 * time.Second})
+			defer running.Done()
+			client.Run(surge, client.Boot{Name: fmt.Sprintf("%s-crowd%d", sidecar.Name, time.Now().UnixNano()), Addr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(),
+				Rate: 3 * f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)), Book: f.clientLog, Seed: f.Seed + 100 + uint64(i), Limit: 8 * time.Second})
 		}()
 	}
-	out.Wait()
+	running.Wait()
 }
 
-// releaseBad: every endpoint of one service loses, garbles or cuts off most returns.
-func (f *Fleet) releaseBad(ctx context.Context) {
-	svc := f.Deployment.Services[f.rng.IntN(len(f.Deployment.Services))].Name
+// badRelease: every endpoint of one service loses, garbles or cuts off most returns.
+func (f *Fleet) badRelease(ctx context.Context) {
+	service := f.Deployment.Services[f.rng.IntN(len(f.Deployment.Services))].Name
 	f.mu.Lock()
-	ends := slices.Clone(f.ends)
+	endpoints := slices.Clone(f.endpoints)
 	f.mu.Unlock()
-	for _, e := range ends {
-		if e.Service == svc {
+	for _, e := range endpoints {
+		if e.Service == service {
 			e.Behave(endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.2, Garbage: 0.2, Cut: 0.2, Odd: 0.2})
 			defer e.Behave(endpoint.Mood{Work: 4 * time.Millisecond})
 		}
 	}
-	f.pause(ctx, 6*time.Second)
+	f.sleep(ctx, 6*time.Second)
 }
 
-// loss notes a bad loss.
-func (f *Fleet) loss(name string) {
+// recordLoss notes a bad loss.
+func (f *Fleet) recordLoss(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Check.Losses = append(f.Check.Losses, check.Loss{At: f.now(), Name: name})
+	f.Checker.Outages = append(f.Checker.Outages, invariant.Outage{At: f.now(), Name: name})
 }
 
-// herd kills half the sidecars and a core at once.
-func (f *Fleet) herd(ctx context.Context) {
-	f.loss("herd")
-	var hit []*machine.Machine
-	for i, m := range f.Sides {
+// killHalf kills half the sidecars and a core at once.
+func (f *Fleet) killHalf(ctx context.Context) {
+	f.recordLoss("herd")
+	var targets []*process.Process
+	for i, sidecar := range f.Sidecars {
 		if i%2 == 0 {
-			hit = append(hit, m)
+			targets = append(targets, sidecar)
 		}
 	}
-	hit = append(hit, f.pick(f.Cores))
-	f.all(ctx, hit)
+	targets = append(targets, f.randomProcess(f.Cores))
+	f.killAndRestart(ctx, targets)
 }
 
-// district1 takes a whole district away, cores, sidecars and endpoints, and brings it
+// zoneLoss takes a whole district away, cores, sidecars and endpoints, and brings it
 // back some seconds later.
-func (f *Fleet) district1(ctx context.Context) {
-	f.loss("district")
-	n := f.rng.IntN(f.Deployment.Districts)
-	var hit []*machine.Machine
-	for i, m := range f.Cores {
-		if i%f.Deployment.Districts == n && (len(f.Cores) > 1) {
-			hit = append(hit, m)
+func (f *Fleet) zoneLoss(ctx context.Context) {
+	f.recordLoss("district")
+	zone := f.rng.IntN(f.Deployment.Zones)
+	var targets []*process.Process
+	for i, proc := range f.Cores {
+		if i%f.Deployment.Zones == zone && (len(f.Cores) > 1) {
+			targets = append(targets, proc)
 		}
 	}
-	gone := map[*machine.Machine]bool{}
-	for i, m := range f.Sides {
-		if i%f.Deployment.Districts == n {
-			hit = append(hit, m)
-			gone[m] = true
+	lostSidecars := map[*process.Process]bool{}
+	for i, proc := range f.Sidecars {
+		if i%f.Deployment.Zones == zone {
+			targets = append(targets, proc)
+			lostSidecars[proc] = true
 		}
 	}
 	f.mu.Lock()
-	var dead []*end
-	for _, e := range f.ends {
-		if gone[e.side] && !e.gone {
-			e.gone = true
-			dead = append(dead, e)
+	var lostEndpoints []*managedEndpoint
+	for _, e := range f.endpoints {
+		if lostSidecars[e.sidecar] && !e.unavailable {
+			e.unavailable = true
+			lostEndpoints = append(lostEndpoints, e)
 		}
 	}
 	f.mu.Unlock()
-	for _, e := range dead {
+	for _, e := range lostEndpoints {
 		e.Die()
 	}
-	f.all(ctx, hit)
-	for _, e := range dead {
-		if _, err := f.endpoint(e.side, e.svc, ""); err != nil {
-			f.Say("%v", err)
+	f.killAndRestart(ctx, targets)
+	for _, e := range lostEndpoints {
+		if _, err := f.startEndpoint(e.sidecar, e.spec, ""); err != nil {
+			f.Logf("%v", err)
 		}
 	}
 }
 
-// heavy kills every core and half the sidecars at once.
-func (f *Fleet) heavy(ctx context.Context) {
-	f.loss("everything at once")
-	back := f.out(coreMajority, coreMajority)
-	hit := slices.Clone(f.Cores)
-	for i, m := range f.Sides {
+// killCoresAndHalf kills every core and half the sidecars at once.
+func (f *Fleet) killCoresAndHalf(ctx context.Context) {
+	f.recordLoss("everything at once")
+	endOutage := f.beginOutage(coreMajority, coreMajority)
+	targets := slices.Clone(f.Cores)
+	for i, sidecar := range f.Sidecars {
 		if i%2 == 1 {
-			hit = append(hit, m)
+			targets = append(targets, sidecar)
 		}
 	}
-	f.all(ctx, hit)
-	back()
-	f.pause(ctx, 9*time.Second)
+	f.killAndRestart(ctx, targets)
+	endOutage()
+	f.sleep(ctx, 9*time.Second)
 }
 
-func (f *Fleet) all(ctx context.Context, hit []*machine.Machine) {
-	done := make(chan bool, len(hit))
-	up := map[string]func(){}
-	for _, m := range hit {
-		up[m.Name] = f.out(m.Name, killed)
-		go func() { m.Kill(); done <- true }()
+func (f *Fleet) killAndRestart(ctx context.Context, targets []*process.Process) {
+	done := make(chan bool, len(targets))
+	endOutage := map[string]func(){}
+	for _, proc := range targets {
+		endOutage[proc.Name] = f.beginOutage(proc.Name, causeKilled)
+		go func() { proc.Kill(); done <- true }()
 	}
-	for range hit {
+	for range targets {
 		<-done
 	}
-	f.pause(ctx, 1500*time.Millisecond)
-	for _, m := range hit {
-		go func() { f.start(m); up[m.Name](); f.ready(m); done <- true }()
+	f.sleep(ctx, 1500*time.Millisecond)
+	for _, proc := range targets {
+		go func() { f.startProcess(proc); endOutage[proc.Name](); f.awaitReady(proc); done <- true }()
 	}
-	for range hit {
+	for range targets {
 		<-done
 	}
 }
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -7,86 +7,86 @@
 	"strings"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/sim/check"
-	"cottonarch.example/cottonarch/stand/caller"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/sim/invariant"
+	"cottonarch.example/cottonarch/standin/client"
 )
 
 // judge fills the checkers from the books and the ledgers.
-func (f *Fleet) judge(from, until monotime.Time) {
-	asked := map[string]ident.Service{}
-	unsafe := map[string]bool{}
-	fates := map[caller.Fate]check.Fate{caller.Served: check.Served, caller.NotRun: check.NotRun, caller.Unknown: check.Unknown, caller.Dropped: check.Unknown, caller.Wrong: check.Unknown}
+func (f *Fleet) judge(startedAt, endedAt monotime.Time) {
+	serviceByID := map[string]ident.Service{}
+	unsafeByID := map[string]bool{}
+	outcomes := map[client.Fate]invariant.Outcome{client.Served: invariant.Served, client.NotRun: invariant.NotExecuted, client.Unknown: invariant.Unknown, client.Dropped: invariant.Unknown, client.Wrong: invariant.Unknown}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.book.All() {
-		asked[t.ID], unsafe[t.ID] = t.Kind.Service, t.Kind.Method != "GET"
-		f.Check.Calls = append(f.Check.Calls, &check.Call{ID: t.ID, Service: t.Kind.Service, Unsafe: t.Kind.Method != "GET", Began: f.at(t.Began), Ended: f.at(t.Began.Add(t.Took)), Fate: fates[t.Fate], Why: t.Note, Whole: true})
+	for _, t := range f.clientLog.All() {
+		serviceByID[t.ID], unsafeByID[t.ID] = t.Kind.Service, t.Kind.Method != "GET"
+		f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{ID: t.ID, Service: t.Kind.Service, AtMostOnce: t.Kind.Method != "GET", Began: f.sinceStart(t.Began), Ended: f.sinceStart(t.Began.Add(t.Took)), Outcome: outcomes[t.Fate], Reason: t.Note, Complete: true})
 		f.Counts["calls "+string(t.Fate)]++
 		var why struct {
 			Defect string `json:"defect"`
 		}
-		if (t.Fate == caller.NotRun || t.Fate == caller.Unknown) && json.Unmarshal([]byte(t.Note), &why) == nil {
+		if (t.Fate == client.NotRun || t.Fate == client.Unknown) && json.Unmarshal([]byte(t.Note), &why) == nil {
 			f.Counts["  "+string(t.Fate)+" "+why.Defect]++
 		}
-		if t.Fate == caller.Wrong {
-			f.Check.Break(f.at(t.Began), "wrong-return", "%s got %d %.200s", t.ID, t.Code, t.Note)
+		if t.Fate == client.Wrong {
+			f.Checker.Violate(f.sinceStart(t.Began), "wrong-return", "%s got %d %.200s", t.ID, t.Code, t.Note)
 		}
-		f.dropped(t)
+		f.judgeDropped(t)
 	}
-	first := f.Deployment.Kinds[0].Service
-	for _, r := range f.ledger.All() {
-		want, ok := asked[r.ID]
-		if !ok && strings.HasSuffix(r.ID, "-on") {
-			want, ok = first, true
+	firstService := f.Deployment.RequestKinds[0].Service
+	for _, execution := range f.endpointLog.All() {
+		wantService, ok := serviceByID[execution.ID]
+		if !ok && strings.HasSuffix(execution.ID, "-on") {
+			wantService, ok = firstService, true
 			f.Counts["onward calls run"]++
 		}
 		if !ok {
 			continue
 		}
-		var left monotime.Time
-		if t, gone := f.left[r.Server]; gone {
-			left = f.at(t)
+		var leftAt monotime.Time
+		if t, gone := f.leftAt[execution.Server]; gone {
+			leftAt = f.sinceStart(t)
 		}
-		var lost monotime.Time
-		for _, o := range f.lost[r.Server] {
-			if r.At.After(o.from) && (o.to.IsZero() || r.At.Before(o.to)) {
-				lost = f.at(o.from)
+		var lostAt monotime.Time
+		for _, o := range f.endpointOutages[execution.Server] {
+			if execution.At.After(o.from) && (o.to.IsZero() || execution.At.Before(o.to)) {
+				lostAt = f.sinceStart(o.from)
 			}
 		}
-		f.Check.Ran(check.Run{ID: r.ID, Server: r.Server, Service: r.Service, Asked: want, At: f.at(r.At), LeftAt: left, LostAt: lost, Unsafe: unsafe[r.ID]})
+		f.Checker.Executed(invariant.Execution{ID: execution.ID, Server: execution.Server, Service: execution.Service, RequestedService: wantService, ArrivedAt: f.sinceStart(execution.At), LeaveConfirmedAt: leftAt, LossConfirmedAt: lostAt, AtMostOnce: unsafeByID[execution.ID]})
 		f.Counts["runs"]++
 	}
-	f.Check.Finish(from.Add(2*time.Second), until)
+	f.Checker.Finish(startedAt.Add(2*time.Second), endedAt)
 }
 
-// dropped judges a request that its own machine's sidecar gave no whole return to. It is
+// judgeDropped judges a request that its own machine's sidecar gave no whole return to. It is
 // excused only while that sidecar was killed, frozen or, for one that came after a
 // planned stop, not there to take it.
-func (f *Fleet) dropped(t caller.Told) {
+func (f *Fleet) judgeDropped(call client.Told) {
 	const rule = "dropped-in-stop"
-	node, _, _ := strings.Cut(t.ID, "-")
-	if t.Fate != caller.Dropped {
-		f.Check.Look(rule)
+	node, _, _ := strings.Cut(call.ID, "-")
+	if call.Fate != client.Dropped {
+		f.Checker.Observe(rule)
 		return
 	}
-	out := f.hit(node, t.Began, t.Began.Add(t.Took))
+	causes := f.outageCauses(node, call.Began, call.Began.Add(call.Took))
 	switch {
-	case out[killed]:
-		f.Check.Excuse(rule, killed)
-	case out[frozen]:
-		f.Check.Excuse(rule, frozen)
-	case out[stopped] && strings.Contains(t.Note, ": connect: "): // no connection: nothing was taken
-		f.Check.Excuse(rule, "coming after a planned stop")
+	case causes[causeKilled]:
+		f.Checker.Excuse(rule, causeKilled)
+	case causes[causeFrozen]:
+		f.Checker.Excuse(rule, causeFrozen)
+	case causes[causeStopped] && strings.Contains(call.Note, ": connect: "): // no connection: nothing was taken
+		f.Checker.Excuse(rule, "coming after a planned stop")
 	default:
-		f.Check.Look(rule)
-		f.Check.Break(f.at(t.Began), rule, "%s was dropped: %s", t.ID, t.Note)
+		f.Checker.Observe(rule)
+		f.Checker.Violate(f.sinceStart(call.Began), rule, "%s was dropped: %s", call.ID, call.Note)
 	}
 }
 
-// Text is the report.
-func (f *Fleet) Text() string {
+// Report is the report.
+func (f *Fleet) Report() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var b strings.Builder
@@ -100,26 +100,26 @@
 	for _, n := range names {
 		fmt.Fprintf(&b, "%-24s %d\n", n, f.Counts[n])
 	}
-	if n := len(f.Spread); n > 0 {
-		slices.Sort(f.Spread)
-		fmt.Fprintf(&b, "in force after confirm   median %v, 99%% %v, most %v, of %d node epochs\n", f.Spread[n/2].Round(time.Millisecond), f.Spread[n*99/100].Round(time.Millisecond), f.Spread[n-1].Round(time.Millisecond), n)
+	if n := len(f.ApplyDelays); n > 0 {
+		slices.Sort(f.ApplyDelays)
+		fmt.Fprintf(&b, "in force after confirm   median %v, 99%% %v, most %v, of %d node epochs\n", f.ApplyDelays[n/2].Round(time.Millisecond), f.ApplyDelays[n*99/100].Round(time.Millisecond), f.ApplyDelays[n-1].Round(time.Millisecond), n)
 	}
-	took := map[caller.Fate][]time.Duration{}
-	for _, t := range f.book.All() {
+	took := map[client.Fate][]time.Duration{}
+	for _, t := range f.clientLog.All() {
 		took[t.Fate] = append(took[t.Fate], t.Took)
 	}
-	for _, fate := range []caller.Fate{caller.Served, caller.NotRun, caller.Unknown} {
-		took := took[fate]
+	for _, outcome := range []client.Fate{client.Served, client.NotRun, client.Unknown} {
+		took := took[outcome]
 		n := len(took)
 		if n == 0 {
 			continue
 		}
 		slices.Sort(took)
-		fmt.Fprintf(&b, "%-8s in              median %v, 99%% %v, most %v\n", fate, took[n/2].Round(100*time.Microsecond), took[n*99/100].Round(100*time.Microsecond), took[n-1].Round(time.Millisecond))
+		fmt.Fprintf(&b, "%-8s in              median %v, 99%% %v, most %v\n", outcome, took[n/2].Round(100*time.Microsecond), took[n*99/100].Round(100*time.Microsecond), took[n-1].Round(time.Millisecond))
 	}
-	b.WriteString(f.Check.Text())
-	b.WriteString(f.Check.Verdict() + "\n")
-	for i, x := range f.Check.Breaches {
+	b.WriteString(f.Checker.Text())
+	b.WriteString(f.Checker.Summary() + "\n")
+	for i, x := range f.Checker.Violations {
 		if i >= 20 {
 			break
 		}
--- a/fleet/run/run.go
+++ b/fleet/run/run.go
@@ -13,132 +13,132 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/fleet/machine"
-	"cottonarch.example/cottonarch/fleet/relay"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/sim/check"
-	"cottonarch.example/cottonarch/sim/plan"
-	"cottonarch.example/cottonarch/stand/caller"
-	"cottonarch.example/cottonarch/stand/endpoint"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/fleet/linkproxy"
+	"cottonarch.example/cottonarch/fleet/process"
+	"cottonarch.example/cottonarch/sim/invariant"
+	"cottonarch.example/cottonarch/sim/scenario"
+	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
 )
 
-// Boot describes a run.
-type Boot struct {
-	Bin        string
-	Old        string // the release that every process starts as, Bin if empty
-	Dir        string
-	Deployment plan.Deployment
-	For        time.Duration
-	Faults     []string
-	Every      time.Duration
-	Seed       uint64
-	Scale      float64
-	Say        func(string, ...any)
+// Options describes a run.
+type Options struct {
+	Binary        string
+	OldBinary     string // the release that every process starts as, Bin if empty
+	Dir           string
+	Deployment    scenario.Deployment
+	Duration      time.Duration
+	Faults        []string
+	FaultInterval time.Duration
+	Seed          uint64
+	Scale         float64
+	Logf          func(string, ...any)
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Boot
-	net    *relay.Net
-	Cores  []*machine.Machine
-	Sides  []*machine.Machine
-	Check  *check.Check
-	book   *caller.Book
-	ledger *endpoint.Ledger
-	began  time.Time
-	rng    *rand.Rand
+	Options
+	network     *linkproxy.Network
+	Cores       []*process.Process
+	Sidecars    []*process.Process
+	Checker     *invariant.Checker
+	clientLog   *client.Book
+	endpointLog *endpoint.Ledger
+	began       time.Time
+	rng         *rand.Rand
 
-	open   sync.WaitGroup // epochs that sidecars are still awaited to have
-	mu     sync.Mutex
-	ends   []*end
-	serial int
-	left   map[ident.Server]time.Time // leaving confirmed
-	lost   map[ident.Server][]*outage // loss confirmed, until it is heard of again
-	outs   map[string][]*outage       // by machine, or coreMajority
-	top    ident.Epoch
-	Spread []time.Duration // time until a confirmed epoch was in force on a node
-	Counts map[string]int
-	serve  *clients
+	revisionWaits   sync.WaitGroup // epochs that sidecars are still awaited to have
+	mu              sync.Mutex
+	endpoints       []*managedEndpoint
+	serial          int
+	leftAt          map[ident.Server]time.Time // leaving confirmed
+	endpointOutages map[ident.Server][]*outage // loss confirmed, until it is heard of again
+	processOutages  map[string][]*outage       // by machine, or coreMajority
+	newestRevision  ident.Epoch
+	ApplyDelays     []time.Duration // time until a confirmed epoch was in force on a node
+	Counts          map[string]int
+	clients         *coordinationClients
 }
 
-type end struct {
+type managedEndpoint struct {
 	*endpoint.Endpoint
-	side *machine.Machine
-	svc  plan.Service
-	gone bool
+	sidecar     *process.Process
+	spec        scenario.Service
+	unavailable bool
 }
 
-func (f *Fleet) at(t time.Time) monotime.Time { return monotime.Time(t.Sub(f.began)) }
-func (f *Fleet) now() monotime.Time           { return f.at(time.Now()) }
+func (f *Fleet) sinceStart(t time.Time) monotime.Time { return monotime.Time(t.Sub(f.began)) }
+func (f *Fleet) now() monotime.Time                   { return f.sinceStart(time.Now()) }
 
-func (f *Fleet) count(name string) { f.mu.Lock(); f.Counts[name]++; f.mu.Unlock() }
+func (f *Fleet) increment(name string) { f.mu.Lock(); f.Counts[name]++; f.mu.Unlock() }
 
-// empty is a fleet without any process.
-func empty(b Boot) *Fleet {
-	return &Fleet{Boot: b, net: relay.New(), Check: check.New(), book: &caller.Book{}, ledger: &endpoint.Ledger{}, began: time.Now(),
-		rng: rand.New(rand.NewPCG(b.Seed, 5)), left: map[ident.Server]time.Time{}, lost: map[ident.Server][]*outage{}, outs: map[string][]*outage{}, Counts: map[string]int{}}
+// newFleet is a fleet without any process.
+func newFleet(options Options) *Fleet {
+	return &Fleet{Options: options, network: linkproxy.New(), Checker: invariant.New(), clientLog: &client.Book{}, endpointLog: &endpoint.Ledger{}, began: time.Now(),
+		rng: rand.New(rand.NewPCG(options.Seed, 5)), leftAt: map[ident.Server]time.Time{}, endpointOutages: map[ident.Server][]*outage{}, processOutages: map[string][]*outage{}, Counts: map[string]int{}}
 }
 
-// Up brings everything up.
-func Up(b Boot) (*Fleet, error) {
-	f := empty(b)
+// Start brings everything up.
+func Start(options Options) (*Fleet, error) {
+	f := newFleet(options)
 	var seeds, founders []string
-	for i := range b.Deployment.Cores {
-		m, err := f.machine("core", i)
+	for i := range options.Deployment.Cores {
+		proc, err := f.newProcess("core", i)
 		if err != nil {
 			return nil, err
 		}
-		f.Cores = append(f.Cores, m)
-		founders = append(founders, m.Addr)
+		f.Cores = append(f.Cores, proc)
+		founders = append(founders, proc.Addr)
 		if i < 3 {
-			seeds = append(seeds, m.Addr)
+			seeds = append(seeds, proc.Addr)
 		}
 	}
-	for i, m := range f.Cores {
-		if err := m.Write(map[string]any{"address": m.Addr, "listen": m.Inner, "district": f.district(i), "seeds": seeds, "founders": founders, "data": m.Data, "ringFileMiB": 12, "ringFiles": 4}); err != nil {
+	for i, proc := range f.Cores {
+		if err := proc.Write(map[string]any{"address": proc.Addr, "listen": proc.ListenAddr, "district": f.zone(i), "seeds": seeds, "founders": founders, "data": proc.DataDir, "ringFileMiB": 12, "ringFiles": 4}); err != nil {
 			return nil, err
 		}
-		if err := m.Start(); err != nil {
+		if err := proc.Start(); err != nil {
 			return nil, err
 		}
 	}
-	for i := range b.Deployment.Sides {
-		m, err := f.machine("sidecar", i)
+	for i := range options.Deployment.Sidecars {
+		proc, err := f.newProcess("sidecar", i)
 		if err != nil {
 			return nil, err
 		}
-		f.Sides = append(f.Sides, m)
+		f.Sidecars = append(f.Sidecars, proc)
 	}
 	// Two cores and a sidecar of another district are a sidecar's seeds: when all cores
 	// have moved, that sidecar still knows where to.
-	for i, m := range f.Sides {
-		near := []string{seeds[i%len(seeds)], seeds[(i+1)%len(seeds)], f.Sides[(i+1)%len(f.Sides)].Addr}
-		if err := m.Write(map[string]any{"address": m.Addr, "listen": m.Inner, "caller": m.Caller, "node": m.Name, "district": f.district(i), "seeds": slices.Compact(near), "stopS": 4}); err != nil {
+	for i, proc := range f.Sidecars {
+		sidecarSeeds := []string{seeds[i%len(seeds)], seeds[(i+1)%len(seeds)], f.Sidecars[(i+1)%len(f.Sidecars)].Addr}
+		if err := proc.Write(map[string]any{"address": proc.Addr, "listen": proc.ListenAddr, "caller": proc.ClientAddr, "node": proc.Name, "district": f.zone(i), "seeds": slices.Compact(sidecarSeeds), "stopS": 4}); err != nil {
 			return nil, err
 		}
-		if err := m.Start(); err != nil {
+		if err := proc.Start(); err != nil {
 			return nil, err
 		}
 	}
-	for _, m := range f.Cores {
-		if !m.Ready(15 * time.Second) {
-			return f, errors.New(m.Name + " did not become ready")
+	for _, proc := range f.Cores {
+		if !proc.WaitReady(15 * time.Second) {
+			return f, errors.New(proc.Name + " did not become ready")
 		}
 	}
-	f.serve = newClients(f)
-	if _, err := f.offer(f.manifest("mark-0"), "PUT", ""); err != nil {
+	f.clients = newCoordinationClients(f)
+	if _, err := f.propose(f.newConfig("mark-0"), "PUT", ""); err != nil {
 		return f, err
 	}
-	for _, m := range f.Sides {
-		if !m.Ready(15 * time.Second) {
-			return f, errors.New(m.Name + " did not become ready")
+	for _, proc := range f.Sidecars {
+		if !proc.WaitReady(15 * time.Second) {
+			return f, errors.New(proc.Name + " did not become ready")
 		}
 	}
 	i := 0
-	for _, s := range b.Deployment.Services {
-		for range s.Endpoints {
-			if _, err := f.endpoint(f.Sides[i%len(f.Sides)], s, ""); err != nil {
+	for _, service := range options.Deployment.Services {
+		for range service.Endpoints {
+			if _, err := f.startEndpoint(f.Sidecars[i%len(f.Sidecars)], service, ""); err != nil {
 				return f, err
 			}
 			i++
@@ -148,44 +148,44 @@
 	return f, nil
 }
 
-// machine prepares a machine with an IP of its own behind a relay.
-func (f *Fleet) machine(role string, i int) (*machine.Machine, error) {
-	net := map[string]int{"core": 21, "sidecar": 22}[role]
-	bin := f.Bin
-	if f.Old != "" {
-		bin = f.Old
+// newProcess prepares a machine with an IP of its own behind a relay.
+func (f *Fleet) newProcess(role string, i int) (*process.Process, error) {
+	subnet := map[string]int{"core": 21, "sidecar": 22}[role]
+	binary := f.Binary
+	if f.OldBinary != "" {
+		binary = f.OldBinary
 	}
-	m := machine.New(bin, f.Dir, fmt.Sprintf("%s%d", role, i+1), role, fmt.Sprintf("127.0.%d.%d", net, i+1))
+	proc := process.New(binary, f.Dir, fmt.Sprintf("%s%d", role, i+1), role, fmt.Sprintf("127.0.%d.%d", subnet, i+1))
 	var err error
-	for _, p := range []*string{&m.Addr, &m.Inner, &m.Caller} {
-		if *p, err = machine.Free(m.IP); err != nil {
+	for _, addr := range []*string{&proc.Addr, &proc.ListenAddr, &proc.ClientAddr} {
+		if *addr, err = process.FreeAddr(proc.IP); err != nil {
 			return nil, err
 		}
 	}
-	return m, f.net.Open(m.Addr, m.Inner)
+	return proc, f.network.Listen(proc.Addr, proc.ListenAddr)
 }
 
-func (f *Fleet) district(i int) string { return fmt.Sprintf("d%d", i%f.Deployment.Districts) }
+func (f *Fleet) zone(i int) string { return fmt.Sprintf("d%d", i%f.Deployment.Zones) }
 
-// Down ends everything that Up started.
-func (f *Fleet) Down() {
+// Stop ends everything that Up started.
+func (f *Fleet) Stop() {
 	f.mu.Lock()
-	ends := slices.Clone(f.ends)
+	endpoints := slices.Clone(f.endpoints)
 	f.mu.Unlock()
-	for _, e := range ends {
+	for _, e := range endpoints {
 		e.Die()
 	}
-	for _, m := range append(slices.Clone(f.Sides), f.Cores...) {
-		m.Thaw()
-		m.Kill()
+	for _, proc := range append(slices.Clone(f.Sidecars), f.Cores...) {
+		proc.Thaw()
+		proc.Kill()
 	}
-	f.net.Close()
+	f.network.Close()
 }
 
-func (f *Fleet) endpoint(side *machine.Machine, svc plan.Service, addr string) (*end, error) {
+func (f *Fleet) startEndpoint(sidecar *process.Process, spec scenario.Service, addr string) (*managedEndpoint, error) {
 	if addr == "" {
 		var err error
-		if addr, err = machine.Free(side.IP); err != nil {
+		if addr, err = process.FreeAddr(sidecar.IP); err != nil {
 			return nil, err
 		}
 	}
@@ -193,101 +193,101 @@
 	f.serial++
 	name := ident.Server(fmt.Sprintf("srv%d", f.serial))
 	f.mu.Unlock()
-	k := f.Deployment.Kinds[0]
-	e, err := endpoint.Start(endpoint.Boot{Server: name, Service: svc.Name, Addr: ident.Addr(addr), Beat: ident.Addr(side.Inner), Ledger: f.ledger,
-		Mood: endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.002, Garbage: 0.001, Cut: 0.001, Odd: 0.001, Long: 0.002}, Onward: ident.Addr(side.Caller), OnwardHost: k.Host, OnwardPath: k.Path})
+	kind := f.Deployment.RequestKinds[0]
+	started, err := endpoint.Start(endpoint.Boot{Server: name, Service: spec.Name, Addr: ident.Addr(addr), Beat: ident.Addr(sidecar.ListenAddr), Ledger: f.endpointLog,
+		Mood: endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.002, Garbage: 0.001, Cut: 0.001, Odd: 0.001, Long: 0.002}, Onward: ident.Addr(sidecar.ClientAddr), OnwardHost: kind.Host, OnwardPath: kind.Path})
 	if err != nil {
 		return nil, err
 	}
-	out := &end{Endpoint: e, side: side, svc: svc}
+	managed := &managedEndpoint{Endpoint: started, sidecar: sidecar, spec: spec}
 	f.mu.Lock()
-	f.ends = append(f.ends, out)
+	f.endpoints = append(f.endpoints, managed)
 	f.mu.Unlock()
-	return out, nil
+	return managed, nil
 }
 
-func (f *Fleet) manifest(mark string) map[string]any {
-	services, ways := map[string]any{}, map[string]any{}
-	for i, s := range f.Deployment.Services {
-		ns := "steady"
+func (f *Fleet) newConfig(marker string) map[string]any {
+	services, routes := map[string]any{}, map[string]any{}
+	for i, service := range f.Deployment.Services {
+		namespace := "steady"
 		if i == 0 {
-			ns = mark
+			namespace = marker
 		}
-		services[string(s.Name)] = map[string]any{"namespace": ns}
-		ways["w-"+string(s.Name)] = map[string]any{"host": s.Host, "pathStart": "/", "service": string(s.Name), "timeoutMs": 3000}
+		services[string(service.Name)] = map[string]any{"namespace": namespace}
+		routes["w-"+string(service.Name)] = map[string]any{"host": service.Host, "pathStart": "/", "service": string(service.Name), "timeoutMs": 3000}
 	}
-	for _, k := range f.Deployment.Kinds {
-		if k.Name == "card" {
-			ways["card"] = map[string]any{"host": k.Host, "pathStart": k.Path, "service": string(k.Service), "urgent": true, "timeoutMs": 1500}
+	for _, kind := range f.Deployment.RequestKinds {
+		if kind.Name == "card" {
+			routes["card"] = map[string]any{"host": kind.Host, "pathStart": kind.Path, "service": string(kind.Service), "urgent": true, "timeoutMs": 1500}
 		}
 	}
-	return map[string]any{"services": services, "ways": ways}
+	return map[string]any{"services": services, "ways": routes}
 }
 
-// offer sends a manifest to some core and gives the epoch of a yes; an error with
+// propose sends a manifest to some core and gives the epoch of a yes; an error with
 // the text "no" is a sure no.
-func (f *Fleet) offer(tree map[string]any, method, query string) (ident.Epoch, error) {
-	raw, err := json.Marshal(tree)
+func (f *Fleet) propose(config map[string]any, method, query string) (ident.Epoch, error) {
+	raw, err := json.Marshal(config)
 	if err != nil {
 		return 0, err
 	}
-	core := f.serve.core()
-	var got struct {
+	core := f.clients.anyCore()
+	var answer struct {
 		Epoch  ident.Epoch `json:"epoch"`
 		Defect string      `json:"defect"`
 		Fate   string      `json:"fate"`
 	}
-	code, err := core.Ask(6*time.Second, method, "/manifest"+query, bytes.NewReader(raw), &got)
+	code, err := core.Request(6*time.Second, method, "/manifest"+query, bytes.NewReader(raw), &answer)
 	switch {
 	case err != nil:
 		return 0, err
 	case code == 200:
-		return got.Epoch, nil
-	case got.Fate == "no":
-		return 0, errNo
+		return answer.Epoch, nil
+	case answer.Fate == "no":
+		return 0, errRejected
 	}
-	return 0, fmt.Errorf("status %d %s", code, got.Defect)
+	return 0, fmt.Errorf("status %d %s", code, answer.Defect)
 }
 
-var errNo = errors.New("no")
+var errRejected = errors.New("no")
 
-// Drive runs the traffic, the clients, the operators and the faults, then judges.
-func (f *Fleet) Drive() {
-	ctx, stop := context.WithTimeout(context.Background(), f.For)
-	defer stop()
-	from := f.now()
-	var out sync.WaitGroup
-	for i, s := range f.Sides {
-		out.Add(1)
+// Run runs the traffic, the clients, the operators and the faults, then judges.
+func (f *Fleet) Run() {
+	ctx, cancel := context.WithTimeout(context.Background(), f.Duration)
+	defer cancel()
+	startedAt := f.now()
+	var running sync.WaitGroup
+	for i, sidecar := range f.Sidecars {
+		running.Add(1)
 		go func() {
-			defer out.Done()
-			caller.Run(ctx, caller.Boot{Name: s.Name, Addr: ident.Addr(s.Caller), Kinds: f.kinds(), Rate: f.Deployment.Rate * f.Scale / float64(len(f.Sides)),
-				Book: f.book, Seed: f.Seed + uint64(i), Limit: 8 * time.Second})
+			defer running.Done()
+			client.Run(ctx, client.Boot{Name: sidecar.Name, Addr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(), Rate: f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)),
+				Book: f.clientLog, Seed: f.Seed + uint64(i), Limit: 8 * time.Second})
 		}()
 	}
-	f.serve.start(ctx, &out)
-	out.Add(1)
-	go func() { defer out.Done(); f.operate(ctx) }()
-	out.Add(1)
-	go func() { defer out.Done(); f.sample(ctx) }()
-	f.faults(ctx)
+	f.clients.start(ctx, &running)
+	running.Add(1)
+	go func() { defer running.Done(); f.proposeConfigs(ctx) }()
+	running.Add(1)
+	go func() { defer running.Done(); f.sampleCounters(ctx) }()
+	f.runFaults(ctx)
 	<-ctx.Done()
-	until := f.now()
-	if d, ok := ctx.Deadline(); ok {
-		until = f.at(d)
+	endedAt := f.now()
+	if deadline, ok := ctx.Deadline(); ok {
+		endedAt = f.sinceStart(deadline)
 	}
-	f.net.Heal()
-	out.Wait()
-	f.open.Wait()
-	f.judge(from, until)
+	f.network.Heal()
+	running.Wait()
+	f.revisionWaits.Wait()
+	f.judge(startedAt, endedAt)
 }
 
-func (f *Fleet) kinds() []caller.Kind {
-	var out []caller.Kind
-	for _, k := range f.Deployment.Kinds {
-		out = append(out, caller.Kind{Name: k.Name, Method: k.Method, Host: k.Host, Path: k.Path, Service: k.Service, Weight: k.Weight})
+func (f *Fleet) requestKinds() []client.Kind {
+	var kinds []client.Kind
+	for _, kind := range f.Deployment.RequestKinds {
+		kinds = append(kinds, client.Kind{Name: kind.Name, Method: kind.Method, Host: kind.Host, Path: kind.Path, Service: kind.Service, Weight: kind.Weight})
 	}
-	return out
+	return kinds
 }
 
 // Logs names the folder of boot files and logs.
--- a/fleet/run/run_test.go
+++ b/fleet/run/run_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/sim/plan"
+	"cottonarch.example/cottonarch/sim/scenario"
 )
 
 func build(t *testing.T) string {
@@ -27,17 +27,17 @@
 	if testing.Short() {
 		t.Skip("real processes")
 	}
-	d := plan.Deployments["prairie"]
-	d.Sides, d.Rate, d.Coord = 4, 80, 20
-	d.Services = []plan.Service{{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3}, {Name: "payments.prairie", Host: "payments.bank", Endpoints: 3}}
-	f, err := Up(Boot{Bin: build(t), Dir: t.TempDir(), Deployment: d, For: 45 * time.Second, Every: 500 * time.Millisecond, Seed: 3, Scale: 1, Say: t.Logf,
+	d := scenario.Deployments["prairie"]
+	d.Sidecars, d.Rate, d.CoordinationRate = 4, 80, 20
+	d.Services = []scenario.Service{{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3}, {Name: "payments.prairie", Host: "payments.bank", Endpoints: 3}}
+	f, err := Start(Options{Binary: build(t), Dir: t.TempDir(), Deployment: d, Duration: 45 * time.Second, FaultInterval: 500 * time.Millisecond, Seed: 3, Scale: 1, Logf: t.Logf,
 		Faults: []string{"endpoint-reuse", "core-kill", "side-stop", "core-empty", "side-cut", "core-stop"}})
 	if f != nil {
-		defer f.Down()
+		defer f.Stop()
 	}
 	must.NoError(t, err)
-	f.Drive()
-	must.SliceEmpty(t, f.Check.Breaches, must.Sprint(f.Text()))
+	f.Run()
+	must.SliceEmpty(t, f.Checker.Violations, must.Sprint(f.Report()))
 	must.Greater(t, 1000, f.Counts["calls served"])
 	must.Greater(t, 5, f.Counts["manifests confirmed"])
 	must.Positive(t, f.Counts["new disks that vote"])
@@ -50,35 +50,35 @@
 	if testing.Short() {
 		t.Skip("real processes")
 	}
-	d := plan.Deployments["volta"]
-	d.Cores, d.Sides, d.Rate, d.Coord = 3, 4, 80, 30
-	f, err := Up(Boot{Bin: build(t), Dir: t.TempDir(), Deployment: d, For: 42 * time.Second, Every: 300 * time.Millisecond, Seed: 4, Scale: 1, Say: t.Logf,
+	d := scenario.Deployments["volta"]
+	d.Cores, d.Sidecars, d.Rate, d.CoordinationRate = 3, 4, 80, 30
+	f, err := Start(Options{Binary: build(t), Dir: t.TempDir(), Deployment: d, Duration: 42 * time.Second, FaultInterval: 300 * time.Millisecond, Seed: 4, Scale: 1, Logf: t.Logf,
 		Faults: []string{"core-isolated", "endpoint-hang", "core-split", "burst", "service-empty", "manifest-large"}})
 	if f != nil {
-		defer f.Down()
+		defer f.Stop()
 	}
 	must.NoError(t, err)
-	f.Drive()
-	must.SliceEmpty(t, f.Check.Breaches, must.Sprint(f.Text()))
+	f.Run()
+	must.SliceEmpty(t, f.Checker.Violations, must.Sprint(f.Report()))
 	must.Greater(t, 1000, f.Counts["calls served"])
-	must.Greater(t, 50, f.Check.Seen["manifest-late"])
-	must.Positive(t, f.Check.Seen["late-to-leaver"])
-	must.MapNotEmpty(t, f.Check.Waited["manifest-late"])
+	must.Greater(t, 50, f.Checker.Observed["manifest-late"])
+	must.Positive(t, f.Checker.Observed["late-to-leaver"])
+	must.MapNotEmpty(t, f.Checker.Delayed["manifest-late"])
 }
 
 // A bad boot ends the program with 2 and every fault named; a what-if that breaks a
 // rule ends with 1.
 func TestExitCodes(t *testing.T) {
 	bin := build(t)
-	boot := filepath.Join(t.TempDir(), "bad.json")
-	must.NoError(t, os.WriteFile(boot, []byte(`{"address":"nowhere","surprise":1}`), 0o600))
+	settingsFile := filepath.Join(t.TempDir(), "bad.json")
+	must.NoError(t, os.WriteFile(settingsFile, []byte(`{"address":"nowhere","surprise":1}`), 0o600))
 	for _, c := range []struct {
 		args []string
 		code int
 		want []string
 	}{
-		{[]string{"core", "--boot", boot}, 2, []string{"address", "surprise", "district", "data", "seeds"}},
-		{[]string{"sidecar", "--boot", boot}, 2, []string{"address", "surprise", "district", "caller", "seeds"}},
+		{[]string{"core", "--boot", settingsFile}, 2, []string{"address", "surprise", "district", "data", "seeds"}},
+		{[]string{"sidecar", "--boot", settingsFile}, 2, []string{"address", "surprise", "district", "caller", "seeds"}},
 		{[]string{"core", "--boot", "/does/not/exist.json"}, 2, []string{"exist.json"}},
 		{[]string{"simulate", "--faults", "nope", "--for", "1s"}, 2, []string{"faults", "for"}},
 		{[]string{"simulate", "--break", "retry", "--for", "20s"}, 1, []string{"double-run"}},
--- a/fleet/run/watch.go
+++ b/fleet/run/watch.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"cottonarch.example/cottonarch/fleet/machine"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/sim/check"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/fleet/process"
+	"cottonarch.example/cottonarch/sim/invariant"
 )
 
 // outage is a time in which a machine was out. Invariant: to is zero while it lasts.
@@ -20,20 +20,20 @@
 
 // The causes, and the name under which a missing majority of cores stands.
 const (
-	coreMajority = "a majority of cores"
-	killed       = "its being killed"
-	frozen       = "its being frozen"
-	cutOff       = "its being cut off from all"
-	untold       = "being cut off from all that know"
-	stopped      = "its planned stop"
+	coreMajority        = "a majority of cores"
+	causeKilled         = "its being killed"
+	causeFrozen         = "its being frozen"
+	causeCutOff         = "its being cut off from all"
+	causeNoInformedPeer = "being cut off from all that know"
+	causeStopped        = "its planned stop"
 )
 
-// out notes that a machine is out from now on, until the end is called.
-func (f *Fleet) out(name, cause string) (end func()) {
+// beginOutage notes that a machine is out from now on, until the end is called.
+func (f *Fleet) beginOutage(name, cause string) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	o := &outage{from: time.Now(), cause: cause}
-	f.outs[name] = append(f.outs[name], o)
+	f.processOutages[name] = append(f.processOutages[name], o)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -43,13 +43,13 @@
 	}
 }
 
-// since gives from when on a bound runs for a machine: from at, or from the end of the
+// boundStart gives from when on a bound runs for a machine: from at, or from the end of the
 // last outage that began within the bound. live tells that the machine is out now.
-func (f *Fleet) since(name string, at, now time.Time, bound time.Duration) (from time.Time, cause string, live bool) {
-	from = at
+func (f *Fleet) boundStart(name string, confirmedAt, now time.Time, bound time.Duration) (from time.Time, cause string, ongoing bool) {
+	from = confirmedAt
 	for again := true; again; {
 		again = false
-		for _, o := range append(slices.Clone(f.outs[name]), f.outs[coreMajority]...) {
+		for _, o := range append(slices.Clone(f.processOutages[name]), f.processOutages[coreMajority]...) {
 			if o.from.After(from.Add(bound)) || o.from.After(now) {
 				continue
 			}
@@ -64,151 +64,151 @@
 	return from, cause, false
 }
 
-// hit lists why a machine was out within a span.
-func (f *Fleet) hit(name string, from, to time.Time) map[string]bool {
-	out := map[string]bool{}
-	for _, o := range f.outs[name] {
+// outageCauses lists why a machine was out within a span.
+func (f *Fleet) outageCauses(name string, from, to time.Time) map[string]bool {
+	causes := map[string]bool{}
+	for _, o := range f.processOutages[name] {
 		if o.from.Before(to) && (o.to.IsZero() || o.to.After(from)) {
-			out[o.cause] = true
+			causes[o.cause] = true
 		}
 	}
-	return out
+	return causes
 }
 
-// inForce follows an epoch to each sidecar. The bound runs from the confirmation, or from
+// trackRevision follows an epoch to each sidecar. The bound runs from the confirmation, or from
 // the end of what kept everybody from making that sidecar know it.
-func (f *Fleet) inForce(ctx context.Context, epoch ident.Epoch, at time.Time) {
-	for _, s := range f.Sides {
-		f.open.Add(1)
+func (f *Fleet) trackRevision(ctx context.Context, revision ident.Epoch, confirmedAt time.Time) {
+	for _, sidecar := range f.Sidecars {
+		f.revisionWaits.Add(1)
 		go func() {
-			defer f.open.Done()
-			f.awaits(ctx, s, epoch, at)
+			defer f.revisionWaits.Done()
+			f.awaitRevision(ctx, sidecar, revision, confirmedAt)
 		}()
 	}
 }
 
-func (f *Fleet) awaits(ctx context.Context, s *machine.Machine, epoch ident.Epoch, at time.Time) {
+func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.Epoch, confirmedAt time.Time) {
 	const rule = "manifest-late"
-	t := time.NewTicker(15 * time.Millisecond)
-	defer t.Stop()
+	ticker := time.NewTicker(15 * time.Millisecond)
+	defer ticker.Stop()
 	for {
-		var got struct {
+		var status struct {
 			Epoch ident.Epoch `json:"manifest"`
 		}
-		sent := time.Now()
-		_, err := s.Ask(500*time.Millisecond, "GET", "/status", nil, &got)
-		if done := f.seen(rule, s, epoch, at, sent, got.Epoch, err == nil); done {
+		askedAt := time.Now()
+		_, err := sidecar.Request(500*time.Millisecond, "GET", "/status", nil, &status)
+		if done := f.judgeRevision(rule, sidecar, revision, confirmedAt, askedAt, status.Epoch, err == nil); done {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			f.mu.Lock()
-			f.Check.Excuse(rule, "the day ended")
+			f.Checker.Excuse(rule, "the day ended")
 			f.mu.Unlock()
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// seen judges one look. A return without the epoch proves that it was missing still
+// judgeRevision judges one look. A return without the epoch proves that it was missing still
 // after the question was sent.
-func (f *Fleet) seen(rule string, s *machine.Machine, epoch ident.Epoch, at, sent time.Time, got ident.Epoch, answered bool) (done bool) {
+func (f *Fleet) judgeRevision(rule string, sidecar *process.Process, revision ident.Epoch, confirmedAt, askedAt time.Time, reported ident.Epoch, answered bool) (done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	from, cause, live := f.since(s.Name, at, time.Now(), check.ManifestMax)
-	late := !live && sent.Sub(from) > check.ManifestMax
-	if answered && got >= epoch {
-		f.Check.Look(rule)
+	from, cause, ongoing := f.boundStart(sidecar.Name, confirmedAt, time.Now(), invariant.ConfigDeadline)
+	late := !ongoing && askedAt.Sub(from) > invariant.ConfigDeadline
+	if answered && reported >= revision {
+		f.Checker.Observe(rule)
 		if cause != "" {
-			f.Check.Wait(rule, cause)
+			f.Checker.ObserveDelayed(rule, cause)
 		} else {
-			f.Spread = append(f.Spread, time.Since(at))
+			f.ApplyDelays = append(f.ApplyDelays, time.Since(confirmedAt))
 		}
 		return true
 	}
 	if late && answered {
-		f.Check.Look(rule)
-		f.Check.Break(f.at(sent), rule, "%s has epoch %d %v after %d was confirmed, waited for the end of %q", s.Name, got, sent.Sub(at), epoch, cause)
+		f.Checker.Observe(rule)
+		f.Checker.Violate(f.sinceStart(askedAt), rule, "%s has epoch %d %v after %d was confirmed, waited for the end of %q", sidecar.Name, reported, askedAt.Sub(confirmedAt), revision, cause)
 		return true
 	}
-	if late && sent.Sub(from) > 2*check.ManifestMax {
-		f.Check.Look(rule)
-		f.Check.Break(f.at(sent), rule, "%s does not say what is in force %v after %d was confirmed", s.Name, sent.Sub(at), epoch)
+	if late && askedAt.Sub(from) > 2*invariant.ConfigDeadline {
+		f.Checker.Observe(rule)
+		f.Checker.Violate(f.sinceStart(askedAt), rule, "%s does not say what is in force %v after %d was confirmed", sidecar.Name, askedAt.Sub(confirmedAt), revision)
 		return true
 	}
 	return false
 }
 
-// sums are a service's calls and further tries over all nodes.
-type sums struct{ calls, tries float64 }
+// callTotals are a service's calls and further tries over all nodes.
+type callTotals struct{ calls, retries float64 }
 
-// tally sums what the sidecars count, over all their runs.
-type tally struct {
-	f     *Fleet
-	last  map[string]ident.Epoch
-	seen  map[string]map[string]int64
-	total map[string]sums
-	hist  []past
+// counterTotals sums what the sidecars count, over all their runs.
+type counterTotals struct {
+	fleet          *Fleet
+	newestRevision map[string]ident.Epoch
+	lastCounters   map[string]map[string]int64
+	totals         map[string]callTotals
+	history        []totalsAt
 }
 
-type past struct {
-	at  time.Time
-	sum map[string]sums
+type totalsAt struct {
+	at     time.Time
+	totals map[string]callTotals
 }
 
-func (f *Fleet) tally() *tally {
-	return &tally{f: f, last: map[string]ident.Epoch{}, seen: map[string]map[string]int64{}, total: map[string]sums{}}
+func (f *Fleet) newCounterTotals() *counterTotals {
+	return &counterTotals{fleet: f, newestRevision: map[string]ident.Epoch{}, lastCounters: map[string]map[string]int64{}, totals: map[string]callTotals{}}
 }
 
-// take takes one sidecar's counters: the epoch in force must not fall back.
-func (y *tally) take(name string, c map[string]int64) {
-	f := y.f
-	if e := ident.Epoch(c["manifest_epoch"]); e > 0 {
+// add takes one sidecar's counters: the epoch in force must not fall back.
+func (ct *counterTotals) add(name string, counters map[string]int64) {
+	f := ct.fleet
+	if revision := ident.Epoch(counters["manifest_epoch"]); revision > 0 {
 		f.mu.Lock()
-		f.Check.Look("manifest-back")
-		if e < y.last[name] {
-			f.Check.Break(f.now(), "manifest-back", "%s shows epoch %d after %d", name, e, y.last[name])
+		f.Checker.Observe("manifest-back")
+		if revision < ct.newestRevision[name] {
+			f.Checker.Violate(f.now(), "manifest-back", "%s shows epoch %d after %d", name, revision, ct.newestRevision[name])
 		}
 		f.mu.Unlock()
-		y.last[name] = max(y.last[name], e)
+		ct.newestRevision[name] = max(ct.newestRevision[name], revision)
 	}
-	for count, n := range c {
-		kind, svc, ok := strings.Cut(count, ".")
+	for counter, n := range counters {
+		kind, service, ok := strings.Cut(counter, ".")
 		if !ok || kind != "calls" && kind != "further_tries" {
 			continue
 		}
-		old := y.seen[name][count]
+		old := ct.lastCounters[name][counter]
 		if n < old {
 			old = 0 // a new run of the sidecar
 		}
-		x := y.total[svc]
+		total := ct.totals[service]
 		if kind == "calls" {
-			x.calls += float64(n - old)
+			total.calls += float64(n - old)
 		} else {
-			x.tries += float64(n - old)
+			total.retries += float64(n - old)
 		}
-		y.total[svc] = x
+		ct.totals[service] = total
 	}
-	y.seen[name] = c
+	ct.lastCounters[name] = counters
 }
 
 // judge looks at the window that ends now.
-func (y *tally) judge(at time.Time) {
-	f := y.f
-	now := past{at, maps.Clone(y.total)}
-	y.hist = append(y.hist, now)
-	for i := len(y.hist) - 1; i >= 0; i-- {
-		if now.at.Sub(y.hist[i].at) < 10*time.Second {
+func (ct *counterTotals) judge(at time.Time) {
+	f := ct.fleet
+	now := totalsAt{at, maps.Clone(ct.totals)}
+	ct.history = append(ct.history, now)
+	for i := len(ct.history) - 1; i >= 0; i-- {
+		if now.at.Sub(ct.history[i].at) < 10*time.Second {
 			continue
 		}
-		for svc, x := range now.sum {
-			old := y.hist[i].sum[svc]
+		for service, total := range now.totals {
+			old := ct.history[i].totals[service]
 			f.mu.Lock()
-			f.Check.Look("further-tries")
+			f.Checker.Observe("further-tries")
 			// The window seen is up to a second longer than ten.
-			if tries, calls := x.tries-old.tries, x.calls-old.calls; tries > 0.2*calls+60+6 {
-				f.Check.Break(f.now(), "further-tries", "%.0f further tries at %s beside %.0f calls", tries, svc, calls)
+			if retries, calls := total.retries-old.retries, total.calls-old.calls; retries > 0.2*calls+60+6 {
+				f.Checker.Violate(f.now(), "further-tries", "%.0f further tries at %s beside %.0f calls", retries, service, calls)
 			}
 			f.mu.Unlock()
 		}
@@ -216,23 +216,23 @@
 	}
 }
 
-// sample looks at every sidecar twice a second.
-func (f *Fleet) sample(ctx context.Context) {
-	y := f.tally()
-	t := time.NewTicker(500 * time.Millisecond)
-	defer t.Stop()
+// sampleCounters looks at every sidecar twice a second.
+func (f *Fleet) sampleCounters(ctx context.Context) {
+	ct := f.newCounterTotals()
+	ticker := time.NewTicker(500 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		for _, s := range f.Sides {
-			var c map[string]int64
-			if _, err := s.Ask(300*time.Millisecond, "GET", "/counters", nil, &c); err == nil {
-				y.take(s.Name, c)
+		for _, sidecar := range f.Sidecars {
+			var counters map[string]int64
+			if _, err := sidecar.Request(300*time.Millisecond, "GET", "/counters", nil, &counters); err == nil {
+				ct.add(sidecar.Name, counters)
 			}
 		}
-		y.judge(time.Now())
+		ct.judge(time.Now())
 	}
 }
--- a/fleet/standing/main.go
+++ b/fleet/standing/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"cottonarch.example/cottonarch/fleet/machine"
+	"cottonarch.example/cottonarch/fleet/process"
 )
 
 var app struct {
@@ -121,7 +121,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	var cores, sides []*machine.Machine
+	var cores, sides []*process.Process
 	var seeds, founders []string
 	ip := func(role, n int) string {
 		return fmt.Sprintf("127.%d.%d.%d", 10+role, n%app.Districts, 1+n/app.Districts)
@@ -137,20 +137,20 @@
 		}
 	}
 	for n := range app.Cores {
-		m := machine.New(app.Bin, dir, fmt.Sprintf("core%d", n), "core", ip(0, n))
-		if err := m.Write(map[string]any{"address": ip(0, n) + ":7380", "district": district(n), "seeds": seeds, "founders": founders, "voters": app.Voters, "data": m.Data}); err != nil {
+		m := process.New(app.Bin, dir, fmt.Sprintf("core%d", n), "core", ip(0, n))
+		if err := m.Write(map[string]any{"address": ip(0, n) + ":7380", "district": district(n), "seeds": seeds, "founders": founders, "voters": app.Voters, "data": m.DataDir}); err != nil {
 			return err
 		}
 		cores = append(cores, m)
 	}
 	for n := range app.Sides {
-		m := machine.New(app.Bin, dir, fmt.Sprintf("side%d", n), "sidecar", ip(1, n))
+		m := process.New(app.Bin, dir, fmt.Sprintf("side%d", n), "sidecar", ip(1, n))
 		if err := m.Write(map[string]any{"node": fmt.Sprintf("sidecar-somewhere-%d", n), "address": ip(1, n) + ":7380", "caller": ip(1, n) + ":7381", "district": district(n), "seeds": seeds}); err != nil {
 			return err
 		}
 		sides = append(sides, m)
 	}
-	all := append(append([]*machine.Machine{}, cores...), sides...)
+	all := append(append([]*process.Process{}, cores...), sides...)
 	defer func() {
 		for _, m := range all {
 			m.Kill()
@@ -197,7 +197,7 @@
 	}
 	time.Sleep(app.Settle)
 	if app.Profile != "" {
-		for _, m := range []*machine.Machine{cores[len(cores)-1], sides[0]} {
+		for _, m := range []*process.Process{cores[len(cores)-1], sides[0]} {
 			c := exec.Command("perf", "record", "-o", filepath.Join(app.Profile, m.Name+".perf"), "-F", "2000", "-g", "-p", strconv.Itoa(m.PID()), "--", "sleep", fmt.Sprint(app.For.Seconds()))
 			if err := c.Start(); err != nil {
 				return err
--- a/mesh/admission/admission.go
+++ b/mesh/admission/admission.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
@@ -25,8 +25,8 @@
 	// Margin is how many times its expected work a request must have left for its aim
 	// when its turn is expected, or it is rejected.
 	Margin float64
-	// ColdFactor is how many times as long an endpoint takes that has just started.
-	ColdFactor float64
+	// SlowStartFactor is how many times as long an endpoint takes that has just started.
+	SlowStartFactor float64
 	// MaxFailureRate is the part of runs that may fail, beyond one and a half times what fails
 	// at its peers, before an endpoint gets no more than one trial in every TrialInterval.
 	MaxFailureRate float64
@@ -39,7 +39,7 @@
 
 // DefaultSettings gives the settings that the model of model_test.go was run with.
 func DefaultSettings() Settings {
-	return Settings{Extra: 1, QueuePerSlot: 8, YieldPerSlot: 1, Margin: 1.25, ColdFactor: 2, MaxFailureRate: 0.25, TrialInterval: 200 * time.Millisecond,
+	return Settings{Extra: 1, QueuePerSlot: 8, YieldPerSlot: 1, Margin: 1.25, SlowStartFactor: 2, MaxFailureRate: 0.25, TrialInterval: 200 * time.Millisecond,
 		UnknownWork: 50 * time.Millisecond, MinRetryAfter: 10 * time.Millisecond, MaxRetryAfter: time.Second}
 }
 
@@ -52,10 +52,10 @@
 	// Work is what its way takes at the service's mean endpoint, as its origin learnt it;
 	// 0 is unknown.
 	Work time.Duration
-	// Early is until when it may be rejected at no price, Aim until when its return is
+	// FreeRejectUntil is until when it may be rejected at no price, Aim until when its return is
 	// worth most, and Until when nobody waits for it any more. 0 is never, but Until must
 	// be given.
-	Early, Aim, Until monotime.Time
+	FreeRejectUntil, Target, Deadline monotime.Time
 	// PeerFailureRate is the part of runs that fails at the service's other endpoints, as the origin
 	// has heard it.
 	PeerFailureRate float64
@@ -113,7 +113,7 @@
 
 // Queue holds the endpoints of one machine. It reads no clock; a Verdict is told once.
 type Queue struct {
-	set       Settings
+	settings  Settings
 	endpoints map[ident.Server]*endpointQueue
 	verdicts  []Verdict
 	// Counters.
@@ -122,87 +122,87 @@
 }
 
 // New makes an empty queue.
-func New(s Settings) *Queue {
-	return &Queue{set: s, endpoints: map[ident.Server]*endpointQueue{}, Rejected: map[Reason]uint64{}}
+func New(settings Settings) *Queue {
+	return &Queue{settings: settings, endpoints: map[ident.Server]*endpointQueue{}, Rejected: map[Reason]uint64{}}
 }
 
-func (q *Queue) endpoint(s ident.Server) *endpointQueue {
-	t := q.endpoints[s]
-	if t == nil {
-		t = newEndpointQueue(&q.set)
-		q.endpoints[s] = t
+func (q *Queue) endpoint(server ident.Server) *endpointQueue {
+	endpoint := q.endpoints[server]
+	if endpoint == nil {
+		endpoint = newEndpointQueue(&q.settings)
+		q.endpoints[server] = endpoint
 	}
-	return t
+	return endpoint
 }
 
 // SetSlots takes what a beat says: how many requests the endpoint works on at once, 0 for
 // unknown, which is as many as come; and for how long it will still be slow from its
 // start. More slots may let waiting requests go.
-func (q *Queue) SetSlots(now monotime.Time, s ident.Server, slots int, cold time.Duration) []Verdict {
-	t := q.endpoint(s)
-	t.slots, t.slowUntil = max(slots, 0), now.Add(max(cold, 0))
-	return q.advance(now, t)
+func (q *Queue) SetSlots(now monotime.Time, server ident.Server, slots int, slowStart time.Duration) []Verdict {
+	endpoint := q.endpoint(server)
+	endpoint.slots, endpoint.slowUntil = max(slots, 0), now.Add(max(slowStart, 0))
+	return q.advance(now, endpoint)
 }
 
-// Offer brings a request. Its own word is among the acts unless it waits; others that it
+// Submit brings a request. Its own word is among the acts unless it waits; others that it
 // displaced may be among them too. The acts are good until the next call.
-func (q *Queue) Offer(now monotime.Time, s ident.Server, a Request) []Verdict {
+func (q *Queue) Submit(now monotime.Time, server ident.Server, request Request) []Verdict {
 	q.verdicts = q.verdicts[:0]
-	t := q.endpoint(s)
-	if why, retry := t.rejection(now, a); why != "" {
-		q.reject(a.ID, why, retry)
+	endpoint := q.endpoint(server)
+	if reason, retryAfter := endpoint.rejection(now, request); reason != "" {
+		q.reject(request.ID, reason, retryAfter)
 		return q.verdicts
 	}
-	t.insert(a)
-	q.admitOpen(now, t)
-	if len(t.waiting) > t.room() {
-		last := t.waiting[len(t.waiting)-1]
-		t.waiting = t.waiting[:len(t.waiting)-1]
-		q.reject(last.ID, Busy, t.retryAfter(now, last))
+	endpoint.insert(request)
+	q.admitOpen(now, endpoint)
+	if len(endpoint.waiting) > endpoint.capacity() {
+		last := endpoint.waiting[len(endpoint.waiting)-1]
+		endpoint.waiting = endpoint.waiting[:len(endpoint.waiting)-1]
+		q.reject(last.ID, Busy, endpoint.retryAfter(now, last))
 	}
-	if slices.ContainsFunc(t.waiting, func(x Request) bool { return x.ID == a.ID }) {
+	if slices.ContainsFunc(endpoint.waiting, func(waiting Request) bool { return waiting.ID == request.ID }) {
 		q.Waited++
 	}
 	return q.verdicts
 }
 
 // Done says that a request that went is over, and how long the endpoint had it.
-func (q *Queue) Done(now monotime.Time, s ident.Server, id uint64, end Outcome, took time.Duration) []Verdict {
-	t := q.endpoints[s]
-	if t == nil {
+func (q *Queue) Done(now monotime.Time, server ident.Server, id uint64, outcome Outcome, elapsed time.Duration) []Verdict {
+	endpoint := q.endpoints[server]
+	if endpoint == nil {
 		return nil
 	}
-	t.done(now, id, end, took)
-	return q.advance(now, t)
+	endpoint.done(now, id, outcome, elapsed)
+	return q.advance(now, endpoint)
 }
 
 // Abandon says that nobody waits for a request any more that waits here.
-func (q *Queue) Abandon(now monotime.Time, s ident.Server, id uint64) []Verdict {
-	t := q.endpoints[s]
-	if t == nil {
+func (q *Queue) Abandon(now monotime.Time, server ident.Server, id uint64) []Verdict {
+	endpoint := q.endpoints[server]
+	if endpoint == nil {
 		return nil
 	}
-	t.waiting = slices.DeleteFunc(t.waiting, func(a Request) bool { return a.ID == id })
-	return q.advance(now, t)
+	endpoint.waiting = slices.DeleteFunc(endpoint.waiting, func(waiting Request) bool { return waiting.ID == id })
+	return q.advance(now, endpoint)
 }
 
 // Tick rejects what can't be in time any more.
 func (q *Queue) Tick(now monotime.Time) []Verdict {
 	q.verdicts = q.verdicts[:0]
-	for _, s := range q.sortedServers() {
-		t := q.endpoints[s]
-		q.rejectHopeless(now, t)
-		q.admitOpen(now, t)
+	for _, server := range q.sortedServers() {
+		endpoint := q.endpoints[server]
+		q.rejectHopeless(now, endpoint)
+		q.admitOpen(now, endpoint)
 	}
 	return q.verdicts
 }
 
 // NextTick is when Tick next has something to do, and whether there is such a time.
 func (q *Queue) NextTick(now monotime.Time) (at monotime.Time, ok bool) {
-	for _, t := range q.endpoints {
-		for i := range t.waiting {
-			if x := t.recheckAt(now, &t.waiting[i]); !ok || at.After(x) {
-				at, ok = x, true
+	for _, endpoint := range q.endpoints {
+		for i := range endpoint.waiting {
+			if recheck := endpoint.recheckAt(now, &endpoint.waiting[i]); !ok || at.After(recheck) {
+				at, ok = recheck, true
 			}
 		}
 	}
@@ -211,78 +211,78 @@
 
 // RejectAll rejects whoever waits for an endpoint, which leaves or is not well; what is at
 // it goes on, and what it took is still learnt.
-func (q *Queue) RejectAll(s ident.Server) []Verdict {
+func (q *Queue) RejectAll(server ident.Server) []Verdict {
 	q.verdicts = q.verdicts[:0]
-	if t := q.endpoints[s]; t != nil {
-		for _, a := range t.waiting {
-			q.reject(a.ID, Gone, q.set.MinRetryAfter)
+	if endpoint := q.endpoints[server]; endpoint != nil {
+		for _, request := range endpoint.waiting {
+			q.reject(request.ID, Gone, q.settings.MinRetryAfter)
 		}
-		t.waiting = t.waiting[:0]
+		endpoint.waiting = endpoint.waiting[:0]
 	}
 	return q.verdicts
 }
 
 // Remove forgets an endpoint; whatever waits for it is rejected. Those that are at it
 // need no Done any more.
-func (q *Queue) Remove(s ident.Server) []Verdict {
-	acts := q.RejectAll(s)
-	delete(q.endpoints, s)
-	return acts
+func (q *Queue) Remove(server ident.Server) []Verdict {
+	verdicts := q.RejectAll(server)
+	delete(q.endpoints, server)
+	return verdicts
 }
 
 // LoadReport is what to tell with a return of this endpoint; ok is false when nothing is
 // known.
-func (q *Queue) LoadReport(now monotime.Time, s ident.Server) (out loadreport.Report, ok bool) {
-	t := q.endpoints[s]
-	if t == nil {
-		return out, false
+func (q *Queue) LoadReport(now monotime.Time, server ident.Server) (report loadreport.Report, ok bool) {
+	endpoint := q.endpoints[server]
+	if endpoint == nil {
+		return report, false
 	}
-	return t.loadReport(now), true
+	return endpoint.loadReport(now), true
 }
 
 func (q *Queue) sortedServers() []ident.Server {
-	out := make([]ident.Server, 0, len(q.endpoints))
-	for s := range q.endpoints {
-		out = append(out, s)
+	servers := make([]ident.Server, 0, len(q.endpoints))
+	for server := range q.endpoints {
+		servers = append(servers, server)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(servers)
+	return servers
 }
 
 // advance weeds a line and lets go who may go.
-func (q *Queue) advance(now monotime.Time, t *endpointQueue) []Verdict {
+func (q *Queue) advance(now monotime.Time, endpoint *endpointQueue) []Verdict {
 	q.verdicts = q.verdicts[:0]
-	q.rejectHopeless(now, t)
-	q.admitOpen(now, t)
+	q.rejectHopeless(now, endpoint)
+	q.admitOpen(now, endpoint)
 	return q.verdicts
 }
 
-func (q *Queue) admitOpen(now monotime.Time, t *endpointQueue) {
-	for len(t.waiting) > 0 && t.open() {
-		a := t.next(now)
+func (q *Queue) admitOpen(now monotime.Time, endpoint *endpointQueue) {
+	for len(endpoint.waiting) > 0 && endpoint.hasOpenSlot() {
+		request := endpoint.takeNext(now)
 		q.Admitted++
-		q.verdicts = append(q.verdicts, Verdict{ID: a.ID, Decision: Admit})
-		t.admit(now, a)
+		q.verdicts = append(q.verdicts, Verdict{ID: request.ID, Decision: Admit})
+		endpoint.admit(now, request)
 	}
 }
 
-func (q *Queue) rejectHopeless(now monotime.Time, t *endpointQueue) {
-	ahead, keep := time.Duration(0), t.waiting[:0]
-	for i, a := range t.waiting {
+func (q *Queue) rejectHopeless(now monotime.Time, endpoint *endpointQueue) {
+	ahead, keep := time.Duration(0), endpoint.waiting[:0]
+	for i, request := range endpoint.waiting {
 		// Who goes at once is not weeded: a slot is open, so its wait is over.
-		if i >= t.free() {
-			if why := t.rejectWaiting(now, &a, ahead); why != "" {
-				q.reject(a.ID, why, t.retryAfter(now, a))
+		if i >= endpoint.freeSlots() {
+			if reason := endpoint.rejectWaiting(now, &request, ahead); reason != "" {
+				q.reject(request.ID, reason, endpoint.retryAfter(now, request))
 				continue
 			}
-			ahead += t.expectedRun(now, a.Work)
+			ahead += endpoint.expectedRun(now, request.Work)
 		}
-		keep = append(keep, a)
+		keep = append(keep, request)
 	}
-	t.waiting = keep
+	endpoint.waiting = keep
 }
 
-func (q *Queue) reject(id uint64, why Reason, retry time.Duration) {
-	q.Rejected[why]++
-	q.verdicts = append(q.verdicts, Verdict{ID: id, Decision: Reject, Reason: why, RetryAfter: retry})
+func (q *Queue) reject(id uint64, reason Reason, retryAfter time.Duration) {
+	q.Rejected[reason]++
+	q.verdicts = append(q.verdicts, Verdict{ID: id, Decision: Reject, Reason: reason, RetryAfter: retryAfter})
 }
--- a/mesh/admission/admission_test.go
+++ b/mesh/admission/admission_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
@@ -15,21 +15,21 @@
 
 func at(n int) monotime.Time { return monotime.Time(time.Second + time.Duration(n)*ms) }
 
-// ask comes at n ms, of 40 ms work, with an aim of 400 and a deadline of 1200 ms.
-func ask(id uint64, rank, n int) Request {
-	return Request{ID: id, Rank: rank, Work: 40 * ms, Early: at(n + 95), Aim: at(n + 400), Until: at(n + 1200)}
+// newRequest comes at n ms, of 40 ms work, with an aim of 400 and a deadline of 1200 ms.
+func newRequest(id uint64, rank, n int) Request {
+	return Request{ID: id, Rank: rank, Work: 40 * ms, FreeRejectUntil: at(n + 95), Target: at(n + 400), Deadline: at(n + 1200)}
 }
 
-func ready(slots int) *Queue {
-	b := New(DefaultSettings())
-	b.SetSlots(at(0), "e", slots, 0)
-	return b
+func newQueue(slots int) *Queue {
+	queue := New(DefaultSettings())
+	queue.SetSlots(at(0), "e", slots, 0)
+	return queue
 }
 
-func of(acts []Verdict, w Decision) (ids []uint64) {
-	for _, a := range acts {
-		if a.Decision == w {
-			ids = append(ids, a.ID)
+func withDecision(verdicts []Verdict, decision Decision) (ids []uint64) {
+	for _, verdict := range verdicts {
+		if verdict.Decision == decision {
+			ids = append(ids, verdict.ID)
 		}
 	}
 	return ids
@@ -38,33 +38,33 @@
 // Five requests of three ranks come, one leaves, runs end, in every order: no more than
 // slots and one are out, each gets one word at most, none goes that quit or was turned away,
 // and a higher rank in the queue always goes before a lower one.
-func TestAllOrdersOfComingAndGoing(t *testing.T) {
+func TestAllOrdersOfSubmitAbandonAndDone(t *testing.T) {
 	ranks := []int{2, 0, 1, 2, 0}
-	for _, order := range perms(7) {
-		b, word, out, quit := ready(1), map[uint64]Decision{}, map[uint64]bool{}, map[uint64]bool{}
-		waits := map[uint64]int{}
-		take := func(acts []Verdict) {
-			for _, a := range acts {
-				_, had := word[a.ID]
-				must.False(t, had, must.Sprintf("%v: two words for %d", order, a.ID))
-				must.False(t, quit[a.ID], must.Sprintf("%v: a word for %d that quit", order, a.ID))
-				word[a.ID] = a.Decision
-				rank, waited := waits[a.ID]
-				delete(waits, a.ID)
-				if a.Decision == Admit {
-					out[a.ID] = true
-					for _, r := range waits {
-						must.True(t, !waited || rank <= r, must.Sprintf("%v: %d overtook", order, a.ID))
+	for _, order := range permutations(7) {
+		queue, decisions, running, abandoned := newQueue(1), map[uint64]Decision{}, map[uint64]bool{}, map[uint64]bool{}
+		waitingRank := map[uint64]int{}
+		apply := func(verdicts []Verdict) {
+			for _, verdict := range verdicts {
+				_, decided := decisions[verdict.ID]
+				must.False(t, decided, must.Sprintf("%v: two words for %d", order, verdict.ID))
+				must.False(t, abandoned[verdict.ID], must.Sprintf("%v: a word for %d that quit", order, verdict.ID))
+				decisions[verdict.ID] = verdict.Decision
+				rank, waited := waitingRank[verdict.ID]
+				delete(waitingRank, verdict.ID)
+				if verdict.Decision == Admit {
+					running[verdict.ID] = true
+					for _, r := range waitingRank {
+						must.True(t, !waited || rank <= r, must.Sprintf("%v: %d overtook", order, verdict.ID))
 					}
 				}
 			}
-			must.LessEq(t, 2, len(out))
+			must.LessEq(t, 2, len(running))
 		}
 		done := func(n int) {
 			for id := range uint64(6) {
-				if out[id] {
-					delete(out, id)
-					take(slices.Clone(b.Done(at(n), "e", id, Served, 40*ms)))
+				if running[id] {
+					delete(running, id)
+					apply(slices.Clone(queue.Done(at(n), "e", id, Served, 40*ms)))
 					return
 				}
 			}
@@ -73,16 +73,16 @@
 			switch {
 			case x < 5:
 				id := uint64(x + 1)
-				if quit[id] {
+				if abandoned[id] {
 					continue
 				}
-				waits[id] = ranks[x]
-				take(slices.Clone(b.Offer(at(n), "e", ask(id, ranks[x], n))))
+				waitingRank[id] = ranks[x]
+				apply(slices.Clone(queue.Submit(at(n), "e", newRequest(id, ranks[x], n))))
 			case x == 5:
-				if _, w := waits[4]; w || word[4] == 0 && !out[4] {
-					quit[4] = true
-					delete(waits, 4)
-					take(slices.Clone(b.Abandon(at(n), "e", 4)))
+				if _, w := waitingRank[4]; w || decisions[4] == 0 && !running[4] {
+					abandoned[4] = true
+					delete(waitingRank, 4)
+					apply(slices.Clone(queue.Abandon(at(n), "e", 4)))
 				}
 			default:
 				done(n)
@@ -91,88 +91,88 @@
 		for n := range 8 {
 			done(10 + n)
 		}
-		must.MapEmpty(t, waits, must.Sprintf("%v: somebody was forgotten", order))
+		must.MapEmpty(t, waitingRank, must.Sprintf("%v: somebody was forgotten", order))
 	}
 }
 
-func perms(n int) [][]int {
+func permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{{}}
 	}
-	var out [][]int
-	for _, p := range perms(n - 1) {
+	var all [][]int
+	for _, shorter := range permutations(n - 1) {
 		for i := range n {
-			out = append(out, slices.Insert(slices.Clone(p), i, n-1))
+			all = append(all, slices.Insert(slices.Clone(shorter), i, n-1))
 		}
 	}
-	return out
+	return all
 }
 
 // Unknown slots are no bound, as they were before there was a bay.
-func TestUnknownSlotsLetAllGo(t *testing.T) {
-	b := New(DefaultSettings())
+func TestUnknownSlotsAdmitAll(t *testing.T) {
+	queue := New(DefaultSettings())
 	for id := range uint64(500) {
-		must.Eq(t, []Verdict{{ID: id, Decision: Admit}}, b.Offer(at(0), "e", ask(id, 3, 0)))
+		must.Eq(t, []Verdict{{ID: id, Decision: Admit}}, queue.Submit(at(0), "e", newRequest(id, 3, 0)))
 	}
 }
 
 // What can't be in time is turned away when it comes, with a time to come back that grows
 // with what waits; a higher rank still gets in.
-func TestTurnedAwayAtOnceWhenTooManyWait(t *testing.T) {
-	b, turned, retry := ready(2), 0, time.Duration(0)
+func TestRejectedAtOnceWhenTooManyWait(t *testing.T) {
+	queue, rejected, longestRetry := newQueue(2), 0, time.Duration(0)
 	for id := range uint64(60) {
-		acts := b.Offer(at(0), "e", ask(id, 2, 0))
-		if len(of(acts, Reject)) > 0 {
-			turned++
-			must.Eq(t, Busy, acts[0].Reason)
-			retry = max(retry, acts[0].RetryAfter)
+		verdicts := queue.Submit(at(0), "e", newRequest(id, 2, 0))
+		if len(withDecision(verdicts, Reject)) > 0 {
+			rejected++
+			must.Eq(t, Busy, verdicts[0].Reason)
+			longestRetry = max(longestRetry, verdicts[0].RetryAfter)
 		}
 	}
 	// Two slots do 400 ms of 40 ms work: about twenty may be in time.
-	must.Between(t, 38, turned, 46)
-	must.Between(t, 150*ms, retry, 600*ms)
-	must.SliceNotContains(t, of(b.Offer(at(0), "e", ask(100, 0, 0)), Reject), 100)
-	must.Eq(t, 100, b.Done(at(40), "e", 0, Served, 40*ms)[0].ID)
+	must.Between(t, 38, rejected, 46)
+	must.Between(t, 150*ms, longestRetry, 600*ms)
+	must.SliceNotContains(t, withDecision(queue.Submit(at(0), "e", newRequest(100, 0, 0)), Reject), 100)
+	must.Eq(t, 100, queue.Done(at(40), "e", 0, Served, 40*ms)[0].ID)
 }
 
 // A full line gives its last place to a higher rank, and the one that had it is told.
-func TestAFullLineGivesPlaceToAHigherRank(t *testing.T) {
-	set := DefaultSettings()
-	set.QueuePerSlot = 1
-	b := New(set)
-	b.SetSlots(at(0), "e", 1, 0)
+func TestAFullQueueGivesPlaceToAHigherRank(t *testing.T) {
+	settings := DefaultSettings()
+	settings.QueuePerSlot = 1
+	queue := New(settings)
+	queue.SetSlots(at(0), "e", 1, 0)
 	for id := range uint64(3) { // two go, one waits
-		must.SliceEmpty(t, of(b.Offer(at(0), "e", ask(id, 2, 0)), Reject))
+		must.SliceEmpty(t, withDecision(queue.Submit(at(0), "e", newRequest(id, 2, 0)), Reject))
 	}
-	must.Eq(t, []uint64{3}, of(b.Offer(at(1), "e", ask(3, 2, 1)), Reject))
-	must.Eq(t, []uint64{2}, of(b.Offer(at(2), "e", ask(4, 1, 2)), Reject))
-	must.Eq(t, []uint64{4}, of(b.Done(at(40), "e", 0, Served, 40*ms), Admit))
+	must.Eq(t, []uint64{3}, withDecision(queue.Submit(at(1), "e", newRequest(3, 2, 1)), Reject))
+	must.Eq(t, []uint64{2}, withDecision(queue.Submit(at(2), "e", newRequest(4, 1, 2)), Reject))
+	must.Eq(t, []uint64{4}, withDecision(queue.Done(at(40), "e", 0, Served, 40*ms), Admit))
 }
 
 // A waiting request whose endpoint stalls is turned away while that costs nothing, and
 // none is held beyond its aim. The bay says itself when to look.
-func TestStalledEndpointLetsItsLineGoEarly(t *testing.T) {
-	b, gone := ready(2), map[uint64]int{}
+func TestStalledEndpointRejectsEarly(t *testing.T) {
+	queue, rejectedAtMs := newQueue(2), map[uint64]int{}
 	for id := range uint64(17) {
-		a := ask(id, 2, 0)
-		a.Work = 25 * ms
-		must.SliceEmpty(t, of(b.Offer(at(0), "e", a), Reject))
+		request := newRequest(id, 2, 0)
+		request.Work = 25 * ms
+		must.SliceEmpty(t, withDecision(queue.Submit(at(0), "e", request), Reject))
 	}
 	now := at(1)
 	for {
-		due, ok := b.NextTick(now)
+		due, ok := queue.NextTick(now)
 		if !ok {
 			break
 		}
 		must.Between(t, now, due, at(400))
 		now = max(due, now.Add(ms))
-		for _, id := range of(b.Tick(now), Reject) {
-			gone[id] = int(now.Since(at(0)) / ms)
+		for _, id := range withDecision(queue.Tick(now), Reject) {
+			rejectedAtMs[id] = int(now.Since(at(0)) / ms)
 		}
 	}
-	must.MapLen(t, 14, gone)
+	must.MapLen(t, 14, rejectedAtMs)
 	early := 0
-	for _, n := range gone {
+	for _, n := range rejectedAtMs {
 		must.LessEq(t, 400, n)
 		if n <= 98 {
 			early++
@@ -184,96 +184,96 @@
 // An endpoint that takes five times as long says so soon, is given nothing that it can't
 // do in time but for one at a time, and is given all again when it is well.
 func TestSlowEndpointIsLearntAndForgiven(t *testing.T) {
-	b, id := ready(6), uint64(0)
-	run := func(n int, took time.Duration) {
+	queue, id := newQueue(6), uint64(0)
+	run := func(n int, elapsed time.Duration) {
 		id++
-		must.Eq(t, []uint64{id}, of(b.Offer(at(n), "e", ask(id, 2, n)), Admit))
-		b.Done(at(n).Add(took), "e", id, Served, took)
+		must.Eq(t, []uint64{id}, withDecision(queue.Submit(at(n), "e", newRequest(id, 2, n)), Admit))
+		queue.Done(at(n).Add(elapsed), "e", id, Served, elapsed)
 	}
 	for n := range 60 {
 		run(50*n, 40*ms)
 	}
-	must.Between(t, 0.9, tell(b, at(3000)).RelativeTime, 1.1)
+	must.Between(t, 0.9, loadReportOf(queue, at(3000)).RelativeTime, 1.1)
 	for n := range 60 {
 		run(3000+400*n, 500*ms)
 	}
-	must.Between(t, 9.0, tell(b, at(30000)).RelativeTime, 12.6)
-	must.Eq(t, []uint64{900}, of(b.Offer(at(30000), "e", ask(900, 2, 30000)), Admit))
-	acts := b.Offer(at(30000), "e", ask(901, 2, 30000))
-	must.Eq(t, []uint64{901}, of(acts, Reject))
-	must.Eq(t, Slow, acts[0].Reason)
-	must1 := ask(902, 2, 30000)
-	must1.LastResort = true
-	must.Eq(t, []uint64{902}, of(b.Offer(at(30000), "e", must1), Admit))
-	b.Done(at(30040), "e", 900, Served, 40*ms)
-	b.Done(at(30040), "e", 902, Served, 40*ms)
+	must.Between(t, 9.0, loadReportOf(queue, at(30000)).RelativeTime, 12.6)
+	must.Eq(t, []uint64{900}, withDecision(queue.Submit(at(30000), "e", newRequest(900, 2, 30000)), Admit))
+	verdicts := queue.Submit(at(30000), "e", newRequest(901, 2, 30000))
+	must.Eq(t, []uint64{901}, withDecision(verdicts, Reject))
+	must.Eq(t, Slow, verdicts[0].Reason)
+	lastResort := newRequest(902, 2, 30000)
+	lastResort.LastResort = true
+	must.Eq(t, []uint64{902}, withDecision(queue.Submit(at(30000), "e", lastResort), Admit))
+	queue.Done(at(30040), "e", 900, Served, 40*ms)
+	queue.Done(at(30040), "e", 902, Served, 40*ms)
 	for n := range 100 {
 		run(31000+50*n, 40*ms)
 	}
-	must.Between(t, 0.9, tell(b, at(40000)).RelativeTime, 1.3)
+	must.Between(t, 0.9, loadReportOf(queue, at(40000)).RelativeTime, 1.3)
 }
 
 // Its start makes an endpoint slower for a while; that is expected, and not learnt.
 func TestSlowStartIsExpected(t *testing.T) {
-	b := New(DefaultSettings())
-	b.SetSlots(at(0), "e", 6, 3*time.Second)
+	queue := New(DefaultSettings())
+	queue.SetSlots(at(0), "e", 6, 3*time.Second)
 	for n := range 40 {
-		b.Offer(at(50*n), "e", ask(uint64(n), 2, 50*n))
-		b.Done(at(50*n+80), "e", uint64(n), Served, 80*ms)
+		queue.Submit(at(50*n), "e", newRequest(uint64(n), 2, 50*n))
+		queue.Done(at(50*n+80), "e", uint64(n), Served, 80*ms)
 	}
-	must.Between(t, 1.9, tell(b, at(2500)).RelativeTime, 2.1)
-	must.Between(t, 0.9, tell(b, at(3100)).RelativeTime, 1.1)
+	must.Between(t, 1.9, loadReportOf(queue, at(2500)).RelativeTime, 2.1)
+	must.Between(t, 0.9, loadReportOf(queue, at(3100)).RelativeTime, 1.1)
 }
 
 // An endpoint that fails half its runs gets one trial in a while and those that must;
 // when its peers fail as much it is as good as they; when it is well it gets all.
 func TestEndpointThatFailsGetsTrialsOnly(t *testing.T) {
-	b, id := ready(6), uint64(0)
-	offer := func(n int, change func(*Request)) bool {
+	queue, id := newQueue(6), uint64(0)
+	submit := func(n int, change func(*Request)) bool {
 		id++
-		a := ask(id, 2, n)
-		change(&a)
-		return len(of(b.Offer(at(n), "e", a), Admit)) == 1
+		request := newRequest(id, 2, n)
+		change(&request)
+		return len(withDecision(queue.Submit(at(n), "e", request), Admit)) == 1
 	}
-	plain := func(*Request) {}
-	count := func(from int, end func(i uint64) Outcome, change func(*Request)) (went int) {
+	unchanged := func(*Request) {}
+	count := func(from int, outcome func(i uint64) Outcome, change func(*Request)) (admitted int) {
 		for n := range 100 {
-			if offer(from+10*n, change) {
-				went++
-				b.Done(at(from+10*n+5), "e", id, end(id), 5*ms)
+			if submit(from+10*n, change) {
+				admitted++
+				queue.Done(at(from+10*n+5), "e", id, outcome(id), 5*ms)
 			}
 		}
-		return went
+		return admitted
 	}
-	half := func(i uint64) Outcome { return Outcome(i % 2) }
-	well := func(uint64) Outcome { return Served }
-	must.Eq(t, 100, count(0, well, plain))
-	count(1000, half, func(a *Request) { a.LastResort = true })
-	must.Between(t, 0.4, tell(b, at(2000)).FailureRate, 0.6)
-	must.Between(t, 4, count(2000, half, plain), 30)
-	must.Eq(t, 100, count(3000, half, func(a *Request) { a.PeerFailureRate = 0.5 }))
-	count(4000, well, plain)
-	count(5000, well, plain)
-	must.Eq(t, 100, count(6000, well, plain))
+	failsHalf := func(i uint64) Outcome { return Outcome(i % 2) }
+	healthy := func(uint64) Outcome { return Served }
+	must.Eq(t, 100, count(0, healthy, unchanged))
+	count(1000, failsHalf, func(request *Request) { request.LastResort = true })
+	must.Between(t, 0.4, loadReportOf(queue, at(2000)).FailureRate, 0.6)
+	must.Between(t, 4, count(2000, failsHalf, unchanged), 30)
+	must.Eq(t, 100, count(3000, failsHalf, func(request *Request) { request.PeerFailureRate = 0.5 }))
+	count(4000, healthy, unchanged)
+	count(5000, healthy, unchanged)
+	must.Eq(t, 100, count(6000, healthy, unchanged))
 }
 
 // Who waits for an endpoint that is no more is told.
-func TestDropTellsWhoWaits(t *testing.T) {
-	b := ready(1)
+func TestRemoveRejectsWaitingRequests(t *testing.T) {
+	queue := newQueue(1)
 	for id := range uint64(5) {
-		b.Offer(at(0), "e", ask(id, 1, 0))
+		queue.Submit(at(0), "e", newRequest(id, 1, 0))
 	}
-	must.Eq(t, []uint64{2, 3, 4}, of(b.RejectAll("e"), Reject))
-	must.SliceEmpty(t, b.RejectAll("e"))
-	must.Eq(t, 2, tell(b, at(1)).Running)
-	b.Offer(at(1), "e", ask(5, 1, 1))
-	must.Eq(t, []uint64{5}, of(b.Remove("e"), Reject))
-	must.SliceEmpty(t, b.Done(at(1), "e", 0, Served, ms))
-	_, ok := b.LoadReport(at(1), "e")
+	must.Eq(t, []uint64{2, 3, 4}, withDecision(queue.RejectAll("e"), Reject))
+	must.SliceEmpty(t, queue.RejectAll("e"))
+	must.Eq(t, 2, loadReportOf(queue, at(1)).Running)
+	queue.Submit(at(1), "e", newRequest(5, 1, 1))
+	must.Eq(t, []uint64{5}, withDecision(queue.Remove("e"), Reject))
+	must.SliceEmpty(t, queue.Done(at(1), "e", 0, Served, ms))
+	_, ok := queue.LoadReport(at(1), "e")
 	must.False(t, ok)
 }
 
-func tell(b *Queue, now monotime.Time) loadreport.Report {
-	out, _ := b.LoadReport(now, "e")
-	return out
+func loadReportOf(queue *Queue, now monotime.Time) loadreport.Report {
+	report, _ := queue.LoadReport(now, "e")
+	return report
 }
--- /dev/null
+++ b/mesh/attempt/path_test.go
@@ -0,0 +1,235 @@
+package attempt
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/mesh/retrybudget"
+)
+
+const start = monotime.Time(time.Second)
+
+func newPlanner(split ...validation.WeightedService) *Planner {
+	planner := New(start, "d", 1, retrybudget.Limits{})
+	planner.RetryBudget.Unlimited = true
+	planner.Enforce(&validation.Config{Revision: 1, Services: map[ident.Service]validation.Service{"a": {Hostname: "a", RetryRatio: 0.2}, "b": {Hostname: "b", RetryRatio: 0.2}},
+		Routes: []validation.Route{{Name: "w", Host: "h", PathPrefix: "/", Service: "a", Timeout: 4 * time.Second, MaxAttempts: 3, Split: split}}})
+	var records []record.Address
+	for _, service := range []ident.Service{"a", "b"} {
+		for i := range 3 {
+			records = append(records, record.Address{Workload: &record.Workload{UID: ident.Server(fmt.Sprint(service, i)), Service: service, SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Weight: 1, Status: record.Healthy}})
+		}
+	}
+	planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Records: records}})
+	return planner
+}
+
+// Every order of three verdicts, for a safe and an unsafe method: what may have run
+// is never tried again unless it is safe, "no" is never said after an unknown end,
+// and no server is tried twice.
+func TestAllOrdersOfOutcomes(t *testing.T) {
+	outcomes := []Outcome{Executed, NotExecuted, Unknown}
+	for _, method := range []string{"GET", "POST"} {
+		for n := range 27 {
+			planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: method, Caller: "c"}
+			must.Nil(t, planner.Route(start, call, 0))
+			unknown, seen := false, map[ident.Server]bool{}
+			for i := 0; ; i++ {
+				decision := planner.Next(start.Add(time.Duration(i)*time.Millisecond), call)
+				if decision.Failure != nil {
+					must.Eq(t, unknown, decision.Failure.Outcome == failure.OutcomeUnknown, must.Sprintf("%s %d: fate %s", method, n, decision.Failure.Outcome))
+					break
+				}
+				must.False(t, unknown && method == "POST", must.Sprintf("%d: an unknown POST was tried again", n))
+				must.False(t, seen[decision.Entry.UID])
+				seen[decision.Entry.UID] = true
+				outcome := outcomes[n/[]int{1, 3, 9}[i]%3]
+				unknown = unknown || outcome == Unknown
+				again := planner.Finished(start.Add(time.Duration(i)*time.Millisecond), call, Result{Outcome: outcome, Failure: &failure.Error{Kind: failure.LostResponse, Outcome: failure.OutcomeUnknown}})
+				if outcome == Executed {
+					must.False(t, again)
+					break
+				}
+				must.Eq(t, outcome == NotExecuted || method == "GET", again)
+				if !again {
+					must.Eq(t, failure.OutcomeUnknown, planner.FinalFailure(call).Outcome)
+					break
+				}
+			}
+		}
+	}
+}
+
+// What the way says of repeats goes before the method, for a try with unknown end.
+func TestRouteDecidesWhatMayRepeat(t *testing.T) {
+	for repeat, wantByMethod := range map[validation.RepeatPolicy]map[string]bool{
+		validation.ByMethod: {"GET": true, "POST": false}, validation.Repeatable: {"GET": true, "POST": true}, validation.Download: {"GET": true, "POST": true},
+		validation.OneShot: {"GET": false, "POST": false}, validation.Upload: {"GET": false, "PUT": false},
+	} {
+		for method, want := range wantByMethod {
+			planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: method, Caller: "c"}
+			planner.config.Routes[0].Repeat = repeat
+			must.Nil(t, planner.Route(start, call, 0))
+			must.Eq(t, want, call.Repeatable())
+			must.Nil(t, planner.Next(start, call).Failure)
+			must.Eq(t, want, planner.Finished(start, call, Result{Outcome: Unknown, Failure: failure.NewUnknown(failure.LostResponse, "x")}), must.Sprint(repeat, method))
+		}
+	}
+}
+
+// Parts finer than a hundredth are kept to.
+func TestFineSplitsHold(t *testing.T) {
+	planner, n := newPlanner(validation.WeightedService{Service: "b", Percent: 33, ExtraMillionths: 3333}), 0
+	for range 30000 {
+		call := &Call{Host: "h", Path: "/", Method: "GET"}
+		must.Nil(t, planner.Route(start, call, 0))
+		if call.Route.Service == "b" {
+			n++
+		}
+	}
+	must.Between(t, 9700, n, 10300)
+}
+
+// A session moves to the new service at most once while its part grows, and the parts
+// are kept to.
+func TestSessionsMoveOnce(t *testing.T) {
+	serviceBySession := map[string]ident.Service{}
+	for _, percent := range []int{0, 5, 25, 50, 100} {
+		planner := newPlanner(validation.WeightedService{Service: "b", Percent: percent})
+		moved := 0
+		for i := range 2000 {
+			session := fmt.Sprint("session", i)
+			call := &Call{Host: "h", Path: "/", Method: "GET", Session: session}
+			must.Nil(t, planner.Route(start, call, 0))
+			must.False(t, serviceBySession[session] == "b" && call.Route.Service == "a", must.Sprint("a session went back"))
+			serviceBySession[session] = call.Route.Service
+			if serviceBySession[session] == "b" {
+				moved++
+			}
+		}
+		must.Between(t, percent*20-60, moved, percent*20+60)
+	}
+}
+
+// Without a well workload the caller is told at once, and when to come back.
+func TestNoWorkloadFailsAtOnce(t *testing.T) {
+	planner := newPlanner()
+	planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 2}})
+	call := &Call{Host: "h", Path: "/", Method: "POST"}
+	must.Nil(t, planner.Route(start, call, 0))
+	err := planner.Next(start, call).Failure
+	must.NotNil(t, err)
+	must.Eq(t, 503, err.Status())
+	must.Eq(t, failure.NotExecuted, err.Outcome)
+	must.Positive(t, err.RetryAfter)
+	must.Eq(t, 404, planner.Route(start, &Call{Host: "other", Path: "/"}, 0).Status())
+}
+
+// A manifest below what was confirmed at the entry is never put in force, whichever
+// core or peer gives it.
+func TestNothingBelowMinRevisionIsEnforced(t *testing.T) {
+	planner := New(start, "d", 1, retrybudget.Limits{})
+	planner.MinRevision = 10
+	must.False(t, planner.Enforce(&validation.Config{Revision: 9}))
+	must.Eq(t, 0, planner.Revision())
+	must.True(t, planner.Enforce(&validation.Config{Revision: 10}))
+	must.False(t, planner.Enforce(&validation.Config{Revision: 10}))
+	must.Eq(t, 10, planner.Revision())
+}
+
+// All orders of four ends before the last try: only what may have arrived at an endpoint
+// is charged for, once, and counts against the way's tries; gates that refuse and dials
+// that fail cost nothing, but are not gone on with for ever.
+func TestOnlyArrivalsAreCharged(t *testing.T) {
+	results := []Result{{Outcome: NotExecuted, Rejected: true}, {Outcome: NotExecuted, Unreachable: true}, {Outcome: NotExecuted, ReachedEndpoint: true}, {Outcome: Unknown}}
+	for n := range 256 {
+		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
+		more := []record.Address{}
+		for i := range 12 {
+			more = append(more, record.Address{Workload: &record.Workload{UID: ident.Server(fmt.Sprint("more", i)), Service: "a", SidecarAddr: ident.Addr(fmt.Sprint("m", i)), Weight: 1, Status: record.Healthy}})
+		}
+		planner.Index.Merge([]record.Set{{Author: "m", LeaseEpoch: 1, Records: more}})
+		must.Nil(t, planner.Route(start, call, 0))
+		charged, uncharged, retries := 0, 0, 0
+		for i := 0; ; i++ {
+			decision := planner.Next(start, call)
+			if charged == 3 || uncharged > maxUncharged {
+				must.NotNil(t, decision.Failure)
+				break
+			}
+			must.Nil(t, decision.Failure)
+			must.Eq(t, charged > 0, decision.Retry)
+			must.Eq(t, charged > 0, decision.RepeatChance == 1)
+			retries = charged // one for each that follows an arrival, and never twice
+			must.Eq(t, uint64(retries), planner.RetryBudget.Granted, must.Sprint(n, i))
+			result := results[[]int{n % 4, n / 4 % 4, n / 16 % 4, n / 64 % 4}[i%4]]
+			result.Failure = &failure.Error{Kind: failure.LostResponse}
+			if result.Outcome == Unknown || result.ReachedEndpoint {
+				charged++
+			} else {
+				uncharged++
+			}
+			must.True(t, planner.Finished(start, call, result))
+		}
+	}
+}
+
+// A machine that refuses everything sees no more than a few tries of a call.
+func TestUnchargedAttemptsAreBounded(t *testing.T) {
+	planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "POST"}
+	planner.RetryBudget.Unlimited = false
+	must.Nil(t, planner.Route(start, call, 0))
+	n := 0
+	for ; planner.Next(start, call).Failure == nil; n++ {
+		delete(call.tried, call.current.UID)
+		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Failure: &failure.Error{}}))
+	}
+	must.Eq(t, maxUncharged+1, n)
+	must.Eq(t, uint64(0), planner.RetryBudget.Granted+planner.RetryBudget.Denied)
+}
+
+// A try has all the time that is left, however often the call may go again: an endpoint
+// that is silent may be at work, and to break it off is to drop the request.
+func TestAttemptHasAllTheTimeLeft(t *testing.T) {
+	planner := newPlanner()
+	for _, method := range []string{"GET", "POST"} {
+		for _, requestedTimeout := range []time.Duration{0, time.Second} {
+			call := &Call{Host: "h", Path: "/", Method: method}
+			must.Nil(t, planner.Route(start, call, requestedTimeout))
+			decision := planner.Next(start, call)
+			must.Nil(t, decision.Failure)
+			must.Eq(t, call.Deadline.Since(start), decision.Timeout, must.Sprint(method, requestedTimeout))
+		}
+	}
+}
+
+// A repeat that finds no room at a gate says nothing of the endpoint behind it, so first
+// tries still go there; any other refusal of a gate sends them around it.
+func TestBusyRepeatLeavesTheEndpointAlone(t *testing.T) {
+	for kind, chosen := range map[failure.Kind]bool{failure.Busy: true, failure.EndpointRejected: false} {
+		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
+		must.Nil(t, planner.Route(start, call, 0))
+		must.Nil(t, planner.Next(start, call).Failure)
+		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, ReachedEndpoint: true, Failure: &failure.Error{Kind: failure.Busy}}))
+		retry := planner.Next(start, call)
+		must.True(t, retry.Retry)
+		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Failure: &failure.Error{Kind: kind}}))
+		seen := false
+		for range 100 {
+			next := &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
+			must.Nil(t, planner.Route(start, next, 0))
+			decision := planner.Next(start, next)
+			seen = seen || decision.Entry.UID == retry.Entry.UID
+			planner.Finished(start, next, Result{Outcome: Executed})
+		}
+		must.Eq(t, chosen, seen, must.Sprint(kind))
+	}
+}
--- /dev/null
+++ b/mesh/attempt/told_test.go
@@ -0,0 +1,34 @@
+package attempt
+
+import (
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/mesh/loadreport"
+)
+
+// What a gate tells reaches the picker with every kind of end; one that its bay turned away
+// goes elsewhere as one that must, and the endpoint is not suspect for it, only busy.
+func TestLoadReportsReachTheBalancer(t *testing.T) {
+	planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: "POST"}
+	must.Nil(t, planner.Route(start, call, 0))
+	first := planner.Next(start, call)
+	must.False(t, first.LastResort)
+	must.Eq(t, 0, first.MeanWork)
+	must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Shed: true, LoadReport: &loadreport.Report{Running: 7, Waiting: 20, Slots: 6, RelativeTime: 1}}))
+	next := planner.Next(start, call)
+	must.True(t, next.LastResort)
+	must.NotEq(t, first.Entry.UID, next.Entry.UID)
+	must.False(t, planner.Finished(start, call, Result{Outcome: Executed, Elapsed: 80 * time.Millisecond, ResponseBytes: 100, LoadReport: &loadreport.Report{Running: 1, Slots: 6, RelativeTime: 1}}))
+	for range 50 {
+		entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
+		must.NotEq(t, first.Entry.UID, entry.UID)
+	}
+	// Were it suspect, it would not be chosen now.
+	planner.Balancer.HandleReport(start, first.Entry.UID, loadreport.Report{Slots: 6, RelativeTime: 0.1})
+	entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
+	must.Eq(t, first.Entry.UID, entry.UID)
+	must.Eq(t, 80*time.Millisecond, planner.Balancer.MeanWork("w"))
+}
--- a/mesh/link/inbound.go
+++ b/mesh/bandwidth/inbound.go
@@ -1,10 +1,10 @@
-package link
+package bandwidth
 
 import "time"
 
-// receiveMost is how long the link may need for all large bodies that are received at once. A
+// maxReceiveTime is how long the link may need for all large bodies that are received at once. A
 // configuration takes some round trips, and each waits behind them.
-const receiveMost = 200 * time.Millisecond
+const maxReceiveTime = 200 * time.Millisecond
 
 // Inbound bounds the large bodies that other machines send to this one at the same time: they
 // fill the link in, and whatever else comes, configurations too, waits behind them. It is a
@@ -16,30 +16,30 @@
 
 // NewInbound makes the inbound side of a link that carries so many bytes a second, 0 for
 // unknown.
-func NewInbound(bytesPerSecond float64) *Inbound { return &Inbound{rate: bytesPerSecond * part} }
+func NewInbound(bytesPerSecond float64) *Inbound { return &Inbound{rate: bytesPerSecond * usableShare} }
 
 // Admit decides whether a body of so many bytes may be sent now. An admitted one must be ended
 // with Received; a refused one may come back after retryAfter. While nothing is received, any
 // size is admitted. No request is let by for want of another machine: where all are full, each
 // would be late with its configurations.
-func (l *Inbound) Admit(bytes int64) (retryAfter time.Duration, ok bool) {
-	if l.rate <= 0 {
+func (i *Inbound) Admit(bytes int64) (retryAfter time.Duration, ok bool) {
+	if i.rate <= 0 {
 		return 0, true
 	}
-	wait := l.span(l.receiving)
-	if bytes > smallBytes && wait > 0 && wait+l.span(float64(bytes)) > receiveMost {
-		return max(wait-receiveMost/2, l.span(float64(bytes))), false
+	wait := i.transferTime(i.receiving)
+	if bytes > smallBytes && wait > 0 && wait+i.transferTime(float64(bytes)) > maxReceiveTime {
+		return max(wait-maxReceiveTime/2, i.transferTime(float64(bytes))), false
 	}
-	l.receiving += float64(bytes)
+	i.receiving += float64(bytes)
 	return 0, true
 }
 
 // Received ends an admitted body, whether or not it came whole.
-func (l *Inbound) Received(bytes int64) { l.receiving = max(0, l.receiving-float64(bytes)) }
+func (i *Inbound) Received(bytes int64) { i.receiving = max(0, i.receiving-float64(bytes)) }
 
-func (l *Inbound) span(bytes float64) time.Duration {
-	if l.rate <= 0 {
+func (i *Inbound) transferTime(bytes float64) time.Duration {
+	if i.rate <= 0 {
 		return 0
 	}
-	return time.Duration(bytes / l.rate * float64(time.Second))
+	return time.Duration(bytes / i.rate * float64(time.Second))
 }
--- a/mesh/link/inbound_test.go
+++ b/mesh/bandwidth/inbound_test.go
@@ -1,4 +1,4 @@
-package link
+package bandwidth
 
 import (
 	"math/rand/v2"
@@ -11,19 +11,19 @@
 // While a large body is received no other is admitted that would make the link late; small ones
 // always are, and a body alone is never refused.
 func TestLargeBodiesAreSpaced(t *testing.T) {
-	l := NewInbound(6 * megabit)
-	_, ok := l.Admit(5_000_000)
+	link := NewInbound(6 * megabit)
+	_, ok := link.Admit(5_000_000)
 	must.True(t, ok)
-	back, ok := l.Admit(answer)
+	retryAfter, ok := link.Admit(responseBytes)
 	must.False(t, ok)
-	must.Positive(t, back)
-	_, ok = l.Admit(smallBytes)
+	must.Positive(t, retryAfter)
+	_, ok = link.Admit(smallBytes)
 	must.True(t, ok)
-	l.Received(5_000_000)
-	l.Received(smallBytes)
-	_, ok = l.Admit(answer)
+	link.Received(5_000_000)
+	link.Received(smallBytes)
+	_, ok = link.Admit(responseBytes)
 	must.True(t, ok)
-	_, ok = l.Admit(answer)
+	_, ok = link.Admit(responseBytes)
 	must.False(t, ok)
 	unknown := NewInbound(0)
 	for range 100 {
@@ -36,30 +36,30 @@
 // waits at the link is carried soon, so that a configuration behind it is in time, and the
 // link is still used; without it the wait grows without end.
 func TestBodiesBeyondTheLink(t *testing.T) {
-	const rate, step, span = 6 * megabit, 5 * time.Millisecond, 20 * time.Second
+	const rate, step, length = 6 * megabit, 5 * time.Millisecond, 20 * time.Second
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(1, 2))
-		l := NewInbound(rate)
-		type body struct{ size, left float64 }
+		link := NewInbound(rate)
+		type body struct{ size, budget float64 }
 		var queue []body // on the link, in order
 		waiting, longest, carried := 0.0, 0.0, 0.0
-		for now := time.Duration(0); now < span; now += step {
+		for now := time.Duration(0); now < length; now += step {
 			for range 2 {
 				size := float64(20_000 + rng.IntN(80_000))
 				if rng.Float64() > 4*rate*step.Seconds()/60_000/2 {
 					continue
 				}
-				if _, ok := l.Admit(int64(size)); ok || !admission {
+				if _, ok := link.Admit(int64(size)); ok || !admission {
 					queue = append(queue, body{size, size})
 					waiting += size
 				}
 			}
-			for left := rate * step.Seconds(); left > 0 && len(queue) > 0; {
-				part := min(left, queue[0].left)
-				queue[0].left -= part
-				left, waiting, carried = left-part, waiting-part, carried+part
-				if queue[0].left <= 0 {
-					l.Received(int64(queue[0].size))
+			for budget := rate * step.Seconds(); budget > 0 && len(queue) > 0; {
+				part := min(budget, queue[0].budget)
+				queue[0].budget -= part
+				budget, waiting, carried = budget-part, waiting-part, carried+part
+				if queue[0].budget <= 0 {
+					link.Received(int64(queue[0].size))
 					queue = queue[1:]
 				}
 			}
@@ -70,6 +70,6 @@
 			continue
 		}
 		must.Less(t, 0.25, longest)
-		must.Greater(t, 0.8*rate*span.Seconds(), carried)
+		must.Greater(t, 0.8*rate*length.Seconds(), carried)
 	}
 }
--- a/mesh/link/link_test.go
+++ b/mesh/bandwidth/link_test.go
@@ -1,4 +1,4 @@
-package link
+package bandwidth
 
 import (
 	"math/rand/v2"
@@ -7,47 +7,47 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/monotime"
 )
 
 const (
-	megabit = 1e6 / 8
-	answer  = 90_000
+	megabit       = 1e6 / 8
+	responseBytes = 90_000
 )
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
 // The first large answer is admitted whatever its size; while it is expected, no other is
 // that would wait too long, and what was refused is admitted when it was told to come back.
-func TestLargeAnswersAreSpaced(t *testing.T) {
-	l := New(11 * megabit)
-	_, ok := l.Admit(at(0), 2_000_000, false)
+func TestLargeResponsesAreSpaced(t *testing.T) {
+	link := NewOutbound(11 * megabit)
+	_, ok := link.Admit(at(0), 2_000_000, false)
 	must.True(t, ok)
-	_, ok = l.Admit(at(0), answer, false)
+	_, ok = link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
-	l.Sent(at(0), 2_000_000, 0) // it ended without an answer
-	_, ok = l.Admit(at(0), answer, false)
+	link.Sent(at(0), 2_000_000, 0) // it ended without an answer
+	_, ok = link.Admit(at(0), responseBytes, false)
 	must.True(t, ok)
-	l.Sent(at(0), answer, 4*answer) // it was larger than was expected
-	back, ok := l.Admit(at(0), answer, false)
+	link.Sent(at(0), responseBytes, 4*responseBytes) // it was larger than was expected
+	retryAfter, ok := link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
-	_, ok = l.Admit(at(back), answer, false)
+	_, ok = link.Admit(at(retryAfter), responseBytes, false)
 	must.True(t, ok)
 }
 
 // Small answers pass a full link, one that must be served here waits longer, and a link of
 // unknown speed bounds nothing.
 func TestWhatAFullLinkAdmits(t *testing.T) {
-	l := New(11 * megabit)
-	l.Sent(at(0), 0, 600_000)
-	must.Positive(t, l.Wait(at(0)))
-	_, ok := l.Admit(at(0), smallBytes, false)
+	link := NewOutbound(11 * megabit)
+	link.Sent(at(0), 0, 600_000)
+	must.Positive(t, link.Wait(at(0)))
+	_, ok := link.Admit(at(0), smallBytes, false)
 	must.True(t, ok)
-	_, ok = l.Admit(at(0), answer, false)
+	_, ok = link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
-	_, ok = l.Admit(at(0), answer, true)
+	_, ok = link.Admit(at(0), responseBytes, true)
 	must.True(t, ok)
-	unknown := New(0)
+	unknown := NewOutbound(0)
 	for range 100 {
 		_, ok = unknown.Admit(at(0), 1<<30, false)
 		must.True(t, ok)
@@ -62,7 +62,7 @@
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		rate := 11 * megabit
-		l := New(rate)
+		link := NewOutbound(rate)
 		queued, longest, carried := 0.0, 0.0, 0.0
 		running := map[monotime.Time][]int{}
 		step := 2 * time.Millisecond
@@ -70,16 +70,16 @@
 			took := min(queued, rate*step.Seconds())
 			queued, carried = queued-took, carried+took
 			for _, size := range running[now] {
-				l.Sent(now, answer, size)
+				link.Sent(now, responseBytes, size)
 				queued += float64(size)
 				longest = max(longest, queued/rate)
 			}
-			if rng.Float64() > 2*rate/answer*step.Seconds() {
+			if rng.Float64() > 2*rate/responseBytes*step.Seconds() {
 				continue
 			}
-			if _, ok := l.Admit(now, answer, false); ok || !admission {
+			if _, ok := link.Admit(now, responseBytes, false); ok || !admission {
 				end := now.Add(time.Duration(20+rng.IntN(120)) * step)
-				running[end] = append(running[end], answer/2+rng.IntN(answer))
+				running[end] = append(running[end], responseBytes/2+rng.IntN(responseBytes))
 			}
 		}
 		used := carried / rate / 20
--- /dev/null
+++ b/mesh/endpoint/gate_test.go
@@ -0,0 +1,169 @@
+package endpoint
+
+import (
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
+
+func newHeartbeat(server ident.Server, service ident.Service, addr ident.Addr, state State) Heartbeat {
+	return Heartbeat{Server: server, Service: service, Addr: addr, State: state}
+}
+
+// permutations gives every order of n things.
+func permutations(n int) [][]int {
+	if n == 0 {
+		return [][]int{{}}
+	}
+	var all [][]int
+	for _, shorter := range permutations(n - 1) {
+		for i := range n {
+			permutation := append(append(append([]int{}, shorter[:i]...), n-1), shorter[i:]...)
+			all = append(all, permutation)
+		}
+	}
+	return all
+}
+
+// A leaving, a sign-off, late beats and the address passing to another service, in
+// every order: once a server has left or signed off, or another beats at its
+// address, nothing passes to it.
+func TestAllOrdersOfLeavingAndReuse(t *testing.T) {
+	heartbeats := []Heartbeat{
+		newHeartbeat("a", "one", "ip:1", Alive),
+		newHeartbeat("a", "one", "ip:1", Leaving),
+		newHeartbeat("a", "one", "ip:1", Gone),
+		newHeartbeat("b", "two", "ip:1", Alive),
+		newHeartbeat("a", "one", "ip:1", Alive),
+	}
+	for _, order := range permutations(len(heartbeats)) {
+		tracker := New()
+		now := at(0)
+		left := false
+		var lastAtAddr ident.Server
+		for step, i := range order {
+			now = now.Add(20 * time.Millisecond)
+			tracker.Tick(now)
+			heartbeat := heartbeats[i]
+			_, err := tracker.HandleHeartbeat(now, heartbeat)
+			must.Nil(t, err)
+			left = left || heartbeat.Server == "a" && heartbeat.State != Alive
+			if heartbeat.State != Gone {
+				lastAtAddr = heartbeat.Server
+			}
+			addr, _, rejection := tracker.Check(now, "a", "one")
+			if left {
+				must.NotNil(t, rejection, must.Sprintf("order %v step %d: passed to a server that left", order, step))
+			}
+			if rejection == nil {
+				must.Eq(t, "a", lastAtAddr, must.Sprintf("order %v step %d: address is another's", order, step))
+				must.Eq(t, ident.Addr("ip:1"), addr)
+			}
+			_, _, rejection = tracker.Check(now, "b", "one")
+			must.NotNil(t, rejection, must.Sprint("passed as a service it does not serve"))
+		}
+	}
+}
+
+// A silent endpoint is forgotten well inside reuseAfterS, and its connections with it.
+func TestSilentEndpointIsForgottenInTime(t *testing.T) {
+	tracker := New()
+	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
+	closedAfter, rejectedAfter := time.Duration(0), time.Duration(0)
+	for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += 40 * time.Millisecond {
+		if change := tracker.Tick(at(elapsed)); len(change.CloseAddrs) > 0 && closedAfter == 0 {
+			closedAfter = elapsed
+		}
+		if _, _, rejection := tracker.Check(at(elapsed), "a", "one"); rejection != nil && rejectedAfter == 0 {
+			rejectedAfter = elapsed
+		}
+	}
+	must.Between(t, HeartbeatTimeout, rejectedAfter, 1300*time.Millisecond)
+	must.Between(t, HeartbeatTimeout, closedAfter, 1300*time.Millisecond)
+	must.SliceEmpty(t, tracker.Workloads())
+}
+
+// After this process was held up, beats that may have lain in a socket make nobody
+// well, nothing passes, and fresh beats count again soon.
+func TestHeartbeatsFromBeforeAFreezeAreNotTrusted(t *testing.T) {
+	tracker := New()
+	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
+	tracker.Tick(at(0))
+	thaw := 5 * time.Second
+	_, _ = tracker.HandleHeartbeat(at(thaw), newHeartbeat("a", "one", "ip:1", Alive)) // sent long ago
+	_, _, err := tracker.Check(at(thaw), "a", "one")
+	must.NotNil(t, err)
+	tracker.Tick(at(thaw + time.Millisecond))
+	_, _ = tracker.HandleHeartbeat(at(thaw+2*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err = tracker.Check(at(thaw+3*time.Millisecond), "a", "one")
+	must.NotNil(t, err)
+	for elapsed := 40 * time.Millisecond; elapsed < 900*time.Millisecond; elapsed += 40 * time.Millisecond {
+		tracker.Tick(at(thaw + elapsed))
+	}
+	_, _ = tracker.HandleHeartbeat(at(thaw+900*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err = tracker.Check(at(thaw+901*time.Millisecond), "a", "one")
+	must.Nil(t, err)
+}
+
+// A refused connection makes the endpoint unwell at once and for a while.
+func TestRefusedConnectionIsUnhealthy(t *testing.T) {
+	tracker := New()
+	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
+	must.True(t, tracker.ConnectFailed(at(10*time.Millisecond), "a").Updated)
+	must.Eq(t, record.Unhealthy, tracker.Workloads()[0].Status)
+	_, _ = tracker.HandleHeartbeat(at(300*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err := tracker.Check(at(301*time.Millisecond), "a", "one")
+	must.NotNil(t, err)
+	tracker.Tick(at(600 * time.Millisecond))
+	_, _ = tracker.HandleHeartbeat(at(900*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err = tracker.Check(at(901*time.Millisecond), "a", "one")
+	must.Nil(t, err)
+}
+
+// An endpoint that beats once a second stays well; when it falls silent it is still
+// forgotten inside reuseAfterS.
+func TestSlowHeartbeatsAreTolerated(t *testing.T) {
+	tracker := New()
+	lastHeartbeat := time.Duration(0)
+	rejections := 0
+	for elapsed := time.Duration(0); elapsed < 20*time.Second; elapsed += 40 * time.Millisecond {
+		tracker.Tick(at(elapsed))
+		if elapsed%time.Second == 0 || elapsed%time.Second == 120*time.Millisecond && elapsed/time.Second%2 == 1 {
+			if elapsed < 15*time.Second {
+				_, _ = tracker.HandleHeartbeat(at(elapsed), newHeartbeat("a", "one", "ip:1", Alive))
+				lastHeartbeat = elapsed
+			}
+		}
+		_, _, rejection := tracker.Check(at(elapsed), "a", "one")
+		if rejection != nil && elapsed < 15*time.Second && elapsed > 5*time.Second {
+			rejections++
+		}
+		if elapsed > 15*time.Second {
+			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout, must.Sprintf("passed %v after the last beat", elapsed-lastHeartbeat))
+		}
+	}
+	must.Eq(t, 0, rejections)
+}
+
+// An endpoint that first beats while its machine stops gets nothing any more. Found by
+// seed 30185: a stop went on for ever, since requests went on coming.
+func TestNoEndpointIsHealthyOnAMachineThatStops(t *testing.T) {
+	tracker := New()
+	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
+	must.True(t, tracker.DrainAll(at(time.Millisecond)).Updated)
+	_, _ = tracker.HandleHeartbeat(at(2*time.Millisecond), newHeartbeat("b", "one", "ip:2", Alive))
+	for _, server := range []ident.Server{"a", "b"} {
+		_, _, err := tracker.Check(at(3*time.Millisecond), server, "one")
+		must.NotNil(t, err)
+	}
+	for _, workload := range tracker.Workloads() {
+		must.Eq(t, record.Draining, workload.Status)
+	}
+}
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"cottonarch.example/cottonarch/control/coordination/share"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/mesh/allowance"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/coordination/quota"
+	"cottonarch.example/cottonarch/mesh/retrybudget"
 )
 
 const (
-	askEvery   = 5 * time.Second
-	askTimeout = 4 * time.Second
+	requestInterval = 5 * time.Second
+	requestTimeout  = 4 * time.Second
 )
 
 // BudgetShare is a sidecar's own view of its share. Invariants: Usable is never above what
@@ -19,7 +19,7 @@
 // response to that or a later question says more.
 type BudgetShare struct {
 	// Terms are this sidecar's own; the smaller of its total and the cores' rules.
-	Terms       allowance.Terms
+	Terms       retrybudget.Limits
 	total       int
 	granted     int
 	usable      int
@@ -27,71 +27,71 @@
 	loweredAt   monotime.Time
 	seq         uint64
 	outstanding bool
-	askedAt     monotime.Time
+	requestedAt monotime.Time
 }
 
-// Begin takes the first grant of a lease.
-func (p *BudgetShare) Begin(now monotime.Time, t share.Told) {
-	*p = BudgetShare{Terms: p.Terms, total: p.least(t), granted: t.N, usable: min(t.N, t.Fair), fair: t.Fair, askedAt: now, loweredAt: now}
+// Start takes the first grant of a lease.
+func (budget *BudgetShare) Start(now monotime.Time, grant quota.Share) {
+	*budget = BudgetShare{Terms: budget.Terms, total: budget.totalWithin(grant), granted: grant.Amount, usable: min(grant.Amount, grant.FairShare), fair: grant.FairShare, requestedAt: now, loweredAt: now}
 }
 
-// least is the smaller of the own total and the one that was told.
-func (p *BudgetShare) least(t share.Told) int {
-	own := p.Terms.Whole().Extra
-	if t.Total != 0 {
-		return min(own, t.Total)
+// totalWithin is the smaller of the own total and the one that was told.
+func (budget *BudgetShare) totalWithin(grant quota.Share) int {
+	own := budget.Terms.WithDefaults().Extra
+	if grant.Total != 0 {
+		return min(own, grant.Total)
 	}
 	return own
 }
 
 // Usable is what may be spent of the share.
-func (p *BudgetShare) Usable() int { return p.usable }
+func (budget *BudgetShare) Usable() int { return budget.usable }
 
-// Members tells how many sidecars a core sees now; more of them lower what is used at
+// SetMembers tells how many sidecars a core sees now; more of them lower what is used at
 // once.
-func (p *BudgetShare) Members(now monotime.Time, n int) {
-	p.fair = share.Fair(p.total, n)
-	p.lower(now)
+func (budget *BudgetShare) SetMembers(now monotime.Time, members int) {
+	budget.fair = quota.FairShare(budget.total, members)
+	budget.lowerToFair(now)
 }
 
-// lower uses no more than the fair share, from now on.
-func (p *BudgetShare) lower(now monotime.Time) {
-	if p.fair < p.usable {
-		p.usable, p.loweredAt = p.fair, now
+// lowerToFair uses no more than the fair share, from now on.
+func (budget *BudgetShare) lowerToFair(now monotime.Time) {
+	if budget.fair < budget.usable {
+		budget.usable, budget.loweredAt = budget.fair, now
 	}
 }
 
-// Ask gives the question to send to a core now, if there is one: a promise to use
+// NextRequest gives the question to send to a core now, if there is one: a promise to use
 // less, or the wish for more.
-func (p *BudgetShare) Ask(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (share.Args, bool) {
-	if p.outstanding && now.Since(p.askedAt) < askTimeout {
-		return share.Args{}, false
+func (budget *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (quota.Args, bool) {
+	if budget.outstanding && now.Since(budget.requestedAt) < requestTimeout {
+		return quota.Args{}, false
 	}
-	promise := p.usable < p.granted && now.Since(p.loweredAt) > p.Terms.Settle()
-	wish := p.usable == p.granted && p.granted < p.fair && now.Since(p.askedAt) > askEvery
-	if !promise && !wish {
-		return share.Args{}, false
+	lower := budget.usable < budget.granted && now.Since(budget.loweredAt) > budget.Terms.SettleTime()
+	raise := budget.usable == budget.granted && budget.granted < budget.fair && now.Since(budget.requestedAt) > requestInterval
+	if !lower && !raise {
+		return quota.Args{}, false
 	}
-	p.seq++
-	p.outstanding, p.askedAt = true, now
-	using := p.usable
-	return share.Args{Node: node, Claim: leaseEpoch, Using: &using, Seq: p.seq, Total: p.Terms.Whole().Extra}, true
+	budget.seq++
+	budget.outstanding, budget.requestedAt = true, now
+	using := budget.usable
+	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &using, Seq: budget.seq, Total: budget.Terms.WithDefaults().Extra}, true
 }
 
-// Granted takes the response to a question; only that to the newest counts.
-func (p *BudgetShare) Granted(now monotime.Time, t share.Told) {
-	if t.Seq != p.seq || !p.outstanding {
+// ApplyGrant takes the response to a question; only that to the newest counts.
+func (budget *BudgetShare) ApplyGrant(now monotime.Time, grant quota.Share) {
+	if grant.Seq != budget.seq || !budget.outstanding {
 		return
 	}
-	p.outstanding, p.granted = false, t.N
-	if total := p.least(t); total != p.total {
-		p.total, p.fair = total, min(t.Fair, share.Most(total))
-		p.lower(now)
+	budget.outstanding, budget.granted = false, grant.Amount
+	if total := budget.totalWithin(grant); total != budget.total {
+		budget.total, budget.fair = total, min(grant.FairShare, quota.MaxShare(total))
+		budget.lowerToFair(now)
 	}
-	if up := min(t.N, p.fair); up > p.usable {
-		p.usable = up
+	if usable := min(grant.Amount, budget.fair); usable > budget.usable {
+		budget.usable = usable
 	}
-	if p.usable > t.N {
-		p.usable = t.N
+	if budget.usable > grant.Amount {
+		budget.usable = grant.Amount
 	}
 }
--- a/mesh/lease/holder/budgetshare_test.go
+++ b/mesh/lease/holder/budgetshare_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/coordination/share"
+	"cottonarch.example/cottonarch/control/coordination/quota"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 )
 
 // Forty sidecars join one after the other; questions and responses are lost, late,
@@ -23,69 +23,69 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		var value json.RawMessage
-		mach := share.Handlers()
-		do := func(a share.Args) (told share.Told, ok bool) {
-			v := mach.Apply(proposer.Context{}, value, proposer.Operation{Kind: "share/take", Args: operation.Encode(a)})
+		handlers := quota.Handlers()
+		apply := func(a quota.Args) (grant quota.Share, ok bool) {
+			v := handlers.Apply(proposer.Context{}, value, proposer.Operation{Kind: "share/take", Args: operation.Encode(a)})
 			if v.Changed {
 				value = v.Value
 			}
-			return told, v.Failure == nil && json.Unmarshal(v.Body, &told) == nil
+			return grant, v.Failure == nil && json.Unmarshal(v.Body, &grant) == nil
 		}
 		type late struct {
-			at monotime.Time
-			do func()
+			arrivesAt monotime.Time
+			apply     func()
 		}
-		var post []late
-		parts := map[int]*BudgetShare{}
+		var inTransit []late
+		shares := map[int]*BudgetShare{}
 		peak := map[int][]int{} // what each could use, by tenth of a second
-		const all = 40
+		const nodes = 40
 		for tenth := 0; tenth < 3000; tenth++ {
 			now := monotime.Time(tenth+10) * monotime.Time(100*time.Millisecond)
-			if n := len(parts); n < all && tenth%(1+rng.IntN(40)) == 0 {
-				p := &BudgetShare{}
-				told, ok := do(share.Args{Node: ident.Node(fmt.Sprint(n)), Claim: 1})
+			if n := len(shares); n < nodes && tenth%(1+rng.IntN(40)) == 0 {
+				budget := &BudgetShare{}
+				grant, ok := apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
 				must.True(t, ok)
-				p.Begin(now, told)
-				parts[n] = p
+				budget.Start(now, grant)
+				shares[n] = budget
 			}
-			list := post
-			post = nil
-			for _, l := range list {
-				if l.at <= now {
-					l.do() // may post its response
+			due := inTransit
+			inTransit = nil
+			for _, message := range due {
+				if message.arrivesAt <= now {
+					message.apply() // may post its response
 				} else {
-					post = append(post, l)
+					inTransit = append(inTransit, message)
 				}
 			}
-			for i := range len(parts) {
-				p := parts[i]
+			for i := range len(shares) {
+				budget := shares[i]
 				if rng.IntN(3) == 0 {
-					p.Members(now, len(parts))
+					budget.SetMembers(now, len(shares))
 				}
-				a, ok := p.Ask(now, ident.Node(fmt.Sprint(i)), 1)
+				a, ok := budget.NextRequest(now, ident.Node(fmt.Sprint(i)), 1)
 				for copies := rng.IntN(3); ok && copies > 0; copies-- { // lost, once or doubled
-					at := now.Add(time.Duration(rng.IntN(6000)) * time.Millisecond)
-					post = append(post, late{at, func() {
-						if told, ok := do(a); ok && rng.IntN(4) > 0 {
-							back := at.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
-							post = append(post, late{back, func() { p.Granted(back, told) }})
+					arrivesAt := now.Add(time.Duration(rng.IntN(6000)) * time.Millisecond)
+					inTransit = append(inTransit, late{arrivesAt, func() {
+						if grant, ok := apply(a); ok && rng.IntN(4) > 0 {
+							returnsAt := arrivesAt.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
+							inTransit = append(inTransit, late{returnsAt, func() { budget.ApplyGrant(returnsAt, grant) }})
 						}
 					}})
 				}
 			}
 			sum := 0
-			for i := range len(parts) {
-				peak[i] = append(peak[i], parts[i].Usable())
+			for i := range len(shares) {
+				peak[i] = append(peak[i], shares[i].Usable())
 				top := 0
 				for _, u := range peak[i][max(0, len(peak[i])-100):] {
 					top = max(top, u)
 				}
 				sum += top
 			}
-			must.LessEq(t, share.Total, sum, must.Sprintf("seed %d: %d usable within one window", seed, sum))
+			must.LessEq(t, quota.DefaultTotal, sum, must.Sprintf("seed %d: %d usable within one window", seed, sum))
 		}
-		for i := range all {
-			must.Eq(t, share.Fair(share.Total, all), parts[i].Usable(), must.Sprintf("seed %d node %d", seed, i))
+		for i := range nodes {
+			must.Eq(t, quota.FairShare(quota.DefaultTotal, nodes), shares[i].Usable(), must.Sprintf("seed %d node %d", seed, i))
 		}
 	}
 }
--- a/mesh/lease/joiner/joiner.go
+++ b/mesh/lease/joiner/joiner.go
@@ -9,90 +9,90 @@
 	"slices"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
-	"cottonarch.example/cottonarch/mesh/registry/record"
 )
 
 const (
-	// Patience is how long one join may take: longer than a core lets it wait, so that the
+	// JoinTimeout is how long one join may take: longer than a core lets it wait, so that the
 	// core's answer, and not this bound, ends it.
-	Patience = 2 * time.Second
+	JoinTimeout = 2 * time.Second
 	// A core that failed without saying when to come back is followed by another after
 	// pauseLeast; each further failure doubles the pause up to pauseMost.
-	pauseLeast = 30 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
+	minBackoff = 30 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
 )
 
 // Joiner is the step function. Invariants: no join begins before the pause that the last
 // failure asked for is over; the cores are asked in an order that is the sidecar's own,
 // those that failed last of all.
 type Joiner struct {
-	Node     ident.Node
-	District ident.District
-	failed   map[ident.Addr]monotime.Time
-	next     monotime.Time
-	pause    time.Duration
-	tries    uint64
+	Node        ident.Node
+	Zone        ident.Zone
+	lastFailure map[ident.Addr]monotime.Time
+	notBefore   monotime.Time
+	backoff     time.Duration
+	attempts    uint64
 }
 
 // New makes one for a sidecar.
-func New(node ident.Node, district ident.District) *Joiner {
-	return &Joiner{Node: node, District: district, failed: map[ident.Addr]monotime.Time{}}
+func New(node ident.Node, zone ident.Zone) *Joiner {
+	return &Joiner{Node: node, Zone: zone, lastFailure: map[ident.Addr]monotime.Time{}}
 }
 
-// Wait is how long no join may begin.
-func (j *Joiner) Wait(now monotime.Time) time.Duration { return max(0, j.next.Since(now)) }
+// Backoff is how long no join may begin.
+func (j *Joiner) Backoff(now monotime.Time) time.Duration { return max(0, j.notBefore.Since(now)) }
 
-// Core chooses the core to ask next, "" if none is known. Places tell the districts of
+// NextCore chooses the core to ask next, "" if none is known. Places tell the districts of
 // those that a core has told of: the own district goes first.
-func (j *Joiner) Core(cores []ident.Addr, places []record.Place) ident.Addr {
-	class := map[ident.Addr]int{}
+func (j *Joiner) NextCore(cores []ident.Addr, locations []record.CoreLocation) ident.Addr {
+	distance := map[ident.Addr]int{}
 	for _, a := range cores {
-		class[a] = 2 // no core has told of it
+		distance[a] = 2 // no core has told of it
 	}
-	for _, p := range places {
-		class[p.Addr] = 1
-		if p.District == j.District {
-			class[p.Addr] = 0
+	for _, location := range locations {
+		distance[location.Addr] = 1
+		if location.Zone == j.Zone {
+			distance[location.Addr] = 0
 		}
 	}
 	if len(cores) == 0 {
 		return ""
 	}
 	return slices.MinFunc(cores, func(a, b ident.Addr) int {
-		return cmp.Or(cmp.Compare(j.failed[a], j.failed[b]), cmp.Compare(class[a], class[b]),
-			cmp.Compare(holder.Weight(j.Node, b), holder.Weight(j.Node, a)))
+		return cmp.Or(cmp.Compare(j.lastFailure[a], j.lastFailure[b]), cmp.Compare(distance[a], distance[b]),
+			cmp.Compare(holder.RendezvousWeight(j.Node, b), holder.RendezvousWeight(j.Node, a)))
 	})
 }
 
-// Refused takes a core's word to come back after a while: until then no core is asked, for
+// HandleRejection takes a core's word to come back after a while: until then no core is asked, for
 // what keeps one from granting leases keeps the others too.
-func (j *Joiner) Refused(now monotime.Time, core ident.Addr, after time.Duration) {
-	j.tries++
-	j.failed[core] = now
-	j.next = now.Add(after + time.Duration(j.fraction()*float64(after)/4))
+func (j *Joiner) HandleRejection(now monotime.Time, core ident.Addr, retryAfter time.Duration) {
+	j.attempts++
+	j.lastFailure[core] = now
+	j.notBefore = now.Add(retryAfter + time.Duration(j.jitter()*float64(retryAfter)/4))
 }
 
-// Failed takes the failure of a core that did not say when to come back.
-func (j *Joiner) Failed(now monotime.Time, core ident.Addr) {
-	j.tries++
-	j.failed[core] = now
-	j.pause = min(max(2*j.pause, pauseLeast), pauseMost)
-	j.next = now.Add(time.Duration((0.5 + j.fraction()) * float64(j.pause)))
+// HandleFailure takes the failure of a core that did not say when to come back.
+func (j *Joiner) HandleFailure(now monotime.Time, core ident.Addr) {
+	j.attempts++
+	j.lastFailure[core] = now
+	j.backoff = min(max(2*j.backoff, minBackoff), maxBackoff)
+	j.notBefore = now.Add(time.Duration((0.5 + j.jitter()) * float64(j.backoff)))
 }
 
-// Joined forgets the failures.
-func (j *Joiner) Joined() {
-	clear(j.failed)
-	j.next, j.pause = 0, 0
+// Reset forgets the failures.
+func (j *Joiner) Reset() {
+	clear(j.lastFailure)
+	j.notBefore, j.backoff = 0, 0
 }
 
-// fraction is a number from 0 to 1 of this sidecar and this try.
-func (j *Joiner) fraction() float64 {
+// jitter is a number from 0 to 1 of this sidecar and this try.
+func (j *Joiner) jitter() float64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s %d", j.Node, j.tries)
+	_, _ = fmt.Fprintf(h, "%s %d", j.Node, j.attempts)
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/mesh/loadreport/loadreport.go
+++ b/mesh/loadreport/loadreport.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // Report is the state of one endpoint as its gate sees it. Invariant: no field is
@@ -24,41 +24,41 @@
 	QueueDelay time.Duration
 }
 
-// most bounds every field of a text, so that no sum of a few runs over.
-const most = 1 << 20
+// maxValue bounds every field of a text, so that no sum of a few runs over.
+const maxValue = 1 << 20
 
 // Text is the header form: running, waiting, slots, relative time and failure rate in
 // thousandths, queue delay in milliseconds.
 func (r Report) Text() string {
 	buf := make([]byte, 0, 40)
-	for i, x := range []int64{int64(r.Running), int64(r.Waiting), int64(r.Slots), thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds()} {
+	for i, value := range []int64{int64(r.Running), int64(r.Waiting), int64(r.Slots), thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds()} {
 		if i > 0 {
 			buf = append(buf, ',')
 		}
-		buf = strconv.AppendInt(buf, min(max(x, 0), most), 10)
+		buf = strconv.AppendInt(buf, min(max(value, 0), maxValue), 10)
 	}
 	return string(buf)
 }
 
-func thousandths(x float64) int64 {
-	if !(x > 0) {
+func thousandths(value float64) int64 {
+	if !(value > 0) {
 		return 0
 	}
-	return int64(math.Round(min(x*1000, most)))
+	return int64(math.Round(min(value*1000, maxValue)))
 }
 
 // Parse reads the header form; a text with other fields is malformed.
-func Parse(s string) (Report, *failure.Error) {
-	var x [6]int
-	rest := s
-	for i := range x {
-		part, tail, more := strings.Cut(rest, ",")
-		n, err := strconv.ParseUint(part, 10, 32)
-		if err != nil || n > most || more != (i < len(x)-1) {
+func Parse(text string) (Report, *failure.Error) {
+	var values [6]int
+	rest := text
+	for i := range values {
+		field, tail, more := strings.Cut(rest, ",")
+		n, err := strconv.ParseUint(field, 10, 32)
+		if err != nil || n > maxValue || more != (i < len(values)-1) {
 			return Report{}, failure.New(failure.Malformed, "a load report is six whole numbers")
 		}
-		x[i], rest = int(n), tail
+		values[i], rest = int(n), tail
 	}
-	return Report{Running: x[0], Waiting: x[1], Slots: x[2], RelativeTime: float64(x[3]) / 1000,
-		FailureRate: min(float64(x[4])/1000, 1), QueueDelay: time.Duration(x[5]) * time.Millisecond}, nil
+	return Report{Running: values[0], Waiting: values[1], Slots: values[2], RelativeTime: float64(values[3]) / 1000,
+		FailureRate: min(float64(values[4])/1000, 1), QueueDelay: time.Duration(values[5]) * time.Millisecond}, nil
 }
--- a/mesh/priorityqueue/priorityqueue.go
+++ b/mesh/priorityqueue/priorityqueue.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/monotime"
 )
 
 // Queue is the step function. Invariants: neither queue grows over its size; no more than
@@ -14,10 +14,10 @@
 // are not urgent; what would be late before its turn is rejected when it comes, and never
 // later on.
 type Queue[T any] struct {
-	senders, size    int
-	urgent, ordinary []entry[T]
-	out, outOrdinary int // requests out, and those of them that are not urgent
-	runTime          time.Duration
+	senders, size              int
+	urgent, ordinary           []entry[T]
+	inFlight, ordinaryInFlight int // requests out, and those of them that are not urgent
+	meanRunTime                time.Duration
 	// IgnoreUrgency breaks the rule: nothing is kept for urgent routes; only tests of the checkers
 	// set it.
 	IgnoreUrgency bool
@@ -36,16 +36,16 @@
 // ordinaryLimit is how many may be out for routes that are not urgent.
 func (q *Queue[T]) ordinaryLimit() int { return max(1, q.senders-q.senders/4) }
 
-// Offer queues a request, or rejects it at once: the queue is full, or its time
+// Enqueue queues a request, or rejects it at once: the queue is full, or its time
 // would be over before its turn.
-func (q *Queue[T]) Offer(now monotime.Time, item T, urgent bool, until monotime.Time) bool {
+func (q *Queue[T]) Enqueue(now monotime.Time, item T, urgent bool, deadline monotime.Time) bool {
 	urgent = urgent && !q.IgnoreUrgency
 	list, limit := &q.ordinary, q.ordinaryLimit()
 	if urgent {
 		list, limit = &q.urgent, q.senders
 	}
-	wait := time.Duration(len(*list)) * q.runTime / time.Duration(limit)
-	if len(*list) >= q.size || until.Since(now) < wait {
+	expectedWait := time.Duration(len(*list)) * q.meanRunTime / time.Duration(limit)
+	if len(*list) >= q.size || deadline.Since(now) < expectedWait {
 		q.Rejected++
 		return false
 	}
@@ -53,31 +53,31 @@
 	return true
 }
 
-// Take gives the request that a free sender is to take, if there is one; Done must be
+// Dequeue gives the request that a free sender is to take, if there is one; Done must be
 // called with the same word of its urgency when it is over.
-func (q *Queue[T]) Take() (item T, urgent, ok bool) {
+func (q *Queue[T]) Dequeue() (item T, urgent, ok bool) {
 	switch {
-	case q.out >= q.senders:
+	case q.inFlight >= q.senders:
 		return item, false, false
 	case len(q.urgent) > 0:
 		item, q.urgent = q.urgent[0].item, q.urgent[1:]
 		urgent = true
-	case len(q.ordinary) > 0 && q.outOrdinary < q.ordinaryLimit():
+	case len(q.ordinary) > 0 && q.ordinaryInFlight < q.ordinaryLimit():
 		item, q.ordinary = q.ordinary[0].item, q.ordinary[1:]
-		q.outOrdinary++
+		q.ordinaryInFlight++
 	default:
 		return item, false, false
 	}
-	q.out++
+	q.inFlight++
 	return item, urgent, true
 }
 
 // Remove takes the first waiting request that fits out of its queue, and tells whether there
 // was one.
-func (q *Queue[T]) Remove(fits func(T) bool) bool {
+func (q *Queue[T]) Remove(matches func(T) bool) bool {
 	for _, list := range []*[]entry[T]{&q.urgent, &q.ordinary} {
-		if n := slices.IndexFunc(*list, func(e entry[T]) bool { return fits(e.item) }); n >= 0 {
-			*list = slices.Delete(*list, n, n+1)
+		if i := slices.IndexFunc(*list, func(e entry[T]) bool { return matches(e.item) }); i >= 0 {
+			*list = slices.Delete(*list, i, i+1)
 			return true
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 // Done counts a request in again that was out for a while.
-func (q *Queue[T]) Done(urgent bool, took time.Duration) {
-	q.out--
+func (q *Queue[T]) Done(urgent bool, elapsed time.Duration) {
+	q.inFlight--
 	if !urgent {
-		q.outOrdinary--
+		q.ordinaryInFlight--
 	}
 	// One sample tells little: a process that was held up must not take all that it then
 	// has in hand for slow.
-	q.runTime += (min(took, 2*q.runTime+20*time.Millisecond) - q.runTime) / 16
+	q.meanRunTime += (min(elapsed, 2*q.meanRunTime+20*time.Millisecond) - q.meanRunTime) / 16
 }
 
 // Len is how many wait.
--- /dev/null
+++ b/sim/scenario/faults.go
@@ -0,0 +1,124 @@
+package scenario
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/sim/invariant"
+	"cottonarch.example/cottonarch/sim/world"
+)
+
+// Fault brings one failure about and says how long it lasts.
+type Fault func(r *Run) time.Duration
+
+// Faults are all that can go wrong.
+var Faults map[string]Fault
+
+func init() {
+	Faults = map[string]Fault{
+		"core-kill":   func(r *Run) time.Duration { return r.coreDown(false, false) },
+		"core-power":  func(r *Run) time.Duration { return r.coreDown(true, false) },
+		"core-empty":  func(r *Run) time.Duration { return r.coreDown(true, true) },
+		"core-freeze": (*Run).coreFreeze,
+		"core-slow-disk": func(r *Run) time.Duration {
+			return r.coreSlowDisk(time.Duration(20+r.Rng.IntN(200)) * time.Millisecond)
+		},
+		"core-stall-disk":  func(r *Run) time.Duration { return r.coreSlowDisk(time.Duration(2+r.Rng.IntN(4)) * time.Second) },
+		"core-fail-disk":   (*Run).coreFailDisk,
+		"core-cut":         (*Run).coreCut,
+		"core-split":       (*Run).coreSplit,
+		"core-isolated":    (*Run).coreIsolated,
+		"core-roll":        (*Run).coreRoll,
+		"side-roll":        (*Run).sidecarRoll,
+		"side-kill":        (*Run).sidecarKill,
+		"side-freeze":      (*Run).sidecarFreeze,
+		"side-cut":         (*Run).sidecarCut,
+		"side-cut-core":    (*Run).sidecarCutFromCores,
+		"district-cut":     (*Run).zoneCut,
+		"endpoint-replace": (*Run).endpointReplace,
+		"endpoint-reuse":   (*Run).endpointReuse,
+		"endpoint-freeze":  (*Run).endpointFrozenReuse,
+		"endpoint-bad":     (*Run).endpointBad,
+		"endpoint-hang":    (*Run).endpointHang,
+		"endpoint-gone":    (*Run).endpointGone,
+		"service-empty":    (*Run).serviceEmpty,
+		"machine-suspend":  (*Run).machineSuspend,
+		"clock-jump":       (*Run).clockJump,
+		"manifest-large":   (*Run).configLarge,
+		"isolated-restart": (*Run).isolatedRestart,
+		"release-bad":      (*Run).badRelease,
+		"crowd":            (*Run).trafficSurge,
+		"overload":         (*Run).overload,
+		"herd":             (*Run).herd,
+		"burst":            (*Run).burst,
+	}
+	maps.Copy(Faults, platformFaults)
+	maps.Copy(Faults, herdFaults)
+	maps.Copy(Faults, partitionFaults)
+}
+
+// platformFaults are the faults that only worlds of the platform's kind draw: a name more would
+// change what known seeds draw.
+var platformFaults = map[string]Fault{
+	"core-kill-power": (*Run).coreKillPower,
+	"endpoint-slow":   (*Run).endpointSlow,
+	"endpoint-fails":  (*Run).endpointFails,
+}
+
+// drawableFaults lists the faults that this run draws from when none are named.
+func (r *Run) drawableFaults() []string {
+	names := slices.DeleteFunc(FaultNames(), func(n string) bool { return herdFaults[n] != nil || partitionFaults[n] != nil })
+	if !r.Platform {
+		names = slices.DeleteFunc(names, func(n string) bool { return platformFaults[n] != nil })
+	}
+	return names
+}
+
+// injectFaults draws one fault after the other until the end, sometimes two together.
+func (r *Run) injectFaults(end monotime.Time) {
+	names := r.options.Faults
+	if len(names) == 0 {
+		names = r.drawableFaults()
+	}
+	interval := r.options.FaultInterval
+	if interval == 0 {
+		interval = 2 * time.Second
+	}
+	var next func()
+	next = func() {
+		if r.Now() >= end.Add(-3*time.Second) {
+			return
+		}
+		name := names[r.Rng.IntN(len(names))]
+		duration := Faults[name](r)
+		if r.Rng.IntN(5) == 0 { // together with the next one
+			duration = time.Duration(r.Rng.Int64N(int64(duration) + 1))
+		}
+		r.After(duration+time.Duration(r.Rng.Int64N(int64(interval))), next)
+	}
+	r.After(time.Second, next)
+}
+
+// recordOutage notes a bad loss.
+func (r *Run) recordOutage(name string) {
+	r.Checker.Outages = append(r.Checker.Outages, invariant.Outage{At: r.Now(), Name: name})
+}
+
+func (r *Run) randomDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(r.Rng.Int64N(int64(high-low)))
+}
+
+func (r *Run) randomCore() *world.Core       { return r.Cores[r.Rng.IntN(len(r.Cores))] }
+func (r *Run) randomSidecar() *world.Sidecar { return r.Sidecars[r.Rng.IntN(len(r.Sidecars))] }
+
+// allCoresHealthy tells whether all cores are up, so that losing one more is bearable.
+func (r *Run) allCoresHealthy() bool {
+	for _, c := range r.Cores {
+		if !c.Healthy() {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/sim/scenario/loadfaults.go
@@ -0,0 +1,64 @@
+package scenario
+
+import (
+	"time"
+)
+
+func (r *Run) trafficSurge() time.Duration {
+	duration := r.randomDuration(2*time.Second, 5*time.Second)
+	r.Tracef("a crowd for %v", duration)
+	r.requestRate *= 3
+	r.After(duration, func() { r.requestRate /= 3 })
+	return duration
+}
+
+// herd kills many sidecars and one core at once.
+func (r *Run) herd() time.Duration {
+	r.Tracef("a herd of sidecars is killed")
+	r.recordOutage("herd")
+	for i, s := range r.Sidecars {
+		if i%2 == 0 {
+			s.Kill()
+			r.After(r.randomDuration(time.Second, 3*time.Second), s.Start)
+		}
+	}
+	if r.allCoresHealthy() {
+		c := r.randomCore()
+		c.Kill(true)
+		r.After(2*time.Second, c.Start)
+	}
+	return 6 * time.Second
+}
+
+// finalOutage is the last fault of a day: every core loses power at once, and half the
+// sidecars are killed.
+func (r *Run) finalOutage() {
+	r.Tracef("the last heavy fault: all cores lose power, half the sidecars are killed")
+	r.recordOutage("everything at once")
+	for _, c := range r.Cores {
+		c.Kill(true)
+		r.After(r.randomDuration(time.Second, 3*time.Second), c.Start)
+	}
+	for i, s := range r.Sidecars {
+		if i%2 == 0 {
+			s.Kill()
+			if r.options.Mutant != "restart" {
+				r.After(r.randomDuration(time.Second, 3*time.Second), s.Start)
+			}
+		}
+	}
+	if r.options.Mutant == "restart" {
+		for _, s := range r.Sidecars {
+			s.Kill()
+		}
+	}
+}
+
+// burst offers many manifests at once.
+func (r *Run) burst() time.Duration {
+	r.Tracef("a burst of manifests")
+	for i := range 12 {
+		r.After(time.Duration(i)*20*time.Millisecond, r.operators.Propose)
+	}
+	return time.Second
+}
--- a/sim/world/admission.go
+++ b/sim/world/admission.go
@@ -3,323 +3,323 @@
 import (
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
 	"cottonarch.example/cottonarch/mesh/admission"
-	"cottonarch.example/cottonarch/mesh/gate"
-	"cottonarch.example/cottonarch/mesh/path"
-	"cottonarch.example/cottonarch/mesh/registry/record"
-	"cottonarch.example/cottonarch/sim/check"
+	"cottonarch.example/cottonarch/mesh/attempt"
+	"cottonarch.example/cottonarch/mesh/endpoint"
+	"cottonarch.example/cottonarch/sim/invariant"
 )
 
 const (
-	// ended is how soon after a planned stop began nobody waits in its admission queue any more.
-	ended = 100 * time.Millisecond
-	// greetSlots is the daemon's.
-	greetSlots = 4
+	// admissionDrainTimeout is how soon after a planned stop began nobody waits in its admission queue any more.
+	admissionDrainTimeout = 100 * time.Millisecond
+	// probeSlots is the daemon's.
+	probeSlots = 4
 )
 
-// try is one try of a call. Invariants: turned is set once the admission queue turned it away, ran once
+// admissionAttempt is one try of a call. Invariants: turned is set once the admission queue turned it away, ran once
 // an endpoint ran it; never both.
-type try struct {
-	ch          path.Choice
-	call        *path.Call
-	rec         *check.Call
-	ask         admission.Request // with spans that are reckoned from nought
-	limit       time.Duration
-	at, left    monotime.Time // when it reached the endpoint, and what that endpoint's end was then
-	lost        monotime.Time
-	turned, ran bool
+type admissionAttempt struct {
+	choice                      attempt.Decision
+	call                        *attempt.Call
+	record                      *invariant.Call
+	request                     admission.Request // with spans that are reckoned from nought
+	timeout                     time.Duration
+	arrivedAt, leaveConfirmedAt monotime.Time // when it reached the endpoint, and what that endpoint's end was then
+	lossConfirmedAt             monotime.Time
+	rejected, executed          bool
 }
 
-// wants makes the try of a choice, as the caller's sidecar tells it to the admission queue.
-func (s *Side) wants(ch path.Choice, j *job) *try {
-	now, c := s.clock(), j.call
-	aim := c.Way.Aim
+// newAdmissionAttempt makes the try of a choice, as the caller's sidecar tells it to the admission queue.
+func (s *Sidecar) newAdmissionAttempt(choice attempt.Decision, queued *queuedCall) *admissionAttempt {
+	now, c := s.localTime(), queued.call
+	aim := c.Route.TargetLatency
 	if aim <= 0 {
-		aim = c.Until.Since(j.began)
+		aim = c.Deadline.Since(queued.startedAt)
 	}
-	a := admission.Request{Rank: c.Way.Rank, Work: ch.Work, PeerFailureRate: ch.Peers, LastResort: ch.Must,
-		Early: monotime.Time(j.began.Add(aim / 4).Since(now)), Aim: monotime.Time(j.began.Add(aim).Since(now))}
+	request := admission.Request{Rank: c.Route.Priority, Work: choice.MeanWork, PeerFailureRate: choice.PeerFailureRate, LastResort: choice.LastResort,
+		FreeRejectUntil: monotime.Time(queued.startedAt.Add(aim / 4).Since(now)), Target: monotime.Time(queued.startedAt.Add(aim).Since(now))}
 	// The gate gives up a little before the caller's side does, so that its word is heard.
-	return &try{ch: ch, call: c, rec: j.rec, ask: a, limit: ch.Limit - min(ch.Limit/10, 20*time.Millisecond)}
+	return &admissionAttempt{choice: choice, call: c, record: queued.record, request: request, timeout: choice.Timeout - min(choice.Timeout/10, 20*time.Millisecond)}
 }
 
 // waiter is a try that waits in the admission queue, and what goes on when it has a word.
 type waiter struct {
-	t    *try
-	then func(admission.Verdict)
+	attempt   *admissionAttempt
+	onVerdict func(admission.Verdict)
 }
 
-// tellWaiters tells those who wait what becomes of them. What follows runs later, as whoever
+// deliverVerdicts tells those who wait what becomes of them. What follows runs later, as whoever
 // waited must first be woken.
-func (s *Side) tellWaiters(list []admission.Verdict) {
-	w := s.w
-	if w.Break == "bay-act" && len(list) > 0 {
-		list = append(list, list[0])
+func (s *Sidecar) deliverVerdicts(verdicts []admission.Verdict) {
+	w := s.world
+	if w.Mutant == "bay-act" && len(verdicts) > 0 {
+		verdicts = append(verdicts, verdicts[0])
 	}
-	for _, a := range list {
+	for _, a := range verdicts {
 		if a.Decision == admission.Wait {
 			continue
 		}
-		w.Check.Look(check.BayTold)
-		b := s.waiters[a.ID]
-		if b == nil {
-			w.Breach(check.BayTold, "the admission queue of %s told %d of %d, who has a word or waits no more", s.Node, a.Decision, a.ID)
+		w.Checker.Observe(invariant.AdmissionDecision)
+		waiting := s.waiters[a.ID]
+		if waiting == nil {
+			w.Violate(invariant.AdmissionDecision, "the admission queue of %s told %d of %d, who has a word or waits no more", s.Node, a.Decision, a.ID)
 			continue
 		}
 		delete(s.waiters, a.ID)
 		if a.Decision == admission.Reject {
-			w.Check.Look(check.BayTurned)
-			if b.t.turned = true; b.t.ran {
-				w.Breach(check.BayTurned, "%s was turned away by the admission queue of %s and had run", b.t.rec.ID, s.Node)
+			w.Checker.Observe(invariant.AdmissionRejected)
+			if waiting.attempt.rejected = true; waiting.attempt.executed {
+				w.Violate(invariant.AdmissionRejected, "%s was turned away by the admission queue of %s and had run", waiting.attempt.record.ID, s.Node)
 			}
 		}
-		gen := s.gen
-		w.After(10*time.Microsecond, func() { s.run(gen, func() { b.then(a) }) })
+		generation := s.generation
+		w.After(10*time.Microsecond, func() { s.runInGeneration(generation, func() { waiting.onVerdict(a) }) })
 	}
 }
 
 // syncAdmission keeps the admission queue to what the gate knows.
-func (s *Side) syncAdmission() {
-	here := map[ident.Server]bool{}
-	for _, x := range s.gate.Workloads() {
-		here[x.UID] = true
+func (s *Sidecar) syncAdmission() {
+	known := map[ident.Server]bool{}
+	for _, x := range s.tracker.Workloads() {
+		known[x.UID] = true
 		if x.Status != record.Healthy {
-			s.tellWaiters(s.admission.RejectAll(x.UID))
+			s.deliverVerdicts(s.admission.RejectAll(x.UID))
 		}
 	}
-	keep := s.admitting[:0]
-	for _, id := range s.admitting {
-		if here[id] {
-			keep = append(keep, id)
+	admitting := s.admittedEndpoints[:0]
+	for _, id := range s.admittedEndpoints {
+		if known[id] {
+			admitting = append(admitting, id)
 			continue
 		}
-		s.tellWaiters(s.admission.Remove(id))
+		s.deliverVerdicts(s.admission.Remove(id))
 	}
-	s.admitting = keep
+	s.admittedEndpoints = admitting
 }
 
-// changed carries out a change of the gate.
-func (s *Side) changed(c gate.Change) {
-	if s.w.Platform && c.News && !(s.leaving && s.w.Break == "bay-stop") {
+// endpointsChanged carries out a change of the gate.
+func (s *Sidecar) endpointsChanged(c endpoint.Change) {
+	if s.world.Platform && c.Updated && !(s.leaving && s.world.Mutant == "bay-stop") {
 		s.syncAdmission()
 	}
 }
 
-// endpointBeat takes what a heartbeat says of an endpoint's room.
-func (s *Side) endpointBeat(b gate.Beat) {
-	if !s.w.Platform || b.State != gate.Alive || b.Slots == 0 {
+// heartbeatTaken takes what a heartbeat says of an endpoint's room.
+func (s *Sidecar) heartbeatTaken(heartbeat endpoint.Heartbeat) {
+	if !s.world.Platform || heartbeat.State != endpoint.Alive || heartbeat.Slots == 0 {
 		return
 	}
-	for _, id := range s.admitting {
-		if id == b.Server {
-			s.tellWaiters(s.admission.SetSlots(s.clock(), b.Server, b.Slots, 0))
+	for _, id := range s.admittedEndpoints {
+		if id == heartbeat.Server {
+			s.deliverVerdicts(s.admission.SetSlots(s.localTime(), heartbeat.Server, heartbeat.Slots, 0))
 			return
 		}
 	}
-	s.admitting = append(s.admitting, b.Server)
-	s.tellWaiters(s.admission.SetSlots(s.clock(), b.Server, b.Slots, 0))
+	s.admittedEndpoints = append(s.admittedEndpoints, heartbeat.Server)
+	s.deliverVerdicts(s.admission.SetSlots(s.localTime(), heartbeat.Server, heartbeat.Slots, 0))
 }
 
-// greet asks the endpoint beside a sidecar that has just started, as the daemon does.
-func (s *Side) greet() {
-	if s.greeted || s.path.Epoch() == 0 {
+// probeEndpoint asks the endpoint beside a sidecar that has just started, as the daemon does.
+func (s *Sidecar) probeEndpoint() {
+	if s.probed || s.router.Revision() == 0 {
 		return
 	}
-	s.greeted = true
-	if len(s.Ends) == 0 || s.Ends[0].hung || s.Ends[0].state != gate.Alive {
+	s.probed = true
+	if len(s.Endpoints) == 0 || s.Endpoints[0].hung || s.Endpoints[0].state != endpoint.Alive {
 		return
 	}
-	e, gen := s.Ends[0], s.gen
-	b := gate.Beat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: gate.Alive, Slots: greetSlots}
-	s.w.After(time.Millisecond, func() {
-		s.run(gen, func() {
-			if len(s.gate.Workloads()) > 0 || s.leaving {
+	e, generation := s.Endpoints[0], s.generation
+	heartbeat := endpoint.Heartbeat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: endpoint.Alive, Slots: probeSlots}
+	s.world.After(time.Millisecond, func() {
+		s.runInGeneration(generation, func() {
+			if len(s.tracker.Workloads()) > 0 || s.leaving {
 				return
 			}
-			if c, d := s.gate.Take(s.clock(), b); d == nil {
-				e.beatAt, e.lostAt = s.clock(), 0
-				s.changed(c)
-				s.endpointBeat(b)
+			if c, rejection := s.tracker.HandleHeartbeat(s.localTime(), heartbeat); rejection == nil {
+				e.lastHeartbeat, e.lossConfirmedAt = s.localTime(), 0
+				s.endpointsChanged(c)
+				s.heartbeatTaken(heartbeat)
 			}
 		})
 	})
 }
 
 // admit is the gate with its admission queue and what lies behind them, as the daemon's pass is.
-func (s *Side) admit(t *try, done func(path.End)) {
-	w, gen, server := s.w, s.gen, t.ch.Entry.UID
-	if _, _, d := s.gate.Pass(s.clock(), server, t.ch.Entry.Service); d != nil {
-		done(path.End{Verdict: path.NotRun, Failure: d, Turned: true})
+func (s *Sidecar) admit(t *admissionAttempt, done func(attempt.Result)) {
+	w, generation, server := s.world, s.generation, t.choice.Entry.UID
+	if _, _, rejection := s.tracker.Check(s.localTime(), server, t.choice.Entry.Service); rejection != nil {
+		done(attempt.Result{Outcome: attempt.NotExecuted, Failure: rejection, Rejected: true})
 		return
 	}
-	s.hand++
-	over := false
-	end := func(e path.End) {
-		if over {
+	s.inFlight++
+	ended := false
+	end := func(e attempt.Result) {
+		if ended {
 			return
 		}
-		over = true
-		s.lay(gen)
-		if b, ok := s.admission.LoadReport(s.clock(), server); ok {
-			e.Told = &b
+		ended = true
+		s.releaseRequest(generation)
+		if waiting, ok := s.admission.LoadReport(s.localTime(), server); ok {
+			e.LoadReport = &waiting
 		}
 		done(e)
 	}
-	now := s.clock()
-	until := now.Add(t.limit)
-	s.lastWaiter++
-	id := s.lastWaiter
-	b := &waiter{t: t, then: func(a admission.Verdict) {
-		if a.Decision == admission.Admit {
-			s.runAdmitted(t, id, until, end)
+	now := s.localTime()
+	until := now.Add(t.timeout)
+	s.lastWaiterID++
+	id := s.lastWaiterID
+	waiting := &waiter{attempt: t, onVerdict: func(request admission.Verdict) {
+		if request.Decision == admission.Admit {
+			s.executeAdmitted(t, id, until, end)
 			return
 		}
-		end(path.End{Verdict: path.NotRun, Turned: true, Shed: true, Failure: failure.New(failure.Busy, "server %q: %s", server, a.Reason).Later(max(0.01, a.RetryAfter.Seconds()))})
-		if w.Break == "bay" {
-			s.runAdmitted(t, id, until, func(path.End) {})
+		end(attempt.Result{Outcome: attempt.NotExecuted, Rejected: true, Shed: true, Failure: failure.New(failure.Busy, "server %q: %s", server, request.Reason).WithRetryAfter(max(0.01, request.RetryAfter.Seconds()))})
+		if w.Mutant == "bay" {
+			s.executeAdmitted(t, id, until, func(attempt.Result) {})
 		}
 	}}
-	s.waiters[id] = b
-	a := t.ask
-	a.ID, a.Early, a.Aim, a.Until = id, now.Add(time.Duration(a.Early)), now.Add(time.Duration(a.Aim)), until
-	s.tellWaiters(s.admission.Offer(now, server, a))
+	s.waiters[id] = waiting
+	request := t.request
+	request.ID, request.FreeRejectUntil, request.Target, request.Deadline = id, now.Add(time.Duration(request.FreeRejectUntil)), now.Add(time.Duration(request.Target)), until
+	s.deliverVerdicts(s.admission.Submit(now, server, request))
 	if s.waiters[id] == nil {
 		return
 	}
-	w.After(t.limit, func() {
-		s.run(gen, func() {
+	w.After(t.timeout, func() {
+		s.runInGeneration(generation, func() {
 			if s.waiters[id] != nil {
 				delete(s.waiters, id)
-				s.tellWaiters(s.admission.Abandon(s.clock(), server, id))
-				end(path.End{Verdict: path.NotRun, Turned: true, Shed: true, Failure: failure.New(failure.Late, "no room in time")})
+				s.deliverVerdicts(s.admission.Abandon(s.localTime(), server, id))
+				end(attempt.Result{Outcome: attempt.NotExecuted, Rejected: true, Shed: true, Failure: failure.New(failure.DeadlineExceeded, "no room in time")})
 			}
 		})
 	})
 }
 
-// runAdmitted goes on with a try that the admission queue let in.
-func (s *Side) runAdmitted(t *try, id uint64, until monotime.Time, done func(path.End)) {
-	w, gen, server, again := s.w, s.gen, t.ch.Entry.UID, t.ch.Repeat
-	over, begun := false, false
+// executeAdmitted goes on with a try that the admission queue let in.
+func (s *Sidecar) executeAdmitted(t *admissionAttempt, id uint64, until monotime.Time, done func(attempt.Result)) {
+	w, generation, server, repeat := s.world, s.generation, t.choice.Entry.UID, t.choice.RepeatChance
+	ended, begun := false, false
 	// end says what became of it, at the endpoint too, and once.
-	end := func(e path.End, at admission.Outcome, took time.Duration) {
-		s.run(gen, func() {
-			if over {
+	end := func(e attempt.Result, outcome admission.Outcome, took time.Duration) {
+		s.runInGeneration(generation, func() {
+			if ended {
 				return
 			}
-			over = true
+			ended = true
 			if begun {
-				s.path.Tree.End(again)
+				s.router.RetryBudget.EndRun(repeat)
 			}
-			s.tellWaiters(s.admission.Done(s.clock(), server, id, at, took))
-			e.Took = took
+			s.deliverVerdicts(s.admission.Done(s.localTime(), server, id, outcome, took))
+			e.Elapsed = took
 			done(e)
 		})
 	}
-	turned := func(d *failure.Error) {
-		end(path.End{Verdict: path.NotRun, Failure: d, Turned: true}, admission.GivenUp, 0)
+	reject := func(rejection *failure.Error) {
+		end(attempt.Result{Outcome: attempt.NotExecuted, Failure: rejection, Rejected: true}, admission.GivenUp, 0)
 	}
-	addr, _, d := s.gate.Pass(s.clock(), server, t.ch.Entry.Service)
-	if d == nil {
-		if begun = s.path.Tree.Begin(s.clock(), again); !begun {
-			d = failure.New(failure.Busy, "a repeat has no room below")
+	addr, _, rejection := s.tracker.Check(s.localTime(), server, t.choice.Entry.Service)
+	if rejection == nil {
+		if begun = s.router.RetryBudget.BeginRun(s.localTime(), repeat); !begun {
+			rejection = failure.New(failure.Busy, "a repeat has no room below")
 		}
 	}
-	if d != nil {
-		turned(d)
+	if rejection != nil {
+		reject(rejection)
 		return
 	}
 	w.After(150*time.Microsecond, func() { // the dial
-		s.run(gen, func() {
-			e := w.spots[addr]
+		s.runInGeneration(generation, func() {
+			e := w.endpoints[addr]
 			if e == nil {
-				s.changed(s.gate.Failed(s.clock(), server))
-				turned(failure.New(failure.Unreached, "no connection"))
+				s.endpointsChanged(s.tracker.ConnectFailed(s.localTime(), server))
+				reject(failure.New(failure.Unreachable, "no connection"))
 				return
 			}
-			if now, _, d := s.gate.Pass(s.clock(), server, t.ch.Entry.Service); d != nil || now != addr {
-				turned(failure.New(failure.Gate, "server %q is not there any more", server))
+			if now, _, rejection := s.tracker.Check(s.localTime(), server, t.choice.Entry.Service); rejection != nil || now != addr {
+				reject(failure.New(failure.EndpointRejected, "server %q is not there any more", server))
 				return
 			}
-			began := s.clock()
-			took := func() time.Duration { return s.clock().Since(began) }
+			began := s.localTime()
+			took := func() time.Duration { return s.localTime().Since(began) }
 			w.After(until.Since(began), func() {
-				end(path.End{Verdict: path.Unsure, Failure: failure.Unsure(failure.Late, "the endpoint gave no return")}, admission.GivenUp, took())
+				end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.DeadlineExceeded, "the endpoint gave no return")}, admission.GivenUp, took())
 			})
-			w.arrive(t.rec, t.call)
-			t.at, t.left, t.lost = w.now, e.leftAt, e.lostAt
-			e.take(t, until.Since(began), func(v path.End) {
+			w.countArrival(t.record, t.call)
+			t.arrivedAt, t.leaveConfirmedAt, t.lossConfirmedAt = w.now, e.leaveConfirmedAt, e.lossConfirmedAt
+			e.accept(t, until.Since(began), func(result attempt.Result) {
 				switch {
-				case v.Verdict == path.NotRun:
-					end(v, admission.GivenUp, 0)
-				case v.Verdict == path.Unsure || v.Bad:
-					end(v, admission.Failed, 0)
+				case result.Outcome == attempt.NotExecuted:
+					end(result, admission.GivenUp, 0)
+				case result.Outcome == attempt.Unknown || result.EndpointFailed:
+					end(result, admission.Failed, 0)
 				default:
-					end(v, admission.Served, took())
+					end(result, admission.Served, took())
 				}
 			})
 		})
 	})
 }
 
-// take is an endpoint with slots: it works on so many at once, queues a few more, and says
+// accept is an endpoint with slots: it works on so many at once, queues a few more, and says
 // of the others, and of what names another endpoint, that it did not run them.
-func (e *Endpoint) take(t *try, left time.Duration, done func(path.End)) {
-	w := e.w
+func (e *Endpoint) accept(t *admissionAttempt, remaining time.Duration, done func(attempt.Result)) {
+	w := e.world
 	if e.hung {
-		e.late = append(e.late, func() { e.take(t, left, done) })
+		e.deferred = append(e.deferred, func() { e.accept(t, remaining, done) })
 		return
 	}
-	shed := func(why string) {
-		w.Served["endpoint-shed"]++
-		if w.Break == "shed" {
-			e.work(t, func(path.End) {})
+	reject := func(reason string) {
+		w.Counters["endpoint-shed"]++
+		if w.Mutant == "shed" {
+			e.execute(t, func(attempt.Result) {})
 		}
-		done(path.End{Verdict: path.NotRun, Arrived: true, Failure: failure.New(failure.Busy, "%s", why)})
+		done(attempt.Result{Outcome: attempt.NotExecuted, ReachedEndpoint: true, Failure: failure.New(failure.Busy, "%s", reason)})
 	}
 	switch {
-	case e.Server != t.ch.Entry.UID && w.Break != "fence":
-		shed("it is another endpoint")
-	case e.hand < e.Mood.Slots:
-		e.work(t, done)
-	case len(e.queue) >= e.Mood.Queue:
-		shed("it is full")
+	case e.Server != t.choice.Entry.UID && w.Mutant != "fence":
+		reject("it is another endpoint")
+	case e.inFlight < e.Behavior.Slots:
+		e.execute(t, done)
+	case len(e.waiting) >= e.Behavior.QueueLimit:
+		reject("it is full")
 	default:
-		until := w.now.Add(left)
-		e.queue = append(e.queue, func() bool {
+		until := w.now.Add(remaining)
+		e.waiting = append(e.waiting, func() bool {
 			if w.now >= until {
-				shed("its time is over")
+				reject("its time is over")
 				return false
 			}
-			e.work(t, done)
+			e.execute(t, done)
 			return true
 		})
 	}
 }
 
-// work runs a request and takes the next one in when it is done.
-func (e *Endpoint) work(t *try, done func(path.End)) {
-	w := e.w
-	if t.ran = true; t.turned {
-		w.Breach(check.BayTurned, "%s was turned away by the admission queue beside %s and ran", t.rec.ID, e.Server)
+// execute runs a request and takes the next one in when it is done.
+func (e *Endpoint) execute(t *admissionAttempt, done func(attempt.Result)) {
+	w := e.world
+	if t.executed = true; t.rejected {
+		w.Violate(invariant.AdmissionRejected, "%s was turned away by the admission queue beside %s and ran", t.record.ID, e.Server)
 	}
-	run := check.Run{ID: t.rec.ID, Server: e.Server, Service: e.Service, Asked: t.call.Way.Service, At: t.at, LeftAt: t.left, LostAt: t.lost, Unsafe: t.rec.Unsafe}
-	e.serve(run, t.rec, func(v path.End) {
-		if v.Verdict == path.Ran && w.Rng.Float64() < e.Mood.Fail {
-			v.Bad = true
+	execution := invariant.Execution{ID: t.record.ID, Server: e.Server, Service: e.Service, RequestedService: t.call.Route.Service, ArrivedAt: t.arrivedAt, LeaveConfirmedAt: t.leaveConfirmedAt, LossConfirmedAt: t.lossConfirmedAt, AtMostOnce: t.record.AtMostOnce}
+	e.serve(execution, t.record, func(result attempt.Result) {
+		if result.Outcome == attempt.Executed && w.Rng.Float64() < e.Behavior.FailureRate {
+			result.EndpointFailed = true
 		}
-		done(v)
+		done(result)
 	})
 }
 
-// room lets those in who queue at an endpoint.
-func (e *Endpoint) room() {
-	for e.up && !e.hung && e.hand < e.Mood.Slots && len(e.queue) > 0 {
-		next := e.queue[0]
-		e.queue = e.queue[1:]
+// dequeue lets those in who queue at an endpoint.
+func (e *Endpoint) dequeue() {
+	for e.running && !e.hung && e.inFlight < e.Behavior.Slots && len(e.waiting) > 0 {
+		next := e.waiting[0]
+		e.waiting = e.waiting[1:]
 		next()
 	}
 }
--- a/sim/world/call.go
+++ b/sim/world/call.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/mesh/path"
-	"cottonarch.example/cottonarch/sim/check"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/mesh/attempt"
+	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// Kind is one kind of request.
-type Kind struct {
+// RequestKind is one kind of request.
+type RequestKind struct {
 	Name, Method, Host, Path string
 	Service                  ident.Service
 	Weight                   int
@@ -21,8 +21,8 @@
 	Repeat string
 }
 
-// unsafe tells whether the request may run once at most.
-func (k Kind) unsafe() bool {
+// atMostOnce tells whether the request may run once at most.
+func (k RequestKind) atMostOnce() bool {
 	switch k.Repeat {
 	case "":
 		return k.Method != "GET"
@@ -32,179 +32,179 @@
 	return true
 }
 
-// job is a call queued at its own sidecar.
-type job struct {
-	call  *path.Call
-	rec   *check.Call
-	began monotime.Time
-	given bool // an endpoint's own word that it failed is at hand, while others are tried
+// queuedCall is a call queued at its own sidecar.
+type queuedCall struct {
+	call           *attempt.Call
+	record         *invariant.Call
+	startedAt      monotime.Time
+	endpointFailed bool // an endpoint's own word that it failed is at hand, while others are tried
 }
 
 // Call sends one request from the callers of a machine.
-func (w *World) Call(s *Side, k Kind) {
-	w.calls++
-	id := fmt.Sprintf("%s-%d", k.Name, w.calls)
-	rec := &check.Call{ID: id, Service: k.Service, Urgent: k.Urgent, Unsafe: k.unsafe(), Began: w.now}
-	w.Check.Calls = append(w.Check.Calls, rec)
-	if !s.up || s.leaving {
-		rec.Fate = check.NoNode
+func (w *World) Call(s *Sidecar, k RequestKind) {
+	w.callCount++
+	id := fmt.Sprintf("%s-%d", k.Name, w.callCount)
+	record := &invariant.Call{ID: id, Service: k.Service, Urgent: k.Urgent, AtMostOnce: k.atMostOnce(), Began: w.now}
+	w.Checker.Calls = append(w.Checker.Calls, record)
+	if !s.running || s.leaving {
+		record.Outcome = invariant.SidecarDown
 		return
 	}
-	gen := s.gen
-	s.hand++
+	generation := s.generation
+	s.inFlight++
 	if k.Urgent {
-		s.urgent++
+		s.urgentInFlight++
 	}
-	rec.Done = func() {
-		s.lay(gen)
-		if k.Urgent && s.gen == gen {
-			s.urgent--
+	record.Done = func() {
+		s.releaseRequest(generation)
+		if k.Urgent && s.generation == generation {
+			s.urgentInFlight--
 		}
 	}
 	w.After(50*time.Microsecond, func() {
-		s.run(gen, func() {
-			rec.Last = w.now
-			c := &path.Call{Host: k.Host, Path: k.Path, Method: k.Method, Caller: string(s.Node)}
-			if d := s.path.Way(s.clock(), c, 0); d != nil {
-				w.end(rec, d)
+		s.runInGeneration(generation, func() {
+			record.LastAttemptEnded = w.now
+			c := &attempt.Call{Host: k.Host, Path: k.Path, Method: k.Method, Caller: string(s.Node)}
+			if failed := s.router.Route(s.localTime(), c, 0); failed != nil {
+				w.endCall(record, failed)
 				return
 			}
-			rec.Counted = true
-			rec.Until = w.now.Add(c.Until.Since(s.clock()))
-			rec.Beside, rec.Room = s.urgent, w.Senders
-			if !s.queue.Offer(s.clock(), &job{call: c, rec: rec, began: s.clock()}, c.Way.Urgent, c.Until) {
-				w.end(rec, failure.New(failure.Busy, "too many requests are in hand").Later(1))
+			record.Routed = true
+			record.Deadline = w.now.Add(c.Deadline.Since(s.localTime()))
+			record.UrgentInFlight, record.UrgentCapacity = s.urgentInFlight, w.MaxSenders
+			if !s.queue.Enqueue(s.localTime(), &queuedCall{call: c, record: record, startedAt: s.localTime()}, c.Route.Urgent, c.Deadline) {
+				w.endCall(record, failure.New(failure.Busy, "too many requests are in hand").WithRetryAfter(1))
 				return
 			}
-			s.senders(gen)
+			s.dispatch(generation)
 		})
 	})
 }
 
-// senders are the sending stage: whoever is free takes the next one queued.
-func (s *Side) senders(gen int) {
+// dispatch are the sending stage: whoever is free takes the next one queued.
+func (s *Sidecar) dispatch(generation int) {
 	for {
-		j, urgent, ok := s.queue.Take()
+		queued, urgent, ok := s.queue.Dequeue()
 		if !ok {
 			return
 		}
-		began, laid := s.clock(), j.rec.Done
-		j.rec.Done = func() {
-			laid()
-			s.run(gen, func() {
-				s.queue.Done(urgent, s.clock().Since(began))
-				s.senders(gen)
+		began, released := s.localTime(), queued.record.Done
+		queued.record.Done = func() {
+			released()
+			s.runInGeneration(generation, func() {
+				s.queue.Done(urgent, s.localTime().Since(began))
+				s.dispatch(generation)
 			})
 		}
-		s.next(gen, j)
+		s.tryNext(generation, queued)
 	}
 }
 
-func (w *World) end(rec *check.Call, d *failure.Error) {
-	rec.Ended = w.now
-	if w.Break == "held" && d != nil && rec.Until > w.now {
+func (w *World) endCall(record *invariant.Call, failed *failure.Error) {
+	record.Ended = w.now
+	if w.Mutant == "held" && failed != nil && record.Deadline > w.now {
 		// A no is held back until the time is nearly over.
-		w.After(rec.Until.Since(w.now), func() { rec.Ended = w.now })
+		w.After(record.Deadline.Since(w.now), func() { record.Ended = w.now })
 	}
-	rec.Done()
+	record.Done()
 	switch {
-	case d == nil:
-		rec.Fate = check.Served
-	case d.Outcome == failure.NotExecuted:
-		rec.Fate, rec.Why = check.NotRun, string(d.Kind)
+	case failed == nil:
+		record.Outcome = invariant.Served
+	case failed.Outcome == failure.NotExecuted:
+		record.Outcome, record.Reason = invariant.NotExecuted, string(failed.Kind)
 	default:
-		rec.Fate, rec.Why = check.Unknown, string(d.Kind)
-		if w.Break == "fate" {
-			rec.Fate = check.NotRun
+		record.Outcome, record.Reason = invariant.Unknown, string(failed.Kind)
+		if w.Mutant == "fate" {
+			record.Outcome = invariant.NotExecuted
 		}
 	}
 }
 
-func (s *Side) next(gen int, j *job) {
-	w, c, rec := s.w, j.call, j.rec
-	if c.Tries() == 0 {
-		rec.Last = w.now // its turn has come
+func (s *Sidecar) tryNext(generation int, queued *queuedCall) {
+	w, call, record := s.world, queued.call, queued.record
+	if call.Attempts() == 0 {
+		record.LastAttemptEnded = w.now // its turn has come
 	}
-	ch := s.path.Next(s.clock(), c)
+	choice := s.router.Next(s.localTime(), call)
 	// fail ends it with what an endpoint itself said of its failure, if one did.
 	fail := func(d *failure.Error) {
-		if j.given {
+		if queued.endpointFailed {
 			d = nil
 		}
-		w.end(rec, d)
+		w.endCall(record, d)
 	}
-	if ch.Failure != nil {
-		fail(ch.Failure)
+	if choice.Failure != nil {
+		fail(choice.Failure)
 		return
 	}
-	over := false
-	done := func(e path.End) {
-		if over {
+	ended := false
+	done := func(e attempt.Result) {
+		if ended {
 			return
 		}
-		over = true
-		s.run(gen, func() {
-			rec.Last = w.now
-			again := s.path.Ended(s.clock(), c, e)
-			rec.Beyond = e.Shed || w.Platform && e.Arrived
-			j.given = j.given || e.Verdict == path.Ran
+		ended = true
+		s.runInGeneration(generation, func() {
+			record.LastAttemptEnded = w.now
+			retry := s.router.Finished(s.localTime(), call, e)
+			record.RejectedAtEndpoint = e.Shed || w.Platform && e.ReachedEndpoint
+			queued.endpointFailed = queued.endpointFailed || e.Outcome == attempt.Executed
 			switch {
-			case e.Verdict == path.Ran && !(again || e.Bad && w.Break == "failed"):
-				w.end(rec, nil)
-			case e.Verdict != path.Ran && !again:
-				fail(s.path.Final(c))
+			case e.Outcome == attempt.Executed && !(retry || e.EndpointFailed && w.Mutant == "failed"):
+				w.endCall(record, nil)
+			case e.Outcome != attempt.Executed && !retry:
+				fail(s.router.FinalFailure(call))
 			default:
-				s.next(gen, j)
+				s.tryNext(generation, queued)
 			}
 		})
 	}
-	unsure := func(kind failure.Kind) path.End {
-		return path.End{Verdict: path.Unsure, Failure: failure.Unsure(kind, "no return"), Lost: kind == failure.LostResponse}
+	unknown := func(kind failure.Kind) attempt.Result {
+		return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "no return"), Unreachable: kind == failure.LostResponse}
 	}
-	w.After(ch.Limit, func() { done(unsure(failure.Late)) })
-	if w.Break == "return" {
-		unsure = func(failure.Kind) path.End { return path.End{Verdict: path.Ran} }
+	w.After(choice.Timeout, func() { done(unknown(failure.DeadlineExceeded)) })
+	if w.Mutant == "return" {
+		unknown = func(failure.Kind) attempt.Result { return attempt.Result{Outcome: attempt.Executed} }
 	}
-	to := w.sideAt(ch.Entry.Gate)
-	pass := func(at *Side, done func(path.End)) { at.pass(ch, c, rec, done) }
+	target := w.sidecarAt(choice.Entry.SidecarAddr)
+	pass := func(at *Sidecar, done func(attempt.Result)) { at.forward(choice, call, record, done) }
 	if w.Platform {
-		t := s.wants(ch, j)
-		pass = func(at *Side, done func(path.End)) { at.admit(t, done) }
+		t := s.newAdmissionAttempt(choice, queued)
+		pass = func(at *Sidecar, done func(attempt.Result)) { at.admit(t, done) }
 	}
-	if to == s {
+	if target == s {
 		pass(s, done)
 		return
 	}
-	if to == nil || !to.up {
+	if target == nil || !target.running {
 		w.After(time.Millisecond, func() {
-			done(path.End{Verdict: path.NotRun, Failure: failure.New(failure.Unreached, "down"), Lost: true})
+			done(attempt.Result{Outcome: attempt.NotExecuted, Failure: failure.New(failure.Unreachable, "down"), Unreachable: true})
 		})
 		return
 	}
-	if !w.Links.Open(s.Addr, to.Addr) || !w.Links.Open(to.Addr, s.Addr) {
+	if !w.Links.Open(s.Addr, target.Addr) || !w.Links.Open(target.Addr, s.Addr) {
 		w.After(300*time.Millisecond, func() {
-			done(path.End{Verdict: path.NotRun, Failure: failure.New(failure.Unreached, "cut"), Lost: true})
+			done(attempt.Result{Outcome: attempt.NotExecuted, Failure: failure.New(failure.Unreachable, "cut"), Unreachable: true})
 		})
 		return
 	}
-	tg := to.gen
-	w.After(w.delay(), func() {
-		if !to.up || to.gen != tg {
-			done(unsure(failure.LostResponse))
+	targetGeneration := target.generation
+	w.After(w.linkDelay(), func() {
+		if !target.running || target.generation != targetGeneration {
+			done(unknown(failure.LostResponse))
 			return
 		}
-		to.run(tg, func() {
-			pass(to, func(e path.End) {
-				if w.Links.Open(to.Addr, s.Addr) && to.up && to.gen == tg {
-					w.After(w.delay(), func() { done(e) })
+		target.runInGeneration(targetGeneration, func() {
+			pass(target, func(e attempt.Result) {
+				if w.Links.Open(target.Addr, s.Addr) && target.running && target.generation == targetGeneration {
+					w.After(w.linkDelay(), func() { done(e) })
 				}
 			})
 		})
 	})
 }
 
-func (w *World) sideAt(a ident.Addr) *Side {
-	for _, s := range w.Sides {
+func (w *World) sidecarAt(a ident.Addr) *Sidecar {
+	for _, s := range w.Sidecars {
 		if s.Addr == a {
 			return s
 		}
@@ -212,104 +212,108 @@
 	return nil
 }
 
-// pass is the gate and what lies behind it.
-func (s *Side) pass(ch path.Choice, c *path.Call, rec *check.Call, done func(path.End)) {
-	w, gen := s.w, s.gen
-	turned := func(d *failure.Error) { done(path.End{Verdict: path.NotRun, Failure: d, Turned: true}) }
-	addr, _, d := s.gate.Pass(s.clock(), ch.Entry.UID, ch.Entry.Service)
-	if d != nil {
-		turned(d)
+// forward is the gate and what lies behind it.
+func (s *Sidecar) forward(choice attempt.Decision, call *attempt.Call, record *invariant.Call, done func(attempt.Result)) {
+	w, generation := s.world, s.generation
+	reject := func(rejection *failure.Error) {
+		done(attempt.Result{Outcome: attempt.NotExecuted, Failure: rejection, Rejected: true})
+	}
+	addr, _, rejection := s.tracker.Check(s.localTime(), choice.Entry.UID, choice.Entry.Service)
+	if rejection != nil {
+		reject(rejection)
 		return
 	}
-	if !s.path.Tree.Begin(s.clock(), ch.Repeat) {
-		turned(failure.New(failure.Busy, "no room for the calls of a repeat"))
+	if !s.router.RetryBudget.BeginRun(s.localTime(), choice.RepeatChance) {
+		reject(failure.New(failure.Busy, "no room for the calls of a repeat"))
 		return
 	}
-	s.hand++
-	said := done
-	done = func(e path.End) {
-		if s.lay(gen); s.gen == gen {
-			s.path.Tree.End(ch.Repeat)
+	s.inFlight++
+	release := done
+	done = func(e attempt.Result) {
+		if s.releaseRequest(generation); s.generation == generation {
+			s.router.RetryBudget.EndRun(choice.RepeatChance)
 		}
-		said(e)
+		release(e)
+	}
+	reject = func(rejection *failure.Error) {
+		done(attempt.Result{Outcome: attempt.NotExecuted, Failure: rejection, Rejected: true})
 	}
-	turned = func(d *failure.Error) { done(path.End{Verdict: path.NotRun, Failure: d, Turned: true}) }
 	w.After(150*time.Microsecond, func() { // the dial
-		s.run(gen, func() {
-			e := w.spots[addr]
+		s.runInGeneration(generation, func() {
+			e := w.endpoints[addr]
 			if e == nil {
-				s.gate.Failed(s.clock(), ch.Entry.UID)
-				turned(failure.New(failure.Unreached, "no connection"))
+				s.tracker.ConnectFailed(s.localTime(), choice.Entry.UID)
+				reject(failure.New(failure.Unreachable, "no connection"))
 				return
 			}
-			if _, _, d := s.gate.Pass(s.clock(), ch.Entry.UID, ch.Entry.Service); d != nil {
-				turned(d)
+			if _, _, rejection := s.tracker.Check(s.localTime(), choice.Entry.UID, choice.Entry.Service); rejection != nil {
+				reject(rejection)
 				return
 			}
-			run := check.Run{ID: rec.ID, Server: e.Server, Service: e.Service, Asked: c.Way.Service, At: w.now, LeftAt: e.leftAt, LostAt: e.lostAt, Unsafe: rec.Unsafe}
-			over := false
-			end := func(v path.End) {
-				if !over {
-					over = true
-					s.run(gen, func() { done(v) })
+			execution := invariant.Execution{ID: record.ID, Server: e.Server, Service: e.Service, RequestedService: call.Route.Service, ArrivedAt: w.now, LeaveConfirmedAt: e.leaveConfirmedAt, LossConfirmedAt: e.lossConfirmedAt, AtMostOnce: record.AtMostOnce}
+			ended := false
+			end := func(result attempt.Result) {
+				if !ended {
+					ended = true
+					s.runInGeneration(generation, func() { done(result) })
 				}
 			}
-			w.After(ch.Limit, func() {
-				end(path.End{Verdict: path.Unsure, Failure: failure.Unsure(failure.LostResponse, "the endpoint gave no return"), Lost: true})
+			w.After(choice.Timeout, func() {
+				end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint gave no return"), Unreachable: true})
 			})
 			if e.hung {
 				// It lies in the socket; who gave up on it may be told so, and it runs all the same.
-				w.arrive(rec, c)
-				e.late = append(e.late, func() { e.serve(run, rec, end) })
+				w.countArrival(record, call)
+				e.deferred = append(e.deferred, func() { e.serve(execution, record, end) })
 				return
 			}
-			w.arrive(rec, c)
-			e.serve(run, rec, end)
+			w.countArrival(record, call)
+			e.serve(execution, record, end)
 		})
 	})
 }
 
-// arrive counts what reaches an endpoint beyond the first try of its request.
-func (w *World) arrive(rec *check.Call, c *path.Call) {
-	if rec.Arrived++; rec.Arrived > 1 {
-		w.Check.Try(w.now, c.Way.Service)
+// countArrival counts what reaches an endpoint beyond the first try of its request.
+func (w *World) countArrival(record *invariant.Call, call *attempt.Call) {
+	if record.Arrivals++; record.Arrivals > 1 {
+		w.Checker.Retried(w.now, call.Route.Service)
 	}
 }
 
 // serve runs a request and gives its return, or none.
-func (e *Endpoint) serve(run check.Run, rec *check.Call, done func(path.End)) {
-	w := e.w
-	run.RanAt = w.now
-	w.Check.Ran(run)
-	e.hand++
-	x := w.Rng.Float64()
-	work := e.Mood.Work/2 + time.Duration(w.Rng.Int64N(int64(e.Mood.Work)+1))
-	if e.Mood.Long > 0 && w.Rng.Float64() < e.Mood.Long {
-		work = longWork
+func (e *Endpoint) serve(execution invariant.Execution, record *invariant.Call, done func(attempt.Result)) {
+	w := e.world
+	execution.ExecutedAt = w.now
+	w.Checker.Executed(execution)
+	e.inFlight++
+	outcome := w.Rng.Float64()
+	serviceTime := e.Behavior.ServiceTime/2 + time.Duration(w.Rng.Int64N(int64(e.Behavior.ServiceTime)+1))
+	if e.Behavior.SlowRate > 0 && w.Rng.Float64() < e.Behavior.SlowRate {
+		serviceTime = slowServiceTime
 	}
-	w.After(work, func() {
-		e.hand--
-		defer e.room()
+	w.After(serviceTime, func() {
+		e.inFlight--
+		defer e.dequeue()
 		switch {
-		case !e.up:
-			done(path.End{Verdict: path.Unsure, Failure: failure.Unsure(failure.LostResponse, "the endpoint ended"), Lost: true})
-		case e.hung, x < e.Mood.Lose: // no return comes
-		case x < e.Mood.Lose+e.Mood.Garbage:
-			end := path.End{Verdict: path.Unsure, Failure: failure.Unsure(failure.BadResponse, "garbage")}
-			if w.Break == "return" {
-				end.Verdict = path.Ran
+		case !e.running:
+			done(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint ended"), Unreachable: true})
+		case e.hung, outcome < e.Behavior.NoResponseRate: // no return comes
+		case outcome < e.Behavior.NoResponseRate+e.Behavior.GarbageRate:
+			end := attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "garbage")}
+			if w.Mutant == "return" {
+				end.Outcome = attempt.Executed
 			}
 			done(end)
 		default:
-			rec.Whole = true
-			done(path.End{Verdict: path.Ran})
+			record.Complete = true
+			done(attempt.Result{Outcome: attempt.Executed})
 		}
 	})
 }
 
-// lay counts one request out of hand, unless the sidecar has been started anew.
-func (s *Side) lay(gen int) {
-	if s.gen == gen {
-		s.hand--
+// releaseRequest counts one request out of hand, unless the sidecar has been started anew.
+func (s *Sidecar) releaseRequest(generation int) {
+	if s.generation == generation {
+		s.inFlight--
 	}
 }
--- a/sim/world/coredisk.go
+++ b/sim/world/coredisk.go
@@ -3,74 +3,74 @@
 import (
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/sim/broken"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/sim/mutant"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// disk is the folder of the next run. With the break it syncs only what that run itself
+// diskFolder is the folder of the next run. With the break it syncs only what that run itself
 // wrote, as if opening synced nothing.
-func (c *Core) disk() ring.Folder {
-	switch c.w.Break {
+func (c *Core) diskFolder() ring.Folder {
+	switch c.world.Mutant {
 	case "soft":
-		return broken.Lazy{Folder: c.mem}
+		return mutant.LazySyncFolder{Folder: c.memDisk}
 	case "folder":
-		return nameless{c.mem}
+		return unsyncedFolder{c.memDisk}
 	}
-	return c.mem
+	return c.memDisk
 }
 
 // PowerOff loses power of a machine whose process may be down: what no sync covered is
 // lost or torn.
 func (c *Core) PowerOff() {
 	c.Kill(true)
-	c.mem.Crash(func(n int) int { return c.w.Rng.IntN(n + 1) })
+	c.memDisk.Crash(func(n int) int { return c.world.Rng.IntN(n + 1) })
 }
 
-// Empty takes the disk away; addr, when given, is where the machine comes back.
-func (c *Core) Empty(addr ident.Addr) {
-	c.mem = ring.NewMem()
-	c.broken = false
+// ReplaceDisk takes the disk away; addr, when given, is where the machine comes back.
+func (c *Core) ReplaceDisk(addr ident.Addr) {
+	c.memDisk = ring.NewMemoryFolder()
+	c.diskFailed = false
 	if addr != "" {
 		c.Addr = addr
 	}
 }
 
-// write is the disk's duty: one batch at a time.
-func (c *Core) write(gen int) {
-	if c.writing || len(c.jobs) == 0 || c.broken {
+// writeBatch is the disk's duty: one batch at a time.
+func (c *Core) writeBatch(generation int) {
+	if c.writing || len(c.pendingWrites) == 0 || c.diskFailed {
 		return
 	}
 	c.writing = true
-	batch := c.jobs
-	c.jobs = nil
+	batch := c.pendingWrites
+	c.pendingWrites = nil
 	wrote := false
 	var err error
-	for _, fx := range batch {
-		if len(fx.Records) > 0 && err == nil {
+	for _, effects := range batch {
+		if len(effects.Records) > 0 && err == nil {
 			wrote = true
-			err = c.ring.Append(fx.Records)
+			err = c.ring.Append(effects.Records)
 		}
 	}
-	took := time.Duration(0)
+	duration := time.Duration(0)
 	if wrote {
-		took = 500*time.Microsecond + time.Duration(c.w.Rng.Int64N(int64(1500*time.Microsecond))) + c.Slow
+		duration = 500*time.Microsecond + time.Duration(c.world.Rng.Int64N(int64(1500*time.Microsecond))) + c.DiskDelay
 	}
-	c.busy = c.clock()
-	c.w.After(took, func() {
-		c.run(gen, func() {
+	c.writeStartedAt = c.watchedTime()
+	c.world.After(duration, func() {
+		c.runInGeneration(generation, func() {
 			if wrote && err == nil {
 				err = c.ring.Sync()
 			}
-			c.writing, c.busy = false, 0
+			c.writing, c.writeStartedAt = false, 0
 			if err != nil {
-				c.broken = true
+				c.diskFailed = true
 				return
 			}
-			for _, fx := range batch {
-				c.letOut(fx)
+			for _, effects := range batch {
+				c.deliverEffects(effects)
 			}
-			c.write(gen)
+			c.writeBatch(generation)
 		})
 	})
 }
--- a/sim/world/coremanifest.go
+++ b/sim/world/coremanifest.go
@@ -4,63 +4,63 @@
 	"encoding/json"
 	"time"
 
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/control/manifest/offer"
-	"cottonarch.example/cottonarch/control/manifest/walk"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/ident"
 )
 
-// follow keeps the newest confirmed manifest, as the daemon does.
-func (c *Core) follow() {
-	if c.reading || !c.node.Majority(c.clock()) {
+// followConfig keeps the newest confirmed manifest, as the daemon does.
+func (c *Core) followConfig() {
+	if c.readingConfig || !c.node.HasMajority(c.watchedTime()) {
 		return
 	}
-	c.reading = true
-	c.Newest(func(bool) { c.reading = false })
+	c.readingConfig = true
+	c.ReadConfig(func(bool) { c.readingConfig = false })
 }
 
-// Newest reads the manifest through its proposer.
-func (c *Core) Newest(done func(ok bool)) {
-	c.Deed(proposer.Operation{Key: offer.Key, Kind: "manifest/read"}, time.Second, func(e node.End) {
+// ReadConfig reads the manifest through its proposer.
+func (c *Core) ReadConfig(done func(ok bool)) {
+	c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, time.Second, func(e node.Result) {
 		if e.Failure != nil {
 			done(false)
 			return
 		}
-		c.install(e.Body)
+		c.installConfig(e.Body)
 		done(true)
 	})
 }
 
-// epoch is that of the newest manifest known here to be confirmed.
-func (c *Core) epoch() ident.Epoch {
-	if c.held == nil {
+// configRevision is that of the newest manifest known here to be confirmed.
+func (c *Core) configRevision() ident.Epoch {
+	if c.config == nil {
 		return 0
 	}
-	return c.held.Epoch
+	return c.config.Revision
 }
 
-// install takes a confirmed manifest in.
-func (c *Core) install(raw json.RawMessage) {
-	var h offer.Held
-	if json.Unmarshal(raw, &h) != nil {
-		c.w.Breach("damaged", "core %s read a manifest it can't decode", c.Addr)
+// installConfig takes a confirmed manifest in.
+func (c *Core) installConfig(raw json.RawMessage) {
+	var held proposal.State
+	if json.Unmarshal(raw, &held) != nil {
+		c.world.Violate("damaged", "core %s read a manifest it can't decode", c.Addr)
 	}
-	c.w.Check.Look("damaged")
-	if h.Epoch > 0 && (c.held == nil || h.Epoch > c.held.Epoch) {
-		c.w.Check.Look("invalid")
-		tree, d := walk.Parse(h.Manifest)
-		var m *check.Manifest
-		if d == nil {
-			m, d = check.Loose(tree)
+	c.world.Checker.Observe("damaged")
+	if held.Revision > 0 && (c.config == nil || held.Revision > c.config.Revision) {
+		c.world.Checker.Observe("invalid")
+		tree, invalid := decode.Parse(held.Document)
+		var parsed *validation.Config
+		if invalid == nil {
+			parsed, invalid = validation.Lenient(tree)
 		}
-		if d != nil {
-			c.w.Breach("invalid", "epoch %d in force is invalid: %v", h.Epoch, d)
+		if invalid != nil {
+			c.world.Violate("invalid", "epoch %d in force is invalid: %v", held.Revision, invalid)
 			return
 		}
-		m.Epoch = h.Epoch
-		c.held, c.raw = m, h.Manifest
-		c.node.Leases.Manifest(m)
+		parsed.Revision = held.Revision
+		c.config, c.rawConfig = parsed, held.Document
+		c.node.Leases.SetConfig(parsed)
 	}
 }
