--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -3,172 +3,172 @@
 import (
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/mesh/gate"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// Mood is how an endpoint behaves.
-type Mood struct {
-	Work          time.Duration
-	Lose, Garbage float64
-	Long          float64 // the part that take longWork
+// Behavior is how an endpoint behaves.
+type Behavior struct {
+	ServiceTime                 time.Duration
+	NoResponseRate, GarbageRate float64
+	SlowRate                    float64 // the part that take longWork
 	// The rest is for worlds with admission queues.
-	Slots, Queue int     // requests it works on at once, and queues beyond them
-	Fail         float64 // the part of its returns that say that it failed
+	Slots, QueueLimit int     // requests it works on at once, and queues beyond them
+	FailureRate       float64 // the part of its returns that say that it failed
 }
 
-// longWork is how long a long request takes.
-const longWork = 2500 * time.Millisecond
+// slowServiceTime is how long a long request takes.
+const slowServiceTime = 2500 * time.Millisecond
 
 // Endpoint is one run of one endpoint.
 type Endpoint struct {
-	w       *World
-	Side    *Side
-	Server  ident.Server
-	Service ident.Service
-	Addr    ident.Addr
-	Mood    Mood
-	up      bool
-	hung    bool
-	late    []func() // what came while it hung, run when it wakes
-	queue   []func() bool
-	seq     uint64 // of its beats
-	state   gate.State
-	hand    int
-	leftAt  monotime.Time // when its leaving was first confirmed on its machine
-	beatAt  monotime.Time // when its machine last took a beat of it, by the machine's clock
-	lostAt  monotime.Time // when its loss was confirmed on its machine, 0 if it is not
+	world             *World
+	Sidecar           *Sidecar
+	Server            ident.Server
+	Service           ident.Service
+	Addr              ident.Addr
+	Behavior          Behavior
+	running           bool
+	hung              bool
+	deferred          []func() // what came while it hung, run when it wakes
+	waiting           []func() bool
+	heartbeatSequence uint64 // of its beats
+	state             endpoint.State
+	inFlight          int
+	leaveConfirmedAt  monotime.Time // when its leaving was first confirmed on its machine
+	lastHeartbeat     monotime.Time // when its machine last took a beat of it, by the machine's clock
+	lossConfirmedAt   monotime.Time // when its loss was confirmed on its machine, 0 if it is not
 }
 
-// losses notes, while the machine runs and by its own clock, whose loss is confirmed on
+// recordLosses notes, while the machine runs and by its own clock, whose loss is confirmed on
 // it: reckoned from what it was told, not by the gate that is judged by it.
-func (s *Side) losses() {
-	for _, e := range s.Ends {
-		if e.lostAt == 0 && e.beatAt != 0 && s.clock().Since(e.beatAt) > s.w.silent() {
-			e.lostAt = s.w.now
-			s.w.Check.Look("late-to-leaver")
+func (s *Sidecar) recordLosses() {
+	for _, e := range s.Endpoints {
+		if e.lossConfirmedAt == 0 && e.lastHeartbeat != 0 && s.localTime().Since(e.lastHeartbeat) > s.world.silenceTimeout() {
+			e.lossConfirmedAt = s.world.now
+			s.world.Checker.Observe("late-to-leaver")
 		}
 	}
 }
 
 // Hang makes the endpoint hang for a while, connections still taken.
-func (e *Endpoint) Hang(d time.Duration) {
-	if !e.up || e.hung {
+func (e *Endpoint) Hang(duration time.Duration) {
+	if !e.running || e.hung {
 		return
 	}
 	e.hung = true
-	e.w.After(d, func() {
+	e.world.After(duration, func() {
 		e.hung = false
-		list := e.late
-		e.late = nil
-		if !e.up {
+		deferred := e.deferred
+		e.deferred = nil
+		if !e.running {
 			return
 		}
-		for _, do := range list {
-			do()
+		for _, work := range deferred {
+			work()
 		}
-		e.beat(e.state)
-		e.room()
+		e.sendHeartbeat(e.state)
+		e.dequeue()
 	})
 }
 
-// pace is how often endpoints beat where they keep a pace of their own.
-const pace = 1500 * time.Millisecond
+// heartbeatInterval is how often endpoints beat where they keep a pace of their own.
+const heartbeatInterval = 1500 * time.Millisecond
 
-// firstBeat is how long after its start the first beat of such an endpoint may come.
-const firstBeat = 300 * time.Millisecond
+// firstHeartbeatDelay is how long after its start the first beat of such an endpoint may come.
+const firstHeartbeatDelay = 300 * time.Millisecond
 
-// silent is after how long without a beat an endpoint counts as lost.
-func (w *World) silent() time.Duration {
+// silenceTimeout is after how long without a beat an endpoint counts as lost.
+func (w *World) silenceTimeout() time.Duration {
 	if w.Platform {
-		return pace * 5 / 2
+		return heartbeatInterval * 5 / 2
 	}
-	return gate.SilentMost
+	return endpoint.MaxHeartbeatTimeout
 }
 
 // NewEndpoint starts an endpoint on a machine.
-func (s *Side) NewEndpoint(server ident.Server, svc ident.Service, addr ident.Addr, mood Mood) *Endpoint {
-	e := &Endpoint{w: s.w, Side: s, Server: server, Service: svc, Addr: addr, Mood: mood, up: true, state: gate.Alive}
-	s.Ends = append(s.Ends, e)
-	s.w.spots[addr] = e
-	if s.w.Platform { // it takes connections before it is known
-		s.w.After(time.Duration(s.w.Rng.Int64N(int64(firstBeat))), e.beats)
+func (s *Sidecar) NewEndpoint(server ident.Server, service ident.Service, addr ident.Addr, behavior Behavior) *Endpoint {
+	e := &Endpoint{world: s.world, Sidecar: s, Server: server, Service: service, Addr: addr, Behavior: behavior, running: true, state: endpoint.Alive}
+	s.Endpoints = append(s.Endpoints, e)
+	s.world.endpoints[addr] = e
+	if s.world.Platform { // it takes connections before it is known
+		s.world.After(time.Duration(s.world.Rng.Int64N(int64(firstHeartbeatDelay))), e.heartbeatLoop)
 		return e
 	}
-	e.beats()
+	e.heartbeatLoop()
 	return e
 }
 
-func (e *Endpoint) beats() {
-	if !e.up {
+func (e *Endpoint) heartbeatLoop() {
+	if !e.running {
 		return
 	}
 	if !e.hung {
-		e.beat(e.state)
+		e.sendHeartbeat(e.state)
 	}
-	if e.w.Platform {
-		e.w.After(pace-10*time.Millisecond+time.Duration(e.w.Rng.Int64N(int64(20*time.Millisecond))), e.beats)
+	if e.world.Platform {
+		e.world.After(heartbeatInterval-10*time.Millisecond+time.Duration(e.world.Rng.Int64N(int64(20*time.Millisecond))), e.heartbeatLoop)
 		return
 	}
-	e.w.After(290*time.Millisecond+time.Duration(e.w.Rng.Int64N(int64(20*time.Millisecond))), e.beats)
+	e.world.After(290*time.Millisecond+time.Duration(e.world.Rng.Int64N(int64(20*time.Millisecond))), e.heartbeatLoop)
 }
 
-func (e *Endpoint) beat(st gate.State) {
-	s, gen := e.Side, e.Side.gen
-	b := gate.Beat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: st, Burden: float64(e.hand) / 16}
-	if e.w.Platform {
-		e.seq++
-		b.Slots, b.Seq = e.Mood.Slots, e.seq
+func (e *Endpoint) sendHeartbeat(state endpoint.State) {
+	s, generation := e.Sidecar, e.Sidecar.generation
+	heartbeat := endpoint.Heartbeat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: state, Load: float64(e.inFlight) / 16}
+	if e.world.Platform {
+		e.heartbeatSequence++
+		heartbeat.Slots, heartbeat.Seq = e.Behavior.Slots, e.heartbeatSequence
 	}
-	if e.w.Break == "leaver" {
-		b.State = gate.Alive // its leaving is not heeded
+	if e.world.Mutant == "leaver" {
+		heartbeat.State = endpoint.Alive // its leaving is not heeded
 	}
-	e.w.After(200*time.Microsecond, func() {
-		s.run(gen, func() {
-			c, d := s.gate.Take(s.clock(), b)
-			if d != nil {
+	e.world.After(200*time.Microsecond, func() {
+		s.runInGeneration(generation, func() {
+			c, rejection := s.tracker.HandleHeartbeat(s.localTime(), heartbeat)
+			if rejection != nil {
 				return
 			}
-			s.changed(c)
-			s.endpointBeat(b)
-			e.beatAt, e.lostAt = s.clock(), 0
-			if st != gate.Alive && e.leftAt == 0 {
-				e.leftAt = e.w.now
-				e.w.Check.Look("late-to-leaver")
+			s.endpointsChanged(c)
+			s.heartbeatTaken(heartbeat)
+			e.lastHeartbeat, e.lossConfirmedAt = s.localTime(), 0
+			if state != endpoint.Alive && e.leaveConfirmedAt == 0 {
+				e.leaveConfirmedAt = e.world.now
+				e.world.Checker.Observe("late-to-leaver")
 			}
 		})
 	})
 }
 
 // Leave drains: it says so, finishes, signs off and ends; then comes after.
-func (e *Endpoint) Leave(drain time.Duration, after func()) {
-	if !e.up {
+func (e *Endpoint) Leave(drain time.Duration, then func()) {
+	if !e.running {
 		return
 	}
-	e.state = gate.Leaving
-	e.beat(gate.Leaving)
-	e.w.After(drain, func() {
-		if !e.up {
+	e.state = endpoint.Leaving
+	e.sendHeartbeat(endpoint.Leaving)
+	e.world.After(drain, func() {
+		if !e.running {
 			return
 		}
-		e.beat(gate.Gone)
-		e.Die()
-		if after != nil {
-			after()
+		e.sendHeartbeat(endpoint.Gone)
+		e.Kill()
+		if then != nil {
+			then()
 		}
 	})
 }
 
-// Die ends the endpoint without a word.
-func (e *Endpoint) Die() {
-	e.up = false
-	if e.w.spots[e.Addr] == e {
-		delete(e.w.spots, e.Addr)
+// Kill ends the endpoint without a word.
+func (e *Endpoint) Kill() {
+	e.running = false
+	if e.world.endpoints[e.Addr] == e {
+		delete(e.world.endpoints, e.Addr)
 	}
-	for i, o := range e.Side.Ends {
+	for i, o := range e.Sidecar.Endpoints {
 		if o == e {
-			e.Side.Ends = append(e.Side.Ends[:i:i], e.Side.Ends[i+1:]...)
+			e.Sidecar.Endpoints = append(e.Sidecar.Endpoints[:i:i], e.Sidecar.Endpoints[i+1:]...)
 			break
 		}
 	}
--- a/sim/world/keys.go
+++ b/sim/world/keys.go
@@ -6,71 +6,71 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
-type keyIn struct {
-	kind string
-	val  string
-	cas  ident.Revision
+type keyInput struct {
+	kind  string
+	value string
+	base  ident.Revision
 }
 
-type keyOut struct {
-	rev     ident.Revision
-	val     string
-	unknown bool
-	no      bool
+type keyOutput struct {
+	revision ident.Revision
+	value    string
+	unknown  bool
+	conflict bool
 }
 
-// model is the sequential key, for porcupine.
-var model = porcupine.Model{
-	Init: func() any { return keyOut{} },
+// keyModel is the sequential key, for porcupine.
+var keyModel = porcupine.Model{
+	Init: func() any { return keyOutput{} },
 	Step: func(st, in, out any) (bool, any) {
-		s, i, o := st.(keyOut), in.(keyIn), out.(keyOut)
-		next := keyOut{rev: s.rev + 1, val: i.val}
+		s, i, o := st.(keyOutput), in.(keyInput), out.(keyOutput)
+		next := keyOutput{revision: s.revision + 1, value: i.value}
 		switch {
 		case i.kind == "read" && o.unknown:
 			return true, s
 		case i.kind == "read":
-			return o.rev == s.rev && o.val == s.val, s
-		case i.kind == "cas" && o.no:
-			return s.rev != i.cas, s
-		case i.kind == "cas" && s.rev != i.cas:
+			return o.revision == s.revision && o.value == s.value, s
+		case i.kind == "cas" && o.conflict:
+			return s.revision != i.base, s
+		case i.kind == "cas" && s.revision != i.base:
 			return o.unknown, s
 		case o.unknown:
 			return true, next
 		}
-		return o.rev == next.rev, next
+		return o.revision == next.revision, next
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Keys reads, writes and compares keys, and keeps their histories.
-type Keys struct {
-	w     *World
-	names int
-	ops   map[string][]porcupine.Operation
-	floor map[string]ident.Revision
-	vals  map[string]string
-	n     int
+// KeyUsers reads, writes and compares keys, and keeps their histories.
+type KeyUsers struct {
+	world        *World
+	keyCount     int
+	histories    map[string][]porcupine.Operation
+	acknowledged map[string]ident.Revision
+	valueAt      map[string]string
+	writeCount   int
 }
 
-// KeyUsers starts n applications over a number of keys.
-func (w *World) KeyUsers(n, names int, gap time.Duration) *Keys {
-	k := &Keys{w: w, names: names, ops: map[string][]porcupine.Operation{}, floor: map[string]ident.Revision{}, vals: map[string]string{}}
-	for i := range n {
-		w.After(time.Duration(w.Rng.Int64N(int64(gap))), func() { k.round(i, gap) })
+// StartKeyUsers starts n applications over a number of keys.
+func (w *World) StartKeyUsers(clients, keyCount int, interval time.Duration) *KeyUsers {
+	k := &KeyUsers{world: w, keyCount: keyCount, histories: map[string][]porcupine.Operation{}, acknowledged: map[string]ident.Revision{}, valueAt: map[string]string{}}
+	for i := range clients {
+		w.After(time.Duration(w.Rng.Int64N(int64(interval))), func() { k.round(i, interval) })
 	}
 	return k
 }
 
-// Judge checks every key's history for linearisability.
-func (k *Keys) Judge() {
-	for i := range k.names {
+// CheckHistories checks every key's history for linearisability.
+func (u *KeyUsers) CheckHistories() {
+	for i := range u.keyCount {
 		name := fmt.Sprintf("k%d", i)
-		k.w.Check.Seen["stale-read"]++
-		if porcupine.CheckOperationsTimeout(model, k.ops[name], 2*time.Second) == porcupine.Illegal {
-			k.w.Breach("stale-read", "the history of %s (%d operations) is not linearisable", name, len(k.ops[name]))
+		u.world.Checker.Observed["stale-read"]++
+		if porcupine.CheckOperationsTimeout(keyModel, u.histories[name], 2*time.Second) == porcupine.Illegal {
+			u.world.Violate("stale-read", "the history of %s (%d operations) is not linearisable", name, len(u.histories[name]))
 		}
 	}
 }
--- a/sim/world/machine.go
+++ b/sim/world/machine.go
@@ -2,15 +2,17 @@
 
 import (
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/sim/broken"
+	"cottonarch.example/cottonarch/sim/mutant"
 )
 
-func (w *World) need() int {
-	if w.Break == "quorum" {
+func (w *World) quorumOverride() int {
+	if w.Mutant == "quorum" {
 		return 1
 	}
 	return 0
 }
 
-// machine is the book of all operations, with the one that is broken on purpose.
-func (w *World) machine() proposer.StateMachine { return broken.Book(string(w.Break), w.History) }
+// stateMachine is the book of all operations, with the one that is broken on purpose.
+func (w *World) stateMachine() proposer.StateMachine {
+	return mutant.Handlers(string(w.Mutant), w.HistoryRetention)
+}
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -7,32 +7,32 @@
 	"slices"
 	"time"
 
-	"cottonarch.example/cottonarch/control/audit/chunk"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/audit/segment"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/operation"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
-	"cottonarch.example/cottonarch/sim/check"
+	"cottonarch.example/cottonarch/sim/invariant"
 )
 
 // Operators offers manifests: whole and partial, good and bad, in races.
 type Operators struct {
-	w      *World
-	base   func(mark string) map[string]any
-	n      int
-	open   int // epochs that sidecars are still awaited to have
-	top    ident.Epoch
-	bodies map[ident.Epoch]string
-	shown  map[ident.Addr]*ident.Epoch
+	world           *World
+	document        func(mark string) map[string]any
+	proposalCount   int
+	awaitedSidecars int // epochs that sidecars are still awaited to have
+	newestConfirmed ident.Epoch
+	markerOf        map[ident.Epoch]string
+	shownRevisions  map[ident.Addr]*ident.Epoch
 }
 
-// Operate starts the operators; base makes the whole manifest around a mark.
-func (w *World) Operate(gap time.Duration, base func(mark string) map[string]any) *Operators {
-	o := &Operators{w: w, base: base, bodies: map[ident.Epoch]string{}, shown: map[ident.Addr]*ident.Epoch{}}
-	var round func()
-	round = func() {
+// StartOperators starts the operators; base makes the whole manifest around a mark.
+func (w *World) StartOperators(interval time.Duration, document func(mark string) map[string]any) *Operators {
+	o := &Operators{world: w, document: document, markerOf: map[ident.Epoch]string{}, shownRevisions: map[ident.Addr]*ident.Epoch{}}
+	var next func()
+	next = func() {
 		if w.Closed {
 			return
 		}
@@ -41,175 +41,175 @@
 			n = 2 + w.Rng.IntN(3) // a race
 		}
 		for range n {
-			o.Offer()
+			o.Propose()
 		}
-		w.After(gap/2+time.Duration(w.Rng.Int64N(int64(gap))), round)
+		w.After(interval/2+time.Duration(w.Rng.Int64N(int64(interval))), next)
 	}
-	round()
+	next()
 	return o
 }
 
-// Offer sends one manifest to some core.
-func (o *Operators) Offer() {
-	w := o.w
-	o.n++
-	mark := fmt.Sprintf("mark-%d", o.n)
-	tree := o.base(mark)
-	a := offer.Args{}
-	bad := false
+// Propose sends one manifest to some core.
+func (o *Operators) Propose() {
+	w := o.world
+	o.proposalCount++
+	marker := fmt.Sprintf("mark-%d", o.proposalCount)
+	document := o.document(marker)
+	args := proposal.Args{}
+	mustFail := false
 	switch w.Rng.IntN(10) {
 	case 0: // dangling
-		tree["ways"].(map[string]any)["bad"] = map[string]any{"host": "x", "service": "nobody"}
-		bad = true
+		document["ways"].(map[string]any)["bad"] = map[string]any{"host": "x", "service": "nobody"}
+		mustFail = true
 	case 1: // unknown field
-		tree["surprise"] = 1
-		bad = true
+		document["surprise"] = 1
+		mustFail = true
 	case 2, 3: // stale or true base
-		base := o.top
+		base := o.newestConfirmed
 		if w.Rng.IntN(2) == 0 && base > 0 {
 			base--
-			bad = true
+			mustFail = true
 		}
-		a.Base = &base
+		args.BaseRevision = &base
 	case 4, 5, 6: // a part: only one service's namespace
-		all := tree["services"].(map[string]any)
-		for name, s := range all {
-			if s.(map[string]any)["namespace"] == mark {
-				tree = map[string]any{"services": map[string]any{name: s}}
+		services := document["services"].(map[string]any)
+		for name, service := range services {
+			if service.(map[string]any)["namespace"] == marker {
+				document = map[string]any{"services": map[string]any{name: service}}
 			}
 		}
-		a.Partial = true
-		if o.top == 0 {
-			a.Partial, tree = false, o.base(mark)
+		args.Partial = true
+		if o.newestConfirmed == 0 {
+			args.Partial, document = false, o.document(marker)
 		}
 	}
-	a.Body = operation.Encode(tree)
-	began := o.top
-	w.ask(proposer.Operation{Key: offer.Key, Kind: "manifest/offer", Args: operation.Encode(a)}, func(e *node.End) {
-		w.Check.Seen["manifest-turned"]++
+	args.Body = operation.Encode(document)
+	newestBefore := o.newestConfirmed
+	w.request(proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(args)}, func(e *node.Result) {
+		w.Checker.Observed["manifest-turned"]++
 		switch {
-		case sure(e):
-			w.Served["manifest-no"]++
-			w.Check.TurnedAway(mark, string(e.Failure.Kind))
+		case notExecuted(e):
+			w.Counters["manifest-no"]++
+			w.Checker.ProposalRejected(marker, string(e.Failure.Kind))
 		case e == nil || e.Failure != nil:
-			w.Served["manifest-unknown"]++
+			w.Counters["manifest-unknown"]++
 		default:
-			var y offer.Yes
-			if json.Unmarshal(e.Body, &y) != nil || y.Epoch == 0 {
-				w.Breach("damaged", "a yes without epoch")
+			var confirmed proposal.Accepted
+			if json.Unmarshal(e.Body, &confirmed) != nil || confirmed.Revision == 0 {
+				w.Violate("damaged", "a yes without epoch")
 				return
 			}
-			w.Served["manifest-yes"]++
-			if bad {
-				w.Breach("manifest-turned", "a bad or stale manifest (%s) was confirmed as epoch %d", mark, y.Epoch)
+			w.Counters["manifest-yes"]++
+			if mustFail {
+				w.Violate("manifest-turned", "a bad or stale manifest (%s) was confirmed as epoch %d", marker, confirmed.Revision)
 			}
-			if old, ok := o.bodies[y.Epoch]; ok {
-				w.Breach("number-repeated", "epoch %d was given to %s and %s", y.Epoch, old, mark)
+			if old, ok := o.markerOf[confirmed.Revision]; ok {
+				w.Violate("number-repeated", "epoch %d was given to %s and %s", confirmed.Revision, old, marker)
 			}
-			if y.Epoch <= began {
-				w.Breach("number-repeated", "epoch %d was given after %d was confirmed", y.Epoch, began)
+			if confirmed.Revision <= newestBefore {
+				w.Violate("number-repeated", "epoch %d was given after %d was confirmed", confirmed.Revision, newestBefore)
 			}
-			o.bodies[y.Epoch] = mark
-			o.top = max(o.top, y.Epoch)
-			o.inForce(y.Epoch, w.now)
+			o.markerOf[confirmed.Revision] = marker
+			o.newestConfirmed = max(o.newestConfirmed, confirmed.Revision)
+			o.awaitSidecars(confirmed.Revision, w.now)
 		}
 	})
 }
 
-// inForce follows the epoch to every sidecar. The bound runs from the confirmation, or
+// awaitSidecars follows the epoch to every sidecar. The bound runs from the confirmation, or
 // from the end of what kept everybody from making that sidecar know it.
-func (o *Operators) inForce(e ident.Epoch, at monotime.Time) {
-	for _, s := range o.w.Sides {
-		o.open++
-		o.follow(s, e, at, "")
+func (o *Operators) awaitSidecars(revision ident.Epoch, confirmedAt monotime.Time) {
+	for _, s := range o.world.Sidecars {
+		o.awaitedSidecars++
+		o.awaitSidecar(s, revision, confirmedAt, "")
 	}
 }
 
-func (o *Operators) follow(s *Side, e ident.Epoch, from monotime.Time, cause string) {
-	w := o.w
+func (o *Operators) awaitSidecar(s *Sidecar, revision ident.Epoch, from monotime.Time, cause string) {
+	w := o.world
 	const rule = "manifest-late"
-	have := ident.Epoch(0)
-	if s.up {
-		have = s.path.Epoch()
+	shown := ident.Epoch(0)
+	if s.running {
+		shown = s.router.Revision()
 	}
-	if have < e {
-		if why := w.out(s, e); why != "" {
-			from, cause = w.now, why
+	if shown < revision {
+		if unreachable := w.unreachableCause(s, revision); unreachable != "" {
+			from, cause = w.now, unreachable
 		}
 	}
-	late := w.now.Since(from) > check.ManifestMax
-	if have < e && !late {
-		w.After(20*time.Millisecond, func() { o.follow(s, e, from, cause) })
+	late := w.now.Since(from) > invariant.ConfigDeadline
+	if shown < revision && !late {
+		w.After(20*time.Millisecond, func() { o.awaitSidecar(s, revision, from, cause) })
 		return
 	}
-	o.open--
-	w.Check.Look(rule)
+	o.awaitedSidecars--
+	w.Checker.Observe(rule)
 	if cause != "" {
-		w.Check.Wait(rule, cause)
+		w.Checker.ObserveDelayed(rule, cause)
 	}
 	if late {
-		w.Breach(rule, "%s has epoch %d more than two seconds after %d was confirmed, waited for the end of %q; %s", s.Node, have, e, cause, s.wit.Text())
+		w.Violate(rule, "%s has epoch %d more than two seconds after %d was confirmed, waited for the end of %q; %s", s.Node, shown, revision, cause, s.configCache.Describe())
 	}
 }
 
 // Close counts what was still out at the day's end.
 func (o *Operators) Close() {
-	for range o.open {
-		o.w.Check.Excuse("manifest-late", causeDayEnd)
+	for range o.awaitedSidecars {
+		o.world.Checker.Excuse("manifest-late", causeDayEnd)
 	}
 }
 
-// Audit looks whether the audit log has every confirmed epoch once, and in order.
-func (o *Operators) Audit() {
-	w := o.w
+// CheckAuditLog looks whether the audit log has every confirmed epoch once, and in order.
+func (o *Operators) CheckAuditLog() {
+	w := o.world
 	for _, c := range w.Cores {
-		if !c.Well() {
+		if !c.Healthy() {
 			continue
 		}
-		c.ticket++
-		c.ends[c.ticket] = func(e node.End) {
-			leaves, ok := node.Leaves(e.Found)
+		c.lastTicket++
+		c.onEnd[c.lastTicket] = func(e node.Result) {
+			entries, ok := node.AuditEntries(e.Found)
 			if e.Failure != nil || !ok {
-				w.Breach("audit", "the audit log can't be read at day's end: %v", e.Failure)
+				w.Violate("audit", "the audit log can't be read at day's end: %v", e.Failure)
 				return
 			}
-			have := map[ident.Epoch]bool{}
+			logged := map[ident.Epoch]bool{}
 			last := ident.Epoch(0)
-			for _, l := range leaves {
-				if l.Epoch <= last || len(l.Sum) != 64 {
-					w.Breach("audit", "epoch %d stands after %d", l.Epoch, last)
+			for _, entry := range entries {
+				if entry.Revision <= last || len(entry.SHA256) != 64 {
+					w.Violate("audit", "epoch %d stands after %d", entry.Revision, last)
 				}
-				last, have[l.Epoch] = l.Epoch, true
+				last, logged[entry.Revision] = entry.Revision, true
 			}
-			for _, epoch := range slices.Sorted(maps.Keys(o.bodies)) {
-				w.Check.Seen["audit"]++
-				if !have[epoch] {
-					w.Breach("audit", "epoch %d was confirmed and is not in the log", epoch)
+			for _, epoch := range slices.Sorted(maps.Keys(o.markerOf)) {
+				w.Checker.Observed["audit"]++
+				if !logged[epoch] {
+					w.Violate("audit", "epoch %d was confirmed and is not in the log", epoch)
 				}
 			}
 		}
-		c.out(c.node.QuorumRead(c.clock(), c.ticket, chunk.Prefix, true, 4*time.Second))
+		c.applyEffects(c.node.QuorumRead(c.watchedTime(), c.lastTicket, segment.Prefix, true, 4*time.Second))
 		return
 	}
 }
 
 // ReadBack reads the manifest at every core at the end of the day.
 func (o *Operators) ReadBack() {
-	w := o.w
+	w := o.world
 	for _, c := range w.Cores {
-		if !c.up || c.frozen {
+		if !c.running || c.frozen {
 			continue
 		}
-		want := o.top
-		c.Deed(proposer.Operation{Key: offer.Key, Kind: "manifest/read"}, 4*time.Second, func(e node.End) {
-			var h offer.Held
-			if e.Failure != nil || json.Unmarshal(e.Body, &h) != nil {
-				w.Breach("slow-recovery", "core %s can't read the manifest at day's end: %v", c.Addr, e.Failure)
+		newest := o.newestConfirmed
+		c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, 4*time.Second, func(e node.Result) {
+			var held proposal.State
+			if e.Failure != nil || json.Unmarshal(e.Body, &held) != nil {
+				w.Violate("slow-recovery", "core %s can't read the manifest at day's end: %v", c.Addr, e.Failure)
 				return
 			}
-			w.Check.Seen["manifest-turned"]++
-			if h.Epoch < want {
-				w.Breach("manifest-turned", "core %s reads epoch %d at day's end, %d was confirmed", c.Addr, h.Epoch, want)
+			w.Checker.Observed["manifest-turned"]++
+			if held.Revision < newest {
+				w.Violate("manifest-turned", "core %s reads epoch %d at day's end, %d was confirmed", c.Addr, held.Revision, newest)
 			}
 		})
 	}
--- a/sim/world/orders_test.go
+++ b/sim/world/orders_test.go
@@ -8,102 +8,102 @@
 
 	"github.com/shoenig/test/must"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/operation"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// order is one order of an operator. It puts in a service of its own name, which nothing
+// proposalOrder is one order of an operator. It puts in a service of its own name, which nothing
 // takes away, so the last manifest tells whether it was taken.
-type order struct {
-	name           string
-	args           offer.Args
-	acked, refused bool
+type proposalOrder struct {
+	name                   string
+	args                   proposal.Args
+	acknowledged, rejected bool
 }
 
-// orders are operators who send orders at once, each again until it has a clear answer.
-type orders struct {
-	w     *World
-	all   []*order
-	top   uint64 // newest release that was acknowledged
-	open  int
-	stop  bool
-	again int // repeats of orders that had an answer
+// proposers are operators who send orders at once, each again until it has a clear answer.
+type proposers struct {
+	world         *World
+	sent          []*proposalOrder
+	newestVersion uint64 // newest release that was acknowledged
+	pending       int
+	stopped       bool
+	resent        int // repeats of orders that had an answer
 }
 
 // send gives an order to some core, and loses one acknowledgement in three.
-func (o *orders) send(r *order, then func(clear bool)) {
-	d := proposer.Operation{Key: offer.Key, Kind: "manifest/offer", Args: operation.Encode(r.args), Repeatable: true}
-	o.w.asking(d, 900*time.Millisecond, time.Second, func(e *node.End) {
-		if o.w.Rng.IntN(3) == 0 {
-			e = nil
+func (o *proposers) send(order *proposalOrder, done func(clear bool)) {
+	op := proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(order.args), Repeatable: true}
+	o.world.requestWithin(op, 900*time.Millisecond, time.Second, func(ended *node.Result) {
+		if o.world.Rng.IntN(3) == 0 {
+			ended = nil
 		}
 		switch {
-		case e != nil && e.Failure == nil:
-			var yes offer.Yes
-			_ = json.Unmarshal(e.Body, &yes)
-			o.top = max(o.top, yes.Release)
-			r.acked = true
-			then(true)
-		case e != nil && e.Failure.Outcome == failure.NotExecuted && (e.Failure.Kind == failure.Conflict || e.Failure.Kind == failure.Invalid):
-			r.refused = true
-			then(true)
+		case ended != nil && ended.Failure == nil:
+			var yes proposal.Accepted
+			_ = json.Unmarshal(ended.Body, &yes)
+			o.newestVersion = max(o.newestVersion, yes.Version)
+			order.acknowledged = true
+			done(true)
+		case ended != nil && ended.Failure.Outcome == failure.NotExecuted && (ended.Failure.Kind == failure.Conflict || ended.Failure.Kind == failure.Invalid):
+			order.rejected = true
+			done(true)
 		default:
-			then(false)
+			done(false)
 		}
 	})
 }
 
-// operate has one operator go on from order to order; now and then it sends one of
+// run has one operator go on from order to order; now and then it sends one of
 // anybody's earlier orders once more.
-func (o *orders) operate(who int) {
-	if o.stop {
+func (o *proposers) run(operator int) {
+	if o.stopped {
 		return
 	}
-	w := o.w
-	base := o.top
-	r := &order{name: fmt.Sprintf("o%d-%d", who, len(o.all)), args: offer.Args{Kind: offer.Change, BaseRelease: &base, Loose: true}}
-	r.args.Body = json.RawMessage(fmt.Sprintf(`{"release":%d,"upsert":{"services":{"%s":{}}}}`, base+1+w.Rng.Uint64N(3), r.name))
-	o.all = append(o.all, r)
-	o.open++
-	var try func()
-	try = func() {
-		o.send(r, func(clear bool) {
+	w := o.world
+	base := o.newestVersion
+	order := &proposalOrder{name: fmt.Sprintf("o%d-%d", operator, len(o.sent)), args: proposal.Args{Kind: proposal.ItemPatch, BaseVersion: &base, AllowUnknown: true}}
+	order.args.Body = json.RawMessage(fmt.Sprintf(`{"release":%d,"upsert":{"services":{"%s":{}}}}`, base+1+w.Rng.Uint64N(3), order.name))
+	o.sent = append(o.sent, order)
+	o.pending++
+	var send func()
+	send = func() {
+		o.send(order, func(clear bool) {
 			if !clear {
-				w.After(time.Duration(w.Rng.Int64N(int64(100*time.Millisecond))), try)
+				w.After(time.Duration(w.Rng.Int64N(int64(100*time.Millisecond))), send)
 				return
 			}
-			o.open--
+			o.pending--
 			if w.Rng.IntN(3) == 0 {
-				o.again++
-				o.send(o.all[w.Rng.IntN(len(o.all))], func(bool) {})
+				o.resent++
+				o.send(o.sent[w.Rng.IntN(len(o.sent))], func(bool) {})
 			}
-			w.After(time.Duration(w.Rng.Int64N(int64(200*time.Millisecond))), func() { o.operate(who) })
+			w.After(time.Duration(w.Rng.Int64N(int64(200*time.Millisecond))), func() { o.run(operator) })
 		})
 	}
-	try()
+	send()
 }
 
 // Eight operators at once over five cores, links that lose and double, cores that are
 // killed and lose power, one acknowledgement in three lost: an order that is in force at
 // the end was never refused, at any core and time, and one that was acknowledged is in
 // force; no order was both.
-func TestOrdersUnderWayOverLossyLinks(t *testing.T) {
+func TestConcurrentProposalsOverLossyLinks(t *testing.T) {
 	const cores, operators, span, wanted = 5, 8, 60 * time.Second, 150
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			u := newLongUse(t, seed, cores, ring.Boot{Files: 4, Size: 512 << 10})
-			w := u.w
-			w.Links.Lose, w.Links.Double, w.Links.Late = 0.01, 0.02, 0.01
-			u.change()
-			o := &orders{w: w, top: u.release}
-			for who := range operators {
-				o.operate(who)
+			cluster := newCoreCluster(t, seed, cores, ring.Options{FileCount: 4, FileSize: 512 << 10})
+			w := cluster.world
+			w.Links.LossRate, w.Links.DuplicateRate, w.Links.DelayRate = 0.01, 0.02, 0.01
+			cluster.changeConfig()
+			proposers := &proposers{world: w, newestVersion: cluster.version}
+			for operator := range operators {
+				proposers.run(operator)
 			}
 			for end := w.now.Add(span); w.now < end; {
 				w.RunFor(time.Second + time.Duration(w.Rng.Int64N(int64(2*time.Second))))
@@ -116,34 +116,34 @@
 				w.RunFor(time.Second)
 				c.Start()
 			}
-			o.stop = true
+			proposers.stopped = true
 			w.RunFor(10 * time.Second)
-			must.Eq(t, 0, o.open, must.Sprint("orders without a clear answer"))
-			var h offer.Held
-			e := u.do(w.Cores[0], proposer.Operation{Key: offer.Key, Kind: "manifest/read"}, 4*time.Second)
+			must.Eq(t, 0, proposers.pending, must.Sprint("orders without a clear answer"))
+			var held proposal.State
+			e := cluster.submit(w.Cores[0], proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, 4*time.Second)
 			must.NotNil(t, e)
-			must.NoError(t, json.Unmarshal(e.Body, &h))
+			must.NoError(t, json.Unmarshal(e.Body, &held))
 			var last struct {
 				Services map[string]any `json:"services"`
 			}
-			must.NoError(t, json.Unmarshal(h.Manifest, &last))
+			must.NoError(t, json.Unmarshal(held.Document, &last))
 			taken, refused := 0, 0
-			for _, r := range o.all {
-				_, in := last.Services[r.name]
-				must.False(t, in && r.refused, must.Sprint(r.name, " was taken and refused"))
-				must.False(t, !in && r.acked, must.Sprint(r.name, " was acknowledged and is not in force"))
+			for _, order := range proposers.sent {
+				_, in := last.Services[order.name]
+				must.False(t, in && order.rejected, must.Sprint(order.name, " was taken and refused"))
+				must.False(t, !in && order.acknowledged, must.Sprint(order.name, " was acknowledged and is not in force"))
 				if in {
 					taken++
 				}
-				if r.refused {
+				if order.rejected {
 					refused++
 				}
 			}
-			t.Logf("%d orders, %d taken, %d refused, %d sent again after their answer; epoch %d", len(o.all), taken, refused, o.again, h.Epoch)
+			t.Logf("%d orders, %d taken, %d refused, %d sent again after their answer; epoch %d", len(proposers.sent), taken, refused, proposers.resent, held.Revision)
 			must.Greater(t, wanted, taken)
 			must.Positive(t, refused)
-			must.Eq(t, ident.Epoch(taken+1), h.Epoch)
-			must.Eq(t, 0, len(w.Check.Breaches), must.Sprint(w.Check.Breaches))
+			must.Eq(t, ident.Epoch(taken+1), held.Revision)
+			must.Eq(t, 0, len(w.Checker.Violations), must.Sprint(w.Checker.Violations))
 		})
 	}
 }
--- a/sim/world/peers.go
+++ b/sim/world/peers.go
@@ -3,102 +3,102 @@
 import (
 	"time"
 
-	manifest "cottonarch.example/cottonarch/control/manifest/check"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/witness"
+	"cottonarch.example/cottonarch/base/ident"
+	manifest "cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/mesh/configcache"
 )
 
-// enforce takes a confirmed manifest in: it is shown once peers have heard of it.
-func (s *Side) enforce(m *manifest.Manifest) {
-	peers := s.peers()
-	if m == nil {
+// applyConfig takes a confirmed manifest in: it is shown once peers have heard of it.
+func (s *Sidecar) applyConfig(config *manifest.Config) {
+	peers := s.shuffledPeers()
+	if config == nil {
 		return
 	}
-	if !s.wit.Take(s.clock(), m, s.path.Epoch(), len(peers)) {
-		s.show()
+	if !s.configCache.Add(s.localTime(), config, s.router.Revision(), len(peers)) {
+		s.showConfig()
 		return
 	}
-	for _, p := range peers[:min(len(peers), witness.Ask)] {
-		s.ask(&p.proc, 250*time.Millisecond, func(say func(any)) {
-			p.hear(m, func() { say(true) })
-		}, func(v any) {
-			s.wit.Said(m.Epoch, v != nil)
-			s.show()
+	for _, p := range peers[:min(len(peers), configcache.MaxNotified)] {
+		s.request(&p.process, 250*time.Millisecond, func(respond func(any)) {
+			p.configAnnounced(config, func() { respond(true) })
+		}, func(response any) {
+			s.configCache.HandleAck(config.Revision, response != nil)
+			s.showConfig()
 		})
 	}
-	s.show()
+	s.showConfig()
 }
 
-// hear takes a peer's word of an epoch; done is called once its manifest is here, which
+// configAnnounced takes a peer's word of an epoch; done is called once its manifest is here, which
 // is taken from that peer if it does not come by itself.
-func (s *Side) hear(m *manifest.Manifest, done func()) {
-	if m.Epoch < s.path.Floor || s.w.Break == "deaf" {
+func (s *Sidecar) configAnnounced(config *manifest.Config, done func()) {
+	if config.Revision < s.router.MinRevision || s.world.Mutant == "deaf" {
 		return // it may not be shown here, so it is not held either
 	}
-	s.wit.Hear(s.clock(), m.Epoch)
-	if s.wit.Holds(s.path.Epoch()) >= m.Epoch {
+	s.configCache.ObservePeer(s.localTime(), config.Revision)
+	if s.configCache.NewestHeld(s.router.Revision()) >= config.Revision {
 		done()
 		return
 	}
-	gen := s.gen
-	s.w.After(witness.Pull, func() {
-		s.run(gen, func() {
-			s.enforce(m)
+	generation := s.generation
+	s.world.After(configcache.PullDelay, func() {
+		s.runInGeneration(generation, func() {
+			s.applyConfig(config)
 			done()
 		})
 	})
 }
 
-func (s *Side) show() {
-	if m := s.wit.Due(s.clock()); m != nil && s.path.Enforce(m) {
-		s.w.Check.Shown(s.w.now, "sidecar "+string(s.Node), m, &s.shown)
+func (s *Sidecar) showConfig() {
+	if config := s.configCache.TakeReady(s.localTime()); config != nil && s.router.Enforce(config) {
+		s.world.Checker.ConfigShown(s.world.now, "sidecar "+string(s.Node), config, &s.shownRevision)
 	}
 }
 
-// peers lists the other sidecars in an order drawn anew.
-func (s *Side) peers() []*Side {
-	var out []*Side
-	for _, i := range s.w.Rng.Perm(len(s.w.Sides)) {
-		if s.w.Sides[i] != s {
-			out = append(out, s.w.Sides[i])
+// shuffledPeers lists the other sidecars in an order drawn anew.
+func (s *Sidecar) shuffledPeers() []*Sidecar {
+	var out []*Sidecar
+	for _, i := range s.world.Rng.Perm(len(s.world.Sidecars)) {
+		if s.world.Sidecars[i] != s {
+			out = append(out, s.world.Sidecars[i])
 		}
 	}
 	return out
 }
 
-// neighbours asks peers while no core is heard.
-func (s *Side) neighbours() {
-	if s.w.Break == "deaf" {
+// requestFromPeers asks peers while no core is heard.
+func (s *Sidecar) requestFromPeers() {
+	if s.world.Mutant == "deaf" {
 		return
 	}
-	peers := s.peers()
+	peers := s.shuffledPeers()
 	for _, p := range peers[:min(len(peers), 8)] {
-		s.ask(&p.proc, 400*time.Millisecond, func(say func(any)) {
-			m := p.path.Manifest()
-			if n := p.wit.Next(); n != nil {
-				m = n
+		s.request(&p.process, 400*time.Millisecond, func(respond func(any)) {
+			config := p.router.Config()
+			if n := p.configCache.Pending(); n != nil {
+				config = n
 			}
-			say(word{told{sets: p.path.Index.Sets(), m: m}, p.wit.Heard(), p.entered})
-		}, func(v any) {
-			got, ok := v.(word)
+			respond(peerResponse{pollResponse{sets: p.router.Index.Sets(), config: config}, p.configCache.NewestKnown(), p.hasLease})
+		}, func(response any) {
+			got, ok := response.(peerResponse)
 			if !ok {
 				return
 			}
-			if s.path.Index.Merge(got.sets) {
-				s.mark, s.polling = 0, false
-				s.polls++
+			if s.router.Index.Merge(got.sets) {
+				s.polledGeneration, s.polling = 0, false
+				s.pollCount++
 			}
-			s.wit.Prior(s.clock(), got.heard, got.entered)
-			if s.wit.Believes(s.clock()) {
-				s.enforce(got.m)
+			s.configCache.HandlePeerAnswer(s.localTime(), got.heardRevision, got.hasLease)
+			if s.configCache.TrustsPeers(s.localTime()) {
+				s.applyConfig(got.config)
 			}
 		})
 	}
 }
 
-// word is what a peer tells.
-type word struct {
-	told
-	heard   ident.Epoch
-	entered bool
+// peerResponse is what a peer tells.
+type peerResponse struct {
+	pollResponse
+	heardRevision ident.Epoch
+	hasLease      bool
 }
--- a/sim/world/reach.go
+++ b/sim/world/reach.go
@@ -1,102 +1,102 @@
 package world
 
 import (
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // The causes for which nobody can make a sidecar know an epoch.
 const (
-	causeDown    = "its being down"
-	causeFrozen  = "its being frozen"
-	causeCut     = "being cut off from all"
-	causeUntold  = "being cut off from all that know"
-	causeNoMajor = "a majority of cores"
-	causeDayEnd  = "the day ended"
+	causeDown       = "its being down"
+	causeFrozen     = "its being frozen"
+	causeCut        = "being cut off from all"
+	causeNoSource   = "being cut off from all that know"
+	causeNoMajority = "a majority of cores"
+	causeDayEnd     = "the day ended"
 )
 
-// out tells why nobody can make the sidecar know the epoch now, "" if somebody can: it
+// unreachableCause tells why nobody can make the sidecar know the epoch now, "" if somebody can: it
 // runs, and over running processes, by links open both ways, it is joined to one that
 // has the epoch or to a majority of well cores, who can read it.
-func (w *World) out(s *Side, e ident.Epoch) string {
+func (w *World) unreachableCause(sidecar *Sidecar, revision ident.Epoch) string {
 	switch {
-	case !s.up:
+	case !sidecar.running:
 		return causeDown
-	case s.frozen:
+	case sidecar.frozen:
 		return causeFrozen
 	}
-	seen := map[ident.Addr]bool{s.Addr: true}
-	list := []ident.Addr{s.Addr}
+	seen := map[ident.Addr]bool{sidecar.Addr: true}
+	reached := []ident.Addr{sidecar.Addr}
 	cores := 0
-	for at := 0; at < len(list); at++ {
-		a := list[at]
-		near := func(b ident.Addr, p *proc) bool {
-			if seen[b] || !p.up || p.frozen || !w.Links.Open(a, b) || !w.Links.Open(b, a) {
+	for next := 0; next < len(reached); next++ {
+		a := reached[next]
+		visit := func(b ident.Addr, p *process) bool {
+			if seen[b] || !p.running || p.frozen || !w.Links.Open(a, b) || !w.Links.Open(b, a) {
 				return false
 			}
 			seen[b] = true
-			list = append(list, b)
+			reached = append(reached, b)
 			return true
 		}
 		for _, c := range w.Cores {
-			if !near(c.Addr, &c.proc) {
+			if !visit(c.Addr, &c.process) {
 				continue
 			}
 			cores++
-			if c.epoch() >= e || w.quorate(c) {
+			if c.configRevision() >= revision || w.reachesMajority(c) {
 				return ""
 			}
 		}
-		for _, o := range w.Sides {
-			if near(o.Addr, &o.proc) && o.path.Epoch() >= e {
+		for _, other := range w.Sidecars {
+			if visit(other.Addr, &other.process) && other.router.Revision() >= revision {
 				return ""
 			}
 		}
 	}
 	switch {
-	case len(list) == 1:
+	case len(reached) == 1:
 		return causeCut
 	case cores == 0:
-		return causeUntold
+		return causeNoSource
 	}
-	return causeNoMajor
+	return causeNoMajority
 }
 
-// Quorate tells whether a majority of the voters is well and joined.
-func (w *World) Quorate() bool {
+// HasMajority tells whether a majority of the voters is well and joined.
+func (w *World) HasMajority() bool {
 	for _, c := range w.Cores {
-		if c.Well() && w.quorate(c) {
+		if c.Healthy() && w.reachesMajority(c) {
 			return true
 		}
 	}
 	return false
 }
 
-// Calm tells whether no link is cut, and no core is down, frozen or slow.
-func (w *World) Calm() bool {
+// Undisturbed tells whether no link is cut, and no core is down, frozen or slow.
+func (w *World) Undisturbed() bool {
 	for _, c := range w.Cores {
-		if !c.up || c.frozen || c.broken || c.Slow > 0 {
+		if !c.running || c.frozen || c.diskFailed || c.DiskDelay > 0 {
 			return false
 		}
 	}
 	return len(w.Links.cuts) == 0
 }
 
-// quorate tells whether this core and the well voters that it has open links to are a
+// reachesMajority tells whether this core and the well voters that it has open links to are a
 // majority.
-func (w *World) quorate(c *Core) bool {
+func (w *World) reachesMajority(c *Core) bool {
 	if c.node == nil {
 		return false
 	}
-	got := 0
-	for _, v := range c.node.Membership().Voters {
-		if !v.Counted {
+	reachable := 0
+	for _, voter := range c.node.Membership().Voters {
+		if !voter.Counted {
 			continue
 		}
-		for _, o := range w.Cores {
-			if o.node != nil && o.node.Disk == v.Disk && o.Well() && (o == c || w.Links.Open(c.Addr, o.Addr) && w.Links.Open(o.Addr, c.Addr)) {
-				got++
+		for _, other := range w.Cores {
+			if other.node != nil && other.node.Disk == voter.Disk && other.Healthy() && (other == c || w.Links.Open(c.Addr, other.Addr) && w.Links.Open(other.Addr, c.Addr)) {
+				reachable++
 			}
 		}
 	}
-	return c.node.Membership().Epoch > 0 && got >= c.node.Membership().Majority()
+	return c.node.Membership().Epoch > 0 && reachable >= c.node.Membership().Majority()
 }
--- a/sim/world/restart_test.go
+++ b/sim/world/restart_test.go
@@ -10,200 +10,200 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/control/audit/chunk"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/audit/segment"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/operation"
 	"cottonarch.example/cottonarch/control/core/node"
-	"cottonarch.example/cottonarch/control/manifest/offer"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
 const (
-	// catchUp is the users' catchUpS: within it a machine that is back counts in full.
-	catchUp = 4 * time.Second
-	// tenureTime is more than a term takes from its first question to its hold.
-	tenureTime = 2500 * time.Millisecond
-	// askPause is between two tries of a proposal.
-	askPause = 100 * time.Millisecond
+	// catchUpDeadline is the users' catchUpS: within it a machine that is back counts in full.
+	catchUpDeadline = 4 * time.Second
+	// maxElectionTime is more than a term takes from its first question to its hold.
+	maxElectionTime = 2500 * time.Millisecond
+	// proposalRetryDelay is between two tries of a proposal.
+	proposalRetryDelay = 100 * time.Millisecond
 )
 
-// longUse is a world of cores whose manifest is changed over and over.
-type longUse struct {
+// coreCluster is a world of cores whose manifest is changed over and over.
+type coreCluster struct {
 	*testing.T
-	w       *World
-	release uint64
-	top     ident.Epoch // newest acknowledged
-	tops    []acked
-	ballots map[ident.Ballot]bool
+	world              *World
+	version            uint64
+	newestAcknowledged ident.Epoch // newest acknowledged
+	acknowledgements   []acknowledgement
+	ballots            map[ident.Ballot]bool
 }
 
-// acked is the newest acknowledged epoch from a moment on.
-type acked struct {
-	at  monotime.Time
-	top ident.Epoch
+// acknowledgement is the newest acknowledged epoch from a moment on.
+type acknowledgement struct {
+	at       monotime.Time
+	revision ident.Epoch
 }
 
-func newLongUse(t *testing.T, seed uint64, cores int, disk ring.Boot) *longUse {
-	u := &longUse{T: t, w: New(seed), ballots: map[ident.Ballot]bool{}}
-	u.w.Ring, u.w.Platform = disk, true
+func newCoreCluster(t *testing.T, seed uint64, cores int, disk ring.Options) *coreCluster {
+	cluster := &coreCluster{T: t, world: New(seed), ballots: map[ident.Ballot]bool{}}
+	cluster.world.Ring, cluster.world.Platform = disk, true
 	for i := range cores {
 		a := ident.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1))
-		u.w.Founders, u.w.Seeds = append(u.w.Founders, a), append(u.w.Seeds, a)
-		u.w.NewCore(a, ident.District(fmt.Sprint("d", i)))
+		cluster.world.Founders, cluster.world.Seeds = append(cluster.world.Founders, a), append(cluster.world.Seeds, a)
+		cluster.world.NewCore(a, ident.Zone(fmt.Sprint("d", i)))
 	}
-	for _, c := range u.w.Cores {
+	for _, c := range cluster.world.Cores {
 		c.Start()
 	}
-	u.w.RunFor(2 * time.Second)
-	u.look()
-	return u
+	cluster.world.RunFor(2 * time.Second)
+	cluster.checkTerms()
+	return cluster
 }
 
-// topAt is the newest epoch that was acknowledged at a moment.
-func (u *longUse) topAt(at monotime.Time) (top ident.Epoch) {
-	for i := len(u.tops) - 1; i >= 0; i-- {
-		if u.tops[i].at <= at {
-			return u.tops[i].top
+// newestAt is the newest epoch that was acknowledged at a moment.
+func (cluster *coreCluster) newestAt(at monotime.Time) (newest ident.Epoch) {
+	for i := len(cluster.acknowledgements) - 1; i >= 0; i-- {
+		if cluster.acknowledgements[i].at <= at {
+			return cluster.acknowledgements[i].revision
 		}
 	}
 	return 0
 }
 
-// look checks at each tick that no term begins on a state older than what was
+// checkTerms checks at each tick that no term begins on a state older than what was
 // acknowledged before its first question.
-func (u *longUse) look() {
-	for _, c := range u.w.Cores {
-		if !c.up {
+func (cluster *coreCluster) checkTerms() {
+	for _, c := range cluster.world.Cores {
+		if !c.running {
 			continue
 		}
-		held, ok := c.node.Proposer().Peek(offer.Key)
-		if !ok || u.ballots[held.Accepted] {
+		held, ok := c.node.Proposer().Peek(proposal.Key)
+		if !ok || cluster.ballots[held.Accepted] {
 			continue
 		}
-		u.ballots[held.Accepted] = true
-		must.GreaterEq(u, u.topAt(u.w.now-monotime.Time(tenureTime)), ident.Epoch(held.Revision), must.Sprintf("core %s began a tenure on an old state", c.Addr))
+		cluster.ballots[held.Accepted] = true
+		must.GreaterEq(cluster, cluster.newestAt(cluster.world.now-monotime.Time(maxElectionTime)), ident.Epoch(held.Revision), must.Sprintf("core %s began a tenure on an old state", c.Addr))
 	}
-	u.w.After(coreTick, u.look)
+	cluster.world.After(coreTickInterval, cluster.checkTerms)
 }
 
-// do runs an operation at a core until it ends or its time is over.
-func (u *longUse) do(c *Core, d proposer.Operation, budget time.Duration) (end *node.End) {
-	if !c.up {
+// submit runs an operation at a core until it ends or its time is over.
+func (cluster *coreCluster) submit(c *Core, op proposer.Operation, budget time.Duration) (end *node.Result) {
+	if !c.running {
 		return nil
 	}
-	c.Deed(d, budget, func(e node.End) { end = &e })
-	for until := u.w.now.Add(budget); end == nil && c.up && u.w.now < until; {
-		u.w.RunFor(time.Millisecond)
+	c.Submit(op, budget, func(e node.Result) { end = &e })
+	for until := cluster.world.now.Add(budget); end == nil && c.running && cluster.world.now < until; {
+		cluster.world.RunFor(time.Millisecond)
 	}
 	return end
 }
 
-// change makes one change, sent again as it is until it is acknowledged; it must never be
+// changeConfig makes one change, sent again as it is until it is acknowledged; it must never be
 // refused.
-func (u *longUse) change() {
-	base := u.release
-	u.release++
-	a := offer.Args{Kind: offer.Change, BaseRelease: &base, Loose: true, Body: json.RawMessage(fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s%d":{"n":%d}}}}`, u.release, u.release%20, u.release))}
+func (cluster *coreCluster) changeConfig() {
+	base := cluster.version
+	cluster.version++
+	args := proposal.Args{Kind: proposal.ItemPatch, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s%d":{"n":%d}}}}`, cluster.version, cluster.version%20, cluster.version))}
 	if base == 0 {
-		a.Kind, a.Body = offer.Whole, json.RawMessage(`{"release":1,"services":{}}`)
+		args.Kind, args.Body = proposal.FullConfig, json.RawMessage(`{"release":1,"services":{}}`)
 	}
 	for try := range 200 {
-		c := u.w.Cores[(int(u.release)+try)%len(u.w.Cores)]
-		e := u.do(c, proposer.Operation{Key: offer.Key, Kind: "manifest/offer", Args: operation.Encode(a), Repeatable: true}, time.Second)
+		c := cluster.world.Cores[(int(cluster.version)+try)%len(cluster.world.Cores)]
+		e := cluster.submit(c, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(args), Repeatable: true}, time.Second)
 		if e != nil && e.Failure == nil {
-			var yes offer.Yes
-			must.NoError(u, json.Unmarshal(e.Body, &yes))
-			must.Eq(u, u.release, yes.Release)
-			must.Greater(u, u.top, yes.Epoch)
-			u.top = yes.Epoch
-			u.tops = append(u.tops, acked{u.w.now, u.top})
+			var yes proposal.Accepted
+			must.NoError(cluster, json.Unmarshal(e.Body, &yes))
+			must.Eq(cluster, cluster.version, yes.Version)
+			must.Greater(cluster, cluster.newestAcknowledged, yes.Revision)
+			cluster.newestAcknowledged = yes.Revision
+			cluster.acknowledgements = append(cluster.acknowledgements, acknowledgement{cluster.world.now, cluster.newestAcknowledged})
 			return
 		}
 		if e != nil {
-			must.True(u, e.Failure.Outcome == failure.OutcomeUnknown || e.Failure.Kind != failure.Conflict && e.Failure.Kind != failure.Invalid, must.Sprint(e.Failure))
+			must.True(cluster, e.Failure.Outcome == failure.OutcomeUnknown || e.Failure.Kind != failure.Conflict && e.Failure.Kind != failure.Invalid, must.Sprint(e.Failure))
 		}
-		u.w.RunFor(askPause)
+		cluster.world.RunFor(proposalRetryDelay)
 	}
-	u.Fatalf("change %d was never acknowledged", u.release)
+	cluster.Fatalf("change %d was never acknowledged", cluster.version)
 }
 
-// caughtUp waits until a core votes, follows the newest manifest and gives it to who reads;
+// awaitCatchUp waits until a core votes, follows the newest manifest and gives it to who reads;
 // it says how long that took since its start.
-func (u *longUse) caughtUp(c *Core) time.Duration {
-	began, top := u.w.now, u.top
-	for u.w.now.Since(began) <= catchUp {
-		if c.Well() && c.epoch() >= top {
-			var h offer.Held
-			e := u.do(c, proposer.Operation{Key: offer.Key, Kind: "manifest/read"}, time.Second)
-			if e != nil && e.Failure == nil && json.Unmarshal(e.Body, &h) == nil {
-				must.GreaterEq(u, top, h.Epoch)
-				return u.w.now.Since(began)
+func (cluster *coreCluster) awaitCatchUp(c *Core) time.Duration {
+	began, newest := cluster.world.now, cluster.newestAcknowledged
+	for cluster.world.now.Since(began) <= catchUpDeadline {
+		if c.Healthy() && c.configRevision() >= newest {
+			var held proposal.State
+			e := cluster.submit(c, proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, time.Second)
+			if e != nil && e.Failure == nil && json.Unmarshal(e.Body, &held) == nil {
+				must.GreaterEq(cluster, newest, held.Revision)
+				return cluster.world.now.Since(began)
 			}
 		}
-		u.w.RunFor(coreTick)
+		cluster.world.RunFor(coreTickInterval)
 	}
-	u.Fatalf("core %s has epoch %d of %d, %v after its start; votes %v", c.Addr, c.epoch(), top, catchUp, c.Well())
+	cluster.Fatalf("core %s has epoch %d of %d, %v after its start; votes %v", c.Addr, c.configRevision(), newest, catchUpDeadline, c.Healthy())
 	return 0
 }
 
-// copied is how long it takes until the core's own disk holds the newest state.
-func (u *longUse) copied(c *Core) time.Duration {
-	began := u.w.now
+// awaitCopy is how long it takes until the core's own disk holds the newest state.
+func (cluster *coreCluster) awaitCopy(c *Core) time.Duration {
+	began := cluster.world.now
 	for range 2000 {
-		if ident.Epoch(c.node.Copies()[offer.Key].Revision) >= u.top {
-			return u.w.now.Since(began)
+		if ident.Epoch(c.node.Copies()[proposal.Key].Revision) >= cluster.newestAcknowledged {
+			return cluster.world.now.Since(began)
 		}
-		u.w.RunFor(coreTick)
+		cluster.world.RunFor(coreTickInterval)
 	}
-	u.Fatalf("the disk of core %s never got epoch %d", c.Addr, u.top)
+	cluster.Fatalf("the disk of core %s never got epoch %d", c.Addr, cluster.newestAcknowledged)
 	return 0
 }
 
-// audited checks that the audit log holds each epoch once, in order, also those whose line
+// checkAuditLog checks that the audit log holds each epoch once, in order, also those whose line
 // was written while the core with that duty was ended.
-func (u *longUse) audited() {
-	u.w.RunFor(10 * time.Second)
-	c := u.w.Cores[0]
-	var end *node.End
-	c.ticket++
-	c.ends[c.ticket] = func(e node.End) { end = &e }
-	c.out(c.node.QuorumRead(c.clock(), c.ticket, chunk.Prefix, true, time.Second))
-	u.w.RunFor(time.Second)
-	must.NotNil(u, end)
-	leaves, ok := node.Leaves(end.Found)
-	must.True(u, ok)
-	must.Eq(u, int(u.top), len(leaves))
-	for i, l := range leaves {
-		must.Eq(u, ident.Epoch(i+1), l.Epoch)
+func (cluster *coreCluster) checkAuditLog() {
+	cluster.world.RunFor(10 * time.Second)
+	c := cluster.world.Cores[0]
+	var end *node.Result
+	c.lastTicket++
+	c.onEnd[c.lastTicket] = func(e node.Result) { end = &e }
+	c.applyEffects(c.node.QuorumRead(c.watchedTime(), c.lastTicket, segment.Prefix, true, time.Second))
+	cluster.world.RunFor(time.Second)
+	must.NotNil(cluster, end)
+	entries, ok := node.AuditEntries(end.Found)
+	must.True(cluster, ok)
+	must.Eq(cluster, int(cluster.newestAcknowledged), len(entries))
+	for i, entry := range entries {
+		must.Eq(cluster, ident.Epoch(i+1), entry.Revision)
 	}
 }
 
-// ends are the ways in which a core is ended at each tenth change, each with the point of
+// failureModes are the ways in which a core is ended at each tenth change, each with the point of
 // its next writes or syncs at which that happens.
-var ends = []struct {
+var failureModes = []struct {
 	name string
 	do   func(c *Core, point int)
 }{
 	{"killed", func(c *Core, _ int) { c.Kill(false) }},
 	{"power lost", func(c *Core, _ int) { c.PowerOff() }},
-	{"power lost at a write", func(c *Core, point int) { c.failAt(point, errors.New("the power is off"), c.PowerOff) }},
+	{"power lost at a write", func(c *Core, point int) { c.failDiskAt(point, errors.New("the power is off"), c.PowerOff) }},
 	{"disk full", func(c *Core, point int) {
-		c.failAt(point, syscall.ENOSPC, func() {})
+		c.failDiskAt(point, syscall.ENOSPC, func() {})
 	}},
 }
 
-// failAt has the disk fail from its point-th next write or sync on.
-func (c *Core) failAt(point int, err error, then func()) {
-	gen := c.gen
-	c.mem.Fail = func(string) error {
+// failDiskAt has the disk fail from its point-th next write or sync on.
+func (c *Core) failDiskAt(point int, err error, then func()) {
+	generation := c.generation
+	c.memDisk.BeforeWrite = func(string) error {
 		if point--; point > 0 {
 			return nil
 		}
 		if point == 0 {
-			c.w.After(0, func() { c.run(gen, then) })
+			c.world.After(0, func() { c.runInGeneration(generation, then) })
 		}
 		return err
 	}
@@ -216,65 +216,65 @@
 // history.
 func TestRestartsThroughAThousandChanges(t *testing.T) {
 	const changes, each, cores, points = 1000, 10, 5, 9
-	disk := ring.Boot{Files: 4, Size: 256 << 10}
+	disk := ring.Options{FileCount: 4, FileSize: 256 << 10}
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			restarts(newLongUse(t, seed, cores, disk), disk, changes, each, points)
+			runRestarts(newCoreCluster(t, seed, cores, disk), disk, changes, each, points)
 		})
 	}
 }
 
-func restarts(u *longUse, disk ring.Boot, changes, each, points int) {
-	cores := len(u.w.Cores)
+func runRestarts(cluster *coreCluster, disk ring.Options, changes, changesPerRestart, points int) {
+	cores := len(cluster.world.Cores)
 	var slowest, slowestCopy time.Duration
 	var read, wrote, records [2]uint64 // the most in the first and the last half
 	for n := range changes {
-		turn := n / each
-		c, end := u.w.Cores[turn%cores], ends[(turn/cores)%len(ends)]
+		turn := n / changesPerRestart
+		c, mode := cluster.world.Cores[turn%cores], failureModes[(turn/cores)%len(failureModes)]
 		synced := c.node.Copies() // by the time that one more change is acknowledged
-		u.change()
-		if n%each != each-1 {
+		cluster.changeConfig()
+		if n%changesPerRestart != changesPerRestart-1 {
 			continue
 		}
-		end.do(c, 1+turn%points)
+		mode.do(c, 1+turn%points)
 		for range 3 { // while it is down, or about to be
-			u.change()
+			cluster.changeConfig()
 		}
-		u.w.RunFor(time.Second)
-		if c.up {
+		cluster.world.RunFor(time.Second)
+		if c.running {
 			c.Kill(false) // no write came, or its disk is full
 		}
-		c.broken = false
-		r, w := c.mem.Read, c.mem.Wrote
+		c.diskFailed = false
+		r, w := c.memDisk.BytesRead, c.memDisk.BytesWritten
 		c.Start()
 		for key, was := range synced {
-			must.False(u, was.Newer(c.node.Copies()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, end.name, key))
+			must.False(cluster, was.Newer(c.node.Copies()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, mode.name, key))
 		}
 		half := n * 2 / changes
-		read[half] = max(read[half], c.mem.Read-r)
-		wrote[half] = max(wrote[half], c.mem.Wrote-w)
+		read[half] = max(read[half], c.memDisk.BytesRead-r)
+		wrote[half] = max(wrote[half], c.memDisk.BytesWritten-w)
 		records[half] = max(records[half], uint64(len(c.ring.Records())))
-		slowest = max(slowest, u.caughtUp(c))
-		slowestCopy = max(slowestCopy, u.copied(c))
+		slowest = max(slowest, cluster.awaitCatchUp(c))
+		slowestCopy = max(slowestCopy, cluster.awaitCopy(c))
 	}
-	for _, c := range u.w.Cores {
+	for _, c := range cluster.world.Cores {
 		c.PowerOff()
 	}
-	u.w.RunFor(time.Second)
-	for _, c := range u.w.Cores {
+	cluster.world.RunFor(time.Second)
+	for _, c := range cluster.world.Cores {
 		c.Start()
 	}
-	for _, c := range u.w.Cores {
-		slowest = max(slowest, u.caughtUp(c))
+	for _, c := range cluster.world.Cores {
+		slowest = max(slowest, cluster.awaitCatchUp(c))
 	}
-	u.change()
-	u.audited()
-	u.Logf("caught up in %v at most, own disk's copy in %v; %d tenures", slowest, slowestCopy, len(u.ballots))
-	u.Logf("a start read %d bytes at most (first half), %d (second), wrote %d, %d, found %d records, %d; a ring is %d bytes, and was written %d", read[0], read[1], wrote[0], wrote[1], records[0], records[1], int64(disk.Files)*disk.Size, u.w.Cores[0].mem.Wrote)
-	must.Less(u, uint64(3*int64(disk.Files)*disk.Size), read[1])
-	must.Less(u, uint64(2*disk.Size), wrote[1])
-	must.LessEq(u, records[0]+20, records[1])
-	must.Greater(u, uint64(5*int64(disk.Files)*disk.Size), u.w.Cores[0].mem.Wrote, must.Sprint("the ring did not wrap"))
-	must.Eq(u, 0, len(u.w.Check.Breaches), must.Sprint(u.w.Check.Breaches))
+	cluster.changeConfig()
+	cluster.checkAuditLog()
+	cluster.Logf("caught up in %v at most, own disk's copy in %v; %d tenures", slowest, slowestCopy, len(cluster.ballots))
+	cluster.Logf("a start read %d bytes at most (first half), %d (second), wrote %d, %d, found %d records, %d; a ring is %d bytes, and was written %d", read[0], read[1], wrote[0], wrote[1], records[0], records[1], int64(disk.FileCount)*disk.FileSize, cluster.world.Cores[0].memDisk.BytesWritten)
+	must.Less(cluster, uint64(3*int64(disk.FileCount)*disk.FileSize), read[1])
+	must.Less(cluster, uint64(2*disk.FileSize), wrote[1])
+	must.LessEq(cluster, records[0]+20, records[1])
+	must.Greater(cluster, uint64(5*int64(disk.FileCount)*disk.FileSize), cluster.world.Cores[0].memDisk.BytesWritten, must.Sprint("the ring did not wrap"))
+	must.Eq(cluster, 0, len(cluster.world.Checker.Violations), must.Sprint(cluster.world.Checker.Violations))
 }
--- a/sim/world/side.go
+++ b/sim/world/side.go
@@ -4,223 +4,223 @@
 	"encoding/json"
 	"time"
 
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	manifest "cottonarch.example/cottonarch/control/config/validation"
 	"cottonarch.example/cottonarch/control/coordination/operation"
-	"cottonarch.example/cottonarch/control/coordination/share"
+	"cottonarch.example/cottonarch/control/coordination/quota"
 	"cottonarch.example/cottonarch/control/core/node"
-	manifest "cottonarch.example/cottonarch/control/manifest/check"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/kernel/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
 	"cottonarch.example/cottonarch/mesh/admission"
-	"cottonarch.example/cottonarch/mesh/allowance"
-	"cottonarch.example/cottonarch/mesh/gate"
+	"cottonarch.example/cottonarch/mesh/attempt"
+	"cottonarch.example/cottonarch/mesh/configcache"
+	"cottonarch.example/cottonarch/mesh/endpoint"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
 	"cottonarch.example/cottonarch/mesh/lease/joiner"
-	"cottonarch.example/cottonarch/mesh/path"
 	"cottonarch.example/cottonarch/mesh/priorityqueue"
-	"cottonarch.example/cottonarch/mesh/registry/record"
-	"cottonarch.example/cottonarch/mesh/witness"
-	"cottonarch.example/cottonarch/sim/check"
+	"cottonarch.example/cottonarch/mesh/retrybudget"
+	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// Side is a simulated application machine: its sidecar and its endpoints.
-type Side struct {
-	proc
-	Node        ident.Node
-	District    ident.District
-	Ends        []*Endpoint
-	path        *path.Path
-	gate        *gate.Gate
-	wit         *witness.Witness
-	queue       *priorityqueue.Queue[*job]
-	lease       *holder.Holder
-	budgetShare holder.BudgetShare
-	entered     bool
-	asking      bool
-	leaseEpoch  ident.Epoch
-	seq         uint64
-	turn        int
-	joiner      *joiner.Joiner
-	joins       int        // attempts that were granted, which mark the next one
-	follow      ident.Addr // the core that is polled
-	mark        int        // gen of it that place belongs to
-	place       uint64
-	polling     bool
-	polls       int
-	stale       bool // as the polled core last said
-	leaving     bool
-	shown       ident.Epoch
-	heard       monotime.Time // a core, last
-	hand        int
-	urgent      int // urgent calls in hand
-	watch       monotime.Watch
+// Sidecar is a simulated application machine: its sidecar and its endpoints.
+type Sidecar struct {
+	process
+	Node             ident.Node
+	Zone             ident.Zone
+	Endpoints        []*Endpoint
+	router           *attempt.Planner
+	tracker          *endpoint.Tracker
+	configCache      *configcache.Cache
+	queue            *priorityqueue.Queue[*queuedCall]
+	lease            *holder.Holder
+	budgetShare      holder.BudgetShare
+	hasLease         bool
+	joinPending      bool
+	leaseEpoch       ident.Epoch
+	reportSequence   uint64
+	joinTurn         int
+	joiner           *joiner.Joiner
+	joinCount        int        // attempts that were granted, which mark the next one
+	polledCore       ident.Addr // the core that is polled
+	polledGeneration int        // gen of it that place belongs to
+	registryPosition uint64
+	polling          bool
+	pollCount        int
+	polledCoreStale  bool // as the polled core last said
+	leaving          bool
+	shownRevision    ident.Epoch
+	coreHeardAt      monotime.Time // a core, last
+	inFlight         int
+	urgentInFlight   int // urgent calls in hand
+	clockWatch       monotime.StepLimiter
 	// The rest is for worlds with admission queues.
-	admission  *admission.Queue
-	waiters    map[uint64]*waiter // who waits in the admission queue
-	lastWaiter uint64
-	admitting  []ident.Server // whom the admission queue knows
-	greeted    bool
+	admission         *admission.Queue
+	waiters           map[uint64]*waiter // who waits in the admission queue
+	lastWaiterID      uint64
+	admittedEndpoints []ident.Server // whom the admission queue knows
+	probed            bool
 }
 
-// slow is the clock that counts only time that was watched.
-func (s *Side) slow() monotime.Time {
-	if s.w.Break == "clock" {
-		return s.clock()
+// watchedTime is the clock that counts only time that was watched.
+func (s *Sidecar) watchedTime() monotime.Time {
+	if s.world.Mutant == "clock" {
+		return s.localTime()
 	}
-	return s.watch.Look(s.clock())
+	return s.clockWatch.Observe(s.localTime())
 }
 
-// NewSide makes an application machine.
-func (w *World) NewSide(addr ident.Addr, d ident.District) *Side {
-	s := &Side{proc: proc{w: w, Addr: addr}, Node: ident.Node("node-" + string(addr)), District: d}
-	w.Sides = append(w.Sides, s)
+// NewSidecar makes an application machine.
+func (w *World) NewSidecar(addr ident.Addr, zone ident.Zone) *Sidecar {
+	s := &Sidecar{process: process{world: w, Addr: addr}, Node: ident.Node("node-" + string(addr)), Zone: zone}
+	w.Sidecars = append(w.Sidecars, s)
 	return s
 }
 
 // Start starts the sidecar.
-func (s *Side) Start() {
-	s.start()
-	s.watch = monotime.Watch{}
-	s.path = path.New(s.clock(), s.District, s.w.Rng.Uint64(), allowance.Terms{})
-	s.path.Reckless = s.w.Break == "retry"
-	s.path.Tree.Free = s.w.Break == "allowance"
-	s.joiner = joiner.New(s.Node, s.District)
-	s.gate, s.lease, s.wit = gate.New(), holder.New(), witness.New(s.clock())
-	if s.w.Platform {
-		s.gate.Every(pace).Fenced = true
-		s.admission, s.waiters, s.lastWaiter, s.admitting, s.greeted = admission.New(admission.DefaultSettings()), map[uint64]*waiter{}, 0, nil, false
+func (s *Sidecar) Start() {
+	s.beginGeneration()
+	s.clockWatch = monotime.StepLimiter{}
+	s.router = attempt.New(s.localTime(), s.Zone, s.world.Rng.Uint64(), retrybudget.Limits{})
+	s.router.RetryUnsafe = s.world.Mutant == "retry"
+	s.router.RetryBudget.Unlimited = s.world.Mutant == "allowance"
+	s.joiner = joiner.New(s.Node, s.Zone)
+	s.tracker, s.lease, s.configCache = endpoint.New(), holder.New(), configcache.New(s.localTime())
+	if s.world.Platform {
+		s.tracker.WithHeartbeatInterval(heartbeatInterval).Fenced = true
+		s.admission, s.waiters, s.lastWaiterID, s.admittedEndpoints, s.probed = admission.New(admission.DefaultSettings()), map[uint64]*waiter{}, 0, nil, false
 	}
-	s.queue = priorityqueue.New[*job](s.w.Senders, s.w.Senders)
-	s.queue.IgnoreUrgency = s.w.Break == "urgent"
-	s.wit.Deaf = s.w.Break == "witness"
-	s.gate.Open = s.w.Break == "gate" || s.w.Break == "silence"
-	s.entered, s.asking, s.leaseEpoch, s.seq, s.polling, s.leaving = false, false, 0, 0, false, false
-	s.follow, s.mark, s.place = "", 0, 0
-	s.hand, s.urgent, s.heard = 0, 0, s.clock()
-	for _, e := range s.Ends { // this run has seen none of them yet
-		e.beatAt = 0
+	s.queue = priorityqueue.New[*queuedCall](s.world.MaxSenders, s.world.MaxSenders)
+	s.queue.IgnoreUrgency = s.world.Mutant == "urgent"
+	s.configCache.Disabled = s.world.Mutant == "witness"
+	s.tracker.SkipChecks = s.world.Mutant == "gate" || s.world.Mutant == "silence"
+	s.hasLease, s.joinPending, s.leaseEpoch, s.reportSequence, s.polling, s.leaving = false, false, 0, 0, false, false
+	s.polledCore, s.polledGeneration, s.registryPosition = "", 0, 0
+	s.inFlight, s.urgentInFlight, s.coreHeardAt = 0, 0, s.localTime()
+	for _, e := range s.Endpoints { // this run has seen none of them yet
+		e.lastHeartbeat = 0
 	}
-	s.ticker(s.gen, 0)
+	s.tick(s.generation, 0)
 }
 
 // Ready tells whether callers may come: it was let in and has a manifest in force.
-func (s *Side) Ready() bool { return s.up && s.entered && s.path.Epoch() > 0 }
+func (s *Sidecar) Ready() bool { return s.running && s.hasLease && s.router.Revision() > 0 }
 
-// Thawed tells whether the sidecar runs.
-func (s *Side) Thawed() bool { return s.up && !s.frozen }
+// Running tells whether the sidecar runs.
+func (s *Sidecar) Running() bool { return s.running && !s.frozen }
 
 // Run counts the starts of the sidecar.
-func (s *Side) Run() int { return s.gen }
+func (s *Sidecar) Run() int { return s.generation }
 
 // Kill ends the sidecar at once.
-func (s *Side) Kill() { s.up = false }
+func (s *Sidecar) Kill() { s.running = false }
 
 // Stop is a planned stop: callers come no more, its endpoints are left alone, and it
 // ends once nothing is in hand for a second, or after ten.
-func (s *Side) Stop(after func()) {
-	gen := s.gen
+func (s *Sidecar) Stop(then func()) {
+	generation := s.generation
 	s.leaving = true
-	s.run(gen, func() {
-		waits := len(s.waiters)
-		s.changed(s.gate.Leave(s.clock()))
-		if waits == 0 {
+	s.runInGeneration(generation, func() {
+		waitingCount := len(s.waiters)
+		s.endpointsChanged(s.tracker.DrainAll(s.localTime()))
+		if waitingCount == 0 {
 			return
 		}
-		s.w.After(ended, func() {
-			s.run(gen, func() {
-				s.w.Check.Look(check.BayStop)
+		s.world.After(admissionDrainTimeout, func() {
+			s.runInGeneration(generation, func() {
+				s.world.Checker.Observe(invariant.AdmissionStop)
 				if n := len(s.waiters); n > 0 {
-					s.w.Breach(check.BayStop, "%s stops and %d still wait in its admission queue", s.Node, n)
+					s.world.Violate(invariant.AdmissionStop, "%s stops and %d still wait in its admission queue", s.Node, n)
 				}
 			})
 		})
 	})
-	s.drain(gen, 0, 0, after)
+	s.drain(generation, 0, 0, then)
 }
 
-func (s *Side) drain(gen, quiet, n int, after func()) {
-	if !s.up || s.gen != gen {
+func (s *Sidecar) drain(generation, idleChecks, checks int, then func()) {
+	if !s.running || s.generation != generation {
 		return
 	}
-	if quiet++; s.hand > 0 {
-		quiet = 0
+	if idleChecks++; s.inFlight > 0 {
+		idleChecks = 0
 	}
-	if quiet < 20 && n < 200 && s.w.Break != "stop" {
-		s.w.After(50*time.Millisecond, func() { s.drain(gen, quiet, n+1, after) })
+	if idleChecks < 20 && checks < 200 && s.world.Mutant != "stop" {
+		s.world.After(50*time.Millisecond, func() { s.drain(generation, idleChecks, checks+1, then) })
 		return
 	}
-	s.w.Check.Seen["dropped-in-stop"]++
-	if s.hand > 0 {
-		s.w.Breach("dropped-in-stop", "%s stopped with %d requests in hand", s.Node, s.hand)
+	s.world.Checker.Observed["dropped-in-stop"]++
+	if s.inFlight > 0 {
+		s.world.Violate("dropped-in-stop", "%s stopped with %d requests in hand", s.Node, s.inFlight)
 	}
 	s.Kill()
-	after()
+	then()
 }
 
-func (s *Side) ticker(gen, n int) {
-	s.run(gen, func() {
-		now := s.clock()
-		s.slow()
-		s.losses()
-		s.path.Tree.Tick(now)
-		s.changed(s.gate.Tick(now))
-		if s.w.Platform {
-			s.tellWaiters(s.admission.Tick(now))
-			s.greet()
+func (s *Sidecar) tick(generation, count int) {
+	s.runInGeneration(generation, func() {
+		now := s.localTime()
+		s.watchedTime()
+		s.recordLosses()
+		s.router.RetryBudget.Tick(now)
+		s.endpointsChanged(s.tracker.Tick(now))
+		if s.world.Platform {
+			s.deliverVerdicts(s.admission.Tick(now))
+			s.probeEndpoint()
 		}
 		switch {
-		case !s.entered && !s.asking:
-			s.askToJoin(n)
-		case s.entered:
+		case !s.hasLease && !s.joinPending:
+			s.requestJoin(count)
+		case s.hasLease:
 			s.renew()
 		}
-		if s.entered {
+		if s.hasLease {
 			s.poll()
-			s.shares()
+			s.updateBudgetShare()
 		}
-		if n%6 == 0 && s.wit.Lonely(now, s.heard, s.path.Epoch()) {
-			s.neighbours()
+		if count%6 == 0 && s.configCache.ShouldAskPeers(now, s.coreHeardAt, s.router.Revision()) {
+			s.requestFromPeers()
 		}
-		s.show()
+		s.showConfig()
 	})
-	if s.up && s.gen == gen {
-		s.w.After(40*time.Millisecond, func() { s.ticker(gen, n+1) })
+	if s.running && s.generation == generation {
+		s.world.After(40*time.Millisecond, func() { s.tick(generation, count+1) })
 	}
 }
 
-// ask asks a core: the request may be lost, and so may the return. serve runs in the
+// request asks a core: the request may be lost, and so may the return. serve runs in the
 // core and says its return once; done runs here, with nil when none came in time.
-func (s *Side) ask(c *proc, limit time.Duration, serve func(say func(any)), done func(any)) {
-	s.askAt(c, c.cost, limit, serve, done)
+func (s *Sidecar) request(server *process, timeout time.Duration, serve func(respond func(any)), done func(any)) {
+	s.requestWithCost(server, server.messageCost, timeout, serve, done)
 }
 
-// askAt is ask of a request that costs the core something else than others.
-func (s *Side) askAt(c *proc, cost, limit time.Duration, serve func(say func(any)), done func(any)) {
-	w, gen, over := s.w, s.gen, false
-	end := func(v any) {
-		if !over {
-			over = true
-			s.run(gen, func() { done(v) })
+// requestWithCost is ask of a request that costs the core something else than others.
+func (s *Sidecar) requestWithCost(server *process, cost, timeout time.Duration, serve func(respond func(any)), done func(any)) {
+	w, generation, ended := s.world, s.generation, false
+	end := func(response any) {
+		if !ended {
+			ended = true
+			s.runInGeneration(generation, func() { done(response) })
 		}
 	}
-	w.After(limit, func() { end(nil) })
-	if !c.up {
+	w.After(timeout, func() { end(nil) })
+	if !server.running {
 		w.After(time.Millisecond, func() { end(nil) })
 		return
 	}
-	from, to, cg := s.Addr, c.Addr, c.gen
+	from, to, serverGeneration := s.Addr, server.Addr, server.generation
 	if !w.Links.Open(from, to) || !w.Links.Open(to, from) {
-		if w.Links.refuses(from, to) {
+		if w.Links.refusesAtOnce(from, to) {
 			w.After(time.Millisecond, func() { end(nil) })
 		}
 		return
 	}
-	w.After(w.delay(), func() {
-		c.handle(cg, cost, func() {
-			serve(func(v any) {
+	w.After(w.linkDelay(), func() {
+		server.handleMessage(serverGeneration, cost, func() {
+			serve(func(response any) {
 				if w.Links.Open(to, from) {
-					w.After(w.delay(), func() { end(v) })
+					w.After(w.linkDelay(), func() { end(response) })
 				}
 			})
 		})
@@ -228,64 +228,64 @@
 }
 
 // renew renews the claim at the keeper, as the daemon does.
-func (s *Side) renew() {
-	now := s.clock()
-	s.lease.ChooseRegistrar(now, s.Node, s.District, s.w.coreAddrs())
-	rep := record.Report{Node: s.Node, Addr: s.Addr, District: s.District, LeaseEpoch: s.leaseEpoch, Seq: s.seq, Manifest: s.path.Epoch(), Leaving: s.leaving, Workloads: s.gate.Workloads()}
-	news := s.lease.Changed(s.leaseEpoch, rep)
-	if !s.lease.Due(now, news) {
+func (s *Sidecar) renew() {
+	now := s.localTime()
+	s.lease.ChooseRegistrar(now, s.Node, s.Zone, s.world.coreAddrs())
+	report := record.Report{Node: s.Node, Addr: s.Addr, Zone: s.Zone, LeaseEpoch: s.leaseEpoch, Seq: s.reportSequence, ConfigRevision: s.router.Revision(), Leaving: s.leaving, Workloads: s.tracker.Workloads()}
+	changed := s.lease.ReportChanged(s.leaseEpoch, report)
+	if !s.lease.RenewalDue(now, changed) {
 		return
 	}
-	if news {
-		s.seq++
-		rep.Seq = s.seq
+	if changed {
+		s.reportSequence++
+		report.Seq = s.reportSequence
 	}
-	to := s.lease.Targets()
-	ask := s.lease.Begin(now, rep, s.path.Ends())
-	for _, at := range to {
-		s.renewAt(at, ask)
+	targets := s.lease.Targets()
+	renewal := s.lease.BeginRenewal(now, report, s.router.Outcomes())
+	for _, addr := range targets {
+		s.renewWith(addr, renewal)
 	}
 }
 
-func (s *Side) renewAt(at ident.Addr, ask record.Renewal) {
-	c := s.coreAt(at)
+func (s *Sidecar) renewWith(addr ident.Addr, renewal record.Renewal) {
+	c := s.coreAt(addr)
 	if c == nil {
-		s.lease.Failed(s.clock(), at)
+		s.lease.HandleFailure(s.localTime(), addr)
 		return
 	}
-	s.ask(&c.proc, holder.RenewTimeout, func(say func(any)) {
-		got, fx, d := c.node.Renew(c.clock(), ask)
-		c.out(fx)
-		if d != nil {
-			say(d)
+	s.request(&c.process, holder.RenewTimeout, func(respond func(any)) {
+		got, effects, failed := c.node.Renew(c.watchedTime(), renewal)
+		c.applyEffects(effects)
+		if failed != nil {
+			respond(failed)
 			return
 		}
-		got.View, got.Cores = "all", c.node.Places(c.clock())
-		got.Manifest = c.epoch()
-		say(got)
-	}, func(v any) {
-		switch got := v.(type) {
+		got.CoresVersion, got.Cores = "all", c.node.CoreZones(c.watchedTime())
+		got.ConfigRevision = c.configRevision()
+		respond(got)
+	}, func(response any) {
+		switch got := response.(type) {
 		case *failure.Error:
-			if ask.LeaseEpoch == s.leaseEpoch {
-				s.entered = false
+			if renewal.LeaseEpoch == s.leaseEpoch {
+				s.hasLease = false
 			}
-			s.lease.Ended()
-		case record.Renewed:
-			got.Stale = got.Stale && s.w.Break != "stay"
-			s.lease.Renewed(s.clock(), at, got)
-			s.heard = s.clock()
-			s.budgetShare.Members(s.slow(), got.Members)
-			s.path.Tree.Grant(s.budgetShare.Usable())
+			s.lease.LeaseEnded()
+		case record.RenewalResponse:
+			got.Stale = got.Stale && s.world.Mutant != "stay"
+			s.lease.HandleResponse(s.localTime(), addr, got)
+			s.coreHeardAt = s.localTime()
+			s.budgetShare.SetMembers(s.watchedTime(), got.Members)
+			s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 			if m := s.lease.MajorityAsOf(); m != 0 {
-				s.path.Tree.Renewed(m)
+				s.router.RetryBudget.ShareRenewed(m)
 			}
 			s.renew()
 			switch {
-			case got.Manifest <= s.path.Epoch():
-			case at != s.lease.Followed():
-				s.ask(&c.proc, time.Second, func(say func(any)) { say(c.held) }, func(v any) {
-					if m, ok := v.(*manifest.Manifest); ok {
-						s.enforce(m)
+			case got.ConfigRevision <= s.router.Revision():
+			case addr != s.lease.Followed():
+				s.request(&c.process, time.Second, func(respond func(any)) { respond(c.config) }, func(response any) {
+					if m, ok := response.(*manifest.Config); ok {
+						s.applyConfig(m)
 					}
 				})
 			default:
@@ -293,7 +293,7 @@
 			}
 			s.poll()
 		default:
-			s.lease.Failed(s.clock(), at)
+			s.lease.HandleFailure(s.localTime(), addr)
 			s.renew()
 			s.poll()
 		}
@@ -308,8 +308,8 @@
 	return out
 }
 
-func (s *Side) coreAt(a ident.Addr) *Core {
-	for _, c := range s.w.Cores {
+func (s *Sidecar) coreAt(a ident.Addr) *Core {
+	for _, c := range s.world.Cores {
 		if c.Addr == a {
 			return c
 		}
@@ -317,86 +317,86 @@
 	return nil
 }
 
-// shares sends a promise or a wish about the share.
-func (s *Side) shares() {
-	a, due := s.budgetShare.Ask(s.slow(), s.Node, s.leaseEpoch)
+// updateBudgetShare sends a promise or a wish about the share.
+func (s *Sidecar) updateBudgetShare() {
+	args, due := s.budgetShare.NextRequest(s.watchedTime(), s.Node, s.leaseEpoch)
 	if !due {
 		return
 	}
-	c := s.w.Cores[s.w.Rng.IntN(len(s.w.Cores))]
-	s.ask(&c.proc, 3500*time.Millisecond, func(say func(any)) {
-		c.Deed(proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(a)}, 3*time.Second, func(e node.End) {
-			var t share.Told
+	c := s.world.Cores[s.world.Rng.IntN(len(s.world.Cores))]
+	s.request(&c.process, 3500*time.Millisecond, func(respond func(any)) {
+		c.Submit(proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(args)}, 3*time.Second, func(ended node.Result) {
+			var granted quota.Share
 			switch {
-			case e.Failure != nil:
-				say(e.Failure)
-			case json.Unmarshal(e.Body, &t) == nil:
-				say(t)
+			case ended.Failure != nil:
+				respond(ended.Failure)
+			case json.Unmarshal(ended.Body, &granted) == nil:
+				respond(granted)
 			}
 		})
-	}, func(v any) {
-		if d, ok := v.(*failure.Error); ok && d.Kind == failure.Conflict && a.Claim == s.leaseEpoch {
-			s.entered = false // superseded: it joins anew, as the daemon does
+	}, func(response any) {
+		if failed, ok := response.(*failure.Error); ok && failed.Kind == failure.Conflict && args.LeaseEpoch == s.leaseEpoch {
+			s.hasLease = false // superseded: it joins anew, as the daemon does
 		}
-		if t, ok := v.(share.Told); ok && a.Claim == s.leaseEpoch {
-			s.budgetShare.Granted(s.slow(), t)
-			s.path.Tree.Grant(s.budgetShare.Usable())
+		if granted, ok := response.(quota.Share); ok && args.LeaseEpoch == s.leaseEpoch {
+			s.budgetShare.ApplyGrant(s.watchedTime(), granted)
+			s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 		}
 	})
 }
 
-type told struct {
-	gen   int
-	place uint64
-	sets  []record.Set
-	m     *manifest.Manifest
-	stale bool
+type pollResponse struct {
+	generation int
+	position   uint64
+	sets       []record.Set
+	config     *manifest.Config
+	stale      bool
 }
 
 // poll follows the registry and the manifest at the keeper; the daemon's long poll is a
 // poll each tick here.
-func (s *Side) poll() {
-	if at := s.lease.Followed(); at != s.follow {
-		s.follow, s.mark, s.polling, s.stale = at, 0, false, false
+func (s *Sidecar) poll() {
+	if at := s.lease.Followed(); at != s.polledCore {
+		s.polledCore, s.polledGeneration, s.polling, s.polledCoreStale = at, 0, false, false
 	}
-	if s.polling || s.w.Break == "deaf" && s.w.Rng.IntN(100) > 0 {
+	if s.polling || s.world.Mutant == "deaf" && s.world.Rng.IntN(100) > 0 {
 		return
 	}
-	c := s.coreAt(s.follow)
+	c := s.coreAt(s.polledCore)
 	if c == nil {
 		return
 	}
 	s.polling = true
-	s.polls++
-	after, poll := s.place, s.polls
-	if s.mark != c.gen {
+	s.pollCount++
+	after, number := s.registryPosition, s.pollCount
+	if s.polledGeneration != c.generation {
 		after = 0
 	}
-	cost := c.cost
-	if s.mark == c.gen && c.node.Leases.Change() <= after {
+	cost := c.messageCost
+	if s.polledGeneration == c.generation && c.node.Leases.FeedVersion() <= after {
 		cost = 0 // the daemon's long poll waits, and is no request of its own
 	}
-	s.askAt(&c.proc, cost, time.Second, func(say func(any)) {
-		say(told{c.gen, c.node.Leases.Change(), c.node.Leases.Feed(after), c.held, c.node.Stale()})
-	}, func(v any) {
-		if poll != s.polls {
+	s.requestWithCost(&c.process, cost, time.Second, func(respond func(any)) {
+		respond(pollResponse{c.generation, c.node.Leases.FeedVersion(), c.node.Leases.ChangesSince(after), c.config, c.node.Stale()})
+	}, func(response any) {
+		if number != s.pollCount {
 			return // broken off
 		}
 		s.polling = false
-		got, ok := v.(told)
+		got, ok := response.(pollResponse)
 		if !ok {
-			s.mark = 0
+			s.polledGeneration = 0
 			s.lease.Suspect()
 			return
 		}
-		s.mark, s.place = got.gen, got.place
-		s.heard = s.clock()
-		s.path.Index.Merge(got.sets)
-		s.enforce(got.m)
-		if was := s.stale; got.stale && !was {
+		s.polledGeneration, s.registryPosition = got.generation, got.position
+		s.coreHeardAt = s.localTime()
+		s.router.Index.Merge(got.sets)
+		s.applyConfig(got.config)
+		if wasStale := s.polledCoreStale; got.stale && !wasStale {
 			s.lease.Suspect()
 			s.renew()
 		}
-		s.stale = got.stale
+		s.polledCoreStale = got.stale
 	})
 }
--- a/stand/caller/caller.go
+++ b/standin/client/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a stand-in for the clients of one machine. It checks every
+// Package client is a stand-in for the clients of one machine. It checks every
 // return against what was asked.
-package caller
+package client
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/stand/endpoint"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/standin/endpoint"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
 // Kind is one kind of request.
@@ -145,7 +145,7 @@
 		told.Fate, told.Note = Dropped, "cut off: "+err.Error()
 		return told
 	}
-	switch fate := res.Header.Get(reply.FateHeader); {
+	switch fate := res.Header.Get(response.FateHeader); {
 	case fate == string(failure.NotExecuted):
 		told.Fate, told.Note = NotRun, string(data)
 	case fate == string(failure.OutcomeUnknown):
--- a/stand/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/mesh/gate"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
 // Mood is how an endpoint behaves.
@@ -118,7 +118,7 @@
 // Start listens and beats.
 func Start(b Boot) (*Endpoint, error) {
 	e := &Endpoint{Boot: b, stop: make(chan struct{}), client: &http.Client{Timeout: time.Second, Transport: &http.Transport{}}}
-	e.state.Store(gate.Alive)
+	e.state.Store(endpoint.Alive)
 	e.mood.Store(&b.Mood)
 	lis, err := net.Listen("tcp", string(b.Addr))
 	if err != nil {
@@ -281,8 +281,8 @@
 	}
 }
 
-func (e *Endpoint) beat(s gate.State) bool {
-	raw, _ := json.Marshal(gate.Beat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: s, Burden: float64(e.hand.Load()) / 16})
+func (e *Endpoint) beat(s endpoint.State) bool {
+	raw, _ := json.Marshal(endpoint.Heartbeat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: s, Load: float64(e.hand.Load()) / 16})
 	ctx, done := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+string(e.Beat)+"/beat", bytes.NewReader(raw))
@@ -299,11 +299,11 @@
 }
 
 func (e *Endpoint) beats() {
-	t := time.NewTicker(gate.BeatEvery)
+	t := time.NewTicker(endpoint.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		if !e.mute.Load() {
-			e.beat(e.state.Load().(gate.State))
+			e.beat(e.state.Load().(endpoint.State))
 		}
 		select {
 		case <-t.C:
@@ -315,8 +315,8 @@
 
 // Leave says that the endpoint will leave; it answers when that is confirmed.
 func (e *Endpoint) Leave() bool {
-	e.state.Store(gate.Leaving)
-	return e.beat(gate.Leaving)
+	e.state.Store(endpoint.Leaving)
+	return e.beat(endpoint.Leaving)
 }
 
 // Stop leaves, finishes what is in hand, signs off and ends.
@@ -333,7 +333,7 @@
 		}
 	}
 	e.stopped.Do(func() { close(e.stop) })
-	e.beat(gate.Gone)
+	e.beat(endpoint.Gone)
 	_ = e.srv.Shutdown(ctx)
 	e.client.CloseIdleConnections()
 }
--- a/storage/ring/folder.go
+++ b/storage/ring/folder.go
@@ -10,7 +10,7 @@
 	"slices"
 	"syscall"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // File is what the ring needs of a preallocated file.
@@ -66,13 +66,13 @@
 	if stat.Size() > size {
 		return nil, failure.New(failure.Damaged, "%s is longer than the ring's file size", name)
 	}
-	zero := make([]byte, 1<<20)
-	for at := stat.Size(); at < size; {
-		n := min(int64(len(zero)), size-at)
-		if _, err := f.WriteAt(zero[:n], at); err != nil {
+	zeros := make([]byte, 1<<20)
+	for written := stat.Size(); written < size; {
+		n := min(int64(len(zeros)), size-written)
+		if _, err := f.WriteAt(zeros[:n], written); err != nil {
 			return nil, failure.Wrap(err, failure.DiskFailed, "preallocate "+name)
 		}
-		at += n
+		written += n
 	}
 	if stat.Size() < size {
 		if err := f.Sync(); err != nil {
@@ -102,145 +102,145 @@
 	if err != nil {
 		return failure.Wrap(err, failure.DiskFailed, "find data folder")
 	}
-	made := []string{filepath.Dir(path)}
-	for above := made[0]; ; above = filepath.Dir(above) {
-		if _, err := os.Stat(above); err == nil || above == filepath.Dir(above) {
+	parents := []string{filepath.Dir(path)}
+	for parent := parents[0]; ; parent = filepath.Dir(parent) {
+		if _, err := os.Stat(parent); err == nil || parent == filepath.Dir(parent) {
 			break
 		}
-		made = append(made, filepath.Dir(above))
+		parents = append(parents, filepath.Dir(parent))
 	}
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return failure.Wrap(err, failure.DiskFailed, "make data folder")
 	}
-	for _, above := range made {
+	for _, parent := range parents {
 		// Who may not read the folder above did not make it.
-		if err := syncFolder(above); err != nil && !errors.Is(err, fs.ErrPermission) {
+		if err := syncFolder(parent); err != nil && !errors.Is(err, fs.ErrPermission) {
 			return err
 		}
 	}
 	return nil
 }
 
-// Mem is a Folder in memory that loses or tears what was not synced. Invariant:
+// MemoryFolder is a Folder in memory that loses or tears what was not synced. Invariant:
 // solid holds only what a Sync covered, or what Crash chose to keep of the rest.
-type Mem struct {
-	Files map[string]*MemFile
-	// Fail, when set, is asked before each write or sync and may fail it.
-	Fail func(deed string) error
+type MemoryFolder struct {
+	Files map[string]*MemoryFile
+	// BeforeWrite, when set, is asked before each write or sync and may fail it.
+	BeforeWrite func(deed string) error
 	// Counters of bytes.
-	Read, Wrote uint64
+	BytesRead, BytesWritten uint64
 }
 
-// MemFile is one file of a Mem.
-type MemFile struct {
-	owner *Mem
-	named bool // the folder was synced since the file was made
-	solid []byte
-	soft  []byte
-	late  []patch
+// MemoryFile is one file of a Mem.
+type MemoryFile struct {
+	folder     *MemoryFolder
+	nameSynced bool // the folder was synced since the file was made
+	durable    []byte
+	cached     []byte
+	unsynced   []pendingWrite
 }
 
-type patch struct {
-	off  int64
-	data []byte
+type pendingWrite struct {
+	offset int64
+	data   []byte
 }
 
-// NewMem makes an empty disk.
-func NewMem() *Mem { return &Mem{Files: map[string]*MemFile{}} }
+// NewMemoryFolder makes an empty disk.
+func NewMemoryFolder() *MemoryFolder { return &MemoryFolder{Files: map[string]*MemoryFile{}} }
 
 // Open opens a file.
-func (m *Mem) Open(name string, size int64) (File, error) {
+func (m *MemoryFolder) Open(name string, size int64) (File, error) {
 	if f, ok := m.Files[name]; ok {
 		return f, nil
 	}
-	f := &MemFile{owner: m, solid: make([]byte, size), soft: make([]byte, size)}
+	f := &MemoryFile{folder: m, durable: make([]byte, size), cached: make([]byte, size)}
 	m.Files[name] = f
 	return f, nil
 }
 
 // Sync makes the names of all files last.
-func (m *Mem) Sync() error {
-	if m.Fail != nil {
-		if err := m.Fail("sync folder"); err != nil {
+func (m *MemoryFolder) Sync() error {
+	if m.BeforeWrite != nil {
+		if err := m.BeforeWrite("sync folder"); err != nil {
 			return err
 		}
 	}
 	for _, f := range m.Files {
-		f.named = true
+		f.nameSynced = true
 	}
 	return nil
 }
 
 // ReadAt reads what the process sees.
-func (f *MemFile) ReadAt(p []byte, off int64) (int, error) {
-	if off >= int64(len(f.soft)) {
+func (f *MemoryFile) ReadAt(p []byte, off int64) (int, error) {
+	if off >= int64(len(f.cached)) {
 		return 0, fmt.Errorf("read past end: %w", os.ErrInvalid)
 	}
-	n := copy(p, f.soft[off:])
-	f.owner.Read += uint64(n)
+	n := copy(p, f.cached[off:])
+	f.folder.BytesRead += uint64(n)
 	return n, nil
 }
 
 // WriteAt writes softly.
-func (f *MemFile) WriteAt(p []byte, off int64) (int, error) {
-	if f.owner.Fail != nil {
-		if err := f.owner.Fail("write"); err != nil {
+func (f *MemoryFile) WriteAt(p []byte, off int64) (int, error) {
+	if f.folder.BeforeWrite != nil {
+		if err := f.folder.BeforeWrite("write"); err != nil {
 			return 0, err
 		}
 	}
-	copy(f.soft[off:], p)
-	f.owner.Wrote += uint64(len(p))
-	f.late = append(f.late, patch{off, append([]byte(nil), p...)})
+	copy(f.cached[off:], p)
+	f.folder.BytesWritten += uint64(len(p))
+	f.unsynced = append(f.unsynced, pendingWrite{off, append([]byte(nil), p...)})
 	return len(p), nil
 }
 
 // Sync makes the writes solid.
-func (f *MemFile) Sync() error {
-	if f.owner.Fail != nil {
-		if err := f.owner.Fail("sync"); err != nil {
+func (f *MemoryFile) Sync() error {
+	if f.folder.BeforeWrite != nil {
+		if err := f.folder.BeforeWrite("sync"); err != nil {
 			return err
 		}
 	}
-	for _, p := range f.late {
-		copy(f.solid[p.off:], p.data)
+	for _, p := range f.unsynced {
+		copy(f.durable[p.offset:], p.data)
 	}
-	f.late = nil
+	f.unsynced = nil
 	return nil
 }
 
 // Crash loses power: of every unsynced write, keep says how many bytes stayed, and of the
 // one name of a file that no Sync of the folder covered whether it stayed.
-func (m *Mem) Crash(keep func(n int) int) {
+func (m *MemoryFolder) Crash(keep func(n int) int) {
 	for _, name := range slices.Sorted(maps.Keys(m.Files)) { // keep may draw
 		f := m.Files[name]
-		if !f.named && keep(1) == 0 {
+		if !f.nameSynced && keep(1) == 0 {
 			delete(m.Files, name)
 			continue
 		}
-		f.named = true
-		for _, p := range f.late {
+		f.nameSynced = true
+		for _, p := range f.unsynced {
 			n := keep(len(p.data))
-			copy(f.solid[p.off:], p.data[:n])
+			copy(f.durable[p.offset:], p.data[:n])
 		}
-		f.late = nil
-		copy(f.soft, f.solid)
+		f.unsynced = nil
+		copy(f.cached, f.durable)
 	}
-	m.Fail = nil
+	m.BeforeWrite = nil
 }
 
 // Unsynced counts the writes that a loss of power may take, in the order in which Crash
 // asks for them.
-func (m *Mem) Unsynced() int {
+func (m *MemoryFolder) Unsynced() int {
 	n := 0
 	for _, f := range m.Files {
-		n += len(f.late)
+		n += len(f.unsynced)
 	}
 	return n
 }
 
-// Flip damages one solid byte.
-func (m *Mem) Flip(name string, off int64) {
+// CorruptByte damages one solid byte.
+func (m *MemoryFolder) CorruptByte(name string, off int64) {
 	f := m.Files[name]
-	f.solid[off] ^= 0x5a
-	f.soft[off] = f.solid[off]
+	f.durable[off] ^= 0x5a
+	f.cached[off] = f.durable[off]
 }
--- a/storage/ring/fuzz_test.go
+++ b/storage/ring/fuzz_test.go
@@ -10,64 +10,64 @@
 	"github.com/shoenig/test/must"
 )
 
-// fuzzBoot is a ring small enough for its whole image to be an input.
-var fuzzBoot = Boot{Files: 4, Size: 512}
+// fuzzOptions is a ring small enough for its whole image to be an input.
+var fuzzOptions = Options{FileCount: 4, FileSize: 512}
 
-// image is what a ring's files hold, one after the other.
-func image(box *Mem) []byte {
-	var out []byte
-	for i := range fuzzBoot.Files {
-		out = append(out, box.Files[fmt.Sprintf("ring-%03d", i)].solid...)
+// imageOf is what a ring's files hold, one after the other.
+func imageOf(folder *MemoryFolder) []byte {
+	var joined []byte
+	for i := range fuzzOptions.FileCount {
+		joined = append(joined, folder.Files[fmt.Sprintf("ring-%03d", i)].durable...)
 	}
-	return out
+	return joined
 }
 
-// disk lays an image of any length out as files.
-func disk(raw []byte) *Mem {
-	box := NewMem()
-	raw = append(bytes.Clone(raw), make([]byte, int(fuzzBoot.Size)*fuzzBoot.Files)...)
-	for i := range fuzzBoot.Files {
-		part := raw[int64(i)*fuzzBoot.Size : int64(i+1)*fuzzBoot.Size]
-		box.Files[fmt.Sprintf("ring-%03d", i)] = &MemFile{owner: box, solid: bytes.Clone(part), soft: bytes.Clone(part)}
+// folderOf lays an image of any length out as files.
+func folderOf(raw []byte) *MemoryFolder {
+	folder := NewMemoryFolder()
+	raw = append(bytes.Clone(raw), make([]byte, int(fuzzOptions.FileSize)*fuzzOptions.FileCount)...)
+	for i := range fuzzOptions.FileCount {
+		part := raw[int64(i)*fuzzOptions.FileSize : int64(i+1)*fuzzOptions.FileSize]
+		folder.Files[fmt.Sprintf("ring-%03d", i)] = &MemoryFile{folder: folder, durable: bytes.Clone(part), cached: bytes.Clone(part)}
 	}
-	return box
+	return folder
 }
 
-// sealed gives every head, and every record that stands where its length says, the checksum
+// withChecksums gives every head, and every record that stands where its length says, the checksum
 // that it would have: then what the checksum keeps out on a real disk comes through.
-func sealed(raw []byte) []byte {
+func withChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
-	for at := 0; at+fileHead <= len(raw); at += int(fuzzBoot.Size) {
-		file := raw[at:min(len(raw), at+int(fuzzBoot.Size))]
+	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
+		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
 		binary.LittleEndian.PutUint32(file, fileMagic)
-		binary.LittleEndian.PutUint32(file[28:], crc32.Checksum(file[:28], table))
+		binary.LittleEndian.PutUint32(file[28:], crc32.Checksum(file[:28], castagnoli))
 		lap := file[4:12]
-		for off := fileHead; off+recordHead <= len(file); {
-			end := off + recordHead + int(binary.LittleEndian.Uint32(file[off+8:]))
-			if binary.LittleEndian.Uint32(file[off:]) != recordMagic || end > len(file) {
+		for offset := fileHeaderSize; offset+recordHeaderSize <= len(file); {
+			end := offset + recordHeaderSize + int(binary.LittleEndian.Uint32(file[offset+8:]))
+			if binary.LittleEndian.Uint32(file[offset:]) != recordMagic || end > len(file) {
 				break
 			}
-			sum := crc32.Update(crc32.Checksum(file[off+8:end], table), table, lap)
-			binary.LittleEndian.PutUint32(file[off+4:], sum)
-			off = end
+			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoli), castagnoli, lap)
+			binary.LittleEndian.PutUint32(file[offset+4:], sum)
+			offset = end
 		}
 	}
 	return raw
 }
 
-// intact tells whether a record with a right checksum stands anywhere in an image, under
+// holdsRecord tells whether a record with a right checksum stands anywhere in an image, under
 // the lap of the head of its own file.
-func intact(raw []byte, tag string, data []byte) bool {
-	for at := 0; at+fileHead <= len(raw); at += int(fuzzBoot.Size) {
-		file := raw[at:min(len(raw), at+int(fuzzBoot.Size))]
-		for off := fileHead; off+recordHead <= len(file); off++ {
-			end := off + recordHead + len(tag) + len(data)
-			if end > len(file) || !bytes.Equal(file[off+recordHead:end], append([]byte(tag), data...)) {
+func holdsRecord(raw []byte, key string, data []byte) bool {
+	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
+		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
+		for offset := fileHeaderSize; offset+recordHeaderSize <= len(file); offset++ {
+			end := offset + recordHeaderSize + len(key) + len(data)
+			if end > len(file) || !bytes.Equal(file[offset+recordHeaderSize:end], append([]byte(key), data...)) {
 				continue
 			}
-			size, width := binary.LittleEndian.Uint32(file[off+8:]), binary.LittleEndian.Uint16(file[off+12:])
-			sum := crc32.Update(crc32.Checksum(file[off+8:end], table), table, file[4:12])
-			if int(size) == len(tag)+len(data) && int(width) == len(tag) && sum == binary.LittleEndian.Uint32(file[off+4:]) {
+			size, width := binary.LittleEndian.Uint32(file[offset+8:]), binary.LittleEndian.Uint16(file[offset+12:])
+			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoli), castagnoli, file[4:12])
+			if int(size) == len(key)+len(data) && int(width) == len(key) && sum == binary.LittleEndian.Uint32(file[offset+4:]) {
 				return true
 			}
 		}
@@ -80,14 +80,14 @@
 // gives it back when it is opened anew.
 func FuzzOpen(f *testing.F) {
 	for _, writes := range []int{0, 1, 5, 20, 60} {
-		box := NewMem()
-		r, err := Open(box, fuzzBoot)
+		folder := NewMemoryFolder()
+		r, err := Open(folder, fuzzOptions)
 		must.NoError(f, err)
 		for n := range writes {
 			must.NoError(f, r.Append([]Record{{fmt.Sprint("k", n%3), bytes.Repeat([]byte{byte(n + 1)}, n%40)}}))
 			must.NoError(f, r.Sync())
 		}
-		whole := image(box)
+		whole := imageOf(folder)
 		f.Add(whole, false)
 		f.Add(whole, true)
 		torn := bytes.Clone(whole)
@@ -95,26 +95,26 @@
 		f.Add(torn, false)
 	}
 	f.Add([]byte{}, false)
-	f.Fuzz(func(t *testing.T, raw []byte, seal bool) {
-		whole := int(fuzzBoot.Size) * fuzzBoot.Files
+	f.Fuzz(func(t *testing.T, raw []byte, reseal bool) {
+		whole := int(fuzzOptions.FileSize) * fuzzOptions.FileCount
 		raw = append(bytes.Clone(raw), make([]byte, whole)...)[:whole]
-		if seal {
-			raw = sealed(raw)
+		if reseal {
+			raw = withChecksums(raw)
 		}
-		box := disk(raw)
-		r, err := Open(box, fuzzBoot)
+		folder := folderOf(raw)
+		r, err := Open(folder, fuzzOptions)
 		if err != nil {
 			return
 		}
 		for _, record := range r.Records() {
-			must.True(t, intact(raw, record.Tag, record.Data), must.Sprintf("%q came from nowhere", record.Tag))
+			must.True(t, holdsRecord(raw, record.Key, record.Data), must.Sprintf("%q came from nowhere", record.Key))
 		}
 		if r.Append([]Record{{"new", []byte("data")}}) != nil || r.Sync() != nil {
 			return // full
 		}
-		box.Crash(func(int) int { return 0 })
-		r, err = Open(box, fuzzBoot)
+		folder.Crash(func(int) int { return 0 })
+		r, err = Open(folder, fuzzOptions)
 		must.NoError(t, err)
-		must.Eq(t, "data", see(r)["new"])
+		must.Eq(t, "data", contents(r)["new"])
 	})
 }
--- a/storage/ring/ring.go
+++ b/storage/ring/ring.go
@@ -9,32 +9,32 @@
 	"hash/crc32"
 	"slices"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 const (
-	fileMagic   = 0x43544152
-	recordMagic = 0x52454344
-	fileHead    = 32
-	recordHead  = 36
-	movedTag    = "\x00moved"
+	fileMagic        = 0x43544152
+	recordMagic      = 0x52454344
+	fileHeaderSize   = 32
+	recordHeaderSize = 36
+	movedKey         = "\x00moved"
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Boot sizes a ring.
-type Boot struct {
-	Files int
-	Size  int64
+// Options sizes a ring.
+type Options struct {
+	FileCount int
+	FileSize  int64
 }
 
 // Record is one tag with its newest data.
 type Record struct {
-	Tag  string
+	Key  string
 	Data []byte
 }
 
-type live struct {
+type liveRecord struct {
 	file int
 	data []byte
 }
@@ -48,44 +48,44 @@
 //   - every record names the last sequence known synced when it was written, so
 //     that damage is told from a torn tail.
 type Ring struct {
-	boot   Boot
-	files  []File
-	now    int
-	lap    uint64
-	off    int64
-	seq    uint64
-	synced uint64
-	dirty  map[int]bool
-	held   map[string]live
-	bulk   int64
-	broken error
-	tail   int64
+	options        Options
+	files          []File
+	current        int
+	lap            uint64
+	offset         int64
+	sequence       uint64
+	syncedSequence uint64
+	dirtyFiles     map[int]bool
+	live           map[string]liveRecord
+	liveBytes      int64
+	fatalErr       error
+	scanEnd        int64
 	// Counters.
-	Appends, Syncs, Moves, Bytes uint64
+	Appends, Syncs, Moves, BytesWritten uint64
 }
 
-func (r *Ring) size(tag string, data []byte) int64 {
-	return int64(recordHead + len(tag) + len(data))
+func (r *Ring) recordSize(key string, data []byte) int64 {
+	return int64(recordHeaderSize + len(key) + len(data))
 }
 
-// countMax is beyond what any ring counts to, and far from where a count would wrap.
-const countMax = 1 << 62
+// maxCount is beyond what any ring counts to, and far from where a count would wrap.
+const maxCount = 1 << 62
 
-// counted tells whether a number of a head may be a count: laps and records count from 1.
-func counted(n uint64) bool { return n > 0 && n < countMax }
+// validCount tells whether a number of a head may be a count: laps and records count from 1.
+func validCount(n uint64) bool { return n > 0 && n < maxCount }
 
 // Open recovers a ring. It answers a Damaged failure when anything that was synced
 // cannot be read whole.
-func Open(box Folder, boot Boot) (*Ring, error) {
-	r := &Ring{boot: boot, dirty: map[int]bool{}, held: map[string]live{}}
-	type head struct {
+func Open(folder Folder, options Options) (*Ring, error) {
+	r := &Ring{options: options, dirtyFiles: map[int]bool{}, live: map[string]liveRecord{}}
+	type fileHeader struct {
 		ok, blank  bool
 		lap, first uint64
 	}
-	heads := make([]head, boot.Files)
-	top := -1
-	for i := range boot.Files {
-		f, err := box.Open(fmt.Sprintf("ring-%03d", i), boot.Size)
+	headers := make([]fileHeader, options.FileCount)
+	newest := -1
+	for i := range options.FileCount {
+		f, err := folder.Open(fmt.Sprintf("ring-%03d", i), options.FileSize)
 		if err != nil {
 			return nil, err
 		}
@@ -93,90 +93,90 @@
 	}
 	// Also where all files were there: a run that was killed may have made them and not
 	// synced the folder. Nothing is written before their names last.
-	if err := box.Sync(); err != nil {
+	if err := folder.Sync(); err != nil {
 		return nil, err
 	}
 	for i, f := range r.files {
-		raw := make([]byte, fileHead)
+		raw := make([]byte, fileHeaderSize)
 		if _, err := f.ReadAt(raw, 0); err != nil {
 			return nil, failure.Wrap(err, failure.DiskFailed, "read head")
 		}
-		h := head{blank: !slices.ContainsFunc(raw, func(b byte) bool { return b != 0 })}
-		if binary.LittleEndian.Uint32(raw) == fileMagic && crc32.Checksum(raw[:28], table) == binary.LittleEndian.Uint32(raw[28:]) {
-			h.lap, h.first = binary.LittleEndian.Uint64(raw[4:]), binary.LittleEndian.Uint64(raw[12:])
-			h.ok = counted(h.lap) && counted(h.first)
-			if h.ok && (top < 0 || h.lap > heads[top].lap) {
-				top = i
+		header := fileHeader{blank: !slices.ContainsFunc(raw, func(b byte) bool { return b != 0 })}
+		if binary.LittleEndian.Uint32(raw) == fileMagic && crc32.Checksum(raw[:28], castagnoli) == binary.LittleEndian.Uint32(raw[28:]) {
+			header.lap, header.first = binary.LittleEndian.Uint64(raw[4:]), binary.LittleEndian.Uint64(raw[12:])
+			header.ok = validCount(header.lap) && validCount(header.first)
+			if header.ok && (newest < 0 || header.lap > headers[newest].lap) {
+				newest = i
 			}
 		}
-		heads[i] = h
+		headers[i] = header
 	}
-	if top < 0 {
-		for i, h := range heads {
-			if !h.blank && i != 0 {
+	if newest < 0 {
+		for i, header := range headers {
+			if !header.blank && i != 0 {
 				return nil, failure.New(failure.Damaged, "ring-%03d: head is damaged", i)
 			}
 		}
 		// Records follow a head only once it was synced: without a head, one that knew
 		// anything as synced proves that the head was there and is damaged.
-		if err := r.behind(0, 1, fileHead); err != nil {
+		if err := r.checkNothingLost(0, 1, fileHeaderSize); err != nil {
 			return nil, err
 		}
-		r.now, r.seq = boot.Files-1, 0
-		return r, r.advance()
+		r.current, r.sequence = options.FileCount-1, 0
+		return r, r.nextFile()
 	}
-	next := (top + 1) % boot.Files
+	next := (newest + 1) % options.FileCount
 	// Walk from the oldest file to the newest.
-	r.lap = heads[top].lap
-	moved, err := r.marked(top, heads[top].first)
+	r.lap = headers[newest].lap
+	moved, err := r.hasMovedMark(newest, headers[newest].first)
 	if err != nil {
 		return nil, err
 	}
-	for step := boot.Files - 1; step >= 0; step-- {
-		i := (top - step + boot.Files) % boot.Files
-		if moved && step == boot.Files-1 && boot.Files > 1 {
+	for step := options.FileCount - 1; step >= 0; step-- {
+		i := (newest - step + options.FileCount) % options.FileCount
+		if moved && step == options.FileCount-1 && options.FileCount > 1 {
 			continue // dead: its overwriting may have begun
 		}
-		want := r.lap - uint64(step)
+		wantLap := r.lap - uint64(step)
 		if uint64(step) >= r.lap {
 			// The first lap had not come this far; only the next file's head may be torn.
-			if !heads[i].blank && i != next {
+			if !headers[i].blank && i != next {
 				return nil, failure.New(failure.Damaged, "ring-%03d: head is damaged", i)
 			}
 			continue
 		}
-		if !heads[i].ok || heads[i].lap != want {
-			if step == boot.Files-1 {
+		if !headers[i].ok || headers[i].lap != wantLap {
+			if step == options.FileCount-1 {
 				continue // judged below, by the moved mark
 			}
 			return nil, failure.New(failure.Damaged, "ring-%03d: head is damaged", i)
 		}
-		limit := ^uint64(0)
+		endSequence := ^uint64(0)
 		if step > 0 {
-			limit = heads[(i+1)%boot.Files].first
+			endSequence = headers[(i+1)%options.FileCount].first
 		}
-		if r.seq != 0 && heads[i].first != r.seq+1 {
-			return nil, failure.New(failure.Damaged, "ring-%03d: begins at %d, wanted %d", i, heads[i].first, r.seq+1)
+		if r.sequence != 0 && headers[i].first != r.sequence+1 {
+			return nil, failure.New(failure.Damaged, "ring-%03d: begins at %d, wanted %d", i, headers[i].first, r.sequence+1)
 		}
-		r.seq = heads[i].first - 1
-		if err := r.scan(i, want, limit); err != nil {
+		r.sequence = headers[i].first - 1
+		if err := r.scanFile(i, wantLap, endSequence); err != nil {
 			return nil, err
 		}
-		if step > 0 && r.seq+1 != limit {
-			return nil, failure.New(failure.Damaged, "ring-%03d: record %d is damaged", i, r.seq+1)
+		if step > 0 && r.sequence+1 != endSequence {
+			return nil, failure.New(failure.Damaged, "ring-%03d: record %d is damaged", i, r.sequence+1)
 		}
 	}
-	if r.lap >= uint64(boot.Files) && (!heads[next].ok || heads[next].lap != r.lap-uint64(boot.Files)+1) && !moved {
+	if r.lap >= uint64(options.FileCount) && (!headers[next].ok || headers[next].lap != r.lap-uint64(options.FileCount)+1) && !moved {
 		return nil, failure.New(failure.Damaged, "ring-%03d: head is damaged before its records were moved", next)
 	}
-	if err := r.behind(next, r.lap+1, fileHead); err != nil {
+	if err := r.checkNothingLost(next, r.lap+1, fileHeaderSize); err != nil {
 		return nil, err
 	}
-	r.now, r.synced = top, r.seq
+	r.current, r.syncedSequence = newest, r.sequence
 	// A run that was killed may have left writes that no sync covered. They were read, so
 	// they must last before anything is built on them.
 	for i := range r.files {
-		r.dirty[i] = true
+		r.dirtyFiles[i] = true
 	}
 	if err := r.Sync(); err != nil {
 		return nil, err
@@ -184,274 +184,276 @@
 	if !moved {
 		// The move was cut short. Whatever was appended after the head were only
 		// moved records, so starting that file anew loses nothing and has room.
-		r.off = r.tail
-		if err := r.evict(); err != nil {
+		r.offset = r.scanEnd
+		if err := r.moveLiveRecords(); err != nil {
 			return nil, err
 		}
 	}
-	return r, r.advance()
+	return r, r.nextFile()
 }
 
-// view is a file as far as it was read. Invariant: raw is the file from its begin on.
-type view struct {
-	file File
-	size int64
-	raw  []byte
+// fileReader is a file as far as it was read. Invariant: raw is the file from its begin on.
+type fileReader struct {
+	file   File
+	size   int64
+	loaded []byte
 }
 
-// chunk is how much of a file is read at once: a ring that holds little is opened without
+// readAhead is how much of a file is read at once: a ring that holds little is opened without
 // reading all of its files.
-const chunk = 256 << 10
-
-// more reads on until at least n bytes are there, or the file ends.
-func (v *view) more(n int64) error {
-	for n = min(n, v.size); int64(len(v.raw)) < n; {
-		at := len(v.raw)
-		next := int(min(chunk, v.size-int64(at)))
-		if cap(v.raw)-at < next {
-			v.raw = slices.Grow(v.raw, int(min(max(chunk, int64(at)), v.size-int64(at)))) // twice as much
-		}
-		v.raw = v.raw[:at+next]
-		if _, err := v.file.ReadAt(v.raw[at:], int64(at)); err != nil {
+const readAhead = 256 << 10
+
+// fill reads on until at least n bytes are there, or the file ends.
+func (r *fileReader) fill(n int64) error {
+	for n = min(n, r.size); int64(len(r.loaded)) < n; {
+		have := len(r.loaded)
+		next := int(min(readAhead, r.size-int64(have)))
+		if cap(r.loaded)-have < next {
+			r.loaded = slices.Grow(r.loaded, int(min(max(readAhead, int64(have)), r.size-int64(have)))) // twice as much
+		}
+		r.loaded = r.loaded[:have+next]
+		if _, err := r.file.ReadAt(r.loaded[have:], int64(have)); err != nil {
 			return failure.Wrap(err, failure.DiskFailed, "read records")
 		}
 	}
 	return nil
 }
 
-// blank is how much that was never written ends the look for lost records: more than any
+// maxZeroRun is how much that was never written ends the look for lost records: more than any
 // loss of power leaves out between two syncs.
-const blank = 4 * chunk
+const maxZeroRun = 4 * readAhead
 
-// rest reads on from an offset to the end of what was ever written.
-func (v *view) rest(from int64) error {
-	if err := v.more(from); err != nil {
+// fillPastGaps reads on from an offset to the end of what was ever written.
+func (r *fileReader) fillPastGaps(from int64) error {
+	if err := r.fill(from); err != nil {
 		return err
 	}
-	for none := 0; none < blank && int64(len(v.raw)) < v.size; {
-		at := len(v.raw)
-		if err := v.more(int64(at) + chunk); err != nil {
+	for zeroRun := 0; zeroRun < maxZeroRun && int64(len(r.loaded)) < r.size; {
+		have := len(r.loaded)
+		if err := r.fill(int64(have) + readAhead); err != nil {
 			return err
 		}
-		if none += chunk; len(bytes.Trim(v.raw[at:], "\x00")) > 0 {
-			none = 0
+		if zeroRun += readAhead; len(bytes.Trim(r.loaded[have:], "\x00")) > 0 {
+			zeroRun = 0
 		}
 	}
 	return nil
 }
 
-// record reads the record at an offset.
-func (v *view) record(off int64, lap uint64) (tag string, data []byte, seq, synced uint64, ok bool, err error) {
-	if err = v.more(off + recordHead); err != nil || int64(len(v.raw)) < off+recordHead || binary.LittleEndian.Uint32(v.raw[off:]) != recordMagic {
+// recordAt reads the record at an offset.
+func (r *fileReader) recordAt(offset int64, lap uint64) (key string, data []byte, sequence, syncedSequence uint64, ok bool, err error) {
+	if err = r.fill(offset + recordHeaderSize); err != nil || int64(len(r.loaded)) < offset+recordHeaderSize || binary.LittleEndian.Uint32(r.loaded[offset:]) != recordMagic {
 		return
 	}
-	if err = v.more(off + recordHead + int64(binary.LittleEndian.Uint32(v.raw[off+8:]))); err != nil {
+	if err = r.fill(offset + recordHeaderSize + int64(binary.LittleEndian.Uint32(r.loaded[offset+8:]))); err != nil {
 		return
 	}
-	tag, data, seq, synced, ok = parse(v.raw[off:], lap)
+	key, data, sequence, syncedSequence, ok = parseRecord(r.loaded[offset:], lap)
 	return
 }
 
-func (r *Ring) view(i int) *view { return &view{file: r.files[i], size: r.boot.Size} }
+func (r *Ring) reader(i int) *fileReader {
+	return &fileReader{file: r.files[i], size: r.options.FileSize}
+}
 
-// marked tells whether the newest file holds its moved mark.
-func (r *Ring) marked(i int, first uint64) (bool, error) {
-	v := r.view(i)
-	for off, want := int64(fileHead), first; ; want++ {
-		tag, data, seq, _, ok, err := v.record(off, r.lap)
-		if err != nil || !ok || seq != want {
+// hasMovedMark tells whether the newest file holds its moved mark.
+func (r *Ring) hasMovedMark(file int, first uint64) (bool, error) {
+	reader := r.reader(file)
+	for offset, want := int64(fileHeaderSize), first; ; want++ {
+		key, data, sequence, _, ok, err := reader.recordAt(offset, r.lap)
+		if err != nil || !ok || sequence != want {
 			return false, err
 		}
-		if tag == movedTag {
+		if key == movedKey {
 			return true, nil
 		}
-		off += r.size(tag, data)
+		offset += r.recordSize(key, data)
 	}
 }
 
-// scan reads the records of one file up to limit, keeping the newest of each tag.
-func (r *Ring) scan(i int, lap, limit uint64) error {
-	v := r.view(i)
-	off := int64(fileHead)
+// scanFile reads the records of one file up to limit, keeping the newest of each tag.
+func (r *Ring) scanFile(file int, lap, endSequence uint64) error {
+	reader := r.reader(file)
+	offset := int64(fileHeaderSize)
 	found := map[string][]byte{} // of this file, as it was read
-	for r.seq+1 < limit {
-		tag, data, seq, _, ok, err := v.record(off, lap)
+	for r.sequence+1 < endSequence {
+		key, data, sequence, _, ok, err := reader.recordAt(offset, lap)
 		if err != nil {
 			return err
 		}
-		if !ok || seq != r.seq+1 {
+		if !ok || sequence != r.sequence+1 {
 			break
 		}
-		r.seq = seq
-		off += r.size(tag, data)
-		if tag == movedTag {
+		r.sequence = sequence
+		offset += r.recordSize(key, data)
+		if key == movedKey {
 			continue
 		}
-		found[tag] = data
+		found[key] = data
 	}
-	for tag, data := range found {
-		r.keep(tag, bytes.Clone(data), i)
+	for key, data := range found {
+		r.setLive(key, bytes.Clone(data), file)
 	}
-	r.tail = off
-	if limit == ^uint64(0) {
-		return r.behind(i, lap, off)
+	r.scanEnd = offset
+	if endSequence == ^uint64(0) {
+		return r.checkNothingLost(file, lap, offset)
 	}
 	return nil
 }
 
-// behind looks for a record behind the stop that knew a lost one as synced: that
+// checkNothingLost looks for a record behind the stop that knew a lost one as synced: that
 // proves damage, where a torn tail leaves none.
-func (r *Ring) behind(i int, lap uint64, from int64) error {
-	v := r.view(i)
-	if err := v.rest(from); err != nil {
+func (r *Ring) checkNothingLost(file int, lap uint64, from int64) error {
+	reader := r.reader(file)
+	if err := reader.fillPastGaps(from); err != nil {
 		return err
 	}
 	magic := binary.LittleEndian.AppendUint32(nil, recordMagic)
-	for at := from; at+recordHead <= int64(len(v.raw)); at++ {
-		n := bytes.Index(v.raw[at:], magic)
+	for offset := from; offset+recordHeaderSize <= int64(len(reader.loaded)); offset++ {
+		n := bytes.Index(reader.loaded[offset:], magic)
 		if n < 0 {
 			return nil
 		}
-		at += int64(n)
-		if _, _, seq, synced, ok := parse(v.raw[at:], lap); ok && seq > r.seq && synced > r.seq {
-			return failure.New(failure.Damaged, "ring-%03d: record %d is damaged", i, r.seq+1)
+		offset += int64(n)
+		if _, _, sequence, syncedSequence, ok := parseRecord(reader.loaded[offset:], lap); ok && sequence > r.sequence && syncedSequence > r.sequence {
+			return failure.New(failure.Damaged, "ring-%03d: record %d is damaged", file, r.sequence+1)
 		}
 	}
 	return nil
 }
 
-// parse reads one record; ok is false when its checksum or lap is not right.
-func parse(raw []byte, lap uint64) (tag string, data []byte, seq, synced uint64, ok bool) {
-	if len(raw) < recordHead || binary.LittleEndian.Uint32(raw) != recordMagic {
+// parseRecord reads one record; ok is false when its checksum or lap is not right.
+func parseRecord(raw []byte, lap uint64) (key string, data []byte, sequence, syncedSequence uint64, ok bool) {
+	if len(raw) < recordHeaderSize || binary.LittleEndian.Uint32(raw) != recordMagic {
 		return
 	}
-	size, wide := binary.LittleEndian.Uint32(raw[8:]), binary.LittleEndian.Uint16(raw[12:])
-	end := int64(recordHead) + int64(size)
-	if end > int64(len(raw)) || uint32(wide) > size {
+	size, keyLength := binary.LittleEndian.Uint32(raw[8:]), binary.LittleEndian.Uint16(raw[12:])
+	recordEnd := int64(recordHeaderSize) + int64(size)
+	if recordEnd > int64(len(raw)) || uint32(keyLength) > size {
 		return
 	}
-	sum := crc32.Checksum(raw[8:end], table)
-	sum = crc32.Update(sum, table, binary.LittleEndian.AppendUint64(nil, lap))
+	sum := crc32.Checksum(raw[8:recordEnd], castagnoli)
+	sum = crc32.Update(sum, castagnoli, binary.LittleEndian.AppendUint64(nil, lap))
 	if sum != binary.LittleEndian.Uint32(raw[4:]) {
 		return
 	}
-	seq, synced = binary.LittleEndian.Uint64(raw[14:]), binary.LittleEndian.Uint64(raw[22:])
-	body := raw[recordHead:end]
-	return string(body[:wide]), body[wide:], seq, synced, true
+	sequence, syncedSequence = binary.LittleEndian.Uint64(raw[14:]), binary.LittleEndian.Uint64(raw[22:])
+	body := raw[recordHeaderSize:recordEnd]
+	return string(body[:keyLength]), body[keyLength:], sequence, syncedSequence, true
 }
 
-func (r *Ring) keep(tag string, data []byte, file int) {
-	if old, ok := r.held[tag]; ok {
-		r.bulk -= r.size(tag, old.data)
+func (r *Ring) setLive(key string, data []byte, file int) {
+	if old, ok := r.live[key]; ok {
+		r.liveBytes -= r.recordSize(key, old.data)
 	}
-	r.held[tag] = live{file, data}
-	r.bulk += r.size(tag, data)
+	r.live[key] = liveRecord{file, data}
+	r.liveBytes += r.recordSize(key, data)
 }
 
-// put writes one record into the current file, which must have room.
-func (r *Ring) put(tag string, data []byte) error {
-	r.seq++
-	raw := make([]byte, recordHead, r.size(tag, data))
+// writeRecord writes one record into the current file, which must have room.
+func (r *Ring) writeRecord(key string, data []byte) error {
+	r.sequence++
+	raw := make([]byte, recordHeaderSize, r.recordSize(key, data))
 	binary.LittleEndian.PutUint32(raw, recordMagic)
-	binary.LittleEndian.PutUint32(raw[8:], uint32(len(tag)+len(data)))
-	binary.LittleEndian.PutUint16(raw[12:], uint16(len(tag)))
-	binary.LittleEndian.PutUint64(raw[14:], r.seq)
-	binary.LittleEndian.PutUint64(raw[22:], r.synced)
-	raw = append(append(raw, tag...), data...)
-	sum := crc32.Checksum(raw[8:], table)
-	sum = crc32.Update(sum, table, binary.LittleEndian.AppendUint64(nil, r.lap))
+	binary.LittleEndian.PutUint32(raw[8:], uint32(len(key)+len(data)))
+	binary.LittleEndian.PutUint16(raw[12:], uint16(len(key)))
+	binary.LittleEndian.PutUint64(raw[14:], r.sequence)
+	binary.LittleEndian.PutUint64(raw[22:], r.syncedSequence)
+	raw = append(append(raw, key...), data...)
+	sum := crc32.Checksum(raw[8:], castagnoli)
+	sum = crc32.Update(sum, castagnoli, binary.LittleEndian.AppendUint64(nil, r.lap))
 	binary.LittleEndian.PutUint32(raw[4:], sum)
-	if _, err := r.files[r.now].WriteAt(raw, r.off); err != nil {
-		r.broken = failure.Wrap(err, failure.DiskFailed, "write record")
-		return r.broken
+	if _, err := r.files[r.current].WriteAt(raw, r.offset); err != nil {
+		r.fatalErr = failure.Wrap(err, failure.DiskFailed, "write record")
+		return r.fatalErr
 	}
-	r.dirty[r.now] = true
-	r.off += int64(len(raw))
-	r.Bytes += uint64(len(raw))
-	if tag != movedTag {
-		r.keep(tag, data, r.now)
+	r.dirtyFiles[r.current] = true
+	r.offset += int64(len(raw))
+	r.BytesWritten += uint64(len(raw))
+	if key != movedKey {
+		r.setLive(key, data, r.current)
 	}
 	return nil
 }
 
-// evict moves the live records of the next file into the current one and marks it.
-func (r *Ring) evict() error {
-	next := (r.now + 1) % r.boot.Files
-	var tags []string
-	need := r.size(movedTag, nil)
-	for tag, l := range r.held {
-		if l.file == next {
-			tags = append(tags, tag)
-			need += r.size(tag, l.data)
+// moveLiveRecords moves the live records of the next file into the current one and marks it.
+func (r *Ring) moveLiveRecords() error {
+	next := (r.current + 1) % r.options.FileCount
+	var keys []string
+	need := r.recordSize(movedKey, nil)
+	for key, record := range r.live {
+		if record.file == next {
+			keys = append(keys, key)
+			need += r.recordSize(key, record.data)
 		}
 	}
-	if r.off+need > r.boot.Size {
+	if r.offset+need > r.options.FileSize {
 		return failure.New(failure.DiskFailed, "no room to move live records forward")
 	}
-	slices.Sort(tags)
-	for _, tag := range tags {
-		if err := r.put(tag, r.held[tag].data); err != nil {
+	slices.Sort(keys)
+	for _, key := range keys {
+		if err := r.writeRecord(key, r.live[key].data); err != nil {
 			return err
 		}
 		r.Moves++
 	}
-	return r.put(movedTag, nil)
+	return r.writeRecord(movedKey, nil)
 }
 
-// advance goes to the next file, which holds nothing live.
-func (r *Ring) advance() error {
+// nextFile goes to the next file, which holds nothing live.
+func (r *Ring) nextFile() error {
 	if err := r.Sync(); err != nil {
 		return err
 	}
-	r.now = (r.now + 1) % r.boot.Files
+	r.current = (r.current + 1) % r.options.FileCount
 	r.lap++
-	raw := make([]byte, fileHead)
+	raw := make([]byte, fileHeaderSize)
 	binary.LittleEndian.PutUint32(raw, fileMagic)
 	binary.LittleEndian.PutUint64(raw[4:], r.lap)
-	binary.LittleEndian.PutUint64(raw[12:], r.seq+1)
-	binary.LittleEndian.PutUint32(raw[28:], crc32.Checksum(raw[:28], table))
-	if _, err := r.files[r.now].WriteAt(raw, 0); err != nil {
-		r.broken = failure.Wrap(err, failure.DiskFailed, "write head")
-		return r.broken
-	}
-	r.dirty[r.now], r.off = true, fileHead
-	if err := r.evict(); err != nil {
+	binary.LittleEndian.PutUint64(raw[12:], r.sequence+1)
+	binary.LittleEndian.PutUint32(raw[28:], crc32.Checksum(raw[:28], castagnoli))
+	if _, err := r.files[r.current].WriteAt(raw, 0); err != nil {
+		r.fatalErr = failure.Wrap(err, failure.DiskFailed, "write head")
+		return r.fatalErr
+	}
+	r.dirtyFiles[r.current], r.offset = true, fileHeaderSize
+	if err := r.moveLiveRecords(); err != nil {
 		return err
 	}
 	return r.Sync()
 }
 
-// Room is the part of the space for live records that is still free.
-func (r *Ring) Room() float64 { return 1 - float64(r.bulk)/float64(r.most()) }
+// FreeFraction is the part of the space for live records that is still free.
+func (r *Ring) FreeFraction() float64 { return 1 - float64(r.liveBytes)/float64(r.maxLiveBytes()) }
 
-func (r *Ring) most() int64 { return r.boot.Size * int64(r.boot.Files-2) / 2 }
+func (r *Ring) maxLiveBytes() int64 { return r.options.FileSize * int64(r.options.FileCount-2) / 2 }
 
-// Most is the largest record that fits.
-func (r *Ring) Most() int64 { return r.boot.Size / 2 }
+// MaxRecordSize is the largest record that fits.
+func (r *Ring) MaxRecordSize() int64 { return r.options.FileSize / 2 }
 
 // Append writes records; they count only after Sync. A refusal for want of room
 // leaves the ring as it was.
 func (r *Ring) Append(batch []Record) error {
-	if r.broken != nil {
-		return r.broken
+	if r.fatalErr != nil {
+		return r.fatalErr
 	}
-	for _, rec := range batch {
-		need := r.size(rec.Tag, rec.Data)
-		if need > r.Most() {
+	for _, record := range batch {
+		need := r.recordSize(record.Key, record.Data)
+		if need > r.MaxRecordSize() {
 			return failure.New(failure.Oversize, "record of %d bytes", need)
 		}
-		if r.bulk+need > r.most() {
+		if r.liveBytes+need > r.maxLiveBytes() {
 			return failure.New(failure.DiskFailed, "the ring is full of live records")
 		}
-		for tries := 0; r.off+need > r.boot.Size; tries++ {
-			if tries > r.boot.Files {
+		for tries := 0; r.offset+need > r.options.FileSize; tries++ {
+			if tries > r.options.FileCount {
 				return failure.New(failure.DiskFailed, "no room after a whole lap")
 			}
-			if err := r.advance(); err != nil {
+			if err := r.nextFile(); err != nil {
 				return err
 			}
 		}
-		if err := r.put(rec.Tag, rec.Data); err != nil {
+		if err := r.writeRecord(record.Key, record.Data); err != nil {
 			return err
 		}
 		r.Appends++
@@ -462,32 +464,32 @@
 // Sync makes all that was appended last. After a failed sync nothing counts any
 // more: the ring stays broken until it is opened anew.
 func (r *Ring) Sync() error {
-	if r.broken != nil {
-		return r.broken
+	if r.fatalErr != nil {
+		return r.fatalErr
 	}
 	for i := range r.files {
-		if !r.dirty[i] {
+		if !r.dirtyFiles[i] {
 			continue
 		}
 		if err := r.files[i].Sync(); err != nil {
-			r.broken = failure.Wrap(err, failure.DiskFailed, "sync")
-			return r.broken
+			r.fatalErr = failure.Wrap(err, failure.DiskFailed, "sync")
+			return r.fatalErr
 		}
-		delete(r.dirty, i)
+		delete(r.dirtyFiles, i)
 		r.Syncs++
 	}
-	r.synced = r.seq
+	r.syncedSequence = r.sequence
 	return nil
 }
 
 // Records lists the newest record of each tag, in order of tag.
 func (r *Ring) Records() []Record {
-	out := make([]Record, 0, len(r.held))
-	for tag, l := range r.held {
-		out = append(out, Record{tag, l.data})
+	out := make([]Record, 0, len(r.live))
+	for key, record := range r.live {
+		out = append(out, Record{key, record.data})
 	}
 	slices.SortFunc(out, func(a, b Record) int {
-		if a.Tag < b.Tag {
+		if a.Key < b.Key {
 			return -1
 		}
 		return 1
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -7,15 +7,15 @@
 	"path/filepath"
 	"testing"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 	"github.com/shoenig/test"
 	"github.com/shoenig/test/must"
 )
 
-func see(r *Ring) map[string]string {
+func contents(r *Ring) map[string]string {
 	out := map[string]string{}
-	for _, rec := range r.Records() {
-		out[rec.Tag] = string(rec.Data)
+	for _, record := range r.Records() {
+		out[record.Key] = string(record.Data)
 	}
 	return out
 }
@@ -23,69 +23,69 @@
 // Power is lost at every single write point of a long run; what a Sync covered is
 // always there afterwards, and nothing older ever comes back.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
-	boot := Boot{Files: 4, Size: 2048}
-	cut := errors.New("power is gone")
+	options := Options{FileCount: 4, FileSize: 2048}
+	errPowerLost := errors.New("power is gone")
 	for point := 1; point < 400; point++ {
-		box, left := NewMem(), point
+		folder, writesLeft := NewMemoryFolder(), point
 		rng := rand.New(rand.NewPCG(7, uint64(point)))
-		box.Fail = func(string) error {
-			if left--; left <= 0 {
-				return cut
+		folder.BeforeWrite = func(string) error {
+			if writesLeft--; writesLeft <= 0 {
+				return errPowerLost
 			}
 			return nil
 		}
-		sure, maybe := map[string]string{}, map[string]string{}
-		lap := func(r *Ring) error {
+		synced, appended := map[string]string{}, map[string]string{}
+		writeLap := func(r *Ring) error {
 			for i := range 200 {
-				tag, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, point)
-				maybe[tag] = data
-				if err := r.Append([]Record{{tag, []byte(data)}}); err != nil {
+				key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, point)
+				appended[key] = data
+				if err := r.Append([]Record{{key, []byte(data)}}); err != nil {
 					return err
 				}
 				if rng.IntN(3) == 0 {
 					if err := r.Sync(); err != nil {
 						return err
 					}
-					for k, v := range maybe {
-						sure[k] = v
+					for k, v := range appended {
+						synced[k] = v
 					}
 				}
 			}
 			return nil
 		}
-		r, err := Open(box, boot)
+		r, err := Open(folder, options)
 		if err == nil {
-			err = lap(r)
+			err = writeLap(r)
 		}
 		if err == nil {
 			continue
 		}
-		for again := range 3 { // and again while recovering
-			box.Crash(func(n int) int { return rng.IntN(n + 1) })
-			if again < 2 {
-				left = rng.IntN(12) + 1
-				box.Fail = func(string) error {
-					if left--; left <= 0 {
-						return cut
+		for attempt := range 3 { // and again while recovering
+			folder.Crash(func(n int) int { return rng.IntN(n + 1) })
+			if attempt < 2 {
+				writesLeft = rng.IntN(12) + 1
+				folder.BeforeWrite = func(string) error {
+					if writesLeft--; writesLeft <= 0 {
+						return errPowerLost
 					}
 					return nil
 				}
 			}
-			r, err = Open(box, boot)
+			r, err = Open(folder, options)
 			if err == nil {
 				break
 			}
-			must.True(t, errors.Is(err, cut) && again < 2, must.Sprintf("point %d: %v", point, err))
+			must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
 		}
-		box.Fail = nil
-		got := see(r)
-		for tag, data := range sure {
+		folder.BeforeWrite = nil
+		got := contents(r)
+		for key, data := range synced {
 			// Only values written later, and never confirmed, may stand instead.
 			var old, now int
 			_, _ = fmt.Sscanf(data, "%d-", &old)
-			_, err := fmt.Sscanf(got[tag], "%d-", &now)
-			must.NoError(t, err, must.Sprintf("point %d tag %s lost", point, tag))
-			must.LessEq(t, now, old, must.Sprintf("point %d tag %s went back", point, tag))
+			_, err := fmt.Sscanf(got[key], "%d-", &now)
+			must.NoError(t, err, must.Sprintf("point %d tag %s lost", point, key))
+			must.LessEq(t, now, old, must.Sprintf("point %d tag %s went back", point, key))
 		}
 		must.NoError(t, r.Append([]Record{{"after", []byte("x")}}))
 		must.NoError(t, r.Sync())
@@ -94,38 +94,38 @@
 
 // Any synced byte that is flipped is recognised, never read as good.
 func TestDamageIsRecognised(t *testing.T) {
-	boot := Boot{Files: 4, Size: 1024}
-	build := func() (*Mem, map[string]string) {
-		box := NewMem()
-		r, err := Open(box, boot)
+	options := Options{FileCount: 4, FileSize: 1024}
+	build := func() (*MemoryFolder, map[string]string) {
+		folder := NewMemoryFolder()
+		r, err := Open(folder, options)
 		must.NoError(t, err)
 		for i := range 40 {
 			must.NoError(t, r.Append([]Record{{fmt.Sprintf("k%d", i%5), []byte(fmt.Sprintf("value-%d", i))}}))
 			must.NoError(t, r.Sync())
 		}
-		return box, see(r)
+		return folder, contents(r)
 	}
-	box, want := build()
-	again, err := Open(box, boot)
+	folder, want := build()
+	again, err := Open(folder, options)
 	must.NoError(t, err)
-	must.Eq(t, want, see(again))
+	must.Eq(t, want, contents(again))
 	caught := 0
-	for file := range boot.Files {
-		for off := int64(0); off < boot.Size; off += 3 {
-			box, _ := build()
-			box.Flip(fmt.Sprintf("ring-%03d", file), off)
-			r, err := Open(box, boot)
+	for file := range options.FileCount {
+		for offset := int64(0); offset < options.FileSize; offset += 3 {
+			folder, _ := build()
+			folder.CorruptByte(fmt.Sprintf("ring-%03d", file), offset)
+			r, err := Open(folder, options)
 			if err != nil {
-				test.Eq(t, failure.Damaged, failure.Of(err).Kind)
+				test.Eq(t, failure.Damaged, failure.From(err).Kind)
 				caught++
 				continue
 			}
 			// Harmless places are dead bytes; the last record of all cannot be told
 			// from a torn tail and is the single loss allowed.
-			got := see(r)
-			for tag, data := range want {
-				if got[tag] != data && data != "value-39" {
-					t.Fatalf("file %d byte %d: %s read as %q", file, off, tag, got[tag])
+			got := contents(r)
+			for key, data := range want {
+				if got[key] != data && data != "value-39" {
+					t.Fatalf("file %d byte %d: %s read as %q", file, offset, key, got[key])
 				}
 			}
 		}
@@ -135,8 +135,8 @@
 
 // Records that are never rewritten outlive many laps.
 func TestLiveRecordsMoveForward(t *testing.T) {
-	box := NewMem()
-	r, err := Open(box, Boot{Files: 4, Size: 1024})
+	folder := NewMemoryFolder()
+	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
 	must.NoError(t, err)
 	must.NoError(t, r.Append([]Record{{"old", []byte("stays")}}))
 	for i := range 500 {
@@ -144,27 +144,27 @@
 	}
 	must.NoError(t, r.Sync())
 	test.Greater(t, 5, r.Moves)
-	box.Crash(func(int) int { return 0 })
-	r, err = Open(box, Boot{Files: 4, Size: 1024})
+	folder.Crash(func(int) int { return 0 })
+	r, err = Open(folder, Options{FileCount: 4, FileSize: 1024})
 	must.NoError(t, err)
-	test.Eq(t, map[string]string{"old": "stays", "hot": "499"}, see(r))
+	test.Eq(t, map[string]string{"old": "stays", "hot": "499"}, contents(r))
 }
 
 // A failed sync ends the ring until it is opened anew.
 func TestSyncErrorBreaksTheRing(t *testing.T) {
-	box := NewMem()
-	r, err := Open(box, Boot{Files: 4, Size: 1024})
+	folder := NewMemoryFolder()
+	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
 	must.NoError(t, err)
 	must.NoError(t, r.Append([]Record{{"a", []byte("1")}}))
-	box.Fail = func(deed string) error {
-		if deed == "sync" {
+	folder.BeforeWrite = func(operation string) error {
+		if operation == "sync" {
 			return errors.New("bad disk")
 		}
 		return nil
 	}
 	must.Error(t, r.Sync())
-	box.Fail = nil
-	test.Eq(t, failure.DiskFailed, failure.Of(r.Sync()).Kind)
+	folder.BeforeWrite = nil
+	test.Eq(t, failure.DiskFailed, failure.From(r.Sync()).Kind)
 	test.Error(t, r.Append([]Record{{"a", []byte("2")}}))
 }
 
@@ -172,27 +172,27 @@
 // they are. Power that is lost later must not take what that run built on: after each
 // number of unsynced records, however many of them the disk keeps.
 func TestWhatAKilledRunLeftIsMadeToLast(t *testing.T) {
-	for soft := range 4 {
+	for unsynced := range 4 {
 		for keep := range 3 {
-			box := NewMem()
-			boot := Boot{Files: 4, Size: 4096}
+			folder := NewMemoryFolder()
+			options := Options{FileCount: 4, FileSize: 4096}
 			open := func() *Ring {
-				r, err := Open(box, boot)
-				must.NoError(t, err, must.Sprint(soft, " unsynced, keeps ", keep))
+				r, err := Open(folder, options)
+				must.NoError(t, err, must.Sprint(unsynced, " unsynced, keeps ", keep))
 				return r
 			}
 			r := open()
 			must.NoError(t, r.Append([]Record{{"a", []byte("solid")}}))
 			must.NoError(t, r.Sync())
-			for i := range soft {
+			for i := range unsynced {
 				must.NoError(t, r.Append([]Record{{fmt.Sprint("b", i), []byte("soft")}}))
 			}
 			r = open() // killed, and started again
-			must.Eq(t, 1+soft, len(r.Records()))
+			must.Eq(t, 1+unsynced, len(r.Records()))
 			must.NoError(t, r.Append([]Record{{"c", []byte("later")}}))
 			must.NoError(t, r.Sync())
-			box.Crash(func(n int) int { return n * keep / 2 })
-			must.Eq(t, 2+soft, len(open().Records()))
+			folder.Crash(func(n int) int { return n * keep / 2 })
+			must.Eq(t, 2+unsynced, len(open().Records()))
 		}
 	}
 }
@@ -201,32 +201,32 @@
 // what was synced is never forgotten without a word. A ring that lost power while its first
 // head was written holds nothing yet, and begins anew.
 func TestDamagedFirstHeadIsNoNewRing(t *testing.T) {
-	boot := Boot{Files: 4, Size: 4096}
-	for off := range int64(fileHead) {
-		box := NewMem()
-		r, err := Open(box, boot)
+	options := Options{FileCount: 4, FileSize: 4096}
+	for offset := range int64(fileHeaderSize) {
+		folder := NewMemoryFolder()
+		r, err := Open(folder, options)
 		must.NoError(t, err)
 		must.NoError(t, r.Append([]Record{{"promise", []byte("7")}}))
 		must.NoError(t, r.Sync())
-		box.Flip("ring-000", off)
-		_, err = Open(box, boot)
-		must.NotNil(t, err, must.Sprintf("byte %d of the head", off))
-		var d *failure.Error
-		must.True(t, failure.Find(err, &d))
-		must.Eq(t, failure.Damaged, d.Kind)
+		folder.CorruptByte("ring-000", offset)
+		_, err = Open(folder, options)
+		must.NotNil(t, err, must.Sprintf("byte %d of the head", offset))
+		var typed *failure.Error
+		must.True(t, failure.As(err, &typed))
+		must.Eq(t, failure.Damaged, typed.Kind)
 	}
-	for part := range fileHead {
-		box := NewMem()
-		box.Fail = func(deed string) error {
-			if deed == "sync" {
+	for part := range fileHeaderSize {
+		folder := NewMemoryFolder()
+		folder.BeforeWrite = func(operation string) error {
+			if operation == "sync" {
 				return errors.New("power is gone")
 			}
 			return nil
 		}
-		_, err := Open(box, boot)
+		_, err := Open(folder, options)
 		must.NotNil(t, err)
-		box.Crash(func(n int) int { return min(n, part) })
-		r, err := Open(box, boot)
+		folder.Crash(func(n int) int { return min(n, part) })
+		r, err := Open(folder, options)
 		must.NoError(t, err, must.Sprintf("%d bytes of the first head", part))
 		must.SliceEmpty(t, r.Records())
 	}
@@ -234,21 +234,21 @@
 
 // Two damaged heads beside each other do not take a young ring back to the lap before them.
 func TestDamagedHeadsOfAYoungRingAreNoOlderRing(t *testing.T) {
-	boot := Boot{Files: 5, Size: 1024}
-	box := NewMem()
-	r, err := Open(box, boot)
+	options := Options{FileCount: 5, FileSize: 1024}
+	folder := NewMemoryFolder()
+	r, err := Open(folder, options)
 	must.NoError(t, err)
 	for n := 0; r.lap < 3; n++ {
 		must.NoError(t, r.Append([]Record{{"promise", fmt.Appendf(nil, "%0100d", n)}}))
 		must.NoError(t, r.Sync())
 	}
 	// The second file is lost whole, and the third's head.
-	lost := box.Files["ring-001"]
-	for n := range lost.solid {
-		lost.solid[n], lost.soft[n] = 0x77, 0x77
+	lost := folder.Files["ring-001"]
+	for n := range lost.durable {
+		lost.durable[n], lost.cached[n] = 0x77, 0x77
 	}
-	box.Flip("ring-002", 5)
-	_, err = Open(box, boot)
+	folder.CorruptByte("ring-002", 5)
+	_, err = Open(folder, options)
 	must.NotNil(t, err, must.Sprint("an older ring was opened"))
 }
 
@@ -258,51 +258,51 @@
 // kill, what was synced is there.
 func TestNamesOfFilesLast(t *testing.T) {
 	const files, points = 4, 12
-	killed := errors.New("killed")
+	errKilled := errors.New("killed")
 	for point := range points {
 		for lost := range 1 << files {
-			box := NewMem()
-			boot := Boot{Files: files, Size: 4096}
-			left := point
-			box.Fail = func(string) error {
-				if left--; left < 0 {
-					return killed
+			folder := NewMemoryFolder()
+			options := Options{FileCount: files, FileSize: 4096}
+			writesLeft := point
+			folder.BeforeWrite = func(string) error {
+				if writesLeft--; writesLeft < 0 {
+					return errKilled
 				}
 				return nil
 			}
-			if _, err := Open(box, boot); err != nil {
-				must.ErrorIs(t, err, killed)
+			if _, err := Open(folder, options); err != nil {
+				must.ErrorIs(t, err, errKilled)
 			}
-			box.Fail = nil // what the killed run wrote is in the page cache
-			r, err := Open(box, boot)
+			folder.BeforeWrite = nil // what the killed run wrote is in the page cache
+			r, err := Open(folder, options)
 			must.NoError(t, err)
 			must.NoError(t, r.Append([]Record{{"a", []byte("synced")}}))
 			must.NoError(t, r.Sync())
-			n := -1
-			box.Crash(func(size int) int {
-				n++
-				if lost>>n&1 == 1 {
+			asked := -1
+			folder.Crash(func(size int) int {
+				asked++
+				if lost>>asked&1 == 1 {
 					return 0
 				}
 				return size
 			})
-			r, err = Open(box, boot)
+			r, err = Open(folder, options)
 			must.NoError(t, err, must.Sprint(point, lost))
-			must.Eq(t, map[string]string{"a": "synced"}, see(r), must.Sprint(point, lost))
+			must.Eq(t, map[string]string{"a": "synced"}, contents(r), must.Sprint(point, lost))
 		}
 	}
 }
 
 // Nothing counts in a folder that can't be synced.
 func TestFolderThatCannotBeSynced(t *testing.T) {
-	box := NewMem()
-	box.Fail = func(deed string) error {
-		if deed == "sync folder" {
+	folder := NewMemoryFolder()
+	folder.BeforeWrite = func(operation string) error {
+		if operation == "sync folder" {
 			return errors.New("bad folder")
 		}
 		return nil
 	}
-	_, err := Open(box, Boot{Files: 4, Size: 4096})
+	_, err := Open(folder, Options{FileCount: 4, FileSize: 4096})
 	must.Error(t, err)
 }
 
@@ -314,7 +314,7 @@
 		must.NoError(t, err)
 		_, err = OpenDir(path)
 		must.Error(t, err, must.Sprint("a second holder"))
-		r, err := Open(dir, Boot{Files: 4, Size: 4096})
+		r, err := Open(dir, Options{FileCount: 4, FileSize: 4096})
 		must.NoError(t, err)
 		must.Len(t, start, r.Records())
 		must.NoError(t, r.Append([]Record{{fmt.Sprint(start), []byte("x")}}))
@@ -326,14 +326,14 @@
 // A start from a ring as large as the platform's, with a manifest of 100 KB among its
 // records, after many laps.
 func BenchmarkOpenAfterManyLaps(b *testing.B) {
-	box, boot := NewMem(), Boot{Files: 4, Size: 12 << 20}
-	r, err := Open(box, boot)
+	folder, options := NewMemoryFolder(), Options{FileCount: 4, FileSize: 12 << 20}
+	r, err := Open(folder, options)
 	if err != nil {
 		b.Fatal(err)
 	}
-	manifest := make([]byte, 100<<10)
+	largeValue := make([]byte, 100<<10)
 	for i := range 2000 {
-		batch := []Record{{"c/manifest", manifest}, {fmt.Sprint("c/group/", i%50), manifest[:4<<10]}}
+		batch := []Record{{"c/manifest", largeValue}, {fmt.Sprint("c/group/", i%50), largeValue[:4<<10]}}
 		if err := r.Append(batch); err != nil {
 			b.Fatal(err)
 		}
@@ -343,11 +343,11 @@
 	}
 	var read uint64
 	for b.Loop() {
-		before := box.Read
-		if _, err := Open(box, boot); err != nil {
+		before := folder.BytesRead
+		if _, err := Open(folder, options); err != nil {
 			b.Fatal(err)
 		}
-		read = max(read, box.Read-before)
+		read = max(read, folder.BytesRead-before)
 	}
 	b.ReportMetric(float64(read), "bytes-read")
 }
--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -15,8 +15,8 @@
 
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // Pool keeps one kratos client an address.
@@ -65,7 +65,7 @@
 // after its call has ended serves the next.
 func NewWithin(own ident.Addr, dial time.Duration) *Pool {
 	return &Pool{all: map[ident.Addr]*khttp.Client{}, trip: lean{&http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dial, KeepAliveConfig: probes, Control: watch, LocalAddr: own.From()}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: dial, KeepAliveConfig: probes, Control: watch, LocalAddr: own.DialSource()}).DialContext,
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}}}
 }
@@ -97,7 +97,7 @@
 	}
 	d := &failure.Error{}
 	if json.Unmarshal(data, d) != nil || d.Kind == "" {
-		return failure.Unsure(failure.BadResponse, "status %d", res.StatusCode)
+		return failure.NewUnknown(failure.BadResponse, "status %d", res.StatusCode)
 	}
 	return d
 }
@@ -112,7 +112,7 @@
 		into = &struct{}{}
 	}
 	if err := c.Invoke(ctx, method, path, args, into); err != nil {
-		if d := (*failure.Error)(nil); failure.Find(err, &d) {
+		if d := (*failure.Error)(nil); failure.As(err, &d) {
 			return d
 		}
 		return failure.Wrap(err, failure.LostResponse, "ask "+path)
--- a/wire/client/client_test.go
+++ b/wire/client/client_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"github.com/shoenig/test/must"
 	"golang.org/x/sys/unix"
 )
@@ -25,7 +25,7 @@
 	defer stop()
 	err = New("").Ask(ctx, addr, "POST", "/x", map[string]int{"a": 1}, nil)
 	must.True(t, errors.Is(err, syscall.ECONNREFUSED), must.Sprint(err))
-	must.Eq(t, failure.OutcomeUnknown, failure.Of(err).Outcome)
+	must.Eq(t, failure.OutcomeUnknown, failure.From(err).Outcome)
 }
 
 // The kernel gives a silent machine up soon: what was sent and is not acknowledged, and a
--- a/wire/exchange/bench_test.go
+++ b/wire/exchange/bench_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/exchange"
 	"github.com/shoenig/test/must"
 )
--- a/wire/exchange/conn.go
+++ b/wire/exchange/conn.go
@@ -8,7 +8,7 @@
 	"time"
 	"unsafe"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 const (
@@ -127,7 +127,7 @@
 	case a.sent == len(w.head):
 		return a.sent, nil, false // what became of the wait is told by the read that follows
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return 0, failure.New(failure.Late, "no time was left to send"), false
+		return 0, failure.New(failure.DeadlineExceeded, "no time was left to send"), false
 	case err != nil || !a.silent():
 		return 0, nil, true
 	}
@@ -141,9 +141,9 @@
 		}
 		if !c.silent() {
 			if c.speaks() {
-				return sent, failure.Unsure(failure.BadResponse, "a return came before the request was whole"), false
+				return sent, failure.NewUnknown(failure.BadResponse, "a return came before the request was whole"), false
 			}
-			return sent, failure.Unsure(failure.LostResponse, "the request was broken off"), false
+			return sent, failure.NewUnknown(failure.LostResponse, "the request was broken off"), false
 		}
 		head, body = body[most:], nil
 	}
@@ -166,11 +166,11 @@
 	case err == nil:
 		return sent, nil
 	case errors.Is(err, os.ErrDeadlineExceeded) && sent == 0:
-		return 0, failure.New(failure.Late, "no time was left to send")
+		return 0, failure.New(failure.DeadlineExceeded, "no time was left to send")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return sent, failure.Unsure(failure.Late, "the request was not taken in time")
+		return sent, failure.NewUnknown(failure.DeadlineExceeded, "the request was not taken in time")
 	}
-	return sent, failure.Unsure(failure.LostResponse, "the request was broken off")
+	return sent, failure.NewUnknown(failure.LostResponse, "the request was broken off")
 }
 
 // openReader gives the connection a reader for one call.
@@ -200,7 +200,7 @@
 func (c *conn) over() *failure.Error {
 	_ = c.SetReadDeadline(time.Now().Add(wholeMax))
 	if _, err := c.in.Peek(1); err == nil {
-		return failure.Unsure(failure.BadResponse, "more came than the return")
+		return failure.NewUnknown(failure.BadResponse, "more came than the return")
 	}
 	return nil
 }
--- a/wire/exchange/exchange.go
+++ b/wire/exchange/exchange.go
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 )
 
 // Settings bound a Pool. What is zero takes the default named with it.
--- a/wire/exchange/exchange_test.go
+++ b/wire/exchange/exchange_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/exchange"
 	"github.com/shoenig/test/must"
 )
@@ -124,13 +124,13 @@
 	must.NoError(t, l.Close())
 	_, sent, d := do(t, exchange.New(""), addr, call("POST"))
 	must.False(t, sent)
-	must.Eq(t, failure.Unreached, d.Kind)
+	must.Eq(t, failure.Unreachable, d.Kind)
 	there, seen := raw(t, "", 1)
 	c := call("POST")
-	c.Last = func() *failure.Error { return failure.New(failure.Gate, "left") }
+	c.Last = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") }
 	_, sent, d = do(t, exchange.New(""), there, c)
 	must.False(t, sent)
-	must.Eq(t, failure.Gate, d.Kind)
+	must.Eq(t, failure.EndpointRejected, d.Kind)
 	must.Eq(t, 0, seen.Load())
 }
 
@@ -172,7 +172,7 @@
 				break
 			}
 			// The close was still on its way when it was taken, or when it was written to.
-			must.Eq(t, map[bool]failure.Kind{false: failure.Unreached, true: failure.LostResponse}[sent], d.Kind)
+			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], d.Kind)
 		}
 	}
 	must.GreaterEq(t, 4, seen.Load())
--- a/wire/exchange/expect.go
+++ b/wire/exchange/expect.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // askFirst sends the head of a request alone and waits for the other end's word on its body
@@ -36,7 +36,7 @@
 
 // notSent tells of a failure that came before the body of the request left.
 func notSent(d *failure.Error) *failure.Error {
-	return failure.New(failure.Unreached, "the request's body was not asked for: %s", d.Note)
+	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", d.Note)
 }
 
 // wanted waits for the word on a body: true for 100 Continue, false for a final answer, which
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
--- a/wire/exchange/kept_test.go
+++ b/wire/exchange/kept_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"github.com/shoenig/test/must"
 )
 
@@ -282,7 +282,7 @@
 		r, goOn, first := held(t, well)
 		sent, d := r.do(wait, func(q *Call) { q.Until = time.Now().Add(time.Millisecond) })
 		must.False(t, sent)
-		must.Eq(t, failure.Late, d.Kind)
+		must.Eq(t, failure.DeadlineExceeded, d.Kind)
 		close(goOn)
 		must.Nil(t, <-first)
 		must.Eq(t, 1, r.pool.Open(r.addr))
@@ -296,7 +296,7 @@
 		old := r.pool.shelves[r.addr]
 		r.pool.mu.Unlock()
 		r.pool.Drop(r.addr)
-		must.Eq(t, failure.Unreached, (<-next).Kind)
+		must.Eq(t, failure.Unreachable, (<-next).Kind)
 		close(goOn)
 		must.Nil(t, <-first)
 		must.Eq(t, 0, r.pool.Open(r.addr))
@@ -312,7 +312,7 @@
 		for range 3 {
 			sent, d := r.do(wait)
 			must.False(t, sent)
-			must.Eq(t, failure.Unreached, d.Kind)
+			must.Eq(t, failure.Unreachable, d.Kind)
 			must.Eq(t, 0, r.pool.Open(r.addr))
 		}
 	})
@@ -322,12 +322,12 @@
 func TestNothingIsSentAfterANo(t *testing.T) {
 	r := rigged(t, Settings{}, always(well))
 	r.well()
-	sent, d := r.do(func(q *Call) { q.Last = func() *failure.Error { return failure.New(failure.Gate, "left") } })
+	sent, d := r.do(func(q *Call) { q.Last = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") } })
 	must.False(t, sent)
-	must.Eq(t, failure.Gate, d.Kind)
+	must.Eq(t, failure.EndpointRejected, d.Kind)
 	sent, d = r.do(func(q *Call) { q.Until = time.Now().Add(-time.Second) })
 	must.False(t, sent)
-	must.Eq(t, failure.Late, d.Kind)
+	must.Eq(t, failure.DeadlineExceeded, d.Kind)
 	r.well()
 	must.Eq(t, 1, r.pool.Dials())
 	must.Eq(t, 2, r.read.Load())
--- a/wire/exchange/orders_test.go
+++ b/wire/exchange/orders_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/exchange"
 	"github.com/shoenig/test/must"
 )
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/wire/silence"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
 // Pool keeps connections. Invariants: a kept connection is young enough when it is taken
@@ -43,8 +43,8 @@
 	}
 	p.set = p.set.filled()
 	span := p.set.Silence
-	p.dial = net.Dialer{Timeout: p.set.Dial, LocalAddr: own.From(), KeepAlive: -1,
-		Control: func(_, _ string, raw syscall.RawConn) error { return silence.Set(raw, span) }}
+	p.dial = net.Dialer{Timeout: p.set.Dial, LocalAddr: own.DialSource(), KeepAlive: -1,
+		Control: func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, span) }}
 	return p
 }
 
@@ -154,7 +154,7 @@
 	}
 	now := time.Now()
 	if ctx.Err() != nil || !call.Until.IsZero() && !now.Before(call.Until) {
-		return nil, false, failure.New(failure.Late, "no time is left")
+		return nil, false, failure.New(failure.DeadlineExceeded, "no time is left")
 	}
 	var old []*conn
 	p.mu.Lock()
@@ -210,7 +210,7 @@
 		if one == in {
 			s.line = slices.Delete(s.line, n, n+1)
 			p.mu.Unlock()
-			return nil, false, failure.New(failure.Late, "no connection to %s in time", s.addr)
+			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
 		}
 	}
 	p.mu.Unlock()
@@ -221,12 +221,12 @@
 			p.give(c, true)
 		}
 	}
-	return nil, false, failure.New(failure.Late, "no connection to %s in time", s.addr)
+	return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
 }
 
 func (p *Pool) handed(ctx context.Context, s *shelf, call *Call, c *conn, ok bool) (*conn, bool, *failure.Error) {
 	if !ok {
-		return nil, false, failure.New(failure.Unreached, "%s is no longer served", s.addr)
+		return nil, false, failure.New(failure.Unreachable, "%s is no longer served", s.addr)
 	}
 	if c != nil {
 		if !call.Fresh {
@@ -249,15 +249,15 @@
 	if err != nil {
 		p.vacate(s)
 		if ctx.Err() != nil || !call.Until.IsZero() && !time.Now().Before(call.Until) {
-			return nil, false, failure.New(failure.Late, "no connection to %s in time", s.addr)
+			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
 		}
-		return nil, false, failure.New(failure.Unreached, "%s takes no connection", s.addr)
+		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", s.addr)
 	}
 	c, err := opened(raw.(*net.TCPConn), s)
 	if err != nil {
 		p.vacate(s)
 		_ = raw.Close()
-		return nil, false, failure.New(failure.Unreached, "%s takes no connection", s.addr)
+		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", s.addr)
 	}
 	_ = c.SetDeadline(call.Until)
 	return c, false, nil
--- a/wire/exchange/read.go
+++ b/wire/exchange/read.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 const (
@@ -69,29 +69,29 @@
 		}
 		if h.status < 200 {
 			if h.status == http.StatusSwitchingProtocols {
-				return nil, false, failure.Unsure(failure.BadResponse, "the return changes the protocol")
+				return nil, false, failure.NewUnknown(failure.BadResponse, "the return changes the protocol")
 			}
 			if told++; told > inform {
-				return nil, false, failure.Unsure(failure.BadResponse, "more than %d returns only inform", inform)
+				return nil, false, failure.NewUnknown(failure.BadResponse, "more than %d returns only inform", inform)
 			}
 			continue
 		}
 		b, ok := h.body(call.Method)
 		if !ok {
-			return nil, false, failure.Unsure(failure.BadResponse, "the return's length is not clear")
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the return's length is not clear")
 		}
 		own := call.IdHeader == "" || h.says(call.IdHeader, call.Id)
 		if !own && (b.open || !h.other(call.IdHeader) || call.Method == http.MethodHead || n == strays) {
-			return nil, false, failure.Unsure(failure.BadResponse, "the return is not to this request")
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the return is not to this request")
 		}
 		data, err := r.body(b, most)
 		switch {
 		case err == errBig:
-			return nil, false, failure.Unsure(failure.BadResponse, "the return is over %d bytes", most)
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the return is over %d bytes", most)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, false, failure.Unsure(failure.Late, "the return was not whole in time")
+			return nil, false, failure.NewUnknown(failure.DeadlineExceeded, "the return was not whole in time")
 		case err != nil:
-			return nil, false, failure.Unsure(failure.BadResponse, "the return broke off")
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the return broke off")
 		}
 		if !own {
 			other = true
@@ -114,13 +114,13 @@
 func ended(err error, other bool) *failure.Error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure.Unsure(failure.Late, "no return in time")
+		return failure.NewUnknown(failure.DeadlineExceeded, "no return in time")
 	case other:
-		return failure.Unsure(failure.BadResponse, "the last return is not to this request")
+		return failure.NewUnknown(failure.BadResponse, "the last return is not to this request")
 	case err == io.EOF || err == io.ErrUnexpectedEOF || errors.Is(err, syscall.ECONNRESET):
-		return failure.Unsure(failure.LostResponse, "the connection ended before the return")
+		return failure.NewUnknown(failure.LostResponse, "the connection ended before the return")
 	}
-	return failure.Unsure(failure.BadResponse, "the return can't be read")
+	return failure.NewUnknown(failure.BadResponse, "the return can't be read")
 }
 
 var (
@@ -303,11 +303,11 @@
 // seal.
 func (h *head) check(call *Call, b body, data []byte) *failure.Error {
 	if call.Seal != "" && h.status < 300 && len(h.Header[textproto.CanonicalMIMEHeaderKey(call.Seal)]) == 0 {
-		return failure.Unsure(failure.BadResponse, "the return has no %s", call.Seal)
+		return failure.NewUnknown(failure.BadResponse, "the return has no %s", call.Seal)
 	}
 	code := h.Get("Content-Encoding")
 	if call.Plain && code != "" && !strings.EqualFold(code, "identity") {
-		return failure.Unsure(failure.BadResponse, "the return is encoded, which nobody asked for")
+		return failure.NewUnknown(failure.BadResponse, "the return is encoded, which nobody asked for")
 	}
 	if call.Method == http.MethodHead || len(data) == 0 && !b.open {
 		return nil
@@ -315,10 +315,10 @@
 	plain := code == ""
 	isJSON := isJSON(h.Get("Content-Type"))
 	if isJSON && plain && len(data) > 0 && !json.Valid(data) {
-		return failure.Unsure(failure.BadResponse, "the return says it is JSON and is not")
+		return failure.NewUnknown(failure.BadResponse, "the return says it is JSON and is not")
 	}
 	if b.open && !(len(data) > 0 && isJSON && plain && (data[0] == '{' || data[0] == '[')) {
-		return failure.Unsure(failure.BadResponse, "nothing marks where the return ends")
+		return failure.NewUnknown(failure.BadResponse, "nothing marks where the return ends")
 	}
 	return nil
 }
--- a/wire/exchange/unasked_test.go
+++ b/wire/exchange/unasked_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/exchange"
 	"github.com/shoenig/test/must"
 )
@@ -264,7 +264,7 @@
 	ret, sent, d := p.Do(ctx, addr, q)
 	must.Nil(t, ret)
 	must.True(t, sent)
-	must.Eq(t, failure.Late, d.Kind)
+	must.Eq(t, failure.DeadlineExceeded, d.Kind)
 	must.Eq(t, failure.OutcomeUnknown, d.Outcome)
 	close(wake)
 	for _, id := range []string{"a", "b", "c"} {
--- a/wire/exchange/write.go
+++ b/wire/exchange/write.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // writing is a request as it goes out. Invariant: body is either empty, then head holds
--- a/wire/silence/silence.go
+++ b/wire/idletimeout/silence.go
@@ -1,5 +1,5 @@
-// Package silence bounds how long a connection waits for an end that says nothing.
-package silence
+// Package idletimeout bounds how long a connection waits for an end that says nothing.
+package idletimeout
 
 import (
 	"syscall"
--- a/wire/reply/reply.go
+++ b/wire/response/reply.go
@@ -1,5 +1,5 @@
-// Package reply writes returns as JSON.
-package reply
+// Package response writes returns as JSON.
+package response
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"net/http"
 	"strconv"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // FateHeader says outside whether the thing asked for took effect.
--- a/wire/reply/reply_test.go
+++ b/wire/response/reply_test.go
@@ -1,4 +1,4 @@
-package reply
+package response
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/kernel/failure"
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // promises are the statuses by which a caller is told that its request never runs.
@@ -16,9 +16,9 @@
 // Whatever the kind of a failure: a failure of the mesh's own that is proved not to have run
 // is told by a promise, and no other failure is.
 func TestFinePromisesWhatIsProved(t *testing.T) {
-	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoWorkload, failure.Busy, failure.Late, failure.Gate,
-		failure.Unreached, failure.BadResponse, failure.LostResponse, failure.NoMajority, failure.UnknownOutcome, failure.Missing, failure.Held, failure.NotHolder, failure.Forgotten, failure.Stopping,
-		failure.NotReady, failure.Damaged, failure.DiskFailed, failure.BadSettings, failure.NotPermitted, failure.Internal, failure.Full}
+	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoWorkload, failure.Busy, failure.DeadlineExceeded, failure.EndpointRejected,
+		failure.Unreachable, failure.BadResponse, failure.LostResponse, failure.NoMajority, failure.UnknownOutcome, failure.NotFound, failure.LockHeld, failure.NotHolder, failure.Compacted, failure.Stopping,
+		failure.NotReady, failure.Damaged, failure.DiskFailed, failure.BadSettings, failure.NotPermitted, failure.Internal, failure.Exhausted}
 	for _, kind := range kinds {
 		for _, fate := range []failure.Outcome{failure.NotExecuted, failure.OutcomeUnknown, failure.Executed, ""} {
 			w := httptest.NewRecorder()
--- a/wire/server/listen.go
+++ b/wire/server/listen.go
@@ -8,8 +8,8 @@
 	"time"
 	"unsafe"
 
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/wire/silence"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
 // Option changes how a server takes connections.
@@ -40,7 +40,7 @@
 		if l.silence > 0 {
 			// What is accepted has this from the listening socket.
 			conf.KeepAlive = -1
-			conf.Control = func(_, _ string, raw syscall.RawConn) error { return silence.Set(raw, l.silence) }
+			conf.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.silence) }
 		}
 		l.Listener, l.err = conf.Listen(context.Background(), "tcp", string(l.addr))
 	})
--- a/wire/server/listen_test.go
+++ b/wire/server/listen_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cottonarch.example/cottonarch/kernel/ident"
+	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/server"
 	"github.com/shoenig/test/must"
 )
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -12,9 +12,9 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/kernel/failure"
-	"cottonarch.example/cottonarch/kernel/ident"
-	"cottonarch.example/cottonarch/wire/reply"
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/wire/response"
 )
 
 // headMost is the largest head that is read at all, in bytes; what a manifest allows is
@@ -31,10 +31,10 @@
 	opts := []khttp.ServerOption{
 		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			reply.Defect(w, failure.New(failure.Missing, "there is nothing at %s", r.URL.Path))
+			response.Defect(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			reply.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+			response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 		})),
 	}
 	if len(with) > 0 {
@@ -75,7 +75,7 @@
 		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 			serve, ok := methods[r.Method]
 			if !ok {
-				reply.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+				response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 				return
 			}
 			serve(w, r)
