--- /dev/null
+++ b/control/config/decode/faults.go
@@ -0,0 +1,37 @@
+package decode
+
+import (
+	"fmt"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+// maxFaults bounds the faults that one document reports in full.
+const maxFaults = 100
+
+// Faults collects what is wrong with one document. Invariant: List holds the first
+// maxFaults faults, Total counts all of them.
+type Faults struct {
+	List  []failure.Fault
+	Total int
+	// AllowUnknown makes Object.RejectUnknown accept every field.
+	AllowUnknown bool
+}
+
+// Add records a fault at a path; the note is formatted as by fmt.Sprintf.
+func (f *Faults) Add(path, format string, args ...any) {
+	f.Total++
+	if len(f.List) < maxFaults {
+		f.List = append(f.List, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+	}
+}
+
+// Err returns the collected faults as one error of the given kind, nil if there are none.
+func (f *Faults) Err(kind failure.Kind) *failure.Error {
+	if f.Total == 0 {
+		return nil
+	}
+	err := failure.New(kind, "%d faults", f.Total)
+	err.Faults = f.List
+	return err
+}
--- a/control/config/decode/walk_test.go
+++ b/control/config/decode/object_test.go
@@ -9,12 +9,12 @@
 	"cottonarch.example/cottonarch/control/config/decode"
 )
 
-// Every fault is told with the path it stands at, however deep.
+// Every fault is reported with its path, at any depth.
 func TestPaths(t *testing.T) {
-	tree, err := decode.Parse([]byte(`{"a":{"b":{"c":1,"l":[{"x":1},7,{"y":{"z":"t"}}]}},"l":[{"x":1}],"m":{}}`))
+	document, err := decode.Parse([]byte(`{"a":{"b":{"c":1,"l":[{"x":1},7,{"y":{"z":"t"}}]}},"l":[{"x":1}],"m":{}}`))
 	must.Nil(t, err)
 	faults := &decode.Faults{}
-	root := decode.Root(tree, faults)
+	root := decode.Root(document, faults)
 	b := root.Child("a").Child("b")
 	b.String("c", "")
 	for _, o := range b.Objects("l") {
--- a/control/config/delta/delta.go
+++ b/control/config/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta tells a configuration as its difference from an earlier one, so that a
-// change costs what it changed and not the whole configuration at every node.
+// Package delta encodes a configuration as its difference from an earlier one, so that
+// distributing a change costs the size of the change and not of the whole configuration.
 package delta
 
 import (
@@ -15,9 +15,9 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// Delta turns the configuration of one revision into that of a later one. Invariant: laid
-// over the configuration of From, in which Patch replaces fields and null removes them, it
-// gives one with the SHA-256 sum Digest; any other result is refused.
+// Delta turns the configuration of one revision into that of a later one. Invariant: Patch,
+// a JSON merge patch (RFC 7396), applied to the configuration of From gives one whose
+// encoding has the SHA-256 sum Digest; Apply rejects any other result.
 type Delta struct {
 	From   ident.Epoch     `json:"from"`
 	To     ident.Epoch     `json:"to"`
@@ -25,21 +25,22 @@
 	Patch  json.RawMessage `json:"patch"`
 }
 
-// Snapshot is one configuration with its revision, as parsed and as stored.
+// Snapshot is one configuration with its revision, in parsed and in stored form.
 type Snapshot struct {
 	Revision ident.Epoch
 	Tree     map[string]any
 	Raw      json.RawMessage
 }
 
-// Digest is the sum by which a whole configuration is known.
+// Digest returns the SHA-256 sum of a stored configuration, in hexadecimal.
 func Digest(raw json.RawMessage) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// Between makes the delta from one version to a later one. It answers false when there is
-// none that is worth sending: a patch can't say it, or would be no smaller than the whole.
+// Between returns the delta from one snapshot to a later one. It reports false if there is
+// none worth sending: a merge patch cannot express the difference (a field that becomes
+// null), or the patch is not smaller than the whole configuration.
 func Between(from, to Snapshot) (Delta, bool) {
 	if from.Revision == 0 || from.Revision >= to.Revision {
 		return Delta{}, false
@@ -55,8 +56,8 @@
 	return Delta{From: from.Revision, To: to.Revision, Digest: Digest(to.Raw), Patch: raw}, true
 }
 
-// difference gives the patch that merge lays over base to get want. Where a patch can't say
-// the difference, laying it over gives something else, which Between looks for.
+// difference returns the merge patch that turns base into want. Where a merge patch cannot
+// express the difference, applying it gives another result, which Between checks.
 func difference(base, want map[string]any) map[string]any {
 	patch := map[string]any{}
 	for name := range base {
@@ -74,7 +75,7 @@
 	return patch
 }
 
-// fieldPatch gives the patch of one field: of two objects their difference, else the new value.
+// fieldPatch returns the patch of one field: the difference of two objects, else the new value.
 func fieldPatch(old, value any) any {
 	oldObject, wasObject := old.(map[string]any)
 	object, isObject := value.(map[string]any)
@@ -84,8 +85,8 @@
 	return value
 }
 
-// Apply lays the delta over the stored form of the configuration of From. It gives the
-// stored and the parsed form of the configuration of To.
+// Apply returns the snapshot of To, given the stored configuration of From. Malformed says
+// that an input cannot be parsed, BadResponse that the result does not match the digest.
 func (d Delta) Apply(base json.RawMessage) (Snapshot, *failure.Error) {
 	tree, err := decode.Parse(base)
 	if err != nil {
@@ -98,7 +99,7 @@
 	snapshot := Snapshot{Revision: d.To, Tree: merge.Merge(tree, patch)}
 	snapshot.Raw = operation.Encode(snapshot.Tree)
 	if Digest(snapshot.Raw) != d.Digest {
-		return Snapshot{}, failure.New(failure.BadResponse, "the delta from revision %d to %d does not give what its digest says", d.From, d.To)
+		return Snapshot{}, failure.New(failure.BadResponse, "the result of the delta from revision %d to %d does not match its digest", d.From, d.To)
 	}
 	return snapshot, nil
 }
--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// newSnapshot makes a version as a core stores it.
+// newSnapshot returns a snapshot in the form that a core stores.
 func newSnapshot(t testing.TB, revision ident.Epoch, raw string) Snapshot {
 	t.Helper()
 	tree, err := decode.Parse([]byte(raw))
@@ -22,7 +22,7 @@
 	return Snapshot{Revision: revision, Tree: tree, Raw: operation.Encode(tree)}
 }
 
-// manyRoutes makes a configuration of routes, one of which has its own timeout.
+// manyRoutes returns a configuration of routes, the first with a timeout of its own.
 func manyRoutes(t testing.TB, revision ident.Epoch, routes, timeout int) Snapshot {
 	routeObjects := map[string]any{}
 	for i := range routes {
@@ -32,8 +32,8 @@
 	return newSnapshot(t, revision, string(operation.Encode(map[string]any{"release": revision, "ways": routeObjects})))
 }
 
-// What a delta makes of the configuration before is, to the byte, the one after it: for
-// every pair of documents of a small alphabet, those that a patch can't tell among them.
+// Applying a delta gives the later configuration to the byte: for every pair of documents
+// from a small alphabet, including pairs whose difference a merge patch cannot express.
 func TestDeltaGivesTheExactConfiguration(t *testing.T) {
 	values := []string{`1`, `1.0`, `null`, `"x"`, `[1,null]`, `{}`, `{"a":1}`, `{"a":{"b":null}}`, `{"a":{"b":2}}`, `{"b":2}`}
 	var documents []string
@@ -44,12 +44,12 @@
 	for _, before := range documents {
 		for _, after := range documents {
 			from, to := newSnapshot(t, 3, before), newSnapshot(t, 7, after)
-			d, ok := Between(from, to)
+			delta, ok := Between(from, to)
 			if !ok {
 				continue
 			}
 			made++
-			got, err := d.Apply(from.Raw)
+			got, err := delta.Apply(from.Raw)
 			must.Nil(t, err, must.Sprint(before, after))
 			must.Eq(t, string(to.Raw), string(got.Raw))
 			must.Eq(t, ident.Epoch(7), got.Revision)
@@ -58,65 +58,65 @@
 	must.Greater(t, 100, made)
 }
 
-// A delta that is laid over anything but the configuration that it was made from, or that
-// was changed on its way, is refused.
+// A delta that is applied to another configuration than the one it was made from, or that
+// was corrupted in transit, is rejected.
 func TestDeltaOverAnotherBaseIsRefused(t *testing.T) {
 	from, to := manyRoutes(t, 1, 20, 500), manyRoutes(t, 2, 20, 900)
-	d, ok := Between(from, to)
+	delta, ok := Between(from, to)
 	must.True(t, ok)
-	_, err := d.Apply(manyRoutes(t, 1, 21, 500).Raw)
+	_, err := delta.Apply(manyRoutes(t, 1, 21, 500).Raw)
 	must.NotNil(t, err)
-	corrupted := d
-	corrupted.Patch = bytes.Replace(d.Patch, []byte("900"), []byte("901"), 1)
+	corrupted := delta
+	corrupted.Patch = bytes.Replace(delta.Patch, []byte("900"), []byte("901"), 1)
 	_, err = corrupted.Apply(from.Raw)
 	must.NotNil(t, err)
 	corrupted.Patch = json.RawMessage(`{"ways":`)
 	_, err = corrupted.Apply(from.Raw)
 	must.NotNil(t, err)
-	_, err = d.Apply(from.Raw)
+	_, err = delta.Apply(from.Raw)
 	must.Nil(t, err)
 }
 
-// A change of one route costs the same however many routes there are.
+// The size of the delta of one changed route does not depend on the number of routes.
 func TestDeltaCostsWhatChanged(t *testing.T) {
 	sizes := map[int]int{}
 	for _, routes := range []int{10, 100, 1000} {
-		d, ok := Between(manyRoutes(t, 1, routes, 500), manyRoutes(t, 2, routes, 900))
+		delta, ok := Between(manyRoutes(t, 1, routes, 500), manyRoutes(t, 2, routes, 900))
 		must.True(t, ok)
-		sizes[routes] = len(operation.Encode(d))
+		sizes[routes] = len(operation.Encode(delta))
 	}
 	must.Eq(t, sizes[10], sizes[1000])
 	must.Eq(t, sizes[100], sizes[1000])
 	must.Less(t, 250, sizes[1000])
 }
 
-// A route that goes is told by its name alone, and a configuration of which nothing stays is not
-// told by difference at all.
+// A removed route costs its name alone, and there is no delta between configurations that
+// have nothing in common.
 func TestDeltaOfRemovedRoutes(t *testing.T) {
 	const routes = 100
 	before, after := manyRoutes(t, 1, routes, 500), manyRoutes(t, 2, routes-1, 500)
-	d, ok := Between(before, after)
+	delta, ok := Between(before, after)
 	must.True(t, ok)
-	must.Less(t, 250, len(operation.Encode(d)))
-	got, err := d.Apply(before.Raw)
+	must.Less(t, 250, len(operation.Encode(delta)))
+	got, err := delta.Apply(before.Raw)
 	must.Nil(t, err)
 	must.Eq(t, string(after.Raw), string(got.Raw))
 	_, ok = Between(before, newSnapshot(t, 2, `{"other":1}`))
 	must.False(t, ok)
 }
 
-// The history gives a delta from every version that it keeps to the newest, from no other,
-// and keeps no more than its bounds; the version before the newest is always kept.
+// The history gives a delta to the newest snapshot from every retained one and from no other,
+// and stays within its bounds; the snapshot before the newest is always retained.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for revision := ident.Epoch(1); revision <= 3*maxHistorySnapshots; revision++ {
 		h.Add(manyRoutes(t, revision, 30, int(revision)))
-		h.Add(manyRoutes(t, revision, 30, 77)) // the same revision again is no news
+		h.Add(manyRoutes(t, revision, 30, 77)) // the same revision again is ignored
 		for from := ident.Epoch(0); from <= revision+1; from++ {
-			d := h.Since(from)
-			must.Eq(t, d != nil, from > 0 && from < revision && from+maxHistorySnapshots > revision, must.Sprint(from, revision))
-			if d != nil {
-				got, err := d.Apply(manyRoutes(t, from, 30, int(from)).Raw)
+			delta := h.Since(from)
+			must.Eq(t, delta != nil, from > 0 && from < revision && from+maxHistorySnapshots > revision, must.Sprint(from, revision))
+			if delta != nil {
+				got, err := delta.Apply(manyRoutes(t, from, 30, int(from)).Raw)
 				must.Nil(t, err)
 				must.Eq(t, string(manyRoutes(t, revision, 30, int(revision)).Raw), string(got.Raw))
 			}
@@ -129,7 +129,7 @@
 	must.NotNil(t, h.Since(1000))
 }
 
-// What is packed comes back; what is no packed form, or is too large, is refused.
+// Decompressing gives back what was compressed; malformed or too large data is rejected.
 func TestCompressionRoundTrip(t *testing.T) {
 	raw := manyRoutes(t, 1, 300, 5).Raw
 	compressed := NewCompressed(raw).Bytes()
--- a/control/config/delta/history.go
+++ b/control/config/delta/history.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxHistorySnapshots and historyBytes bound the earlier versions that are kept; the one before
-	// the newest is kept whatever its size.
+	// maxHistorySnapshots and maxHistoryBytes bound the retained snapshots; the newest one and
+	// the one before it are retained whatever their size.
 	maxHistorySnapshots = 8
 	maxHistoryBytes     = 2 << 20
 )
 
-// History holds the newest version and those shortly before it, for deltas to the newest.
-// Invariants: versions stand in order of their revisions; made holds deltas to the newest
-// only, also those found not to be worth sending.
+// History retains the newest snapshot and those shortly before it, and caches the deltas to
+// the newest. Invariants: snapshots are in order of their revisions; deltas holds deltas to
+// the newest snapshot only, with nil for those that are not worth sending.
 type History struct {
 	snapshots []Snapshot
 	deltas    map[ident.Epoch]*Delta
 }
 
-// Add takes a newer version in.
+// Add appends a snapshot; one that is not newer than the newest is ignored.
 func (h *History) Add(snapshot Snapshot) {
 	if n := len(h.snapshots); n > 0 && h.snapshots[n-1].Revision >= snapshot.Revision {
 		return
@@ -41,7 +41,8 @@
 	return total
 }
 
-// Since gives the delta from a revision to the newest one, nil if there is none.
+// Since returns the delta from a revision to the newest one. It is nil if the revision is not
+// retained, is the newest, or is too different.
 func (h *History) Since(from ident.Epoch) *Delta {
 	if d, known := h.deltas[from]; known {
 		return d
--- a/control/config/history/chain_test.go
+++ b/control/config/history/log_test.go
@@ -12,16 +12,16 @@
 	"cottonarch.example/cottonarch/control/config/history"
 )
 
-// recordedChange is a change as a list without a bound remembers it.
+// recordedChange is a change in the unbounded list that the log is compared with.
 type recordedChange struct {
 	history.Change
-	previousVersion uint64 // the release that it was made on
+	previousVersion uint64 // the version that it was made on
 	versionRose     bool
 }
 
-// Against a list that forgets nothing: for proposals on every base, of the mark that was
-// taken there and of another, the chain says the truth or that it has forgotten, and it
-// forgets nothing within its window.
+// Compared with a list that forgets nothing: for proposals on every base, with the accepted
+// fingerprint and with another one, the log reports the true status or Forgotten, and it
+// never reports Forgotten for its newest MaxEntries changes.
 func TestLogAgainstTheWholeHistory(t *testing.T) {
 	const changes, seeds = 600, 4
 	for seed := range uint64(seeds) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkStatus asks for the taken mark and for another one on the same base.
+// checkStatus looks up the accepted fingerprint and another one on the same base.
 func checkStatus[B any](t *testing.T, statusOn func(B, history.Fingerprint) (history.Status, history.Change), base B, past recordedChange, remembered bool) {
 	t.Helper()
 	status, change := statusOn(base, past.Fingerprint)
@@ -80,7 +80,7 @@
 	must.Eq(t, history.NotAccepted, otherStatus, must.Sprint(base))
 }
 
-// A base that lies between two releases was never one, so nothing was taken on it.
+// No proposal was accepted on a base between two versions: it was never the newest version.
 func TestBaseBetweenVersions(t *testing.T) {
 	log := history.New(0, 0).Append(5, history.FingerprintOf("a")).Append(9, history.FingerprintOf("b"))
 	for base, want := range map[uint64]history.Status{0: history.Accepted, 3: history.NotAccepted, 5: history.NotAccepted, 7: history.NotAccepted, 9: history.Undecided, 12: history.NotAccepted} {
@@ -89,8 +89,8 @@
 	}
 }
 
-// A chain that does not reach the newest epoch, or is not well formed, is begun anew and
-// claims to know nothing of what was before.
+// A log that does not reach the newest revision, or is malformed, is replaced by a new one,
+// which reports every earlier proposal as Forgotten.
 func TestMalformedLogIsForgotten(t *testing.T) {
 	whole := history.New(0, 0).Append(5, history.FingerprintOf("a")).Append(9, history.FingerprintOf("b"))
 	short := whole
--- a/control/config/merge/merge.go
+++ b/control/config/merge/merge.go
@@ -1,8 +1,8 @@
-// Package merge lays a partial manifest over a whole one.
+// Package merge applies JSON merge patches (RFC 7396) to configurations.
 package merge
 
-// Merge gives base with part laid over it: objects are merged field by field, null
-// takes a field away, anything else replaces. Neither input is changed.
+// Merge returns base with the overlay applied: objects are merged field by field, null
+// removes a field, any other value replaces it. Neither input is changed.
 func Merge(base, overlay map[string]any) map[string]any {
 	merged := make(map[string]any, len(base)+len(overlay))
 	for name, value := range base {
--- /dev/null
+++ b/control/config/proposal/audit.go
@@ -0,0 +1,55 @@
+package proposal
+
+import (
+	"encoding/json"
+	"slices"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+)
+
+// maxAuditEntries bounds the entries that wait for the audit log.
+const maxAuditEntries = 256
+
+// AuditEntry records the configuration of one revision for the audit log.
+type AuditEntry struct {
+	Revision ident.Epoch `json:"epoch"`
+	// SHA256 is the sum of the whole document as it is stored and read back.
+	SHA256  string `json:"sha256"`
+	Partial bool   `json:"partial,omitempty"`
+}
+
+// AuditArgs are the arguments of a read of the audit entries. Invariant: the audit log holds
+// every entry up to the revision After.
+type AuditArgs struct {
+	After ident.Epoch `json:"after,omitempty"`
+}
+
+// auditedThrough is the revision up to which the audit log holds every entry, as far as the
+// proposer knows in its term. A new proposer knows nothing and drops no entry until a read of
+// the entries names the revision.
+type auditedThrough ident.Epoch
+
+// pendingAuditEntries returns the entries that the audit log is not known to hold.
+func (s *State) pendingAuditEntries(context proposer.Context) []AuditEntry {
+	audited, _ := context.Decoded.(auditedThrough)
+	return slices.DeleteFunc(s.AuditEntries, func(entry AuditEntry) bool { return entry.Revision <= ident.Epoch(audited) })
+}
+
+// newestEntries returns the last maxAuditEntries entries.
+func newestEntries(entries []AuditEntry) []AuditEntry {
+	return entries[max(0, len(entries)-maxAuditEntries):]
+}
+
+// readAuditEntries responds with the entries that wait for the audit log, and remembers up to
+// which revision the log holds them.
+func readAuditEntries(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
+	var current State
+	var args AuditArgs
+	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+		return operation.Rejected(err)
+	}
+	audited, _ := context.Decoded.(auditedThrough)
+	return operation.Result{Body: operation.Encode(current.AuditEntries), Decoded: max(audited, auditedThrough(args.After))}
+}
--- a/control/config/proposal/fuzz_test.go
+++ b/control/config/proposal/fuzz_test.go
@@ -12,16 +12,17 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// storedState is the state as it is stored.
-func (s *fixture) storedState(t *testing.T) (current proposal.State) {
-	must.NoError(t, json.Unmarshal(operation.State(s.value), &current))
+// storedState returns the stored state.
+func (f *fixture) storedState(t *testing.T) (current proposal.State) {
+	must.NoError(t, json.Unmarshal(operation.State(f.value), &current))
 	return current
 }
 
-// Whatever two operators send, one after the other, on the release in force: what is taken
-// is accepted again from the store and raises the release, the same offer again is given
-// the same yes, another on the older release is refused, and what is refused leaves no trace.
-func FuzzOffers(f *testing.F) {
+// For any two proposals, one after the other, on the version in force: an accepted
+// configuration is accepted again from the store and raises the version; a repeat gets the
+// same response; another proposal on the older version is rejected; and a rejected proposal
+// changes nothing.
+func FuzzProposals(f *testing.F) {
 	for _, kind := range []string{string(proposal.FullConfig), string(proposal.ItemPatch), string(proposal.MergePatch), "other"} {
 		f.Add(kind, []byte(fullConfig(9, "")), string(proposal.ItemPatch), []byte(`{"release":11,"upsert":{"services":{"c":{}}}}`))
 		f.Add(kind, []byte(`{"release":9,"ways":{"w":null}}`), kind, []byte(`{"release":9007199254740992}`))
@@ -32,7 +33,7 @@
 		for _, proposed := range []testProposal{{proposal.Kind(kind), 0, string(body)}, {proposal.Kind(nextKind), 0, string(nextBody)}} {
 			before := s.storedState(t)
 			if !json.Valid([]byte(proposed.body)) {
-				continue // the surfaces refuse it before it is an offer
+				continue // the API rejects it before it becomes a proposal
 			}
 			first := s.proposeOnVersion(proposed.kind, before.Version, proposed.body)
 			after := s.storedState(t)
@@ -46,7 +47,7 @@
 			must.Nil(t, err)
 			must.Eq(t, after.Version, config.Version)
 			if !first.Changed {
-				continue // the manifest in force, once more
+				continue // the configuration in force, sent again
 			}
 			must.Greater(t, before.Version, after.Version)
 			again := s.proposeOnVersion(proposed.kind, before.Version, proposed.body)
--- a/control/config/proposal/offer_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -15,54 +15,57 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// validConfig is a document that the strict reader accepts.
 const validConfig = `{"services":{"a.x":{"namespace":"n"}},"ways":{"w":{"host":"h.x","service":"a.x"}}}`
 
+// fixture is the control key with its stored value and its revision.
 type fixture struct {
 	value    json.RawMessage
 	revision ident.Revision
 }
 
-func (s *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.Epoch) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: s.revision}, s.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer",
+func (f *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.Epoch) proposer.Result {
+	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer",
 		Args: operation.Encode(proposal.Args{Partial: isPatch, BaseRevision: base, Body: json.RawMessage(body)})})
 	if result.Changed {
-		s.value = result.Value
-		s.revision++
+		f.value = result.Value
+		f.revision++
 	}
 	return result
 }
 
-func (s *fixture) read() proposal.State {
+func (f *fixture) read() proposal.State {
 	var current proposal.State
-	_ = json.Unmarshal(operation.State(s.value), &current)
+	_ = json.Unmarshal(operation.State(f.value), &current)
 	return current
 }
 
-// Every order of offers on one base has one winner; the rest are told a conflict and
-// leave no trace.
+// Of several proposals on one base, in every order, one is accepted; the others are rejected
+// with Conflict and change nothing.
 func TestRaceHasOneWinner(t *testing.T) {
 	for first := range 3 {
-		s := &fixture{}
-		must.Nil(t, s.proposeOnRevision("0", validConfig, false, nil).Failure)
-		base := s.read().Revision
-		won := 0
+		f := &fixture{}
+		must.Nil(t, f.proposeOnRevision("0", validConfig, false, nil).Failure)
+		base := f.read().Revision
+		accepted := 0
 		for i := range 3 {
 			n := (first + i) % 3
-			result := s.proposeOnRevision(fmt.Sprint("op", n), fmt.Sprintf(`{"services":{"a.x":{"namespace":"n%d"}}}`, n), true, &base)
+			result := f.proposeOnRevision(fmt.Sprint("op", n), fmt.Sprintf(`{"services":{"a.x":{"namespace":"n%d"}}}`, n), true, &base)
 			if result.Failure == nil {
-				won++
+				accepted++
 				continue
 			}
 			must.Eq(t, failure.Conflict, result.Failure.Kind)
 			must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
 		}
-		must.Eq(t, 1, won)
-		must.StrContains(t, string(s.read().Document), fmt.Sprintf(`"n%d"`, first))
-		must.Eq(t, base+1, s.read().Revision)
+		must.Eq(t, 1, accepted)
+		must.StrContains(t, string(f.read().Document), fmt.Sprintf(`"n%d"`, first))
+		must.Eq(t, base+1, f.read().Revision)
 	}
 }
 
-// Bad manifests are refused with the path of every fault and leave the epoch alone.
+// Invalid configurations are rejected with the path of every fault and leave the revision
+// unchanged.
 func TestBadConfigsAreRefusedWithPaths(t *testing.T) {
 	for body, want := range map[string]string{
 		`{`:                                     "malformed",
@@ -79,37 +82,37 @@
 		`{"services":{"a.x":{}},"ways":{"w":{"host":"h","service":"a.x","urgent":1,"zz":2}}}`:                "ways.w.zz",
 		`{"services":{"a.x":{}},"ways":{"v":{"host":"h","service":"a.x"},"w":{"host":"H","service":"a.x"}}}`: "ways.w.pathStart",
 	} {
-		s := &fixture{}
-		must.Nil(t, s.proposeOnRevision("0", validConfig, false, nil).Failure)
-		result := s.proposeOnRevision("1", body, false, nil)
+		f := &fixture{}
+		must.Nil(t, f.proposeOnRevision("0", validConfig, false, nil).Failure)
+		result := f.proposeOnRevision("1", body, false, nil)
 		must.NotNil(t, result.Failure, must.Sprint(body))
 		must.StrContains(t, result.Failure.Error(), want)
-		must.Eq(t, ident.Epoch(1), s.read().Revision)
+		must.Eq(t, ident.Epoch(1), f.read().Revision)
 	}
-	s := &fixture{}
+	f := &fixture{}
 	many := `{"ways":{` + strings.Repeat("", 0)
 	for i := range 250 {
 		many += fmt.Sprintf(`"w%d":{"host":"h","service":"none"},`, i)
 	}
-	result := s.proposeOnRevision("1", strings.TrimSuffix(many, ",")+"}}", false, nil)
+	result := f.proposeOnRevision("1", strings.TrimSuffix(many, ",")+"}}", false, nil)
 	must.NotNil(t, result.Failure)
 	must.Eq(t, 100, len(result.Failure.Faults))
 }
 
-// A repeat of an operation gives the first return and changes nothing; a part takes
-// fields away with null; a dangling part is refused.
+// A repeat of an operation gets the first response and changes nothing; a merge patch removes
+// fields with null; a merge patch that leaves a dangling reference is rejected.
 func TestRepeatsAndMergePatches(t *testing.T) {
-	s := &fixture{}
-	must.Nil(t, s.proposeOnRevision("0", validConfig, false, nil).Failure)
-	a := s.proposeOnRevision("1", `{"services":{"b.x":{}},"ways":{"v":{"host":"v.x","service":"b.x"}}}`, true, nil)
-	must.Nil(t, a.Failure)
-	b := s.proposeOnRevision("1", `{"services":{"b.x":{}},"ways":{"v":{"host":"v.x","service":"b.x"}}}`, true, nil)
-	must.Eq(t, string(a.Body), string(b.Body))
-	must.False(t, b.Changed)
-	result := s.proposeOnRevision("2", `{"services":{"b.x":null}}`, true, nil)
+	f := &fixture{}
+	must.Nil(t, f.proposeOnRevision("0", validConfig, false, nil).Failure)
+	first := f.proposeOnRevision("1", `{"services":{"b.x":{}},"ways":{"v":{"host":"v.x","service":"b.x"}}}`, true, nil)
+	must.Nil(t, first.Failure)
+	repeat := f.proposeOnRevision("1", `{"services":{"b.x":{}},"ways":{"v":{"host":"v.x","service":"b.x"}}}`, true, nil)
+	must.Eq(t, string(first.Body), string(repeat.Body))
+	must.False(t, repeat.Changed)
+	result := f.proposeOnRevision("2", `{"services":{"b.x":null}}`, true, nil)
 	must.NotNil(t, result.Failure)
 	must.StrContains(t, result.Failure.Error(), "ways.v.service")
-	must.Nil(t, s.proposeOnRevision("3", `{"services":{"b.x":null},"ways":{"v":null}}`, true, nil).Failure)
-	must.StrNotContains(t, string(s.read().Document), "b.x")
-	must.Eq(t, ident.Epoch(3), s.read().Revision)
+	must.Nil(t, f.proposeOnRevision("3", `{"services":{"b.x":null},"ways":{"v":null}}`, true, nil).Failure)
+	must.StrNotContains(t, string(f.read().Document), "b.x")
+	must.Eq(t, ident.Epoch(3), f.read().Revision)
 }
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -16,12 +16,12 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposeAs sends a proposal as an operation, as a core does.
-func (s *fixture) proposeAs(op string, a proposal.Args) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: s.revision}, s.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(a), Repeatable: op == ""})
+// proposeAs sends a proposal as an operation with an identifier, as a core does.
+func (f *fixture) proposeAs(op string, a proposal.Args) proposer.Result {
+	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(a), Repeatable: op == ""})
 	if result.Changed {
-		s.value = result.Value
-		s.revision++
+		f.value = result.Value
+		f.revision++
 	}
 	return result
 }
@@ -34,9 +34,9 @@
 	return proposal.Args{Kind: proposal.MergePatch, BaseRevision: &base, Body: json.RawMessage(body)}
 }
 
-// checkResent checks what the repeat of a taken proposal is told: the first return, or nothing
-// sure where that is allowed. It changes nothing.
-func checkResent(t *testing.T, s *fixture, result proposer.Result, first string, mayForget bool, note ...any) {
+// checkResent checks the result of repeating an accepted proposal: the first response, or an
+// unknown outcome where that is allowed. The repeat must change nothing.
+func checkResent(t *testing.T, result proposer.Result, first string, mayForget bool, note ...any) {
 	t.Helper()
 	must.False(t, result.Changed, must.Sprint(note...))
 	if result.Failure == nil {
@@ -47,12 +47,12 @@
 	must.True(t, mayForget, must.Sprint(note...))
 }
 
-// After many changes every taken proposal is sent again: the newest are acknowledged as
-// before, older ones are left without a clear answer, and none is refused.
+// After many changes every accepted proposal is sent again: the newest get their first
+// response, the outcome of older ones is unknown, and none is rejected as not executed.
 func TestNoAcceptedProposalIsRefused(t *testing.T) {
 	const changes = 600
 	for _, increment := range []uint64{1, 2, 5000} {
-		s := &fixture{}
+		f := &fixture{}
 		var sent []proposal.Args
 		var bodies []string
 		for i := range uint64(changes) {
@@ -64,49 +64,49 @@
 			if i == 0 {
 				*args.BaseVersion = 0
 			}
-			result := s.proposeAs("", args)
+			result := f.proposeAs("", args)
 			must.Nil(t, result.Failure, must.Sprint(i))
 			sent, bodies = append(sent, args), append(bodies, string(result.Body))
 			if i%300 == 299 {
 				for j := range sent {
-					checkResent(t, s, s.proposeAs("", sent[j]), bodies[j], len(sent)-j > history.MaxEntries, increment, i, j)
+					checkResent(t, f.proposeAs("", sent[j]), bodies[j], len(sent)-j > history.MaxEntries, increment, i, j)
 				}
 			}
 		}
 	}
 }
 
-// The same on the own surface, where a base is an epoch or a name stands in its place.
+// The same for proposals that name a base revision, or an operation ID in place of a base.
 func TestNoAcceptedOperationIsRefused(t *testing.T) {
 	const changes = 600
 	for _, named := range []bool{false, true} {
-		s := &fixture{}
-		must.Nil(t, s.proposeOnRevision("begin", validConfig, false, nil).Failure)
+		f := &fixture{}
+		must.Nil(t, f.proposeOnRevision("begin", validConfig, false, nil).Failure)
 		var sent []proposal.Args
 		var ops, bodies []string
 		for i := range changes {
 			op := fmt.Sprint("op", i)
-			args := argsOnRevision(s.read().Revision, fmt.Sprintf(`{"release":%d,"services":{"a.x":{"namespace":"n%d"}}}`, i, i))
+			args := argsOnRevision(f.read().Revision, fmt.Sprintf(`{"release":%d,"services":{"a.x":{"namespace":"n%d"}}}`, i, i))
 			if named {
 				args.BaseRevision, args.OperationID = nil, op
 			}
-			result := s.proposeAs(op, args)
+			result := f.proposeAs(op, args)
 			must.Nil(t, result.Failure, must.Sprint(i))
 			sent, ops, bodies = append(sent, args), append(ops, op), append(bodies, string(result.Body))
 		}
 		for j := range sent {
-			checkResent(t, s, s.proposeAs(ops[j], sent[j]), bodies[j], changes-j > history.MaxEntries, named, j)
+			checkResent(t, f.proposeAs(ops[j], sent[j]), bodies[j], changes-j > history.MaxEntries, named, j)
 		}
 	}
 }
 
-// Of two proposals on each base the second is told a proved conflict, in whichever order
-// the two come; once the base is older than what is remembered neither is told one.
+// Of two proposals on each base the second is rejected with Conflict, in whichever order they
+// come; once the base is older than the log, the outcome of a repeat is unknown.
 func TestTwoProposalsOnEachBase(t *testing.T) {
 	const changes = 400
 	rng := rand.New(rand.NewPCG(1, 1))
-	s := &fixture{}
-	must.Nil(t, s.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
+	f := &fixture{}
+	must.Nil(t, f.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 	var losers []proposal.Args
 	for i := range uint64(changes) {
 		pair := []proposal.Args{
@@ -114,15 +114,15 @@
 			argsOnVersion(proposal.ItemPatch, 1+i, fmt.Sprintf(`{"release":%d,"upsert":{"services":{"y":{"n":%d}}}}`, i+2, i)),
 		}
 		first := rng.IntN(2)
-		must.Nil(t, s.proposeAs("", pair[first]).Failure)
-		result := s.proposeAs("", pair[1-first])
+		must.Nil(t, f.proposeAs("", pair[first]).Failure)
+		result := f.proposeAs("", pair[1-first])
 		must.NotNil(t, result.Failure)
 		must.Eq(t, failure.Conflict, result.Failure.Kind)
 		must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
 		losers = append(losers, pair[1-first])
 	}
 	for i, args := range losers {
-		result := s.proposeAs("", args)
+		result := f.proposeAs("", args)
 		must.NotNil(t, result.Failure)
 		must.False(t, result.Changed)
 		if changes-i <= history.MaxEntries {
@@ -134,43 +134,43 @@
 	}
 }
 
-// Eight operators at once, whose acknowledgements are lost as often as not and who then
-// send the same again, at any later time: what was taken is never refused, what was not is
-// never acknowledged, and each base has one winner.
+// Eight concurrent operators lose every second response and send the same proposal again at
+// any later time: an accepted proposal is never rejected as not executed, a rejected one is
+// never acknowledged, and each base has one accepted proposal.
 func TestEightConcurrentProposals(t *testing.T) {
 	const operators, steps, seeds = 8, 700, 8
 	type sentProposal struct {
-		args  proposal.Args
-		body  string // of the return that was given when it was taken
-		taken bool
+		args     proposal.Args
+		body     string // of the response when it was accepted
+		accepted bool
 	}
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(9, seed))
-		s := &fixture{}
-		must.Nil(t, s.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
+		f := &fixture{}
+		must.Nil(t, f.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 		current := make([]*sentProposal, operators)
 		var past []*sentProposal
 		winners := map[uint64]*sentProposal{}
 		send := func(proposed *sentProposal) proposer.Result {
-			result := s.proposeAs("", proposed.args)
+			result := f.proposeAs("", proposed.args)
 			base := *proposed.args.BaseVersion
 			switch {
 			case result.Failure == nil && result.Changed:
-				must.False(t, proposed.taken, must.Sprint(seed, base))
+				must.False(t, proposed.accepted, must.Sprint(seed, base))
 				must.Nil(t, winners[base], must.Sprint(seed, base))
-				proposed.taken, proposed.body, winners[base] = true, string(result.Body), proposed
+				proposed.accepted, proposed.body, winners[base] = true, string(result.Body), proposed
 			case result.Failure == nil:
-				must.True(t, proposed.taken, must.Sprint(seed, base))
+				must.True(t, proposed.accepted, must.Sprint(seed, base))
 				must.Eq(t, proposed.body, string(result.Body))
 			case result.Failure.Outcome == failure.NotExecuted:
-				must.False(t, proposed.taken, must.Sprint(seed, base, result.Failure))
+				must.False(t, proposed.accepted, must.Sprint(seed, base, result.Failure))
 			}
 			return result
 		}
 		for step := range steps {
 			operator := rng.IntN(operators)
 			if current[operator] == nil {
-				base := s.read().Version
+				base := f.read().Version
 				if rng.IntN(4) == 0 && base > 3 {
 					base -= rng.Uint64N(3)
 				}
@@ -178,7 +178,7 @@
 				past = append(past, current[operator])
 			}
 			if result := send(current[operator]); rng.IntN(2) == 0 && (result.Failure == nil || result.Failure.Outcome == failure.NotExecuted) {
-				current[operator] = nil // it heard its answer
+				current[operator] = nil // it received the response
 			}
 			send(past[rng.IntN(len(past))])
 		}
@@ -186,16 +186,16 @@
 	}
 }
 
-// A state of a release that knew no chain remembers nothing: what was taken before is left
-// without a clear answer, and what comes after is remembered.
+// A state that was stored by a release without logs remembers nothing: the outcome of earlier
+// proposals is unknown, later ones are remembered.
 func TestStateWithoutLog(t *testing.T) {
-	s := &fixture{value: operation.Encode(operation.Value{State: json.RawMessage(`{"epoch":9,"release":40,"manifest":{"release":40},"taken":[{"e":9,"r":40,"m":"x"}]}`)}), revision: 9}
-	must.Eq(t, failure.OutcomeUnknown, s.proposeAs("", argsOnVersion(proposal.ItemPatch, 39, `{"release":40}`)).Failure.Outcome)
+	f := &fixture{value: operation.Encode(operation.Value{State: json.RawMessage(`{"epoch":9,"release":40,"manifest":{"release":40},"taken":[{"e":9,"r":40,"m":"x"}]}`)}), revision: 9}
+	must.Eq(t, failure.OutcomeUnknown, f.proposeAs("", argsOnVersion(proposal.ItemPatch, 39, `{"release":40}`)).Failure.Outcome)
 	args := argsOnVersion(proposal.ItemPatch, 40, `{"release":41}`)
-	result := s.proposeAs("", args)
+	result := f.proposeAs("", args)
 	must.Nil(t, result.Failure)
-	must.Nil(t, s.proposeAs("", argsOnVersion(proposal.ItemPatch, 41, `{"release":42}`)).Failure)
-	checkResent(t, s, s.proposeAs("", args), string(result.Body), false)
-	must.Eq(t, failure.Conflict, s.proposeAs("", argsOnVersion(proposal.ItemPatch, 40, `{"release":42}`)).Failure.Kind)
-	must.Eq(t, failure.OutcomeUnknown, s.proposeAs("", argsOnVersion(proposal.ItemPatch, 39, `{"release":40}`)).Failure.Outcome)
+	must.Nil(t, f.proposeAs("", argsOnVersion(proposal.ItemPatch, 41, `{"release":42}`)).Failure)
+	checkResent(t, f.proposeAs("", args), string(result.Body), false)
+	must.Eq(t, failure.Conflict, f.proposeAs("", argsOnVersion(proposal.ItemPatch, 40, `{"release":42}`)).Failure.Kind)
+	must.Eq(t, failure.OutcomeUnknown, f.proposeAs("", argsOnVersion(proposal.ItemPatch, 39, `{"release":40}`)).Failure.Outcome)
 }
--- /dev/null
+++ b/control/config/proposal/state.go
@@ -0,0 +1,61 @@
+package proposal
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/history"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+)
+
+// State is the state of the control key: the newest configuration and what is needed to
+// judge proposals. Invariant: Version never falls; while every proposal names a base
+// version, each change raises it.
+type State struct {
+	// Revision is the revision of the control key at which Document came into force.
+	Revision ident.Epoch `json:"epoch"`
+	// Version is the number that the operators gave the document.
+	Version uint64 `json:"release,omitempty"`
+	// AllowUnknown says that Document may have unknown fields and free names.
+	AllowUnknown bool            `json:"loose,omitempty"`
+	Document     json.RawMessage `json:"manifest"`
+	// AuditEntries are the newest entries for the audit log in order of revision; the last is
+	// that of Revision.
+	AuditEntries []AuditEntry `json:"lines,omitempty"`
+	// Log holds the newest accepted proposals.
+	Log *history.Log `json:"chain,omitempty"`
+}
+
+// isCurrent reports whether the proposal is the whole configuration in force.
+func (s *State) isCurrent(a Args, sent json.RawMessage) bool {
+	if a.kind() != FullConfig || len(s.AuditEntries) == 0 {
+		return false
+	}
+	last := s.AuditEntries[len(s.AuditEntries)-1]
+	return last.Revision == s.Revision && last.SHA256 == digest(sent)
+}
+
+// digest returns the SHA-256 sum of an encoded document, in hexadecimal.
+func digest(document json.RawMessage) string {
+	hash := sha256.Sum256(document)
+	return hex.EncodeToString(hash[:])
+}
+
+// readState responds with the configuration in force.
+func readState(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
+	var current State
+	var args Args
+	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+		return operation.Rejected(err)
+	}
+	current.AuditEntries, current.Log = nil, nil
+	return operation.Result{Body: operation.Encode(current)}
+}
+
+// readRevision responds with the newest revision, which is that of the control key.
+func readRevision(context proposer.Context, _, _ json.RawMessage) operation.Result {
+	return operation.Result{Body: operation.Encode(Accepted{Revision: ident.Epoch(context.Revision)})}
+}
--- a/control/config/proposal/release_test.go
+++ b/control/config/proposal/version_test.go
@@ -16,25 +16,27 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposeOnVersion offers on a base release, as the users' platform does.
-func (s *fixture) proposeOnVersion(kind proposal.Kind, base uint64, body string) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: s.revision}, s.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer",
+// proposeOnVersion proposes on a base version.
+func (f *fixture) proposeOnVersion(kind proposal.Kind, base uint64, body string) proposer.Result {
+	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer",
 		Args: operation.Encode(proposal.Args{Kind: kind, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(body)})})
 	if result.Changed {
-		s.value = result.Value
-		s.revision++
+		f.value = result.Value
+		f.revision++
 	}
 	return result
 }
 
+// fullConfig returns a document with two services and two routes.
 func fullConfig(version int, extra string) string {
 	return fmt.Sprintf(`{"release":%d,"services":{"a":{},"b":{}},"ways":{"v":{"host":"v","service":"a"},"w":{"host":"h","service":"a"}}%s}`, version, extra)
 }
 
+// newFixture returns a control key with a configuration of version 7.
 func newFixture(t *testing.T) *fixture {
-	s := &fixture{}
-	must.Nil(t, s.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, "")).Failure)
-	return s
+	f := &fixture{}
+	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, "")).Failure)
+	return f
 }
 
 type testProposal struct {
@@ -43,9 +45,9 @@
 	body string
 }
 
-// All orders of five offers, of which some build on the newest release, some are repeats
-// and some build on others: of two different changes on one base one is taken, a repeat
-// of a taken one is told the epoch it was given, and what was turned away leaves no trace.
+// All orders of five proposals, each sent twice, of which some build on the newest version and
+// some on others: of different proposals on one base one is accepted; a repeat of an accepted
+// one gets the same response; a rejected one changes nothing.
 func TestProposalsOnOneBase(t *testing.T) {
 	proposals := []testProposal{
 		{proposal.FullConfig, 7, fullConfig(9, `,"x":"A"`)}, {proposal.FullConfig, 7, fullConfig(9, `,"x":"B"`)},
@@ -57,38 +59,38 @@
 		if len(left) == 0 {
 			then(nil)
 		}
-		for i, x := range left {
+		for i, next := range left {
 			rest := append(append([]int{}, left[:i]...), left[i+1:]...)
-			permute(rest, func(o []int) { then(append([]int{x}, o...)) })
+			permute(rest, func(order []int) { then(append([]int{next}, order...)) })
 		}
 	}
 	n := 0
 	permute([]int{0, 1, 2, 3, 4}, func(order []int) {
 		n++
-		s, acceptedBodies, currentVersion := newFixture(t), map[int]string{}, uint64(7)
-		for round := range 2 { // every offer once, then every one again
+		f, acceptedBodies, currentVersion := newFixture(t), map[int]string{}, uint64(7)
+		for round := range 2 { // every proposal once, then every one again
 			for _, i := range order {
-				b, before := proposals[i], string(s.value)
-				result := s.proposeOnVersion(b.kind, b.base, b.body)
+				proposed, before := proposals[i], string(f.value)
+				result := f.proposeOnVersion(proposed.kind, proposed.base, proposed.body)
 				if past, ok := acceptedBodies[i]; ok {
 					must.Nil(t, result.Failure)
 					must.Eq(t, past, string(result.Body))
-					must.Eq(t, before, string(s.value))
+					must.Eq(t, before, string(f.value))
 					continue
 				}
-				if b.base != currentVersion {
+				if proposed.base != currentVersion {
 					must.NotNil(t, result.Failure)
 					must.Eq(t, failure.Conflict, result.Failure.Kind)
 					must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
-					must.Eq(t, before, string(s.value))
+					must.Eq(t, before, string(f.value))
 					continue
 				}
 				must.Nil(t, result.Failure, must.Sprint(order, round, i))
 				var accepted proposal.Accepted
 				must.NoError(t, json.Unmarshal(result.Body, &accepted))
-				must.Eq(t, proposal.Accepted{Revision: s.read().Revision, Version: s.read().Version}, accepted)
-				currentVersion = s.read().Version
-				must.Greater(t, b.base, currentVersion)
+				must.Eq(t, proposal.Accepted{Revision: f.read().Revision, Version: f.read().Version}, accepted)
+				currentVersion = f.read().Version
+				must.Greater(t, proposed.base, currentVersion)
 				acceptedBodies[i] = string(result.Body)
 			}
 		}
@@ -103,113 +105,115 @@
 	must.Eq(t, 120, n)
 }
 
-// A whole manifest that is the newest one is a yes whatever the order of its fields and
-// its base; the same release with another content is not.
+// The configuration in force is accepted again whatever the order of its fields and its base;
+// another document with the same version is not.
 func TestExactRepeat(t *testing.T) {
-	s := newFixture(t)
+	f := newFixture(t)
 	for _, base := range []uint64{0, 7, 3} {
-		result := s.proposeOnVersion(proposal.FullConfig, base, `{"ways":{"w":{"service":"a","host":"h"},"v":{"host":"v","service":"a"}}, "services":{"b":{},"a":{}}, "release":7}`)
+		result := f.proposeOnVersion(proposal.FullConfig, base, `{"ways":{"w":{"service":"a","host":"h"},"v":{"host":"v","service":"a"}}, "services":{"b":{},"a":{}}, "release":7}`)
 		must.Nil(t, result.Failure)
 		must.Eq(t, `{"epoch":1,"release":7}`, string(result.Body), must.Sprint(base))
 	}
-	must.Eq(t, 1, s.revision)
-	must.Eq(t, failure.Conflict, s.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, `,"x":1`)).Failure.Kind)
-	must.Eq(t, failure.Invalid, s.proposeOnVersion(proposal.FullConfig, 7, fullConfig(7, `,"x":1`)).Failure.Kind)
-	// Taken and then overtaken: a repeat is still a yes, and changes nothing.
-	must.Nil(t, s.proposeOnVersion(proposal.ItemPatch, 7, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure)
-	must.Nil(t, s.proposeOnVersion(proposal.ItemPatch, 8, `{"release":9,"remove":{"services":["c"]}}`).Failure)
-	for _, b := range []testProposal{{proposal.FullConfig, 0, fullConfig(7, "")}, {proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}},"release":8}`}} {
-		result := s.proposeOnVersion(b.kind, b.base, b.body)
+	must.Eq(t, 1, f.revision)
+	must.Eq(t, failure.Conflict, f.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, `,"x":1`)).Failure.Kind)
+	must.Eq(t, failure.Invalid, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(7, `,"x":1`)).Failure.Kind)
+	// Accepted and then replaced: a repeat is still accepted, and changes nothing.
+	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 7, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure)
+	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 8, `{"release":9,"remove":{"services":["c"]}}`).Failure)
+	for _, repeated := range []testProposal{{proposal.FullConfig, 0, fullConfig(7, "")}, {proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}},"release":8}`}} {
+		result := f.proposeOnVersion(repeated.kind, repeated.base, repeated.body)
 		must.Nil(t, result.Failure)
 		must.False(t, result.Changed)
 	}
-	// The same change on another base, or as another kind, is another change.
-	must.Eq(t, failure.Conflict, s.proposeOnVersion(proposal.ItemPatch, 6, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure.Kind)
-	must.Eq(t, failure.Conflict, s.proposeOnVersion(proposal.MergePatch, 7, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure.Kind)
-	must.Eq(t, 9, s.read().Version)
-	must.Eq(t, 3, s.revision)
+	// The same body on another base, or of another kind, is another proposal.
+	must.Eq(t, failure.Conflict, f.proposeOnVersion(proposal.ItemPatch, 6, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure.Kind)
+	must.Eq(t, failure.Conflict, f.proposeOnVersion(proposal.MergePatch, 7, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure.Kind)
+	must.Eq(t, 9, f.read().Version)
+	must.Eq(t, 3, f.revision)
 }
 
-// What was taken is remembered for a window of changes. Behind it a proposal is told that
-// its fate is unknown, whether it was taken or not; a conflict would be a guess.
+// Accepted proposals are remembered for a number of changes. The outcome of an older proposal
+// is unknown, whether it was accepted or not: a Conflict would not be proved.
 func TestMemoryOfAcceptedIsBounded(t *testing.T) {
-	s := newFixture(t)
+	f := newFixture(t)
 	for i := uint64(8); i < 8+300; i++ {
-		must.Nil(t, s.proposeOnVersion(proposal.ItemPatch, i-1, fmt.Sprintf(`{"release":%d}`, i)).Failure)
+		must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, i-1, fmt.Sprintf(`{"release":%d}`, i)).Failure)
 	}
-	must.Nil(t, s.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 8+300-history.MaxEntries)).Failure)
-	must.Eq(t, failure.Conflict, s.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 9+300-history.MaxEntries)).Failure.Kind)
+	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 8+300-history.MaxEntries)).Failure)
+	must.Eq(t, failure.Conflict, f.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 9+300-history.MaxEntries)).Failure.Kind)
 	for _, version := range []int{8, 9} {
-		result := s.proposeOnVersion(proposal.ItemPatch, 7+299-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, version+299-history.MaxEntries))
+		result := f.proposeOnVersion(proposal.ItemPatch, 7+299-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, version+299-history.MaxEntries))
 		must.Eq(t, failure.UnknownOutcome, result.Failure.Kind)
 		must.Eq(t, failure.OutcomeUnknown, result.Failure.Outcome)
 		must.False(t, result.Changed)
 	}
-	must.Eq(t, 301, s.revision)
+	must.Eq(t, 301, f.revision)
 }
 
-// Every fault of a change or a whole manifest turns it away and leaves the newest alone.
+// Every fault of a patch or a whole configuration rejects it and leaves the newest unchanged.
 func TestBadItemPatches(t *testing.T) {
-	for _, b := range []testProposal{
+	for _, invalid := range []testProposal{
 		{proposal.FullConfig, 7, fullConfig(7, "")[:20]}, {proposal.FullConfig, 7, fullConfig(6, "")}, {proposal.FullConfig, 7, fullConfig(7, `,"x":1`)}, {proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"release":8,`, "", 1)},
 		{proposal.FullConfig, 7, fullConfig(8, "") + "x"}, {proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"service":"a"`, `"service":"c"`, 1)},
 		{proposal.FullConfig, 7, `{"release":"8"}`}, {proposal.FullConfig, 7, `{"release":8.5}`}, {proposal.FullConfig, 7, `{"release":null}`},
 		{proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}}}`}, {proposal.ItemPatch, 7, `{"release":7,"upsert":{"services":{"c":{}}}}`}, {proposal.ItemPatch, 7, `{"release":8`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":[]}`}, {proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":[]}}`}, {proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":"w"}}`}, {proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":[1]}}`},
-		{proposal.ItemPatch, 7, `{"release":8,"remove":{"services":["a"]}}`}, // ways go there
+		{proposal.ItemPatch, 7, `{"release":8,"remove":{"services":["a"]}}`}, // routes refer to it
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"w":{"host":"h"}}}}`},
-		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"h","service":"a"}}}}`}, // as way w
+		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"h","service":"a"}}}}`}, // the host of route w
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"x","service":"c"}}}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"x","service":"a","timeoutMs":0}}}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"x","service":"a","repeat":"thrice"}}}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"x","split":[{"service":"a","weight":-1}]}}}}`},
 		{"other", 7, `{"release":8}`},
 	} {
-		s := newFixture(t)
-		before := string(s.value)
-		result := s.proposeOnVersion(b.kind, b.base, b.body)
-		must.NotNil(t, result.Failure, must.Sprint(b))
-		must.True(t, result.Failure.Kind == failure.Invalid || result.Failure.Kind == failure.Malformed, must.Sprint(b, result.Failure))
+		f := newFixture(t)
+		before := string(f.value)
+		result := f.proposeOnVersion(invalid.kind, invalid.base, invalid.body)
+		must.NotNil(t, result.Failure, must.Sprint(invalid))
+		must.True(t, result.Failure.Kind == failure.Invalid || result.Failure.Kind == failure.Malformed, must.Sprint(invalid, result.Failure))
 		must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
-		must.Eq(t, before, string(s.value))
+		must.Eq(t, before, string(f.value))
 	}
 }
 
-// A change puts items in whole, takes items away, passes over names that are not there,
-// and leaves everything else as it was sent.
+// An item patch replaces whole items, removes items, ignores names that do not exist, and
+// leaves everything else as it was sent.
 func TestItemPatch(t *testing.T) {
-	s := &fixture{}
-	must.Nil(t, s.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"note":[1.50,null],"services":{"a":{"x":{"y":1e3}},"b":{}},"ways":{"v":{"host":"v","service":"a","tries":1},"w":{"host":"h","service":"b"}},"limits":{"headMs":5}}`).Failure)
-	must.Nil(t, s.proposeOnVersion(proposal.ItemPatch, 1, `{"release":4,"other":1,"upsert":{"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"idleMs":6}},"remove":{"ways":["w","none"],"services":["b"],"things":["t"]}}`).Failure)
+	f := &fixture{}
+	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"note":[1.50,null],"services":{"a":{"x":{"y":1e3}},"b":{}},"ways":{"v":{"host":"v","service":"a","tries":1},"w":{"host":"h","service":"b"}},"limits":{"headMs":5}}`).Failure)
+	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 1, `{"release":4,"other":1,"upsert":{"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"idleMs":6}},"remove":{"ways":["w","none"],"services":["b"],"things":["t"]}}`).Failure)
 	var got, want any
-	must.NoError(t, json.Unmarshal(s.read().Document, &got))
+	must.NoError(t, json.Unmarshal(f.read().Document, &got))
 	must.NoError(t, json.Unmarshal([]byte(`{"release":4,"note":[1.5,null],"services":{"a":{"x":{"y":1000}}},"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"headMs":5,"idleMs":6}}`), &want))
 	must.Eq(t, want, got)
-	must.StrContains(t, string(s.read().Document), "1.50")
+	must.StrContains(t, string(f.read().Document), "1.50")
 }
 
-// A part on the own interface keeps what a loose manifest holds, its release too, and is
-// looked at loosely; a release below the one in force is refused there as well.
-func TestOwnInterfaceBesidesVersions(t *testing.T) {
-	s := &fixture{}
-	must.Nil(t, s.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, `,"x":1`)).Failure)
-	must.Nil(t, s.proposeOnRevision("1", `{"ways":{"w":{"service":"b"}}}`, true, nil).Failure)
-	must.Eq(t, 7, s.read().Version)
-	must.StrContains(t, string(s.read().Document), `"x":1`)
-	must.NotNil(t, s.proposeOnRevision("2", `{"release":6}`, true, nil).Failure)
-	must.NotNil(t, s.proposeOnRevision("3", fullConfig(8, `,"x":1`), false, nil).Failure)
-	must.Nil(t, s.proposeOnRevision("4", validConfig, false, nil).Failure)
-	must.Eq(t, 7, s.read().Version)
-	must.Eq(t, ident.Epoch(3), s.read().Revision)
-	must.Eq(t, failure.Invalid, s.proposeOnVersion(proposal.FullConfig, 7, fullConfig(7, "")).Failure.Kind)
-	must.Nil(t, s.proposeOnVersion(proposal.FullConfig, 7, fullConfig(8, "")).Failure)
+// A merge patch of a configuration with unknown fields keeps them and the version, and is
+// validated leniently; a version below the one in force is rejected also without a base
+// version.
+func TestMergePatchesBesidesVersions(t *testing.T) {
+	f := &fixture{}
+	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, `,"x":1`)).Failure)
+	must.Nil(t, f.proposeOnRevision("1", `{"ways":{"w":{"service":"b"}}}`, true, nil).Failure)
+	must.Eq(t, 7, f.read().Version)
+	must.StrContains(t, string(f.read().Document), `"x":1`)
+	must.NotNil(t, f.proposeOnRevision("2", `{"release":6}`, true, nil).Failure)
+	must.NotNil(t, f.proposeOnRevision("3", fullConfig(8, `,"x":1`), false, nil).Failure)
+	must.Nil(t, f.proposeOnRevision("4", validConfig, false, nil).Failure)
+	must.Eq(t, 7, f.read().Version)
+	must.Eq(t, ident.Epoch(3), f.read().Revision)
+	must.Eq(t, failure.Invalid, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(7, "")).Failure.Kind)
+	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(8, "")).Failure)
 }
 
-// The epoch that is told is that of the newest manifest, after every offer of any fate.
+// The revision that is read is that of the newest configuration, after every accepted or
+// rejected proposal.
 func TestRevisionIsThatOfTheNewest(t *testing.T) {
-	s := &fixture{}
+	f := &fixture{}
 	readRevision := func() ident.Epoch {
-		result := proposal.Handlers().Apply(proposer.Context{Revision: s.revision}, s.value, proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
+		result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
 		must.False(t, result.Changed)
 		var accepted proposal.Accepted
 		must.NoError(t, json.Unmarshal(result.Body, &accepted))
@@ -217,36 +221,36 @@
 	}
 	must.Eq(t, 0, readRevision())
 	for i := range 20 {
-		version := s.read().Version
-		result := s.proposeOnVersion(proposal.ItemPatch, version, fmt.Sprintf(`{"release":%d}`, version+uint64(i%3)))
+		version := f.read().Version
+		result := f.proposeOnVersion(proposal.ItemPatch, version, fmt.Sprintf(`{"release":%d}`, version+uint64(i%3)))
 		must.Eq(t, i%3 == 0, result.Failure != nil)
-		must.Eq(t, s.read().Revision, readRevision())
+		must.Eq(t, f.read().Revision, readRevision())
 	}
 	must.Eq(t, 13, readRevision())
 }
 
-func BenchmarkEpoch500(b *testing.B) {
-	s := &fixture{value: operation.Encode(operation.Value{State: operation.Encode(proposal.State{Revision: 1, Document: operation.Encode(strings.Repeat("x", 100_000))})}), revision: 1}
+func BenchmarkReadRevision500(b *testing.B) {
+	f := &fixture{value: operation.Encode(operation.Value{State: operation.Encode(proposal.State{Revision: 1, Document: operation.Encode(strings.Repeat("x", 100_000))})}), revision: 1}
 	for b.Loop() {
-		if result := proposal.Handlers().Apply(proposer.Context{Revision: s.revision}, s.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}); result.Failure != nil {
+		if result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}); result.Failure != nil {
 			b.Fatal(result.Failure)
 		}
 	}
 }
 
-func BenchmarkChange500(b *testing.B) {
-	s := &fixture{}
+func BenchmarkItemPatch500(b *testing.B) {
+	f := &fixture{}
 	var routes []string
 	for i := range 500 {
 		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"a","weight":90},{"service":"b","weight":10}],"tries":2}`, i*7919, i%9, i, i))
 	}
-	if result := s.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"services":{"a":{},"b":{}},"ways":{`+strings.Join(routes, ",")+`}}`); result.Failure != nil {
+	if result := f.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"services":{"a":{},"b":{}},"ways":{`+strings.Join(routes, ",")+`}}`); result.Failure != nil {
 		b.Fatal(result.Failure)
 	}
-	n := uint64(1)
+	version := uint64(1)
 	for b.Loop() {
-		n++
-		if result := s.proposeOnVersion(proposal.ItemPatch, n-1, fmt.Sprintf(`{"release":%d,"remove":{"ways":["r-0001eef"]}}`, n)); result.Failure != nil {
+		version++
+		if result := f.proposeOnVersion(proposal.ItemPatch, version-1, fmt.Sprintf(`{"release":%d,"remove":{"ways":["r-0001eef"]}}`, version)); result.Failure != nil {
 			b.Fatal(result.Failure)
 		}
 	}
--- a/control/config/validation/fuzz_test.go
+++ b/control/config/validation/fuzz_test.go
@@ -13,7 +13,7 @@
 	"cottonarch.example/cottonarch/mesh/routetable"
 )
 
-// documentSeeds are manifests, some of them with faults.
+// documentSeeds are configuration documents, some of them with faults.
 var documentSeeds = []string{
 	`{}`, `null`, `[]`, `{"release":1}x`, `{"release":1e400}`, `{"release":-0.0,"services":{}}`,
 	`{"release":7,"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000},"services":{"a":{"connections":100,"checkPath":"/health"},"b":{}},
@@ -24,40 +24,40 @@
 	`{"services":{"é":{}},"ways":{"<w>":{"host":"h","service":"é","timeoutMs":0.0000001}}}`,
 }
 
-// stored is a tree as the control key keeps it and every reader gets it back.
-func stored(t *testing.T, tree map[string]any) map[string]any {
-	raw, err := json.Marshal(tree)
+// stored returns the document as every reader gets it from the control key that stores it.
+func stored(t *testing.T, document map[string]any) map[string]any {
+	raw, err := json.Marshal(document)
 	must.NoError(t, err)
-	back, d := decode.Parse(raw)
-	must.Nil(t, d)
+	back, parseErr := decode.Parse(raw)
+	must.Nil(t, parseErr)
 	again, err := json.Marshal(back)
 	must.NoError(t, err)
 	must.Eq(t, string(raw), string(again))
 	return back
 }
 
-// Whatever bytes an operator sends: they are read or refused, what is read stands the same
-// after it was stored, what the strict check takes the loose one takes as the same, and a
-// manifest that was accepted is accepted again, as the same, from the store.
-func FuzzManifest(f *testing.F) {
+// For any bytes that an operator sends: they are accepted or rejected; a document reads the
+// same after it was stored; what Strict accepts, Lenient accepts with the same result; and an
+// accepted configuration is accepted again, with the same result, from the store.
+func FuzzConfig(f *testing.F) {
 	for _, seed := range documentSeeds {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		tree, d := decode.Parse(raw)
-		if d != nil {
+		document, err := decode.Parse(raw)
+		if err != nil {
 			return
 		}
-		back := stored(t, tree)
-		strictConfig, strictErr := validation.Strict(tree)
-		lenientConfig, lenientErr := validation.Lenient(tree)
+		back := stored(t, document)
+		strictConfig, strictErr := validation.Strict(document)
+		lenientConfig, lenientErr := validation.Lenient(document)
 		must.Eq(t, lenientConfig == nil, lenientErr != nil)
 		if strictErr == nil {
 			must.Nil(t, lenientErr)
 			must.Eq(t, strictConfig, lenientConfig)
 		}
-		again, d := validation.Lenient(back)
-		must.Eq(t, lenientErr == nil, d == nil)
+		again, err := validation.Lenient(back)
+		must.Eq(t, lenientErr == nil, err == nil)
 		must.Eq(t, lenientConfig, again)
 		if lenientErr == nil {
 			routetable.New(lenientConfig)
@@ -65,32 +65,32 @@
 	})
 }
 
-// Whatever an operator lays over a manifest: a change or a part that is laid over twice
-// does what it did the first time, changes neither of its inputs, and leaves a tree that
-// can be stored.
-func FuzzChange(f *testing.F) {
+// For any patch of any configuration: a merge patch or an item patch that is applied twice
+// has the effect of one application, changes neither of its inputs, and results in a document
+// that can be stored.
+func FuzzPatches(f *testing.F) {
 	for _, seed := range documentSeeds {
-		for _, part := range []string{`{"release":9,"upsert":{"services":{"c":{}}},"remove":{"ways":["w"]}}`, `{"ways":{"w":null},"services":{"a":{"x":{"y":null}}}}`,
+		for _, itemPatch := range []string{`{"release":9,"upsert":{"services":{"c":{}}},"remove":{"ways":["w"]}}`, `{"ways":{"w":null},"services":{"a":{"x":{"y":null}}}}`,
 			`{"upsert":{"ways":[]},"remove":{"ways":{}}}`, `{"remove":{"release":["x"]},"upsert":{"limits":{"headBytes":1}}}`} {
-			f.Add([]byte(seed), []byte(part))
+			f.Add([]byte(seed), []byte(itemPatch))
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw, over []byte) {
-		base, d := decode.Parse(raw)
-		if d != nil {
+		base, err := decode.Parse(raw)
+		if err != nil {
 			return
 		}
-		part, d := decode.Parse(over)
-		if d != nil {
+		itemPatch, err := decode.Parse(over)
+		if err != nil {
 			return
 		}
 		before := stored(t, base)
-		stored(t, merge.Merge(base, part))
-		must.Eq(t, stored(t, merge.Merge(base, part)), stored(t, merge.Merge(merge.Merge(base, part), part)))
-		if next, d := patch.Apply(base, part, true); d == nil {
+		stored(t, merge.Merge(base, itemPatch))
+		must.Eq(t, stored(t, merge.Merge(base, itemPatch)), stored(t, merge.Merge(merge.Merge(base, itemPatch), itemPatch)))
+		if next, err := patch.Apply(base, itemPatch, true); err == nil {
 			once := stored(t, next)
-			twice, d := patch.Apply(next, part, true)
-			must.Nil(t, d)
+			twice, err := patch.Apply(next, itemPatch, true)
+			must.Nil(t, err)
 			must.Eq(t, once, stored(t, twice))
 		}
 		must.Eq(t, before, stored(t, base))
--- /dev/null
+++ b/control/config/validation/names.go
@@ -0,0 +1,60 @@
+package validation
+
+import (
+	"net"
+	"strings"
+)
+
+const (
+	maxNameLength = 253
+	// anyHost is the host of a route that matches every host.
+	anyHost = "*"
+)
+
+// NormalizeHost returns the form in which hosts are compared: lower case, without a port
+// and a final dot.
+func NormalizeHost(name string) string {
+	if strings.IndexByte(name, ':') >= 0 {
+		if host, _, err := net.SplitHostPort(name); err == nil {
+			name = host
+		}
+	}
+	return strings.TrimSuffix(strings.ToLower(name), ".")
+}
+
+// isStrictName reports whether a text consists of letters and digits, with dots, dashes and
+// underscores between them.
+func isStrictName(s string) bool {
+	for i := range len(s) {
+		c := s[i]
+		alphanumeric := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		if !alphanumeric && (i == 0 || i == len(s)-1 || c != '.' && c != '-' && c != '_') {
+			return false
+		}
+	}
+	return s != "" && len(s) <= maxNameLength
+}
+
+// isFreeName reports whether a text has neither spaces nor control characters.
+func isFreeName(s string) bool {
+	for _, c := range s {
+		if c <= ' ' || c == 0x7f {
+			return false
+		}
+	}
+	return s != "" && len(s) <= maxNameLength
+}
+
+// nameRules says which names a reader accepts.
+type nameRules struct {
+	routeName, hostName, serviceName func(string) bool
+}
+
+var (
+	strictNames = nameRules{
+		routeName:   isStrictName,
+		hostName:    isStrictName,
+		serviceName: func(s string) bool { return isStrictName(s) && NormalizeHost(s) == s },
+	}
+	freeNames = nameRules{routeName: isFreeName, hostName: isFreeName, serviceName: isFreeName}
+)
--- /dev/null
+++ b/control/config/validation/reader.go
@@ -0,0 +1,191 @@
+package validation
+
+import (
+	"strings"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+)
+
+const (
+	// MaxBytes bounds the size of a stored configuration.
+	MaxBytes      = 4 << 20
+	maxServices   = 5000
+	maxRoutes     = 20000
+	maxCallers    = 1000
+	maxPathPrefix = 2048
+	// maxRetryRatio bounds the part of a service's requests that may be retried.
+	maxRetryRatio = 0.2
+	// maxInt32 bounds numbers that become an int.
+	maxInt32        = 1<<31 - 1
+	dayMilliseconds = 86_400_000
+	// maxExactInteger is the largest whole number up to which every JSON reader is exact.
+	maxExactInteger = 1 << 53
+)
+
+// The priorities of routes that name none.
+const (
+	urgentPriority  = 0
+	defaultPriority = 2
+)
+
+// Strict validates a document all of whose fields must be known here, with names of letters,
+// digits, dots, dashes and underscores.
+func Strict(document map[string]any) (*Config, *failure.Error) {
+	return readConfig(document, strictNames, &decode.Faults{})
+}
+
+// Lenient validates a document that may have unknown fields and freely chosen names.
+// Invariant: what Strict accepts, Lenient accepts with the same result; so every receiver of
+// a configuration that was already accepted reads it with Lenient.
+func Lenient(document map[string]any) (*Config, *failure.Error) {
+	return readConfig(document, freeNames, &decode.Faults{AllowUnknown: true})
+}
+
+func readConfig(document map[string]any, rules nameRules, faults *decode.Faults) (*Config, *failure.Error) {
+	root := decode.Root(document, faults)
+	root.RejectUnknown("release", "limits", "services", "ways")
+	config := &Config{Version: uint64(root.Int("release", 0, 0, maxExactInteger)), Limits: readLimits(root)}
+	services := root.Child("services")
+	if len(services.Fields()) > maxServices {
+		faults.Add("services", "at most %d services", maxServices)
+		return nil, faults.Err(failure.Invalid)
+	}
+	config.Services = readServices(services, rules)
+	routes := root.Child("ways")
+	if len(routes.Fields()) > maxRoutes {
+		faults.Add("ways", "at most %d routes", maxRoutes)
+		return nil, faults.Err(failure.Invalid)
+	}
+	config.Routes = readRoutes(routes, rules, config.Services)
+	if err := faults.Err(failure.Invalid); err != nil {
+		return nil, err
+	}
+	return config, nil
+}
+
+func readLimits(root decode.Object) Limits {
+	object := root.Child("limits")
+	object.RejectUnknown("headBytes", "bodyBytes", "headMs", "idleMs")
+	return Limits{
+		MaxHeaderBytes: object.Int("headBytes", DefaultLimits.MaxHeaderBytes, 1, maxExactInteger),
+		MaxBodyBytes:   object.Int("bodyBytes", DefaultLimits.MaxBodyBytes, 0, maxExactInteger),
+		HeaderTimeout:  milliseconds(object.Float("headMs", 10000, 1, dayMilliseconds)),
+		IdleTimeout:    milliseconds(object.Float("idleMs", 90000, 1, dayMilliseconds)),
+	}
+}
+
+func readServices(object decode.Object, rules nameRules) map[ident.Service]Service {
+	names := object.FieldNames()
+	services := make(map[ident.Service]Service, len(names))
+	for _, name := range names {
+		if !rules.serviceName(name) {
+			object.Fault(name, "a service name must be a host name in lower case")
+		}
+		services[ident.Service(name)] = readService(name, object.Child(name))
+	}
+	return services
+}
+
+func readService(name string, object decode.Object) Service {
+	object.RejectUnknown("namespace", "drainS", "reuseAfterS", "allowance", "checkPath", "connections", "protocol", "encrypted")
+	service := Service{
+		Hostname:          ident.Service(name),
+		Namespace:         object.String("namespace", "default"),
+		DrainTimeout:      seconds(object.Float("drainS", 2, 0.1, 600)),
+		AddressReuseDelay: seconds(object.Float("reuseAfterS", 2, 1, 3600)),
+		HealthCheckPath:   object.String("checkPath", ""),
+		MaxConnections:    int(object.Int("connections", 0, 0, maxInt32)),
+	}
+	if service.HealthCheckPath != "" && !strings.HasPrefix(service.HealthCheckPath, "/") {
+		object.Fault("checkPath", "must begin with /")
+	}
+	if object.String("protocol", "h1") != "h1" {
+		object.Fault("protocol", "must be h1")
+	}
+	if object.Bool("encrypted", false) {
+		object.Fault("encrypted", "encrypted connections to endpoints are not supported")
+	}
+	service.RetryRatio, service.CallerWeights = readRetryBudget(object.Child("allowance"))
+	return service
+}
+
+func readRetryBudget(object decode.Object) (ratio float64, callerWeights map[string]float64) {
+	object.RejectUnknown("part", "callers")
+	ratio = object.Float("part", maxRetryRatio, 0, maxRetryRatio)
+	callers := object.Child("callers")
+	names := callers.FieldNames()
+	if len(names) > maxCallers {
+		object.Fault("callers", "at most %d callers", maxCallers)
+	}
+	for _, name := range names {
+		if callerWeights == nil {
+			callerWeights = map[string]float64{}
+		}
+		callerWeights[name] = callers.Float(name, 1, 0, 1000)
+	}
+	return ratio, callerWeights
+}
+
+// routeMatch is what a route matches, which no two routes may share.
+type routeMatch struct{ host, pathPrefix string }
+
+func readRoutes(object decode.Object, rules nameRules, services map[ident.Service]Service) []Route {
+	names := object.FieldNames()
+	routes := make([]Route, 0, len(names))
+	nameByMatch := make(map[routeMatch]string, len(names))
+	for _, name := range names {
+		if !rules.routeName(name) {
+			object.Fault(name, "a route name must consist of letters, digits, dots and dashes")
+		}
+		routeObject := object.Child(name)
+		route := readRoute(name, routeObject, rules, services)
+		match := routeMatch{route.Host, route.PathPrefix}
+		if other, ok := nameByMatch[match]; ok {
+			routeObject.Fault("pathStart", "the same host and pathStart as route %q", other)
+		}
+		nameByMatch[match] = name
+		routes = append(routes, route)
+	}
+	return routes
+}
+
+func readRoute(name string, object decode.Object, rules nameRules, services map[ident.Service]Service) Route {
+	object.RejectUnknown("host", "pathStart", "service", "urgent", "timeoutMs", "tries", "split", "repeat", "aimMs", "rank")
+	route := Route{
+		Name:          name,
+		Host:          object.RequiredString("host"),
+		PathPrefix:    object.String("pathStart", "/"),
+		Urgent:        object.Bool("urgent", false),
+		Repeat:        RepeatPolicy(object.String("repeat", "")),
+		TargetLatency: milliseconds(object.Float("aimMs", 0, 0, dayMilliseconds)),
+		Timeout:       milliseconds(object.Float("timeoutMs", 5000, 0, dayMilliseconds)),
+		MaxAttempts:   int(object.Int("tries", 3, 1, 100)),
+	}
+	priority := int64(defaultPriority)
+	if route.Urgent {
+		priority = urgentPriority
+	}
+	route.Priority = int(object.Int("rank", priority, 0, maxInt32))
+	if route.Timeout <= 0 {
+		object.Fault("timeoutMs", "must be above 0")
+	}
+	if _, ok := repeatPolicies[route.Repeat]; !ok || route.Repeat == ByMethod && object.Has("repeat") {
+		object.Fault("repeat", "must be repeatable, one_shot, upload or download")
+	}
+	if route.Host != "" && route.Host != anyHost && !rules.hostName(route.Host) {
+		object.Fault("host", "must be a host name without port, or *")
+	}
+	route.Host = NormalizeHost(route.Host)
+	if !strings.HasPrefix(route.PathPrefix, "/") || len(route.PathPrefix) > maxPathPrefix || strings.ContainsAny(route.PathPrefix, "?# ") {
+		object.Fault("pathStart", "must begin with / and hold no query")
+	}
+	route.Service, route.Split = readDestinations(object, services)
+	return route
+}
+
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+
+func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
--- /dev/null
+++ b/control/config/validation/repeat.go
@@ -0,0 +1,37 @@
+package validation
+
+// RepeatPolicy says which requests of a route may be executed twice.
+type RepeatPolicy string
+
+// The repeat policies. Upload is OneShot for large request bodies, Download is Repeatable
+// for large response bodies.
+const (
+	ByMethod   RepeatPolicy = ""
+	Repeatable RepeatPolicy = "repeatable"
+	OneShot    RepeatPolicy = "one_shot"
+	Upload     RepeatPolicy = "upload"
+	Download   RepeatPolicy = "download"
+)
+
+// repeatableMethods lists the methods that RFC 9110 defines as safe.
+var repeatableMethods = map[string]bool{"GET": true, "HEAD": true, "OPTIONS": true, "TRACE": true}
+
+var (
+	never  = func(string) bool { return false }
+	always = func(string) bool { return true }
+	// repeatPolicies gives for each policy which methods may be executed twice.
+	repeatPolicies = map[RepeatPolicy]func(method string) bool{
+		ByMethod:   func(method string) bool { return repeatableMethods[method] },
+		Repeatable: always,
+		Download:   always,
+		OneShot:    never,
+		Upload:     never,
+	}
+)
+
+// Allows reports whether a request with this method may be executed twice; under an unknown
+// policy it may not.
+func (p RepeatPolicy) Allows(method string) bool {
+	allowed, ok := repeatPolicies[p]
+	return ok && allowed(method)
+}
--- a/control/config/validation/check_test.go
+++ b/control/config/validation/validation_test.go
@@ -20,34 +20,35 @@
 
 func readLeniently(t *testing.T, body string) (*validation.Config, *failure.Error) {
 	t.Helper()
-	tree, d := decode.Parse([]byte(body))
-	must.Nil(t, d)
-	return validation.Lenient(tree)
+	document, err := decode.Parse([]byte(body))
+	must.Nil(t, err)
+	return validation.Lenient(document)
 }
 
-// The manifest of the wire is read into its types, by both readers alike.
+// A document as operators send it is read into its types, with the same result by Strict and
+// Lenient.
 func TestWireDocument(t *testing.T) {
-	config, d := readLeniently(t, wireDocument)
-	must.Nil(t, d)
+	config, err := readLeniently(t, wireDocument)
+	must.Nil(t, err)
 	must.Eq(t, 7, config.Version)
 	must.Eq(t, validation.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 67108864, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}, config.Limits)
 	must.Eq(t, validation.Route{Name: "r-n2ctnfz", Host: "jepu9.example", PathPrefix: "/lepu270/", Service: "huvo11a", Repeat: validation.Repeatable, Priority: 3, TargetLatency: 200 * time.Millisecond,
 		Split: []validation.WeightedService{{Service: "kafi81c", Percent: 10}}, Timeout: 500500 * time.Microsecond, MaxAttempts: 2}, config.Routes[0])
 	must.Eq(t, "/health", config.Services["huvo11a"].HealthCheckPath)
 	must.Eq(t, 100, config.Services["huvo11a"].MaxConnections)
-	tree, _ := decode.Parse([]byte(wireDocument))
-	strictConfig, d := validation.Strict(tree)
-	must.Nil(t, d)
+	document, _ := decode.Parse([]byte(wireDocument))
+	strictConfig, err := validation.Strict(document)
+	must.Nil(t, err)
 	must.Eq(t, config, strictConfig)
-	bare, d := readLeniently(t, `{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`)
-	must.Nil(t, d)
+	bare, err := readLeniently(t, `{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`)
+	must.Nil(t, err)
 	must.Eq(t, validation.DefaultLimits, bare.Limits)
 	must.Eq(t, []int{0, 2}, []int{bare.Routes[0].Priority, bare.Routes[1].Priority})
 }
 
-// Each thing that makes a manifest invalid does so by itself, for both readers.
+// Every single fault makes a configuration invalid, for Strict and Lenient.
 func TestInvalid(t *testing.T) {
-	for old, bad := range map[string][]string{
+	for valid, invalid := range map[string][]string{
 		`"service":"wuno96b"`:    {`"service":"nobody"`, `"service":""`, `"service":1`, `"split":[]`, `"split":[{"service":"wuno96b","weight":0}]`, `"split":[{"service":"wuno96b"}]`, `"split":[7]`, `"split":[{"weight":1}]`, `"service":"wuno96b","split":[{"service":"kafi81c","weight":1}]`, `"service":"wuno96b","split":{"kafi81c":-1}`, `"tries":2`},
 		`"weight":0.1`:           {`"weight":-0.1`, `"weight":"1"`, `"weight":1e400`, `"weight":null`},
 		`{"service":"kafi81c"`:   {`{"service":"nobody"`},
@@ -64,35 +65,35 @@
 		`"headMs":3000`:         {`"headMs":"x"`},
 		`"services":{`:          {`"services":7,"x":{`},
 	} {
-		must.StrContains(t, wireDocument, old)
-		for _, b := range bad {
-			tree, d := decode.Parse([]byte(strings.Replace(wireDocument, old, b, 1)))
-			must.Nil(t, d, must.Sprint(b))
-			_, d = validation.Lenient(tree)
-			must.NotNil(t, d, must.Sprint(b))
-			must.Eq(t, failure.Invalid, d.Kind)
-			_, d = validation.Strict(tree)
-			must.NotNil(t, d, must.Sprint(b))
+		must.StrContains(t, wireDocument, valid)
+		for _, replacement := range invalid {
+			document, err := decode.Parse([]byte(strings.Replace(wireDocument, valid, replacement, 1)))
+			must.Nil(t, err, must.Sprint(replacement))
+			_, err = validation.Lenient(document)
+			must.NotNil(t, err, must.Sprint(replacement))
+			must.Eq(t, failure.Invalid, err.Kind)
+			_, err = validation.Strict(document)
+			must.NotNil(t, err, must.Sprint(replacement))
 		}
 	}
 }
 
-// Unknown fields and free names are taken by the loose reader alone.
+// Unknown fields and free names are accepted by Lenient alone.
 func TestLenient(t *testing.T) {
 	for _, body := range []string{
 		`{"x":1}`, `{"limits":{"x":1}}`, `{"services":{"a":{"x":{}}}}`, `{"services":{"Ä/1":{}}}`,
 		`{"services":{"a":{}},"ways":{"w_":{"host":"h","service":"a"}}}`, `{"services":{"a":{}},"ways":{"w":{"host":"h","split":[{"service":"a","weight":1,"x":2}]}}}`,
 	} {
-		_, d := readLeniently(t, body)
-		must.Nil(t, d, must.Sprint(body))
-		tree, _ := decode.Parse([]byte(body))
-		_, d = validation.Strict(tree)
-		must.NotNil(t, d, must.Sprint(body))
+		_, err := readLeniently(t, body)
+		must.Nil(t, err, must.Sprint(body))
+		document, _ := decode.Parse([]byte(body))
+		_, err = validation.Strict(document)
+		must.NotNil(t, err, must.Sprint(body))
 	}
 }
 
-// Parts keep the proportions of any weights to a millionth; the heaviest, first by name
-// among equals, takes what is left; nothing goes to a service without weight.
+// The parts keep the proportions of any weights to a millionth; the heaviest service, among
+// equals the first by name, receives the rest; a service without weight receives nothing.
 func TestWeightedSplits(t *testing.T) {
 	for list, want := range map[string]string{
 		`a 1`:                "a",
@@ -110,8 +111,8 @@
 		for i := 0; i < len(tokens); i += 2 {
 			parts = append(parts, fmt.Sprintf(`{"service":%q,"weight":%s}`, tokens[i], tokens[i+1]))
 		}
-		config, d := readLeniently(t, `{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`)
-		must.Nil(t, d)
+		config, err := readLeniently(t, `{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`)
+		must.Nil(t, err)
 		got := string(config.Routes[0].Service)
 		for _, part := range config.Routes[0].Split {
 			got += fmt.Sprintf(" %s%d", part.Service, part.Millionths())
@@ -120,7 +121,7 @@
 	}
 }
 
-// What may run twice, for every kind of repeat and a method of each sort.
+// Which requests may be executed twice, for every policy with a safe and an unsafe method.
 func TestRepeatPolicies(t *testing.T) {
 	for policy, want := range map[validation.RepeatPolicy][2]bool{validation.ByMethod: {true, false}, validation.Repeatable: {true, true}, validation.Download: {true, true}, validation.OneShot: {}, validation.Upload: {}, "other": {}} {
 		must.Eq(t, want, [2]bool{policy.Allows("GET"), policy.Allows("POST")}, must.Sprint(policy))
@@ -135,27 +136,27 @@
 	return []byte(`{"release":7,"ways":{` + strings.Join(routes, ",") + `},"services":{"huvo11a":{},"kafi81c":{}}}`)
 }
 
-func BenchmarkRead500(b *testing.B) {
+func BenchmarkParseAndValidate500(b *testing.B) {
 	raw := manyRoutes(500)
 	b.SetBytes(int64(len(raw)))
 	b.ReportAllocs()
 	for b.Loop() {
-		tree, d := decode.Parse(raw)
-		if d == nil {
-			_, d = validation.Lenient(tree)
+		document, err := decode.Parse(raw)
+		if err == nil {
+			_, err = validation.Lenient(document)
 		}
-		if d != nil {
-			b.Fatal(d)
+		if err != nil {
+			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkCheck500(b *testing.B) {
-	tree, _ := decode.Parse(manyRoutes(500))
+func BenchmarkValidate500(b *testing.B) {
+	document, _ := decode.Parse(manyRoutes(500))
 	b.ReportAllocs()
 	for b.Loop() {
-		if config, d := validation.Lenient(tree); d != nil || config.Services[ident.Service("huvo11a")].RetryRatio == 0 {
-			b.Fatal(d)
+		if config, err := validation.Lenient(document); err != nil || config.Services[ident.Service("huvo11a")].RetryRatio == 0 {
+			b.Fatal(err)
 		}
 	}
 }
