--- a/control/audit/segment/chunk.go
+++ b/control/audit/segment/segment.go
@@ -1,5 +1,5 @@
-// Package segment is the machine of the audit log's control keys: each holds a run of
-// leaves, and a leaf says which manifest an epoch brought.
+// Package segment is the state machine of the control keys that store the audit log: each
+// holds a segment of consecutive entries, one for each revision of the configuration.
 package segment
 
 import (
@@ -14,29 +14,30 @@
 )
 
 const (
-	// Prefix is where the log lies.
+	// Prefix is the common prefix of the control keys.
 	Prefix = "audit/"
-	// MaxEntries is the number of leaves a key holds.
+	// MaxEntries is the number of entries in a full segment.
 	MaxEntries = 256
 )
 
-// Key is the control key of a leaf's chunk; keys sort as chunks do.
+// Key returns the control key of the segment that holds the entry at an index of the log; the
+// keys sort in the order of the segments.
 func Key(index int) ident.Key { return ident.Key(fmt.Sprintf("%s%08d", Prefix, index/MaxEntries)) }
 
-// State is the state. Invariants: Leaves are in order of epoch; one is only ever added
-// at the end, at the index it was meant for, so two cores that both believe they hold
-// the duty add it once; a leaf never changes.
+// State is the state of a segment. Invariants: Entries are in order of revision; an entry is
+// only ever appended, at the index that it was sent for, so that two cores which both believe
+// that they maintain the log append it once; an entry never changes.
 type State struct {
 	Entries []proposal.AuditEntry `json:"leaves"`
 }
 
-// AppendArgs is the one operation.
+// AppendArgs are the arguments of an append; Index is that of the entry in the whole log.
 type AppendArgs struct {
 	Index int                 `json:"index"`
 	Entry proposal.AuditEntry `json:"leaf"`
 }
 
-// Handlers are the handlers.
+// Handlers returns the operations of a segment.
 func Handlers() operation.Table { return operation.Table{"audit/append": appendEntry} }
 
 func appendEntry(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
@@ -46,10 +47,10 @@
 		return operation.Rejected(err)
 	}
 	if len(current.Entries) != args.Index%MaxEntries {
-		return operation.Rejected(failure.New(failure.Conflict, "the chunk holds %d leaves", len(current.Entries)))
+		return operation.Rejected(failure.New(failure.Conflict, "the segment holds %d entries", len(current.Entries)))
 	}
 	if count := len(current.Entries); count > 0 && current.Entries[count-1].Revision >= args.Entry.Revision {
-		return operation.Rejected(failure.New(failure.Conflict, "epoch %d is in the log", current.Entries[count-1].Revision))
+		return operation.Rejected(failure.New(failure.Conflict, "revision %d is in the log already", current.Entries[count-1].Revision))
 	}
 	current.Entries = append(current.Entries, args.Entry)
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(args)}
--- a/control/audit/tree/tree_test.go
+++ b/control/audit/tree/log_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// A log that goes on from an older checkpoint passes; one that forgot, changed or
-// swapped a leaf, or whose checkpoint is another's, does not.
+// A log that continues an older checkpoint is verified; one that lacks, changed or swapped
+// a leaf, or that has the checkpoint of another log, is not.
 func TestOnlyAContinuationPasses(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 7, 300} {
 		old, err := Build(makeLeaves(n))
@@ -30,7 +30,7 @@
 		if n == 0 {
 			continue
 		}
-		must.Error(t, Verify(old, current.Checkpoint), must.Sprint("leaves were forgotten"))
+		must.Error(t, Verify(old, current.Checkpoint), must.Sprint("leaves are missing"))
 		changed := makeLeaves(n + 5)
 		changed[n-1].SHA256 = fmt.Sprintf("%064x", 99999)
 		bad, err := Build(changed)
--- /dev/null
+++ b/control/audit/tree/verify.go
@@ -0,0 +1,62 @@
+package tree
+
+import (
+	"strconv"
+	"strings"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+// Verify checks a log against its own checkpoint and, if olderCheckpoint is not empty, that
+// the log continues the one which that checkpoint covered.
+func Verify(log Log, olderCheckpoint string) error {
+	rebuilt, err := Build(log.Leaves)
+	if err != nil {
+		return err
+	}
+	if rebuilt.Checkpoint != log.Checkpoint {
+		return failure.New(failure.Damaged, "the leaves do not match the checkpoint")
+	}
+	for i := 1; i < len(log.Leaves); i++ {
+		if log.Leaves[i].Revision <= log.Leaves[i-1].Revision {
+			return failure.New(failure.Damaged, "revision %d follows %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
+		}
+	}
+	if olderCheckpoint == "" {
+		return nil
+	}
+	return verifyContinuation(log, olderCheckpoint)
+}
+
+// verifyContinuation checks that the leaves which an older checkpoint covered are the first
+// ones of the log.
+func verifyContinuation(log Log, olderCheckpoint string) error {
+	size, err := checkpointSize(olderCheckpoint)
+	if err != nil {
+		return err
+	}
+	if size > len(log.Leaves) {
+		return failure.New(failure.Damaged, "the log has %d leaves, it had %d", len(log.Leaves), size)
+	}
+	prefix, err := Build(log.Leaves[:size])
+	if err != nil {
+		return err
+	}
+	if strings.TrimSpace(prefix.Checkpoint) != strings.TrimSpace(olderCheckpoint) {
+		return failure.New(failure.Damaged, "the first %d leaves are not those of the older checkpoint", size)
+	}
+	return nil
+}
+
+// checkpointSize returns the number of leaves that a checkpoint covers.
+func checkpointSize(checkpoint string) (int, error) {
+	lines := strings.Split(checkpoint, "\n")
+	if len(lines) < 3 || lines[0] != Origin {
+		return 0, failure.New(failure.Malformed, "the older checkpoint is not one of this log")
+	}
+	size, err := strconv.Atoi(lines[1])
+	if err != nil || size < 0 {
+		return 0, failure.New(failure.Malformed, "the older checkpoint has no size")
+	}
+	return size, nil
+}
--- a/control/coordination/keyspace/group.go
+++ b/control/coordination/keyspace/keyspace.go
@@ -1,5 +1,6 @@
-// Package keyspace keeps cells: small values whose keys, where they are the same up to the
-// first dot, share one rising count of revisions and one history for watches.
+// Package keyspace is the state machine of keyspaces. A keyspace holds small entries, those
+// whose keys are the same up to the first dot; they share one rising revision and one history
+// for watches.
 package keyspace
 
 import (
@@ -16,21 +17,23 @@
 )
 
 const (
-	// DefaultHistory is how long a put stays known at least when the boot names no time.
+	// DefaultHistory is how long a put stays in the history at least when no time is configured.
 	DefaultHistory  = 60 * time.Second
 	maxPuts         = 8192
 	maxEncodedBytes = 1 << 20
 	maxValueBytes   = 64 << 10
 	maxNameLength   = 256
+	// fullRetrySeconds is when to retry a put that found the history full.
+	fullRetrySeconds = 1
 )
 
-// historyMargin is added to the history's time, which counts from when a watch was given a
-// revision: the response and the question after it may each be 1 s on their way, a watch
-// may give a revision that it read 2 s before, and clocks run apart by a few in a hundred.
+// historyMargin is added to the history's time, which counts from when a watch received a
+// revision: the response and the next request may each take 1 s, the revision may have been
+// read 2 s before it was sent, and clocks may drift apart by a few percent.
 func historyMargin(history time.Duration) time.Duration { return history/20 + 4*time.Second }
 
-// SplitKey parts a cell's key into its group, the dot included, and its name there. A key
-// without a dot is a group of its own.
+// SplitKey splits the key of an entry into its keyspace, with the dot, and its name there. A
+// key without a dot is a keyspace of its own.
 func SplitKey(key string) (keyspace, name string) {
 	if dot := strings.IndexByte(key, '.'); dot >= 0 {
 		return key[:dot+1], key[dot+1:]
@@ -38,41 +41,45 @@
 	return key, ""
 }
 
-// ControlKey is the control key of a group.
+// ControlKey returns the control key of a keyspace.
 func ControlKey(keyspace string) ident.Key { return ident.Key("group/" + keyspace) }
 
-// Put is one put of a cell as it is told.
+// Put is one put of an entry, under its name within the keyspace.
 type Put struct {
 	Name     string          `json:"name"`
 	Value    json.RawMessage `json:"value"`
 	Revision ident.Revision  `json:"revision"`
 }
 
-// Args are those of every group operation; names are those within the group.
+// Args are the arguments of every operation; names are those within the keyspace.
 type Args struct {
 	Name  string          `json:"name,omitempty"`
 	Value json.RawMessage `json:"value,omitempty"`
-	// IfRevision, when given, is the revision the cell must be at; 0 means that it has none.
+	// IfRevision, when given, is the revision that the entry must be at; 0 means that it must
+	// not exist.
 	IfRevision *ident.Revision `json:"ifRevision,omitempty"`
 	// After, when given, asks for the puts after a revision.
 	After *ident.Revision `json:"after,omitempty"`
 }
 
-// Changes is what a watch is told: every put after the revision it named, up to Revision.
+// Changes are the puts after the revision that a watch named, up to Revision.
 type Changes struct {
 	Events   []Put          `json:"events"`
 	Revision ident.Revision `json:"revision"`
 }
 
-// Handlers are the handlers; history is how long a put stays known at least, Kept if 0.
+// Handlers returns the operations of a keyspace; history is how long a put stays in the
+// history at least, DefaultHistory if it is 0.
 func Handlers(history time.Duration) operation.Table {
 	history = cmp.Or(history, DefaultHistory)
 	retained := retention(history + historyMargin(history))
 	return operation.Table{"group/put": retained.put, "group/read": read, "group/since": since}
 }
 
+// retention is how long a replaced put is retained.
 type retention time.Duration
 
+// read returns the newest put of an entry.
 func read(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	space, args, err := load(context, rawState, rawArgs)
 	if err != nil {
@@ -80,11 +87,12 @@
 	}
 	record := space.currentByName[args.Name]
 	if record == nil {
-		return operation.Result{Failure: failure.New(failure.NotFound, "there is no such cell"), Decoded: space}
+		return space.rejected(failure.New(failure.NotFound, "there is no such entry"))
 	}
 	return operation.Result{Body: operation.Encode(record.public()), Decoded: space}
 }
 
+// since returns the newest revision and, if a revision is named, every put after it.
 func since(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	space, args, err := load(context, rawState, rawArgs)
 	if err != nil {
@@ -93,7 +101,7 @@
 	changes := Changes{Events: []Put{}, Revision: space.latest}
 	if args.After != nil {
 		if *args.After < space.compactedThrough {
-			return operation.Result{Failure: failure.New(failure.Compacted, "puts up to %d are forgotten in part, and %d was asked for", space.compactedThrough, *args.After), Decoded: space}
+			return space.rejected(failure.New(failure.Compacted, "puts up to %d are no longer all known, and those after %d were requested", space.compactedThrough, *args.After))
 		}
 		for _, record := range space.recordsAfter(*args.After) {
 			changes.Events = append(changes.Events, record.public())
@@ -102,48 +110,43 @@
 	return operation.Result{Body: operation.Encode(changes), Decoded: space}
 }
 
+// put sets the value of an entry. The same value that is still in the history, current or
+// replaced, counts as a repeat and gets the revision it had.
 func (r retention) put(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	space, args, err := load(context, rawState, rawArgs)
 	if err != nil {
 		return operation.Rejected(err)
 	}
-	rejected := func(kind failure.Kind, format string, args ...any) operation.Result {
-		return operation.Result{Failure: failure.New(kind, format, args...), Decoded: space}
+	if err := args.checkPut(); err != nil {
+		return space.rejected(err)
 	}
-	if len(args.Value) == 0 {
-		return rejected(failure.Invalid, "a put needs a value")
-	}
-	if len(args.Value) > maxValueBytes || len(args.Name) > maxNameLength {
-		return rejected(failure.Oversize, "a value is at most %d bytes, a name %d", maxValueBytes, maxNameLength)
-	}
-	// One form for one value, so that a repeat is known whichever way it came.
+	// Equal values get one encoding, so that a repeat is recognised however it was written.
 	args.Value = operation.Encode(args.Value)
-	if record := space.newestByContent[nameAndValue{args.Name, string(args.Value)}]; record != nil && !record.expired(context.Now, time.Duration(r)) {
+	content := nameAndValue{args.Name, string(args.Value)}
+	if record := space.newestByContent[content]; record != nil && !record.expired(context.Now, time.Duration(r)) {
 		return operation.Result{Body: operation.Encode(record.public()), Decoded: space}
 	}
-	currentRevision := ident.Revision(0)
-	if record := space.currentByName[args.Name]; record != nil {
-		currentRevision = record.revision
-	}
-	if args.IfRevision != nil && *args.IfRevision != currentRevision {
-		result := rejected(failure.Conflict, "the cell is at revision %d", currentRevision)
-		conflicting := uint64(currentRevision)
-		result.Failure.CurrentRevision = &conflicting
-		return result
+	if err := space.checkRevision(args); err != nil {
+		return space.rejected(err)
 	}
 	if space.latest == math.MaxUint64 {
-		return rejected(failure.Exhausted, "no revision is left")
+		return space.rejected(failure.New(failure.Exhausted, "no revision is left"))
 	}
 	record := newPutRecord(args.Name, args.Value, space.latest+1, context.Now)
-	expiredCount, expiredBytes := space.countExpired(context.Now, time.Duration(r))
-	if len(space.records)-expiredCount >= maxPuts || space.encodedBytes-expiredBytes+len(record.encoded) > maxEncodedBytes {
-		result := rejected(failure.Busy, "the group is full: puts come faster than watches may forget them")
-		result.Failure.WithRetryAfter(1)
-		return result
-	}
-	if expiredBytes > 0 && (expiredBytes*compactionFraction >= space.encodedBytes || len(space.records) >= maxPuts || space.encodedBytes+len(record.encoded) > maxEncodedBytes) {
-		space.compact(context.Now, time.Duration(r))
+	if !space.makeRoom(len(record.encoded), context.Now, time.Duration(r)) {
+		return space.rejected(failure.New(failure.Busy, "the keyspace changes too fast: its history is full").WithRetryAfter(fullRetrySeconds))
 	}
 	space.appendRecord(record)
 	return operation.Result{State: space.encode(), Body: operation.Encode(record.public()), Decoded: space}
 }
+
+// checkPut checks the sizes of a put.
+func (a Args) checkPut() *failure.Error {
+	if len(a.Value) == 0 {
+		return failure.New(failure.Invalid, "a put needs a value")
+	}
+	if len(a.Value) > maxValueBytes || len(a.Name) > maxNameLength {
+		return failure.New(failure.Oversize, "a value is at most %d bytes, a name %d", maxValueBytes, maxNameLength)
+	}
+	return nil
+}
--- a/control/coordination/keyspace/group_test.go
+++ b/control/coordination/keyspace/keyspace_test.go
@@ -16,7 +16,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// fixture is a group under one proposer after another, as a term serves it.
+// fixture is a keyspace under one proposer after another, with the decoded form that the
+// proposer retains.
 type fixture struct {
 	value    json.RawMessage
 	decoded  any
@@ -38,8 +39,8 @@
 	return result.Body, result.Failure
 }
 
-func (f *fixture) put(now monotime.Time, name, val string, base ...ident.Revision) (ident.Revision, *failure.Error) {
-	args := keyspace.Args{Name: name, Value: operation.Encode(val)}
+func (f *fixture) put(now monotime.Time, name, value string, base ...ident.Revision) (ident.Revision, *failure.Error) {
+	args := keyspace.Args{Name: name, Value: operation.Encode(value)}
 	if len(base) > 0 {
 		args.IfRevision = &base[0]
 	}
@@ -65,7 +66,7 @@
 
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
-// Keys part at the first dot; what has none is a group of its own.
+// Keys are split at the first dot; one without a dot is a keyspace of its own.
 func TestKeysSplitAtTheFirstDot(t *testing.T) {
 	for key, want := range map[string][2]string{"g1.2d": {"g1.", "2d"}, "a.b.c": {"a.", "b.c"}, "plain": {"plain", ""}, "end.": {"end.", ""}} {
 		prefix, name := keyspace.SplitKey(key)
@@ -74,37 +75,38 @@
 	}
 }
 
-// Puts of all cells share one count; a conflict names the cell's own revision, 0 when it
-// has none; a repeat gets its first revision, fitting or not, also after a new proposer.
-func TestOneCountAndRepeats(t *testing.T) {
+// Puts of all entries share one revision; a conflict returns the entry's own revision, 0 if it
+// does not exist; a repeat gets its first revision, whatever revision it requires, also under
+// a new proposer.
+func TestOneRevisionAndRepeats(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		f := newFixture(0)
 		for i, step := range []struct {
-			name, val string
-			base      []ident.Revision
-			revision  ident.Revision
-			have      int // at a conflict
+			name, value     string
+			ifRevision      []ident.Revision
+			revision        ident.Revision
+			currentRevision int // of the entry at a conflict, else -1
 		}{
 			{"a", "1", []ident.Revision{0}, 1, -1},
 			{"b", "2", nil, 2, -1},
 			{"a", "3", []ident.Revision{0}, 0, 1},
 			{"c", "3", []ident.Revision{7}, 0, 0},
 			{"a", "3", []ident.Revision{1}, 3, -1},
-			{"a", "1", []ident.Revision{0}, 1, -1}, // a repeat of what was overtaken
-			{"a", "3", []ident.Revision{1}, 3, -1}, // a repeat of what is current
+			{"a", "1", []ident.Revision{0}, 1, -1}, // a repeat of a replaced put
+			{"a", "3", []ident.Revision{1}, 3, -1}, // a repeat of the current put
 			{"a", "1", nil, 1, -1},
-			{"b", "1", nil, 4, -1}, // the same value of another cell is none
+			{"b", "1", nil, 4, -1}, // the same value of another entry is no repeat
 			{"a", "<&>", nil, 5, -1},
 			{"a", "<&>", []ident.Revision{9}, 5, -1},
 		} {
 			if newProposer {
 				f.decoded = nil
 			}
-			revision, err := f.put(seconds(2+float64(i)), step.name, step.val, step.base...)
-			if step.have >= 0 {
+			revision, err := f.put(seconds(2+float64(i)), step.name, step.value, step.ifRevision...)
+			if step.currentRevision >= 0 {
 				must.NotNil(t, err, must.Sprint(i))
 				must.Eq(t, failure.Conflict, err.Kind, must.Sprint(i))
-				must.Eq(t, uint64(step.have), *err.CurrentRevision, must.Sprint(i))
+				must.Eq(t, uint64(step.currentRevision), *err.CurrentRevision, must.Sprint(i))
 				continue
 			}
 			must.Nil(t, err, must.Sprint(i))
@@ -118,9 +120,9 @@
 	}
 }
 
-// Watches of every age, over many proposers: one that was given a revision less than the
-// history ago is told every put since, in order; never a gap, however old it is; and the
-// old ones are told that they are too old.
+// Watches of every age, under several proposers: one that received its revision less than the
+// history ago receives every put since, in order; an older one receives all of them or
+// Compacted, never a sequence with a gap.
 func TestWatchesOfEveryAge(t *testing.T) {
 	const history = 20 * time.Second
 	f := newFixture(history)
@@ -162,7 +164,7 @@
 	must.Less(t, 700*40, len(f.value), must.Sprint("the history is not forgotten"))
 }
 
-// What is complete is never told as forgotten: cells that are put once stay, however old.
+// A complete history is never Compacted: entries that were put once stay, however old.
 func TestCompleteHistoryIsNeverForgotten(t *testing.T) {
 	f := newFixture(time.Second)
 	for i := range 50 {
@@ -174,8 +176,8 @@
 	must.Len(t, 49, changes.Events)
 }
 
-// When the history is full, writes are rejected rather than history forgotten, and go
-// on once it is old.
+// While the history is full, puts are rejected rather than history dropped; they are accepted
+// again once it has expired.
 func TestFullHistoryRejectsPuts(t *testing.T) {
 	f := newFixture(0)
 	big := string(make([]byte, 1000))
@@ -197,7 +199,7 @@
 	must.Eq(t, failure.Compacted, err.Kind)
 }
 
-// The kept form changes nothing: the same operations with and without it store the same.
+// The same operations with and without the retained decoded form store the same bytes.
 func TestDecodedFormEqualsTheStoredState(t *testing.T) {
 	withDecoded, withoutDecoded := newFixture(0), newFixture(0)
 	for i := range 300 {
@@ -212,7 +214,7 @@
 	must.Eq(t, string(withDecoded.value), string(withoutDecoded.value))
 }
 
-// Between two forgettings, which are rare, a put changes the end of what is stored alone.
+// Between two compactions, which are rare, a put changes only the end of the stored bytes.
 func TestPutsChangeOnlyTheEnd(t *testing.T) {
 	f := newFixture(20 * time.Second)
 	rewrites := 0
@@ -232,8 +234,8 @@
 	must.Less(t, 800*40, len(f.value))
 }
 
-// What is over but not let go yet is no put that a repeat finds: a cell that goes back to
-// a value it had long ago is put anew, once, and stays so under another proposer.
+// An expired put that is not dropped yet is not taken for a repeat: an entry that returns to
+// a value it had long ago gets a new revision, once, and keeps it under another proposer.
 func TestExpiredValueIsPutAgain(t *testing.T) {
 	f := newFixture(time.Second)
 	for i := range 20 {
@@ -256,7 +258,7 @@
 		must.Eq(t, ident.Revision(23), revision)
 		f.decoded = nil
 	}
-	// The first is let go in the end, and the later one is still known.
+	// The first put is dropped in the end, and the later one is still recognised.
 	for i := range 40 {
 		_, err := f.put(seconds(200+float64(i)), "b", fmt.Sprint(i))
 		must.Nil(t, err)
@@ -268,7 +270,7 @@
 	must.Eq(t, ident.Revision(23), revision)
 }
 
-// The layout of the earlier release, with the count in front, is read.
+// The layout of an earlier release, with the revision in front, is read.
 func TestEarlierLayoutIsRead(t *testing.T) {
 	f := newFixture(0)
 	f.value = json.RawMessage(`{"state":{"n":7,"f":3,"l":[["a","x",2],["b",null,5],["a",{"k":[1]},7]]}}`)
@@ -286,7 +288,7 @@
 	must.Eq(t, `{"state":{"f":3,"l":[["a","x",2],["b",null,5],["a",{"k":[1]},7],["b","y",8]],"n":8}}`, string(f.value))
 }
 
-// A put into a group of 300 cells with 400 past puts; bytes is what is stored.
+// A put into a keyspace of 300 entries with 400 past puts; bytes is the stored size.
 func BenchmarkPut(b *testing.B) {
 	f := newFixture(40 * time.Second)
 	now := seconds(1)
@@ -308,9 +310,9 @@
 	b.ReportMetric(float64(len(f.value)), "bytes")
 }
 
-// A put that was taken is told its own revision again for as long as the history lasts,
-// however many puts came between and under each new proposer. Later it is another put: put
-// anew without a base, turned away with one.
+// A repeat of an accepted put gets the put's revision again for as long as the history lasts,
+// whatever puts came between and under each new proposer. Later it is a new put: accepted
+// without a required revision, rejected with one.
 func TestResendAfterManyPuts(t *testing.T) {
 	const puts, history = 1000, 25 * time.Second
 	f := newFixture(history)
--- a/control/coordination/keyspace/state.go
+++ b/control/coordination/keyspace/state.go
@@ -13,47 +13,26 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// storedState is the state on the disks. Invariants: List is in rising order of revision and
-// holds, as [name, value, revision], each cell's newest put and every put above Gone, so
-// what is current is stored once. Gone is the highest revision that was forgotten; only
-// what another put of its cell has followed is forgotten, and only when this term has
-// seen it grow older than the history. Between two forgettings a put changes the end of
-// what is stored alone, so that it travels as a short patch; Top stands behind the list
-// for that. The fields may come in any order.
+// storedState is the state on the disks. Invariants: Puts is in order of revision and holds
+// the newest put of each entry and every put above CompactedThrough, the highest revision
+// that was dropped; a put is dropped only when a later one of its entry exists and this term
+// has seen it for longer than the history. Between two compactions a put changes only the end
+// of the encoded state, so that it is sent as a short patch; therefore Latest comes after the
+// list. A reader accepts the fields in any order.
 type storedState struct {
 	CompactedThrough ident.Revision    `json:"f"`
 	Puts             []json.RawMessage `json:"l"`
 	Latest           ident.Revision    `json:"n"`
 }
 
-// compactionFraction is the part of the list that must be over before it is let go: a forgetting
-// writes the list anew, and so has to be rare, and what is over takes room.
+// compactionFraction makes compaction due when one in so many stored bytes has expired:
+// compaction rewrites the list, so it has to be rare, but expired records take space.
 const compactionFraction = 4
 
-// putRecord is one put. Invariant: seen is the time at which this term first knew of it, so
-// it is never younger than it looks; beaten says that another put of its cell followed.
-type putRecord struct {
-	name       string
-	value      json.RawMessage
-	revision   ident.Revision
-	encoded    json.RawMessage // as stored
-	firstSeen  monotime.Time
-	superseded bool
-}
-
-type nameAndValue struct{ name, value string }
-
-func newPutRecord(name string, value json.RawMessage, revision ident.Revision, now monotime.Time) *putRecord {
-	encoded := append(append(json.RawMessage{'['}, operation.Encode(name)...), ',')
-	encoded = append(append(encoded, value...), ',')
-	return &putRecord{name: name, value: value, revision: revision, encoded: append(strconv.AppendUint(encoded, uint64(revision), 10), ']'), firstSeen: now}
-}
-
-func (r *putRecord) public() Put { return Put{r.name, r.value, r.revision} }
-
-// decodedState is the state as a term keeps it between operations. Invariants: now holds the
-// newest put of each cell, known the newest put in list of each cell and value, bytes what
-// the list takes when stored; it changes only together with the value that it is the decoded form of.
+// decodedState is the form of the state that a term retains between operations. Invariants:
+// currentByName holds the newest record of each entry, newestByContent the newest record of
+// each name and value, encodedBytes what the records take when stored; it changes only
+// together with the value that it is the decoded form of.
 type decodedState struct {
 	latest, compactedThrough ident.Revision
 	records                  []*putRecord
@@ -62,81 +41,113 @@
 	encodedBytes             int
 }
 
-// load gives the state as kept, or decodes it, and reads the args.
-func load(context proposer.Context, rawState, raw json.RawMessage) (*decodedState, Args, *failure.Error) {
+// load returns the retained state, or decodes the stored one, and decodes the arguments.
+func load(context proposer.Context, rawState, rawArgs json.RawMessage) (*decodedState, Args, *failure.Error) {
 	var args Args
-	space, ok := context.Decoded.(*decodedState)
-	if ok {
-		return space, args, operation.Decode(nil, raw, nil, &args)
+	if space, ok := context.Decoded.(*decodedState); ok {
+		return space, args, operation.Decode(nil, rawArgs, nil, &args)
 	}
 	var stored storedState
-	if err := operation.Decode(rawState, raw, &stored, &args); err != nil {
+	if err := operation.Decode(rawState, rawArgs, &stored, &args); err != nil {
 		return nil, args, err
 	}
-	space = &decodedState{latest: stored.Latest, compactedThrough: stored.CompactedThrough, currentByName: map[string]*putRecord{}, newestByContent: map[nameAndValue]*putRecord{}}
-	for _, raw := range stored.Puts {
-		record := &putRecord{encoded: raw, firstSeen: context.Now}
-		if err := json.Unmarshal(raw, &[]any{&record.name, &record.value, &record.revision}); err != nil {
-			return nil, args, failure.New(failure.Damaged, "put: %v", err)
-		}
-		if record.value == nil {
-			record.value = json.RawMessage("null")
+	space := &decodedState{
+		latest:           stored.Latest,
+		compactedThrough: stored.CompactedThrough,
+		currentByName:    map[string]*putRecord{},
+		newestByContent:  map[nameAndValue]*putRecord{},
+	}
+	for _, encoded := range stored.Puts {
+		record, err := decodePutRecord(encoded, context.Now)
+		if err != nil {
+			return nil, args, err
 		}
 		space.index(record)
 	}
 	return space, args, nil
 }
 
+// rejected returns the result of an operation that was rejected, and retains the state.
+func (s *decodedState) rejected(err *failure.Error) operation.Result {
+	return operation.Result{Failure: err, Decoded: s}
+}
+
+// checkRevision returns Conflict, with the current revision, if the entry is not at the
+// revision that a put requires.
+func (s *decodedState) checkRevision(args Args) *failure.Error {
+	current := ident.Revision(0)
+	if record := s.currentByName[args.Name]; record != nil {
+		current = record.revision
+	}
+	if args.IfRevision == nil || *args.IfRevision == current {
+		return nil
+	}
+	err := failure.New(failure.Conflict, "the entry is at revision %d", current)
+	conflicting := uint64(current)
+	err.CurrentRevision = &conflicting
+	return err
+}
+
+// index adds a record, whose revision is the highest.
 func (s *decodedState) index(record *putRecord) {
 	s.records = append(s.records, record)
 	if previous := s.currentByName[record.name]; previous != nil {
 		previous.superseded = true
 	}
-	s.currentByName[record.name], s.newestByContent[nameAndValue{record.name, string(record.value)}] = record, record
-	s.encodedBytes += len(record.encoded) + 1
+	s.currentByName[record.name] = record
+	s.newestByContent[record.content()] = record
+	s.encodedBytes += record.storedBytes()
 }
 
+// appendRecord adds the record of a new put.
 func (s *decodedState) appendRecord(record *putRecord) {
 	s.latest = record.revision
 	s.index(record)
 }
 
-// expired tells whether a put may be forgotten; whether it has been yet is nobody's matter but
-// that of watches, which are told more while it has not.
-func (r *putRecord) expired(now monotime.Time, age time.Duration) bool {
-	return r.superseded && now.Since(r.firstSeen) > age
+// makeRoom reports whether a record of some bytes fits, and compacts if that is due.
+func (s *decodedState) makeRoom(recordBytes int, now monotime.Time, age time.Duration) bool {
+	expiredCount, expiredBytes := s.countExpired(now, age)
+	if len(s.records)-expiredCount >= maxPuts || s.encodedBytes-expiredBytes+recordBytes > maxEncodedBytes {
+		return false
+	}
+	full := len(s.records) >= maxPuts || s.encodedBytes+recordBytes > maxEncodedBytes
+	if expiredBytes > 0 && (full || expiredBytes*compactionFraction >= s.encodedBytes) {
+		s.compact(now, age)
+	}
+	return true
 }
 
-// countExpired counts what may be forgotten, with its bytes.
+// countExpired returns the number of the records that may be dropped and what they take.
 func (s *decodedState) countExpired(now monotime.Time, age time.Duration) (count, bytes int) {
 	for _, record := range s.records {
 		if now.Since(record.firstSeen) <= age {
-			break
+			break // firstSeen rises with the revision
 		}
 		if record.superseded {
 			count++
-			bytes += len(record.encoded) + 1
+			bytes += record.storedBytes()
 		}
 	}
-	return
+	return count, bytes
 }
 
-// compact lets go of all that may be forgotten.
+// compact drops all records that may be dropped.
 func (s *decodedState) compact(now monotime.Time, age time.Duration) {
 	s.records = slices.DeleteFunc(s.records, func(record *putRecord) bool {
 		if !record.expired(now, age) {
 			return false
 		}
 		s.compactedThrough = max(s.compactedThrough, record.revision)
-		s.encodedBytes -= len(record.encoded) + 1
-		if content := (nameAndValue{record.name, string(record.value)}); s.newestByContent[content] == record {
+		s.encodedBytes -= record.storedBytes()
+		if content := record.content(); s.newestByContent[content] == record {
 			delete(s.newestByContent, content)
 		}
 		return true
 	})
 }
 
-// recordsAfter gives the puts above a revision.
+// recordsAfter returns the records above a revision.
 func (s *decodedState) recordsAfter(revision ident.Revision) []*putRecord {
 	first, _ := slices.BinarySearchFunc(s.records, revision, func(record *putRecord, revision ident.Revision) int {
 		if record.revision <= revision {
@@ -147,8 +158,10 @@
 	return s.records[first:]
 }
 
+// encode returns the stored form, in the layout of storedState.
 func (s *decodedState) encode() json.RawMessage {
-	out := make(json.RawMessage, 0, s.encodedBytes+64)
+	const overhead = 64 // of the names and the two revisions
+	out := make(json.RawMessage, 0, s.encodedBytes+overhead)
 	out = strconv.AppendUint(append(out, `{"f":`...), uint64(s.compactedThrough), 10)
 	out = append(out, `,"l":[`...)
 	for i, record := range s.records {
--- a/control/coordination/keyvalue/key_test.go
+++ b/control/coordination/keyvalue/keyvalue_test.go
@@ -17,6 +17,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// fixture is a key under one proposer after another.
 type fixture struct {
 	value      json.RawMessage
 	revision   ident.Revision
@@ -37,14 +38,14 @@
 
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
-// A watcher that comes back within a minute is told every change, also when proposers
-// changed meanwhile; later it is told that its place is forgotten, never a gap.
+// A watcher that returns within a minute receives every change, also across changes of the
+// proposer; a later one gets Compacted, and never a sequence with a gap.
 func TestHistoryOutlivesProposers(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	cursor := watch.Cursor{"k": 0}
 	for i := range 300 {
 		now := 1 + float64(i)
-		if i%70 == 69 { // a new proposer, which knows no times
+		if i%70 == 69 { // a new proposer, whose term remembers nothing
 			f.termBegan, f.termMemory = seconds(now), map[string]monotime.Time{}
 		}
 		_, err := f.apply(seconds(now), "key/write", keyvalue.Args{Value: json.RawMessage(fmt.Sprint(i))})
@@ -68,8 +69,7 @@
 	must.Eq(t, failure.Compacted, err.Kind)
 }
 
-// When changes come faster than they may be forgotten, writes are rejected; the
-// history is not.
+// When changes come faster than they expire, writes are rejected rather than history dropped.
 func TestFullHistoryRejectsWrites(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	big, _ := json.Marshal(string(make([]byte, 5000)))
@@ -89,7 +89,7 @@
 	must.Nil(t, err)
 }
 
-// Revisions go on over a delete; ifRevision 0 means that the key must not exist.
+// Revisions continue after a delete; ifRevision 0 means that the key must not exist.
 func TestRevisionsContinueAfterADelete(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	none, three := ident.Revision(0), ident.Revision(3)
--- a/control/coordination/lock/batch_test.go
+++ b/control/coordination/lock/batch_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// singleReplica is a proposer with one disk; what it asks is answered when flush is called, so that
-// operations which come meanwhile share the next round.
+// singleReplica is a proposer with one acceptor. Its requests are answered when flush is
+// called, so that operations which arrive meanwhile share the next round.
 type singleReplica struct {
 	proposer *proposer.Proposer
 	acceptor *acceptor.Acceptor
@@ -52,10 +52,9 @@
 	r.collect(r.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: kind, Op: ident.OperationID(fmt.Sprint(now, kind, args)), Args: operation.Encode(args)}))
 }
 
-// Claims, renewals and releases of three callers share one round, in every order, after
-// the lock was free or its claim had run out long before: one caller at most is told that
-// it holds the lock, or the holders before it let go in that very round. Found by a fleet:
-// l10 held by app3 (fence 7) and app0 (fence 8).
+// Acquires of three callers share one round, in every order, after the lock was released or
+// its lease had expired long before: one caller is granted the lock. This failed in a test
+// with real processes: one lock was held under the fencing tokens 7 and 8 at once.
 func TestOneRoundGrantsOneHolder(t *testing.T) {
 	for _, free := range []bool{true, false} {
 		for n := range 27 {
@@ -67,7 +66,7 @@
 				replica.flush(now)
 			}
 			now = seconds(30)
-			replica.submit(now, "lock/read", Args{}) // this round is out while the claims come
+			replica.submit(now, "lock/read", Args{}) // its round is under way when the acquires arrive
 			replica.outcomes = nil
 			for i, holder := range []int{n % 3, n / 3 % 3, n / 9} {
 				replica.submit(now.Add(time.Duration(i)), "lock/claim", Args{Holder: string(rune('a' + holder)), TTL: 1000})
@@ -80,16 +79,16 @@
 					holders[grant.Holder] = true
 				}
 			}
-			must.Eq(t, 1, len(holders), must.Sprintf("free %v, callers %d: %v were told that they hold it", free, n, holders))
+			must.Eq(t, 1, len(holders), must.Sprintf("free %v, callers %d: %v were granted the lock", free, n, holders))
 		}
 	}
 }
 
-// A release that comes late, from before the holder's last claim, lets nothing go: in
-// every order of a claim, its release, and another claim by the same caller.
+// A release from before the holder's last grant frees nothing: in both orders of the release
+// of a grant and another acquire by the same caller.
 func TestLateReleaseFreesNothing(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		current := &term{began: seconds(1), memory: map[string]monotime.Time{}}
+		current := newTerm(1)
 		first, err := current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 5000})
 		must.Nil(t, err)
 		release := func() {
@@ -105,13 +104,13 @@
 			release()
 		}
 		_, err = current.apply(seconds(2), "lock/claim", Args{Holder: "b", TTL: 5000})
-		must.NotNil(t, err, must.Sprintf("late %v: b holds what a holds", late))
+		must.NotNil(t, err, must.Sprintf("late %v: b was granted the lock that a holds", late))
 	}
 }
 
-// A claim that is repeated under its old operation, as after an unknown outcome, is a claim
-// of now: who counts its time from the repeat is not overtaken, in whatever round of its
-// time the repeat comes.
+// An acquire that is repeated under its old operation ID, as after an unknown outcome, starts
+// the lease at the repeat: a holder that counts from the repeat keeps the lock for its TTL,
+// whenever the repeat arrives.
 func TestRepeatedAcquireHoldsFromTheRepeat(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second} {
 		replica, now := newSingleReplica(seconds(1)), seconds(1)
@@ -124,8 +123,8 @@
 		must.True(t, acquire(now, "a", "op1"))
 		again := now.Add(after)
 		must.True(t, acquire(again, "a", "op1"))
-		must.False(t, acquire(again.Add(4999*time.Millisecond), "b", "op2"), must.Sprintf("repeated after %v: b is granted while a counts on it", after))
+		must.False(t, acquire(again.Add(4999*time.Millisecond), "b", "op2"), must.Sprintf("repeated after %v: b was granted the lock during a's lease", after))
 		must.True(t, acquire(again.Add(6*time.Second), "b", "op3"))
-		must.False(t, acquire(again.Add(7*time.Second), "a", "op1"), must.Sprint("an old grant is told again while b holds"))
+		must.False(t, acquire(again.Add(7*time.Second), "a", "op1"), must.Sprint("an old grant was returned again while b holds the lock"))
 	}
 }
--- a/control/coordination/lock/keep_test.go
+++ b/control/coordination/lock/keep_token_test.go
@@ -13,10 +13,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-func newTerm(at float64) *term { return &term{began: seconds(at), memory: map[string]monotime.Time{}} }
-
-// A claim that keeps gives its holder the very fence with further time, from whatever
-// proposer; once the claim is over it gives a higher one, and so it does to another caller.
+// An acquire with KeepToken extends the holder's lease under the same fencing token, under
+// any proposer; after the end of the lease, and for another caller, the token is higher.
 func TestKeepTokenKeepsTheFencingToken(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		current := newTerm(1)
@@ -32,7 +30,7 @@
 		grant, err = acquire(4, "a")
 		must.Nil(t, err)
 		must.Eq(t, 1, grant.FencingToken)
-		_, err = acquire(8.9, "b") // a counts on it until 9
+		_, err = acquire(8.9, "b") // a relies on its lease until 9
 		must.Eq(t, failure.LockHeld, err.Kind)
 		grant, err = acquire(10.1, "a")
 		must.Nil(t, err)
@@ -43,8 +41,8 @@
 	}
 }
 
-// A lock is held for the whole of its time and free again at most a second after it, from
-// the shortest to the longest.
+// A lock is held for the whole lease and free at most a second after it, from the shortest
+// lease to the longest.
 func TestFreeWithinASecondOfItsEnd(t *testing.T) {
 	for _, ttl := range []int64{50, 1000, 3000, 5000, 30000, 10 * 60 * 1000} {
 		for _, kind := range []string{"lock/claim", "lock/renew"} {
@@ -67,8 +65,8 @@
 	}
 }
 
-// A shorter time under the same fence takes nothing from a longer one that the holder may
-// still count on; it ends with the later of both, also at a new proposer.
+// A shorter lease under the same fencing token does not cut a longer one that the holder may
+// still rely on; the lock is held until the later end, also under a new proposer.
 func TestShorterTTLDoesNotCutTheLonger(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		for _, kind := range []string{"lock/claim", "lock/renew"} {
@@ -85,24 +83,24 @@
 				end = 14
 			}
 			_, err = current.apply(seconds(end-0.1), "lock/claim", Args{Holder: "b", TTL: 1000})
-			must.NotNil(t, err, must.Sprintf("%s moved %v", kind, newProposer))
+			must.NotNil(t, err, must.Sprintf("%s, new proposer %v", kind, newProposer))
 			if !newProposer {
-				// One that goes on longer than both is the only one that counts.
+				// A lease that ends after both replaces them.
 				_, err = current.apply(seconds(10.5), kind, Args{Holder: "a", FencingToken: 1, TTL: 1000, KeepToken: true})
 				must.Nil(t, err)
 				end = 11.5
 			}
 			_, err = current.apply(seconds(end+1.01), "lock/claim", Args{Holder: "b", TTL: 1000})
-			must.Nil(t, err, must.Sprintf("%s moved %v", kind, newProposer))
+			must.Nil(t, err, must.Sprintf("%s, new proposer %v", kind, newProposer))
 		}
 	}
 }
 
-// A release is a read of the grant and an operation that names it. In every order of the two and
-// of its caller's next claim, under the same fence: if the release was begun before the
-// claim, the claim stands.
+// A release may consist of a read and an operation that names the grant which was read. In
+// every order of these with another acquire under the same fencing token: if the read came
+// before the acquire, the lock stays held.
 func TestReleaseOfAnEarlierGrantFreesNothing(t *testing.T) {
-	for _, order := range [][]string{{"read", "release", "claim"}, {"read", "claim", "release"}, {"claim", "read", "release"}} {
+	for _, order := range [][]string{{"read", "release", "acquire"}, {"read", "acquire", "release"}, {"acquire", "read", "release"}} {
 		current := newTerm(1)
 		_, err := current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 5000, KeepToken: true})
 		must.Nil(t, err)
@@ -114,7 +112,7 @@
 			case "read":
 				readGrant, err = current.apply(at, "lock/read", Args{})
 				must.Nil(t, err)
-			case "claim":
+			case "acquire":
 				grant, err := current.apply(at, "lock/claim", Args{Holder: "a", TTL: 5000, KeepToken: true})
 				must.Nil(t, err)
 				token = grant.FencingToken
@@ -124,22 +122,22 @@
 		}
 		grant, err := current.apply(seconds(2), "lock/read", Args{})
 		must.Nil(t, err)
-		must.Eq(t, order[0] != "claim", grant.Held, must.Sprint(order))
+		must.Eq(t, order[0] != "acquire", grant.Held, must.Sprint(order))
 		if grant.Held {
 			must.Eq(t, token, grant.FencingToken)
 		}
 	}
 }
 
-// A operation whose time is over is not begun: a release that waits behind a round until its
-// caller has moved on lets nothing go, and says that it did nothing.
+// An operation is not begun after its deadline: a release that waits for a round beyond its
+// deadline frees nothing, and its outcome says that it was not executed.
 func TestOperationIsNotBegunAfterItsDeadline(t *testing.T) {
 	for _, late := range []time.Duration{0, 899 * time.Millisecond, 901 * time.Millisecond, 1100 * time.Millisecond} {
 		replica, now := newSingleReplica(seconds(1)), seconds(1)
 		replica.submit(now, "lock/claim", Args{Holder: "a", TTL: 5000})
 		replica.flush(now)
 		replica.outcomes = nil
-		replica.submit(now, "lock/read", Args{}) // this round is out while the release waits
+		replica.submit(now, "lock/read", Args{}) // its round is under way while the release waits
 		replica.collect(replica.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: "lock/release", Op: ident.OperationID("op"), Deadline: now.Add(900 * time.Millisecond), Args: operation.Encode(Args{Holder: "a", FencingToken: 1})}))
 		replica.flush(now.Add(late))
 		must.Len(t, 2, replica.outcomes)
--- a/control/coordination/lock/lock_test.go
+++ b/control/coordination/lock/lock_test.go
@@ -13,13 +13,16 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// term is one proposer's hold on the lock's key.
+// term is a lock under one proposer: its stored value, when the term began and what the term
+// remembers.
 type term struct {
 	value  json.RawMessage
 	began  monotime.Time
 	memory map[string]monotime.Time
 }
 
+func newTerm(at float64) *term { return &term{began: seconds(at), memory: map[string]monotime.Time{}} }
+
 func (t *term) apply(now monotime.Time, kind string, args Args) (Grant, *failure.Error) {
 	result := Handlers().Apply(proposer.Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(key string) { t.memory[key] = now }}, t.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
 	if result.Changed {
@@ -32,16 +35,16 @@
 
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
-// A new proposer, which knows of no renewal, waits out the whole claim; then the next
-// holder has a higher fence, and the old one can do nothing any more.
+// A new proposer, which knows of no renewal, waits out the whole lease; then the next holder
+// gets a higher fencing token, and the operations of the old one are rejected.
 func TestNewProposerWaitsOutTheWholeLease(t *testing.T) {
-	current := &term{began: seconds(1), memory: map[string]monotime.Time{}}
+	current := newTerm(1)
 	first, err := current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 5000})
 	must.Nil(t, err)
 	must.Eq(t, 1, first.FencingToken)
 	_, err = current.apply(seconds(5), "lock/renew", Args{Holder: "a", FencingToken: 1})
 	must.Nil(t, err)
-	// Taken over at 5.1: the renewal at 5 must still hold until 10.
+	// A new term begins at 5.1: the renewal at 5 must still hold until 10.
 	current = &term{value: current.value, began: seconds(5.1), memory: map[string]monotime.Time{}}
 	for _, at := range []float64{5.2, 6.5, 10, 10.1, 10.5} {
 		_, err = current.apply(seconds(at), "lock/claim", Args{Holder: "b", TTL: 5000})
@@ -58,9 +61,9 @@
 	}
 }
 
-// Fences rise over release, pass and a holder's own second claim after its end.
+// Fencing tokens rise over a release, a transfer and another acquire by the holder itself.
 func TestFencingTokensOnlyRise(t *testing.T) {
-	current := &term{began: seconds(1), memory: map[string]monotime.Time{}}
+	current := newTerm(1)
 	last := uint64(0)
 	mustRise := func(grant Grant, err *failure.Error) {
 		must.Nil(t, err)
@@ -70,7 +73,7 @@
 	mustRise(current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 1000}))
 	again, err := current.apply(seconds(1.5), "lock/claim", Args{Holder: "a", TTL: 1000})
 	must.Nil(t, err)
-	must.Greater(t, last, again.FencingToken) // a new claim, though it is its own
+	must.Greater(t, last, again.FencingToken) // a new grant, though to the same holder
 	last = again.FencingToken
 	mustRise(current.apply(seconds(9), "lock/claim", Args{Holder: "a", TTL: 1000}))
 	mustRise(current.apply(seconds(9.1), "lock/pass", Args{Holder: "a", FencingToken: last, Successor: "b"}))
--- /dev/null
+++ b/control/coordination/operation/codec.go
@@ -0,0 +1,32 @@
+package operation
+
+import (
+	"encoding/json"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+// Decode decodes the state and the arguments of an operation; either may be empty. A state
+// that cannot be decoded is Damaged, arguments that cannot be decoded are Malformed.
+func Decode(state, args json.RawMessage, stateInto, argsInto any) *failure.Error {
+	if len(state) > 0 {
+		if err := json.Unmarshal(state, stateInto); err != nil {
+			return failure.New(failure.Damaged, "state: %v", err)
+		}
+	}
+	if len(args) > 0 {
+		if err := json.Unmarshal(args, argsInto); err != nil {
+			return failure.New(failure.Malformed, "%v", err)
+		}
+	}
+	return nil
+}
+
+// Encode encodes a value of a type that cannot fail to encode.
+func Encode(v any) json.RawMessage {
+	encoded, err := json.Marshal(v)
+	if err != nil {
+		return json.RawMessage("null")
+	}
+	return encoded
+}
--- a/control/coordination/operation/operation_test.go
+++ b/control/coordination/operation/operation_test.go
@@ -13,8 +13,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// A repeated operation acts once and a loose one again, of which nothing is stored; with
-// and without the form kept from the operation before, the same is stored and said.
+// A repeated operation is executed once; a repeatable one is executed again, and nothing of
+// it is remembered; with and without the retained decoded form the results are the same.
 func TestRepeats(t *testing.T) {
 	for _, keepDecoded := range []bool{false, true} {
 		var value json.RawMessage
--- a/control/coordination/quota/enter.go
+++ b/control/coordination/quota/join.go
@@ -10,46 +10,44 @@
 )
 
 const (
-	// Key is the key that holds the shares and the claims.
-	Key ident.Key = "share"
-	// JoinKind is the operation that gives a batch of nodes their claims and shares at once.
+	// JoinKind is the operation that gives a batch of nodes their lease epochs and shares.
 	JoinKind = "share/enter"
 	// MaxBatch bounds the nodes of one batch.
 	MaxBatch = 256
-	// MaxRunIDBytes bounds the mark of a run, which the state keeps for every node.
+	// MaxRunIDBytes bounds the identifier of a run, which the state holds for every node.
 	MaxRunIDBytes = 32
-	// firstBatchEpoch is where the claims of batches begin: above any number that a release with
-	// a counter for each node has reached.
+	// firstBatchEpoch is where the lease epochs of batches start: above any epoch of a release
+	// that counted them for each node.
 	firstBatchEpoch ident.Epoch = 1 << 20
-	// maxReportedEpoch bounds what a core may say of a claim that it heard of, so that the
-	// numbers never come to an end.
+	// maxReportedEpoch bounds the epochs that a core may report, so that epochs never run out.
 	maxReportedEpoch ident.Epoch = 1 << 62
 )
 
-// Joiner is one node of a batch. A node that enters again under the same mark of its run
-// is given the same claim, however often and at however many cores it asks.
+// Joiner is one node of a batch. A node that joins again with the same run gets the same
+// lease epoch, however often and at however many cores it asks.
 type Joiner struct {
 	Node ident.Node `json:"node"`
-	Run  string     `json:"run,omitempty"`
+	// Run identifies the run of the node's sidecar; empty if it gives none.
+	Run string `json:"run,omitempty"`
 	// Total is as in Args.
 	Total int `json:"total,omitempty"`
-	// KnownEpoch is a claim of this node that the core has heard of; the new one is higher.
+	// KnownEpoch is a lease epoch of this node that the core knows of; the new one is higher.
 	KnownEpoch ident.Epoch `json:"above,omitempty"`
 }
 
-// JoinArgs are those of an enter.
+// JoinArgs are the arguments of a join.
 type JoinArgs struct {
 	Nodes []Joiner `json:"nodes"`
 }
 
-// Joined is the return for one node, in the order of the batch.
+// Joined is the response for one node; the response to a batch holds them in its order.
 type Joined struct {
 	LeaseEpoch ident.Epoch `json:"claim"`
 	Share      Share       `json:"share"`
 }
 
-// join gives each node of a batch a claim above every one that was given before, and its
-// share. The claims are noted first, so that the fair share is that of all of them.
+// join gives each node of a batch a lease epoch above every earlier one, and its share. All
+// nodes are recorded first, so that the fair share is that of all of them.
 func join(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
 	var args JoinArgs
@@ -76,7 +74,7 @@
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(joined)}
 }
 
-// validate tells what is wrong with a batch.
+// validate checks the size of a batch and its nodes.
 func (a JoinArgs) validate() *failure.Error {
 	if len(a.Nodes) == 0 || len(a.Nodes) > MaxBatch {
 		return failure.New(failure.Invalid, "a batch has from 1 to %d nodes", MaxBatch)
@@ -87,7 +85,7 @@
 		case joiner.Node == "":
 			return failure.New(failure.Invalid, "a join needs a node")
 		case len(joiner.Run) > MaxRunIDBytes:
-			return failure.New(failure.Invalid, "the mark of a run has at most %d bytes", MaxRunIDBytes)
+			return failure.New(failure.Invalid, "the identifier of a run has at most %d bytes", MaxRunIDBytes)
 		case seen[joiner.Node]:
 			return failure.New(failure.Invalid, "node %q is twice in a batch", joiner.Node)
 		}
@@ -96,8 +94,8 @@
 	return nil
 }
 
-// highestEpoch is a number that no claim given before is above. A release that does not know
-// Claims may have left it out, so the standing claims are looked at too.
+// highestEpoch returns an epoch that no earlier one is above. A release that does not know
+// HighestEpoch may have dropped it, so the epochs of the nodes count too.
 func (s State) highestEpoch() ident.Epoch {
 	highest := max(s.HighestEpoch, firstBatchEpoch)
 	for _, grant := range s.Nodes {
@@ -106,14 +104,14 @@
 	return highest
 }
 
-// isRepeat tells whether the node holds a claim of this very run, which no core has seen
-// superseded.
+// isRepeat reports whether the node has a lease epoch of this very run, and no core knows of
+// a higher one.
 func (s State) isRepeat(joiner Joiner) bool {
 	grant, known := s.Nodes[joiner.Node]
 	return known && joiner.Run != "" && grant.Run == joiner.Run && grant.LeaseEpoch >= joiner.knownEpoch()
 }
 
-// knownEpoch is Above, unless it is beyond what any claim can be.
+// knownEpoch returns KnownEpoch, 0 if it is higher than any epoch can be.
 func (j Joiner) knownEpoch() ident.Epoch {
 	if j.KnownEpoch > maxReportedEpoch {
 		return 0
@@ -121,7 +119,7 @@
 	return j.KnownEpoch
 }
 
-// assignEpoch gives the node the next claim.
+// assignEpoch gives the node the next lease epoch.
 func (s *State) assignEpoch(joiner Joiner) {
 	s.HighestEpoch = max(s.HighestEpoch, joiner.knownEpoch()) + 1
 	s.record(Args{Node: joiner.Node, LeaseEpoch: s.HighestEpoch, Total: joiner.Total})
--- a/control/coordination/quota/enter_test.go
+++ b/control/coordination/quota/join_test.go
@@ -23,9 +23,9 @@
 	return joined
 }
 
-// Claims rise over every claim that was given before: by batches, by a release with a
-// counter for each node, or as a core has heard; also when a release that does not know
-// the count has left it out.
+// Lease epochs are above every earlier one: of a batch, of a release that counted them for
+// each node, or that a core reports; also if a release that does not know HighestEpoch has
+// dropped it.
 func TestEpochsOfBatchesRise(t *testing.T) {
 	f := &fixture{t: t}
 	f.apply("share/take", Args{Node: "old", LeaseEpoch: 77})
@@ -43,8 +43,8 @@
 	must.Eq(t, 5000003+firstBatchEpoch, f.join(Joiner{Node: "d"})[0].LeaseEpoch)
 }
 
-// A repeat under one mark of a run keeps its claim, until a higher one was heard of; no
-// operation is kept for it, so the state does not grow with batches.
+// A repeated join of one run keeps its lease epoch until a higher one is reported; no past
+// operation is stored for it, so the value does not grow with batches.
 func TestRepeatedJoinKeepsItsEpoch(t *testing.T) {
 	f := &fixture{t: t}
 	firstRun := Joiner{Node: "a", Run: "one"}
@@ -59,8 +59,7 @@
 	must.Len(t, 0, value.PastOperations)
 }
 
-// Nodes of a cold start are granted the fair share of all of them, not the first of them
-// more than the last.
+// Nodes that start together are each granted the fair share of all of them.
 func TestBatchSharesFairly(t *testing.T) {
 	f := &fixture{t: t}
 	var joiners []Joiner
@@ -74,9 +73,9 @@
 	must.Eq(t, 168, sum)
 }
 
-// In any order of batches, takes, promises and frees, of any totals: a grant raises the sum
-// of the shares to no more than the smallest total, only a promise lowers a share, and the
-// claim of a node only rises.
+// In any order of joins, takes, promises and releases, under any totals: a grant raises the
+// sum of the shares to no more than the smallest total, only a promise lowers a share, and
+// the lease epoch of a node only rises.
 func TestBatchesKeepTheTotal(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -119,7 +118,7 @@
 	}
 }
 
-// What is no batch is refused and changes nothing.
+// An invalid batch is rejected and changes nothing.
 func TestInvalidBatchesAreRefused(t *testing.T) {
 	for _, args := range []JoinArgs{{}, {[]Joiner{{}}}, {[]Joiner{{Node: "a"}, {Node: "a"}}}, {make([]Joiner, MaxBatch+1)}, {[]Joiner{{Node: "a", Run: string(make([]byte, MaxRunIDBytes+1))}}}} {
 		result := Handlers().Apply(proposer.Context{}, nil, proposer.Operation{Kind: JoinKind, Args: operation.Encode(args)})
--- a/control/coordination/quota/share_test.go
+++ b/control/coordination/quota/quota_test.go
@@ -13,6 +13,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// fixture is the control key with its stored value.
 type fixture struct {
 	t     *testing.T
 	value json.RawMessage
@@ -37,7 +38,7 @@
 	return s, sum
 }
 
-// Fair shares fit their total, from one node to six hundred.
+// Fair shares sum to no more than their total, from one node to six hundred.
 func TestFairFitsTheTotal(t *testing.T) {
 	for _, total := range []int{-1, 1, 50, 60, 178, 208, 2000} {
 		must.Eq(t, MaxShare(total), FairShare(total, 0))
@@ -50,9 +51,9 @@
 	must.Eq(t, 200, FairShare(2000, 9))
 }
 
-// Cores of two totals serve the same nodes, in any order: no grant brings the sum over the
-// smaller of those that stand, and a node that turns to the core of the larger total
-// changes nothing. Once all have claimed anew under the larger, it rules.
+// Cores with two totals serve the same nodes, in any order: no grant raises the sum above the
+// smallest total of any grant, and a node that moves to the core with the larger total changes
+// nothing. Once all nodes have new lease epochs under the larger total, it rules.
 func TestTheSmallerTotalRules(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -97,7 +98,7 @@
 	}
 }
 
-// A state of a release that knew no totals counts as under the default.
+// A state that was stored by a release without totals counts as under the default one.
 func TestOldStatesUseTheDefaultTotal(t *testing.T) {
 	f := &fixture{t: t, value: json.RawMessage(`{"state":{"nodes":{"a":{"claim":1,"n":6},"b":{"claim":1,"n":6}}}}`)}
 	must.Eq(t, DefaultTotal, f.apply("share/take", Args{Node: "c", LeaseEpoch: 1, Total: 208}).Total)
--- a/control/coordination/sequence/number.go
+++ b/control/coordination/sequence/sequence.go
@@ -1,4 +1,4 @@
-// Package sequence gives rising numbers.
+// Package sequence is the state machine of rising numbers.
 package sequence
 
 import (
@@ -9,38 +9,44 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// State is the state. Invariant: N only rises; a number handed out is never
-// handed out again, even when its return is lost.
+// maxIncrement bounds how far one operation may raise a number.
+const maxIncrement = 1 << 32
+
+// State is the state of a sequence. Invariant: Last only rises; a number that was handed out
+// is never handed out again, even if its response is lost.
 type State struct {
 	Last uint64 `json:"number"`
 }
 
+// args are the arguments of a next.
 type args struct {
 	Increment uint64 `json:"by,omitempty"`
 }
 
-// Handlers are the handlers.
+// Handlers returns the operations of a sequence.
 func Handlers() operation.Table {
 	return operation.Table{"number/next": next, "number/read": read}
 }
 
+// next raises the number by the increment, 1 if none is given.
 func next(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
-	decodedArgs := args{Increment: 1}
-	if err := operation.Decode(rawState, rawArgs, &current, &decodedArgs); err != nil {
+	decoded := args{Increment: 1}
+	if err := operation.Decode(rawState, rawArgs, &current, &decoded); err != nil {
 		return operation.Rejected(err)
 	}
-	if decodedArgs.Increment == 0 || decodedArgs.Increment > 1<<32 || current.Last+decodedArgs.Increment < current.Last {
+	overflow := current.Last+decoded.Increment < current.Last
+	if decoded.Increment == 0 || decoded.Increment > maxIncrement || overflow {
 		return operation.Rejected(failure.New(failure.Invalid, "by must be from 1 to 2^32"))
 	}
-	current.Last += decodedArgs.Increment
+	current.Last += decoded.Increment
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(current)}
 }
 
 func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
-	var decodedArgs args
-	if err := operation.Decode(rawState, rawArgs, &current, &decodedArgs); err != nil {
+	var decoded args
+	if err := operation.Decode(rawState, rawArgs, &current, &decoded); err != nil {
 		return operation.Rejected(err)
 	}
 	return operation.Result{Body: operation.Encode(current)}
--- a/control/coordination/watch/watch.go
+++ b/control/coordination/watch/cursor.go
@@ -1,4 +1,4 @@
-// Package watch works out what a watcher has not yet been told.
+// Package watch tracks what a watcher of keys has seen, and works out what it has not.
 package watch
 
 import (
@@ -11,12 +11,12 @@
 	"cottonarch.example/cottonarch/control/coordination/keyvalue"
 )
 
-// Cursor is where a watcher stands: the revision it has seen of each key. It is
-// opaque outside. Invariant: it names no core, so it holds at any of them, also
-// after restarts and changes of proposer.
+// Cursor is the position of a watcher: the newest revision it has seen of each key. Its
+// encoded form is opaque to clients. Invariant: it names no core, so it is valid at all of
+// them, also after restarts and changes of the proposer.
 type Cursor map[ident.Key]ident.Revision
 
-// Encode makes the opaque form.
+// Encode returns the opaque form.
 func (c Cursor) Encode() string {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// Decode reads the opaque form.
+// Decode reads the opaque form; an empty text is the cursor of a new watcher.
 func Decode(encoded string) (Cursor, *failure.Error) {
 	cursor := Cursor{}
 	if encoded == "" {
@@ -36,18 +36,18 @@
 		err = json.Unmarshal(raw, &cursor)
 	}
 	if err != nil {
-		return nil, failure.New(failure.Malformed, "that is not a place of ours")
+		return nil, failure.New(failure.Malformed, "the watch position is malformed")
 	}
 	return cursor, nil
 }
 
-// Event is one change told to a watcher.
+// Event is one change that a watcher receives.
 type Event struct {
 	Key ident.Key `json:"key"`
 	keyvalue.Change
 }
 
-// Behind lists, in order, the keys whose revision is above the watcher's place.
+// Behind returns, in order, the keys whose revision is newer than the watcher has seen.
 func (c Cursor) Behind(revisions map[ident.Key]ident.Revision) []ident.Key {
 	var behind []ident.Key
 	for key, revision := range revisions {
@@ -59,12 +59,13 @@
 	return behind
 }
 
-// Advance makes events of a reading and moves the place on. A Forgotten failure says
-// that changes were missed; the history is kept so that this takes over a minute.
+// Advance returns the events that a read of a key yields and moves the cursor to the last.
+// Compacted says that changes were missed, which takes a watcher that did not return for
+// keyvalue.MinHistory.
 func (c Cursor) Advance(key ident.Key, response keyvalue.Response) ([]Event, *failure.Error) {
 	if response.Truncated {
 		if _, known := c[key]; known {
-			return nil, failure.New(failure.Compacted, "changes of %s after revision %d are forgotten", key, c[key])
+			return nil, failure.New(failure.Compacted, "changes of %s after revision %d are no longer known", key, c[key])
 		}
 	}
 	var events []Event
--- /dev/null
+++ b/control/rollout/reconcile/operations.go
@@ -0,0 +1,47 @@
+package reconcile
+
+import (
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/rollout/state"
+)
+
+// configPatch is a merge patch of the destinations of routes, by name.
+type configPatch struct {
+	Routes map[string]routePatch `json:"ways"`
+}
+
+// routePatch sets the services of a route; without a split, all requests go to Service.
+type routePatch struct {
+	Service string         `json:"service"`
+	Split   map[string]int `json:"split"` // percentages by service; null removes the split
+}
+
+// transition returns the operation that moves a rollout to another step and phase.
+func transition(rollout state.Rollout, next state.Phase, step int, reason string) proposer.Operation {
+	return proposer.Operation{Key: state.Key(rollout.Route), Kind: "rollout/move", Args: operation.Encode(state.Transition{
+		Generation: rollout.Generation,
+		Step:       rollout.Step,
+		Phase:      rollout.Phase,
+		NextStep:   step,
+		NextPhase:  next,
+		Reason:     reason,
+	})}
+}
+
+// proposeShare returns the operation that sends a percentage of the route to the new service.
+// It builds on the revision that was examined, so it never overwrites a concurrent change.
+func proposeShare(rollout state.Rollout, config *validation.Config, percent int) proposer.Operation {
+	patch := routePatch{Service: string(rollout.From)}
+	switch {
+	case percent == 100:
+		patch.Service = string(rollout.To)
+	case percent > 0:
+		patch.Split = map[string]int{string(rollout.To): percent}
+	}
+	base := config.Revision
+	body := operation.Encode(configPatch{map[string]routePatch{rollout.Route: patch}})
+	return proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(proposal.Args{Partial: true, BaseRevision: &base, Body: body})}
+}
--- /dev/null
+++ b/control/rollout/state/rollout.go
@@ -0,0 +1,159 @@
+// Package state is the state machine of rollouts, which move a route from one service to
+// another in steps: one control key for each route.
+package state
+
+import (
+	"encoding/json"
+	"slices"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+)
+
+// Prefix is the common prefix of the control keys.
+const Prefix = "rollout/"
+
+// What a rollout has where its request gives no value, and the bounds of the values.
+const (
+	defaultStepSeconds     = 10
+	defaultMaxFailureRatio = 0.05
+	minStepSeconds         = 0.5
+	maxStepSeconds         = 86400
+	maxSteps               = 50
+)
+
+var defaultSteps = []int{5, 25, 50, 100}
+
+// Key returns the control key of a route's rollout.
+func Key(route string) ident.Key { return ident.Key(Prefix + route) }
+
+// Phase is the phase of a rollout.
+type Phase string
+
+// The phases. Done and RolledBack are final until a new rollout starts.
+const (
+	Running     Phase = "running"
+	RollingBack Phase = "backing"
+	Done        Phase = "done"
+	RolledBack  Phase = "back"
+)
+
+// nextPhases lists which phases may follow a phase.
+var nextPhases = map[Phase][]Phase{Running: {Running, RollingBack, Done}, RollingBack: {RolledBack}}
+
+// Rollout is the state of the newest rollout of a route. Invariants: Steps rise and end with
+// 100; Step only rises while the phase is Running; every transition names the step and the
+// phase that it builds on, so that two cores which both believe that they drive the rollout
+// cannot both make it.
+type Rollout struct {
+	Route string        `json:"way"`
+	From  ident.Service `json:"from"`
+	To    ident.Service `json:"to"`
+	// Steps are the percentages of requests that go to To, one after the other.
+	Steps []int `json:"steps"`
+	// StepSeconds is how long a step lasts at least.
+	StepSeconds float64 `json:"stepS"`
+	// MaxFailureRatio is the part of failed calls above which the rollout is rolled back.
+	MaxFailureRatio float64 `json:"mostDefects"`
+	// Step is the index of the current step.
+	Step  int   `json:"at"`
+	Phase Phase `json:"phase"`
+	// Reason says why the rollout was rolled back.
+	Reason string `json:"why,omitempty"`
+	// Generation counts the rollouts of the route.
+	Generation uint64 `json:"round"`
+}
+
+// Transition is a change of a rollout under way: from a step and a phase to others.
+type Transition struct {
+	Generation uint64 `json:"round"`
+	Step       int    `json:"at"`
+	Phase      Phase  `json:"phase"`
+	NextStep   int    `json:"nextAt"`
+	NextPhase  Phase  `json:"nextPhase"`
+	Reason     string `json:"why,omitempty"`
+}
+
+// Handlers returns the operations of a rollout.
+func Handlers() operation.Table {
+	return operation.Table{"rollout/begin": start, "rollout/move": applyTransition, "rollout/read": read}
+}
+
+// start starts a rollout unless one is under way.
+func start(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
+	var current, requested Rollout
+	if err := operation.Decode(rawState, rawArgs, &current, &requested); err != nil {
+		return operation.Rejected(err)
+	}
+	if current.Phase == Running || current.Phase == RollingBack {
+		return operation.Rejected(failure.New(failure.Conflict, "a rollout of %q is %s", current.Route, current.Phase))
+	}
+	requested.setDefaults()
+	if err := requested.validate(); err != nil {
+		return operation.Rejected(err)
+	}
+	requested.Step, requested.Phase, requested.Reason, requested.Generation = 0, Running, "", current.Generation+1
+	return operation.Result{State: operation.Encode(requested), Body: operation.Encode(requested)}
+}
+
+func (r *Rollout) setDefaults() {
+	if len(r.Steps) == 0 {
+		r.Steps = slices.Clone(defaultSteps)
+	}
+	if r.StepSeconds == 0 {
+		r.StepSeconds = defaultStepSeconds
+	}
+	if r.MaxFailureRatio == 0 {
+		r.MaxFailureRatio = defaultMaxFailureRatio
+	}
+}
+
+func (r *Rollout) validate() *failure.Error {
+	rising := slices.IsSorted(r.Steps) && len(slices.Compact(slices.Clone(r.Steps))) == len(r.Steps)
+	if !rising || r.Steps[0] < 1 || r.Steps[len(r.Steps)-1] != 100 || len(r.Steps) > maxSteps {
+		return failure.New(failure.Invalid, "steps must rise from 1 at least to 100")
+	}
+	servicesValid := r.From != "" && r.To != "" && r.From != r.To
+	stepSecondsValid := r.StepSeconds >= minStepSeconds && r.StepSeconds <= maxStepSeconds
+	ratioValid := r.MaxFailureRatio >= 0 && r.MaxFailureRatio <= 1
+	if r.Route == "" || !servicesValid || !stepSecondsValid || !ratioValid {
+		return failure.New(failure.Invalid, "a rollout needs a route, a service other than the route's, stepS from 0.5 to 86400 and mostDefects from 0 to 1")
+	}
+	return nil
+}
+
+// applyTransition moves a rollout on if it is at the step and in the phase that the
+// transition builds on.
+func applyTransition(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
+	var current Rollout
+	var transition Transition
+	if err := operation.Decode(rawState, rawArgs, &current, &transition); err != nil {
+		return operation.Rejected(err)
+	}
+	if current.Generation != transition.Generation || current.Step != transition.Step || current.Phase != transition.Phase {
+		return operation.Rejected(failure.New(failure.Conflict, "the rollout is at step %d, %s", current.Step, current.Phase))
+	}
+	phaseAllowed := slices.Contains(nextPhases[current.Phase], transition.NextPhase)
+	if !phaseAllowed || transition.NextStep < current.Step || transition.NextStep >= len(current.Steps) {
+		return operation.Rejected(failure.New(failure.Invalid, "no transition from %s to %s", current.Phase, transition.NextPhase))
+	}
+	current.Step, current.Phase = transition.NextStep, transition.NextPhase
+	if transition.Reason != "" {
+		current.Reason = transition.Reason
+	}
+	return operation.Result{State: operation.Encode(current), Body: operation.Encode(current)}
+}
+
+func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
+	var current Rollout
+	var noArgs struct{}
+	if err := operation.Decode(rawState, rawArgs, &current, &noArgs); err != nil {
+		return operation.Rejected(err)
+	}
+	if current.Route == "" {
+		return operation.Rejected(failure.New(failure.NotFound, "there was no rollout"))
+	}
+	return operation.Result{Body: operation.Encode(current)}
+}
