--- a/control/rollout/reconcile/reconciler.go
+++ b/control/rollout/reconcile/reconciler.go
@@ -16,6 +16,12 @@
 // minCalls is how many calls must have ended before a step is judged.
 const minCalls = 20
 
+// The reasons for rolling back. They are stored with the rollout, so their text is kept.
+const (
+	reasonRemoved  = "the way or the service is no more in the manifest"
+	reasonFailures = "%d of %d calls ended in a defect at %d%%"
+)
+
 // CallCounts counts the calls of a service that have ended, and those that failed.
 type CallCounts struct {
 	Total  uint64 `json:"all"`
@@ -58,7 +64,7 @@
 		return r.rollBack(rollout, route, config), true
 	}
 	if route == nil || config.Services[rollout.To].Hostname == "" {
-		return transition(rollout, state.RollingBack, rollout.Step, "the route or the service is no longer in the configuration"), true
+		return transition(rollout, state.RollingBack, rollout.Step, reasonRemoved), true
 	}
 	percent := rollout.Steps[rollout.Step]
 	if shareOfTarget(route, rollout) != percent*validation.OnePercent {
@@ -82,7 +88,7 @@
 		return proposer.Operation{}, false
 	}
 	if ended.Total >= minCalls && float64(ended.Failed) > rollout.MaxFailureRatio*float64(ended.Total) {
-		reason := fmt.Sprintf("%d of %d calls ended in a defect at %d%%", ended.Failed, ended.Total, rollout.Steps[rollout.Step])
+		reason := fmt.Sprintf(reasonFailures, ended.Failed, ended.Total, rollout.Steps[rollout.Step])
 		return transition(rollout, state.RollingBack, rollout.Step, reason), true
 	}
 	stepTime := time.Duration(rollout.StepSeconds * float64(time.Second))
--- /dev/null
+++ b/daemon/api/coordination/entries.go
@@ -0,0 +1,164 @@
+package coordination
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/keyspace"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/daemon/core"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// stoppingRetrySeconds is when to retry a watch that a stopping core ended.
+const stoppingRetrySeconds = 1
+
+// Entry is an entry of a keyspace under its whole key.
+type Entry struct {
+	Name     string          `json:"name"`
+	Value    json.RawMessage `json:"value"`
+	Revision ident.Revision  `json:"revision"`
+}
+
+// Changes is the response to a watch of a keyspace: the puts after the requested revision, up
+// to Revision.
+type Changes struct {
+	Events   []Entry        `json:"events"`
+	Revision ident.Revision `json:"revision"`
+}
+
+// Put sets the value of an entry. It fails with Conflict, which has the entry's revision, with
+// Invalid, Oversize or Busy, and as core.Execute does.
+func Put(ctx context.Context, c *core.Core, key string, value json.RawMessage, ifRevision *ident.Revision, budget time.Duration) (Entry, *failure.Error) {
+	return executeOnEntry(ctx, c, key, "group/put", keyspace.Args{Value: value, IfRevision: ifRevision}, budget)
+}
+
+// Get returns an entry, no older than any put that was confirmed before the call. It fails
+// with NotFound if the entry does not exist, and as core.Execute does.
+func Get(ctx context.Context, c *core.Core, key string, budget time.Duration) (Entry, *failure.Error) {
+	return executeOnEntry(ctx, c, key, "group/read", keyspace.Args{}, budget)
+}
+
+func executeOnEntry(ctx context.Context, c *core.Core, key, kind string, args keyspace.Args, budget time.Duration) (Entry, *failure.Error) {
+	space, name := keyspace.SplitKey(key)
+	args.Name = name
+	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(space), Kind: kind, Args: operation.Encode(args)}, budget)
+	if result.Failure != nil {
+		return Entry{}, result.Failure
+	}
+	var put keyspace.Put
+	if err := json.Unmarshal(result.Body, &put); err != nil {
+		return Entry{}, failure.NewUnknown(failure.Damaged, "entry: %v", err)
+	}
+	return Entry{key, put.Value, put.Revision}, nil
+}
+
+// Watch waits for puts of a keyspace after a revision, for at most wait; after 0 returns the
+// current revision at once. Each read takes at most budget and is no older than its beginning;
+// the response at the end of the wait is older by at most one read and one poll interval. It
+// fails with Compacted or Stopping, and as core.Execute does; it never changes anything.
+func Watch(ctx context.Context, c *core.Core, name string, after ident.Revision, wait, budget time.Duration) (Changes, *failure.Error) {
+	deadline := time.NewTimer(wait)
+	defer deadline.Stop()
+	for {
+		// The signal is taken before the read, so that no change between them is missed.
+		changed := c.KeyChanged(keyspace.ControlKey(name))
+		changes, err := changesAfter(ctx, c, name, after, budget)
+		if err != nil {
+			return Changes{}, err
+		}
+		if after == 0 || len(changes.Events) > 0 {
+			return changes, nil
+		}
+		switch awaitChange(ctx, c, changed, deadline.C) {
+		case wakeRead:
+		case wakeDeadline:
+			return changes, nil
+		case wakeStopping:
+			return Changes{}, failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetrySeconds)
+		case wakeCanceled:
+			return Changes{}, failure.New(failure.DeadlineExceeded, "the client is gone")
+		}
+	}
+}
+
+// changesAfter reads the puts of a keyspace after a revision, none if it is 0.
+func changesAfter(ctx context.Context, c *core.Core, name string, after ident.Revision, budget time.Duration) (Changes, *failure.Error) {
+	var args keyspace.Args
+	if after > 0 {
+		args.After = &after
+	}
+	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(name), Kind: "group/since", Args: operation.Encode(args)}, budget)
+	if result.Failure != nil {
+		return Changes{}, result.Failure
+	}
+	var decoded keyspace.Changes
+	if err := json.Unmarshal(result.Body, &decoded); err != nil {
+		return Changes{}, failure.New(failure.Damaged, "changes: %v", err)
+	}
+	changes := Changes{Events: make([]Entry, len(decoded.Events)), Revision: decoded.Revision}
+	for i, put := range decoded.Events {
+		changes.Events[i] = Entry{name + put.Name, put.Value, put.Revision}
+	}
+	return changes, nil
+}
+
+func (h handlers) getEntry(w http.ResponseWriter, r *http.Request) {
+	key, err := PathName(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	entry, err := Get(r.Context(), h.core, key, requestTimeout)
+	respond(w, entry, err)
+}
+
+// putEntry sets the value of an entry to the body.
+func (h handlers) putEntry(w http.ResponseWriter, r *http.Request) {
+	key, err := PathName(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	value, err := readJSON(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	required, err := ifRevision(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	entry, err := Put(r.Context(), h.core, key, value, required, requestTimeout)
+	respond(w, entry, err)
+}
+
+func (h handlers) watchKeyspace(w http.ResponseWriter, r *http.Request) {
+	name, err := PathName(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	after, wait, err := WatchQuery(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	changes, err := Watch(r.Context(), h.core, name, after, wait, requestTimeout)
+	respond(w, changes, err)
+}
+
+// respond sends a value, or the failure if there is one.
+func respond(w http.ResponseWriter, value any, err *failure.Error) {
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	response.JSON(w, http.StatusOK, value)
+}
--- /dev/null
+++ b/daemon/api/coordination/keys.go
@@ -0,0 +1,118 @@
+package coordination
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strings"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/keyvalue"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/register/quorumread"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+const (
+	// keyPrefix begins the control keys of the applications' keys.
+	keyPrefix = "key/"
+	// maxListedKeys bounds the keys of a list and of a watch.
+	maxListedKeys = 10000
+)
+
+// ListedKey is one key of a list.
+type ListedKey struct {
+	Key ident.Key `json:"key"`
+	keyvalue.Response
+}
+
+// keyList is the response to a list of keys.
+type keyList struct {
+	Keys []ListedKey `json:"keys"`
+}
+
+// writeKey sets the value of a key to the body.
+func (h handlers) writeKey(w http.ResponseWriter, r *http.Request) {
+	value, err := readJSON(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	required, err := ifRevision(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	h.execute(w, r, "key", "write", keyvalue.Args{Value: value, IfRevision: required})
+}
+
+func (h handlers) removeKey(w http.ResponseWriter, r *http.Request) {
+	required, err := ifRevision(r)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	h.execute(w, r, "key", "delete", keyvalue.Args{IfRevision: required})
+}
+
+// listKeys responds with all keys below a prefix, in order, from a quorum read.
+func (h handlers) listKeys(w http.ResponseWriter, r *http.Request) {
+	result := h.core.QuorumRead(r.Context(), keyPrefix+r.URL.Query().Get("prefix"), true, requestTimeout)
+	if result.Failure != nil {
+		response.Defect(w, result.Failure)
+		return
+	}
+	listed := []ListedKey{}
+	for controlKey, found := range result.Found {
+		current, err := h.currentValue(r.Context(), controlKey, found)
+		if err != nil {
+			response.Defect(w, err)
+			return
+		}
+		if !current.Deleted {
+			listed = append(listed, ListedKey{Key: controlKey[len(keyPrefix):], Response: current})
+		}
+	}
+	if len(listed) > maxListedKeys {
+		response.Defect(w, tooManyKeys())
+		return
+	}
+	slices.SortFunc(listed, func(a, b ListedKey) int { return strings.Compare(string(a.Key), string(b.Key)) })
+	response.JSON(w, http.StatusOK, keyList{listed})
+}
+
+// currentValue returns the value of a key from a quorum read, or through the key's proposer
+// if the majority does not agree on it.
+func (h handlers) currentValue(ctx context.Context, controlKey ident.Key, found quorumread.Entry) (keyvalue.Response, *failure.Error) {
+	if !found.Agreed {
+		return h.readThroughProposer(ctx, controlKey, nil)
+	}
+	var current keyvalue.State
+	if rawState := operation.State(found.Record.Value); len(rawState) > 0 {
+		if err := json.Unmarshal(rawState, &current); err != nil {
+			return keyvalue.Response{}, failure.New(failure.Damaged, "key %s: %v", controlKey, err)
+		}
+	}
+	latest := current.Latest()
+	return keyvalue.Response{Revision: latest.Revision, Value: latest.Value, Deleted: latest.Deleted}, nil
+}
+
+// readThroughProposer reads a key, with its changes after a revision if one is given.
+func (h handlers) readThroughProposer(ctx context.Context, controlKey ident.Key, since *ident.Revision) (keyvalue.Response, *failure.Error) {
+	result := h.core.Execute(ctx, proposer.Operation{Key: controlKey, Kind: "key/read", Args: operation.Encode(keyvalue.Args{Since: since})}, requestTimeout)
+	if result.Failure != nil {
+		return keyvalue.Response{}, result.Failure
+	}
+	var current keyvalue.Response
+	if err := json.Unmarshal(result.Body, &current); err != nil {
+		return keyvalue.Response{}, failure.New(failure.Damaged, "key %s: %v", controlKey, err)
+	}
+	return current, nil
+}
+
+func tooManyKeys() *failure.Error {
+	return failure.New(failure.Oversize, "more than %d keys: name a longer prefix", maxListedKeys)
+}
--- /dev/null
+++ b/daemon/api/operator/config.go
@@ -0,0 +1,103 @@
+package operator
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// maxBodyBytes leaves room for white space around a configuration of the largest size.
+const maxBodyBytes = validation.MaxBytes + 64<<10
+
+// proposeConfig proposes the body as the whole configuration.
+func (h handlers) proposeConfig(w http.ResponseWriter, r *http.Request) { h.propose(w, r, false) }
+
+// patchConfig proposes the body as a merge patch of the configuration.
+func (h handlers) patchConfig(w http.ResponseWriter, r *http.Request) { h.propose(w, r, true) }
+
+// propose proposes a configuration or a merge patch and responds with its revision. baseEpoch
+// in the query may name the revision that it builds on; Idempotency-Key makes a repeat
+// harmless.
+func (h handlers) propose(w http.ResponseWriter, r *http.Request, isPatch bool) {
+	args, err := readProposal(r, isPatch)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	result := h.core.Execute(r.Context(), proposer.Operation{
+		Key:  proposal.Key,
+		Kind: "manifest/offer",
+		Op:   ident.OperationID(args.OperationID),
+		Args: operation.Encode(args),
+	}, requestTimeout)
+	if result.Failure != nil {
+		h.core.Metrics.Add("manifests_turned_away", 1)
+		response.Defect(w, result.Failure)
+		return
+	}
+	h.core.Metrics.Add("manifests_taken", 1)
+	response.JSON(w, http.StatusOK, json.RawMessage(result.Body))
+}
+
+// readProposal reads a proposal from a request. What is invalid whatever configuration is in
+// force is rejected here, before it costs a round of messages.
+func readProposal(r *http.Request, isPatch bool) (proposal.Args, *failure.Error) {
+	body, err := response.Read(r, maxBodyBytes)
+	if err != nil {
+		return proposal.Args{}, err
+	}
+	base, err := baseRevision(r)
+	if err != nil {
+		return proposal.Args{}, err
+	}
+	document, err := decode.Parse(body)
+	if err == nil && !isPatch {
+		_, err = validation.Strict(document)
+	}
+	if err != nil {
+		return proposal.Args{}, err
+	}
+	return proposal.Args{
+		Partial:      isPatch,
+		BaseRevision: base,
+		OperationID:  r.Header.Get("Idempotency-Key"),
+		Body:         operation.Encode(document),
+	}, nil
+}
+
+// baseRevision returns the revision that a proposal builds on, nil if it names none.
+func baseRevision(r *http.Request) (*ident.Epoch, *failure.Error) {
+	text := r.URL.Query().Get("baseEpoch")
+	if text == "" {
+		return nil, nil
+	}
+	number, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return nil, failure.New(failure.Malformed, "baseEpoch is no whole number")
+	}
+	revision := ident.Epoch(number)
+	return &revision, nil
+}
+
+// readConfig responds with the configuration in force, read through its proposer.
+func (h handlers) readConfig(w http.ResponseWriter, r *http.Request) {
+	config, err := h.core.NewestConfig(r.Context(), requestTimeout)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	if config.Revision == 0 {
+		response.Defect(w, failure.New(failure.NotFound, "there is no configuration yet"))
+		return
+	}
+	response.JSON(w, http.StatusOK, config.State)
+}
--- /dev/null
+++ b/daemon/api/operator/rollouts.go
@@ -0,0 +1,68 @@
+package operator
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	rollout "cottonarch.example/cottonarch/control/rollout/state"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// maxRolloutBytes bounds the body that starts a rollout.
+const maxRolloutBytes = 64 << 10
+
+// readRollout responds with the newest rollout of a route.
+func (h handlers) readRollout(w http.ResponseWriter, r *http.Request) {
+	h.execute(w, r, proposer.Operation{Key: rollout.Key(routeName(r)), Kind: "rollout/read"})
+}
+
+// startRollout starts a rollout of a route from its service to another one.
+func (h handlers) startRollout(w http.ResponseWriter, r *http.Request) {
+	var requested rollout.Rollout
+	if err := response.Decode(r, maxRolloutBytes, &requested); err != nil {
+		response.Defect(w, err)
+		return
+	}
+	requested.Route = routeName(r)
+	config, err := h.core.NewestConfig(r.Context(), requestTimeout)
+	if err != nil {
+		response.Defect(w, err)
+		return
+	}
+	for _, route := range config.Parsed.Routes {
+		if route.Name == requested.Route {
+			requested.From = route.Service
+		}
+	}
+	if _, ok := config.Parsed.Services[requested.To]; requested.From == "" || !ok {
+		response.Defect(w, failure.New(failure.NotFound, "there is no route %q or no service %q", requested.Route, requested.To))
+		return
+	}
+	h.execute(w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: "rollout/begin", Args: operation.Encode(requested)})
+}
+
+// rollBack starts to give a route back to its old service.
+func (h handlers) rollBack(w http.ResponseWriter, r *http.Request) {
+	key := rollout.Key(routeName(r))
+	result := h.core.Execute(r.Context(), proposer.Operation{Key: key, Kind: "rollout/read"}, requestTimeout)
+	if result.Failure != nil {
+		response.Defect(w, result.Failure)
+		return
+	}
+	var current rollout.Rollout
+	if err := json.Unmarshal(result.Body, &current); err != nil {
+		response.Defect(w, failure.New(failure.Damaged, "rollout: %v", err))
+		return
+	}
+	h.execute(w, r, proposer.Operation{Key: key, Kind: "rollout/move", Args: operation.Encode(rollout.Transition{
+		Generation: current.Generation,
+		Step:       current.Step,
+		Phase:      current.Phase,
+		NextStep:   current.Step,
+		NextPhase:  rollout.RollingBack,
+		Reason:     "an operator took it back",
+	})})
+}
