--- a/control/config/decode/list.go
+++ b/control/config/decode/list.go
@@ -37,31 +37,33 @@
 	return objects
 }
 
-// Strings reads a list of strings; an absent list is nil, faulty elements are left out.
-func (o Object) Strings(name string) []string {
-	var texts []string
-	for i, element := range o.list(name, "strings") {
-		text, ok := element.(string)
+// readElements reads a list whose elements convert accepts; fault is the note on another one.
+func readElements[T any](o Object, name, elements, fault string, convert func(element any) (T, bool)) []T {
+	var converted []T
+	for i, element := range o.list(name, elements) {
+		value, ok := convert(element)
 		if !ok {
-			o.faults.Add(elementPath(o.PathOf(name), i), "must be a string")
+			o.faults.Add(elementPath(o.PathOf(name), i), "%s", fault)
 			continue
 		}
-		texts = append(texts, text)
+		converted = append(converted, value)
 	}
-	return texts
+	return converted
+}
+
+// Strings reads a list of strings; an absent list is nil, faulty elements are left out.
+func (o Object) Strings(name string) []string {
+	return readElements(o, name, "strings", "must be a string", func(element any) (string, bool) {
+		text, ok := element.(string)
+		return text, ok
+	})
 }
 
 // Floats reads a list of numbers; an absent list is nil, faulty elements are left out.
 func (o Object) Floats(name string) []float64 {
-	var numbers []float64
-	for i, element := range o.list(name, "numbers") {
+	return readElements(o, name, "numbers", "must be a number", func(element any) (float64, bool) {
 		number, ok := element.(json.Number)
 		x, err := number.Float64()
-		if !ok || err != nil {
-			o.faults.Add(elementPath(o.PathOf(name), i), "must be a number")
-			continue
-		}
-		numbers = append(numbers, x)
-	}
-	return numbers
+		return x, ok && err == nil
+	})
 }
--- a/control/config/decode/object_test.go
+++ b/control/config/decode/object_test.go
@@ -35,3 +35,41 @@
 	_, err = decode.Parse([]byte("{\"a\":\"\xff\"}"))
 	must.Eq(t, failure.Malformed, err.Kind)
 }
+
+// Lists are read without their faulty elements, each of which is a fault with its index.
+func TestLists(t *testing.T) {
+	document, err := decode.Parse([]byte(`{"s":["a",1,"b"],"f":[1,"x",2.5,1e999],"o":[{},7],"none":{},"empty":[]}`))
+	must.Nil(t, err)
+	faults := &decode.Faults{}
+	root := decode.Root(document, faults)
+	must.Eq(t, []string{"a", "b"}, root.Strings("s"))
+	must.Eq(t, []float64{1, 2.5}, root.Floats("f"))
+	must.Len(t, 1, root.Objects("o"))
+	for _, name := range []string{"absent", "none", "empty"} {
+		must.Len(t, 0, root.Strings(name))
+		must.Len(t, 0, root.Floats(name))
+		must.Len(t, 0, root.Objects(name))
+		must.Eq(t, name == "empty", root.IsList(name))
+	}
+	var got []string
+	for _, fault := range faults.List {
+		got = append(got, fault.Path+" "+fault.Note)
+	}
+	must.Eq(t, []string{
+		"s[1] must be a string", "f[1] must be a number", "f[3] must be a number", "o[1] must be an object",
+		"none must be a list of strings", "none must be a list of numbers", "none must be a list of objects",
+	}, got)
+}
+
+// Faults beyond the bound are counted and left out of the list.
+func TestFaultsAreBounded(t *testing.T) {
+	faults := &decode.Faults{}
+	must.Nil(t, faults.Err(failure.Invalid))
+	for range 250 {
+		faults.Add("path", "note %d", 1)
+	}
+	err := faults.Err(failure.Invalid)
+	must.Eq(t, "250 faults", err.Note)
+	must.Len(t, 100, err.Faults)
+	must.Eq(t, failure.Fault{Path: "path", Note: "note 1"}, err.Faults[0])
+}
--- a/daemon/api/coordination/api_test.go
+++ b/daemon/api/coordination/api_test.go
@@ -3,67 +3,20 @@
 import (
 	"encoding/json"
 	"net/http"
-	"net/http/httptest"
 	"slices"
 	"strings"
 	"testing"
-	"time"
-
-	"github.com/gorilla/mux"
-	"go.uber.org/zap"
 
 	"github.com/shoenig/test/must"
 
-	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/daemon/api/apitest"
 	"cottonarch.example/cottonarch/daemon/api/coordination"
-	"cottonarch.example/cottonarch/daemon/core"
-	"cottonarch.example/cottonarch/settings"
-	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// memoryFolder is a folder in memory.
-type memoryFolder struct{ *ring.MemoryFolder }
-
-// Close does nothing.
-func (memoryFolder) Close() error { return nil }
-
-// readyTimeout bounds how long a core may take until it serves operations.
-const readyTimeout = time.Minute
-
-// startCore starts the only core of a mesh, on a disk in memory, and returns its API.
-func startCore(t *testing.T) http.Handler {
-	const addr = ident.Addr("127.0.0.1:1") // a single core sends nothing
-	options := settings.Core{Addr: addr, Listen: addr, Zone: "z", Seeds: []ident.Addr{addr}, Founders: []ident.Addr{addr}, Voters: 1, RingFileBytes: 1 << 20, RingFiles: 4}
-	c, err := core.Open(options, zap.NewNop(), memoryFolder{ring.NewMemoryFolder()})
-	must.NoError(t, err)
-	c.Start()
-	t.Cleanup(c.Close)
-	router := mux.NewRouter()
-	for path, handlers := range coordination.Paths(c) {
-		for method, handler := range handlers {
-			router.HandleFunc(path, handler).Methods(method)
-		}
-	}
-	for deadline := time.Now().Add(readyTimeout); ; time.Sleep(10 * time.Millisecond) {
-		if code, body := request(router, "GET", "/keys/none", ""); code == http.StatusNotFound {
-			return router
-		} else if time.Now().After(deadline) {
-			t.Fatal("the core is not ready: ", body)
-		}
-	}
-}
-
-// request returns the status and the body of a response.
-func request(api http.Handler, method, path, body string) (int, string) {
-	recorder := httptest.NewRecorder()
-	api.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return recorder.Code, recorder.Body.String()
-}
-
 // The operations of the API, one after the other: the whole body of an accepted one, the kind
 // of failure of a rejected one. CURSOR stands for the cursor of the last watch.
 func TestOperations(t *testing.T) {
-	api := startCore(t)
+	api := apitest.Start(t, coordination.Paths, "/keys/none")
 	cursor := ""
 	for _, call := range []struct {
 		method, path, body string
@@ -119,7 +72,7 @@
 		{"GET", "/groups/g.?after=2&waitMs=x", ``, 400, `"defect":"malformed"`},
 	} {
 		path := strings.ReplaceAll(call.path, "CURSOR", cursor)
-		code, body := request(api, call.method, path, call.body)
+		code, body := api.Request(call.method, path, call.body)
 		must.Eq(t, call.code, code, must.Sprint(call, body))
 		if code != http.StatusOK {
 			must.StrContains(t, body, call.want, must.Sprint(call))
@@ -140,10 +93,10 @@
 
 // A watch returns as soon as a key below its prefix changes, long before its time is over.
 func TestWatchReturnsOnAChange(t *testing.T) {
-	api := startCore(t)
-	code, _ := request(api, "PUT", "/keys/a", "1")
+	api := apitest.Start(t, coordination.Paths, "/keys/none")
+	code, _ := api.Request("PUT", "/keys/a", "1")
 	must.Eq(t, http.StatusOK, code)
-	_, first := request(api, "GET", "/watch?prefix=a", "")
+	_, first := api.Request("GET", "/watch?prefix=a", "")
 	var seen struct {
 		Cursor string `json:"place"`
 	}
@@ -151,12 +104,12 @@
 	bodies := make(chan string, 2)
 	for _, path := range []string{"/watch?prefix=a&waitMs=60000&place=" + seen.Cursor, "/groups/g.?after=1&waitMs=60000"} {
 		go func() {
-			_, body := request(api, "GET", path, "")
+			_, body := api.Request("GET", path, "")
 			bodies <- body
 		}()
 	}
 	for _, path := range []string{"/keys/a", "/cells/g.a", "/cells/g.b"} {
-		code, body := request(api, "PUT", path, "2")
+		code, body := api.Request("PUT", path, "2")
 		must.Eq(t, http.StatusOK, code, must.Sprint(path, body))
 	}
 	got := []string{<-bodies, <-bodies}
--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -125,12 +125,7 @@
 		response.Defect(w, err)
 		return
 	}
-	value, err := readJSON(r)
-	if err != nil {
-		response.Defect(w, err)
-		return
-	}
-	required, err := ifRevision(r)
+	value, required, err := readWrite(r)
 	if err != nil {
 		response.Defect(w, err)
 		return
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -36,12 +36,7 @@
 
 // writeKey sets the value of a key to the body.
 func (h handlers) writeKey(w http.ResponseWriter, r *http.Request) {
-	value, err := readJSON(r)
-	if err != nil {
-		response.Defect(w, err)
-		return
-	}
-	required, err := ifRevision(r)
+	value, required, err := readWrite(r)
 	if err != nil {
 		response.Defect(w, err)
 		return
--- a/daemon/api/coordination/request.go
+++ b/daemon/api/coordination/request.go
@@ -58,6 +58,15 @@
 	return &revision, nil
 }
 
+// readWrite returns the value that a write sets, the body, and the revision that it requires.
+func readWrite(r *http.Request) (value json.RawMessage, required *ident.Revision, err *failure.Error) {
+	if value, err = readJSON(r); err != nil {
+		return nil, nil, err
+	}
+	required, err = ifRevision(r)
+	return value, required, err
+}
+
 // watchWait returns how long a watch may wait for changes.
 func watchWait(r *http.Request) (time.Duration, *failure.Error) {
 	milliseconds, err := queryNumber(r, "waitMs", uint64(defaultWatchWait.Milliseconds()), 32)
