--- a/control/audit/segment/segment.go
+++ b/control/audit/segment/segment.go
@@ -13,6 +13,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// AppendKind is the kind of the one operation on a segment.
+const AppendKind = "audit/append"
+
 const (
 	// Prefix is the common prefix of the control keys.
 	Prefix = "audit/"
@@ -38,7 +41,7 @@
 }
 
 // Handlers returns the operations of a segment.
-func Handlers() operation.Table { return operation.Table{"audit/append": appendEntry} }
+func Handlers() operation.Table { return operation.Table{AppendKind: appendEntry} }
 
 func appendEntry(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
--- a/control/config/proposal/proposal.go
+++ b/control/config/proposal/proposal.go
@@ -16,9 +16,17 @@
 // the configuration.
 const Key ident.Key = "manifest"
 
+// The kinds of operations on the configuration.
+const (
+	ProposeKind          = "manifest/offer"
+	ReadKind             = "manifest/read"
+	ReadRevisionKind     = "manifest/epoch"
+	ReadAuditEntriesKind = "manifest/lines"
+)
+
 // Handlers returns the operations of the control key.
 func Handlers() operation.Table {
-	return operation.Table{"manifest/offer": propose, "manifest/read": readState, "manifest/epoch": readRevision, "manifest/lines": readAuditEntries}
+	return operation.Table{ProposeKind: propose, ReadKind: readState, ReadRevisionKind: readRevision, ReadAuditEntriesKind: readAuditEntries}
 }
 
 // Args are the arguments of a proposal.
--- a/control/coordination/keyspace/keyspace.go
+++ b/control/coordination/keyspace/keyspace.go
@@ -16,6 +16,13 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// The kinds of operations on a keyspace.
+const (
+	PutKind   = "group/put"
+	ReadKind  = "group/read"
+	SinceKind = "group/since"
+)
+
 const (
 	// DefaultHistory is how long a put stays in the history at least when no time is configured.
 	DefaultHistory  = 60 * time.Second
@@ -73,7 +80,7 @@
 func Handlers(history time.Duration) operation.Table {
 	history = cmp.Or(history, DefaultHistory)
 	retained := retention(history + historyMargin(history))
-	return operation.Table{"group/put": retained.put, "group/read": read, "group/since": since}
+	return operation.Table{PutKind: retained.put, ReadKind: read, SinceKind: since}
 }
 
 // retention is how long a replaced put is retained.
--- a/control/coordination/keyvalue/keyvalue.go
+++ b/control/coordination/keyvalue/keyvalue.go
@@ -11,6 +11,13 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// The kinds of operations on a key.
+const (
+	ReadKind   = "key/read"
+	WriteKind  = "key/write"
+	DeleteKind = "key/delete"
+)
+
 const maxValueBytes = 64 << 10
 
 // Args are the arguments of every operation.
@@ -35,7 +42,7 @@
 
 // Handlers returns the operations of a key.
 func Handlers() operation.Table {
-	return operation.Table{"key/read": read, "key/write": write, "key/delete": remove}
+	return operation.Table{ReadKind: read, WriteKind: write, DeleteKind: remove}
 }
 
 func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -10,6 +10,15 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// The kinds of operations on a lock.
+const (
+	AcquireKind  = "lock/claim"
+	RenewKind    = "lock/renew"
+	ReleaseKind  = "lock/release"
+	TransferKind = "lock/pass"
+	ReadKind     = "lock/read"
+)
+
 // heldRetrySeconds is when to retry an acquire that found the lock held.
 const heldRetrySeconds = 1
 
@@ -40,7 +49,7 @@
 
 // Handlers returns the operations of a lock.
 func Handlers() operation.Table {
-	return operation.Table{"lock/claim": acquire, "lock/renew": renew, "lock/release": release, "lock/pass": transfer, "lock/read": read}
+	return operation.Table{AcquireKind: acquire, RenewKind: renew, ReleaseKind: release, TransferKind: transfer, ReadKind: read}
 }
 
 // acquire grants the lock if it is free or held by the caller itself.
--- a/control/coordination/quota/quota.go
+++ b/control/coordination/quota/quota.go
@@ -15,6 +15,13 @@
 // Key is the control key that holds the shares and the lease epochs.
 const Key ident.Key = "share"
 
+// The kinds of operations; JoinKind is one too.
+const (
+	TakeKind    = "share/take"
+	ReleaseKind = "share/free"
+	ReadKind    = "share/read"
+)
+
 // Args are the arguments of the operations on one node.
 type Args struct {
 	Node       ident.Node  `json:"node"`
@@ -48,7 +55,7 @@
 
 // Handlers returns the operations of the control key.
 func Handlers() operation.Table {
-	return operation.Table{"share/take": take, JoinKind: join, "share/free": release, "share/read": read}
+	return operation.Table{TakeKind: take, JoinKind: join, ReleaseKind: release, ReadKind: read}
 }
 
 // decode decodes the state and the arguments of an operation on one node.
--- a/control/coordination/sequence/sequence.go
+++ b/control/coordination/sequence/sequence.go
@@ -9,6 +9,12 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
+// The kinds of operations on a sequence.
+const (
+	NextKind = "number/next"
+	ReadKind = "number/read"
+)
+
 // maxIncrement bounds how far one operation may raise a number.
 const maxIncrement = 1 << 32
 
@@ -25,7 +31,7 @@
 
 // Handlers returns the operations of a sequence.
 func Handlers() operation.Table {
-	return operation.Table{"number/next": next, "number/read": read}
+	return operation.Table{NextKind: next, ReadKind: read}
 }
 
 // next raises the number by the increment, 1 if none is given.
--- a/control/rollout/reconcile/operations.go
+++ b/control/rollout/reconcile/operations.go
@@ -21,7 +21,7 @@
 
 // transition returns the operation that moves a rollout to another step and phase.
 func transition(rollout state.Rollout, next state.Phase, step int, reason string) proposer.Operation {
-	return proposer.Operation{Key: state.Key(rollout.Route), Kind: "rollout/move", Args: operation.Encode(state.Transition{
+	return proposer.Operation{Key: state.Key(rollout.Route), Kind: state.TransitionKind, Args: operation.Encode(state.Transition{
 		Generation: rollout.Generation,
 		Step:       rollout.Step,
 		Phase:      rollout.Phase,
@@ -43,5 +43,5 @@
 	}
 	base := config.Revision
 	body := operation.Encode(configPatch{map[string]routePatch{rollout.Route: patch}})
-	return proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(proposal.Args{Partial: true, BaseRevision: &base, Body: body})}
+	return proposer.Operation{Key: proposal.Key, Kind: proposal.ProposeKind, Args: operation.Encode(proposal.Args{Partial: true, BaseRevision: &base, Body: body})}
 }
--- a/control/rollout/state/rollout.go
+++ b/control/rollout/state/rollout.go
@@ -15,6 +15,13 @@
 // Prefix is the common prefix of the control keys.
 const Prefix = "rollout/"
 
+// The kinds of operations on a rollout.
+const (
+	StartKind      = "rollout/begin"
+	TransitionKind = "rollout/move"
+	ReadKind       = "rollout/read"
+)
+
 // What a rollout has where its request gives no value, and the bounds of the values.
 const (
 	defaultStepSeconds     = 10
@@ -78,7 +85,7 @@
 
 // Handlers returns the operations of a rollout.
 func Handlers() operation.Table {
-	return operation.Table{"rollout/begin": start, "rollout/move": applyTransition, "rollout/read": read}
+	return operation.Table{StartKind: start, TransitionKind: applyTransition, ReadKind: read}
 }
 
 // start starts a rollout unless one is under way.
--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -35,13 +35,13 @@
 // Put sets the value of an entry. It fails with Conflict, which has the entry's revision, with
 // Invalid, Oversize or Busy, and as core.Execute does.
 func Put(ctx context.Context, c *core.Core, key string, value json.RawMessage, ifRevision *ident.Revision, budget time.Duration) (Entry, *failure.Error) {
-	return executeOnEntry(ctx, c, key, "group/put", keyspace.Args{Value: value, IfRevision: ifRevision}, budget)
+	return executeOnEntry(ctx, c, key, keyspace.PutKind, keyspace.Args{Value: value, IfRevision: ifRevision}, budget)
 }
 
 // Get returns an entry, no older than any put that was confirmed before the call. It fails
 // with NotFound if the entry does not exist, and as core.Execute does.
 func Get(ctx context.Context, c *core.Core, key string, budget time.Duration) (Entry, *failure.Error) {
-	return executeOnEntry(ctx, c, key, "group/read", keyspace.Args{}, budget)
+	return executeOnEntry(ctx, c, key, keyspace.ReadKind, keyspace.Args{}, budget)
 }
 
 func executeOnEntry(ctx context.Context, c *core.Core, key, kind string, args keyspace.Args, budget time.Duration) (Entry, *failure.Error) {
@@ -93,7 +93,7 @@
 	if after > 0 {
 		args.After = &after
 	}
-	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(name), Kind: "group/since", Args: operation.Encode(args)}, budget)
+	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(name), Kind: keyspace.SinceKind, Args: operation.Encode(args)}, budget)
 	if result.Failure != nil {
 		return Changes{}, result.Failure
 	}
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -41,7 +41,7 @@
 		response.Defect(w, err)
 		return
 	}
-	h.execute(w, r, "key", "write", keyvalue.Args{Value: value, IfRevision: required})
+	h.execute(w, r, keyvalue.WriteKind, keyvalue.Args{Value: value, IfRevision: required})
 }
 
 func (h handlers) removeKey(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 		response.Defect(w, err)
 		return
 	}
-	h.execute(w, r, "key", "delete", keyvalue.Args{IfRevision: required})
+	h.execute(w, r, keyvalue.DeleteKind, keyvalue.Args{IfRevision: required})
 }
 
 // listKeys responds with all keys below a prefix, in order, from a quorum read.
@@ -97,7 +97,7 @@
 
 // readThroughProposer reads a key, with its changes after a revision if one is given.
 func (h handlers) readThroughProposer(ctx context.Context, controlKey ident.Key, since *ident.Revision) (keyvalue.Response, *failure.Error) {
-	result := h.core.Execute(ctx, proposer.Operation{Key: controlKey, Kind: "key/read", Args: operation.Encode(keyvalue.Args{Since: since})}, requestTimeout)
+	result := h.core.Execute(ctx, proposer.Operation{Key: controlKey, Kind: keyvalue.ReadKind, Args: operation.Encode(keyvalue.Args{Since: since})}, requestTimeout)
 	if result.Failure != nil {
 		return keyvalue.Response{}, result.Failure
 	}
--- a/daemon/api/coordination/paths.go
+++ b/daemon/api/coordination/paths.go
@@ -14,7 +14,10 @@
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/keyvalue"
+	"cottonarch.example/cottonarch/control/coordination/lock"
 	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/coordination/sequence"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/daemon/core"
 	"cottonarch.example/cottonarch/wire/response"
@@ -38,15 +41,15 @@
 func Paths(c *core.Core) server.Paths {
 	h := handlers{c}
 	return server.Paths{
-		"/locks/{name:.+}/claim":   {"POST": h.operationWithArgs("lock", "claim")},
-		"/locks/{name:.+}/renew":   {"POST": h.operationWithArgs("lock", "renew")},
-		"/locks/{name:.+}/release": {"POST": h.operationWithArgs("lock", "release")},
-		"/locks/{name:.+}/pass":    {"POST": h.operationWithArgs("lock", "pass")},
-		"/locks/{name:.+}":         {"GET": h.readOf("lock")},
-		"/numbers/{name:.+}/next":  {"POST": h.operationWithArgs("number", "next")},
-		"/numbers/{name:.+}":       {"GET": h.readOf("number")},
+		"/locks/{name:.+}/claim":   {"POST": h.operation(lock.AcquireKind)},
+		"/locks/{name:.+}/renew":   {"POST": h.operation(lock.RenewKind)},
+		"/locks/{name:.+}/release": {"POST": h.operation(lock.ReleaseKind)},
+		"/locks/{name:.+}/pass":    {"POST": h.operation(lock.TransferKind)},
+		"/locks/{name:.+}":         {"GET": h.read(lock.ReadKind)},
+		"/numbers/{name:.+}/next":  {"POST": h.operation(sequence.NextKind)},
+		"/numbers/{name:.+}":       {"GET": h.read(sequence.ReadKind)},
 		"/keys":                    {"GET": h.listKeys},
-		"/keys/{name:.+}":          {"GET": h.readOf("key"), "PUT": h.writeKey, "DELETE": h.removeKey},
+		"/keys/{name:.+}":          {"GET": h.read(keyvalue.ReadKind), "PUT": h.writeKey, "DELETE": h.removeKey},
 		"/watch":                   {"GET": h.watchKeys},
 		"/cells/{name:.+}":         {"GET": h.getEntry, "PUT": h.putEntry},
 		"/groups/{name:.+}":        {"GET": h.watchKeyspace},
@@ -63,9 +66,9 @@
 	return name, nil
 }
 
-// operationWithArgs returns a handler that executes an operation whose arguments are the JSON
+// operation returns a handler that executes operations of a kind, whose arguments are the JSON
 // body; an empty body gives none.
-func (h handlers) operationWithArgs(kind, action string) http.HandlerFunc {
+func (h handlers) operation(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		args := json.RawMessage("{}")
 		body, err := response.Read(r, maxBodyBytes)
@@ -76,28 +79,30 @@
 			response.Defect(w, err)
 			return
 		}
-		h.execute(w, r, kind, action, args)
+		h.execute(w, r, kind, args)
 	}
 }
 
-// readOf returns a handler that reads a value of a kind.
-func (h handlers) readOf(kind string) http.HandlerFunc {
+// read returns a handler that executes operations of a kind without arguments.
+func (h handlers) read(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		h.execute(w, r, kind, "read", json.RawMessage("{}"))
+		h.execute(w, r, kind, json.RawMessage("{}"))
 	}
 }
 
 // execute executes an operation on the name in the path and responds with the body of its
-// result, to which it adds the revision. Idempotency-Key makes a repeat harmless.
-func (h handlers) execute(w http.ResponseWriter, r *http.Request, kind, action string, args any) {
+// result, to which it adds the revision. Idempotency-Key makes a repeat harmless. The control
+// key is the name below the first part of the kind.
+func (h handlers) execute(w http.ResponseWriter, r *http.Request, kind string, args any) {
 	name, err := PathName(r)
 	if err != nil {
 		response.Defect(w, err)
 		return
 	}
+	prefix, _, _ := strings.Cut(kind, "/")
 	result := h.core.Execute(r.Context(), proposer.Operation{
-		Key:  ident.Key(kind + "/" + name),
-		Kind: kind + "/" + action,
+		Key:  ident.Key(prefix + "/" + name),
+		Kind: kind,
 		Op:   ident.OperationID(r.Header.Get("Idempotency-Key")),
 		Args: operation.Encode(args),
 	}, requestTimeout)
@@ -110,7 +115,7 @@
 		response.Defect(w, failure.New(failure.Damaged, "response: %v", err))
 		return
 	}
-	if action == "read" && fields["deleted"] == true {
+	if kind == keyvalue.ReadKind && fields["deleted"] == true {
 		response.Defect(w, failure.New(failure.NotFound, "there is no such key"))
 		return
 	}
--- a/daemon/api/operator/config.go
+++ b/daemon/api/operator/config.go
@@ -35,7 +35,7 @@
 	}
 	result := h.core.Execute(r.Context(), proposer.Operation{
 		Key:  proposal.Key,
-		Kind: "manifest/offer",
+		Kind: proposal.ProposeKind,
 		Op:   ident.OperationID(args.OperationID),
 		Args: operation.Encode(args),
 	}, requestTimeout)
--- a/daemon/api/operator/rollouts.go
+++ b/daemon/api/operator/rollouts.go
@@ -16,7 +16,7 @@
 
 // readRollout responds with the newest rollout of a route.
 func (h handlers) readRollout(w http.ResponseWriter, r *http.Request) {
-	h.execute(w, r, proposer.Operation{Key: rollout.Key(routeName(r)), Kind: "rollout/read"})
+	h.execute(w, r, proposer.Operation{Key: rollout.Key(routeName(r)), Kind: rollout.ReadKind})
 }
 
 // startRollout starts a rollout of a route from its service to another one.
@@ -41,13 +41,13 @@
 		response.Defect(w, failure.New(failure.NotFound, "there is no route %q or no service %q", requested.Route, requested.To))
 		return
 	}
-	h.execute(w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: "rollout/begin", Args: operation.Encode(requested)})
+	h.execute(w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: rollout.StartKind, Args: operation.Encode(requested)})
 }
 
 // rollBack starts to give a route back to its old service.
 func (h handlers) rollBack(w http.ResponseWriter, r *http.Request) {
 	key := rollout.Key(routeName(r))
-	result := h.core.Execute(r.Context(), proposer.Operation{Key: key, Kind: "rollout/read"}, requestTimeout)
+	result := h.core.Execute(r.Context(), proposer.Operation{Key: key, Kind: rollout.ReadKind}, requestTimeout)
 	if result.Failure != nil {
 		response.Defect(w, result.Failure)
 		return
@@ -57,7 +57,7 @@
 		response.Defect(w, failure.New(failure.Damaged, "rollout: %v", err))
 		return
 	}
-	h.execute(w, r, proposer.Operation{Key: key, Kind: "rollout/move", Args: operation.Encode(rollout.Transition{
+	h.execute(w, r, proposer.Operation{Key: key, Kind: rollout.TransitionKind, Args: operation.Encode(rollout.Transition{
 		Generation: current.Generation,
 		Step:       current.Step,
 		Phase:      current.Phase,
