--- /dev/null
+++ b/control/rollout/reconcile/reconciler_test.go
@@ -0,0 +1,158 @@
+package reconcile_test
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/rollout/reconcile"
+	"cottonarch.example/cottonarch/control/rollout/state"
+)
+
+// fixture is a rollout of route r from service a to b with what the reconciler sees.
+type fixture struct {
+	t          *testing.T
+	reconciler *reconcile.Reconciler
+	now        monotime.Time
+	rollout    state.Rollout
+	route      validation.Route
+	counts     reconcile.CallCounts
+}
+
+func newFixture(t *testing.T) *fixture {
+	return &fixture{
+		t:          t,
+		reconciler: reconcile.New(),
+		now:        monotime.Time(time.Hour),
+		rollout:    state.Rollout{Route: "r", From: "a", To: "b", Steps: []int{10, 100}, StepSeconds: 5, MaxFailureRatio: 0.1, Phase: state.Running, Generation: 1},
+		route:      validation.Route{Name: "r", Service: "a"},
+	}
+}
+
+// next returns the next operation; it reports false if there is none.
+func (f *fixture) next() (proposer.Operation, bool) {
+	config := &validation.Config{
+		Revision: 7,
+		Services: map[ident.Service]validation.Service{"a": {Hostname: "a"}, "b": {Hostname: "b"}},
+		Routes:   []validation.Route{{Name: "other", Service: "a"}, f.route},
+	}
+	return f.reconciler.Next(f.now, f.rollout, config, func(ident.Service) reconcile.CallCounts { return f.counts })
+}
+
+// mustWait checks that no operation is due.
+func (f *fixture) mustWait() {
+	f.t.Helper()
+	op, due := f.next()
+	must.False(f.t, due, must.Sprint(op.Kind, string(op.Args)))
+}
+
+// mustPropose checks that the next operation proposes a patch on the examined revision.
+func (f *fixture) mustPropose(patch string) {
+	f.t.Helper()
+	op, due := f.next()
+	must.True(f.t, due)
+	must.Eq(f.t, proposal.ProposeKind, op.Kind)
+	var args proposal.Args
+	must.NoError(f.t, json.Unmarshal(op.Args, &args))
+	must.True(f.t, args.Partial)
+	must.Eq(f.t, 7, *args.BaseRevision)
+	must.Eq(f.t, patch, string(args.Body))
+}
+
+// mustMove checks that the next operation is a transition.
+func (f *fixture) mustMove(step int, phase state.Phase) {
+	f.t.Helper()
+	op, due := f.next()
+	must.True(f.t, due)
+	must.Eq(f.t, state.TransitionKind, op.Kind)
+	var transition state.Transition
+	must.NoError(f.t, json.Unmarshal(op.Args, &transition))
+	must.Eq(f.t, step, transition.NextStep)
+	must.Eq(f.t, phase, transition.NextPhase)
+	must.Eq(f.t, phase == state.RollingBack, transition.Reason != "")
+}
+
+// sendTenPercent puts the share of the first step in force.
+func (f *fixture) sendTenPercent() {
+	f.route.Split = []validation.WeightedService{{Service: "b", Percent: 10}}
+}
+
+// A rollout without failures goes through its steps: each share is proposed, kept for the
+// step's time and for a number of calls, and followed by the next.
+func TestStepsWithoutFailures(t *testing.T) {
+	f := newFixture(t)
+	f.mustPropose(`{"ways":{"r":{"service":"a","split":{"b":10}}}}`)
+	f.sendTenPercent()
+	f.mustWait()
+	f.counts.Total = 100
+	f.mustWait() // the time of the step is not over
+	f.now = f.now.Add(6 * time.Second)
+	f.mustMove(1, state.Running)
+	f.rollout.Step = 1
+	f.mustPropose(`{"ways":{"r":{"service":"b","split":null}}}`)
+	f.route.Service, f.route.Split = "b", nil
+	f.mustWait()
+	f.now = f.now.Add(6 * time.Second)
+	f.mustWait() // too few calls since the step began
+	f.counts.Total += 20
+	f.mustMove(1, state.Done)
+	f.rollout.Phase = state.Done
+	f.mustWait()
+}
+
+// Too many failed calls roll a step back, but only over enough calls; the route is then given
+// back before the rollout ends.
+func TestFailuresRollBack(t *testing.T) {
+	f := newFixture(t)
+	f.sendTenPercent()
+	f.counts = reconcile.CallCounts{Total: 1000, Failed: 900} // from before the step
+	f.mustWait()
+	f.counts = reconcile.CallCounts{Total: 1019, Failed: 919}
+	f.mustWait()
+	f.counts = reconcile.CallCounts{Total: 1030, Failed: 903}
+	f.mustWait() // as many as are allowed
+	f.counts.Failed++
+	f.mustMove(0, state.RollingBack)
+	f.rollout.Phase = state.RollingBack
+	f.mustPropose(`{"ways":{"r":{"service":"a","split":null}}}`)
+	f.route.Split = nil
+	f.mustMove(0, state.RolledBack)
+}
+
+// Counts below the baseline come from another core: the step is observed from its beginning
+// again, as it is for another generation of the rollout.
+func TestStepIsObservedAgain(t *testing.T) {
+	f := newFixture(t)
+	f.sendTenPercent()
+	f.counts = reconcile.CallCounts{Total: 500}
+	f.mustWait()
+	f.now = f.now.Add(6 * time.Second)
+	f.counts = reconcile.CallCounts{Total: 40}
+	f.mustWait() // the observation is dropped
+	f.mustWait() // and starts again
+	f.counts.Total += 20
+	f.mustWait()
+	f.rollout.Generation++
+	f.now = f.now.Add(6 * time.Second)
+	f.mustWait()
+}
+
+// A rollout whose route or target is removed from the configuration is rolled back.
+func TestRemovedRouteOrService(t *testing.T) {
+	f := newFixture(t)
+	f.route.Name = "renamed"
+	f.mustMove(0, state.RollingBack)
+	f.rollout.Phase = state.RollingBack
+	f.mustMove(0, state.RolledBack)
+
+	f = newFixture(t)
+	f.rollout.To = "none"
+	f.mustMove(0, state.RollingBack)
+}
