--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -36,7 +36,11 @@
 	}
 	log = log.Append(next.Version, fingerprint)
 	next.Log = &log
-	return operation.Result{State: operation.Encode(next), Body: operation.Encode(Accepted{next.Revision, next.Version}), Decoded: context.Decoded}
+	return operation.Result{
+		State:   operation.Encode(next),
+		Body:    operation.Encode(Accepted{next.Revision, next.Version}),
+		Decoded: context.Decoded,
+	}
 }
 
 // answerWithoutEvaluation answers a proposal that was decided before or whose base is not the
@@ -44,34 +48,36 @@
 // response again, and so does the whole configuration in force. Conflict is the answer only
 // if the log proves that the proposal was not accepted; if the log has forgotten, the outcome
 // is unknown.
-func (s *State) answerWithoutEvaluation(a Args, log history.Log, fingerprint history.Fingerprint, sent json.RawMessage) (operation.Result, bool) {
-	status, change := a.status(log, fingerprint)
+func (s *State) answerWithoutEvaluation(args Args, log history.Log, fingerprint history.Fingerprint, sent json.RawMessage) (operation.Result, bool) {
+	status, change := args.status(log, fingerprint)
 	if status == history.Accepted {
 		return operation.Result{Body: operation.Encode(Accepted{change.Revision, change.Version})}, true
 	}
-	if a.BaseVersion != nil && s.isCurrent(a, sent) {
+	if args.BaseVersion != nil && s.isCurrent(args, sent) {
 		return operation.Result{Body: operation.Encode(Accepted{s.Revision, s.Version})}, true
 	}
 	switch {
-	case status == history.Undecided || a.BaseVersion == nil && a.BaseRevision == nil:
+	case status == history.Undecided || args.BaseVersion == nil && args.BaseRevision == nil:
 		return operation.Result{}, false
 	case status == history.Forgotten:
-		return operation.Rejected(failure.NewUnknown(failure.UnknownOutcome, "the configuration is at revision %d and version %d; whether this proposal was accepted before is no longer known", s.Revision, s.Version)), true
-	case a.BaseVersion != nil:
-		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at version %d, not %d", s.Version, *a.BaseVersion)), true
+		return operation.Rejected(failure.NewUnknown(failure.UnknownOutcome,
+			"the configuration is at revision %d and version %d; whether this proposal was accepted before is no longer known",
+			s.Revision, s.Version)), true
+	case args.BaseVersion != nil:
+		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at version %d, not %d", s.Version, *args.BaseVersion)), true
 	default:
-		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at revision %d, not %d", s.Revision, *a.BaseRevision)), true
+		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at revision %d, not %d", s.Revision, *args.BaseRevision)), true
 	}
 }
 
 // evaluate checks a proposal on the configuration in force and returns the state after it,
 // still without its log.
-func (s *State) evaluate(context proposer.Context, a Args, body map[string]any) (next State, err *failure.Error) {
-	document, err := s.compose(a, body)
+func (s *State) evaluate(context proposer.Context, args Args, body map[string]any) (next State, err *failure.Error) {
+	document, err := s.compose(args, body)
 	if err != nil {
 		return next, err
 	}
-	allowUnknown := a.AllowUnknown || a.kind() != FullConfig && s.AllowUnknown
+	allowUnknown := args.AllowUnknown || args.kind() != FullConfig && s.AllowUnknown
 	validate := validation.Strict
 	if allowUnknown {
 		validate = validation.Lenient
@@ -80,7 +86,7 @@
 	if err != nil {
 		return next, err
 	}
-	if err := s.checkVersion(a, body, config.Version); err != nil {
+	if err := s.checkVersion(args, body, config.Version); err != nil {
 		return next, err
 	}
 	encoded := operation.Encode(document)
@@ -93,32 +99,32 @@
 		AllowUnknown: allowUnknown,
 		Document:     encoded,
 	}
-	entry := AuditEntry{Revision: next.Revision, SHA256: digest(encoded), Partial: a.kind() != FullConfig}
+	entry := AuditEntry{Revision: next.Revision, SHA256: digest(encoded), Partial: args.kind() != FullConfig}
 	next.AuditEntries = newestEntries(append(s.pendingAuditEntries(context), entry))
 	return next, nil
 }
 
 // compose returns the whole document that is proposed.
-func (s *State) compose(a Args, body map[string]any) (map[string]any, *failure.Error) {
-	composeDocument, ok := composers[a.kind()]
+func (s *State) compose(args Args, body map[string]any) (map[string]any, *failure.Error) {
+	composeDocument, ok := composers[args.kind()]
 	if !ok {
-		return nil, failure.New(failure.Malformed, "no kind of proposal %q", a.Kind)
+		return nil, failure.New(failure.Malformed, "no kind of proposal %q", args.Kind)
 	}
 	base := map[string]any{}
-	if a.kind() != FullConfig && len(s.Document) > 0 {
+	if args.kind() != FullConfig && len(s.Document) > 0 {
 		var err *failure.Error
 		if base, err = decode.Parse(s.Document); err != nil {
 			return nil, err
 		}
 	}
-	return composeDocument(base, body, a.AllowUnknown)
+	return composeDocument(base, body, args.AllowUnknown)
 }
 
 // checkVersion checks the version of a proposal: on a base version it must be given and
 // higher than the one in force, else it must not be lower.
-func (s *State) checkVersion(a Args, body map[string]any, version uint64) *failure.Error {
+func (s *State) checkVersion(args Args, body map[string]any, version uint64) *failure.Error {
 	_, given := body["release"]
-	if a.BaseVersion != nil && (!given || version <= s.Version) || given && version < s.Version {
+	if args.BaseVersion != nil && (!given || version <= s.Version) || given && version < s.Version {
 		err := failure.New(failure.Invalid, "1 faults")
 		err.Faults = []failure.Fault{{Path: "release", Note: fmt.Sprintf("must be above %d", s.Version)}}
 		return err
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -17,8 +17,8 @@
 )
 
 // proposeAs sends a proposal as an operation with an identifier, as a core does.
-func (f *fixture) proposeAs(op string, a proposal.Args) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(a), Repeatable: op == ""})
+func (f *fixture) proposeAs(op string, args proposal.Args) proposer.Result {
+	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(args), Repeatable: op == ""})
 	if result.Changed {
 		f.value = result.Value
 		f.revision++
@@ -68,8 +68,8 @@
 			must.Nil(t, result.Failure, must.Sprint(i))
 			sent, bodies = append(sent, args), append(bodies, string(result.Body))
 			if i%300 == 299 {
-				for j := range sent {
-					checkResent(t, f.proposeAs("", sent[j]), bodies[j], len(sent)-j > history.MaxEntries, increment, i, j)
+				for index := range sent {
+					checkResent(t, f.proposeAs("", sent[index]), bodies[index], len(sent)-index > history.MaxEntries, increment, i, index)
 				}
 			}
 		}
@@ -94,8 +94,8 @@
 			must.Nil(t, result.Failure, must.Sprint(i))
 			sent, ops, bodies = append(sent, args), append(ops, op), append(bodies, string(result.Body))
 		}
-		for j := range sent {
-			checkResent(t, f.proposeAs(ops[j], sent[j]), bodies[j], changes-j > history.MaxEntries, named, j)
+		for index := range sent {
+			checkResent(t, f.proposeAs(ops[index], sent[index]), bodies[index], changes-index > history.MaxEntries, named, index)
 		}
 	}
 }
--- a/control/config/proposal/state.go
+++ b/control/config/proposal/state.go
@@ -30,8 +30,8 @@
 }
 
 // isCurrent reports whether the proposal is the whole configuration in force.
-func (s *State) isCurrent(a Args, sent json.RawMessage) bool {
-	if a.kind() != FullConfig || len(s.AuditEntries) == 0 {
+func (s *State) isCurrent(args Args, sent json.RawMessage) bool {
+	if args.kind() != FullConfig || len(s.AuditEntries) == 0 {
 		return false
 	}
 	last := s.AuditEntries[len(s.AuditEntries)-1]
--- a/control/coordination/keyspace/keyspace.go
+++ b/control/coordination/keyspace/keyspace.go
@@ -108,7 +108,9 @@
 	changes := Changes{Events: []Put{}, Revision: space.latest}
 	if args.After != nil {
 		if *args.After < space.compactedThrough {
-			return space.rejected(failure.New(failure.Compacted, "puts up to %d are no longer all known, and those after %d were requested", space.compactedThrough, *args.After))
+			return space.rejected(failure.New(failure.Compacted,
+				"puts up to %d are no longer all known, and those after %d were requested",
+				space.compactedThrough, *args.After))
 		}
 		for _, record := range space.recordsAfter(*args.After) {
 			changes.Events = append(changes.Events, record.public())
--- a/control/coordination/keyspace/keyspace_test.go
+++ b/control/coordination/keyspace/keyspace_test.go
@@ -181,18 +181,18 @@
 func TestFullHistoryRejectsPuts(t *testing.T) {
 	f := newFixture(0)
 	big := string(make([]byte, 1000))
-	n := 0
-	for ; n < 2000; n++ {
-		if _, err := f.put(seconds(2), "a", fmt.Sprint(n, big)); err != nil {
+	accepted := 0
+	for ; accepted < 2000; accepted++ {
+		if _, err := f.put(seconds(2), "a", fmt.Sprint(accepted, big)); err != nil {
 			must.Eq(t, failure.Busy, err.Kind)
 			must.Eq(t, failure.NotExecuted, err.Outcome)
 			break
 		}
 	}
-	must.Between(t, 10, n, 1999)
+	must.Between(t, 10, accepted, 1999)
 	changes, err := f.since(seconds(3), 0)
 	must.Nil(t, err)
-	must.Len(t, n, changes.Events)
+	must.Len(t, accepted, changes.Events)
 	_, err = f.put(seconds(100), "a", big)
 	must.Nil(t, err)
 	_, err = f.since(seconds(100), 1)
@@ -204,12 +204,12 @@
 	withDecoded, withoutDecoded := newFixture(0), newFixture(0)
 	for i := range 300 {
 		now := seconds(1 + float64(i)/50)
-		a, err := withDecoded.put(now, fmt.Sprint(i%17), fmt.Sprint(i*i%41))
+		revision, err := withDecoded.put(now, fmt.Sprint(i%17), fmt.Sprint(i*i%41))
 		withoutDecoded.decoded = nil
-		b, otherErr := withoutDecoded.put(now, fmt.Sprint(i%17), fmt.Sprint(i*i%41))
+		otherRevision, otherErr := withoutDecoded.put(now, fmt.Sprint(i%17), fmt.Sprint(i*i%41))
 		must.Nil(t, err)
 		must.Nil(t, otherErr)
-		must.Eq(t, a, b)
+		must.Eq(t, revision, otherRevision)
 	}
 	must.Eq(t, string(withDecoded.value), string(withoutDecoded.value))
 }
@@ -292,11 +292,11 @@
 func BenchmarkPut(b *testing.B) {
 	f := newFixture(40 * time.Second)
 	now := seconds(1)
-	n := 0
+	count := 0
 	put := func() {
 		now = now.Add(100 * time.Millisecond)
-		n++
-		if _, err := f.put(now, fmt.Sprintf("%x", n*7919%300), fmt.Sprintf("%016x", n*0x9e3779b97f4a7c1)); err != nil {
+		count++
+		if _, err := f.put(now, fmt.Sprintf("%x", count*7919%300), fmt.Sprintf("%016x", count*0x9e3779b97f4a7c1)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/control/coordination/keyvalue/keyvalue_test.go
+++ b/control/coordination/keyvalue/keyvalue_test.go
@@ -73,18 +73,18 @@
 func TestFullHistoryRejectsWrites(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	big, _ := json.Marshal(string(make([]byte, 5000)))
-	n := 0
-	for ; n < 1000; n++ {
+	accepted := 0
+	for ; accepted < 1000; accepted++ {
 		if _, err := f.apply(seconds(2), "key/write", keyvalue.Args{Value: big}); err != nil {
 			must.Eq(t, failure.Busy, err.Kind)
 			must.Positive(t, err.RetryAfter)
 			break
 		}
 	}
-	must.Between(t, 10, n, 999)
+	must.Between(t, 10, accepted, 999)
 	since := ident.Revision(0)
 	response, _ := f.apply(seconds(3), "key/read", keyvalue.Args{Since: &since})
-	must.Eq(t, n, len(response.Changes))
+	must.Eq(t, accepted, len(response.Changes))
 	_, err := f.apply(seconds(70), "key/write", keyvalue.Args{Value: big})
 	must.Nil(t, err)
 }
@@ -93,7 +93,7 @@
 func TestRevisionsContinueAfterADelete(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	none, three := ident.Revision(0), ident.Revision(3)
-	v := json.RawMessage(`1`)
+	value := json.RawMessage(`1`)
 	for i, step := range []struct {
 		kind string
 		a    keyvalue.Args
@@ -101,11 +101,11 @@
 		rev  ident.Revision
 	}{
 		{"key/delete", keyvalue.Args{}, failure.NotFound, 0},
-		{"key/write", keyvalue.Args{Value: v, IfRevision: &none}, "", 1},
-		{"key/write", keyvalue.Args{Value: v, IfRevision: &none}, failure.Conflict, 0},
+		{"key/write", keyvalue.Args{Value: value, IfRevision: &none}, "", 1},
+		{"key/write", keyvalue.Args{Value: value, IfRevision: &none}, failure.Conflict, 0},
 		{"key/delete", keyvalue.Args{}, "", 2},
-		{"key/write", keyvalue.Args{Value: v, IfRevision: &three}, failure.Conflict, 0},
-		{"key/write", keyvalue.Args{Value: v, IfRevision: &none}, "", 3},
+		{"key/write", keyvalue.Args{Value: value, IfRevision: &three}, failure.Conflict, 0},
+		{"key/write", keyvalue.Args{Value: value, IfRevision: &none}, "", 3},
 		{"key/delete", keyvalue.Args{IfRevision: &three}, "", 4},
 		{"key/write", keyvalue.Args{}, failure.Invalid, 0},
 	} {
--- a/control/coordination/lock/batch_test.go
+++ b/control/coordination/lock/batch_test.go
@@ -57,7 +57,7 @@
 // with real processes: one lock was held under the fencing tokens 7 and 8 at once.
 func TestOneRoundGrantsOneHolder(t *testing.T) {
 	for _, free := range []bool{true, false} {
-		for n := range 27 {
+		for order := range 27 {
 			replica, now := newSingleReplica(seconds(1)), seconds(1)
 			replica.submit(now, "lock/claim", Args{Holder: "old", TTL: 1000})
 			replica.flush(now)
@@ -68,7 +68,7 @@
 			now = seconds(30)
 			replica.submit(now, "lock/read", Args{}) // its round is under way when the acquires arrive
 			replica.outcomes = nil
-			for i, holder := range []int{n % 3, n / 3 % 3, n / 9} {
+			for i, holder := range []int{order % 3, order / 3 % 3, order / 9} {
 				replica.submit(now.Add(time.Duration(i)), "lock/claim", Args{Holder: string(rune('a' + holder)), TTL: 1000})
 			}
 			replica.flush(now.Add(time.Millisecond))
@@ -79,7 +79,7 @@
 					holders[grant.Holder] = true
 				}
 			}
-			must.Eq(t, 1, len(holders), must.Sprintf("free %v, callers %d: %v were granted the lock", free, n, holders))
+			must.Eq(t, 1, len(holders), must.Sprintf("free %v, callers %d: %v were granted the lock", free, order, holders))
 		}
 	}
 }
--- a/control/coordination/quota/quota.go
+++ b/control/coordination/quota/quota.go
@@ -80,7 +80,8 @@
 	}
 	if known && grant.LeaseEpoch == args.LeaseEpoch && args.Seq <= grant.Seq {
 		total := current.smallestTotal()
-		return operation.Result{Body: operation.Encode(Share{Amount: grant.Share, FairShare: FairShare(total, len(current.Nodes)), Seq: grant.Seq, Total: total})}
+		share := Share{Amount: grant.Share, FairShare: FairShare(total, len(current.Nodes)), Seq: grant.Seq, Total: total}
+		return operation.Result{Body: operation.Encode(share)}
 	}
 	current.record(args)
 	body := operation.Encode(current.raise(args.Node))
--- a/control/rollout/reconcile/operations.go
+++ b/control/rollout/reconcile/operations.go
@@ -21,14 +21,15 @@
 
 // transition returns the operation that moves a rollout to another step and phase.
 func transition(rollout state.Rollout, next state.Phase, step int, reason string) proposer.Operation {
-	return proposer.Operation{Key: state.Key(rollout.Route), Kind: state.TransitionKind, Args: operation.Encode(state.Transition{
+	args := state.Transition{
 		Generation: rollout.Generation,
 		Step:       rollout.Step,
 		Phase:      rollout.Phase,
 		NextStep:   step,
 		NextPhase:  next,
 		Reason:     reason,
-	})}
+	}
+	return proposer.Operation{Key: state.Key(rollout.Route), Kind: state.TransitionKind, Args: operation.Encode(args)}
 }
 
 // proposeShare returns the operation that sends a percentage of the route to the new service.
@@ -43,5 +44,6 @@
 	}
 	base := config.Revision
 	body := operation.Encode(configPatch{map[string]routePatch{rollout.Route: patch}})
-	return proposer.Operation{Key: proposal.Key, Kind: proposal.ProposeKind, Args: operation.Encode(proposal.Args{Partial: true, BaseRevision: &base, Body: body})}
+	args := proposal.Args{Partial: true, BaseRevision: &base, Body: body}
+	return proposer.Operation{Key: proposal.Key, Kind: proposal.ProposeKind, Args: operation.Encode(args)}
 }
--- a/control/rollout/reconcile/reconciler.go
+++ b/control/rollout/reconcile/reconciler.go
@@ -52,9 +52,11 @@
 // New returns a reconciler without observations.
 func New() *Reconciler { return &Reconciler{watches: map[string]stepWatch{}} }
 
-// Next returns the next operation for a rollout; it reports false if none is due. callCounts
-// returns the counts of a service at this core.
-func (r *Reconciler) Next(now monotime.Time, rollout state.Rollout, config *validation.Config, callCounts func(ident.Service) CallCounts) (proposer.Operation, bool) {
+// CallCounter returns the counts of a service at this core.
+type CallCounter func(service ident.Service) CallCounts
+
+// Next returns the next operation for a rollout; it reports false if none is due.
+func (r *Reconciler) Next(now monotime.Time, rollout state.Rollout, config *validation.Config, callCounts CallCounter) (proposer.Operation, bool) {
 	if config == nil || rollout.Phase != state.Running && rollout.Phase != state.RollingBack {
 		delete(r.watches, rollout.Route)
 		return proposer.Operation{}, false
--- a/control/rollout/state/rollout.go
+++ b/control/rollout/state/rollout.go
@@ -126,7 +126,9 @@
 	stepSecondsValid := r.StepSeconds >= minStepSeconds && r.StepSeconds <= maxStepSeconds
 	ratioValid := r.MaxFailureRatio >= 0 && r.MaxFailureRatio <= 1
 	if r.Route == "" || !servicesValid || !stepSecondsValid || !ratioValid {
-		return failure.New(failure.Invalid, "a rollout needs a route, a service other than the route's, stepS from 0.5 to 86400 and mostDefects from 0 to 1")
+		return failure.New(failure.Invalid,
+			"a rollout needs a route, a service other than the route's, stepS from %v to %v and mostDefects from 0 to 1",
+			minStepSeconds, maxStepSeconds)
 	}
 	return nil
 }
--- a/daemon/api/apitest/apitest.go
+++ b/daemon/api/apitest/apitest.go
@@ -37,7 +37,11 @@
 func Start(t *testing.T, paths func(*core.Core) server.Paths, probe string) API {
 	t.Helper()
 	const addr = ident.Addr("127.0.0.1:1") // a single core connects to nobody
-	options := settings.Core{Addr: addr, Listen: addr, Zone: "z", Seeds: []ident.Addr{addr}, Founders: []ident.Addr{addr}, Voters: 1, RingFileBytes: 1 << 20, RingFiles: 4}
+	options := settings.Core{
+		Addr: addr, Listen: addr, Zone: "z",
+		Seeds: []ident.Addr{addr}, Founders: []ident.Addr{addr}, Voters: 1,
+		RingFileBytes: 1 << 20, RingFiles: 4,
+	}
 	c, err := core.Open(options, zap.NewNop(), memoryFolder{ring.NewMemoryFolder()})
 	must.NoError(t, err)
 	c.Start()
