--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -111,7 +111,7 @@
 func (h handlers) getEntry(w http.ResponseWriter, r *http.Request) {
 	key, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	entry, err := Get(r.Context(), h.core, key, requestTimeout)
@@ -122,12 +122,12 @@
 func (h handlers) putEntry(w http.ResponseWriter, r *http.Request) {
 	key, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	value, required, err := readWrite(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	entry, err := Put(r.Context(), h.core, key, value, required, requestTimeout)
@@ -137,12 +137,12 @@
 func (h handlers) watchKeyspace(w http.ResponseWriter, r *http.Request) {
 	name, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	after, wait, err := WatchQuery(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	changes, err := Watch(r.Context(), h.core, name, after, wait, requestTimeout)
@@ -152,8 +152,8 @@
 // respond sends a value, or the failure if there is one.
 func respond(w http.ResponseWriter, value any, err *failure.Error) {
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
-	response.JSON(w, http.StatusOK, value)
+	response.WriteJSON(w, http.StatusOK, value)
 }
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -38,7 +38,7 @@
 func (h handlers) writeKey(w http.ResponseWriter, r *http.Request) {
 	value, required, err := readWrite(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	h.execute(w, r, keyvalue.WriteKind, keyvalue.Args{Value: value, IfRevision: required})
@@ -47,7 +47,7 @@
 func (h handlers) removeKey(w http.ResponseWriter, r *http.Request) {
 	required, err := ifRevision(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	h.execute(w, r, keyvalue.DeleteKind, keyvalue.Args{IfRevision: required})
@@ -57,14 +57,14 @@
 func (h handlers) listKeys(w http.ResponseWriter, r *http.Request) {
 	result := h.core.QuorumRead(r.Context(), keyPrefix+r.URL.Query().Get("prefix"), true, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	listed := []ListedKey{}
 	for controlKey, found := range result.Found {
 		current, err := h.currentValue(r.Context(), controlKey, found)
 		if err != nil {
-			response.Defect(w, err)
+			response.WriteError(w, err)
 			return
 		}
 		if !current.Deleted {
@@ -72,11 +72,11 @@
 		}
 	}
 	if len(listed) > maxListedKeys {
-		response.Defect(w, tooManyKeys())
+		response.WriteError(w, tooManyKeys())
 		return
 	}
 	slices.SortFunc(listed, func(a, b ListedKey) int { return strings.Compare(string(a.Key), string(b.Key)) })
-	response.JSON(w, http.StatusOK, keyList{listed})
+	response.WriteJSON(w, http.StatusOK, keyList{listed})
 }
 
 // currentValue returns the value of a key from a quorum read, or through the key's proposer
--- a/daemon/api/coordination/paths.go
+++ b/daemon/api/coordination/paths.go
@@ -71,12 +71,12 @@
 func (h handlers) operation(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		args := json.RawMessage("{}")
-		body, err := response.Read(r, maxBodyBytes)
+		body, err := response.ReadBody(r, maxBodyBytes)
 		if err == nil && len(body) > 0 {
 			args, err = body, checkJSON(body)
 		}
 		if err != nil {
-			response.Defect(w, err)
+			response.WriteError(w, err)
 			return
 		}
 		h.execute(w, r, kind, args)
@@ -96,7 +96,7 @@
 func (h handlers) execute(w http.ResponseWriter, r *http.Request, kind string, args any) {
 	name, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	prefix, _, _ := strings.Cut(kind, "/")
@@ -107,21 +107,21 @@
 		Args: operation.Encode(args),
 	}, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(result.Body, &fields); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "response: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "response: %v", err))
 		return
 	}
 	if kind == keyvalue.ReadKind && fields["deleted"] == true {
-		response.Defect(w, failure.New(failure.NotFound, "there is no such key"))
+		response.WriteError(w, failure.New(failure.NotFound, "there is no such key"))
 		return
 	}
 	if _, ok := fields["revision"]; !ok {
 		fields["revision"] = result.Revision
 	}
 	w.Header().Set("X-Cottonarch-Revision", strconv.FormatUint(uint64(result.Revision), 10))
-	response.JSON(w, http.StatusOK, fields)
+	response.WriteJSON(w, http.StatusOK, fields)
 }
--- a/daemon/api/coordination/request.go
+++ b/daemon/api/coordination/request.go
@@ -18,7 +18,7 @@
 
 // readJSON returns the body, which must be JSON of any type.
 func readJSON(r *http.Request) (json.RawMessage, *failure.Error) {
-	body, err := response.Read(r, maxBodyBytes)
+	body, err := response.ReadBody(r, maxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/api/coordination/watch.go
+++ b/daemon/api/coordination/watch.go
@@ -34,12 +34,12 @@
 	query := r.URL.Query()
 	cursor, err := watch.Decode(query.Get("place"))
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	wait, err := watchWait(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	request := keyWatch{handlers: h, prefix: keyPrefix + query.Get("prefix"), cursor: cursor, initial: query.Get("place") == ""}
@@ -55,20 +55,20 @@
 		changed := k.core.KeysChanged()
 		events, err := k.events(r.Context())
 		if err != nil {
-			response.Defect(w, err)
+			response.WriteError(w, err)
 			return
 		}
 		if len(events) > 0 {
-			response.JSON(w, http.StatusOK, watchResponse{events, k.cursor.Encode()})
+			response.WriteJSON(w, http.StatusOK, watchResponse{events, k.cursor.Encode()})
 			return
 		}
 		switch awaitChange(r.Context(), k.core, changed, deadline.C) {
 		case wakeRead:
 		case wakeDeadline:
-			response.JSON(w, http.StatusOK, watchResponse{[]watch.Event{}, k.cursor.Encode()})
+			response.WriteJSON(w, http.StatusOK, watchResponse{[]watch.Event{}, k.cursor.Encode()})
 			return
 		case wakeStopping:
-			response.Defect(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetrySeconds))
+			response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetrySeconds))
 			return
 		case wakeCanceled:
 			return
--- a/daemon/api/operator/config.go
+++ b/daemon/api/operator/config.go
@@ -30,7 +30,7 @@
 func (h handlers) propose(w http.ResponseWriter, r *http.Request, isPatch bool) {
 	args, err := readProposal(r, isPatch)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	result := h.core.Execute(r.Context(), proposer.Operation{
@@ -41,17 +41,17 @@
 	}, requestTimeout)
 	if result.Failure != nil {
 		h.core.Metrics.Add("manifests_turned_away", 1)
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	h.core.Metrics.Add("manifests_taken", 1)
-	response.JSON(w, http.StatusOK, json.RawMessage(result.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
 
 // readProposal reads a proposal from a request. What is invalid whatever configuration is in
 // force is rejected here, before it costs a round of messages.
 func readProposal(r *http.Request, isPatch bool) (proposal.Args, *failure.Error) {
-	body, err := response.Read(r, maxBodyBytes)
+	body, err := response.ReadBody(r, maxBodyBytes)
 	if err != nil {
 		return proposal.Args{}, err
 	}
@@ -92,12 +92,12 @@
 func (h handlers) readConfig(w http.ResponseWriter, r *http.Request) {
 	config, err := h.core.NewestConfig(r.Context(), requestTimeout)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	if config.Revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "there is no configuration yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "there is no configuration yet"))
 		return
 	}
-	response.JSON(w, http.StatusOK, config.State)
+	response.WriteJSON(w, http.StatusOK, config.State)
 }
--- a/daemon/api/operator/paths.go
+++ b/daemon/api/operator/paths.go
@@ -47,10 +47,10 @@
 	op.Op = ident.OperationID(r.Header.Get("Idempotency-Key"))
 	result := h.core.Execute(r.Context(), op, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
-	response.JSON(w, http.StatusOK, json.RawMessage(result.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
 
 // routeName returns the name of the route in the path.
@@ -62,7 +62,7 @@
 	for range auditAttempts {
 		result := h.core.QuorumRead(r.Context(), segment.Prefix, true, requestTimeout)
 		if result.Failure != nil {
-			response.Defect(w, result.Failure)
+			response.WriteError(w, result.Failure)
 			return
 		}
 		entries, ok := node.AuditEntries(result.Found)
@@ -71,11 +71,11 @@
 		}
 		log, err := tree.Build(entries)
 		if err != nil {
-			response.Defect(w, failure.From(err))
+			response.WriteError(w, failure.From(err))
 			return
 		}
-		response.JSON(w, http.StatusOK, log)
+		response.WriteJSON(w, http.StatusOK, log)
 		return
 	}
-	response.Defect(w, failure.New(failure.Busy, "the audit log is being appended to").WithRetryAfter(auditRetrySeconds))
+	response.WriteError(w, failure.New(failure.Busy, "the audit log is being appended to").WithRetryAfter(auditRetrySeconds))
 }
--- a/daemon/api/operator/rollouts.go
+++ b/daemon/api/operator/rollouts.go
@@ -22,14 +22,14 @@
 // startRollout starts a rollout of a route from its service to another one.
 func (h handlers) startRollout(w http.ResponseWriter, r *http.Request) {
 	var requested rollout.Rollout
-	if err := response.Decode(r, maxRolloutBytes, &requested); err != nil {
-		response.Defect(w, err)
+	if err := response.DecodeBody(r, maxRolloutBytes, &requested); err != nil {
+		response.WriteError(w, err)
 		return
 	}
 	requested.Route = routeName(r)
 	config, err := h.core.NewestConfig(r.Context(), requestTimeout)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	for _, route := range config.Parsed.Routes {
@@ -38,7 +38,7 @@
 		}
 	}
 	if _, ok := config.Parsed.Services[requested.To]; requested.From == "" || !ok {
-		response.Defect(w, failure.New(failure.NotFound, "there is no route %q or no service %q", requested.Route, requested.To))
+		response.WriteError(w, failure.New(failure.NotFound, "there is no route %q or no service %q", requested.Route, requested.To))
 		return
 	}
 	h.execute(w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: rollout.StartKind, Args: operation.Encode(requested)})
@@ -49,12 +49,12 @@
 	key := rollout.Key(routeName(r))
 	result := h.core.Execute(r.Context(), proposer.Operation{Key: key, Kind: rollout.ReadKind}, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	var current rollout.Rollout
 	if err := json.Unmarshal(result.Body, &current); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "rollout: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "rollout: %v", err))
 		return
 	}
 	h.execute(w, r, proposer.Operation{Key: key, Kind: rollout.TransitionKind, Args: operation.Encode(rollout.Transition{
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -17,9 +17,9 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// headMost is the largest head that is read at all, in bytes; what a manifest allows is
+// maxHeaderBytes is the largest head that is read at all, in bytes; what a manifest allows is
 // below it.
-const headMost = 256 << 10
+const maxHeaderBytes = 256 << 10
 
 // Server is a kratos server.
 type Server = khttp.Server
@@ -27,34 +27,34 @@
 // New makes a server. kratos' own limit of one second is switched off: requests
 // carry their own. front, when given, sees every request before the table of paths
 // and before any path is cleaned, and answers true when it has served it.
-func New(addr ident.Addr, front func(http.ResponseWriter, *http.Request) bool, with ...Option) *Server {
-	opts := []khttp.ServerOption{
+func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
+	kratosOptions := []khttp.ServerOption{
 		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 		})),
 	}
-	if len(with) > 0 {
+	if len(options) > 0 {
 		l := &listener{addr: addr}
-		for _, o := range with {
-			o(l)
+		for _, option := range options {
+			option(l)
 		}
-		opts = append(opts, khttp.Listener(l))
+		kratosOptions = append(kratosOptions, khttp.Listener(l))
 	}
-	if front != nil {
-		opts = append(opts, khttp.Filter(func(next http.Handler) http.Handler {
+	if intercept != nil {
+		kratosOptions = append(kratosOptions, khttp.Filter(func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !front(w, r) {
+				if !intercept(w, r) {
 					next.ServeHTTP(w, r)
 				}
 			})
 		}))
 	}
-	s := khttp.NewServer(opts...)
-	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = 10*time.Second, 90*time.Second, headMost
+	s := khttp.NewServer(kratosOptions...)
+	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = 10*time.Second, 90*time.Second, maxHeaderBytes
 	return s
 }
 
@@ -64,37 +64,37 @@
 // Register puts the table on a server.
 func (p Paths) Register(s *Server) {
 	// Longer paths first: a pattern may cover a shorter one's tail.
-	order := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
+	patterns := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
 		if len(a) != len(b) {
 			return len(b) - len(a)
 		}
 		return strings.Compare(a, b)
 	})
-	for _, path := range order {
+	for _, path := range patterns {
 		methods := p[path]
 		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			serve, ok := methods[r.Method]
+			handler, ok := methods[r.Method]
 			if !ok {
-				response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+				response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 				return
 			}
-			serve(w, r)
+			handler(w, r)
 		})
 	}
 }
 
-type quiet struct{ log *zap.Logger }
+type warningLogger struct{ logger *zap.Logger }
 
-func (q quiet) Log(level log.Level, kv ...any) error {
+func (w warningLogger) Log(level log.Level, keyValues ...any) error {
 	if level >= log.LevelWarn {
-		q.log.Warn("kratos", zap.Any("said", kv))
+		w.logger.Warn("kratos", zap.Any("said", keyValues))
 	}
 	return nil
 }
 
 // Logger gives kratos' lines, from warnings up, to zap.
-func Logger(l *zap.Logger) log.Logger {
-	out := quiet{l}
-	log.SetLogger(out)
-	return out
+func Logger(logger *zap.Logger) log.Logger {
+	adapter := warningLogger{logger}
+	log.SetLogger(adapter)
+	return adapter
 }
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -21,10 +21,10 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
-	at, err := s.Endpoint()
+	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
 	go func() { _ = s.Start(context.Background()) }()
-	c, err := net.Dial("tcp", at.Host)
+	c, err := net.Dial("tcp", endpoint.Host)
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
@@ -34,7 +34,7 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	for { // the stop has begun once nobody is taken any more
-		more, err := net.Dial("tcp", at.Host)
+		more, err := net.Dial("tcp", endpoint.Host)
 		if err != nil {
 			break
 		}
@@ -42,9 +42,9 @@
 	}
 	_, err = io.WriteString(c, "Host: h\r\n\r\n")
 	must.NoError(t, err)
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
-	must.Eq(t, http.StatusServiceUnavailable, answer.StatusCode)
-	_ = answer.Body.Close()
+	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
+	_ = response.Body.Close()
 	must.NoError(t, <-stopped)
 }
