--- a/storage/ring/fuzz_test.go
+++ b/storage/ring/fuzz_test.go
@@ -33,7 +33,7 @@
 	return folder
 }
 
-// withChecksums gives every head, and every record that stands where its length says, the checksum
+// withChecksums gives every header, and every record that stands where its length says, the checksum
 // that it would have: then what the checksum keeps out on a real disk comes through.
 func withChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
@@ -56,7 +56,7 @@
 }
 
 // holdsRecord tells whether a record with a right checksum stands anywhere in an image, under
-// the lap of the head of its own file.
+// the lap of the header of its own file.
 func holdsRecord(raw []byte, key string, data []byte) bool {
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
 		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
--- /dev/null
+++ b/storage/ring/memory_folder.go
@@ -0,0 +1,137 @@
+package ring
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+)
+
+// MemoryFolder is a Folder in memory that loses or tears what was not synced, for tests and
+// simulations of a loss of power.
+type MemoryFolder struct {
+	Files map[string]*MemoryFile
+	// BeforeWrite, when set, is called before each operation ("write", "sync" or
+	// "sync folder") and may fail it.
+	BeforeWrite func(operation string) error
+	// BytesRead and BytesWritten count over all files.
+	BytesRead, BytesWritten uint64
+}
+
+// MemoryFile is one file of a MemoryFolder. Invariant: durable holds only what a Sync covered,
+// and what Crash chose to keep of the rest; cached is what the process sees.
+type MemoryFile struct {
+	folder     *MemoryFolder
+	nameSynced bool // the folder was synced since the file was made
+	durable    []byte
+	cached     []byte
+	unsynced   []pendingWrite
+}
+
+// pendingWrite is a write that no Sync has covered.
+type pendingWrite struct {
+	offset int64
+	data   []byte
+}
+
+// NewMemoryFolder makes an empty folder.
+func NewMemoryFolder() *MemoryFolder { return &MemoryFolder{Files: map[string]*MemoryFile{}} }
+
+// Open opens a file, which is all zeros if it was not there.
+func (m *MemoryFolder) Open(name string, size int64) (File, error) {
+	if f, ok := m.Files[name]; ok {
+		return f, nil
+	}
+	f := &MemoryFile{folder: m, durable: make([]byte, size), cached: make([]byte, size)}
+	m.Files[name] = f
+	return f, nil
+}
+
+// Sync makes the names of all files durable.
+func (m *MemoryFolder) Sync() error {
+	if err := m.before("sync folder"); err != nil {
+		return err
+	}
+	for _, f := range m.Files {
+		f.nameSynced = true
+	}
+	return nil
+}
+
+// before calls BeforeWrite, if it is set.
+func (m *MemoryFolder) before(operation string) error {
+	if m.BeforeWrite == nil {
+		return nil
+	}
+	return m.BeforeWrite(operation)
+}
+
+// ReadAt reads what the process sees.
+func (f *MemoryFile) ReadAt(p []byte, offset int64) (int, error) {
+	if offset >= int64(len(f.cached)) {
+		return 0, fmt.Errorf("read past end: %w", os.ErrInvalid)
+	}
+	n := copy(p, f.cached[offset:])
+	f.folder.BytesRead += uint64(n)
+	return n, nil
+}
+
+// WriteAt writes what a crash may lose until the next Sync.
+func (f *MemoryFile) WriteAt(p []byte, offset int64) (int, error) {
+	if err := f.folder.before("write"); err != nil {
+		return 0, err
+	}
+	copy(f.cached[offset:], p)
+	f.folder.BytesWritten += uint64(len(p))
+	f.unsynced = append(f.unsynced, pendingWrite{offset, append([]byte(nil), p...)})
+	return len(p), nil
+}
+
+// Sync makes the writes to this file durable.
+func (f *MemoryFile) Sync() error {
+	if err := f.folder.before("sync"); err != nil {
+		return err
+	}
+	for _, p := range f.unsynced {
+		copy(f.durable[p.offset:], p.data)
+	}
+	f.unsynced = nil
+	return nil
+}
+
+// Crash simulates a loss of power. Of every unsynced write of n bytes, keep(n) tells how many
+// stay; of every file whose name no Sync of the folder covered, keep(1) tells whether it stays.
+// The files are asked about in the order of their names. BeforeWrite is reset.
+func (m *MemoryFolder) Crash(keep func(n int) int) {
+	for _, name := range slices.Sorted(maps.Keys(m.Files)) {
+		f := m.Files[name]
+		if !f.nameSynced && keep(1) == 0 {
+			delete(m.Files, name)
+			continue
+		}
+		f.nameSynced = true
+		for _, p := range f.unsynced {
+			n := keep(len(p.data))
+			copy(f.durable[p.offset:], p.data[:n])
+		}
+		f.unsynced = nil
+		copy(f.cached, f.durable)
+	}
+	m.BeforeWrite = nil
+}
+
+// Unsynced counts the writes that a loss of power may take.
+func (m *MemoryFolder) Unsynced() int {
+	n := 0
+	for _, f := range m.Files {
+		n += len(f.unsynced)
+	}
+	return n
+}
+
+// CorruptByte flips bits of one durable byte.
+func (m *MemoryFolder) CorruptByte(name string, offset int64) {
+	f := m.Files[name]
+	f.durable[offset] ^= 0x5a
+	f.cached[offset] = f.durable[offset]
+}
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -21,7 +21,7 @@
 }
 
 // Power is lost at every single write point of a long run; what a Sync covered is
-// always there afterwards, and nothing older ever comes back.
+// always there afterwards, and no older value returns.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 2048}
 	errPowerLost := errors.New("power is gone")
@@ -84,8 +84,8 @@
 			var old, now int
 			_, _ = fmt.Sscanf(data, "%d-", &old)
 			_, err := fmt.Sscanf(got[key], "%d-", &now)
-			must.NoError(t, err, must.Sprintf("point %d tag %s lost", point, key))
-			must.LessEq(t, now, old, must.Sprintf("point %d tag %s went back", point, key))
+			must.NoError(t, err, must.Sprintf("point %d key %s lost", point, key))
+			must.LessEq(t, now, old, must.Sprintf("point %d key %s went back", point, key))
 		}
 		must.NoError(t, r.Append([]Record{{"after", []byte("x")}}))
 		must.NoError(t, r.Sync())
@@ -171,7 +171,7 @@
 // A process that is killed leaves writes that no sync covered; the next run reads them as
 // they are. Power that is lost later must not take what that run built on: after each
 // number of unsynced records, however many of them the disk keeps.
-func TestWhatAKilledRunLeftIsMadeToLast(t *testing.T) {
+func TestWritesOfAKilledRunAreMadeDurable(t *testing.T) {
 	for unsynced := range 4 {
 		for keep := range 3 {
 			folder := NewMemoryFolder()
@@ -197,10 +197,10 @@
 	}
 }
 
-// A damaged head of the only file that a young ring has written does not make it a new one:
-// what was synced is never forgotten without a word. A ring that lost power while its first
-// head was written holds nothing yet, and begins anew.
-func TestDamagedFirstHeadIsNoNewRing(t *testing.T) {
+// A damaged header of the only file that a young ring has written does not make it a new one:
+// what was synced is never lost without an error. A ring that lost power while its first
+// header was written holds nothing yet, and begins anew.
+func TestDamagedFirstHeaderIsNoNewRing(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 4096}
 	for offset := range int64(fileHeaderSize) {
 		folder := NewMemoryFolder()
@@ -210,7 +210,7 @@
 		must.NoError(t, r.Sync())
 		folder.CorruptByte("ring-000", offset)
 		_, err = Open(folder, options)
-		must.NotNil(t, err, must.Sprintf("byte %d of the head", offset))
+		must.NotNil(t, err, must.Sprintf("byte %d of the header", offset))
 		var typed *failure.Error
 		must.True(t, failure.As(err, &typed))
 		must.Eq(t, failure.Damaged, typed.Kind)
@@ -227,13 +227,13 @@
 		must.NotNil(t, err)
 		folder.Crash(func(n int) int { return min(n, part) })
 		r, err := Open(folder, options)
-		must.NoError(t, err, must.Sprintf("%d bytes of the first head", part))
+		must.NoError(t, err, must.Sprintf("%d bytes of the first header", part))
 		must.SliceEmpty(t, r.Records())
 	}
 }
 
-// Two damaged heads beside each other do not take a young ring back to the lap before them.
-func TestDamagedHeadsOfAYoungRingAreNoOlderRing(t *testing.T) {
+// Two damaged headers beside each other do not take a young ring back to the lap before them.
+func TestDamagedHeadersOfAYoungRingAreNoOlderRing(t *testing.T) {
 	options := Options{FileCount: 5, FileSize: 1024}
 	folder := NewMemoryFolder()
 	r, err := Open(folder, options)
@@ -242,7 +242,7 @@
 		must.NoError(t, r.Append([]Record{{"promise", fmt.Appendf(nil, "%0100d", n)}}))
 		must.NoError(t, r.Sync())
 	}
-	// The second file is lost whole, and the third's head.
+	// The second file is lost whole, and the third's header.
 	lost := folder.Files["ring-001"]
 	for n := range lost.durable {
 		lost.durable[n], lost.cached[n] = 0x77, 0x77
@@ -253,10 +253,10 @@
 }
 
 // A loss of power may take each file whose name no sync of the folder covered. Before
-// anything counts all names last, also those that a run made which was killed before it
+// anything counts all names are durable, also those that a run made which was killed before it
 // had synced the folder: for each set of files that may be lost and each point of such a
 // kill, what was synced is there.
-func TestNamesOfFilesLast(t *testing.T) {
+func TestFileNamesAreDurable(t *testing.T) {
 	const files, points = 4, 12
 	errKilled := errors.New("killed")
 	for point := range points {
@@ -323,7 +323,7 @@
 	}
 }
 
-// A start from a ring as large as the platform's, with a manifest of 100 KB among its
+// A start from a ring as large as the platform's, with a value of 100 KB among its
 // records, after many laps.
 func BenchmarkOpenAfterManyLaps(b *testing.B) {
 	folder, options := NewMemoryFolder(), Options{FileCount: 4, FileSize: 12 << 20}
