--- a/daemon/core/manifest.go
+++ b/daemon/core/config.go
@@ -19,34 +19,46 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// Config is a confirmed manifest. Invariant: Held only moves to higher epochs.
+const (
+	configRetryInterval = 250 * time.Millisecond
+	configReadBudget    = time.Second
+)
+
+// The kinds of the operations that read the configuration.
+const (
+	readRevisionKind = "manifest/epoch"
+	readConfigKind   = "manifest/read"
+)
+
+// Config is a confirmed configuration, with its parsed form and its compressed one.
 type Config struct {
 	proposal.State
 	Parsed *validation.Config
 	Packed *delta.Compressed
 }
 
-// configHistory keeps the newest manifests for deltas between them.
+// configHistory keeps the newest configurations for deltas between them.
 type configHistory struct {
 	mu sync.Mutex
 	delta.History
 }
 
-// ConfigDelta gives the delta from a revision to the newest manifest here, nil if there is none.
+// ConfigDelta gives the delta from a revision to the newest configuration here, nil if there is
+// none.
 func (c *Core) ConfigDelta(from ident.Epoch) *delta.Delta {
 	c.configVersions.mu.Lock()
 	defer c.configVersions.mu.Unlock()
 	return c.configVersions.Since(from)
 }
 
-// rememberConfig keeps a manifest for deltas from it and to it.
+// rememberConfig keeps a configuration for deltas from it and to it.
 func (c *Core) rememberConfig(version delta.Snapshot) {
 	c.configVersions.mu.Lock()
 	defer c.configVersions.mu.Unlock()
 	c.configVersions.Add(version)
 }
 
-// wakeConfigFollower wakes the duty that follows the manifest.
+// wakeConfigFollower has followConfig read the newest configuration.
 func (c *Core) wakeConfigFollower() {
 	select {
 	case c.configWake <- struct{}{}:
@@ -54,19 +66,20 @@
 	}
 }
 
-// Config is the newest manifest that this core knows to be confirmed, nil if none.
+// Config is the newest configuration that this core knows to be confirmed, nil if none. It only
+// moves to higher revisions.
 func (c *Core) Config() *Config { return c.config.Load() }
 
-// NewestConfig reads the manifest through its proposer, so it is not older than any confirmed
-// before the call.
+// NewestConfig reads the configuration through its proposer, so it is not older than any that
+// was confirmed before the call. Its revision is 0 when there is none yet.
 func (c *Core) NewestConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}, budget)
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: readRevisionKind}, budget)
 	if end.Failure != nil {
 		return nil, end.Failure
 	}
 	var answer proposal.Accepted
 	if err := json.Unmarshal(end.Body, &answer); err != nil {
-		return nil, failure.New(failure.Damaged, "epoch: %v", err)
+		return nil, failure.New(failure.Damaged, "configuration revision: %v", err)
 	}
 	if have := c.config.Load(); have != nil && have.Revision >= answer.Revision {
 		return have, nil
@@ -77,20 +90,21 @@
 	return c.readConfig(ctx, budget)
 }
 
-// readConfig reads the newest manifest whole, through its proposer, and takes it in.
+// readConfig reads the newest configuration whole, through its proposer, and installs it.
 func (c *Core) readConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, budget)
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: readConfigKind}, budget)
 	if end.Failure != nil {
 		return nil, end.Failure
 	}
 	return c.installConfig(end.Body)
 }
 
-// installConfig takes a confirmed manifest in, unless a newer one is known.
+// installConfig parses a confirmed configuration and makes it the newest here, unless a newer
+// one is known. It returns the newest.
 func (c *Core) installConfig(raw json.RawMessage) (*Config, *failure.Error) {
 	var taken proposal.State
 	if err := json.Unmarshal(raw, &taken); err != nil {
-		return nil, failure.New(failure.Damaged, "manifest: %v", err)
+		return nil, failure.New(failure.Damaged, "configuration: %v", err)
 	}
 	taken.AuditEntries, taken.Log = nil, nil
 	if have := c.config.Load(); have != nil && have.Revision >= taken.Revision {
@@ -107,38 +121,46 @@
 	parsed.Revision = taken.Revision
 	config := &Config{State: taken, Parsed: parsed, Packed: delta.NewCompressed(taken.Document)}
 	c.rememberConfig(delta.Snapshot{Revision: taken.Revision, Tree: tree, Raw: taken.Document})
+	if newer := c.replaceConfig(config); newer != nil {
+		return newer, nil
+	}
+	c.Log.Info("configuration installed", zap.Uint64("revision", uint64(config.Revision)), zap.Int("routes", len(parsed.Routes)), zap.Int("services", len(parsed.Services)))
+	c.Metrics.Set("manifest_epoch", int64(config.Revision))
+	c.RunStep(func(monotime.Time) node.Effects {
+		return node.Effects{SidecarViewChanged: c.node.Leases.SetConfig(parsed)}
+	})
+	return config, nil
+}
+
+// replaceConfig makes a configuration the newest here; it returns the one that is not older
+// instead, if there is one.
+func (c *Core) replaceConfig(config *Config) *Config {
 	for {
 		old := c.config.Load()
 		if old != nil && old.Revision >= config.Revision {
-			return old, nil
+			return old
 		}
 		if c.config.CompareAndSwap(old, config) {
-			break
+			return nil
 		}
 	}
-	c.Log.Info("manifest", zap.Uint64("epoch", uint64(config.Revision)), zap.Int("ways", len(parsed.Routes)), zap.Int("services", len(parsed.Services)))
-	c.Metrics.Set("manifest_epoch", int64(config.Revision))
-	c.RunStep(func(monotime.Time) node.Effects {
-		return node.Effects{SidecarViewChanged: c.node.Leases.SetConfig(parsed)}
-	})
-	return config, nil
 }
 
-// followConfig is the duty of having the newest confirmed manifest that the node knows of: at
-// once when told of one, and every quarter second while it is not here.
+// followConfig keeps the newest confirmed configuration that the node knows of: it installs
+// one at once when it is notified, and tries again at every tick while it lacks it.
 func (c *Core) followConfig() {
-	ticker := time.NewTicker(250 * time.Millisecond)
+	ticker := time.NewTicker(configRetryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case raw := <-c.confirmedConfigs:
 			if _, fail := c.installConfig(raw); fail != nil {
-				c.Log.Error("a confirmed manifest can't be read", zap.Error(fail))
+				c.Log.Error("confirmed configuration cannot be read", zap.Error(fail))
 			}
 			continue
 		case <-c.configWake:
 		case <-ticker.C:
-			if have := c.config.Load(); c.knownConfigRevision.Load() == 0 || have != nil && uint64(have.Revision) >= c.knownConfigRevision.Load() {
+			if !c.configIsBehind() {
 				continue
 			}
 		case <-c.done:
@@ -147,9 +169,15 @@
 		if view := c.View(); view == nil || !view.Majority {
 			continue
 		}
-		// That there is a newer one is known: its number need not be asked for first.
-		if _, fail := c.readConfig(context.Background(), time.Second); fail != nil {
+		// It is known that there is a newer one, so its revision need not be asked for first.
+		if _, fail := c.readConfig(context.Background(), configReadBudget); fail != nil {
 			c.Metrics.Add("manifest_reads_failed", 1)
 		}
 	}
 }
+
+// configIsBehind tells whether the node knows of a newer configuration than the one here.
+func (c *Core) configIsBehind() bool {
+	known, have := c.knownConfigRevision.Load(), c.config.Load()
+	return known != 0 && (have == nil || uint64(have.Revision) < known)
+}
--- a/daemon/core/post_test.go
+++ b/daemon/core/peer_queue_test.go
@@ -9,13 +9,13 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// Whole and brief hellos of two runs, other messages and drains, in all orders: only the
-// newest hello is ever sent, and a brief one never hides what a whole one still had to say.
+// Whole and brief heartbeats of two runs, other messages and drains, in all orders: only the
+// newest heartbeat is ever sent, and a brief one never hides what a whole one still had to say.
 func TestAllOrdersOfWaitingHeartbeats(t *testing.T) {
 	for order := range 5 * 5 * 5 * 5 * 5 * 5 {
 		q := &peerQueue{Queue: queue.New[message.Message](64)}
 		lastNumber, othersPushed := uint64(0), 0
-		var whole, pending bool // what was offered since the last drain
+		var whole, pending bool // what was pushed since the last drain
 		var run uint64
 		for rest, i := order, 0; i < 6; rest, i = rest/5, i+1 {
 			pushHeartbeat := func(r uint64, brief bool) {
--- /dev/null
+++ b/daemon/core/requests.go
@@ -0,0 +1,114 @@
+package core
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/core/joinqueue"
+	"cottonarch.example/cottonarch/control/core/node"
+	"cottonarch.example/cottonarch/control/register/proposer"
+)
+
+// resultMargin is how much longer than its budget a request is waited for: the node itself
+// ends it in time unless the loop is held up.
+const resultMargin = time.Second
+
+// resultWaiters holds the channels of the requests whose results are out, by their tickets.
+type resultWaiters struct {
+	mu       sync.Mutex
+	last     uint64
+	byTicket map[uint64]chan node.Result
+}
+
+func newResultWaiters() resultWaiters {
+	return resultWaiters{byTicket: map[uint64]chan node.Result{}}
+}
+
+// add gives a new ticket, and the channel that its result comes on.
+func (w *resultWaiters) add() (uint64, <-chan node.Result) {
+	result := make(chan node.Result, 1)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.last++
+	w.byTicket[w.last] = result
+	return w.last, result
+}
+
+// remove forgets a ticket whose result nobody waits for any more.
+func (w *resultWaiters) remove(ticket uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.byTicket, ticket)
+}
+
+// resolve gives a result to its waiter, if there is one still.
+func (w *resultWaiters) resolve(result node.Result) {
+	w.mu.Lock()
+	waiter := w.byTicket[result.Ticket]
+	delete(w.byTicket, result.Ticket)
+	w.mu.Unlock()
+	if waiter != nil {
+		waiter <- result
+	}
+}
+
+// await runs a step that starts a request, and waits for the request's result.
+func (c *Core) await(ctx context.Context, start func(now monotime.Time, ticket uint64) node.Effects) node.Result {
+	ticket, result := c.waiters.add()
+	if !c.RunStep(func(now monotime.Time) node.Effects { return start(now, ticket) }) {
+		c.waiters.remove(ticket)
+		return node.Result{Failure: failure.New(failure.Busy, "the core's step queue is full").WithRetryAfter(1)}
+	}
+	select {
+	case r := <-result:
+		return r
+	case <-ctx.Done():
+		c.waiters.remove(ticket)
+		return node.Result{Failure: failure.NewUnknown(failure.UnknownOutcome, "no response came in time")}
+	case <-c.done:
+		c.waiters.remove(ticket)
+		return node.Result{Failure: failure.NewUnknown(failure.Stopping, "the core stops")}
+	}
+}
+
+// Execute runs one operation and waits for its result, at most budget. Time in the step queue
+// counts, so a process that was held up does not begin what nobody waits for any more.
+func (c *Core) Execute(ctx context.Context, operation proposer.Operation, budget time.Duration) node.Result {
+	c.Metrics.Add("deeds", 1)
+	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
+	defer cancel()
+	clock := monotime.ProcessClock()
+	start := clock()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		left := budget - clock().Since(start)
+		if left <= 0 {
+			tooLate := failure.New(failure.Busy, "its time was over before it was begun").WithRetryAfter(1)
+			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: tooLate}}}
+		}
+		return c.node.Submit(now, ticket, operation, left)
+	})
+}
+
+// Join lets a sidecar join and waits for the result.
+func (c *Core) Join(ctx context.Context, request joinqueue.Request) node.Result {
+	ctx, cancel := context.WithTimeout(ctx, node.JoinBudget+resultMargin)
+	defer cancel()
+	clock := monotime.ProcessClock()
+	start := clock()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		return c.node.Join(now, ticket, request, node.JoinBudget-clock().Since(start))
+	})
+}
+
+// QuorumRead reads the records below a prefix from a majority, with their values or without.
+func (c *Core) QuorumRead(ctx context.Context, prefix string, values bool, budget time.Duration) node.Result {
+	c.Metrics.Add("surveys", 1)
+	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
+	defer cancel()
+	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
+		return c.node.QuorumRead(now, ticket, prefix, values, budget)
+	})
+}
