--- a/daemon/assemble.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts a daemon and its outer surfaces together.
+// Package daemon assembles a core or a sidecar with the HTTP servers that it is reached by.
 package daemon
 
 import (
@@ -18,11 +18,12 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// silenceTimeout is how long the other end of a connection may leave bytes unanswered before it
-// is given up.
-const silenceTimeout = 3 * time.Second
+// unackedTimeout is how long the other end of a connection may leave bytes unacknowledged
+// before the connection is closed.
+const unackedTimeout = 3 * time.Second
 
-// Core opens a core on its data folder.
+// Core opens a core on its data folder, and makes the server that it is reached by. Neither is
+// started yet.
 func Core(options settings.Core, log *zap.Logger) (*core.Core, *server.Server, error) {
 	folder, err := ring.OpenDir(options.Data)
 	if err != nil {
@@ -35,25 +36,36 @@
 	return c, srv, err
 }
 
-// CoreOnFolder opens a core on any folder.
+// CoreOnFolder opens a core on any folder, for tests and measurements.
 func CoreOnFolder(options settings.Core, log *zap.Logger, folder core.Folder) (*core.Core, *server.Server, error) {
+	warnDeprecated(log, options.DeprecatedKeys)
 	c, err := core.Open(options, log, folder)
 	if err != nil {
 		return nil, nil, err
 	}
 	srv := server.New(options.Listen, nil)
-	for _, paths := range []server.Paths{operator.Paths(c), coordination.Paths(c), mesh.Paths(c, ident.NewID()),
-		health.Paths(c.Ready, c.Metrics, func() any { return c.View() })} {
+	status := func() any { return c.View() }
+	for _, paths := range []server.Paths{operator.Paths(c), coordination.Paths(c), mesh.Paths(c, ident.NewID()), health.Paths(c.Ready, c.Metrics, status)} {
 		paths.Register(srv)
 	}
 	return c, srv, nil
 }
 
-// Sidecar makes a sidecar with its server towards the mesh and that for callers.
+// Sidecar makes a sidecar with its server towards the mesh and the one for clients. None of
+// them is started yet.
 func Sidecar(options settings.Sidecar, log *zap.Logger) (s *sidecar.Sidecar, meshServer, clientServer *server.Server) {
+	warnDeprecated(log, options.DeprecatedKeys)
 	s = sidecar.New(options, log)
-	meshServer = server.New(options.Listen, s.ServePeer, server.Silence(silenceTimeout), server.Deaf())
+	meshServer = server.New(options.Listen, s.ServePeer, server.Silence(unackedTimeout), server.Deaf())
 	s.Paths().Register(meshServer)
 	health.Paths(s.Ready, s.Metrics, s.Status).Register(meshServer)
-	return s, meshServer, server.New(options.ClientAddr, s.HandleCaller, server.Silence(silenceTimeout), server.Deaf())
+	clientServer = server.New(options.ClientAddr, s.HandleCaller, server.Silence(unackedTimeout), server.Deaf())
+	return s, meshServer, clientServer
+}
+
+// warnDeprecated logs the keys that the settings file gave under their old names.
+func warnDeprecated(log *zap.Logger, keys []settings.DeprecatedKey) {
+	for _, key := range keys {
+		log.Warn("deprecated settings key", zap.String("key", key.Old), zap.String("use", key.New))
+	}
 }
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -10,8 +10,8 @@
 	"cottonarch.example/cottonarch/control/config/decode"
 )
 
-// Whatever stands in a boot file: it is refused as a bad boot, or its addresses can be
-// listened at and its sizes are above nought.
+// Whatever stands in a settings file: it is rejected as bad settings, or its addresses can be
+// listened at and its sizes are above zero.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{`{}`, `{"address":"127.0.0.1:1","caller":"127.0.0.1:2","district":"d","seeds":["127.0.0.1:3"]}`,
 		`{"address":"127.0.0.1:1","district":"d","data":"/x","founders":["127.0.0.1:1"],"ringFileMiB":1024,"ringFiles":64,"historyS":0.5}`,
--- a/settings/boot_test.go
+++ b/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"os"
 	"path/filepath"
 	"testing"
@@ -12,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A bad boot names every fault with its path, all at once.
+// Bad settings name every fault with its path, all at once.
 func TestEveryFaultIsNamed(t *testing.T) {
 	_, fail := ReadCore(map[string]any{"address": "host:1", "district": "", "seeds": []any{"1.2.3.4:5", "1.2.3.4:5", "x"}, "surprise": true, "voters": "two"})
 	must.NotNil(t, fail)
@@ -29,7 +30,7 @@
 	must.Eq(t, 4, len(fail.Faults), must.Sprint(fail.Faults)) // caller, data, district, seeds
 }
 
-// The sample boot files of both deployments are good.
+// The sample settings files of both deployments are good.
 func TestSamplesAreGood(t *testing.T) {
 	files, err := filepath.Glob("../samples/*/*.json")
 	must.NoError(t, err)
@@ -49,8 +50,8 @@
 	}
 }
 
-// A flag goes before the file.
-func TestFlagsGoFirst(t *testing.T) {
+// A flag overrides the file.
+func TestFlagsOverrideTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "b.json")
 	must.NoError(t, os.WriteFile(file, []byte(`{"address":"127.0.0.1:1","district":"a","seeds":["127.0.0.1:1"],"data":"d"}`), 0o600))
 	values, fail := Flags{Zone: "b"}.Load(file)
@@ -69,7 +70,7 @@
 	must.NotNil(t, fail)
 }
 
-// The bound of further tries comes from the boot, and has defaults.
+// The limits of the retries come from the settings, and have defaults.
 func TestRetryBudgetSettings(t *testing.T) {
 	base := func(overrides map[string]any) map[string]any {
 		values := map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:2", "district": "d", "seeds": []any{"127.0.0.1:3"}}
@@ -90,3 +91,63 @@
 	must.Nil(t, fail)
 	must.Eq(t, -1, core.RetryLimit)
 }
+
+// newKeys and oldKeys are the same settings under the keys of this release and of the last.
+var (
+	newKeys = map[string]any{"address": "127.0.0.1:1", "clientAddress": "127.0.0.1:2", "zone": "z", "seeds": []any{"127.0.0.1:3"}, "maxInFlight": json.Number("7"),
+		"retryExtra": json.Number("8"), "retryWindowS": json.Number("9"), "retryRatio": json.Number("0.5"), "retryNested": true, "crossZoneMsPerKB": json.Number("10"), "maxBodyMiB": json.Number("11")}
+	oldKeys = map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:2", "district": "z", "seeds": []any{"127.0.0.1:3"}, "hand": json.Number("7"),
+		"allowanceExtra": json.Number("8"), "allowanceWindowS": json.Number("9"), "allowanceRatio": json.Number("0.5"), "allowanceInner": true, "crossMsPerKB": json.Number("10"), "bulkMiB": json.Number("11")}
+)
+
+// A key is read under its old name as under its new one, and each old name is reported.
+func TestDeprecatedKeysAreRead(t *testing.T) {
+	want, fail := ReadSidecar(newKeys)
+	must.Nil(t, fail)
+	must.SliceEmpty(t, want.DeprecatedKeys)
+	must.Eq(t, 7, want.MaxInFlight)
+	must.Eq(t, retrybudget.Limits{Extra: 8, Window: 9 * time.Second, Ratio: 0.5, CountNested: true}, want.RetryBudget)
+	must.Eq(t, 10*time.Millisecond, want.CrossZoneCostPerKB)
+	must.Eq(t, 11<<20, want.MaxBodyBytes)
+
+	got, fail := ReadSidecar(oldKeys)
+	must.Nil(t, fail)
+	must.Len(t, len(deprecatedNames), got.DeprecatedKeys)
+	for _, key := range got.DeprecatedKeys {
+		must.Eq(t, key.Old, deprecatedNames[key.New])
+	}
+	got.DeprecatedKeys = nil
+	must.Eq(t, want, got)
+
+	core, fail := ReadCore(map[string]any{"address": "127.0.0.1:1", "district": "z", "seeds": []any{"127.0.0.1:3"}, "data": "x"})
+	must.Nil(t, fail)
+	must.Eq(t, []DeprecatedKey{{Old: "district", New: "zone"}}, core.DeprecatedKeys)
+}
+
+// A fault stands under the name that the file gives, and a key that is given under both of
+// its names is one; a flag takes the place of either.
+func TestFaultsOfDeprecatedKeys(t *testing.T) {
+	for _, old := range deprecatedNames {
+		values := maps.Clone(oldKeys)
+		values[old] = json.Number("-1")
+		_, fail := ReadSidecar(values)
+		must.NotNil(t, fail, must.Sprint(old))
+		must.Eq(t, old, fail.Faults[0].Path)
+	}
+	for key, old := range deprecatedNames {
+		values := maps.Clone(newKeys)
+		values[old] = values[key]
+		_, fail := ReadSidecar(values)
+		must.NotNil(t, fail, must.Sprint(old))
+		must.Eq(t, old, fail.Faults[0].Path)
+	}
+	_, fail := ReadSidecar(map[string]any{})
+	must.NotNil(t, fail)
+	must.StrContains(t, fail.Error(), `zone: must be given ("district" until the last release)`)
+	must.StrContains(t, fail.Error(), `clientAddress: must be given ("caller" until the last release)`)
+	values := maps.Clone(oldKeys)
+	override(values, keyZone, "flag")
+	sidecar, fail := ReadSidecar(values)
+	must.Nil(t, fail)
+	must.Eq(t, "flag", string(sidecar.Zone))
+}
