--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -1,19 +1,21 @@
-// Package failure gives every failure a type: its kind, and whether the operation was executed.
+// Package failure is the typed error of all packages: its kind, and whether the operation that
+// failed was executed.
 package failure
 
 import (
 	"fmt"
+	"net/http"
 
 	"github.com/juju/errors"
 )
 
-// Kind is the type of a failure as it is shown outside.
+// Kind is the kind of a failure, as clients see it.
 type Kind string
 
 // Outcome says whether the operation took effect.
 type Outcome string
 
-// The three outcomes. Invariant: NotExecuted is said only when proved.
+// The three outcomes. Invariant: NotExecuted is given only when proved.
 const (
 	NotExecuted    Outcome = "no"
 	OutcomeUnknown Outcome = "unknown"
@@ -22,41 +24,75 @@
 
 // The kinds of failure.
 const (
-	Malformed        Kind = "malformed"
-	Invalid          Kind = "invalid"
-	Oversize         Kind = "oversize"
-	Conflict         Kind = "conflict"
+	// The input.
+	Malformed    Kind = "malformed" // it cannot be parsed
+	Invalid      Kind = "invalid"   // it parses, and breaks a rule
+	Oversize     Kind = "oversize"
+	NotPermitted Kind = "not-permitted" // the path does not have the method
+	BadSettings  Kind = "bad-boot"
+
+	// The state that the operation met.
+	Conflict  Kind = "conflict" // another revision than the one that was given
+	NotFound  Kind = "missing"
+	LockHeld  Kind = "held" // by another holder
+	NotHolder Kind = "not-holder"
+	Compacted Kind = "forgotten" // the changes that were asked for are no longer kept
+	Exhausted Kind = "full"      // no room or no number is left
+
+	// The way of a request to an endpoint and back.
 	NoRoute          Kind = "no-way"
-	NoWorkload       Kind = "no-workload"
-	Busy             Kind = "busy"
-	DeadlineExceeded Kind = "late"
-	EndpointRejected Kind = "gate"
+	NoWorkload       Kind = "no-workload" // no endpoint of the service may be chosen
+	EndpointRejected Kind = "gate"        // the destination's sidecar rejected it before its endpoint
 	Unreachable      Kind = "unreached"
 	BadResponse      Kind = "bad-return"
-	LostResponse     Kind = "lost-return"
-	NoMajority       Kind = "no-majority"
-	UnknownOutcome   Kind = "unknown-fate"
-	NotFound         Kind = "missing"
-	LockHeld         Kind = "held"
-	NotHolder        Kind = "not-holder"
-	Compacted        Kind = "forgotten"
-	Stopping         Kind = "stopping"
+	LostResponse     Kind = "lost-return" // the connection broke before the response was whole
+
+	// Time and load.
+	Busy             Kind = "busy"
+	DeadlineExceeded Kind = "late"
 	NotReady         Kind = "not-ready"
-	Damaged          Kind = "damaged"
-	DiskFailed       Kind = "disk-failed"
-	BadSettings      Kind = "bad-boot"
-	NotPermitted     Kind = "not-permitted"
-	Internal         Kind = "internal"
-	Exhausted        Kind = "full"
+	Stopping         Kind = "stopping"
+
+	// The control plane.
+	NoMajority     Kind = "no-majority"
+	UnknownOutcome Kind = "unknown-fate"
+	Damaged        Kind = "damaged" // what is stored cannot be read
+	DiskFailed     Kind = "disk-failed"
+	Internal       Kind = "internal"
 )
 
-// codes maps each kind to its HTTP status.
+// statusByKind gives the HTTP status of each kind.
 var statusByKind = map[Kind]int{
-	Malformed: 400, Invalid: 422, Oversize: 413, Conflict: 409, NoRoute: 404, NoWorkload: 503,
-	Busy: 503, DeadlineExceeded: 504, EndpointRejected: 503, Unreachable: 503, BadResponse: 502, LostResponse: 502,
-	NoMajority: 503, UnknownOutcome: 504, NotFound: 404, LockHeld: 409, NotHolder: 409, Compacted: 410,
-	Stopping: 503, NotReady: 503, Damaged: 500, DiskFailed: 503, BadSettings: 400, NotPermitted: 405,
-	Internal: 500, Exhausted: 507,
+	Malformed:    http.StatusBadRequest,
+	Invalid:      http.StatusUnprocessableEntity,
+	Oversize:     http.StatusRequestEntityTooLarge,
+	NotPermitted: http.StatusMethodNotAllowed,
+	BadSettings:  http.StatusBadRequest,
+
+	Conflict:  http.StatusConflict,
+	NotFound:  http.StatusNotFound,
+	LockHeld:  http.StatusConflict,
+	NotHolder: http.StatusConflict,
+	Compacted: http.StatusGone,
+	Exhausted: http.StatusInsufficientStorage,
+
+	NoRoute:          http.StatusNotFound,
+	NoWorkload:       http.StatusServiceUnavailable,
+	EndpointRejected: http.StatusServiceUnavailable,
+	Unreachable:      http.StatusServiceUnavailable,
+	BadResponse:      http.StatusBadGateway,
+	LostResponse:     http.StatusBadGateway,
+
+	Busy:             http.StatusServiceUnavailable,
+	DeadlineExceeded: http.StatusGatewayTimeout,
+	NotReady:         http.StatusServiceUnavailable,
+	Stopping:         http.StatusServiceUnavailable,
+
+	NoMajority:     http.StatusServiceUnavailable,
+	UnknownOutcome: http.StatusGatewayTimeout,
+	Damaged:        http.StatusInternalServerError,
+	DiskFailed:     http.StatusServiceUnavailable,
+	Internal:       http.StatusInternalServerError,
 }
 
 // Error is one failure. Invariant: Kind is one of the constants above.
@@ -67,18 +103,18 @@
 	Path       string  `json:"path,omitempty"`
 	RetryAfter float64 `json:"retryAfterS,omitempty"` // seconds
 	Faults     []Fault `json:"faults,omitempty"`
-	// CurrentRevision is, at a conflict, the revision that the thing has: 0 when there is none.
+	// CurrentRevision is, at a conflict, the present revision: 0 when there is none yet.
 	CurrentRevision *uint64 `json:"revision,omitempty"`
 	cause           error
 }
 
-// Fault is one fault of an input, at a path.
+// Fault is one fault of an input, at the path of a field.
 type Fault struct {
 	Path string `json:"path"`
 	Note string `json:"note"`
 }
 
-// Error makes it an error.
+// Error gives the kind, the note and all faults.
 func (e *Error) Error() string {
 	text := string(e.Kind)
 	if e.Note != "" {
@@ -95,20 +131,20 @@
 	if code, ok := statusByKind[e.Kind]; ok {
 		return code
 	}
-	return 500
+	return http.StatusInternalServerError
 }
 
-// New makes an error whose operation certainly did not happen.
+// New makes an error of an operation that was certainly not executed.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Outcome: NotExecuted, Note: fmt.Sprintf(format, args...)}
 }
 
-// NewUnknown makes an error whose operation may have happened.
+// NewUnknown makes an error of an operation that may have been executed.
 func NewUnknown(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Outcome: OutcomeUnknown, Note: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter adds a Retry-After.
+// WithRetryAfter sets after how many seconds the client may retry.
 func (e *Error) WithRetryAfter(seconds float64) *Error { e.RetryAfter = seconds; return e }
 
 // From finds the typed error within an error, or wraps it as internal with an unknown outcome.
@@ -123,10 +159,11 @@
 	return NewUnknown(Internal, "%s", err.Error())
 }
 
-// Unwrap gives the cause, if there is one.
+// Unwrap gives the cause, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Wrap gives an error of another library a type and a trace.
+// Wrap gives an error of another library a kind and a trace; its outcome is unknown. It is nil
+// for a nil error.
 func Wrap(err error, kind Kind, note string) error {
 	if err == nil {
 		return nil
@@ -134,5 +171,5 @@
 	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Note: note + ": " + err.Error(), cause: err})
 }
 
-// As looks for a typed error within an error.
+// As finds the typed error within an error, as errors.As does.
 func As(err error, target **Error) bool { return errors.As(err, target) }
--- a/base/ident/clock_test.go
+++ b/base/ident/clock_test.go
@@ -10,14 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// Nothing of the product reads the wall clock as a number, so a wall clock that jumps,
-// also back, changes nothing: not an id, not an order, not a wait. Steps read no clock at
-// all.
+// No package of the daemons reads the wall clock as a number, so a wall clock that jumps,
+// also back, changes no id, no order and no wait. Steps read no clock at all.
 func TestNobodyReadsTheWallClock(t *testing.T) {
 	wallClockRead := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
 	clockRead := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
 	filesRead := 0
-	for _, dir := range []string{"adapter", "boot", "control", "daemon", "kernel", "mesh", "storage", "wire"} {
+	for _, dir := range []string{"base", "control", "daemon", "mesh", "settings", "storage", "wire"} {
 		must.NoError(t, filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, entry os.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -1,4 +1,5 @@
-// Package ident holds the small types that name things in the mesh.
+// Package ident holds the small types that identify things in the mesh, so that a disk is not
+// taken for a node, nor an epoch for a revision.
 package ident
 
 import (
@@ -8,16 +9,19 @@
 	"net"
 	"net/netip"
 	"strings"
+
+	"cottonarch.example/cottonarch/base/hashing"
 )
 
-// Disk names one data folder for the whole of its life. Invariant: a folder that
+// Disk identifies one data folder for the whole of its life. Invariant: a folder that
 // comes back empty gets a new Disk; two folders never share one.
 type Disk string
 
-// Addr is a peer address, "ip:port". Invariant: never resolved by name.
+// Addr is the address of a process, "ip:port". Invariant: it is never resolved by name.
 type Addr string
 
-// DialSource is the address to dial from: the same IP, any port.
+// DialSource is the address that a process at a dials from: the same IP, any port. It is nil
+// when a is no ip:port.
 func (a Addr) DialSource() net.Addr {
 	addrPort, err := netip.ParseAddrPort(string(a))
 	if err != nil {
@@ -26,43 +30,44 @@
 	return net.TCPAddrFromAddrPort(netip.AddrPortFrom(addrPort.Addr(), 0))
 }
 
-// Node names a sidecar; it is stable over restarts of that sidecar.
+// Node identifies a sidecar; it is stable over restarts of that sidecar.
 type Node string
 
-// Server is the DESIGN's serverId: the key of a Workload.
+// Server identifies one run of an endpoint (its serverId).
 type Server string
 
-// Service is a service hostname: the key of a Service.
+// Service is the host name of a service.
 type Service string
 
 // Zone is a failure zone.
 type Zone string
 
-// Epoch counts terms of proposers, membership, lease and manifest epochs. Invariant: each
-// series only rises.
+// Epoch counts the terms of proposers, memberships, leases, and the revisions of the
+// configuration. Invariant: each series only rises.
 type Epoch uint64
 
-// Revision counts changes of one control key. Invariant: rises by one a change
+// Revision counts the changes of one control key. Invariant: it rises by one with each change
 // and never restarts, not even when the key is deleted.
 type Revision uint64
 
-// OperationID names one operation of one caller; repeating it is harmless.
+// OperationID identifies one operation of one client, so that a repeat takes effect once.
 type OperationID string
 
-// Key names one control key.
+// Key is a control key.
 type Key string
 
 // HasPrefix tells whether the key lies below a prefix.
 func (k Key) HasPrefix(prefix string) bool { return strings.HasPrefix(string(k), prefix) }
 
-// Ballot orders the terms of one key. Invariant: Owner carries the process's own
-// mark, so that a restarted proposer never reuses a ballot.
+// Ballot orders the terms of one key, as in Paxos. Invariant: Proposer holds the process's own
+// instance ID, so that a restarted proposer never reuses a ballot.
 type Ballot struct {
 	Epoch    Epoch  `json:"e"`
 	Proposer string `json:"o,omitempty"`
 }
 
-// Zero tells whether no term ever was.
+// Zero tells whether it is the ballot before every term. It is not named IsZero: encoding/json
+// would then leave it out by another rule.
 func (b Ballot) Zero() bool { return b.Epoch == 0 }
 
 // Less is the total order of ballots.
@@ -73,8 +78,8 @@
 	return b.Proposer < other.Proposer
 }
 
-// NewID makes a name that no other process, disk or run has or will have. Invariant: it
-// rests on no clock, so it is new even when clocks jump back.
+// NewID makes an ID that no other process, disk or run has or will have: 128 random bits in
+// hexadecimal digits. Invariant: it rests on no clock, so it is new even when clocks jump back.
 func NewID() string {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
@@ -85,14 +90,11 @@
 // with every request, and enough that the numbers of two runs do not meet.
 const firstNumberBits = 40
 
-// FirstRequestNumber is where a run of a process begins to number its requests to others; run is
-// its mark, or a name that holds the mark. Invariant: the numbers of two runs lie apart, so
+// FirstRequestNumber is where a run of a process begins to number its requests to others;
+// instance is its instance ID, or a name that holds it. Invariant: the numbers of two runs lie apart, so
 // that a late answer to an earlier run is never taken for an answer to this one.
 func FirstRequestNumber(instance string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instance))
-	mixed := hash.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	return (mixed ^ mixed>>33) >> (64 - firstNumberBits)
+	return hashing.Mix(hash.Sum64()) >> (64 - firstNumberBits)
 }
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Marks made at the very same moment differ: nothing of a clock is in them.
+// IDs made at the same time differ: nothing of a clock is in them.
 func TestIDsAreUniqueWithoutAClock(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10000 {
--- a/base/metrics/count.go
+++ b/base/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics keeps the counters; they come before log lines.
+// Package metrics keeps named counters and gauges. What happens often is counted here, not
+// logged.
 package metrics
 
 import (
@@ -6,18 +7,19 @@
 	"sync/atomic"
 )
 
-// Registry is a set of named counters.
+// Registry is a set of named counters and gauges; any goroutine may use it.
 type Registry struct {
 	mu       sync.RWMutex
 	counters map[string]*atomic.Int64
-	// BeforeRead, when set, brings the gauges up to date before they are read.
+	// BeforeRead, when set, is called by Snapshot so that gauges are up to date. It is set
+	// before the registry is shared.
 	BeforeRead func()
 }
 
-// New makes a board.
+// New makes an empty registry.
 func New() *Registry { return &Registry{counters: map[string]*atomic.Int64{}} }
 
-// Counter finds or makes a counter.
+// Counter gives the counter of a name, and makes it when it is new.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.RLock()
 	counter := r.counters[name]
@@ -40,7 +42,7 @@
 // Set sets a gauge.
 func (r *Registry) Set(name string, value int64) { r.Counter(name).Store(value) }
 
-// Snapshot reads every counter.
+// Snapshot reads all counters and gauges, by their names.
 func (r *Registry) Snapshot() map[string]int64 {
 	if r.BeforeRead != nil {
 		r.BeforeRead()
--- a/base/monotime/monotime.go
+++ b/base/monotime/monotime.go
@@ -1,5 +1,5 @@
-// Package monotime holds monotonic time. Nothing here can be compared between
-// processes: safety rests on no agreed clock.
+// Package monotime is monotonic time. Times of two processes cannot be compared: safety rests on
+// no agreement of clocks.
 package monotime
 
 import (
@@ -15,27 +15,27 @@
 // Duration is a length of monotonic time.
 type Duration = time.Duration
 
-// Add moves a time.
+// Add gives the time that is d later.
 func (t Time) Add(d Duration) Time { return t + Time(d) }
 
-// Since is the span from o to t.
+// Since is the time that passed from earlier to t.
 func (t Time) Since(earlier Time) Duration { return Duration(t - earlier) }
 
-// After tells whether t is later than o.
+// After tells whether t is later than other.
 func (t Time) After(other Time) bool { return t > other }
 
-// Clock reads the time of one process.
+// Clock reads the monotonic time of one process.
 type Clock func() Time
 
-// ProcessClock gives the clock of this process; it starts at one second so that the zero
-// Time always means "never". It goes on while the machine is suspended, which the
-// monotonic clock that Go reads does not: to a process, a machine's sleep then looks
-// like any other time in which it was held up.
+// ProcessClock gives a clock of this process; it starts at one second so that the zero Time
+// always means "never". Unlike the monotonic clock of package time it goes on while the machine
+// is suspended: to the process that looks like any other pause.
 func ProcessClock() Clock {
 	start := readBootTime()
 	return func() Time { return readBootTime() - start + Time(time.Second) }
 }
 
+// readBootTime reads the time since the machine started, suspension included.
 func readBootTime() Time {
 	var reading unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading) != nil {
@@ -44,18 +44,19 @@
 	return Time(reading.Nano())
 }
 
-// StepLimiter counts time that was watched go by. Invariant: between two looks it moves by
-// StepMost at most, however far the clock moved; so a clock that jumps forward, or a
-// process that was held up, never makes a wait look longer than it was by more.
+// StepLimiter follows a clock by bounded steps. Invariant: between two readings it advances by
+// MaxStep at most, however far the clock moved; so a clock that jumps forward, or a pause of the
+// process, never makes a wait look longer than it was by more.
 type StepLimiter struct {
-	lastReading, observed Time
+	lastReading Time
+	observed    Time // by the bounded steps
 }
 
-// MaxStep is the most that one look adds. It is far below every margin that a lease
-// leaves, and far above the time between two ticks of a duty.
+// MaxStep is the most that one reading adds. It is far below every margin that a lease leaves,
+// and far above the time between two ticks of a loop.
 const MaxStep = 100 * time.Millisecond
 
-// Observe moves the watch to a reading of the clock and gives the time watched so far.
+// Observe takes in a reading of the clock and gives the limited time.
 func (l *StepLimiter) Observe(now Time) Time {
 	switch {
 	case l.lastReading == 0:
@@ -67,7 +68,7 @@
 	return l.observed
 }
 
-// LimitSteps is a clock that shows the time watched go by; many may read it.
+// LimitSteps gives a clock that follows another by bounded steps; any goroutine may read it.
 func LimitSteps(clock Clock) Clock {
 	var mu sync.Mutex
 	var limiter StepLimiter
--- a/base/monotime/monotime_test.go
+++ b/base/monotime/monotime_test.go
@@ -7,13 +7,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// Every order of three kinds of look: what was watched is never more than what went by
-// on a clock that does not jump, but for one step a jump, and it never goes back.
+// Every order of four kinds of reading: the limited time is never ahead of the time that really
+// passed, but for one step a jump, and it never goes back.
 func TestAllOrdersOfJumps(t *testing.T) {
 	steps := []struct{ elapsed, shown time.Duration }{
 		{20 * time.Millisecond, 20 * time.Millisecond}, // a tick
 		{20 * time.Millisecond, 30 * time.Second},      // the clock jumps forward
-		{5 * time.Second, 5 * time.Second},             // the process is held up
+		{5 * time.Second, 5 * time.Second},             // the process is paused
 		{20 * time.Millisecond, -time.Second},          // a clock that goes back
 	}
 	for order := range 256 {
--- a/base/queue/queue.go
+++ b/base/queue/queue.go
@@ -1,14 +1,14 @@
-// Package queue is the bounded ring that joins duties.
+// Package queue is a bounded queue between goroutines.
 package queue
 
-// Queue joins one duty to the next. Invariant: it never holds more than it was
-// made for; a full ring turns work away instead of growing.
+// Queue passes items from goroutines to others. Invariant: it never holds more than its size; a
+// full queue rejects items instead of growing.
 type Queue[T any] struct{ items chan T }
 
-// New makes a ring of the given size.
+// New makes a queue that holds up to size items.
 func New[T any](size int) *Queue[T] { return &Queue[T]{items: make(chan T, size)} }
 
-// TryPut puts an item in, or says false at once.
+// TryPut puts an item in, or returns false at once when the queue is full.
 func (q *Queue[T]) TryPut(item T) bool {
 	select {
 	case q.items <- item:
@@ -18,7 +18,7 @@
 	}
 }
 
-// Put waits for room until done closes.
+// Put puts an item in, waiting for room; it returns false when done closes first.
 func (q *Queue[T]) Put(item T, done <-chan struct{}) bool {
 	select {
 	case q.items <- item:
@@ -28,16 +28,16 @@
 	}
 }
 
-// Out is the reading end.
+// Out is the channel that items are received from. It is never closed.
 func (q *Queue[T]) Out() <-chan T { return q.items }
 
-// Len is the number held now.
+// Len is the number of items that are held now.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Free is the number of free slots.
+// Free is the number of items that there is room for now.
 func (q *Queue[T]) Free() int { return cap(q.items) - len(q.items) }
 
-// Drain takes up to n more items without waiting.
+// Drain appends items without waiting until there are limit of them, or the queue is empty.
 func (q *Queue[T]) Drain(items []T, limit int) []T {
 	for len(items) < limit {
 		select {
