--- a/control/register/proposer/few_test.go
+++ b/control/register/proposer/confirm_test.go
@@ -14,9 +14,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A confirming round asks only as many as it needs, near ones first, and the others when
-// those are silent for a moment; over time every copy is asked. With any two of five silent
-// it ends all the same.
+// A confirming round asks only as many disks as it needs, near ones first, and the others after
+// askAllAfter; over time every copy is asked. With any two of five silent it still ends.
 func TestConfirmAsksFewAndThenAll(t *testing.T) {
 	membership := quorum.Membership{Epoch: 1}
 	disks := []ident.Disk{"a", "b", "c", "d", "e"}
@@ -81,7 +80,7 @@
 	}
 }
 
-// echoMachine is a machine that changes nothing.
+// echoMachine is a state machine that changes nothing.
 type echoMachine struct{}
 
 func (echoMachine) Apply(Context, json.RawMessage, Operation) Result { return Result{} }
--- /dev/null
+++ b/control/register/proposer/lossy_cluster_test.go
@@ -0,0 +1,171 @@
+package proposer_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/register/acceptor"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/register/quorum"
+	"cottonarch.example/cottonarch/storage/ring"
+)
+
+// fillMachine is a state machine that writes its args into the first free slot of a long value.
+// The length never changes, so a lost change does not show in it.
+type fillMachine struct{}
+
+const freeSlot = "........"
+
+func (fillMachine) Apply(_ proposer.Context, value json.RawMessage, operation proposer.Operation) proposer.Result {
+	if operation.Kind != "write" {
+		return proposer.Result{Body: value}
+	}
+	if len(value) == 0 {
+		value = json.RawMessage(`"` + strings.Repeat("long ", 100) + strings.Repeat(freeSlot, 20) + `"`)
+	}
+	var s string
+	_ = json.Unmarshal(operation.Args, &s)
+	out := json.RawMessage(strings.Replace(string(value), freeSlot, fmt.Sprintf("[%6s]", s), 1))
+	return proposer.Result{Value: out, Changed: true, Body: out}
+}
+
+// writeID identifies an accepted value.
+type writeID struct {
+	ballot   ident.Ballot
+	revision ident.Revision
+}
+
+// lossyCluster is a cluster whose requests and responses the test delivers one by one, and whose
+// disks may lose what was not synced. No proposer sends patches to its own disk. Invariant,
+// checked after each delivery: what a disk holds under a ballot and revision is, to the byte,
+// what that ballot's proposer sent whole.
+type lossyCluster struct {
+	*cluster
+	sent      map[writeID]string
+	synced    map[ident.Disk]map[string]ring.Record
+	responses []delivery
+	kinds     map[quorum.Kind]int
+	rejected  int
+}
+
+// delivery is a response on its way to a proposer.
+type delivery struct {
+	to       string
+	response quorum.Response
+}
+
+// localDisk is each proposer's own disk.
+var localDisk = map[string]ident.Disk{"a": "d1", "b": "d2"}
+
+func newLossyCluster(t *testing.T) *lossyCluster {
+	c := &lossyCluster{cluster: newCluster(t), sent: map[writeID]string{}, synced: map[ident.Disk]map[string]ring.Record{}, kinds: map[quorum.Kind]int{}}
+	for _, name := range []string{"a", "b"} {
+		c.proposers[name] = proposer.New(name, fillMachine{})
+		c.proposers[name].SetMembership(c.now, c.membership)
+		c.proposers[name].Local = func(k ident.Key) quorum.Record { return c.acceptors[localDisk[name]].Peek(k) }
+		for _, v := range c.membership.Voters {
+			c.proposers[name].SetPatchCapable(v.Disk, v.Disk != localDisk[name])
+		}
+	}
+	for d := range c.acceptors {
+		c.synced[d] = map[string]ring.Record{}
+	}
+	return c
+}
+
+// observe collects a proposer's effects and records what it sends whole.
+func (c *lossyCluster) observe(name string, effects proposer.Effects) {
+	for _, s := range effects.Sends {
+		c.kinds[s.Request.Kind]++
+		if s.Request.Kind != quorum.Accept {
+			continue
+		}
+		k := writeID{s.Request.Ballot, s.Request.Revision}
+		old, twice := c.sent[k]
+		must.False(c.t, twice && old != string(s.Request.Value), must.Sprint("two values under one ballot and revision"))
+		c.sent[k] = string(s.Request.Value)
+	}
+	c.collect(name, effects)
+}
+
+func (c *lossyCluster) write(name, val string) {
+	raw, _ := json.Marshal(val)
+	c.observe(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(val), Key: "k", Kind: "write", Args: raw}))
+}
+
+// deliverTo delivers request i to its disk, which then syncs what it wrote, or restarts without
+// it.
+func (c *lossyCluster) deliverTo(i int, sync bool) {
+	m := c.requests[i]
+	r, records, answers := c.acceptors[m.to].Step(1, m.request)
+	c.check(m.to)
+	if !sync {
+		c.acceptors[m.to] = acceptor.New(m.to)
+		for _, rec := range c.synced[m.to] {
+			_, err := c.acceptors[m.to].Load(rec)
+			must.NoError(c.t, err)
+		}
+		c.check(m.to)
+		return
+	}
+	for _, rec := range records {
+		c.synced[m.to][rec.Key] = rec
+	}
+	if m.request.Kind == quorum.PatchAccept && !r.OK {
+		c.rejected++
+	}
+	if answers {
+		c.responses = append(c.responses, delivery{m.from, r})
+	}
+}
+
+func (c *lossyCluster) check(disk ident.Disk) {
+	record := c.acceptors[disk].Peek("k")
+	if record.Accepted.Zero() {
+		return
+	}
+	want, ok := c.sent[writeID{record.Accepted, record.Revision}]
+	must.True(c.t, ok, must.Sprint("nobody sent what it holds"))
+	must.Eq(c.t, want, string(record.Value))
+}
+
+func (c *lossyCluster) receive(i int) {
+	delivered := c.responses[i]
+	c.responses = append(c.responses[:i:i], c.responses[i+1:]...)
+	c.observe(delivered.to, c.proposers[delivered.to].Step(c.now, delivered.response))
+}
+
+func (c *lossyCluster) lose(i int) { c.requests = append(c.requests[:i:i], c.requests[i+1:]...) }
+
+func (c *lossyCluster) advance(d time.Duration) {
+	c.now = c.now.Add(d)
+	for _, name := range []string{"a", "b"} {
+		c.observe(name, c.proposers[name].Tick(c.now))
+	}
+}
+
+// settle delivers everything in order.
+func (c *lossyCluster) settle() {
+	for len(c.requests)+len(c.responses) > 0 {
+		if len(c.responses) > 0 {
+			c.receive(0)
+			continue
+		}
+		c.deliverTo(0, true)
+		c.lose(0)
+	}
+}
+
+// settleWithTicks delivers everything, and lets time pass, until all rounds are over.
+func (c *lossyCluster) settleWithTicks() {
+	for range 6 {
+		c.settle()
+		c.advance(250 * time.Millisecond)
+	}
+}
--- a/control/register/proposer/operation.go
+++ b/control/register/proposer/operation.go
@@ -13,9 +13,9 @@
 // repaired.
 const Repair = "mend"
 
-// Operation is one operation on one key. Invariant: Ticket is the process's own and never
-// leaves it, and so is Deadline, after which the operation is no more begun (never, if zero); Op
-// is the same for every copy of the operation.
+// Operation is one operation on one key. Invariants: Ticket and Deadline are the process's own
+// and never leave it; Op is the same for every copy of the operation. An operation is not begun
+// after its Deadline, if it has one.
 type Operation struct {
 	Ticket   uint64            `json:"-"`
 	Deadline monotime.Time     `json:"-"`
@@ -23,8 +23,8 @@
 	Key      ident.Key         `json:"key"`
 	Kind     string            `json:"kind"`
 	Args     json.RawMessage   `json:"args,omitempty"`
-	// Repeatable says that a second copy may act again as far as its client is concerned, so
-	// nothing need be remembered of it: the page of a much used key stays small.
+	// Repeatable says that its client allows a second copy to take effect again, so no result
+	// is stored with the value to recognise a copy by.
 	Repeatable bool `json:"loose,omitempty"`
 }
 
@@ -34,10 +34,10 @@
 	TermBegan  monotime.Time            // when this term began
 	Revision   ident.Revision           // of the value given
 	TermMemory map[string]monotime.Time // of this term only
-	Remember   func(instance string)    // set TermMemory[mark] when the round is over
-	// Decoded is what the machine made, in this term, of the very value given: its decoded
-	// form. It is nil in a new term; a machine that finds nil decodes the value and must
-	// take what it has not seen in this term for young.
+	Remember   func(instance string)    // sets TermMemory[instance] to when the round is over
+	// Decoded is the decoded form of the value, as the state machine returned it in this term.
+	// It is nil in a new term: the state machine then decodes the value, and must treat what
+	// it has not seen in this term as new.
 	Decoded any
 }
 
@@ -47,7 +47,7 @@
 	Changed bool
 	Body    json.RawMessage
 	Failure *failure.Error
-	Decoded any // for the next Context, when it is not nil
+	Decoded any // of Value, for the next Context; nil to keep the last
 }
 
 // StateMachine turns a value and an operation into a new value. Invariant: it depends on its
@@ -57,7 +57,8 @@
 }
 
 // Outcome is the end of one operation at this proposer. Invariant: Abandoned means that this
-// proposer can say no more; with MayHaveTakenEffect the operation may have taken effect, or may yet.
+// proposer does not know more; with MayHaveTakenEffect the operation may have taken effect, or
+// may do so yet.
 type Outcome struct {
 	Operation          Operation
 	Body               json.RawMessage
@@ -70,13 +71,13 @@
 	Ballot             ident.Ballot
 }
 
-// Send is a Request for one voter.
+// Send is a request to one voter.
 type Send struct {
 	To      quorum.Voter
 	Request quorum.Request
 }
 
-// Effects is what a step wants done.
+// Effects is what the caller of a step has to do: send requests and report outcomes.
 type Effects struct {
 	Sends    []Send
 	Outcomes []Outcome
--- a/control/register/proposer/patch_test.go
+++ b/control/register/proposer/patch_test.go
@@ -1,182 +1,26 @@
 package proposer_test
 
 import (
-	"encoding/json"
-	"fmt"
-	"strings"
 	"testing"
 	"time"
 
 	"github.com/shoenig/test/must"
 
 	"cottonarch.example/cottonarch/base/ident"
-	"cottonarch.example/cottonarch/control/register/acceptor"
-	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// fill is a machine that writes its args into the first free place of a long value. The
-// length never changes, so that a change that is left out does not show in it.
-type fillMachine struct{}
-
-const freeSlot = "........"
-
-func (fillMachine) Apply(_ proposer.Context, value json.RawMessage, operation proposer.Operation) proposer.Result {
-	if operation.Kind != "write" {
-		return proposer.Result{Body: value}
-	}
-	if len(value) == 0 {
-		value = json.RawMessage(`"` + strings.Repeat("long ", 100) + strings.Repeat(freeSlot, 20) + `"`)
-	}
-	var s string
-	_ = json.Unmarshal(operation.Args, &s)
-	out := json.RawMessage(strings.Replace(string(value), freeSlot, fmt.Sprintf("[%6s]", s), 1))
-	return proposer.Result{Value: out, Changed: true, Body: out}
-}
-
-type writeID struct {
-	ballot   ident.Ballot
-	revision ident.Revision
-}
-
-// lanes is a bench whose requests and responses lie in the test's hand one by one, with disks
-// that come back as they were last synced. Every proposer's own disk gets no patches.
-// Invariant held after each step: what a disk holds under a ballot and revision is, to the
-// byte, what that ballot's proposer sent whole.
-type lossyCluster struct {
-	*cluster
-	sent      map[writeID]string
-	synced    map[ident.Disk]map[string]ring.Record
-	responses []delivery
-	kinds     map[quorum.Kind]int
-	rejected  int
-}
-
-type delivery struct {
-	to       string
-	response quorum.Response
-}
-
-var localDisk = map[string]ident.Disk{"a": "d1", "b": "d2"}
-
-func newLossyCluster(t *testing.T) *lossyCluster {
-	c := &lossyCluster{cluster: newCluster(t), sent: map[writeID]string{}, synced: map[ident.Disk]map[string]ring.Record{}, kinds: map[quorum.Kind]int{}}
-	for _, name := range []string{"a", "b"} {
-		c.proposers[name] = proposer.New(name, fillMachine{})
-		c.proposers[name].SetMembership(c.now, c.membership)
-		c.proposers[name].Local = func(k ident.Key) quorum.Record { return c.acceptors[localDisk[name]].Peek(k) }
-		for _, v := range c.membership.Voters {
-			c.proposers[name].SetPatchCapable(v.Disk, v.Disk != localDisk[name])
-		}
-	}
-	for d := range c.acceptors {
-		c.synced[d] = map[string]ring.Record{}
-	}
-	return c
-}
-
-// note takes a proposer's effects and remembers what it sends whole.
-func (c *lossyCluster) observe(name string, effects proposer.Effects) {
-	for _, s := range effects.Sends {
-		c.kinds[s.Request.Kind]++
-		if s.Request.Kind != quorum.Accept {
-			continue
-		}
-		k := writeID{s.Request.Ballot, s.Request.Revision}
-		old, twice := c.sent[k]
-		must.False(c.t, twice && old != string(s.Request.Value), must.Sprint("two values under one ballot and revision"))
-		c.sent[k] = string(s.Request.Value)
-	}
-	c.collect(name, effects)
-}
-
-func (c *lossyCluster) write(name, val string) {
-	raw, _ := json.Marshal(val)
-	c.observe(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(val), Key: "k", Kind: "write", Args: raw}))
-}
-
-// give lets a disk take request i, and then what was synced is so or lost.
-func (c *lossyCluster) deliverTo(i int, sync bool) {
-	m := c.requests[i]
-	r, records, answers := c.acceptors[m.to].Step(1, m.request)
-	c.check(m.to)
-	if !sync {
-		c.acceptors[m.to] = acceptor.New(m.to)
-		for _, rec := range c.synced[m.to] {
-			_, err := c.acceptors[m.to].Load(rec)
-			must.NoError(c.t, err)
-		}
-		c.check(m.to)
-		return
-	}
-	for _, rec := range records {
-		c.synced[m.to][rec.Key] = rec
-	}
-	if m.request.Kind == quorum.PatchAccept && !r.OK {
-		c.rejected++
-	}
-	if answers {
-		c.responses = append(c.responses, delivery{m.from, r})
-	}
-}
-
-func (c *lossyCluster) check(disk ident.Disk) {
-	record := c.acceptors[disk].Peek("k")
-	if record.Accepted.Zero() {
-		return
-	}
-	want, ok := c.sent[writeID{record.Accepted, record.Revision}]
-	must.True(c.t, ok, must.Sprint("nobody sent what it holds"))
-	must.Eq(c.t, want, string(record.Value))
-}
-
-func (c *lossyCluster) receive(i int) {
-	delivered := c.responses[i]
-	c.responses = append(c.responses[:i:i], c.responses[i+1:]...)
-	c.observe(delivered.to, c.proposers[delivered.to].Step(c.now, delivered.response))
-}
-
-func (c *lossyCluster) lose(i int) { c.requests = append(c.requests[:i:i], c.requests[i+1:]...) }
-
-func (c *lossyCluster) advance(d time.Duration) {
-	c.now = c.now.Add(d)
-	for _, name := range []string{"a", "b"} {
-		c.observe(name, c.proposers[name].Tick(c.now))
-	}
-}
-
-// settle delivers everything, in order.
-func (c *lossyCluster) settle() {
-	for len(c.requests)+len(c.responses) > 0 {
-		if len(c.responses) > 0 {
-			c.receive(0)
-			continue
-		}
-		c.deliverTo(0, true)
-		c.lose(0)
-	}
-}
-
-// settleWithTicks delivers everything until all that was out is over.
-func (c *lossyCluster) settleWithTicks() {
-	for range 6 {
-		c.settle()
-		c.advance(250 * time.Millisecond)
-	}
-}
-
-// Two proposers write a long value in turn while requests and responses are lost, doubled, late and
-// in any order, and disks fall back to what they had synced: no disk ever holds a value
-// that was not its proposer's for that ballot and revision, no confirmed change is lost, and
-// all end with the same bytes.
+// Two proposers write a long value while requests and responses are lost, doubled, late and
+// reordered, and disks lose what was not synced: no disk ever holds a value that was not its
+// proposer's for that ballot and revision, no confirmed change is lost, and all end with the
+// same bytes.
 func TestPatchesInAllOrders(t *testing.T) {
 	kinds, refused := map[quorum.Kind]int{}, 0
-	// What happens to the next message that is looked at: its place among those that are
-	// out, and its lot. Four in a row are tried in every way, then all is delivered.
+	// What happens to the next message: its position among those that are out, and its
+	// delivery. Four in a row are tried in every way, then all is delivered.
 	deliveries := []func(c *lossyCluster, i int){
 		func(c *lossyCluster, i int) { c.deliverTo(i, true); c.lose(i) },
-		func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // it comes again
+		func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // it comes twice
 		func(c *lossyCluster, i int) { c.lose(i) },
 		func(c *lossyCluster, i int) { c.deliverTo(i, false); c.lose(i) },
 	}
@@ -223,7 +67,7 @@
 				}
 			}
 		}
-		// b may learn only now that it was deposed.
+		// b may learn only now that its term was superseded.
 		for n := 0; n == 0 || n < 5 && c.last("b").Abandoned; n++ {
 			c.write("b", "seven")
 			c.settleWithTicks()
@@ -246,8 +90,8 @@
 	must.Greater(t, 100, refused)
 }
 
-// A disk that rejects a patch gets the whole value within the same round, and patches
-// again from its next response on; a takeover of what all hold moves no value.
+// A disk that rejects a patch gets the whole value within the same round, and patches again from
+// its next response on; a prepare of what all disks hold carries no value.
 func TestRejectedPatchIsSentWhole(t *testing.T) {
 	c := newLossyCluster(t)
 	c.write("a", "one")
@@ -255,7 +99,7 @@
 	c.write("a", "two")
 	c.settle()
 	must.Eq(t, 2, c.kinds[quorum.PatchAccept])
-	// d3 lost "three", and d2 is away: the round of "four" needs d3.
+	// d3 lost "three", and d2 does not respond: the round of "four" needs d3.
 	c.write("a", "three")
 	for len(c.requests) > 0 {
 		if c.requests[0].to != "d3" {
@@ -284,7 +128,7 @@
 	must.Eq(t, began, c.now)
 	c.check("d3")
 	must.Eq(t, ident.Revision(4), c.acceptors["d3"].Peek("k").Revision)
-	// Again by patches, but for d2, which lost its own and says so.
+	// By patches again, but for d2, which rejects its patch.
 	c.write("a", "five")
 	c.settle()
 	must.Eq(t, 2, c.rejected)
@@ -292,7 +136,7 @@
 	c.write("a", "six")
 	c.settle()
 	must.Eq(t, before+1, c.kinds[quorum.Accept], must.Sprint("only its own disk gets it whole"))
-	// b takes over: what goes to others is patches, and the responses carry nothing.
+	// b prepares the key: other disks get patches, and the responses carry no value.
 	c.write("b", "seven")
 	for len(c.requests)+len(c.responses) > 0 {
 		if len(c.responses) > 0 {
@@ -307,8 +151,8 @@
 	must.Eq(t, ident.Revision(7), c.last("b").Revision)
 }
 
-// A process that knows no patches says nothing to one, and gets the whole value when the
-// round is asked again.
+// A process that takes no patches does not respond to one, and gets the whole value when the
+// round is resent.
 func TestSilenceGetsTheWholeValue(t *testing.T) {
 	c := newLossyCluster(t)
 	c.write("a", "one")
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -1,5 +1,6 @@
-// Package proposer is the single proposer of a key: it takes the key by a prepare at a
-// majority and then needs one accept round a change.
+// Package proposer is the proposer's part of the replicated register, a Paxos with a stable
+// leader for each key: it prepares a key at a majority once, and then needs one accept round a
+// change. A read is a confirming round, which shows that no later term was promised.
 package proposer
 
 import (
@@ -23,39 +24,40 @@
 	maxPrepareTries = 6
 )
 
-// Owner runs all terms of one core process. Invariants: mark is unique to the
-// process, so no ballot is ever used by two; turns begin at first, which is the process's
-// own too, so no return to an earlier process's ask counts in a round of this one.
+// Proposer runs all terms of one core process. Invariants: instance is unique to the process,
+// so no ballot is ever used by two; rounds are numbered from firstRound on, which is the
+// process's own too, so no response to an earlier process counts in a round of this one.
 type Proposer struct {
 	instance     string
 	stateMachine StateMachine
 	membership   quorum.Membership
 	terms        map[ident.Key]*term
 	active       map[ident.Key]*term
-	nearReplicas []ident.Disk
-	nearCount    int
+	nearReplicas []ident.Disk // those that are heard from: this process's own, then the others, nearest first
+	nearCount    int          // how many after the first are near
 	firstRound   uint64
 	round        uint64
 	patchCapable map[ident.Disk]bool
 	// Local, when set, gives what the process's own disk holds of a key. It need not be
 	// synced: only the value that belongs to a ballot and revision is taken from it.
 	Local func(ident.Key) quorum.Record
-	// Counters. PatchesRejected counts patches whose base a disk did not have.
+	// Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent and PatchesRejected are counters.
+	// PatchesRejected counts patches whose base a disk did not have.
 	Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent, PatchesRejected uint64
 }
 
-// New makes a proposer. Its turns begin where those of no other run do: a response to a run that
-// ended may still arrive at its address, and must be no return to this one's rounds.
+// New makes a proposer. Its rounds are numbered apart from those of every other run: a response
+// to a run that ended may still arrive at its address, and must not count in this one's rounds.
 func New(instance string, stateMachine StateMachine) *Proposer {
 	firstRound := ident.FirstRequestNumber(instance)
 	return &Proposer{instance: instance, stateMachine: stateMachine, firstRound: firstRound, round: firstRound, terms: map[ident.Key]*term{}, active: map[ident.Key]*term{}, patchCapable: map[ident.Disk]bool{}}
 }
 
-// SetPatchCapable says whether the process that has the disk knows patches.
+// SetPatchCapable sets whether the process that has the disk takes patches.
 func (p *Proposer) SetPatchCapable(disk ident.Disk, capable bool) { p.patchCapable[disk] = capable }
 
-// SetMembership moves to a newer membership; every hold begins anew under it.
-func (p *Proposer) SetMembership(now monotime.Time, membership quorum.Membership) (effects Effects) {
+// SetMembership moves to a newer membership; every key is prepared anew under it.
+func (p *Proposer) SetMembership(_ monotime.Time, membership quorum.Membership) (effects Effects) {
 	if membership.Epoch <= p.membership.Epoch {
 		return effects
 	}
@@ -75,11 +77,12 @@
 	return out
 }
 
-// Submit takes one operation.
+// Submit queues one operation; its Outcome comes with these effects or later ones. Busy is its
+// failure when too many wait for the same key.
 func (p *Proposer) Submit(now monotime.Time, operation Operation) (effects Effects) {
 	t := p.term(operation.Key)
 	if len(t.waiting) >= maxQueue {
-		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Failure: failure.New(failure.Busy, "too many deeds wait for %s", operation.Key).WithRetryAfter(1)})
+		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Failure: failure.New(failure.Busy, "too many operations wait for %s", operation.Key).WithRetryAfter(1)})
 		return effects
 	}
 	t.waiting = append(t.waiting, operation)
@@ -87,7 +90,7 @@
 	return effects
 }
 
-// Prepare prepares a key ahead of need, as the named successor does.
+// Prepare prepares a key ahead of its first operation, as a named successor does.
 func (p *Proposer) Prepare(now monotime.Time, key ident.Key) (effects Effects) {
 	if t := p.term(key); t.stage == idle {
 		p.prepare(now, t, &effects)
@@ -96,7 +99,7 @@
 }
 
 // Withdraw takes back the operations that match, of those that wait and were not begun: each
-// ends as lost, without risk, and this proposer will not begin it.
+// ends as abandoned, and this proposer will not begin it.
 func (p *Proposer) Withdraw(match func(Operation) bool) (effects Effects) {
 	for _, key := range p.sortedKeys(p.active) {
 		t := p.active[key]
@@ -111,12 +114,12 @@
 	return effects
 }
 
-// HeldKeys lists what is held.
+// HeldKeys lists the keys that this proposer holds or is about to hold.
 func (p *Proposer) HeldKeys() []ident.Key {
 	return slices.DeleteFunc(p.sortedKeys(p.terms), func(k ident.Key) bool { return p.terms[k].stage == idle })
 }
 
-// Release lets every key go that no round is out for, and says whether all went.
+// Release gives up every key that no round is out for; done tells whether that was all.
 func (p *Proposer) Release() (done bool, effects Effects) {
 	done = true
 	for _, key := range p.sortedKeys(p.terms) {
@@ -130,55 +133,14 @@
 	return done, effects
 }
 
-// SetNearReplicas names the disks whose processes are heard, this one's first, then the next nearCount of
-// them, which are nearest. A round that only confirms asks no more of them than it needs,
-// and the others when those do not answer soon; it is not sent at all to most disks.
+// SetNearReplicas sets the disks that are heard from, this process's own first; the next
+// nearCount are near. A confirming round asks no more disks than it needs, near ones first, and
+// the others when those do not answer soon.
 func (p *Proposer) SetNearReplicas(disks []ident.Disk, nearCount int) {
 	p.nearReplicas, p.nearCount = disks, min(nearCount, max(0, len(disks)-1))
 }
 
-// apply applies waiting operations and starts the round that makes their results sure.
-func (p *Proposer) apply(now monotime.Time, t *term, effects *Effects) {
-	count := min(len(t.waiting), maxBatch)
-	value, revision := t.value, t.revision
-	t.remembered, t.repairing = nil, false
-	// What this round touches counts for the operations behind it in the same round already; if
-	// the round is lost, so is the term with its memory.
-	context := Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(instance string) { t.remembered, t.memory[instance] = append(t.remembered, instance), now }}
-	for _, operation := range t.waiting[:count] {
-		if operation.Deadline != 0 && now.After(operation.Deadline) {
-			// Nobody waits for it any more: it is not begun, and this copy never will be.
-			effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Abandoned: true})
-			continue
-		}
-		context.Revision, context.Decoded = revision, t.decoded
-		t.repairing = t.repairing || operation.Kind == Repair
-		result := p.stateMachine.Apply(context, value, operation)
-		if result.Changed {
-			value = result.Value
-			revision++
-			t.decoded = nil
-		}
-		if result.Decoded != nil {
-			t.decoded = result.Decoded
-		}
-		t.batch = append(t.batch, Outcome{Operation: operation, Body: result.Body, Failure: result.Failure, Changed: result.Changed, Revision: revision, Value: value})
-	}
-	t.waiting = slices.Clone(t.waiting[count:])
-	if len(t.batch) == 0 {
-		p.proceed(now, t, effects)
-		return
-	}
-	if revision == t.revision {
-		t.stage = confirming
-		p.beginRound(now, t, quorum.Request{Kind: quorum.Confirm, Ballot: t.ballot, Revision: t.revision}, effects)
-		return
-	}
-	t.stage, t.proposed = writing, quorum.Record{Revision: revision, Value: value}
-	p.acceptRound(now, t, quorum.Record{Accepted: t.acceptedBallot, Revision: t.revision, Value: t.value}, revision, value, effects)
-}
-
-// Tick sends again what is out and gives up what is out too long.
+// Tick resends the rounds that are out, and abandons the terms whose round is out too long.
 func (p *Proposer) Tick(now monotime.Time) (effects Effects) {
 	for _, key := range p.sortedKeys(p.active) {
 		t := p.active[key]
@@ -192,8 +154,8 @@
 			p.sendRound(t, &effects)
 		case now.Since(t.lastSent) > resendAfter:
 			t.lastSent = now
-			// Who is silent may have lost what went before, or know no patches: it gets the
-			// whole value from now on, until it answers.
+			// A silent disk may lack the base, or its process may take no patches: it gets
+			// whole values until it answers.
 			maps.DeleteFunc(t.baseHolders, func(disk ident.Disk, _ bool) bool { _, ok := t.responses[disk]; return !ok })
 			p.sendRound(t, &effects)
 		}
@@ -201,7 +163,8 @@
 	return effects
 }
 
-// Peek gives what this proposer holds of a key as chosen; it proves nothing.
+// Peek gives what this proposer holds as chosen of a key. It may be outdated: only an operation
+// proves that it is not.
 func (p *Proposer) Peek(key ident.Key) (quorum.Record, bool) {
 	t := p.terms[key]
 	if t == nil || t.stage < established {
--- a/control/register/proposer/proposer_test.go
+++ b/control/register/proposer/proposer_test.go
@@ -1,7 +1,6 @@
 package proposer_test
 
 import (
-	"encoding/json"
 	"fmt"
 	"testing"
 	"time"
@@ -9,104 +8,19 @@
 	"github.com/shoenig/test/must"
 
 	"cottonarch.example/cottonarch/base/ident"
-	"cottonarch.example/cottonarch/base/monotime"
-	"cottonarch.example/cottonarch/control/register/acceptor"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// put is a machine that writes its args as the value; "read" changes nothing.
-type putMachine struct{}
-
-func (putMachine) Apply(_ proposer.Context, value json.RawMessage, operation proposer.Operation) proposer.Result {
-	if operation.Kind == "read" || operation.Kind == proposer.Repair {
-		return proposer.Result{Body: value}
-	}
-	return proposer.Result{Value: operation.Args, Changed: true, Body: operation.Args}
-}
-
-// cluster is three acceptors and some proposers, with every message in the test's hand.
-type cluster struct {
-	t          *testing.T
-	membership quorum.Membership
-	acceptors  map[ident.Disk]*acceptor.Acceptor
-	proposers  map[string]*proposer.Proposer
-	outcomes   map[string][]proposer.Outcome
-	requests   []envelope
-	now        monotime.Time
-}
-
-type envelope struct {
-	from    string
-	to      ident.Disk
-	request quorum.Request
-}
-
-func newCluster(t *testing.T, proposers ...string) *cluster {
-	c := &cluster{t: t, acceptors: map[ident.Disk]*acceptor.Acceptor{}, proposers: map[string]*proposer.Proposer{}, outcomes: map[string][]proposer.Outcome{}, now: monotime.Time(time.Second)}
-	c.membership.Epoch = 1
-	for _, d := range []ident.Disk{"d1", "d2", "d3"} {
-		c.membership.Voters = append(c.membership.Voters, quorum.Voter{Disk: d, Counted: true})
-		c.acceptors[d] = acceptor.New(d)
-	}
-	for _, name := range proposers {
-		c.proposers[name] = proposer.New(name, putMachine{})
-		c.proposers[name].SetMembership(c.now, c.membership)
-	}
-	return c
-}
-
-func (c *cluster) collect(name string, effects proposer.Effects) {
-	for _, s := range effects.Sends {
-		c.requests = append(c.requests, envelope{name, s.To.Disk, s.Request})
-	}
-	c.outcomes[name] = append(c.outcomes[name], effects.Outcomes...)
-}
-
-func (c *cluster) submit(name, kind, val string) {
-	raw, _ := json.Marshal(val)
-	c.collect(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(name + kind + val), Key: "k", Kind: kind, Args: raw}))
-}
-
-// deliver delivers one request and its response at once.
-func (c *cluster) deliver(i int) {
-	m := c.requests[i]
-	c.requests = append(c.requests[:i:i], c.requests[i+1:]...)
-	if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers {
-		c.collect(m.from, c.proposers[m.from].Step(c.now, r))
-	}
-}
-
-// run delivers everything that keep lets through; the rest is lost.
-func (c *cluster) run(keep func(envelope) bool) {
-	for len(c.requests) > 0 {
-		if keep == nil || keep(c.requests[0]) {
-			c.deliver(0)
-			continue
-		}
-		c.requests = c.requests[1:]
-	}
-}
-
-func (c *cluster) tick(name string, d time.Duration) {
-	c.now = c.now.Add(d)
-	c.collect(name, c.proposers[name].Tick(c.now))
-}
-
-func (c *cluster) last(name string) proposer.Outcome {
-	must.SliceNotEmpty(c.t, c.outcomes[name])
-	return c.outcomes[name][len(c.outcomes[name])-1]
-}
-
-// A change that a deposed proposer left on a minority must not come back over what a
-// later term has already answered. Found by seeds 1152 and 1181: a lock was passed
-// on by a proposer that did not know of renewals confirmed under the next term.
+// A change that a superseded proposer left on a minority must not replace what a later term has
+// already answered. Found by seeds 1152 and 1181: a lock was passed on by a proposer that did
+// not know of renewals confirmed under the next term.
 func TestDeposedProposersChangeIsNotRevived(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	c.submit("a", "write", "one")
 	c.run(nil)
 	must.Eq(t, `"one"`, string(c.last("a").Body))
-	// b takes the key by d1 and d2 and answers a read.
+	// b prepares the key at d1 and d2 and answers a read.
 	cut := func(m envelope) bool { return m.to != "d3" }
 	c.submit("b", "read", "")
 	c.run(cut)
@@ -115,12 +29,12 @@
 		c.run(cut)
 	}
 	must.Eq(t, `"one"`, string(c.last("b").Body))
-	// a, deposed and not knowing it, reaches all three; d3 alone takes it.
+	// a, which does not know that it was superseded, reaches all three; d3 alone accepts.
 	c.submit("a", "write", "two")
 	c.run(nil)
 	must.True(t, c.last("a").Abandoned)
 	must.True(t, c.last("a").MayHaveTakenEffect)
-	// a takes the key again by d2 and d3.
+	// a prepares the key again at d2 and d3.
 	c.submit("a", "read", "")
 	for range 5 {
 		c.run(func(m envelope) bool { return m.to != "d1" })
@@ -130,7 +44,7 @@
 }
 
 // Two proposers write and read one key; every order of delivering their messages, with
-// each pair of acceptors cut for one of them, keeps what was answered.
+// one acceptor or none cut off from one of them, keeps what was answered.
 func TestAllOrdersOfTwoProposers(t *testing.T) {
 	orders := 0
 	for _, lost := range []ident.Disk{"", "d1", "d2", "d3"} {
@@ -168,7 +82,7 @@
 					chosen[outcome.Revision] = string(outcome.Body)
 				}
 			}
-			// A fresh proposer must see the newest of what was answered.
+			// A new proposer must see the newest of what was answered.
 			c.requests = nil
 			c.proposers["c"] = proposer.New("c", putMachine{})
 			c.proposers["c"].SetMembership(c.now, c.membership)
@@ -190,7 +104,7 @@
 	must.Greater(t, 1000, orders)
 }
 
-// A read repairs the copy that it finds old.
+// A read repairs an older copy that it finds.
 func TestReadRepairsOldCopy(t *testing.T) {
 	c := newCluster(t, "a")
 	c.submit("a", "write", "one")
@@ -201,9 +115,9 @@
 	must.Eq(t, ident.Revision(1), c.acceptors["d3"].Peek("k").Revision)
 }
 
-// A copy behind a stray higher promise, left by a proposer that never came to own, is
-// repaired too. Found by seed 52 of a schedule of splits: the proposer's writes were rejected
-// there for ever, and its reads never needed that disk.
+// A copy behind a higher promise to a proposer that never held the key is repaired too. Found by
+// seed 52 of a schedule of splits: the proposer's writes were rejected there for ever, and its
+// reads never needed that disk.
 func TestRepairGoesAboveAStrayPromise(t *testing.T) {
 	c := newCluster(t, "a")
 	c.submit("a", "write", "one")
@@ -218,8 +132,8 @@
 	must.False(t, c.last("a").Abandoned)
 }
 
-// Without a majority a write ends as lost with risk and a read without, in bounded
-// time.
+// Without a majority a write is abandoned in bounded time, and may have taken effect; a read is
+// abandoned and has not.
 func TestNoMajorityEndsInBoundedTime(t *testing.T) {
 	for kind, risk := range map[string]bool{"write": true, "read": false} {
 		t.Run(kind, func(t *testing.T) {
@@ -246,7 +160,7 @@
 	c.collect("a", c.proposers["a"].SetMembership(c.now, membership))
 	c.submit("a", "write", "one")
 	for range 10 {
-		c.run(nil) // the acceptors are at epoch 1 and say nothing
+		c.run(nil) // the acceptors are at epoch 1 and do not respond
 		c.tick("a", 50*time.Millisecond)
 	}
 	must.SliceEmpty(t, c.outcomes["a"])
@@ -255,7 +169,7 @@
 			t.Fatalf("went on to %s without a majority", m.request.Kind)
 		}
 	}
-	// d1 and the copying d3 are no majority of counted voters.
+	// d1 and d3, which is still copying, are no majority of counted voters.
 	for len(c.requests) > 0 {
 		m := c.requests[0]
 		c.requests = c.requests[1:]
--- a/control/register/proposer/restart_test.go
+++ b/control/register/proposer/restart_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"testing"
+	"time"
 
 	"github.com/shoenig/test/must"
 
@@ -10,10 +11,10 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A return to a round of an earlier run, which comes to the next run at the same address,
-// is none to that run's round of the same count. Found by cottonarch explore: a response to a
-// confirm that was late behind a restart made an accept look taken by a disk that had not
-// taken it, so a write was acknowledged that one disk alone held, and was lost.
+// A response to a round of an earlier run that reaches the next run at the same address does not
+// count in that run's round of the same number. Found by cottonarch explore: a late response to
+// a confirm of before the restart made an accept look accepted by a disk that had not accepted
+// it, so a write was acknowledged that one disk alone held, and was lost.
 func TestResponseToAnEarlierRunDoesNotCount(t *testing.T) {
 	c := newCluster(t, "a-1")
 	c.submit("a-1", "read", "")
@@ -27,7 +28,7 @@
 		}
 	}
 	must.SliceNotEmpty(t, late)
-	// The process ends and comes back; its second round is an accept that d1 alone takes.
+	// The process restarts; its second round is an accept that d1 alone gets.
 	c.requests = nil
 	c.proposers["a-2"] = proposer.New("a-2", putMachine{})
 	c.proposers["a-2"].SetMembership(c.now, c.membership)
@@ -41,3 +42,45 @@
 		t.Errorf("%s is acknowledged, and one disk of three has it", json.RawMessage(e.Body))
 	}
 }
+
+// A process is restarted while responses to its earlier run's rounds still wait in other cores'
+// send queues. The new run begins the same rounds again, but none of its own messages arrives:
+// the old responses are no majority for it, so it reports no outcome. Meanwhile another proposer
+// has confirmed a newer value.
+func TestAnswersToAnEarlierRunCountForNothing(t *testing.T) {
+	c := newCluster(t, "d1.a1", "d2.b1")
+	var late []quorum.Response
+	// settle runs a proposer until its last operation has ended, and collects the responses.
+	settle := func(name string) {
+		for had := len(c.outcomes[name]); len(c.outcomes[name]) == had; c.tick(name, 20*time.Millisecond) {
+			for len(c.requests) > 0 {
+				m := c.requests[0]
+				c.requests = c.requests[1:]
+				if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers {
+					if m.from == "d1.a1" {
+						late = append(late, r)
+					}
+					c.collect(m.from, c.proposers[m.from].Step(c.now, r))
+				}
+			}
+		}
+	}
+	c.submit("d1.a1", "write", "one")
+	settle("d1.a1")
+	c.submit("d1.a1", "read", "")
+	settle("d1.a1")
+	must.Eq(t, `"one"`, string(c.last("d1.a1").Body))
+	c.submit("d2.b1", "write", "two")
+	settle("d2.b1")
+	must.Eq(t, `"two"`, string(c.last("d2.b1").Body))
+
+	c.restart("d1.a1", "d1.a2")
+	c.submit("d1.a2", "write", "three")
+	for _, r := range late {
+		c.collect("d1.a2", c.proposers["d1.a2"].Step(c.now, r))
+	}
+	must.SliceEmpty(t, c.outcomes["d1.a2"], must.Sprint("answered from an earlier run's responses"))
+	for _, m := range c.requests {
+		must.Eq(t, quorum.Prepare, m.request.Kind, must.Sprint("it went on from an earlier run's responses"))
+	}
+}
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -8,20 +8,20 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+// stage is how far a term has come.
 type stage int
 
 const (
-	idle stage = iota
-	preparing
-	reproposing
-	established
-	writing
-	confirming
+	idle        stage = iota // the key is not held
+	preparing                // the prepare round is out
+	reproposing              // the value that was found is accepted again under this ballot
+	established              // the key is held and no round is out
+	writing                  // an accept round is out
+	confirming               // a round that only confirms is out
 )
 
-// term is this proposer's hold on one key. Invariants: at most one round is out;
-// revision and value are chosen whenever stage is established or later; proposed is not, until its
-// round ends.
+// term is this proposer's hold on one key. Invariants: at most one round is out; revision and
+// value are chosen from stage established on; proposed is not chosen until its round ends.
 type term struct {
 	key            ident.Key
 	stage          stage
@@ -31,30 +31,31 @@
 	request        quorum.Request
 	responses      map[ident.Disk]quorum.Response
 	roundBegan     monotime.Time
-	lastSent       monotime.Time
-	began          monotime.Time
-	pausedUntil    monotime.Time
-	tries          int
-	highestEpoch   ident.Epoch
-	acceptedBallot ident.Ballot // under which revision and value were accepted
+	lastSent       monotime.Time // when the round was sent last
+	began          monotime.Time // when the term became established
+	pausedUntil    monotime.Time // no prepare before, after one that was rejected
+	tries          int           // prepares in a row that were rejected
+	highestEpoch   ident.Epoch   // of all ballots that were seen
+	acceptedBallot ident.Ballot  // under which revision and value were accepted
 	revision       ident.Revision
 	value          json.RawMessage
 	decoded        any // of value, or of proposed while a round is out
 	proposed       quorum.Record
 	waiting        []Operation
-	batch          []Outcome
+	batch          []Outcome // of the round that is out
 	memory         map[string]monotime.Time
-	remembered     []string
-	// baseHolders lists the disks known, by a response in this term, to hold the base of what is
-	// sent next, or to be about to: each was sent every round since. It is a guess that
-	// only spares bytes: the acceptor looks for itself.
+	remembered     []string // keys of memory that the round that is out has set
+	// baseHolders are the disks that responded in this term to hold the base of what is sent
+	// next, or were sent every round since. It is a guess that only saves bytes: the acceptor
+	// checks the base itself.
 	baseHolders  map[ident.Disk]bool
-	prepareRound uint64        // the round of this term's prepare
+	prepareRound uint64        // of this term's prepare
 	local        quorum.Record // what Local gave then
-	fewAsked     bool          // the round went to a few only, so far
-	repairing    bool          // the last round was submitted so that copies are repaired
+	fewAsked     bool          // the round went to a few disks only, so far
+	repairing    bool          // a Repair operation is in the last round
 }
 
+// term gives the term of a key, and makes it when it is new.
 func (p *Proposer) term(key ident.Key) *term {
 	t := p.terms[key]
 	if t == nil {
@@ -64,15 +65,15 @@
 	return t
 }
 
-// advance moves a term on when no round is out.
+// advance begins what comes next for a term whose operations wait, when no round is out.
 func (p *Proposer) advance(now monotime.Time, t *term, effects *Effects) {
-	if len(t.waiting) == 0 || p.membership.Epoch == 0 {
-		if len(t.waiting) > 0 {
-			p.active[t.key] = t
-		}
+	if len(t.waiting) == 0 {
 		return
 	}
 	p.active[t.key] = t
+	if p.membership.Epoch == 0 {
+		return
+	}
 	switch t.stage {
 	case idle:
 		if !t.pausedUntil.After(now) {
@@ -83,6 +84,7 @@
 	}
 }
 
+// prepare begins a new term of a key, above every ballot that was seen.
 func (p *Proposer) prepare(now monotime.Time, t *term, effects *Effects) {
 	t.highestEpoch++
 	t.ballot = ident.Ballot{Epoch: t.highestEpoch, Proposer: p.instance}
@@ -99,7 +101,7 @@
 	t.prepareRound = t.round
 }
 
-// abandon ends a term; whatever was out is answered as abandoned.
+// abandon ends a term; its operations end as abandoned.
 func (p *Proposer) abandon(t *term, effects *Effects) {
 	for _, outcome := range t.batch {
 		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: outcome.Operation, Abandoned: true, MayHaveTakenEffect: outcome.Changed})
@@ -114,6 +116,7 @@
 	delete(p.active, t.key)
 }
 
+// finish ends the round that is out: its operations have their outcomes.
 func (p *Proposer) finish(now monotime.Time, t *term, effects *Effects) {
 	for _, instance := range t.remembered {
 		t.memory[instance] = now
@@ -126,6 +129,7 @@
 	p.proceed(now, t, effects)
 }
 
+// proceed goes on to the operations that still wait, if any.
 func (p *Proposer) proceed(now monotime.Time, t *term, effects *Effects) {
 	delete(p.active, t.key)
 	p.advance(now, t, effects)
