--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -1,9 +1,9 @@
-// Package acceptor is one disk's part in the replicated register.
+// Package acceptor is the acceptor's part of the replicated register, one for each disk: it
+// promises and accepts, and returns the records that have to be synced before it responds.
 package acceptor
 
 import (
 	"encoding/json"
-	"slices"
 	"strings"
 
 	"github.com/google/btree"
@@ -14,38 +14,36 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
+// The prefixes of the ring keys that a control key's promise and accepted state are stored under.
 const (
 	promisePrefix  = "p/"
 	acceptedPrefix = "c/"
-	maxPageBytes   = 512 << 10
-	// maxBuckets bounds the digests that one scan may ask for.
-	maxBuckets = 1 << 12
 )
 
+// item is one control key in the tree.
 type item struct {
 	key ident.Key
 	quorum.Record
 }
 
-// Acceptor holds the records of one disk. Invariants: promised only rises; a membership
-// epoch other than its own is never served.
+// Acceptor holds the records of one disk. Invariants: a promise only rises; no request of another
+// membership epoch is served.
 type Acceptor struct {
 	Disk     ident.Disk
 	tree     *btree.BTreeG[*item]
-	handlers map[quorum.Kind]func(*item, quorum.Request) (bool, []ring.Record)
+	handlers map[quorum.Kind]handler
 }
 
 // New makes an empty acceptor.
 func New(disk ident.Disk) *Acceptor {
 	a := &Acceptor{Disk: disk, tree: btree.NewG(16, func(a, other *item) bool { return a.key < other.key })}
-	a.handlers = map[quorum.Kind]func(*item, quorum.Request) (bool, []ring.Record){
+	a.handlers = map[quorum.Kind]handler{
 		quorum.Prepare: prepare, quorum.Accept: accept, quorum.PatchAccept: acceptPatch, quorum.Confirm: confirm,
 	}
 	return a
 }
 
-// Load takes one record read back from the disk; it answers false for tags that
-// are not its own.
+// Load takes in one record that was read from the disk; it returns false for a record of others.
 func (a *Acceptor) Load(record ring.Record) (bool, error) {
 	if key, ok := strings.CutPrefix(record.Key, promisePrefix); ok {
 		var ballot ident.Ballot
@@ -61,7 +59,7 @@
 	if key, ok := strings.CutPrefix(record.Key, acceptedPrefix); ok {
 		var stored quorum.Record
 		if err := json.Unmarshal(record.Data, &stored); err != nil {
-			return true, failure.Wrap(err, failure.Damaged, "cell of "+key)
+			return true, failure.Wrap(err, failure.Damaged, "accepted state of "+key)
 		}
 		it := a.findOrCreate(ident.Key(key))
 		it.Accepted, it.Revision, it.Value = stored.Accepted, stored.Revision, stored.Value
@@ -73,6 +71,7 @@
 	return false, nil
 }
 
+// findOrCreate gives the item of a key, and makes it when it is new.
 func (a *Acceptor) findOrCreate(key ident.Key) *item {
 	if it, ok := a.tree.Get(&item{key: key}); ok {
 		return it
@@ -82,70 +81,28 @@
 	return it
 }
 
+// promiseRecord is the ring record of an item's promise.
 func promiseRecord(it *item) ring.Record {
 	data, _ := json.Marshal(it.Promised)
 	return ring.Record{Key: promisePrefix + string(it.key), Data: data}
 }
 
+// acceptedRecord is the ring record of an item's accepted state.
 func acceptedRecord(it *item) ring.Record {
 	data, _ := json.Marshal(quorum.Record{Promised: it.Accepted, Accepted: it.Accepted, Revision: it.Revision})
 	if len(it.Value) > 0 {
-		// As json.Marshal of it all would, but without a pass over a value that is JSON.
+		// The same bytes as json.Marshal gives, without checking a value again that is JSON.
 		joined := make([]byte, 0, len(data)+len(it.Value)+8)
 		data = append(append(append(append(joined, data[:len(data)-1]...), `,"v":`...), it.Value...), '}')
 	}
 	return ring.Record{Key: acceptedPrefix + string(it.key), Data: data}
 }
 
-func prepare(it *item, request quorum.Request) (bool, []ring.Record) {
-	if request.Ballot.Less(it.Promised) {
-		return false, nil
-	}
-	if it.Promised == request.Ballot {
-		return true, nil
-	}
-	it.Promised = request.Ballot
-	return true, []ring.Record{promiseRecord(it)}
-}
-
-func accept(it *item, request quorum.Request) (bool, []ring.Record) {
-	if request.Ballot.Less(it.Promised) {
-		return false, nil
-	}
-	if it.Accepted == request.Ballot && it.Revision >= request.Revision {
-		return true, nil // a repeat, or late within the same term
-	}
-	it.Promised, it.Accepted, it.Revision, it.Value = request.Ballot, request.Ballot, request.Revision, request.Value
-	return true, []ring.Record{acceptedRecord(it)}
-}
-
-// acceptPatch is accept for a value that is told as a difference. It changes nothing, and is not
-// OK, unless this disk holds the very base; the proposer then sends the whole value.
-func acceptPatch(it *item, request quorum.Request) (bool, []ring.Record) {
-	if request.Ballot.Less(it.Promised) {
-		return false, nil
-	}
-	if it.Accepted == request.Ballot && it.Revision >= request.Revision {
-		return true, nil
-	}
-	value, ok := request.Patch.Apply(it.Record, request.Ballot)
-	if !ok {
-		return false, nil
-	}
-	request.Value = value
-	return accept(it, request)
-}
-
-// confirm says that no later term had been promised here when it was asked.
-func confirm(it *item, request quorum.Request) (bool, []ring.Record) {
-	return !request.Ballot.Less(it.Promised), nil
-}
-
-// Step serves one message at the given membership epoch. The second result is false
-// when nothing may be answered. The response may leave only once the records are
-// synced, and after all records of earlier steps.
+// Step serves one request at the given membership epoch. The last result is false when no
+// response is to be sent. The response may be sent only once the records, and those of all
+// earlier steps, are synced.
 func (a *Acceptor) Step(membership ident.Epoch, request quorum.Request) (quorum.Response, []ring.Record, bool) {
-	handler, known := a.handlers[request.Kind]
+	serve, known := a.handlers[request.Kind]
 	if !known || request.Membership != membership || membership == 0 {
 		return quorum.Response{}, nil, false
 	}
@@ -153,7 +110,7 @@
 	if !found {
 		it = &item{key: request.Key}
 	}
-	ok, records := handler(it, request)
+	ok, records := serve(it, request)
 	if !found && len(records) > 0 {
 		a.tree.ReplaceOrInsert(it)
 	}
@@ -162,59 +119,11 @@
 		response.Record.Value = nil
 	}
 	if ok && request.Kind == quorum.PatchAccept {
-		response.Record = quorum.Record{} // it says no more than the proposer knows
+		response.Record = quorum.Record{} // the proposer knows it
 	}
 	return response, records, request.Round != 0
 }
 
-// Scan serves one page of records.
-func (a *Acceptor) Scan(membership ident.Epoch, scan quorum.Scan) (quorum.ScanResponse, bool) {
-	response := quorum.ScanResponse{Round: scan.Round, Disk: a.Disk, Membership: membership, After: scan.After}
-	if scan.Membership != membership || membership == 0 {
-		return response, false
-	}
-	if scan.Buckets < 0 || scan.Buckets > maxBuckets {
-		return response, false
-	}
-	if scan.Buckets > 0 && len(scan.OnlyBuckets) == 0 {
-		response.Digest = make([]byte, scan.Buckets*quorum.DigestBytes)
-		a.tree.AscendGreaterOrEqual(&item{key: ident.Key(scan.Prefix)}, func(it *item) bool {
-			if it.key.HasPrefix(scan.Prefix) && !it.Accepted.Zero() {
-				quorum.AddToDigests(response.Digest, it.key, it.Record)
-			}
-			return it.key.HasPrefix(scan.Prefix)
-		})
-		return response, true
-	}
-	start, pageSize := ident.Key(scan.Prefix), 0
-	if start < scan.After {
-		start = scan.After
-	}
-	a.tree.AscendGreaterOrEqual(&item{key: start}, func(it *item) bool {
-		if it.key == scan.After && scan.After != "" {
-			return true
-		}
-		if !it.key.HasPrefix(scan.Prefix) {
-			return false
-		}
-		if scan.Buckets > 0 && !slices.Contains(scan.OnlyBuckets, quorum.Bucket(it.key, scan.Buckets)) {
-			return true
-		}
-		if pageSize > maxPageBytes {
-			response.More = true
-			return false
-		}
-		row := quorum.Row{Key: it.key, Record: it.Record}
-		if !scan.Values {
-			row.Record.Value = nil
-		}
-		pageSize += len(it.key) + len(row.Record.Value) + 150
-		response.Rows = append(response.Rows, row)
-		return true
-	})
-	return response, true
-}
-
 // Merge merges a copied record: the higher promise and the newer accepted state.
 func (a *Acceptor) Merge(row quorum.Row) []ring.Record {
 	it := a.findOrCreate(row.Key)
@@ -230,7 +139,7 @@
 	return records
 }
 
-// Peek reads one record as this disk alone has it; it proves nothing.
+// Peek gives one record as this disk has it, which proves nothing about the others.
 func (a *Acceptor) Peek(key ident.Key) quorum.Record {
 	if it, ok := a.tree.Get(&item{key: key}); ok {
 		return it.Record
@@ -241,7 +150,7 @@
 // Len counts the records.
 func (a *Acceptor) Len() int { return a.tree.Len() }
 
-// RingKeys lists the ring tags of everything held.
+// RingKeys lists the ring keys of all records.
 func (a *Acceptor) RingKeys() []string {
 	var keys []string
 	a.tree.Ascend(func(it *item) bool {
--- a/control/register/placement/placement.go
+++ b/control/register/placement/placement.go
@@ -1,15 +1,16 @@
-// Package placement says which core is the proposer of a key.
+// Package placement chooses the core that is the proposer of a key, by rendezvous hashing.
 package placement
 
 import (
 	"hash/fnv"
 
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Proposer is the live disk with the highest rendezvous weight for the key; the
-// second is its successor. Every core with the same picture gets the same result,
-// and a disk that comes or goes moves only its own keys.
+// Proposer gives the live disk with the highest rendezvous weight for the key, and the one with
+// the second highest, which is its successor; "" where there is none. Every core that knows the
+// same live disks gets the same result, and a disk that joins or leaves moves only its own keys.
 func Proposer(key ident.Key, live []ident.Disk) (first, second ident.Disk) {
 	var highest, secondHighest uint64
 	for _, disk := range live {
@@ -29,10 +30,5 @@
 	_, _ = hash.Write([]byte(disk))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(key))
-	weight := hash.Sum64()
-	weight ^= weight >> 33
-	weight *= 0xff51afd7ed558ccd
-	weight ^= weight >> 33
-	weight *= 0xc4ceb9fe1a85ec53
-	return weight ^ weight>>33
+	return hashing.Finalize(hash.Sum64())
 }
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -7,16 +7,15 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// PatchAccept is an Accept that carries a Patch in place of its value. It is a kind of its
-// own so that an acceptor that knows no patches says nothing to it, rather than take it for
-// an accept without a value.
+// PatchAccept is an Accept that carries a Patch in place of its value. It is a kind of its own so
+// that an acceptor that takes no patches does not respond, rather than accept no value.
 const PatchAccept Kind = "patch"
 
-// Patch makes one accepted value out of another: the first Prefix bytes of the base, Middle,
-// and the last Suffix bytes of the base. Invariants: BaseBallot, which is the request's own ballot when
-// it is nil, and BaseRevision name the base as accepted, so the base is one value; Sum is over the
-// whole result, so a base that differs in a byte is found out. With Pieces, which stand for
-// Mid where the two values differ in several places, Head is piecesHead.
+// Patch makes one accepted value out of another, the base: its first Prefix bytes, then Middle,
+// then its last Suffix bytes. Where the two values differ in several places, Pieces take the place
+// of Middle and Prefix is piecesMarker. Invariants: BaseBallot (the request's own ballot when it
+// is nil) and BaseRevision identify the base's accepted state, and so its value; Checksum covers
+// the whole result, so a base that differs in a byte is detected.
 type Patch struct {
 	BaseBallot   *ident.Ballot  `json:"from,omitempty"`
 	BaseRevision ident.Revision `json:"base"`
@@ -28,16 +27,16 @@
 	Pieces []Piece `json:"pieces,omitempty"`
 }
 
-// patchOverhead is about what a patch takes besides its bytes, escapes included.
+// patchOverhead is about how many bytes a patch takes besides its texts, escapes included.
 const patchOverhead = 256
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the sum of a value that a Patch carries.
+// Checksum is the checksum of a value that a Patch carries: CRC-32C.
 func Checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
-// Diff makes the patch from the base's value to the next one, which is to be accepted under
-// a ballot; it is nil unless it takes less than half of what the next value does.
+// Diff makes the patch from the base's value to the next one, which is to be accepted under a
+// ballot; it is nil unless the patch takes less than half the bytes of the next value.
 func Diff(base Record, ballot ident.Ballot, next []byte) *Patch {
 	if len(next) < 2*patchOverhead {
 		return nil
@@ -63,8 +62,8 @@
 	return p
 }
 
-// commonEnds is how much two values have in common at the front and at the end. No character
-// is cut, for what is between travels as a text.
+// commonEnds is how many bytes two values share at the front and at the end. No UTF-8 character
+// of next is cut, since what lies between is sent as a JSON string.
 func commonEnds(baseValue, next []byte) (head, tail int) {
 	shorter := min(len(baseValue), len(next))
 	for head < shorter && baseValue[head] == next[head] {
@@ -82,8 +81,8 @@
 	return head, tail
 }
 
-// Apply gives the value that the patch makes of the record's, and false unless the record is
-// the patch's base and the value the one that the patch was made for.
+// Apply makes the next value of a base record. It returns false when the record is not the
+// patch's base or the result is not the value that the patch was made for.
 func (p *Patch) Apply(base Record, ballot ident.Ballot) ([]byte, bool) {
 	if p != nil && p.BaseBallot != nil {
 		ballot = *p.BaseBallot
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -18,7 +18,7 @@
 	otherBallot = ident.Ballot{Epoch: 2, Proposer: "b"}
 )
 
-// roundTrip is a patch as the other side reads it.
+// roundTrip gives a patch as the receiver reads it.
 func roundTrip(t *testing.T, p *quorum.Patch) *quorum.Patch {
 	raw, err := json.Marshal(p)
 	must.NoError(t, err)
@@ -27,8 +27,8 @@
 	return out
 }
 
-// What a patch makes of its base is the next value to the byte, wherever the two differ
-// and whatever stands at the cuts; it never takes more than half of the value.
+// A patch makes the next value of its base, to the byte, wherever the two differ and whatever
+// stands at the cuts; it never takes more than half of the value.
 func TestPatchMakesTheValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	parts := []string{"a", `"`, `\`, "ä", "日本", "🚀", "<&>", "\u2028", "aaaa", ",", "\x00", "\xff"}
@@ -66,9 +66,8 @@
 	must.Greater(t, 2000, made)
 }
 
-// Values that differ in several places, as one whose counts stand in front and whose
-// history stands at the end: the patch makes the next value to the byte, and takes little
-// more than what differs.
+// Values that differ in several places, as one with counts in front and a history at the end: the
+// patch makes the next value to the byte, and takes little more than what differs.
 func TestPatchInPieces(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	parts := []string{"ä", "日本", "🚀", "way", `"host":"h.example"`, "500", ","}
@@ -172,7 +171,7 @@
 				}
 				if encoding == "patch" {
 					if _, ok := back[0].Patch.Apply(base, ownBallot); !ok {
-						b.Fatal("turned away")
+						b.Fatal("rejected")
 					}
 				}
 			}
--- a/control/register/quorum/pieces.go
+++ b/control/register/quorum/pieces.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// blockBytes is the length of the runs of the base that are looked for in the next value.
+	// blockBytes is the length of the blocks of the base that are searched for in the next value.
 	blockBytes = 32
-	// pieceCost is about what a piece takes besides its text.
+	// pieceCost is about how many bytes a piece takes besides its text.
 	pieceCost = 40
-	// piecesMarker is the Head of a patch in pieces: a process that knows no pieces turns such
-	// a patch away, as it does any other that is not for its base.
+	// piecesMarker is the Prefix of a patch in pieces: a process that knows no pieces rejects
+	// such a patch, as it does any other that is not for its base.
 	piecesMarker = -1
-	// hashFactor is that of the rolling hash.
+	// hashFactor is the multiplier of the rolling hash (a Rabin-Karp polynomial modulo 2^32).
 	hashFactor = 0x01000193
 )
 
-// Piece is a text, then so many bytes of the base from an offset on.
+// Piece is a text, and then Length bytes of the base from Offset on.
 type Piece struct {
 	Text   string `json:"t,omitempty"`
 	Offset int    `json:"a,omitempty"`
 	Length int    `json:"n,omitempty"`
 }
 
-// encodedSize is about what the pieces take in a message.
+// encodedSize is about how many bytes the pieces take in a message.
 func encodedSize(pieces []Piece) int {
 	total := 0
 	for _, p := range pieces {
@@ -33,12 +33,12 @@
 	return total
 }
 
-// diffPieces makes the next value of pieces of the base. It finds what the two share by blocks
-// that the base holds once, so that a run is not taken for another that looks like it.
+// diffPieces divides the next value into texts and runs of the base. It finds shared runs by
+// blocks whose hash is unique in the base, so that a run is not taken for another like it.
 func diffPieces(base, next []byte) []Piece {
 	blocks := indexBlocks(base)
 	var pieces []Piece
-	done := 0 // of next is in out
+	done := 0 // bytes of next that the pieces cover
 	var hash uint32
 	for end := 0; end < len(next); end++ {
 		hash = rollHash(hash, next, end)
@@ -62,8 +62,8 @@
 	return append(pieces, Piece{Text: string(next[done:])})
 }
 
-// extendMatch makes a shared block as long as it gets, back to done at most, without cutting a
-// character of next.
+// extendMatch extends a shared block in both directions, back to done at most, without cutting a
+// UTF-8 character of next.
 func extendMatch(base, next []byte, offset, from, done int) (begin, length int) {
 	shift := offset - from
 	begin, end := from, from+blockBytes
@@ -82,8 +82,8 @@
 	return begin, end - begin
 }
 
-// indexBlocks finds the whole blocks of the base by their hash; a hash that is met twice has the
-// offset -1.
+// indexBlocks gives the offsets of the base's blocks by their hash; a hash that two blocks have
+// is given the offset -1.
 func indexBlocks(base []byte) map[uint32]int {
 	blocks := make(map[uint32]int, len(base)/blockBytes)
 	for offset := 0; offset+blockBytes <= len(base); offset += blockBytes {
@@ -100,7 +100,7 @@
 	return blocks
 }
 
-// leavingFactor is the factor that a byte has when it leaves the rolling hash.
+// leavingFactor is the factor of a byte when it leaves the rolling hash.
 var leavingFactor = func() uint32 {
 	factor := uint32(1)
 	for range blockBytes {
@@ -109,7 +109,7 @@
 	return factor
 }()
 
-// rollHash moves the hash of the last block on to the byte at an offset.
+// rollHash moves the hash of the last blockBytes bytes on to the byte at an offset.
 func rollHash(hash uint32, text []byte, offset int) uint32 {
 	hash = hash*hashFactor + uint32(text[offset])
 	if offset >= blockBytes {
@@ -118,7 +118,7 @@
 	return hash
 }
 
-// joinPieces makes the value of the pieces, and false if one lies outside of the base.
+// joinPieces makes the value of the pieces; it returns false if one lies outside of the base.
 func joinPieces(base []byte, pieces []Piece) ([]byte, bool) {
 	var out []byte
 	for _, p := range pieces {
@@ -130,7 +130,7 @@
 	return out, true
 }
 
-// validPieces tells whether every text travels as it is.
+// validPieces tells whether JSON carries every text unchanged.
 func validPieces(pieces []Piece) bool {
 	for _, p := range pieces {
 		if !utf8.ValidString(p.Text) {
--- /dev/null
+++ b/control/register/quorum/scan.go
@@ -0,0 +1,59 @@
+package quorum
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+
+	"cottonarch.example/cottonarch/base/hashing"
+	"cottonarch.example/cottonarch/base/ident"
+)
+
+// Scan asks an acceptor for its records below a prefix, a page at a time. With Buckets it asks
+// for a digest of each bucket of keys instead or, with OnlyBuckets, for the records of those.
+type Scan struct {
+	Round      uint64      `json:"turn"`
+	Membership ident.Epoch `json:"roster"`
+	Prefix     string      `json:"prefix"`
+	After      ident.Key   `json:"after,omitempty"`
+	Values     bool        `json:"values,omitempty"`
+
+	Buckets     int   `json:"buckets,omitempty"`
+	OnlyBuckets []int `json:"only,omitempty"`
+}
+
+// Bucket is the bucket that a key lies in, of a number of buckets.
+func Bucket(key ident.Key, buckets int) int {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(key))
+	return int(hash.Sum32() % uint32(buckets))
+}
+
+// DigestBytes is the size of the digest of one bucket, in bytes.
+const DigestBytes = 8
+
+// AddToDigests adds a record's accepted state to the digests of all buckets. A digest is the sum
+// of the hashes of its bucket's states, so it is the same in whatever order they are added.
+func AddToDigests(digests []byte, key ident.Key, record Record) {
+	hash := fnv.New64a()
+	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s\x00%d", key, record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
+	digest := digests[Bucket(key, len(digests)/DigestBytes)*DigestBytes:]
+	binary.LittleEndian.PutUint64(digest, binary.LittleEndian.Uint64(digest)+hashing.Mix(hash.Sum64()))
+}
+
+// Row is one record in the response to a Scan.
+type Row struct {
+	Key    ident.Key `json:"key"`
+	Record Record    `json:"cell"`
+}
+
+// ScanResponse answers a Scan with one page.
+type ScanResponse struct {
+	Round      uint64      `json:"turn"`
+	Disk       ident.Disk  `json:"disk"`
+	Membership ident.Epoch `json:"roster"`
+	After      ident.Key   `json:"after,omitempty"`
+	Rows       []Row       `json:"rows,omitempty"`
+	More       bool        `json:"more,omitempty"`
+	Digest     []byte      `json:"digest,omitempty"` // of all buckets, when that was asked for
+}
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -1,4 +1,5 @@
-// Package quorumread reads the records below a prefix from a majority.
+// Package quorumread reads the records below a prefix from a majority of disks, and tells what
+// they have in common and which copies lag.
 package quorumread
 
 import (
@@ -10,18 +11,24 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// resendAfter is how long a page may stay out before it is asked for again.
-const resendAfter = 200 * 1e6
+const (
+	// resendAfter is how long a page may stay out before it is asked for again.
+	resendAfter = 200 * time.Millisecond
+	// digestWait is how long the digests of all disks are waited for; then those of a majority
+	// are enough.
+	digestWait = 400 * time.Millisecond
+)
 
-// Entry is one key as a majority has it. Invariant: when Agreed, every response of
-// the majority held the same accepted state, so that state is chosen and was the
-// newest when the read began or later.
+// Entry is one key as a majority has it. Invariant: when Agreed, every response of the majority
+// had the same accepted state, so that state is chosen and was the newest when the read began or
+// later.
 type Entry struct {
 	Key    ident.Key
 	Record quorum.Record
 	Agreed bool
 }
 
+// diskProgress is what was read from one disk so far.
 type diskProgress struct {
 	digest   []byte
 	rows     map[ident.Key]quorum.Record
@@ -38,12 +45,12 @@
 	Values     bool
 	Membership quorum.Membership
 	Excluded   ident.Disk
-	// WaitForAll waits for every counted voter, as anti-entropy must: the copy that is behind
-	// may well be the slowest.
+	// WaitForAll waits for every counted voter, as anti-entropy must: the copy that lags may
+	// well be the slowest.
 	WaitForAll bool
 	// Buckets, when set, first compares digests of so many buckets of keys, and reads only
-	// those that differ. Invariant: differing is set once that is known, and is empty when all
-	// that answered hold the same.
+	// those that differ. Invariant: differing is set once they are compared, and is empty when
+	// all disks that responded hold the same.
 	Buckets        int
 	differing      []int
 	compared       bool
@@ -51,10 +58,6 @@
 	progressByDisk map[ident.Disk]*diskProgress
 }
 
-// digestWait is how long the digests of all disks are waited for; then those of a
-// majority do.
-const digestWait = 400 * time.Millisecond
-
 // Send is one scan to one disk.
 type Send struct {
 	To   quorum.Voter
@@ -66,7 +69,7 @@
 	return &Reader{Round: round, Prefix: prefix, Values: values, Membership: membership, Excluded: excluded, progressByDisk: map[ident.Disk]*diskProgress{}}
 }
 
-// Tick asks, and asks again, for what is out.
+// Tick gives the scans to send now: first ones, and those whose response is overdue.
 func (r *Reader) Tick(now monotime.Time) []Send {
 	var sends []Send
 	if r.began == 0 {
@@ -92,12 +95,13 @@
 	return sends
 }
 
+// scanNextPage is the scan for the page behind the last row that was read from a disk.
 func (r *Reader) scanNextPage(now monotime.Time, voter quorum.Voter, progress *diskProgress) Send {
 	progress.lastSent = now
 	return Send{voter, quorum.Scan{Round: r.Round, Membership: r.Membership.Epoch, Prefix: r.Prefix, After: progress.lastKey, Values: r.Values, Buckets: r.Buckets, OnlyBuckets: r.differing}}
 }
 
-// compareDigests learns which buckets differ, once so many digests are there.
+// compareDigests finds the buckets that differ, once the required number of digests is there.
 func (r *Reader) compareDigests(required int) {
 	digests, differs := 0, make([]bool, r.Buckets)
 	var first []byte
@@ -129,6 +133,7 @@
 	}
 }
 
+// countedVoters is how many disks the read may count.
 func (r *Reader) countedVoters() (n int) {
 	for _, voter := range r.Membership.Voters {
 		if voter.Counted && voter.Disk != r.Excluded {
@@ -138,8 +143,9 @@
 	return n
 }
 
-// Step takes one page in; done is true once a majority has been read whole.
-func (r *Reader) Step(now monotime.Time, page quorum.ScanResponse) (out []Send, done bool) {
+// Step takes in one page; done is true once a majority, or with WaitForAll every disk, has been
+// read whole.
+func (r *Reader) Step(now monotime.Time, page quorum.ScanResponse) (sends []Send, done bool) {
 	voter, ok := r.Membership.Find(page.Disk)
 	progress := r.progressByDisk[page.Disk]
 	if page.Round != r.Round || page.Membership != r.Membership.Epoch || !ok || !voter.Counted || progress == nil || progress.done || page.After != progress.lastKey {
@@ -155,7 +161,7 @@
 		return r.Tick(now), r.Done()
 	}
 	if page.Digest != nil {
-		return nil, r.Done() // late
+		return nil, r.Done() // it came late, after the comparison
 	}
 	for _, row := range page.Rows {
 		progress.rows[row.Key] = row.Record
@@ -168,36 +174,31 @@
 	return nil, r.Done()
 }
 
-// Done tells whether a majority has been read.
+// Done tells whether enough disks have been read.
 func (r *Reader) Done() bool {
+	if r.WaitForAll {
+		return r.readFrom(r.countedVoters())
+	}
+	return r.HasMajority()
+}
+
+// readFrom tells whether the required number of disks has been read whole, or need not be
+// because no bucket differs.
+func (r *Reader) readFrom(required int) bool {
 	if r.Buckets > 0 && !r.compared {
 		return false
 	}
 	if r.compared && len(r.differing) == 0 {
 		return true
 	}
-	done := 0
-	for _, progress := range r.progressByDisk {
-		if progress.done {
-			done++
-		}
-	}
-	if r.WaitForAll {
-		return done == r.countedVoters()
-	}
-	return done >= r.Membership.Majority()
+	done, _ := r.Coverage()
+	return done >= required
 }
 
-// HasMajority tells whether what was read is a majority, all or not.
-func (r *Reader) HasMajority() bool {
-	waitForAll := r.WaitForAll
-	r.WaitForAll = false
-	ok := r.Done()
-	r.WaitForAll = waitForAll
-	return ok
-}
+// HasMajority tells whether a majority has been read, also while all disks are waited for.
+func (r *Reader) HasMajority() bool { return r.readFrom(r.Membership.Majority()) }
 
-// Entries joins what was read, newest first for each key, promises included.
+// Entries merges what was read: of each key the newest accepted state and the highest promise.
 func (r *Reader) Entries() map[ident.Key]Entry {
 	entries := map[ident.Key]Entry{}
 	for _, progress := range r.progressByDisk {
@@ -233,7 +234,7 @@
 	return entries
 }
 
-// Coverage tells how many counted disks were read, and how many there are.
+// Coverage gives how many disks were read whole, and how many count.
 func (r *Reader) Coverage() (read, counted int) {
 	for _, progress := range r.progressByDisk {
 		if progress.done {
@@ -243,7 +244,8 @@
 	return read, r.countedVoters()
 }
 
-// CountHolders counts the disks read, but for one, whose copy of the key is not behind a state.
+// CountHolders counts the disks read, one left out, whose copy of the key is not older than a
+// state.
 func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
 	holders := 0
 	for disk, progress := range r.progressByDisk {
@@ -254,7 +256,7 @@
 	return holders
 }
 
-// Lagging lists the disks whose copy of the key is behind the newest one read.
+// Lagging lists the disks whose copy of the key is older than the newest one read.
 func (r *Reader) Lagging(entry Entry) []ident.Disk {
 	var disks []ident.Disk
 	for disk, progress := range r.progressByDisk {
--- a/control/register/quorumread/quorumread_test.go
+++ b/control/register/quorumread/quorumread_test.go
@@ -16,8 +16,8 @@
 )
 
 // Four disks with a few hundred keys, some of which differ: a quorum read that compares digests
-// first finds just the lagging copies that one without them finds, and reads few rows; one
-// that is slow to answer is waited for, one that is silent is not.
+// first finds the same lagging copies as one without digests, and reads few rows; it waits for a
+// disk that is slow to respond, and not for one that is silent.
 func TestDigestsFindWhatDiffers(t *testing.T) {
 	voters := []ident.Disk{"a", "b", "c", "d"}
 	for seed := range uint64(60) {
