--- a/settings/flags.go
+++ b/settings/flags.go
@@ -9,14 +9,14 @@
 
 // Flags are the settings that the command line may give; a flag overrides the file.
 type Flags struct {
-	Address  string   `help:"Own address towards the mesh, ip:port, as others reach it."`
-	Listen   string   `help:"Where to listen for it, when that differs from the address."`
-	Caller   string   `help:"Sidecar only: address that callers use, ip:port."`
-	Node     string   `help:"Sidecar only: name of the node; its address if not given."`
-	Zone     string   `name:"zone" aliases:"district" help:"Failure zone of this machine."`
-	Seeds    []string `help:"Addresses of up to three other processes, ip:port."`
-	Founders []string `help:"Core only: addresses of all cores that form the first roster; the seeds and this core if not given and this core is among the seeds."`
-	Data     string   `help:"Core only: the one data folder."`
+	Address       string   `help:"Own address towards the mesh, ip:port, as others reach it."`
+	Listen        string   `help:"Where to listen for it, when that differs from the address."`
+	ClientAddress string   `name:"client-address" aliases:"caller" help:"Sidecar only: address that clients use, ip:port."`
+	Node          string   `help:"Sidecar only: name of the node; its address if not given."`
+	Zone          string   `name:"zone" aliases:"district" help:"Failure zone of this machine."`
+	Seeds         []string `help:"Addresses of up to three other processes, ip:port."`
+	Founders      []string `help:"Core only: addresses of all cores that form the first membership; the seeds and this core if not given and this core is among the seeds."`
+	Data          string   `help:"Core only: the one data folder."`
 }
 
 // Load reads the settings file, if one is named, and lays the flags over it.
@@ -25,7 +25,7 @@
 	if fail != nil {
 		return nil, fail
 	}
-	for key, value := range map[string]string{keyAddress: f.Address, keyListen: f.Listen, keyClientAddress: f.Caller, keyNode: f.Node, keyZone: f.Zone, keyData: f.Data} {
+	for key, value := range map[string]string{keyAddress: f.Address, keyListen: f.Listen, keyClientAddress: f.ClientAddress, keyNode: f.Node, keyZone: f.Zone, keyData: f.Data} {
 		if value != "" {
 			override(values, key, value)
 		}
