--- a/control/register/proposer/patch_test.go
+++ b/control/register/proposer/patch_test.go
@@ -10,24 +10,70 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+// deliveries are what may happen to a request that is out.
+var deliveries = []func(c *lossyCluster, i int){
+	func(c *lossyCluster, i int) { c.deliverTo(i, true); c.lose(i) },
+	func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // it comes twice
+	func(c *lossyCluster, i int) { c.lose(i) },
+	func(c *lossyCluster, i int) { c.deliverTo(i, false); c.lose(i) },
+}
+
+const (
+	// positions is how many of the requests that are out a step chooses from.
+	positions = 2
+	// choiceSteps is how many steps in a row are tried in every way.
+	choiceSteps = 4
+)
+
+// choices is how many ways there are for one step: each delivery of each request, or the oldest
+// or the newest response.
+var choices = len(deliveries)*positions + 2
+
+// take does one of the choices for a step.
+func (c *lossyCluster) take(step, choice int) {
+	switch {
+	case choice >= len(deliveries)*positions:
+		if n := len(c.responses); n > 0 {
+			c.receive((choice - len(deliveries)*positions) * (n - 1))
+		}
+	case len(c.requests) > 0:
+		deliveries[choice/positions](c, (choice%positions*2+step%2)%len(c.requests))
+	}
+}
+
+// confirmed lists the operations whose change was confirmed to a client.
+func (c *lossyCluster) confirmed() map[string]bool {
+	confirmed := map[string]bool{}
+	for _, name := range []string{"a", "b"} {
+		for _, outcome := range c.outcomes[name] {
+			if !outcome.Abandoned {
+				confirmed[string(outcome.Operation.Op)] = true
+			}
+		}
+	}
+	return confirmed
+}
+
+// finalValue has b write once more, and gives the value that it leads to.
+func (c *lossyCluster) finalValue() string {
+	// b may learn only now that its term was superseded.
+	for n := 0; n == 0 || n < 5 && c.last("b").Abandoned; n++ {
+		c.write("b", "seven")
+		c.settleWithTicks()
+	}
+	last := c.last("b")
+	must.False(c.t, last.Abandoned)
+	return string(last.Body)
+}
+
 // Two proposers write a long value while requests and responses are lost, doubled, late and
 // reordered, and disks lose what was not synced: no disk ever holds a value that was not its
 // proposer's for that ballot and revision, no confirmed change is lost, and all end with the
 // same bytes.
 func TestPatchesInAllOrders(t *testing.T) {
-	kinds, refused := map[quorum.Kind]int{}, 0
-	// What happens to the next message: its position among those that are out, and its
-	// delivery. Four in a row are tried in every way, then all is delivered.
-	deliveries := []func(c *lossyCluster, i int){
-		func(c *lossyCluster, i int) { c.deliverTo(i, true); c.lose(i) },
-		func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // it comes twice
-		func(c *lossyCluster, i int) { c.lose(i) },
-		func(c *lossyCluster, i int) { c.deliverTo(i, false); c.lose(i) },
-	}
-	const positions = 2
-	choices := len(deliveries)*positions + 2
+	kinds, rejected := map[quorum.Kind]int{}, 0
 	total := 1
-	for range 4 {
+	for range choiceSteps {
 		total *= choices
 	}
 	for seed := range total {
@@ -41,17 +87,9 @@
 			c.write("b", "four")
 		}
 		remaining := seed
-		for step := range 4 {
-			choice := remaining % choices
+		for step := range choiceSteps {
+			c.take(step, remaining%choices)
 			remaining /= choices
-			switch {
-			case choice >= len(deliveries)*positions:
-				if n := len(c.responses); n > 0 {
-					c.receive((choice - len(deliveries)*positions) * (n - 1))
-				}
-			case len(c.requests) > 0:
-				deliveries[choice/positions](c, (choice%positions*2+step%2)%len(c.requests))
-			}
 			if step == 2 {
 				c.write("a", "five")
 			}
@@ -59,35 +97,21 @@
 		c.settleWithTicks()
 		c.write("a", "six")
 		c.settleWithTicks()
-		chosen := map[string]bool{}
-		for _, name := range []string{"a", "b"} {
-			for _, outcome := range c.outcomes[name] {
-				if !outcome.Abandoned {
-					chosen[string(outcome.Operation.Op)] = true
-				}
-			}
-		}
-		// b may learn only now that its term was superseded.
-		for n := 0; n == 0 || n < 5 && c.last("b").Abandoned; n++ {
-			c.write("b", "seven")
-			c.settleWithTicks()
-		}
-		last := c.last("b")
-		must.False(t, last.Abandoned)
-		end := string(last.Body)
-		for val := range chosen {
-			must.StrContains(t, end, " "+val+"]", must.Sprint("order ", seed))
+		confirmed := c.confirmed()
+		end := c.finalValue()
+		for value := range confirmed {
+			must.StrContains(t, end, " "+value+"]", must.Sprint("order ", seed))
 		}
-		for d := range c.acceptors {
-			must.Eq(t, end, string(c.acceptors[d].Peek("k").Value), must.Sprint("order ", seed, " ", d))
+		for disk := range c.acceptors {
+			must.Eq(t, end, string(c.acceptors[disk].Peek("k").Value), must.Sprint("order ", seed, " ", disk))
 		}
-		refused += c.rejected
-		for k, n := range c.kinds {
-			kinds[k] += n
+		rejected += c.rejected
+		for kind, n := range c.kinds {
+			kinds[kind] += n
 		}
 	}
 	must.Greater(t, total, kinds[quorum.PatchAccept])
-	must.Greater(t, 100, refused)
+	must.Greater(t, 100, rejected)
 }
 
 // A disk that rejects a patch gets the whole value within the same round, and patches again from
--- a/control/register/quorumread/quorumread_test.go
+++ b/control/register/quorumread/quorumread_test.go
@@ -15,88 +15,108 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// Four disks with a few hundred keys, some of which differ: a quorum read that compares digests
-// first finds the same lagging copies as one without digests, and reads few rows; it waits for a
-// disk that is slow to respond, and not for one that is silent.
-func TestDigestsFindWhatDiffers(t *testing.T) {
-	voters := []ident.Disk{"a", "b", "c", "d"}
-	for seed := range uint64(60) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		membership := quorum.Membership{Epoch: 4}
-		disks := map[ident.Disk]*acceptor.Acceptor{}
-		for _, d := range voters {
-			disks[d] = acceptor.New(d)
-			membership.Voters = append(membership.Voters, quorum.Voter{Disk: d, Addr: ident.Addr(d), Counted: true})
-		}
-		for k := range 300 {
-			key := ident.Key(fmt.Sprintf("key/%d", k))
-			for _, d := range voters {
-				record := quorum.Record{Accepted: ident.Ballot{Epoch: 1, Proposer: "o"}, Revision: 3, Value: []byte(`"v"`)}
-				if rng.IntN(300) == 0 {
-					record.Revision = ident.Revision(1 + rng.IntN(3))
-				}
-				if rng.IntN(300) != 0 {
-					disks[d].Merge(quorum.Row{Key: key, Record: record})
-				}
+// diskSet is some acceptors with the network to them: a silent one never responds, a slow one
+// does so late.
+type diskSet struct {
+	t            *testing.T
+	membership   quorum.Membership
+	acceptors    map[ident.Disk]*acceptor.Acceptor
+	silent, slow ident.Disk
+}
+
+// delivery is a page on its way to the reader.
+type delivery struct {
+	at   monotime.Time
+	page quorum.ScanResponse
+}
+
+// newDiskSet makes four disks with a few hundred keys, of which some copies are older or missing.
+func newDiskSet(t *testing.T, seed uint64) *diskSet {
+	rng := rand.New(rand.NewPCG(seed, 3))
+	disks := []ident.Disk{"a", "b", "c", "d"}
+	set := &diskSet{t: t, membership: quorum.Membership{Epoch: 4}, acceptors: map[ident.Disk]*acceptor.Acceptor{}}
+	for _, disk := range disks {
+		set.acceptors[disk] = acceptor.New(disk)
+		set.membership.Voters = append(set.membership.Voters, quorum.Voter{Disk: disk, Addr: ident.Addr(disk), Counted: true})
+	}
+	for k := range 300 {
+		key := ident.Key(fmt.Sprintf("key/%d", k))
+		for _, disk := range disks {
+			record := quorum.Record{Accepted: ident.Ballot{Epoch: 1, Proposer: "o"}, Revision: 3, Value: []byte(`"v"`)}
+			if rng.IntN(300) == 0 {
+				record.Revision = ident.Revision(1 + rng.IntN(3))
+			}
+			if rng.IntN(300) != 0 {
+				set.acceptors[disk].Merge(quorum.Row{Key: key, Record: record})
 			}
 		}
-		silent, slow := ident.Disk(""), ident.Disk("")
-		switch seed % 3 {
-		case 1:
-			silent = "c"
-		case 2:
-			slow = "b"
+	}
+	switch seed % 3 {
+	case 1:
+		set.silent = "c"
+	case 2:
+		set.slow = "b"
+	}
+	return set
+}
+
+// send has the acceptors serve scans, and gives the responses.
+func (s *diskSet) send(now monotime.Time, scans []quorumread.Send) (deliveries []delivery) {
+	for _, scan := range scans {
+		page, ok := s.acceptors[scan.To.Disk].Scan(s.membership.Epoch, scan.Scan)
+		must.True(s.t, ok)
+		if scan.To.Disk == s.silent {
+			continue
 		}
-		run := func(buckets int) (lagging map[ident.Key]int, rows int) {
-			reader := quorumread.New(1, membership, "", false, "")
-			reader.WaitForAll, reader.Buckets = true, buckets
-			type late struct {
-				at monotime.Time
-				r  quorum.ScanResponse
-			}
-			var inFlight []late
-			done := false
-			send := func(now monotime.Time, list []quorumread.Send) {
-				for _, out := range list {
-					r, ok := disks[out.To.Disk].Scan(4, out.Scan)
-					must.True(t, ok)
-					if out.To.Disk == silent {
-						continue
-					}
-					wait := 5 * time.Millisecond
-					if out.To.Disk == slow {
-						wait = 250 * time.Millisecond
-					}
-					inFlight = append(inFlight, late{now.Add(wait), r})
-				}
-			}
-			for now := monotime.Time(time.Second); now < monotime.Time(2*time.Second) && !done; now = now.Add(5 * time.Millisecond) {
-				send(now, reader.Tick(now))
-				list := inFlight
-				inFlight = nil
-				for _, page := range list {
-					if page.at > now {
-						inFlight = append(inFlight, page)
-						continue
-					}
-					rows += len(page.r.Rows)
-					out, complete := reader.Step(now, page.r)
-					done = done || complete
-					send(now, out)
-				}
-			}
-			must.Eq(t, silent == "" || reader.Done(), done)
-			must.True(t, reader.HasMajority(), must.Sprintf("seed %d", seed))
-			lagging = map[ident.Key]int{}
-			for k, entry := range reader.Entries() {
-				if n := len(reader.Lagging(entry)); n > 0 {
-					lagging[k] = n
-				}
+		wait := 5 * time.Millisecond
+		if scan.To.Disk == s.slow {
+			wait = 250 * time.Millisecond
+		}
+		deliveries = append(deliveries, delivery{now.Add(wait), page})
+	}
+	return deliveries
+}
+
+// read reads all keys, at most for a second, and gives how many copies of each key lag and how
+// many rows were read.
+func (s *diskSet) read(buckets int) (lagging map[ident.Key]int, rows int) {
+	reader := quorumread.New(1, s.membership, "", false, "")
+	reader.WaitForAll, reader.Buckets = true, buckets
+	var inFlight []delivery
+	done := false
+	for now := monotime.Time(time.Second); now < monotime.Time(2*time.Second) && !done; now = now.Add(5 * time.Millisecond) {
+		due := append(inFlight, s.send(now, reader.Tick(now))...)
+		inFlight = nil
+		for _, d := range due {
+			if d.at > now {
+				inFlight = append(inFlight, d)
+				continue
 			}
-			return lagging, rows
+			rows += len(d.page.Rows)
+			scans, complete := reader.Step(now, d.page)
+			done = done || complete
+			inFlight = append(inFlight, s.send(now, scans)...)
+		}
+	}
+	must.Eq(s.t, s.silent == "" || reader.Done(), done)
+	must.True(s.t, reader.HasMajority())
+	lagging = map[ident.Key]int{}
+	for key, entry := range reader.Entries() {
+		if n := len(reader.Lagging(entry)); n > 0 {
+			lagging[key] = n
 		}
-		plain, plainRows := run(0)
-		short, shortRows := run(256)
+	}
+	return lagging, rows
+}
+
+// Four disks with a few hundred keys, some of which differ: a quorum read that compares digests
+// first finds the same lagging copies as one without digests, and reads few rows; it waits for a
+// disk that is slow to respond, and not for one that is silent.
+func TestDigestsFindWhatDiffers(t *testing.T) {
+	for seed := range uint64(60) {
+		disks := newDiskSet(t, seed)
+		plain, plainRows := disks.read(0)
+		short, shortRows := disks.read(256)
 		must.Eq(t, plain, short, must.Sprintf("seed %d", seed))
 		must.Less(t, plainRows/4, shortRows, must.Sprintf("seed %d", seed))
 	}
--- a/storage/ring/memory_folder.go
+++ b/storage/ring/memory_folder.go
@@ -1,10 +1,11 @@
 package ring
 
 import (
-	"fmt"
 	"maps"
 	"os"
 	"slices"
+
+	"cottonarch.example/cottonarch/base/failure"
 )
 
 // MemoryFolder is a Folder in memory that loses or tears what was not synced, for tests and
@@ -69,7 +70,7 @@
 // ReadAt reads what the process sees.
 func (f *MemoryFile) ReadAt(p []byte, offset int64) (int, error) {
 	if offset >= int64(len(f.cached)) {
-		return 0, fmt.Errorf("read past end: %w", os.ErrInvalid)
+		return 0, failure.Wrap(os.ErrInvalid, failure.DiskFailed, "read past the end")
 	}
 	n := copy(p, f.cached[offset:])
 	f.folder.BytesRead += uint64(n)
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"path/filepath"
 	"testing"
@@ -20,64 +21,72 @@
 	return out
 }
 
+var errPowerLost = errors.New("power is gone")
+
+// losePowerAfter fails every write and sync of a folder after so many.
+func losePowerAfter(folder *MemoryFolder, writes int) {
+	folder.BeforeWrite = func(string) error {
+		if writes--; writes <= 0 {
+			return errPowerLost
+		}
+		return nil
+	}
+}
+
+// writeLaps appends 200 records, with a sync after one in three, and gives what the last
+// successful sync covered. Values begin with a number that rises.
+func writeLaps(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
+	synced, appended := map[string]string{}, map[string]string{}
+	for i := range 200 {
+		key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, width)
+		appended[key] = data
+		if err := r.Append([]Record{{key, []byte(data)}}); err != nil {
+			return synced, err
+		}
+		if rng.IntN(3) == 0 {
+			if err := r.Sync(); err != nil {
+				return synced, err
+			}
+			maps.Copy(synced, appended)
+		}
+	}
+	return synced, nil
+}
+
+// recoverFromPowerLoss loses power, and again while the ring is opened, twice.
+func recoverFromPowerLoss(t *testing.T, folder *MemoryFolder, options Options, rng *rand.Rand, point int) *Ring {
+	for attempt := range 3 {
+		folder.Crash(func(n int) int { return rng.IntN(n + 1) })
+		if attempt < 2 {
+			losePowerAfter(folder, rng.IntN(12)+1)
+		}
+		r, err := Open(folder, options)
+		if err == nil {
+			folder.BeforeWrite = nil
+			return r
+		}
+		must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
+	}
+	return nil
+}
+
 // Power is lost at every single write point of a long run; what a Sync covered is
 // always there afterwards, and no older value returns.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 2048}
-	errPowerLost := errors.New("power is gone")
 	for point := 1; point < 400; point++ {
-		folder, writesLeft := NewMemoryFolder(), point
+		folder := NewMemoryFolder()
 		rng := rand.New(rand.NewPCG(7, uint64(point)))
-		folder.BeforeWrite = func(string) error {
-			if writesLeft--; writesLeft <= 0 {
-				return errPowerLost
-			}
-			return nil
-		}
-		synced, appended := map[string]string{}, map[string]string{}
-		writeLap := func(r *Ring) error {
-			for i := range 200 {
-				key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, point)
-				appended[key] = data
-				if err := r.Append([]Record{{key, []byte(data)}}); err != nil {
-					return err
-				}
-				if rng.IntN(3) == 0 {
-					if err := r.Sync(); err != nil {
-						return err
-					}
-					for k, v := range appended {
-						synced[k] = v
-					}
-				}
-			}
-			return nil
-		}
+		losePowerAfter(folder, point)
+		var synced map[string]string
 		r, err := Open(folder, options)
 		if err == nil {
-			err = writeLap(r)
+			synced, err = writeLaps(r, rng, point)
 		}
 		if err == nil {
 			continue
 		}
-		for attempt := range 3 { // and again while recovering
-			folder.Crash(func(n int) int { return rng.IntN(n + 1) })
-			if attempt < 2 {
-				writesLeft = rng.IntN(12) + 1
-				folder.BeforeWrite = func(string) error {
-					if writesLeft--; writesLeft <= 0 {
-						return errPowerLost
-					}
-					return nil
-				}
-			}
-			r, err = Open(folder, options)
-			if err == nil {
-				break
-			}
-			must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
-		}
-		folder.BeforeWrite = nil
+		r = recoverFromPowerLoss(t, folder, options, rng, point)
 		got := contents(r)
 		for key, data := range synced {
 			// Only values written later, and never confirmed, may stand instead.
