--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -10,13 +10,15 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/core/node"
+	"cottonarch.example/cottonarch/control/leasetable"
+	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
 // View is a copy of the node's state for status pages and the mesh; it is never changed.
 type View struct {
 	Disk            ident.Disk            `json:"disk"`
-	Membership      any                   `json:"roster"`
+	Membership      quorum.Membership     `json:"roster"`
 	Votes           bool                  `json:"votes"`
 	Voters          int                   `json:"voters"`
 	Majority        bool                  `json:"majority"`
@@ -27,7 +29,7 @@
 	Places          []record.CoreLocation `json:"-"`
 	PlacesDigest    string                `json:"-"` // equal for equal Places
 	ConfigRevision  ident.Epoch           `json:"epoch,omitempty"`
-	Members         any                   `json:"members"`
+	Members         []leasetable.Member   `json:"members"`
 	AntiEntropy     *AntiEntropyPass      `json:"sweep,omitempty"` // set while this core holds the anti-entropy duty
 }
 
