--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -133,9 +133,6 @@
 	opts := []kratos.Option{kratos.Name("cottonarch-" + name), kratos.Logger(server.Logger(log)), kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
 		kratos.StopTimeout(30 * time.Second), kratos.BeforeStop(func(context.Context) error {
 			leave()
-			for _, s := range servers {
-				s.SetKeepAlivesEnabled(false)
-			}
 			return nil
 		})}
 	all := make([]transport.Server, 0, len(servers))
--- a/daemon/integration/rig_test.go
+++ b/daemon/integration/rig_test.go
@@ -128,7 +128,6 @@
 	stop = func() {
 		var stopping sync.WaitGroup
 		for _, s := range servers {
-			s.SetKeepAlivesEnabled(false)
 			stopping.Add(1)
 			go func() {
 				defer stopping.Done()
--- a/wire/server/listen.go
+++ b/wire/server/listen.go
@@ -3,15 +3,22 @@
 import (
 	"context"
 	"net"
+	"net/http"
 	"sync"
 	"syscall"
 	"time"
 	"unsafe"
 
+	"golang.org/x/sys/unix"
+
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
+// acceptGrace bounds how long a stopped listener goes on accepting what waits. It ends as soon
+// as nothing waits; the bound is for a flood of connections, or a machine without free processors.
+const acceptGrace = time.Second
+
 // Option changes how a server takes connections.
 type Option func(*listener)
 
@@ -30,8 +37,12 @@
 	silence time.Duration
 	deaf    bool
 	once    sync.Once
-	net.Listener
+	*net.TCPListener
 	err error
+
+	mu sync.Mutex
+	// acceptUntil is until when a stopped listener still accepts what waits; zero before.
+	acceptUntil time.Time
 }
 
 func (l *listener) open() error {
@@ -42,44 +53,84 @@
 			conf.KeepAlive = -1
 			conf.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.silence) }
 		}
-		l.Listener, l.err = conf.Listen(context.Background(), "tcp", string(l.addr))
+		open, err := conf.Listen(context.Background(), "tcp", string(l.addr))
+		if err != nil {
+			l.err = err
+			return
+		}
+		l.TCPListener = open.(*net.TCPListener)
 	})
 	return l.err
 }
 
-// failed is the address of a listener that does not listen: it tells why.
-type failed struct{ error }
-
-func (failed) Network() string  { return "tcp" }
-func (f failed) String() string { return f.Error() }
-
-func (l *listener) Addr() net.Addr {
-	if err := l.open(); err != nil {
-		return failed{err}
+// stop has Accept take what waits to be accepted and then end, and tells whether the listener
+// listens. One that does not yet never will.
+func (l *listener) stop() bool {
+	l.once.Do(func() { l.err = http.ErrServerClosed })
+	if l.err != nil {
+		return false
 	}
-	return l.Listener.Addr()
-}
-
-func (l *listener) Close() error {
-	if err := l.open(); err != nil {
-		return err
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.acceptUntil.IsZero() {
+		now := time.Now()
+		l.acceptUntil = now.Add(acceptGrace)
+		_ = l.SetDeadline(now)
 	}
-	return l.Listener.Close()
+	return true
 }
 
+// Accept takes a connection. It answers http.ErrServerClosed once the listener was stopped
+// and nothing waits to be accepted: what waits when the listener closes is reset, with the
+// request that was sent on it.
 func (l *listener) Accept() (net.Conn, error) {
-	if err := l.open(); err != nil {
+	tcp, err := l.acceptTCP()
+	if err != nil {
 		return nil, err
 	}
-	c, err := l.Listener.Accept()
-	if err != nil || !l.deaf {
-		return c, err
+	c := &conn{TCPConn: tcp, source: tcp, accepted: time.Now()}
+	if l.deaf {
+		c.source = &deaf{TCPConn: tcp}
 	}
-	tcp, ok := c.(*net.TCPConn)
-	if !ok {
-		return c, nil
+	return c, nil
+}
+
+func (l *listener) acceptTCP() (*net.TCPConn, error) {
+	if !l.stopped() {
+		c, err := l.AcceptTCP()
+		if err == nil || !l.stopped() {
+			return c, err
+		}
+	}
+	if time.Now().After(l.acceptUntil) || !l.waits() {
+		return nil, http.ErrServerClosed
+	}
+	c, err := l.AcceptTCP()
+	if err != nil {
+		return nil, http.ErrServerClosed
 	}
-	return &deaf{TCPConn: tcp}, nil
+	return c, nil
+}
+
+// stopped tells whether the listener was stopped; acceptUntil is fixed from then on.
+func (l *listener) stopped() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !l.acceptUntil.IsZero()
+}
+
+// waits tells whether a connection waits to be accepted.
+func (l *listener) waits() bool {
+	_ = l.SetDeadline(l.acceptUntil.Add(acceptGrace))
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return false
+	}
+	ready := 0
+	err = raw.Control(func(fd uintptr) {
+		ready, _ = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+	})
+	return err == nil && ready > 0
 }
 
 // deaf is a connection that does not listen while its request is served. net/http listens
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -2,10 +2,14 @@
 package server
 
 import (
+	"context"
+	"errors"
 	"maps"
 	"net/http"
+	"net/url"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"github.com/go-kratos/kratos/v2/log"
@@ -21,14 +25,31 @@
 // below it.
 const headMost = 256 << 10
 
-// Server is a kratos server.
-type Server = khttp.Server
+// readHeaderTimeout bounds the reading of a request's head.
+const readHeaderTimeout = 10 * time.Second
+
+type kratosServer = khttp.Server
+
+// Server is a kratos server that answers every request it has begun to read before it stops.
+type Server struct {
+	*kratosServer
+	listener *listener
+	conns    *conns
+	stopping atomic.Bool
+	started  chan struct{} // closed when Start begins to accept
+	served   chan struct{} // closed when Start has returned
+}
 
 // New makes a server. kratos' own limit of one second is switched off: requests
 // carry their own. front, when given, sees every request before the table of paths
 // and before any path is cleaned, and answers true when it has served it.
 func New(addr ident.Addr, front func(http.ResponseWriter, *http.Request) bool, with ...Option) *Server {
+	s := &Server{listener: &listener{addr: addr}, conns: newConns(), started: make(chan struct{}), served: make(chan struct{})}
+	for _, o := range with {
+		o(s.listener)
+	}
 	opts := []khttp.ServerOption{
+		khttp.Listener(s.listener),
 		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			response.Defect(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
@@ -37,27 +58,44 @@
 			response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 		})),
 	}
-	if len(with) > 0 {
-		l := &listener{addr: addr}
-		for _, o := range with {
-			o(l)
-		}
-		opts = append(opts, khttp.Listener(l))
-	}
+	filters := []khttp.FilterFunc{s.closing}
 	if front != nil {
-		opts = append(opts, khttp.Filter(func(next http.Handler) http.Handler {
+		filters = append(filters, func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if !front(w, r) {
 					next.ServeHTTP(w, r)
 				}
 			})
-		}))
+		})
 	}
-	s := khttp.NewServer(opts...)
-	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = 10*time.Second, 90*time.Second, headMost
+	opts = append(opts, khttp.Filter(filters...))
+	s.kratosServer = khttp.NewServer(opts...)
+	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, 90*time.Second, headMost
 	return s
 }
 
+// Endpoint is the address that the server listens at; it begins to listen.
+func (s *Server) Endpoint() (*url.URL, error) {
+	if err := s.listener.open(); err != nil {
+		return nil, err
+	}
+	return s.kratosServer.Endpoint()
+}
+
+// Start accepts connections until Stop. It is called once.
+func (s *Server) Start(ctx context.Context) error {
+	switch err := s.listener.open(); {
+	case errors.Is(err, http.ErrServerClosed):
+		return nil
+	case err != nil:
+		return err
+	}
+	defer close(s.served)
+	s.ConnState = s.conns.follow(s.ConnState)
+	close(s.started)
+	return s.kratosServer.Start(ctx)
+}
+
 // Paths is a table of paths, each with its methods.
 type Paths map[string]map[string]http.HandlerFunc
 
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -48,3 +48,120 @@
 	_ = answer.Body.Close()
 	must.NoError(t, <-stopped)
 }
+
+const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+
+// started runs a server that answers 204.
+func started(t *testing.T, with ...server.Option) (s *server.Server, addr string) {
+	s = server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
+		w.WriteHeader(http.StatusNoContent)
+		return true
+	}, with...)
+	at, err := s.Endpoint()
+	must.NoError(t, err)
+	go func() { _ = s.Start(context.Background()) }()
+	return s, at.Host
+}
+
+func dialed(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+	c, err := net.Dial("tcp", addr)
+	must.NoError(t, err)
+	t.Cleanup(func() { _ = c.Close() })
+	must.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
+	return c, bufio.NewReader(c)
+}
+
+// answered reads one answer and tells whether it closes its connection.
+func answered(t *testing.T, from *bufio.Reader) bool {
+	answer, err := http.ReadResponse(from, nil)
+	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
+	must.Eq(t, http.StatusNoContent, answer.StatusCode)
+	_ = answer.Body.Close()
+	return answer.Close
+}
+
+// Each kind of connection that is open as the server stops: what was begun on it is answered,
+// and it ends with that answer; one that is unused ends without a wait.
+func TestStopEndsEachConnectionInOrder(t *testing.T) {
+	for name, with := range map[string][]server.Option{"plain": nil, "deaf": {server.Deaf(), server.Silence(3 * time.Second)}} {
+		t.Run(name, func(t *testing.T) {
+			s, addr := started(t, with...)
+			fresh, fromFresh := dialed(t, addr)
+			idle, fromIdle := dialed(t, addr)
+			begun, fromBegun := dialed(t, addr)
+			for _, c := range []struct {
+				net.Conn
+				from *bufio.Reader
+			}{{idle, fromIdle}, {begun, fromBegun}} {
+				_, err := io.WriteString(c, request)
+				must.NoError(t, err)
+				must.False(t, answered(t, c.from))
+			}
+			_, err := io.WriteString(begun, request[:9])
+			must.NoError(t, err)
+
+			began := time.Now()
+			stopped := make(chan error, 1)
+			go func() { stopped <- s.Stop(context.Background()) }()
+			_, err = fromIdle.ReadByte()
+			must.ErrorIs(t, err, io.EOF)
+			must.Less(t, time.Second, time.Since(began))
+			_, err = io.WriteString(begun, request[9:])
+			must.NoError(t, err)
+			must.True(t, answered(t, fromBegun))
+			_, err = io.WriteString(fresh, request)
+			must.NoError(t, err)
+			must.True(t, answered(t, fromFresh))
+			must.NoError(t, <-stopped)
+			_, err = net.Dial("tcp", addr)
+			must.Error(t, err)
+		})
+	}
+}
+
+// Connections that wait to be accepted as the server stops are answered too.
+func TestWaitingConnectionsAreAnsweredInAStop(t *testing.T) {
+	s := server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
+		w.WriteHeader(http.StatusNoContent)
+		return true
+	})
+	at, err := s.Endpoint()
+	must.NoError(t, err)
+	var waiting []*bufio.Reader
+	for range 100 {
+		c, from := dialed(t, at.Host)
+		_, err := io.WriteString(c, request)
+		must.NoError(t, err)
+		waiting = append(waiting, from)
+	}
+	go func() { _ = s.Start(context.Background()) }()
+	answered(t, waiting[0])
+	stopped := make(chan error, 1)
+	go func() { stopped <- s.Stop(context.Background()) }()
+	for _, from := range waiting[1:] {
+		answered(t, from)
+	}
+	must.NoError(t, <-stopped)
+}
+
+// A request that never becomes whole holds up a stop until its context ends, not longer.
+func TestStopIsBoundedByItsContext(t *testing.T) {
+	s, addr := started(t)
+	c, from := dialed(t, addr)
+	_, err := io.WriteString(c, request)
+	must.NoError(t, err)
+	must.False(t, answered(t, from))
+	_, err = io.WriteString(c, request[:9])
+	must.NoError(t, err)
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
+	must.ErrorIs(t, s.Stop(ctx), context.DeadlineExceeded)
+	must.NoError(t, s.Close())
+}
+
+// A server that was stopped before it was started does not start.
+func TestStoppedServerDoesNotStart(t *testing.T) {
+	s := server.New("127.0.0.1:0", nil)
+	must.NoError(t, s.Stop(context.Background()))
+	must.NoError(t, s.Start(context.Background()))
+}
