--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -34,15 +34,15 @@
 func (capacityPartCmd) Run() error { return process.Run(os.Stdin, os.Stdout) }
 
 func (c capacityCmd) Run() error {
-	say := func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) }
+	logf := func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) }
 	if c.From != "" {
-		res, err := report.ReadResult(c.From)
+		result, err := report.ReadResult(c.From)
 		if err != nil {
 			return err
 		}
-		return c.tell(res)
+		return c.write(result)
 	}
-	t, err := plan.Read(c.Target)
+	sizing, err := plan.Read(c.Target)
 	if err != nil {
 		return err
 	}
@@ -50,27 +50,27 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "own program")
 	}
-	b := run.Options{ProcessCommand: []string{self, "capacity-part"}, Dir: c.Disks, Target: t, Sizes: c.Sizes, Workloads: c.Loads, Commit: c.Commit, Command: "cottonarch " + strings.Join(os.Args[1:], " "), Window: c.For, TimeLimit: c.Limit, MemoryLimit: c.Memory, MaxProcesses: c.Most, Logf: say}
-	if b.MemoryLimit <= 0 {
-		b.MemoryLimit = run.HalfOfMemory()
+	options := run.Options{ProcessCommand: []string{self, "capacity-part"}, Dir: c.Disks, Target: sizing, Sizes: c.Sizes, Workloads: c.Loads, Commit: c.Commit, Command: "cottonarch " + strings.Join(os.Args[1:], " "), Window: c.For, TimeLimit: c.Limit, MemoryLimit: c.Memory, MaxProcesses: c.Most, Logf: logf}
+	if options.MemoryLimit <= 0 {
+		options.MemoryLimit = run.HalfOfMemory()
 	}
-	b.OnSize = func(res *run.Result) {
-		if _, err := report.Write(res, c.Out); err != nil {
-			say("%v", err)
+	options.OnSize = func(result *run.Result) {
+		if _, err := report.Write(result, c.Out); err != nil {
+			logf("%v", err)
 		}
 	}
 	if len(c.Loads) == 1 && c.Loads[0] == "all" {
-		b.Workloads = run.WorkloadNames()
+		options.Workloads = run.WorkloadNames()
 	}
-	res, err := run.Measure(b)
+	result, err := run.Measure(options)
 	if err != nil {
 		return err
 	}
-	return c.tell(res)
+	return c.write(result)
 }
 
-func (c capacityCmd) tell(res *run.Result) error {
-	text, err := report.Write(res, c.Out)
+func (c capacityCmd) write(result *run.Result) error {
+	text, err := report.Write(result, c.Out)
 	if err != nil {
 		return err
 	}
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -45,19 +45,19 @@
 	if c.Replay != "" {
 		return c.replay()
 	}
-	o := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
+	options := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
 		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Mutant: cluster.Mutant(c.Break), Faults: map[cluster.Fault]int{}}
 	for name, n := range c.Faults {
-		o.Faults[cluster.Fault(name)] = n
+		options.Faults[cluster.Fault(name)] = n
 	}
-	if bad := o.Validate(); bad != nil {
-		return bad
+	if fail := options.Validate(); fail != nil {
+		return fail
 	}
 	if c.For > 0 {
-		end := time.Now().Add(c.For)
-		o.Stop = func() bool { return time.Now().After(end) }
+		deadline := time.Now().Add(c.For)
+		options.Stop = func() bool { return time.Now().After(deadline) }
 	}
-	parts := explore.Run(o)
+	parts := explore.Run(options)
 	fmt.Print(explore.Text(parts))
 	last := parts[len(parts)-1]
 	if last.Violation == nil {
@@ -77,16 +77,16 @@
 	if err != nil {
 		return failure.New(failure.BadSettings, "can't read the trace: %v", err)
 	}
-	trace, bad := explore.Decode(raw)
-	if bad != nil {
-		return bad
+	trace, fail := explore.Decode(raw)
+	if fail != nil {
+		return fail
 	}
-	lines, breach, bad := trace.Replay()
+	lines, breach, fail := trace.Replay()
 	for _, line := range lines {
 		fmt.Println(line)
 	}
-	if bad != nil {
-		return bad
+	if fail != nil {
+		return fail
 	}
 	if breach == nil {
 		fmt.Println("all held")
--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -40,56 +40,56 @@
 	operatorCmds
 }
 
-type bootFlags struct {
+type settingsFlags struct {
 	Boot           string `short:"b" help:"Boot file (JSON)." type:"path"`
 	settings.Flags `embed:""`
 	Check          bool `help:"Check the boot and end."`
 }
 
-func (b bootFlags) tree() (map[string]any, error) {
-	m, d := b.Load(b.Boot)
-	if d != nil {
-		return nil, d
+func (f settingsFlags) load() (map[string]any, error) {
+	tree, fail := f.Load(f.Boot)
+	if fail != nil {
+		return nil, fail
 	}
-	return m, nil
+	return tree, nil
 }
 
-type coreCmd struct{ bootFlags }
+type coreCmd struct{ settingsFlags }
 
-type sidecarCmd struct{ bootFlags }
+type sidecarCmd struct{ settingsFlags }
 
-func logger() (*zap.Logger, error) {
+func newLogger() (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	c.DisableCaller, c.DisableStacktrace, c.Sampling = true, true, nil
 	return c.Build()
 }
 
-// start reads and checks the boot, makes the log and runs the daemon.
-func start[T any](f bootFlags, read func(map[string]any) (T, *failure.Error), daemon func(T, *zap.Logger) error) error {
-	m, err := f.tree()
+// startDaemon reads and checks the boot, makes the log and runs the daemon.
+func startDaemon[T any](f settingsFlags, read func(map[string]any) (T, *failure.Error), run func(T, *zap.Logger) error) error {
+	tree, err := f.load()
 	if err != nil {
 		return err
 	}
-	b, d := read(m)
-	if d != nil {
-		return d
+	config, fail := read(tree)
+	if fail != nil {
+		return fail
 	}
 	if f.Check {
 		fmt.Println("the boot is good")
 		return nil
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "log")
 	}
 	defer func() { _ = log.Sync() }()
-	return daemon(b, log)
+	return run(config, log)
 }
 
-func (c coreCmd) Run() error { return start(c.bootFlags, settings.ReadCore, runCore) }
+func (c coreCmd) Run() error { return startDaemon(c.settingsFlags, settings.ReadCore, runCore) }
 
-func runCore(b settings.Core, log *zap.Logger) error {
-	daemon, srv, err := daemon.Core(b, log)
+func runCore(config settings.Core, log *zap.Logger) error {
+	daemon, srv, err := daemon.Core(config, log)
 	if err != nil {
 		return err
 	}
@@ -98,13 +98,15 @@
 	return serve(log, "core", func() { daemon.Leave(10 * time.Second) }, srv)
 }
 
-func (c sidecarCmd) Run() error { return start(c.bootFlags, settings.ReadSidecar, runSidecar) }
+func (c sidecarCmd) Run() error {
+	return startDaemon(c.settingsFlags, settings.ReadSidecar, runSidecar)
+}
 
-func runSidecar(b settings.Sidecar, log *zap.Logger) error {
-	daemon, srv, front := daemon.Sidecar(b, log)
+func runSidecar(config settings.Sidecar, log *zap.Logger) error {
+	daemon, meshServer, clientServer := daemon.Sidecar(config, log)
 	daemon.Start()
 	defer daemon.Close()
-	return serve(log, "sidecar", daemon.Leave, srv, front)
+	return serve(log, "sidecar", daemon.Leave, meshServer, clientServer)
 }
 
 type platformCmd struct {
@@ -112,35 +114,35 @@
 }
 
 func (c platformCmd) Run() error {
-	s, d := platform.Load()
-	if d != nil {
-		return d
+	loaded, fail := platform.Load()
+	if fail != nil {
+		return fail
 	}
 	if c.Check {
 		fmt.Println("the settings are good")
 		return nil
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "log")
 	}
 	defer func() { _ = log.Sync() }()
-	return platform.Run(s, log, serve)
+	return platform.Run(loaded, log, serve)
 }
 
 // serve runs the servers until the platform says stop; leave is done first.
 func serve(log *zap.Logger, name string, leave func(), servers ...*server.Server) error {
-	opts := []kratos.Option{kratos.Name("cottonarch-" + name), kratos.Logger(server.Logger(log)), kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
+	options := []kratos.Option{kratos.Name("cottonarch-" + name), kratos.Logger(server.Logger(log)), kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
 		kratos.StopTimeout(30 * time.Second), kratos.BeforeStop(func(context.Context) error {
 			leave()
 			return nil
 		})}
-	all := make([]transport.Server, 0, len(servers))
+	transports := make([]transport.Server, 0, len(servers))
 	for _, s := range servers {
-		all = append(all, s)
+		transports = append(transports, s)
 	}
-	opts = append(opts, kratos.Server(all...))
-	if err := kratos.New(opts...).Run(); err != nil {
+	options = append(options, kratos.Server(transports...))
+	if err := kratos.New(options...).Run(); err != nil {
 		return failure.Wrap(err, failure.Internal, name)
 	}
 	log.Info("stopped")
@@ -159,8 +161,8 @@
 }
 
 func (c endpointCmd) Run() error {
-	e, err := endpoint.Start(endpoint.Boot{Server: ident.Server(c.Server), Service: ident.Service(c.Service), Addr: ident.Addr(c.Address), Beat: ident.Addr(c.Sidecar),
-		Mood: endpoint.Mood{Work: c.Work, Lose: c.Lose, Garbage: c.Garbage, Cut: c.Cut}})
+	e, err := endpoint.Start(endpoint.Options{Server: ident.Server(c.Server), Service: ident.Service(c.Service), Addr: ident.Addr(c.Address), SidecarAddr: ident.Addr(c.Sidecar),
+		Behavior: endpoint.Behavior{WorkTime: c.Work, LostShare: c.Lose, GarbageShare: c.Garbage, TruncatedShare: c.Cut}})
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "endpoint")
 	}
@@ -182,18 +184,18 @@
 }
 
 func (c callerCmd) Run() error {
-	book := &client.Book{}
-	ctx, stop := context.WithTimeout(context.Background(), c.For)
-	defer stop()
-	client.Run(ctx, client.Boot{Name: "caller", Addr: ident.Addr(c.Address), Rate: c.Rate, Book: book, Seed: 1, Limit: 10 * time.Second,
+	results := &client.Log{}
+	ctx, cancel := context.WithTimeout(context.Background(), c.For)
+	defer cancel()
+	client.Run(ctx, client.Options{Name: "caller", SidecarAddr: ident.Addr(c.Address), Rate: c.Rate, Log: results, Seed: 1, Timeout: 10 * time.Second,
 		Kinds: []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}}})
-	sums := map[client.Fate]int{}
-	for _, t := range book.All() {
-		sums[t.Fate]++
+	counts := map[client.Outcome]int{}
+	for _, result := range results.All() {
+		counts[result.Outcome]++
 	}
-	fmt.Printf("served %d, not run %d, unknown %d, dropped %d, wrong %d\n", sums[client.Served], sums[client.NotRun], sums[client.Unknown], sums[client.Dropped], sums[client.Wrong])
-	if sums[client.Wrong]+sums[client.Dropped] > 0 {
-		return failure.New(failure.BadResponse, "%d returns were wrong or dropped", sums[client.Wrong]+sums[client.Dropped])
+	fmt.Printf("served %d, not run %d, unknown %d, dropped %d, wrong %d\n", counts[client.Served], counts[client.NotExecuted], counts[client.Unknown], counts[client.Dropped], counts[client.Wrong])
+	if counts[client.Wrong]+counts[client.Dropped] > 0 {
+		return failure.New(failure.BadResponse, "%d returns were wrong or dropped", counts[client.Wrong]+counts[client.Dropped])
 	}
 	return nil
 }
@@ -211,14 +213,14 @@
 	if err == nil {
 		return
 	}
-	d := failure.From(err)
-	fmt.Fprintln(os.Stderr, "cottonarch:", d.Error())
-	os.Exit(exits(d))
+	fail := failure.From(err)
+	fmt.Fprintln(os.Stderr, "cottonarch:", fail.Error())
+	os.Exit(exitCode(fail))
 }
 
-// exits gives the exit code: 2 for bad input, 1 for the rest.
-func exits(d *failure.Error) int {
-	if d.Kind == failure.BadSettings {
+// exitCode gives the exit code: 2 for bad input, 1 for the rest.
+func exitCode(fail *failure.Error) int {
+	if fail.Kind == failure.BadSettings {
 		return 2
 	}
 	return 1
--- a/cmd/cottonarch/operator.go
+++ b/cmd/cottonarch/operator.go
@@ -27,51 +27,51 @@
 	Watch   watchCmd   `cmd:"" help:"Follow changes below a prefix."`
 }
 
-type target struct {
+type coreTarget struct {
 	Core string `short:"c" required:"" env:"COTTONARCH_CORE" help:"Address of any core (or of a sidecar, where that fits), ip:port."`
 }
 
-// ask sends one request and prints the return; a failure ends the program with 1.
-func (t target) ask(method, path string, body []byte) (json.RawMessage, error) {
-	req, err := http.NewRequest(method, "http://"+t.Core+path, bytes.NewReader(body))
+// request sends one request and prints the return; a failure ends the program with 1.
+func (t coreTarget) request(method, path string, body []byte) (json.RawMessage, error) {
+	httpRequest, err := http.NewRequest(method, "http://"+t.Core+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Malformed, "request")
 	}
-	res, err := (&http.Client{Timeout: 70 * time.Second}).Do(req)
+	response, err := (&http.Client{Timeout: 70 * time.Second}).Do(httpRequest)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unreachable, t.Core)
 	}
-	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(res.Body)
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.LostResponse, t.Core)
 	}
-	if res.StatusCode >= 300 {
-		d := &failure.Error{}
-		if json.Unmarshal(data, d) != nil || d.Kind == "" {
-			return nil, failure.NewUnknown(failure.BadResponse, "status %d: %s", res.StatusCode, data)
+	if response.StatusCode >= 300 {
+		fail := &failure.Error{}
+		if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
+			return nil, failure.NewUnknown(failure.BadResponse, "status %d: %s", response.StatusCode, data)
 		}
-		d.Note = fmt.Sprintf("%s (changed: %s)", d.Note, d.Outcome)
-		return nil, d
+		fail.Note = fmt.Sprintf("%s (changed: %s)", fail.Note, fail.Outcome)
+		return nil, fail
 	}
 	return data, nil
 }
 
-func (t target) show(method, path string, body []byte) error {
-	data, err := t.ask(method, path, body)
+func (t coreTarget) print(method, path string, body []byte) error {
+	data, err := t.request(method, path, body)
 	if err != nil {
 		return err
 	}
-	var out bytes.Buffer
-	if json.Indent(&out, data, "", "  ") != nil {
-		out.Write(data)
+	var indented bytes.Buffer
+	if json.Indent(&indented, data, "", "  ") != nil {
+		indented.Write(data)
 	}
-	fmt.Println(out.String())
+	fmt.Println(indented.String())
 	return nil
 }
 
 type applyCmd struct {
-	target
+	coreTarget
 	Part bool   `help:"The file is a part, laid over the newest manifest; null takes a field away."`
 	Base *int64 `help:"Epoch the change builds on; another epoch is a conflict."`
 	File string `arg:"" help:"Manifest file, - for standard input."`
@@ -88,32 +88,32 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Malformed, "manifest")
 	}
-	q := ""
+	query := ""
 	if c.Base != nil {
-		q = fmt.Sprintf("?baseEpoch=%d", *c.Base)
+		query = fmt.Sprintf("?baseEpoch=%d", *c.Base)
 	}
 	method := "PUT"
 	if c.Part {
 		method = "PATCH"
 	}
-	return c.show(method, "/manifest"+q, raw)
+	return c.print(method, "/manifest"+query, raw)
 }
 
-type showCmd struct{ target }
+type showCmd struct{ coreTarget }
 
-func (c showCmd) Run() error { return c.show("GET", "/manifest", nil) }
+func (c showCmd) Run() error { return c.print("GET", "/manifest", nil) }
 
-type statusCmd struct{ target }
+type statusCmd struct{ coreTarget }
 
 func (c statusCmd) Run() error {
-	if err := c.show("GET", "/status", nil); err != nil {
+	if err := c.print("GET", "/status", nil); err != nil {
 		return err
 	}
-	return c.show("GET", "/counters", nil)
+	return c.print("GET", "/counters", nil)
 }
 
 type rolloutCmd struct {
-	target
+	coreTarget
 	Deed  string  `arg:"" enum:"begin,read,back" help:"begin, read or back."`
 	Way   string  `arg:"" help:"Name of the way."`
 	To    string  `help:"Service that the way is to go to."`
@@ -125,18 +125,18 @@
 func (c rolloutCmd) Run() error {
 	raw, _ := json.Marshal(map[string]any{"to": c.To, "steps": c.Steps, "stepS": c.StepS, "mostDefects": c.Most})
 	verbs := map[string]string{"begin": "POST", "read": "GET", "back": "DELETE"}
-	return c.show(verbs[c.Deed], "/rollouts/"+c.Way, raw)
+	return c.print(verbs[c.Deed], "/rollouts/"+c.Way, raw)
 }
 
 type auditCmd struct {
-	target
+	coreTarget
 	Old    string `help:"File with an older checkpoint that the log must continue." type:"existingfile"`
 	Save   string `help:"File to keep the new checkpoint in." type:"path"`
 	Leaves bool   `help:"Print the leaves too."`
 }
 
 func (c auditCmd) Run() error {
-	data, err := c.ask("GET", "/audit", nil)
+	data, err := c.request("GET", "/audit", nil)
 	if err != nil {
 		return err
 	}
@@ -144,15 +144,15 @@
 	if err := json.Unmarshal(data, &log); err != nil {
 		return failure.Wrap(err, failure.BadResponse, "audit")
 	}
-	old := ""
+	oldCheckpoint := ""
 	if c.Old != "" {
 		raw, err := os.ReadFile(c.Old)
 		if err != nil {
 			return failure.Wrap(err, failure.Malformed, "old checkpoint")
 		}
-		old = string(raw)
+		oldCheckpoint = string(raw)
 	}
-	if err := tree.Verify(log, old); err != nil {
+	if err := tree.Verify(log, oldCheckpoint); err != nil {
 		return err
 	}
 	if c.Save != "" {
@@ -161,8 +161,8 @@
 		}
 	}
 	if c.Leaves {
-		for _, l := range log.Leaves {
-			fmt.Printf("%d %s\n", l.Revision, l.SHA256)
+		for _, leaf := range log.Leaves {
+			fmt.Printf("%d %s\n", leaf.Revision, leaf.SHA256)
 		}
 	}
 	fmt.Print(log.Checkpoint)
@@ -170,7 +170,7 @@
 }
 
 type lockCmd struct {
-	target
+	coreTarget
 	Deed   string `arg:"" enum:"claim,renew,release,pass,read" help:"claim, renew, release, pass or read."`
 	Name   string `arg:""`
 	Holder string `help:"Who holds it."`
@@ -181,27 +181,27 @@
 
 func (c lockCmd) Run() error {
 	if c.Deed == "read" {
-		return c.show("GET", "/locks/"+c.Name, nil)
+		return c.print("GET", "/locks/"+c.Name, nil)
 	}
 	raw, _ := json.Marshal(map[string]any{"holder": c.Holder, "fence": c.Fence, "ttlMs": c.TTL, "to": c.To})
-	return c.show("POST", "/locks/"+c.Name+"/"+c.Deed, raw)
+	return c.print("POST", "/locks/"+c.Name+"/"+c.Deed, raw)
 }
 
 type numberCmd struct {
-	target
+	coreTarget
 	Deed string `arg:"" enum:"next,read" help:"next or read."`
 	Name string `arg:""`
 }
 
 func (c numberCmd) Run() error {
 	if c.Deed == "read" {
-		return c.show("GET", "/numbers/"+c.Name, nil)
+		return c.print("GET", "/numbers/"+c.Name, nil)
 	}
-	return c.show("POST", "/numbers/"+c.Name+"/next", nil)
+	return c.print("POST", "/numbers/"+c.Name+"/next", nil)
 }
 
 type keyCmd struct {
-	target
+	coreTarget
 	Deed  string `arg:"" enum:"read,write,delete,list" help:"read, write, delete or list."`
 	Name  string `arg:"" optional:"" help:"Key, or prefix for list."`
 	Value string `arg:"" optional:"" help:"Value for write; JSON, or else a string."`
@@ -209,23 +209,23 @@
 }
 
 func (c keyCmd) Run() error {
-	q := url.Values{}
+	query := url.Values{}
 	if c.If != nil {
-		q.Set("ifRevision", fmt.Sprint(*c.If))
+		query.Set("ifRevision", fmt.Sprint(*c.If))
 	}
 	verbs := map[string]string{"read": "GET", "write": "PUT", "delete": "DELETE"}
 	if c.Deed == "list" {
-		return c.show("GET", "/keys?prefix="+url.QueryEscape(c.Name), nil)
+		return c.print("GET", "/keys?prefix="+url.QueryEscape(c.Name), nil)
 	}
 	body := []byte(c.Value)
 	if c.Deed == "write" && !json.Valid(body) {
 		body, _ = json.Marshal(c.Value)
 	}
-	return c.show(verbs[c.Deed], "/keys/"+c.Name+"?"+q.Encode(), body)
+	return c.print(verbs[c.Deed], "/keys/"+c.Name+"?"+query.Encode(), body)
 }
 
 type watchCmd struct {
-	target
+	coreTarget
 	Prefix string `arg:"" optional:"" help:"Prefix of the keys."`
 	Place  string `help:"Place to go on from."`
 	Rounds int    `default:"0" help:"How many returns to print; 0 is without end."`
@@ -234,17 +234,17 @@
 func (c watchCmd) Run() error {
 	place := c.Place
 	for n := 0; c.Rounds == 0 || n < c.Rounds; n++ {
-		data, err := c.ask("GET", "/watch?prefix="+url.QueryEscape(c.Prefix)+"&place="+url.QueryEscape(place), nil)
+		data, err := c.request("GET", "/watch?prefix="+url.QueryEscape(c.Prefix)+"&place="+url.QueryEscape(place), nil)
 		if err != nil {
 			return err
 		}
-		var got struct {
+		var page struct {
 			Place string `json:"place"`
 		}
-		if err := json.Unmarshal(data, &got); err != nil {
+		if err := json.Unmarshal(data, &page); err != nil {
 			return failure.Wrap(err, failure.BadResponse, "watch")
 		}
-		place = got.Place
+		place = page.Place
 		fmt.Println(strings.TrimSpace(string(data)))
 	}
 	return nil
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -38,130 +38,130 @@
 }
 
 func (c simulateCmd) Run() error {
-	d, wrong := describe(c.Deployment)
-	q := scenario.Options{Duration: c.For, Faults: c.Faults, FaultInterval: c.Every, AddCores: c.AddCores, LoseZone: c.LoseDistrict, LoadFactor: c.Burden, FinalOutage: c.Heavy, Keyspaces: c.Cells, Platform: c.Platform, LossyLinks: !c.Calm, CoreMessageCost: c.Cost, Mutant: world.Mutant(c.Break)}
-	bad := failure.New(failure.BadSettings, "the what-if can't be run")
+	deployment, deploymentErr := readDeployment(c.Deployment)
+	whatIf := scenario.Options{Duration: c.For, Faults: c.Faults, FaultInterval: c.Every, AddCores: c.AddCores, LoseZone: c.LoseDistrict, LoadFactor: c.Burden, FinalOutage: c.Heavy, Keyspaces: c.Cells, Platform: c.Platform, LossyLinks: !c.Calm, CoreMessageCost: c.Cost, Mutant: world.Mutant(c.Break)}
+	invalid := failure.New(failure.BadSettings, "the what-if can't be run")
 	for _, at := range c.At {
 		name, when, ok := strings.Cut(at, "@")
 		t, err := time.ParseDuration(when)
 		if !ok || err != nil {
-			bad.Faults = append(bad.Faults, failure.Fault{Path: "at", Note: fmt.Sprintf("%q is no fault@time", at)})
+			invalid.Faults = append(invalid.Faults, failure.Fault{Path: "at", Note: fmt.Sprintf("%q is no fault@time", at)})
 			continue
 		}
-		q.Schedule = append(q.Schedule, scenario.ScheduledFault{Fault: name, After: t})
+		whatIf.Schedule = append(whatIf.Schedule, scenario.ScheduledFault{Fault: name, After: t})
 	}
-	if more := q.Validate(); more != nil {
-		bad.Faults = append(bad.Faults, more.Faults...)
+	if whatIfFaults := whatIf.Validate(); whatIfFaults != nil {
+		invalid.Faults = append(invalid.Faults, whatIfFaults.Faults...)
 	}
 	if c.Seeds < 1 || c.Seeds > 100000 {
-		bad.Faults = append(bad.Faults, failure.Fault{Path: "seeds", Note: "must be from 1 to 100000"})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: "seeds", Note: "must be from 1 to 100000"})
 	}
-	if found := (*failure.Error)(nil); wrong != nil && failure.As(wrong, &found) {
+	if found := (*failure.Error)(nil); deploymentErr != nil && failure.As(deploymentErr, &found) {
 		if len(found.Faults) == 0 {
 			found.Faults = []failure.Fault{{Path: "deployment", Note: found.Note}}
 		}
-		bad.Faults = append(bad.Faults, found.Faults...)
+		invalid.Faults = append(invalid.Faults, found.Faults...)
 	}
-	if len(bad.Faults) > 0 {
-		return bad
+	if len(invalid.Faults) > 0 {
+		return invalid
 	}
 	var mu sync.Mutex
-	var out sync.WaitGroup
+	var pending sync.WaitGroup
 	slots := make(chan struct{}, 8)
-	texts, broken, sum := make([]string, c.Seeds), map[string]int{}, invariant.New()
+	texts, breaches, total := make([]string, c.Seeds), map[string]int{}, invariant.New()
 	for i := range c.Seeds {
-		out.Add(1)
+		pending.Add(1)
 		slots <- struct{}{}
 		go func() {
-			defer func() { <-slots; out.Done() }()
-			one := q
-			one.Seed = c.Seed + uint64(i)
-			w := scenario.Simulate(d, one)
+			defer func() { <-slots; pending.Done() }()
+			run := whatIf
+			run.Seed = c.Seed + uint64(i)
+			simulated := scenario.Simulate(deployment, run)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, b := range w.Checker.Violations {
-				broken[b.Rule]++
+			for _, b := range simulated.Checker.Violations {
+				breaches[b.Rule]++
 			}
-			sum.Merge(w.Checker)
-			if c.Seeds == 1 || len(w.Checker.Violations) > 0 {
-				texts[i] = fmt.Sprintf("seed %d of %s, %v under faults\n%s", one.Seed, d.Name, c.For, w.Text())
+			total.Merge(simulated.Checker)
+			if c.Seeds == 1 || len(simulated.Checker.Violations) > 0 {
+				texts[i] = fmt.Sprintf("seed %d of %s, %v under faults\n%s", run.Seed, deployment.Name, c.For, simulated.Text())
 				if c.Trace {
-					texts[i] += strings.Join(w.Trace, "\n") + "\n"
+					texts[i] += strings.Join(simulated.Trace, "\n") + "\n"
 				}
 			}
 		}()
 	}
-	out.Wait()
+	pending.Wait()
 	for _, t := range texts {
 		fmt.Print(t)
 	}
 	if c.Seeds > 1 {
-		fmt.Printf("%d seeds from %d\n%s", c.Seeds, c.Seed, sum.Text())
+		fmt.Printf("%d seeds from %d\n%s", c.Seeds, c.Seed, total.Text())
 	}
-	if len(broken) == 0 {
-		fmt.Println(sum.Summary())
+	if len(breaches) == 0 {
+		fmt.Println(total.Summary())
 		return nil
 	}
 	var names []string
-	for r, n := range broken {
+	for r, n := range breaches {
 		names = append(names, fmt.Sprintf("%s %d", r, n))
 	}
 	sort.Strings(names)
 	return failure.New(failure.Conflict, "rules were broken: %s", strings.Join(names, ", "))
 }
 
-// describe finds a deployment by name, or reads it from a file.
-func describe(name string) (scenario.Deployment, error) {
-	if d, ok := scenario.Deployments[name]; ok {
-		return d, nil
+// readDeployment finds a deployment by name, or reads it from a file.
+func readDeployment(name string) (scenario.Deployment, error) {
+	if deployment, ok := scenario.Deployments[name]; ok {
+		return deployment, nil
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
 		return scenario.Deployment{}, failure.New(failure.BadSettings, "deployment %q is neither prairie, volta nor a file", name)
 	}
-	m, bad := decode.Parse(raw)
-	if bad != nil {
-		bad.Kind = failure.BadSettings
-		return scenario.Deployment{}, bad
-	}
-	f := &decode.Faults{}
-	s := decode.Root(m, f)
-	s.RejectUnknown("name", "cores", "moreCores", "sidecars", "districts", "services", "requests", "rate", "locks", "coordination", "manifestEveryS")
-	d := scenario.Deployment{Name: s.String("name", name), Cores: int(s.Int("cores", 3, 1, 9)), ExtraCores: int(s.Int("moreCores", 0, 0, 32)), Sidecars: int(s.Int("sidecars", 6, 1, 500)), Zones: int(s.Int("districts", 3, 1, 50)),
-		Rate: s.Float("rate", 100, 0.1, 100000), Locks: int(s.Int("locks", 10, 1, 10000)), Keys: 300, CoordinationRate: s.Float("coordination", 20, 1, 10000),
-		ConfigInterval: time.Duration(s.Float("manifestEveryS", 3, 0.1, 3600) * float64(time.Second))}
-	if d.Cores%2 == 0 {
-		s.Fault("cores", "an odd number of cores forms the first roster")
-	}
-	services := s.Child("services")
+	tree, fail := decode.Parse(raw)
+	if fail != nil {
+		fail.Kind = failure.BadSettings
+		return scenario.Deployment{}, fail
+	}
+	faults := &decode.Faults{}
+	node := decode.Root(tree, faults)
+	node.RejectUnknown("name", "cores", "moreCores", "sidecars", "districts", "services", "requests", "rate", "locks", "coordination", "manifestEveryS")
+	deployment := scenario.Deployment{Name: node.String("name", name), Cores: int(node.Int("cores", 3, 1, 9)), ExtraCores: int(node.Int("moreCores", 0, 0, 32)), Sidecars: int(node.Int("sidecars", 6, 1, 500)), Zones: int(node.Int("districts", 3, 1, 50)),
+		Rate: node.Float("rate", 100, 0.1, 100000), Locks: int(node.Int("locks", 10, 1, 10000)), Keys: 300, CoordinationRate: node.Float("coordination", 20, 1, 10000),
+		ConfigInterval: time.Duration(node.Float("manifestEveryS", 3, 0.1, 3600) * float64(time.Second))}
+	if deployment.Cores%2 == 0 {
+		node.Fault("cores", "an odd number of cores forms the first roster")
+	}
+	services := node.Child("services")
 	for _, n := range services.FieldNames() {
-		one := services.Child(n)
-		one.RejectUnknown("host", "endpoints")
-		d.Services = append(d.Services, scenario.Service{Name: ident.Service(n), Host: one.RequiredString("host"), Endpoints: int(one.Int("endpoints", 2, 1, 1000))})
+		item := services.Child(n)
+		item.RejectUnknown("host", "endpoints")
+		deployment.Services = append(deployment.Services, scenario.Service{Name: ident.Service(n), Host: item.RequiredString("host"), Endpoints: int(item.Int("endpoints", 2, 1, 1000))})
 	}
-	requests := s.Child("requests")
+	requests := node.Child("requests")
 	for _, n := range requests.FieldNames() {
-		one := requests.Child(n)
-		one.RejectUnknown("method", "service", "path", "weight")
-		k := world.RequestKind{Name: n, Method: one.String("method", "GET"), Path: one.String("path", "/"), Service: ident.Service(one.RequiredString("service")), Weight: int(one.Int("weight", 1, 1, 1000))}
-		for _, svc := range d.Services {
-			if svc.Name == k.Service {
-				k.Host = svc.Host
+		item := requests.Child(n)
+		item.RejectUnknown("method", "service", "path", "weight")
+		kind := world.RequestKind{Name: n, Method: item.String("method", "GET"), Path: item.String("path", "/"), Service: ident.Service(item.RequiredString("service")), Weight: int(item.Int("weight", 1, 1, 1000))}
+		for _, service := range deployment.Services {
+			if service.Name == kind.Service {
+				kind.Host = service.Host
 			}
 		}
-		if k.Host == "" {
-			one.Fault("service", "there is no service %q", k.Service)
+		if kind.Host == "" {
+			item.Fault("service", "there is no service %q", kind.Service)
 		}
-		d.RequestKinds = append(d.RequestKinds, k)
+		deployment.RequestKinds = append(deployment.RequestKinds, kind)
 	}
-	if len(d.Services) == 0 {
-		s.Fault("services", "at least one service")
+	if len(deployment.Services) == 0 {
+		node.Fault("services", "at least one service")
 	}
-	if len(d.RequestKinds) == 0 {
-		s.Fault("requests", "at least one kind of request")
+	if len(deployment.RequestKinds) == 0 {
+		node.Fault("requests", "at least one kind of request")
 	}
-	if bad := f.Err(failure.BadSettings); bad != nil {
-		return d, bad
+	if fail := faults.Err(failure.BadSettings); fail != nil {
+		return deployment, fail
 	}
-	return d, nil
+	return deployment, nil
 }
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -27,11 +27,11 @@
 	Keep       bool          `help:"Keep boot files, logs and data."`
 }
 
-// check names every fault of the command line.
-func check(faults []string) *failure.Error {
-	d := failure.New(failure.BadSettings, "the fleet can't be run")
-	add := func(path, form string, args ...any) {
-		d.Faults = append(d.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(form, args...)})
+// validate names every fault of the command line.
+func validate(faults []string) *failure.Error {
+	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
+	add := func(path, format string, args ...any) {
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
 	}
 	if _, ok := scenario.Deployments[app.Deployment]; !ok {
 		add("deployment", "there is no deployment %q; there are prairie, volta", app.Deployment)
@@ -56,14 +56,14 @@
 	if _, err := os.Stat(app.Old); app.Old != "" && err != nil {
 		add("old", "%v", err)
 	}
-	if len(d.Faults) > 0 {
-		return d
+	if len(invalid.Faults) > 0 {
+		return invalid
 	}
 	return nil
 }
 
 func main() {
-	k := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and counts against the never-list."),
+	parser := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and counts against the never-list."),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = 2 // all that ends here is a wrong command line
@@ -74,30 +74,30 @@
 	if len(faults) == 1 && faults[0] == "all" {
 		faults = run.FaultNames()
 	}
-	if d := check(faults); d != nil {
-		fmt.Fprintln(os.Stderr, "fleet:", d.Error())
+	if invalid := validate(faults); invalid != nil {
+		fmt.Fprintln(os.Stderr, "fleet:", invalid.Error())
 		os.Exit(2)
 	}
 	dir, err := os.MkdirTemp("", "fleet")
-	k.FatalIfErrorf(err)
-	f, err := run.Start(run.Options{Binary: app.Bin, OldBinary: app.Old, Dir: dir, Deployment: scenario.Deployments[app.Deployment], Duration: app.For, Faults: faults, FaultInterval: app.Every, Seed: app.Seed, Scale: app.Scale,
-		Logf: func(form string, args ...any) { fmt.Printf(form+"\n", args...) }})
-	if f != nil {
-		defer f.Stop()
+	parser.FatalIfErrorf(err)
+	fleet, err := run.Start(run.Options{Binary: app.Bin, OldBinary: app.Old, Dir: dir, Deployment: scenario.Deployments[app.Deployment], Duration: app.For, Faults: faults, FaultInterval: app.Every, Seed: app.Seed, Scale: app.Scale,
+		Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }})
+	if fleet != nil {
+		defer fleet.Stop()
 	}
 	if err == nil {
-		f.Run()
-		fmt.Print(f.Report())
+		fleet.Run()
+		fmt.Print(fleet.Report())
 	}
 	code := 0
 	if err != nil {
 		fmt.Println(err)
 		code = 2
-	} else if len(f.Checker.Violations) > 0 {
+	} else if len(fleet.Checker.Violations) > 0 {
 		code = 1
 	}
-	if f != nil {
-		f.Stop()
+	if fleet != nil {
+		fleet.Stop()
 	}
 	if app.Keep || code != 0 {
 		fmt.Println("boot files and logs:", dir)
--- a/daemon/api/coordination/cells.go
+++ b/daemon/api/coordination/cells.go
@@ -125,7 +125,7 @@
 func (h handlers) getEntry(w http.ResponseWriter, r *http.Request) {
 	key, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	respond(w)(Get(r.Context(), h.core, key, requestTimeout))
@@ -134,7 +134,7 @@
 // putEntry puts the body, any JSON, as the cell's value.
 func (h handlers) putEntry(w http.ResponseWriter, r *http.Request) {
 	key, err := PathName(r)
-	data, otherErr := response.Read(r, maxBodyBytes)
+	data, otherErr := response.ReadBody(r, maxBodyBytes)
 	if err == nil {
 		err = otherErr
 	}
@@ -146,7 +146,7 @@
 		err = otherErr
 	}
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	respond(w)(Put(r.Context(), h.core, key, data, ifRevision, requestTimeout))
@@ -159,23 +159,23 @@
 		err = queryErr
 	}
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	changes, err := Watch(r.Context(), h.core, name, after, wait, requestTimeout)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
-	response.JSON(w, http.StatusOK, changes)
+	response.WriteJSON(w, http.StatusOK, changes)
 }
 
 func respond(w http.ResponseWriter) func(Entry, *failure.Error) {
 	return func(entry Entry, err *failure.Error) {
 		if err != nil {
-			response.Defect(w, err)
+			response.WriteError(w, err)
 			return
 		}
-		response.JSON(w, http.StatusOK, entry)
+		response.WriteJSON(w, http.StatusOK, entry)
 	}
 }
--- a/daemon/api/coordination/coordination.go
+++ b/daemon/api/coordination/coordination.go
@@ -68,28 +68,28 @@
 func (h handlers) execute(w http.ResponseWriter, r *http.Request, kind, action string, args any) {
 	name, err := PathName(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	result := h.core.Execute(r.Context(), proposer.Operation{Key: ident.Key(kind + "/" + name), Kind: kind + "/" + action, Op: ident.OperationID(r.Header.Get("Idempotency-Key")), Args: operation.Encode(args)}, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(result.Body, &fields); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "return: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "return: %v", err))
 		return
 	}
 	if action == "read" && fields["deleted"] == true {
-		response.Defect(w, failure.New(failure.NotFound, "there is no such key"))
+		response.WriteError(w, failure.New(failure.NotFound, "there is no such key"))
 		return
 	}
 	if _, ok := fields["revision"]; !ok {
 		fields["revision"] = result.Revision
 	}
 	w.Header().Set("X-Cottonarch-Revision", strconv.FormatUint(uint64(result.Revision), 10))
-	response.JSON(w, http.StatusOK, fields)
+	response.WriteJSON(w, http.StatusOK, fields)
 }
 
 // operation makes a handler whose JSON body is the operation's arguments.
@@ -97,12 +97,12 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		args := json.RawMessage("{}")
 		if body {
-			data, err := response.Read(r, maxBodyBytes)
+			data, err := response.ReadBody(r, maxBodyBytes)
 			if err == nil && len(data) > 0 && !json.Valid(data) {
 				err = failure.New(failure.Malformed, "the body is no JSON")
 			}
 			if err != nil {
-				response.Defect(w, err)
+				response.WriteError(w, err)
 				return
 			}
 			if len(data) > 0 {
@@ -133,7 +133,7 @@
 
 // writeKey puts the body, any JSON, as the key's value.
 func (h handlers) writeKey(w http.ResponseWriter, r *http.Request) {
-	data, err := response.Read(r, maxBodyBytes)
+	data, err := response.ReadBody(r, maxBodyBytes)
 	if err == nil && !json.Valid(data) {
 		err = failure.New(failure.Malformed, "the body is no JSON")
 	}
@@ -142,7 +142,7 @@
 		err = revisionErr
 	}
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	h.execute(w, r, "key", "write", keyvalue.Args{Value: data, IfRevision: ifRevision})
@@ -151,7 +151,7 @@
 func (h handlers) removeKey(w http.ResponseWriter, r *http.Request) {
 	ifRevision, err := ifRevision(r)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	h.execute(w, r, "key", "delete", keyvalue.Args{IfRevision: ifRevision})
@@ -169,7 +169,7 @@
 	prefix := r.URL.Query().Get("prefix")
 	result := h.core.QuorumRead(r.Context(), "key/"+prefix, true, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	listed := []ListedKey{}
@@ -179,7 +179,7 @@
 			var current keyvalue.State
 			if rawState := operation.State(found.Record.Value); len(rawState) > 0 {
 				if err := json.Unmarshal(rawState, &current); err != nil {
-					response.Defect(w, failure.New(failure.Damaged, "key %s: %v", storedKey, err))
+					response.WriteError(w, failure.New(failure.Damaged, "key %s: %v", storedKey, err))
 					return
 				}
 			}
@@ -188,7 +188,7 @@
 		} else {
 			var d *failure.Error
 			if keyResponse, d = h.readThroughProposer(r.Context(), storedKey, nil); d != nil {
-				response.Defect(w, d)
+				response.WriteError(w, d)
 				return
 			}
 		}
@@ -197,11 +197,11 @@
 		}
 	}
 	if len(listed) > maxListedKeys {
-		response.Defect(w, failure.New(failure.Oversize, "more than %d keys: name a longer prefix", maxListedKeys))
+		response.WriteError(w, failure.New(failure.Oversize, "more than %d keys: name a longer prefix", maxListedKeys))
 		return
 	}
 	slices.SortFunc(listed, func(a, b ListedKey) int { return strings.Compare(string(a.Key), string(b.Key)) })
-	response.JSON(w, http.StatusOK, map[string]any{"keys": listed})
+	response.WriteJSON(w, http.StatusOK, map[string]any{"keys": listed})
 }
 
 func (h handlers) readThroughProposer(ctx context.Context, storedKey ident.Key, since *ident.Revision) (keyvalue.Response, *failure.Error) {
@@ -223,14 +223,14 @@
 	prefix := ident.Key("key/" + query.Get("prefix"))
 	cursor, err := watch.Decode(query.Get("place"))
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	wait := 20 * time.Second
 	if t := query.Get("waitMs"); t != "" {
 		ms, err := strconv.ParseUint(t, 10, 32)
 		if err != nil {
-			response.Defect(w, failure.New(failure.Malformed, "waitMs is no whole number"))
+			response.WriteError(w, failure.New(failure.Malformed, "waitMs is no whole number"))
 			return
 		}
 		wait = min(time.Duration(ms)*time.Millisecond, maxWatchWait)
@@ -241,11 +241,11 @@
 		signal := h.core.KeysChanged()
 		events, err := h.changesSince(r.Context(), prefix, cursor, query.Get("place") == "" && len(cursor) == 0)
 		if err != nil {
-			response.Defect(w, err)
+			response.WriteError(w, err)
 			return
 		}
 		if len(events) > 0 {
-			response.JSON(w, http.StatusOK, map[string]any{"events": events, "place": cursor.Encode()})
+			response.WriteJSON(w, http.StatusOK, map[string]any{"events": events, "place": cursor.Encode()})
 			return
 		}
 		nextPoll := time.NewTimer(pollInterval)
@@ -254,11 +254,11 @@
 		case <-nextPoll.C:
 		case <-deadline.C:
 			nextPoll.Stop()
-			response.JSON(w, http.StatusOK, map[string]any{"events": []watch.Event{}, "place": cursor.Encode()})
+			response.WriteJSON(w, http.StatusOK, map[string]any{"events": []watch.Event{}, "place": cursor.Encode()})
 			return
 		case <-h.core.Stopping():
 			nextPoll.Stop()
-			response.Defect(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
+			response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
 			return
 		case <-r.Context().Done():
 			nextPoll.Stop()
--- a/daemon/api/health/platform.go
+++ b/daemon/api/health/platform.go
@@ -15,15 +15,17 @@
 	return server.Paths{
 		"/ready": {"GET": func(w http.ResponseWriter, _ *http.Request) {
 			if !ready() {
-				response.Defect(w, failure.New(failure.NotReady, "not ready").WithRetryAfter(1))
+				response.WriteError(w, failure.New(failure.NotReady, "not ready").WithRetryAfter(1))
 				return
 			}
-			response.JSON(w, http.StatusOK, map[string]bool{"ready": true})
+			response.WriteJSON(w, http.StatusOK, map[string]bool{"ready": true})
 		}},
 		"/live": {"GET": func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, map[string]bool{"live": true})
+			response.WriteJSON(w, http.StatusOK, map[string]bool{"live": true})
 		}},
-		"/counters": {"GET": func(w http.ResponseWriter, _ *http.Request) { response.JSON(w, http.StatusOK, counters.Snapshot()) }},
-		"/status":   {"GET": func(w http.ResponseWriter, _ *http.Request) { response.JSON(w, http.StatusOK, status()) }},
+		"/counters": {"GET": func(w http.ResponseWriter, _ *http.Request) {
+			response.WriteJSON(w, http.StatusOK, counters.Snapshot())
+		}},
+		"/status": {"GET": func(w http.ResponseWriter, _ *http.Request) { response.WriteJSON(w, http.StatusOK, status()) }},
 	}
 }
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -86,7 +86,7 @@
 	return server.Paths{
 		"/cottonarch/v1/messages": {"POST": h.messages},
 		"/cottonarch/v1/cores": {"GET": func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, core.KnownCores{Cores: c.View().Cores, FromCore: true})
+			response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: c.View().Cores, FromCore: true})
 		}},
 		"/cottonarch/v1/claim": {"POST": h.join},
 		"/cottonarch/v1/renew": {"POST": h.renew},
@@ -99,8 +99,8 @@
 
 func (h handlers) messages(w http.ResponseWriter, r *http.Request) {
 	var batch core.Batch
-	if fail := response.Decode(r, maxBodyBytes, &batch); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxBodyBytes, &batch); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	writeWithoutDate(w, h.core.Receive(r.Context(), batch))
@@ -109,7 +109,7 @@
 // writeWithoutDate writes a return without a date: it may well be smaller than its head.
 func writeWithoutDate(w http.ResponseWriter, v any) {
 	w.Header()["Date"] = nil
-	response.JSON(w, http.StatusOK, v)
+	response.WriteJSON(w, http.StatusOK, v)
 }
 
 // JoinRequest is how a sidecar asks for its membership. Run marks the attempt: a repeat
@@ -123,56 +123,56 @@
 // share and the newest manifest epoch are read from a majority of disks.
 func (h handlers) join(w http.ResponseWriter, r *http.Request) {
 	var request JoinRequest
-	if fail := response.Decode(r, 1<<16, &request); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, 1<<16, &request); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	if request.Node == "" {
-		response.Defect(w, failure.New(failure.Invalid, "a claim needs a node"))
+		response.WriteError(w, failure.New(failure.Invalid, "a claim needs a node"))
 		return
 	}
 	if len(request.Run) > quota.MaxRunIDBytes {
-		response.Defect(w, failure.New(failure.Invalid, "the mark of a run has at most %d bytes", quota.MaxRunIDBytes))
+		response.WriteError(w, failure.New(failure.Invalid, "the mark of a run has at most %d bytes", quota.MaxRunIDBytes))
 		return
 	}
 	answer := h.core.Join(r.Context(), joinqueue.Request{Node: request.Node, Run: request.Run, RetryTotal: h.core.Settings.RetryLimit})
 	if answer.Failure != nil {
-		response.Defect(w, answer.Failure)
+		response.WriteError(w, answer.Failure)
 		return
 	}
 	var joined node.Joined
 	if err := json.Unmarshal(answer.Body, &joined); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "join: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "join: %v", err))
 		return
 	}
 	h.core.Metrics.Add("claims", 1)
 	view := h.core.View()
-	response.JSON(w, http.StatusOK, JoinResponse{LeaseEpoch: joined.LeaseEpoch, BudgetShare: joined.Share, Cores: view.Places, CoresVersion: view.PlacesDigest, ConfigRevision: joined.ConfigRevision})
+	response.WriteJSON(w, http.StatusOK, JoinResponse{LeaseEpoch: joined.LeaseEpoch, BudgetShare: joined.Share, Cores: view.Places, CoresVersion: view.PlacesDigest, ConfigRevision: joined.ConfigRevision})
 }
 
 // budgetShare takes a sidecar's promise to spend less, or its wish for more.
 func (h handlers) budgetShare(w http.ResponseWriter, r *http.Request) {
 	var args quota.Args
-	if fail := response.Decode(r, 1<<16, &args); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, 1<<16, &args); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	answer := h.core.Execute(r.Context(), proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}, 3*time.Second)
 	if answer.Failure != nil {
-		response.Defect(w, answer.Failure)
+		response.WriteError(w, answer.Failure)
 		return
 	}
-	response.JSON(w, http.StatusOK, json.RawMessage(answer.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(answer.Body))
 }
 
 func (h handlers) renew(w http.ResponseWriter, r *http.Request) {
 	var request record.Renewal
-	if fail := response.Decode(r, maxBodyBytes, &request); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxBodyBytes, &request); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	if request.Node == "" {
-		response.Defect(w, failure.New(failure.Invalid, "a renewal needs a node"))
+		response.WriteError(w, failure.New(failure.Invalid, "a renewal needs a node"))
 		return
 	}
 	type end struct {
@@ -185,18 +185,18 @@
 		done <- end{answer, fail}
 		return effects
 	}) {
-		response.Defect(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
+		response.WriteError(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
 		return
 	}
 	var got end
 	select {
 	case got = <-done:
 		if got.fail != nil {
-			response.Defect(w, got.fail)
+			response.WriteError(w, got.fail)
 			return
 		}
 	case <-h.core.Done():
-		response.Defect(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
+		response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
 		return
 	}
 	view := h.core.View()
@@ -232,14 +232,14 @@
 			done <- WatchResponse{InstanceID: h.instanceID, FeedVersion: leases.FeedVersion(), Sets: leases.ChangesSince(feedVersion), Stale: h.core.Node().Stale()}
 			return node.Effects{}
 		}) {
-			response.Defect(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
+			response.WriteError(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
 			return
 		}
 		var update WatchResponse
 		select {
 		case update = <-done:
 		case <-h.core.Done():
-			response.Defect(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
+			response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
 			return
 		}
 		wasStale, update.Stale = update.Stale, update.Stale && !wasStale && !first
@@ -251,7 +251,7 @@
 			update.Delta = h.core.ConfigDelta(ident.Epoch(haveRevision))
 		}
 		if last || update.Leaving || update.Stale || len(update.Sets) > 0 || uint64(update.ConfigRevision) > haveRevision {
-			response.JSON(w, http.StatusOK, update)
+			response.WriteJSON(w, http.StatusOK, update)
 			return
 		}
 		select {
@@ -284,7 +284,7 @@
 	held := h.core.Config()
 	if held == nil {
 		// That there is none, only a majority can tell.
-		response.Defect(w, failure.New(failure.NotReady, "no manifest is known here").WithRetryAfter(1))
+		response.WriteError(w, failure.New(failure.NotReady, "no manifest is known here").WithRetryAfter(1))
 		return
 	}
 	ServeConfigPart(w, r, ConfigSource{Revision: held.Revision, Raw: held.Document, Compressed: held.Packed, DeltaFrom: h.core.ConfigDelta})
@@ -304,12 +304,12 @@
 	query := r.URL.Query()
 	offset, err := strconv.Atoi(query.Get("at"))
 	if err != nil || offset < 0 {
-		response.Defect(w, failure.New(failure.Malformed, "at is no place in the manifest"))
+		response.WriteError(w, failure.New(failure.Malformed, "at is no place in the manifest"))
 		return
 	}
 	if haveRevision, err := strconv.ParseUint(query.Get("have"), 10, 64); err == nil && offset == 0 && source.DeltaFrom != nil {
 		if change := source.DeltaFrom(ident.Epoch(haveRevision)); change != nil && change.To == source.Revision {
-			response.JSON(w, http.StatusOK, ConfigPart{Revision: change.To, Delta: change})
+			response.WriteJSON(w, http.StatusOK, ConfigPart{Revision: change.To, Delta: change})
 			return
 		}
 	}
@@ -319,11 +319,11 @@
 		data = source.Compressed.Bytes()
 	}
 	if offset > len(data) {
-		response.Defect(w, failure.New(failure.Malformed, "at is no place in the manifest"))
+		response.WriteError(w, failure.New(failure.Malformed, "at is no place in the manifest"))
 		return
 	}
 	part.Size, part.Data = len(data), data[offset:min(len(data), offset+PartBytes)]
-	response.JSON(w, http.StatusOK, part)
+	response.WriteJSON(w, http.StatusOK, part)
 }
 
 // lookup looks one universal record up: by serverId, namespace/hostname or
@@ -339,23 +339,23 @@
 		done <- found{h.core.Leases().ChangesSince(0), h.core.Node().StaleAt(now)}
 		return node.Effects{}
 	}) {
-		response.Defect(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
+		response.WriteError(w, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(1))
 		return
 	}
 	select {
 	case got := <-done:
 		if got.stale {
-			response.Defect(w, failure.New(failure.NoMajority, "this core hears no majority").WithRetryAfter(1))
+			response.WriteError(w, failure.New(failure.NoMajority, "this core hears no majority").WithRetryAfter(1))
 			return
 		}
 		records := registry.New()
 		records.Merge(got.sets)
 		if address, ok := records.Lookup(key); ok {
-			response.JSON(w, http.StatusOK, address)
+			response.WriteJSON(w, http.StatusOK, address)
 			return
 		}
-		response.Defect(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
 	case <-h.core.Done():
-		response.Defect(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
+		response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(1))
 	}
 }
--- a/daemon/api/operator/operator.go
+++ b/daemon/api/operator/operator.go
@@ -50,16 +50,16 @@
 // proposeConfig takes a manifest: PUT and POST a whole one, PATCH a part of one. baseEpoch
 // may name the epoch it builds on. Idempotency-Key makes a repeat harmless.
 func proposeConfig(c *core.Core, w http.ResponseWriter, r *http.Request, isPatch bool) {
-	body, err := response.Read(r, maxBodyBytes)
+	body, err := response.ReadBody(r, maxBodyBytes)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	args := proposal.Args{Partial: isPatch, OperationID: r.Header.Get("Idempotency-Key"), Body: body}
 	if text := r.URL.Query().Get("baseEpoch"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			response.Defect(w, failure.New(failure.Malformed, "baseEpoch is no whole number"))
+			response.WriteError(w, failure.New(failure.Malformed, "baseEpoch is no whole number"))
 			return
 		}
 		baseRevision := ident.Epoch(number)
@@ -71,55 +71,55 @@
 		_, err = validation.Strict(document)
 	}
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	args.Body = operation.Encode(document)
 	result := c.Execute(r.Context(), proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Op: ident.OperationID(args.OperationID), Args: operation.Encode(args)}, requestTimeout)
 	if result.Failure != nil {
 		c.Metrics.Add("manifests_turned_away", 1)
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	c.Metrics.Add("manifests_taken", 1)
-	response.JSON(w, http.StatusOK, json.RawMessage(result.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
 
 // readConfig gives the newest confirmed manifest, through its proposer.
 func readConfig(c *core.Core, w http.ResponseWriter, r *http.Request) {
 	config, err := c.NewestConfig(r.Context(), requestTimeout)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	if config.Revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no manifest was given yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no manifest was given yet"))
 		return
 	}
-	response.JSON(w, http.StatusOK, config.State)
+	response.WriteJSON(w, http.StatusOK, config.State)
 }
 
 func execute(c *core.Core, w http.ResponseWriter, r *http.Request, op proposer.Operation) {
 	op.Op = ident.OperationID(r.Header.Get("Idempotency-Key"))
 	result := c.Execute(r.Context(), op, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
-	response.JSON(w, http.StatusOK, json.RawMessage(result.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
 
 // startRollout begins a roll-out of a way to another service.
 func startRollout(c *core.Core, w http.ResponseWriter, r *http.Request) {
 	var requested rollout.Rollout
-	if err := response.Decode(r, 1<<16, &requested); err != nil {
-		response.Defect(w, err)
+	if err := response.DecodeBody(r, 1<<16, &requested); err != nil {
+		response.WriteError(w, err)
 		return
 	}
 	requested.Route = mux.Vars(r)["way"]
 	config, err := c.NewestConfig(r.Context(), requestTimeout)
 	if err != nil {
-		response.Defect(w, err)
+		response.WriteError(w, err)
 		return
 	}
 	for _, route := range config.Parsed.Routes {
@@ -128,7 +128,7 @@
 		}
 	}
 	if _, ok := config.Parsed.Services[requested.To]; requested.From == "" || !ok {
-		response.Defect(w, failure.New(failure.NotFound, "there is no way %q or no service %q", requested.Route, requested.To))
+		response.WriteError(w, failure.New(failure.NotFound, "there is no way %q or no service %q", requested.Route, requested.To))
 		return
 	}
 	execute(c, w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: "rollout/begin", Args: operation.Encode(requested)})
@@ -139,12 +139,12 @@
 	key := rollout.Key(mux.Vars(r)["way"])
 	result := c.Execute(r.Context(), proposer.Operation{Key: key, Kind: "rollout/read"}, requestTimeout)
 	if result.Failure != nil {
-		response.Defect(w, result.Failure)
+		response.WriteError(w, result.Failure)
 		return
 	}
 	var current rollout.Rollout
 	if err := json.Unmarshal(result.Body, &current); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "roll-out: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "roll-out: %v", err))
 		return
 	}
 	execute(c, w, r, proposer.Operation{Key: key, Kind: "rollout/move", Args: operation.Encode(rollout.Transition{Generation: current.Generation, Step: current.Step, Phase: current.Phase,
@@ -156,18 +156,18 @@
 	for range 5 {
 		result := c.QuorumRead(r.Context(), segment.Prefix, true, requestTimeout)
 		if result.Failure != nil {
-			response.Defect(w, result.Failure)
+			response.WriteError(w, result.Failure)
 			return
 		}
 		if leaves, ok := node.AuditEntries(result.Found); ok {
 			log, err := tree.Build(leaves)
 			if err != nil {
-				response.Defect(w, failure.From(err))
+				response.WriteError(w, failure.From(err))
 				return
 			}
-			response.JSON(w, http.StatusOK, log)
+			response.WriteJSON(w, http.StatusOK, log)
 			return
 		}
 	}
-	response.Defect(w, failure.New(failure.Busy, "the audit log is being added to").WithRetryAfter(1))
+	response.WriteError(w, failure.New(failure.Busy, "the audit log is being added to").WithRetryAfter(1))
 }
--- a/daemon/assemble.go
+++ b/daemon/assemble.go
@@ -52,8 +52,8 @@
 // Sidecar makes a sidecar with its server towards the mesh and that for callers.
 func Sidecar(options settings.Sidecar, log *zap.Logger) (s *sidecar.Sidecar, meshServer, clientServer *server.Server) {
 	s = sidecar.New(options, log)
-	meshServer = server.New(options.Listen, s.ServePeer, server.Silence(silenceTimeout), server.Deaf())
+	meshServer = server.New(options.Listen, s.ServePeer, server.DeadPeerTimeout(silenceTimeout), server.WithoutCloseDetection())
 	s.Paths().Register(meshServer)
 	health.Paths(s.Ready, s.Metrics, s.Status).Register(meshServer)
-	return s, meshServer, server.New(options.ClientAddr, s.HandleCaller, server.Silence(silenceTimeout), server.Deaf())
+	return s, meshServer, server.New(options.ClientAddr, s.HandleCaller, server.DeadPeerTimeout(silenceTimeout), server.WithoutCloseDetection())
 }
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -371,7 +371,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			var known KnownCores
-			if c.pool.Ask(ctx, seed, "GET", "/cottonarch/v1/cores", nil, &known) == nil {
+			if c.pool.Call(ctx, seed, "GET", "/cottonarch/v1/cores", nil, &known) == nil {
 				c.RunStep(func(now monotime.Time) node.Effects { c.node.AddKnownCores(now, known.Cores); return node.Effects{} })
 			}
 			cancel()
--- a/daemon/core/post.go
+++ b/daemon/core/post.go
@@ -100,7 +100,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 			var reply Batch
-			if err := c.pool.Ask(ctx, addr, "POST", "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages[:count]}, &reply); err != nil {
+			if err := c.pool.Call(ctx, addr, "POST", "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages[:count]}, &reply); err != nil {
 				c.Metrics.Add("posts_failed", 1)
 				if errors.Is(err, syscall.ECONNREFUSED) {
 					c.RunStep(func(now monotime.Time) node.Effects { return c.node.MarkUnreachable(now, addr) })
--- a/daemon/integration/stop_test.go
+++ b/daemon/integration/stop_test.go
@@ -33,10 +33,10 @@
 		code, _ := request("PUT", c.addrs[0], "", "/manifest", []byte(minimalConfig), nil)
 		return code == 200
 	})
-	app, err := endpoint.Start(endpoint.Boot{Server: "e1", Service: "a.x", Addr: freeAddr(t), Beat: m.endpointSide.addr, Mood: endpoint.Mood{Work: workTime}})
+	app, err := endpoint.Start(endpoint.Options{Server: "e1", Service: "a.x", Addr: freeAddr(t), SidecarAddr: m.endpointSide.addr, Behavior: endpoint.Behavior{WorkTime: workTime}})
 	must.NoError(t, err)
 	m.app = app
-	t.Cleanup(app.Die)
+	t.Cleanup(app.Kill)
 	for _, s := range []*sidecarProcess{m.callerSide, m.endpointSide} {
 		m.awaitServing(s, "/warm")
 	}
@@ -58,7 +58,7 @@
 // told to let go; wait gives their returns, each whole and the endpoint's own.
 func (m *smallMesh) holdRequests(s *sidecarProcess, n int) (release, wait func()) {
 	held := make(chan struct{})
-	m.app.Behave(endpoint.Mood{Hold: held})
+	m.app.SetBehavior(endpoint.Behavior{Release: held})
 	release = sync.OnceFunc(func() { close(held) })
 	m.t.Cleanup(release)
 	var requests sync.WaitGroup
@@ -68,12 +68,12 @@
 		go func() {
 			defer requests.Done()
 			path := fmt.Sprintf("/hand/%d", i)
-			if code, h, echo := m.get(s, path); code == 200 && echo.Path == path && echo.Server == "e1" && h.Get(response.FateHeader) == "" {
+			if code, h, echo := m.get(s, path); code == 200 && echo.Path == path && echo.Server == "e1" && h.Get(response.OutcomeHeader) == "" {
 				answered.Add(1)
 			}
 		}()
 	}
-	eventually(m.t, "requests in hand", func() bool { return m.app.Hand() == int64(n) })
+	eventually(m.t, "requests in hand", func() bool { return m.app.InFlight() == int64(n) })
 	return release, func() { requests.Wait(); must.Eq(m.t, int64(n), answered.Load()) }
 }
 
@@ -117,7 +117,7 @@
 	}
 	code, _, _ = m.get(m.callerSide, "/gone")
 	must.Eq(t, 404, code)
-	must.Eq(t, 6, m.app.Hand())
+	must.Eq(t, 6, m.app.InFlight())
 	done := make(chan struct{})
 	go func() { m.app.Stop(30 * time.Second); close(done) }()
 	time.AfterFunc(300*time.Millisecond, release)
@@ -141,7 +141,7 @@
 			must.Eq(t, path, echo.Path)
 			served++
 		case code == 503:
-			must.Eq(t, "no", h.Get(response.FateHeader))
+			must.Eq(t, "no", h.Get(response.OutcomeHeader))
 			must.NotEq(t, "", h.Get("Retry-After"))
 		default:
 			// Only when nobody listens any more.
--- a/daemon/sidecar/early_test.go
+++ b/daemon/sidecar/early_test.go
@@ -34,7 +34,7 @@
 			s.ServeCaller(w, r)
 			message := must.Sprintf("round %d, %d bytes: %s", round, size, w.Body)
 			must.Eq(t, http.StatusServiceUnavailable, w.Code, message)
-			must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.FateHeader), message)
+			must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.OutcomeHeader), message)
 		}
 		stage.peer.Store(accepting)
 		must.Eq(t, http.StatusOK, s.sendAsCaller("/once/y", "1-small", patientLimit).Code)
--- a/daemon/sidecar/follow.go
+++ b/daemon/sidecar/follow.go
@@ -136,7 +136,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
 	defer cancel()
 	var grant quota.Share
-	if err := s.apiClient.Ask(ctx, core, "POST", "/cottonarch/v1/share", request, &grant); err != nil {
+	if err := s.apiClient.Call(ctx, core, "POST", "/cottonarch/v1/share", request, &grant); err != nil {
 		s.Metrics.Add("shares_failed", 1)
 		if fail := (*failure.Error)(nil); failure.As(err, &fail) && fail.Kind == failure.Conflict {
 			s.handleSuperseded(request.LeaseEpoch, err)
@@ -178,7 +178,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), lateResponseTimeout)
 		defer cancel()
 		var result renewalResult
-		result.err = s.apiClient.Ask(ctx, core, "POST", "/cottonarch/v1/renew", request, &result.response)
+		result.err = s.apiClient.Call(ctx, core, "POST", "/cottonarch/v1/renew", request, &result.response)
 		results <- result
 	}()
 	timeout := time.NewTimer(holder.RenewTimeout)
@@ -354,7 +354,7 @@
 		}
 		redirects <- false
 	}()
-	err = s.apiClient.Ask(ctx, core, "GET", "/cottonarch/v1/news?"+query.Encode(), nil, &update)
+	err = s.apiClient.Call(ctx, core, "GET", "/cottonarch/v1/news?"+query.Encode(), nil, &update)
 	close(finished)
 	redirected = <-redirects && err != nil
 	return update, redirected, err
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -128,7 +128,7 @@
 	connectionTokens := strings.ToLower(strings.Join(sentHeader["Connection"], ","))
 	for name, values := range sentHeader {
 		switch {
-		case exchange.Hop(name), strings.Contains(connectionTokens, strings.ToLower(name)), name == testIDHeader, name == "X-Calling-Service" && !fromPeer, strings.HasPrefix(name, "X-Cottonarch-"), name == TargetHeader:
+		case exchange.IsHopByHop(name), strings.Contains(connectionTokens, strings.ToLower(name)), name == testIDHeader, name == "X-Calling-Service" && !fromPeer, strings.HasPrefix(name, "X-Cottonarch-"), name == TargetHeader:
 			continue
 		}
 		trimmed := make([]string, len(values))
--- a/daemon/sidecar/gated.go
+++ b/daemon/sidecar/gated.go
@@ -23,7 +23,7 @@
 	}
 	reject := func(resultCode string, fail *failure.Error) {
 		w.Header().Set(PeerResultHeader, resultCode)
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 	}
 	s.mu.Lock()
 	limit := s.Settings.MaxInFlight
@@ -90,7 +90,7 @@
 // endpointResult is what became of a request at the gate. Invariant: ret is set if and only if
 // word is gateReturn, and d if and only if it is not.
 type endpointResult struct {
-	response   *exchange.Return
+	response   *exchange.Response
 	result     string
 	failure    *failure.Error
 	loadReport string        // the endpoint's load report, as text
@@ -129,7 +129,7 @@
 		s.endpoints.AddInFlight(server, 1)
 	}
 	if config := s.router.Config(); config != nil {
-		call.Conns = config.Services[service].MaxConnections
+		call.MaxConns = config.Services[service].MaxConnections
 	}
 	s.mu.Unlock()
 	if fail != nil {
@@ -143,7 +143,7 @@
 	}()
 	headers := s.Settings.Headers
 	call = endpointCall(headers, call, server, deadline)
-	call.Last = func() *failure.Error {
+	call.BeforeSend = func() *failure.Error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		currentAddr, _, fail := s.endpoints.Check(s.clock(), server, service)
@@ -183,7 +183,7 @@
 
 // classifyResponse tells an endpoint's return from its word that it did not run the request. That it
 // is a return to this request, sealed and whole, the exchange has seen to.
-func classifyResponse(headers settings.Headers, resp *exchange.Return) (*exchange.Return, string, *failure.Error) {
+func classifyResponse(headers settings.Headers, resp *exchange.Response) (*exchange.Response, string, *failure.Error) {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
 		return nil, resultShed, failure.New(failure.Busy, "the endpoint turned it away").WithRetryAfter(retryAfterSeconds)
 	}
--- a/daemon/sidecar/greet.go
+++ b/daemon/sidecar/greet.go
@@ -44,7 +44,7 @@
 		if hasWorkloads || checkPath == "" {
 			return
 		}
-		resp, _, fail := s.endpointExchange.Do(context.Background(), s.Settings.EndpointAddr, exchange.Call{Method: http.MethodGet, Target: checkPath, Host: string(s.Settings.EndpointAddr), Fresh: true, Until: time.Now().Add(probeTimeout)})
+		resp, _, fail := s.endpointExchange.Do(context.Background(), s.Settings.EndpointAddr, exchange.Call{Method: http.MethodGet, Target: checkPath, Host: string(s.Settings.EndpointAddr), SingleUse: true, Deadline: time.Now().Add(probeTimeout)})
 		s.Metrics.Add("greetings", 1)
 		if heartbeat, ok := s.heartbeatFromProbe(resp); fail == nil && ok {
 			s.mu.Lock()
@@ -66,7 +66,7 @@
 
 // heartbeatFromProbe makes a beat of what the endpoint said; it is none unless it says that it is
 // well, and who it is.
-func (s *Sidecar) heartbeatFromProbe(resp *exchange.Return) (endpoint.Heartbeat, bool) {
+func (s *Sidecar) heartbeatFromProbe(resp *exchange.Response) (endpoint.Heartbeat, bool) {
 	if resp == nil || resp.Status != http.StatusOK || firstValue(resp.Header, s.Settings.Headers.ServerID) == "" {
 		return endpoint.Heartbeat{}, false
 	}
--- a/daemon/sidecar/head_test.go
+++ b/daemon/sidecar/head_test.go
@@ -23,7 +23,7 @@
 	} {
 		for result, want := range wantByResult {
 			request := &queuedRequest{outgoing: exchange.Call{Method: method}}
-			resp, attemptEnd := parsePeerResponse(request, &exchange.Return{Status: 503, Header: http.Header{PeerResultHeader: {result}}})
+			resp, attemptEnd := parsePeerResponse(request, &exchange.Response{Status: 503, Header: http.Header{PeerResultHeader: {result}}})
 			must.Nil(t, resp)
 			must.Eq(t, want, attemptEnd.Outcome, must.Sprint(method, result))
 			must.Eq(t, want == attempt.NotExecuted, attemptEnd.Failure.Outcome == failure.NotExecuted)
@@ -43,5 +43,5 @@
 	w := httptest.NewRecorder()
 	s.ServeCaller(w, r)
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
-	must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.FateHeader))
+	must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.OutcomeHeader))
 }
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -73,7 +73,7 @@
 	}
 	rejected := post("1-large", large)
 	must.Eq(t, http.StatusServiceUnavailable, rejected.Code, must.Sprint(rejected.Body))
-	must.Eq(t, string(failure.NotExecuted), rejected.Header().Get(response.FateHeader))
+	must.Eq(t, string(failure.NotExecuted), rejected.Header().Get(response.OutcomeHeader))
 	must.Eq(t, 0, bodies.bytes.Load())
 	must.Positive(t, destination.Metrics.Counter("bodies_not_asked_for").Load())
 	must.Eq(t, http.StatusOK, post("1-small", 100).Code)
--- a/daemon/sidecar/intake.go
+++ b/daemon/sidecar/intake.go
@@ -60,7 +60,7 @@
 )
 
 // meshHeaders lists the headers that the mesh itself sets; none is taken from outside.
-var meshHeaders = []string{TargetHeader, ServiceHeader, LimitHeader, PeerResultHeader, UrgentHeader, RetryFractionHeader, AdmissionHintsHeader, LoadReportHeader, TookHeader, response.FateHeader}
+var meshHeaders = []string{TargetHeader, ServiceHeader, LimitHeader, PeerResultHeader, UrgentHeader, RetryFractionHeader, AdmissionHintsHeader, LoadReportHeader, TookHeader, response.OutcomeHeader}
 
 // stripMeshHeaders takes the mesh's own headers out; the exchange leaves out those that belong to one
 // connection.
@@ -101,7 +101,7 @@
 	if s.Settings.MaxBodyBytes > 0 {
 		limit = min(limit, max(size, s.Settings.MaxBodyBytes-s.bodyBytesInFlight.Load()+size))
 	}
-	if body, fail = response.Read(r, limit); fail != nil {
+	if body, fail = response.ReadBody(r, limit); fail != nil {
 		s.bodyBytesInFlight.Add(-size)
 		if fail.Kind == failure.Oversize && limit < limits.MaxBodyBytes {
 			fail = failure.New(failure.Busy, "too many bytes are in hand").WithRetryAfter(retryAfterSeconds)
@@ -152,7 +152,7 @@
 	if headers.CallingService == "" {
 		request.outgoing.Header.Add("X-Forwarded-For", remoteHost)
 	} else {
-		request.outgoing.Set = []exchange.Field{{Name: headers.CallingService, Value: string(s.Settings.EndpointService)}}
+		request.outgoing.HeaderOverrides = []exchange.HeaderField{{Name: headers.CallingService, Value: string(s.Settings.EndpointService)}}
 	}
 	requestedMs, _ := strconv.Atoi(r.Header.Get(headers.Deadline))
 	s.mu.Lock()
@@ -194,14 +194,14 @@
 // writeFailure tells a caller of a failure, as this surface speaks.
 func (s *Sidecar) writeFailure(w http.ResponseWriter, fail *failure.Error) {
 	if s.Settings.Headers.FractionalRetryAfter {
-		response.Fine(w, fail)
+		response.WriteErrorFractional(w, fail)
 		return
 	}
-	response.Defect(w, fail)
+	response.WriteError(w, fail)
 }
 
 // writeResponse writes a return that is already whole.
-func writeResponse(w http.ResponseWriter, resp *exchange.Return) {
+func writeResponse(w http.ResponseWriter, resp *exchange.Response) {
 	headers := w.Header()
 	length := resp.Header.Get("Content-Length")
 	maps.Copy(headers, stripMeshHeaders(resp.Header))
@@ -254,19 +254,19 @@
 // endpointCall makes of a request the call of one endpoint: it names that one and the time
 // that is left, and says by what the answer is known as this call's own.
 func endpointCall(headers settings.Headers, call exchange.Call, server ident.Server, deadline time.Time) exchange.Call {
-	call.Until = deadline
-	call.Set = append(make([]exchange.Field, 0, 4), call.Set...)
-	call.Set = append(call.Set, exchange.Field{Name: TargetHeader, Value: string(server)})
+	call.Deadline = deadline
+	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 4), call.HeaderOverrides...)
+	call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: TargetHeader, Value: string(server)})
 	if headers.RequestID != "" {
-		call.Set = append(call.Set, exchange.Field{Name: headers.Deadline, Value: strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()-endpointMarginMs), 10)})
-		call.Seal, call.Plain = headers.SuccessMark, true
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: headers.Deadline, Value: strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()-endpointMarginMs), 10)})
+		call.RequiredHeader, call.Unencoded = headers.SuccessMark, true
 	}
 	if id := firstValue(call.Header, headers.RequestID); id == "" {
 		// Without an id nothing tells an unasked return on a kept connection from the one
 		// that is due: each request has a connection of its own.
-		call.Fresh = true
+		call.SingleUse = true
 	} else {
-		call.IdHeader, call.Id, call.Sure = headers.RequestID, id, idleTrust
+		call.IDHeader, call.ID, call.MaxIdleAge = headers.RequestID, id, idleTrust
 	}
 	return call
 }
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), joiner.JoinTimeout)
 	defer cancel()
 	var granted mesh.JoinResponse
-	if err := s.apiClient.Ask(ctx, coreAddr, "POST", "/cottonarch/v1/claim", mesh.JoinRequest{Node: s.Settings.Node, Run: s.joinAttemptID}, &granted); err != nil {
+	if err := s.apiClient.Call(ctx, coreAddr, "POST", "/cottonarch/v1/claim", mesh.JoinRequest{Node: s.Settings.Node, Run: s.joinAttemptID}, &granted); err != nil {
 		s.joinFailed(coreAddr, err)
 		return
 	}
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
 	defer cancel()
 	var known core.KnownCores
-	if s.apiClient.Ask(ctx, addr, "GET", "/cottonarch/v1/cores", nil, &known) != nil {
+	if s.apiClient.Call(ctx, addr, "GET", "/cottonarch/v1/cores", nil, &known) != nil {
 		return false
 	}
 	now := s.clock()
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -47,19 +47,19 @@
 	defer f.mu.Unlock()
 	switch {
 	case strings.HasSuffix(r.URL.Path, "/cores"):
-		response.JSON(w, http.StatusOK, core.KnownCores{Cores: f.cores, FromCore: f.core})
+		response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: f.cores, FromCore: f.core})
 	case strings.HasSuffix(r.URL.Path, "/claim"):
 		var joinRequest mesh.JoinRequest
 		_ = json.NewDecoder(r.Body).Decode(&joinRequest)
 		f.joinRequests = append(f.joinRequests, joinRequest)
 		if granted, fail := f.answerJoin(joinRequest); fail != nil {
-			response.Defect(w, fail)
+			response.WriteError(w, fail)
 		} else {
-			response.JSON(w, http.StatusOK, granted)
+			response.WriteJSON(w, http.StatusOK, granted)
 		}
 	default:
 		f.otherRequests++
-		response.Defect(w, failure.New(failure.NotFound, "none"))
+		response.WriteError(w, failure.New(failure.NotFound, "none"))
 	}
 }
 
--- a/daemon/sidecar/judge_test.go
+++ b/daemon/sidecar/judge_test.go
@@ -18,7 +18,7 @@
 	for _, status := range []int{200, 204, 400, 421, 500, 503, 504} {
 		for _, name := range []string{"", "X-Not"} {
 			for _, notRun := range []string{"", "1", "0"} {
-				resp := &exchange.Return{Status: status, Header: http.Header{"X-Not": {notRun}}}
+				resp := &exchange.Response{Status: status, Header: http.Header{"X-Not": {notRun}}}
 				got, result, fail := classifyResponse(settings.Headers{NotExecuted: name}, resp)
 				shed := status == 421 || name != "" && notRun != ""
 				must.Eq(t, map[bool]string{false: resultResponse, true: resultShed}[shed], result, must.Sprint(status, name, notRun))
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -19,7 +19,7 @@
 }
 
 // releaseOutbound counts the answer that goes out now; there is none if ret is nil.
-func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Return) {
+func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Response) {
 	bytes := 0
 	if resp != nil {
 		bytes = len(resp.Body)
--- a/daemon/sidecar/manifest.go
+++ b/daemon/sidecar/manifest.go
@@ -62,7 +62,7 @@
 	if haveRevision > 0 {
 		path += fmt.Sprintf("&have=%d", uint64(haveRevision))
 	}
-	err = s.apiClient.Ask(ctx, from, "GET", path, nil, &part)
+	err = s.apiClient.Call(ctx, from, "GET", path, nil, &part)
 	return part, err
 }
 
--- a/daemon/sidecar/once_test.go
+++ b/daemon/sidecar/once_test.go
@@ -105,11 +105,11 @@
 			must.Eq(t, refused, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", order, id))
 		}
 	}
-	message := must.Sprintf("%s: %s ran %d times, was told %d %s %s", order, id, ran, got.Code, got.Header().Get(response.FateHeader), got.Body)
+	message := must.Sprintf("%s: %s ran %d times, was told %d %s %s", order, id, ran, got.Code, got.Header().Get(response.OutcomeHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
 		must.LessEq(t, 1, ran, message)
 	}
-	outcome := failure.Outcome(got.Header().Get(response.FateHeader))
+	outcome := failure.Outcome(got.Header().Get(response.OutcomeHeader))
 	if outcome == "" { // an endpoint's own
 		must.Eq(t, ownBody(id), got.Body.String(), message)
 		must.Eq(t, []string{id}, got.Header()[testIDHeader], message)
--- a/daemon/sidecar/paths.go
+++ b/daemon/sidecar/paths.go
@@ -23,7 +23,7 @@
 		"/address/{key:.+}":   {"GET": s.handleAddress},
 		"/cottonarch/v1/peer": {"GET": s.handlePeerState},
 		"/cottonarch/v1/cores": {"GET": func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
+			response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
 		}},
 		"/cottonarch/v1/part":  {"GET": s.handleConfigPart},
 		"/cottonarch/v1/heard": {"POST": s.handleRevisionNotice},
@@ -32,15 +32,15 @@
 
 func (s *Sidecar) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var heartbeat endpoint.Heartbeat
-	if fail := response.Decode(r, 1<<16, &heartbeat); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, 1<<16, &heartbeat); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	if fail := s.Heartbeat(heartbeat); fail != nil {
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 		return
 	}
-	response.JSON(w, http.StatusOK, map[string]any{"beatEveryMs": endpoint.HeartbeatInterval.Milliseconds(), "silentAfterMs": endpoint.HeartbeatTimeout.Milliseconds()})
+	response.WriteJSON(w, http.StatusOK, map[string]any{"beatEveryMs": endpoint.HeartbeatInterval.Milliseconds(), "silentAfterMs": endpoint.HeartbeatTimeout.Milliseconds()})
 }
 
 // activeConfigOrNotFound gives the manifest in force, or says that there is none.
@@ -49,7 +49,7 @@
 	revision, raw = s.router.Revision(), s.activeConfig.raw
 	s.mu.Unlock()
 	if revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no manifest is in force yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no manifest is in force yet"))
 	}
 	return
 }
@@ -57,7 +57,7 @@
 // handleConfig shows what is in force here.
 func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
 	if revision, raw := s.activeConfigOrNotFound(w); revision > 0 {
-		response.JSON(w, http.StatusOK, map[string]any{"epoch": revision, "manifest": raw})
+		response.WriteJSON(w, http.StatusOK, map[string]any{"epoch": revision, "manifest": raw})
 	}
 }
 
@@ -67,10 +67,10 @@
 	address, ok := s.router.Index.Lookup(key)
 	s.mu.Unlock()
 	if !ok {
-		response.Defect(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
 		return
 	}
-	response.JSON(w, http.StatusOK, address)
+	response.WriteJSON(w, http.StatusOK, address)
 }
 
 func (s *Sidecar) handlePeerState(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +81,7 @@
 	if query := r.URL.Query(); query.Get("brief") != "" || query.Get("have") == registryDigest(state.Sets) {
 		state.Sets = nil
 	}
-	response.JSON(w, http.StatusOK, state)
+	response.WriteJSON(w, http.StatusOK, state)
 }
 
 func (s *Sidecar) handleConfigPart(w http.ResponseWriter, r *http.Request) {
@@ -89,7 +89,7 @@
 	revision, held := s.newestConfig()
 	s.mu.Unlock()
 	if revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no manifest is here yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no manifest is here yet"))
 		return
 	}
 	mesh.ServeConfigPart(w, r, mesh.ConfigSource{Revision: revision, Raw: held.raw, Compressed: held.compressed, DeltaFrom: held.deltaFrom})
@@ -97,11 +97,11 @@
 
 func (s *Sidecar) handleRevisionNotice(w http.ResponseWriter, r *http.Request) {
 	var notice RevisionNotice
-	if fail := response.Decode(r, 1<<16, &notice); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, 1<<16, &notice); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
-	response.JSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
+	response.WriteJSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
 }
 
 // HandleCaller takes every request of the callers' address.
--- a/daemon/sidecar/peers.go
+++ b/daemon/sidecar/peers.go
@@ -108,7 +108,7 @@
 		path = "/cottonarch/v1/peer?have=" + registryDigest(s.router.Index.Sets())
 		s.mu.Unlock()
 	}
-	err := s.apiClient.Ask(ctx, peer, "GET", path, nil, &state)
+	err := s.apiClient.Call(ctx, peer, "GET", path, nil, &state)
 	s.noteSeedAnswer(peer, err)
 	if err != nil {
 		return
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 250*time.Millisecond)
 	defer cancel()
 	var ack RevisionAck
-	err := s.apiClient.Ask(ctx, peer, "POST", "/cottonarch/v1/heard", RevisionNotice{Revision: revision, From: s.Settings.Addr}, &ack)
+	err := s.apiClient.Call(ctx, peer, "POST", "/cottonarch/v1/heard", RevisionNotice{Revision: revision, From: s.Settings.Addr}, &ack)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configCache.HandleAck(revision, err == nil && ack.Held)
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -116,7 +116,7 @@
 	seedHash := fnv.New64a()
 	_, _ = fmt.Fprint(seedHash, cfg.Node, ident.NewID())
 	now := clock()
-	s := &Sidecar{Settings: cfg, Log: log, Metrics: metrics.New(), clock: clock, watchedClock: monotime.LimitSteps(clock), apiClient: client.NewWithin(cfg.Addr, dialTimeout), peerExchange: exchange.New(cfg.Addr, exchange.Settings{Silence: silenceTimeout}), endpointExchange: exchange.New(cfg.Addr, exchange.Settings{Silence: silenceTimeout}),
+	s := &Sidecar{Settings: cfg, Log: log, Metrics: metrics.New(), clock: clock, watchedClock: monotime.LimitSteps(clock), apiClient: client.NewWithDialTimeout(cfg.Addr, dialTimeout), peerExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}), endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}),
 		done: make(chan struct{}), sendQueue: priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
 		router: attempt.New(now, cfg.Zone, seedHash.Sum64(), cfg.RetryBudget), endpoints: endpoint.New(), admission: admission.New(admission.DefaultSettings()), waiters: map[uint64]chan admission.Verdict{}, admitting: map[ident.Server]bool{}, outboundLink: bandwidth.NewOutbound(cfg.LinkBytesPerSecond), inboundLink: bandwidth.NewInbound(cfg.LinkBytesPerSecond), configCache: configcache.New(now), cores: slices.Clone(cfg.Seeds), coreListedAt: map[ident.Addr]monotime.Time{}, sidecarSeeds: map[ident.Addr]bool{}, notPeerUntil: map[ident.Addr]monotime.Time{}, lease: holder.New(), joiner: joiner.New(cfg.Node, cfg.Zone), budgetShare: holder.BudgetShare{Terms: cfg.RetryBudget},
 		startedAt: now, lastCoreContact: now, watchRedirect: make(chan ident.Addr, 1), renewNow: make(chan struct{}, 1)}
@@ -167,8 +167,8 @@
 		s.applyEndpointChange(s.endpoints.Tick(now))
 		s.deliverVerdicts(s.admission.Tick(now))
 		if ticks%100 == 0 {
-			s.endpointExchange.Tidy()
-			s.peerExchange.Tidy()
+			s.endpointExchange.CloseExpired()
+			s.peerExchange.CloseExpired()
 			s.router.Balancer.Prune(now, func(server ident.Server) bool { _, ok := s.router.Index.Lookup(string(server)); return ok })
 		}
 		s.mu.Unlock()
--- a/daemon/sidecar/turn_test.go
+++ b/daemon/sidecar/turn_test.go
@@ -39,7 +39,7 @@
 	select {
 	case w := <-second:
 		must.Eq(t, http.StatusServiceUnavailable, w.Code)
-		must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.FateHeader))
+		must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.OutcomeHeader))
 	case <-time.After(10 * time.Second):
 		t.Fatal("it was held past its time")
 	}
--- a/daemon/sidecar/unnamed_test.go
+++ b/daemon/sidecar/unnamed_test.go
@@ -57,11 +57,11 @@
 			headers := settings.Headers{RequestID: name, SuccessMark: testSealHeader, Deadline: "X-Limit-Left-Ms"}
 			call := endpointCall(headers, exchange.Call{Header: http.Header{testIDHeader: {id}}}, "e", time.Now().Add(time.Minute))
 			hasID := name != "" && id != ""
-			must.Eq(t, !hasID, call.Fresh)
-			must.Eq(t, hasID, call.IdHeader == testIDHeader && call.Id == "r")
-			must.Eq(t, hasID, call.Sure == idleTrust)
-			must.Eq(t, name != "", call.Seal == testSealHeader && call.Plain)
-			must.Eq(t, exchange.Field{Name: TargetHeader, Value: "e"}, call.Set[0])
+			must.Eq(t, !hasID, call.SingleUse)
+			must.Eq(t, hasID, call.IDHeader == testIDHeader && call.ID == "r")
+			must.Eq(t, hasID, call.MaxIdleAge == idleTrust)
+			must.Eq(t, name != "", call.RequiredHeader == testSealHeader && call.Unencoded)
+			must.Eq(t, exchange.HeaderField{Name: TargetHeader, Value: "e"}, call.HeaderOverrides[0])
 		}
 	}
 }
--- a/daemon/sidecar/walk.go
+++ b/daemon/sidecar/walk.go
@@ -25,7 +25,7 @@
 
 // requestResult is how a walk ended. Invariant: without ret there is d.
 type requestResult struct {
-	response *exchange.Return
+	response *exchange.Response
 	failure  *failure.Error
 }
 
@@ -45,7 +45,7 @@
 
 // sendWithRetries tries until there is a return, or nothing more may be tried.
 func (s *Sidecar) sendWithRetries(request *queuedRequest) requestResult {
-	var lastResponse *exchange.Return // an endpoint's own word that it failed, while others are tried
+	var lastResponse *exchange.Response // an endpoint's own word that it failed, while others are tried
 	for {
 		s.mu.Lock()
 		choice := s.router.Next(s.clock(), request.call)
@@ -71,7 +71,7 @@
 }
 
 // sendOnce sends once: to the gate here, or to that of the endpoint's machine.
-func (s *Sidecar) sendOnce(request *queuedRequest, choice attempt.Decision) (*exchange.Return, attempt.Result) {
+func (s *Sidecar) sendOnce(request *queuedRequest, choice attempt.Decision) (*exchange.Response, attempt.Result) {
 	deadline := time.Now().Add(choice.Timeout)
 	hints := hintsFor(s.clock(), request.receivedAt, request.call, choice)
 	if choice.Entry.SidecarAddr == s.Settings.Addr {
@@ -81,17 +81,17 @@
 		return withSize(request, local.response, result)
 	}
 	call := request.outgoing
-	call.Until, call.Expect = deadline, true
+	call.Deadline, call.ExpectContinue = deadline, true
 	// The gate gives up a little before this side does, so that its word is heard.
 	limitMs := strconv.FormatInt((choice.Timeout - min(choice.Timeout/10, 20*time.Millisecond)).Milliseconds(), 10)
-	call.Set = append(make([]exchange.Field, 0, 8), request.outgoing.Set...)
-	call.Set = append(call.Set, exchange.Field{Name: TargetHeader, Value: string(choice.Entry.UID)}, exchange.Field{Name: ServiceHeader, Value: string(choice.Entry.Service)},
-		exchange.Field{Name: LimitHeader, Value: limitMs}, exchange.Field{Name: AdmissionHintsHeader, Value: hints.encode()})
+	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 8), request.outgoing.HeaderOverrides...)
+	call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: TargetHeader, Value: string(choice.Entry.UID)}, exchange.HeaderField{Name: ServiceHeader, Value: string(choice.Entry.Service)},
+		exchange.HeaderField{Name: LimitHeader, Value: limitMs}, exchange.HeaderField{Name: AdmissionHintsHeader, Value: hints.encode()})
 	if request.call.Route.Urgent {
-		call.Set = append(call.Set, exchange.Field{Name: UrgentHeader, Value: "1"})
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: UrgentHeader, Value: "1"})
 	}
 	if choice.RepeatChance > 0 {
-		call.Set = append(call.Set, exchange.Field{Name: RetryFractionHeader, Value: strconv.FormatFloat(choice.RepeatChance, 'f', 3, 64)})
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: strconv.FormatFloat(choice.RepeatChance, 'f', 3, 64)})
 	}
 	resp, sent, fail := s.peerExchange.Do(context.Background(), choice.Entry.SidecarAddr, call)
 	if fail != nil {
@@ -107,7 +107,7 @@
 const approxHeaderBytes = 800
 
 // withSize adds what a return itself tells of its end.
-func withSize(request *queuedRequest, resp *exchange.Return, result attempt.Result) (*exchange.Return, attempt.Result) {
+func withSize(request *queuedRequest, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
 	if resp != nil {
 		result.EndpointFailed, result.ResponseBytes = resp.Status >= 500, int64(len(request.outgoing.Body)+len(resp.Body)+approxHeaderBytes)
 	}
@@ -115,7 +115,7 @@
 }
 
 // parsePeerResponse tells a gate's own word from an endpoint's return that it passes on.
-func parsePeerResponse(request *queuedRequest, resp *exchange.Return) (*exchange.Return, attempt.Result) {
+func parsePeerResponse(request *queuedRequest, resp *exchange.Response) (*exchange.Response, attempt.Result) {
 	result := resp.Header.Get(PeerResultHeader)
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
 	if result == resultResponse {
--- a/fleet/run/faults.go
+++ b/fleet/run/faults.go
@@ -324,7 +324,7 @@
 		return
 	}
 	other := f.Deployment.Services[f.rng.IntN(len(f.Deployment.Services))]
-	e.Die()
+	e.Kill()
 	f.sleep(ctx, 2*time.Second)
 	if _, err := f.startEndpoint(e.sidecar, other, string(e.Addr)); err != nil {
 		f.Logf("%v", err)
@@ -346,9 +346,9 @@
 	if e == nil {
 		return
 	}
-	e.Behave(endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.2, Garbage: 0.1, Cut: 0.1, Odd: 0.3})
+	e.SetBehavior(endpoint.Behavior{WorkTime: 4 * time.Millisecond, LostShare: 0.2, GarbageShare: 0.1, TruncatedShare: 0.1, MalformedShare: 0.3})
 	f.sleep(ctx, 4*time.Second)
-	e.Behave(endpoint.Mood{Work: 4 * time.Millisecond})
+	e.SetBehavior(endpoint.Behavior{WorkTime: 4 * time.Millisecond})
 }
 
 // trafficSurge: many users arrive at once, on every machine.
@@ -360,8 +360,8 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			client.Run(surge, client.Boot{Name: fmt.Sprintf("%s-crowd%d", sidecar.Name, time.Now().UnixNano()), Addr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(),
-				Rate: 3 * f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)), Book: f.clientLog, Seed: f.Seed + 100 + uint64(i), Limit: 8 * time.Second})
+			client.Run(surge, client.Options{Name: fmt.Sprintf("%s-crowd%d", sidecar.Name, time.Now().UnixNano()), SidecarAddr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(),
+				Rate: 3 * f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)), Log: f.clientLog, Seed: f.Seed + 100 + uint64(i), Timeout: 8 * time.Second})
 		}()
 	}
 	running.Wait()
@@ -375,8 +375,8 @@
 	f.mu.Unlock()
 	for _, e := range endpoints {
 		if e.Service == service {
-			e.Behave(endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.2, Garbage: 0.2, Cut: 0.2, Odd: 0.2})
-			defer e.Behave(endpoint.Mood{Work: 4 * time.Millisecond})
+			e.SetBehavior(endpoint.Behavior{WorkTime: 4 * time.Millisecond, LostShare: 0.2, GarbageShare: 0.2, TruncatedShare: 0.2, MalformedShare: 0.2})
+			defer e.SetBehavior(endpoint.Behavior{WorkTime: 4 * time.Millisecond})
 		}
 	}
 	f.sleep(ctx, 6*time.Second)
@@ -430,7 +430,7 @@
 	}
 	f.mu.Unlock()
 	for _, e := range lostEndpoints {
-		e.Die()
+		e.Kill()
 	}
 	f.killAndRestart(ctx, targets)
 	for _, e := range lostEndpoints {
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -17,21 +17,21 @@
 func (f *Fleet) judge(startedAt, endedAt monotime.Time) {
 	serviceByID := map[string]ident.Service{}
 	unsafeByID := map[string]bool{}
-	outcomes := map[client.Fate]invariant.Outcome{client.Served: invariant.Served, client.NotRun: invariant.NotExecuted, client.Unknown: invariant.Unknown, client.Dropped: invariant.Unknown, client.Wrong: invariant.Unknown}
+	outcomes := map[client.Outcome]invariant.Outcome{client.Served: invariant.Served, client.NotExecuted: invariant.NotExecuted, client.Unknown: invariant.Unknown, client.Dropped: invariant.Unknown, client.Wrong: invariant.Unknown}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.clientLog.All() {
 		serviceByID[t.ID], unsafeByID[t.ID] = t.Kind.Service, t.Kind.Method != "GET"
-		f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{ID: t.ID, Service: t.Kind.Service, AtMostOnce: t.Kind.Method != "GET", Began: f.sinceStart(t.Began), Ended: f.sinceStart(t.Began.Add(t.Took)), Outcome: outcomes[t.Fate], Reason: t.Note, Complete: true})
-		f.Counts["calls "+string(t.Fate)]++
+		f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{ID: t.ID, Service: t.Kind.Service, AtMostOnce: t.Kind.Method != "GET", Began: f.sinceStart(t.Start), Ended: f.sinceStart(t.Start.Add(t.Duration)), Outcome: outcomes[t.Outcome], Reason: t.Note, Complete: true})
+		f.Counts["calls "+string(t.Outcome)]++
 		var why struct {
 			Defect string `json:"defect"`
 		}
-		if (t.Fate == client.NotRun || t.Fate == client.Unknown) && json.Unmarshal([]byte(t.Note), &why) == nil {
-			f.Counts["  "+string(t.Fate)+" "+why.Defect]++
+		if (t.Outcome == client.NotExecuted || t.Outcome == client.Unknown) && json.Unmarshal([]byte(t.Note), &why) == nil {
+			f.Counts["  "+string(t.Outcome)+" "+why.Defect]++
 		}
-		if t.Fate == client.Wrong {
-			f.Checker.Violate(f.sinceStart(t.Began), "wrong-return", "%s got %d %.200s", t.ID, t.Code, t.Note)
+		if t.Outcome == client.Wrong {
+			f.Checker.Violate(f.sinceStart(t.Start), "wrong-return", "%s got %d %.200s", t.ID, t.Status, t.Note)
 		}
 		f.judgeDropped(t)
 	}
@@ -51,11 +51,11 @@
 		}
 		var lostAt monotime.Time
 		for _, o := range f.endpointOutages[execution.Server] {
-			if execution.At.After(o.from) && (o.to.IsZero() || execution.At.Before(o.to)) {
+			if execution.ReceivedAt.After(o.from) && (o.to.IsZero() || execution.ReceivedAt.Before(o.to)) {
 				lostAt = f.sinceStart(o.from)
 			}
 		}
-		f.Checker.Executed(invariant.Execution{ID: execution.ID, Server: execution.Server, Service: execution.Service, RequestedService: wantService, ArrivedAt: f.sinceStart(execution.At), LeaveConfirmedAt: leftAt, LossConfirmedAt: lostAt, AtMostOnce: unsafeByID[execution.ID]})
+		f.Checker.Executed(invariant.Execution{ID: execution.ID, Server: execution.Server, Service: execution.Service, RequestedService: wantService, ArrivedAt: f.sinceStart(execution.ReceivedAt), LeaveConfirmedAt: leftAt, LossConfirmedAt: lostAt, AtMostOnce: unsafeByID[execution.ID]})
 		f.Counts["runs"]++
 	}
 	f.Checker.Finish(startedAt.Add(2*time.Second), endedAt)
@@ -64,14 +64,14 @@
 // judgeDropped judges a request that its own machine's sidecar gave no whole return to. It is
 // excused only while that sidecar was killed, frozen or, for one that came after a
 // planned stop, not there to take it.
-func (f *Fleet) judgeDropped(call client.Told) {
+func (f *Fleet) judgeDropped(call client.Result) {
 	const rule = "dropped-in-stop"
 	node, _, _ := strings.Cut(call.ID, "-")
-	if call.Fate != client.Dropped {
+	if call.Outcome != client.Dropped {
 		f.Checker.Observe(rule)
 		return
 	}
-	causes := f.outageCauses(node, call.Began, call.Began.Add(call.Took))
+	causes := f.outageCauses(node, call.Start, call.Start.Add(call.Duration))
 	switch {
 	case causes[causeKilled]:
 		f.Checker.Excuse(rule, causeKilled)
@@ -81,7 +81,7 @@
 		f.Checker.Excuse(rule, "coming after a planned stop")
 	default:
 		f.Checker.Observe(rule)
-		f.Checker.Violate(f.sinceStart(call.Began), rule, "%s was dropped: %s", call.ID, call.Note)
+		f.Checker.Violate(f.sinceStart(call.Start), rule, "%s was dropped: %s", call.ID, call.Note)
 	}
 }
 
@@ -104,11 +104,11 @@
 		slices.Sort(f.ApplyDelays)
 		fmt.Fprintf(&b, "in force after confirm   median %v, 99%% %v, most %v, of %d node epochs\n", f.ApplyDelays[n/2].Round(time.Millisecond), f.ApplyDelays[n*99/100].Round(time.Millisecond), f.ApplyDelays[n-1].Round(time.Millisecond), n)
 	}
-	took := map[client.Fate][]time.Duration{}
+	took := map[client.Outcome][]time.Duration{}
 	for _, t := range f.clientLog.All() {
-		took[t.Fate] = append(took[t.Fate], t.Took)
+		took[t.Outcome] = append(took[t.Outcome], t.Duration)
 	}
-	for _, outcome := range []client.Fate{client.Served, client.NotRun, client.Unknown} {
+	for _, outcome := range []client.Outcome{client.Served, client.NotExecuted, client.Unknown} {
 		took := took[outcome]
 		n := len(took)
 		if n == 0 {
--- a/fleet/run/judge_test.go
+++ b/fleet/run/judge_test.go
@@ -36,10 +36,10 @@
 	post := &client.Kind{Name: "move", Method: "POST", Service: "payments.prairie"}
 	sec := func(f *Fleet, s float64) time.Time { return f.began.Add(time.Duration(s * float64(time.Second))) }
 	recordExecution := func(f *Fleet, id string, service ident.Service, s float64) {
-		f.endpointLog.Add(endpoint.Ran{ID: id, Server: "e", Service: service, At: sec(f, s)})
+		f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: service, ReceivedAt: sec(f, s)})
 	}
-	recordCall := func(f *Fleet, k *client.Kind, outcome client.Fate, s float64, note string) {
-		f.clientLog.Add(client.Told{ID: "sidecar1-1", Kind: k, Fate: outcome, Began: sec(f, s), Took: 20 * time.Millisecond, Note: note})
+	recordCall := func(f *Fleet, k *client.Kind, outcome client.Outcome, s float64, note string) {
+		f.clientLog.Add(client.Result{ID: "sidecar1-1", Kind: k, Outcome: outcome, Start: sec(f, s), Duration: 20 * time.Millisecond, Note: note})
 	}
 	for _, c := range []struct {
 		name, rule string
@@ -82,7 +82,7 @@
 			recordExecution(f, "sidecar1-1", "payments.prairie", 6)
 		}},
 		{"not run, and ran", "false-not-run", func(f *Fleet) {
-			recordCall(f, post, client.NotRun, 5, "")
+			recordCall(f, post, client.NotExecuted, 5, "")
 			recordExecution(f, "sidecar1-1", "payments.prairie", 9)
 		}},
 		{"run by another service", "wrong-service", func(f *Fleet) {
@@ -243,8 +243,8 @@
 				n++
 				id := fmt.Sprint("sidecar1-", n)
 				at := f.began.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/time.Duration(rate))
-				f.clientLog.Add(client.Told{ID: id, Kind: kind, Fate: client.Served, Began: at, Took: time.Millisecond})
-				f.endpointLog.Add(endpoint.Ran{ID: id, Server: "e", Service: "accounts.prairie", At: at})
+				f.clientLog.Add(client.Result{ID: id, Kind: kind, Outcome: client.Served, Start: at, Duration: time.Millisecond})
+				f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: "accounts.prairie", ReceivedAt: at})
 			}
 		}
 		f.Checker.Outages = []invariant.Outage{{At: f.sinceStart(f.began.Add(20 * time.Second)), Name: "herd"}, {At: f.sinceStart(f.began.Add(50 * time.Second)), Name: "late"}}
--- a/fleet/run/run.go
+++ b/fleet/run/run.go
@@ -44,8 +44,8 @@
 	Cores       []*process.Process
 	Sidecars    []*process.Process
 	Checker     *invariant.Checker
-	clientLog   *client.Book
-	endpointLog *endpoint.Ledger
+	clientLog   *client.Log
+	endpointLog *endpoint.ExecutionLog
 	began       time.Time
 	rng         *rand.Rand
 
@@ -76,7 +76,7 @@
 
 // newFleet is a fleet without any process.
 func newFleet(options Options) *Fleet {
-	return &Fleet{Options: options, network: linkproxy.New(), Checker: invariant.New(), clientLog: &client.Book{}, endpointLog: &endpoint.Ledger{}, began: time.Now(),
+	return &Fleet{Options: options, network: linkproxy.New(), Checker: invariant.New(), clientLog: &client.Log{}, endpointLog: &endpoint.ExecutionLog{}, began: time.Now(),
 		rng: rand.New(rand.NewPCG(options.Seed, 5)), leftAt: map[ident.Server]time.Time{}, endpointOutages: map[ident.Server][]*outage{}, processOutages: map[string][]*outage{}, Counts: map[string]int{}}
 }
 
@@ -173,7 +173,7 @@
 	endpoints := slices.Clone(f.endpoints)
 	f.mu.Unlock()
 	for _, e := range endpoints {
-		e.Die()
+		e.Kill()
 	}
 	for _, proc := range append(slices.Clone(f.Sidecars), f.Cores...) {
 		proc.Thaw()
@@ -194,8 +194,8 @@
 	name := ident.Server(fmt.Sprintf("srv%d", f.serial))
 	f.mu.Unlock()
 	kind := f.Deployment.RequestKinds[0]
-	started, err := endpoint.Start(endpoint.Boot{Server: name, Service: spec.Name, Addr: ident.Addr(addr), Beat: ident.Addr(sidecar.ListenAddr), Ledger: f.endpointLog,
-		Mood: endpoint.Mood{Work: 4 * time.Millisecond, Lose: 0.002, Garbage: 0.001, Cut: 0.001, Odd: 0.001, Long: 0.002}, Onward: ident.Addr(sidecar.ClientAddr), OnwardHost: kind.Host, OnwardPath: kind.Path})
+	started, err := endpoint.Start(endpoint.Options{Server: name, Service: spec.Name, Addr: ident.Addr(addr), SidecarAddr: ident.Addr(sidecar.ListenAddr), Executions: f.endpointLog,
+		Behavior: endpoint.Behavior{WorkTime: 4 * time.Millisecond, LostShare: 0.002, GarbageShare: 0.001, TruncatedShare: 0.001, MalformedShare: 0.001, LongShare: 0.002}, ForwardAddr: ident.Addr(sidecar.ClientAddr), ForwardHost: kind.Host, ForwardPath: kind.Path})
 	if err != nil {
 		return nil, err
 	}
@@ -261,8 +261,8 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			client.Run(ctx, client.Boot{Name: sidecar.Name, Addr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(), Rate: f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)),
-				Book: f.clientLog, Seed: f.Seed + uint64(i), Limit: 8 * time.Second})
+			client.Run(ctx, client.Options{Name: sidecar.Name, SidecarAddr: ident.Addr(sidecar.ClientAddr), Kinds: f.requestKinds(), Rate: f.Deployment.Rate * f.Scale / float64(len(f.Sidecars)),
+				Log: f.clientLog, Seed: f.Seed + uint64(i), Timeout: 8 * time.Second})
 		}()
 	}
 	f.clients.start(ctx, &running)
--- a/standin/client/caller.go
+++ b/standin/client/caller.go
@@ -29,134 +29,138 @@
 	Weight  int
 }
 
-// Fate is what the caller was told of one request.
-type Fate string
+// Outcome is what the caller was told of one request.
+type Outcome string
 
 // The fates.
 const (
-	Served  Fate = "served"
-	NotRun  Fate = "not-run"
-	Unknown Fate = "unknown"
-	Dropped Fate = "dropped" // no whole HTTP return
-	Wrong   Fate = "wrong"   // not the return to this request
+	Served      Outcome = "served"
+	NotExecuted Outcome = "not-run"
+	Unknown     Outcome = "unknown"
+	Dropped     Outcome = "dropped" // no whole HTTP return
+	Wrong       Outcome = "wrong"   // not the return to this request
 )
 
-// Told is one line of the caller's book.
-type Told struct {
-	ID    string
-	Kind  *Kind
-	Fate  Fate
-	Code  int
-	Note  string
-	Began time.Time
-	Took  time.Duration
+// Result is one line of the caller's book.
+type Result struct {
+	ID       string
+	Kind     *Kind
+	Outcome  Outcome
+	Status   int
+	Note     string
+	Start    time.Time
+	Duration time.Duration
 }
 
-// Book keeps what every caller was told.
-type Book struct {
-	mu  sync.Mutex
-	all []Told
+// Log keeps what every caller was told.
+type Log struct {
+	mu      sync.Mutex
+	results []Result
 }
 
 // Add writes a line.
-func (b *Book) Add(t Told) { b.mu.Lock(); b.all = append(b.all, t); b.mu.Unlock() }
+func (l *Log) Add(result Result) { l.mu.Lock(); l.results = append(l.results, result); l.mu.Unlock() }
 
 // All reads the book.
-func (b *Book) All() []Told { b.mu.Lock(); defer b.mu.Unlock(); return append([]Told(nil), b.all...) }
+func (l *Log) All() []Result {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Result(nil), l.results...)
+}
 
-// Boot describes the callers of one machine.
-type Boot struct {
-	Name  string
-	Addr  ident.Addr
-	Kinds []Kind
-	Rate  float64
-	Book  *Book
-	Seed  uint64
-	Limit time.Duration
+// Options describes the callers of one machine.
+type Options struct {
+	Name        string
+	SidecarAddr ident.Addr
+	Kinds       []Kind
+	Rate        float64
+	Log         *Log
+	Seed        uint64
+	Timeout     time.Duration
 }
 
 // Run sends at the rate until ctx ends, then waits for what is out.
-func Run(ctx context.Context, b Boot) {
+func Run(ctx context.Context, options Options) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxConnsPerHost: 256, IdleConnTimeout: 5 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	defer client.CloseIdleConnections()
-	rng := rand.New(rand.NewPCG(b.Seed, 99))
+	rng := rand.New(rand.NewPCG(options.Seed, 99))
 	total := 0
-	for _, k := range b.Kinds {
+	for _, k := range options.Kinds {
 		total += k.Weight
 	}
-	var out sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / b.Rate)
-	t := time.NewTicker(gap)
-	defer t.Stop()
+	var pending sync.WaitGroup
+	interval := time.Duration(float64(time.Second) / options.Rate)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
-			out.Wait()
+			pending.Wait()
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		x, kind := rng.IntN(total), &b.Kinds[0]
-		for i := range b.Kinds {
-			if x < b.Kinds[i].Weight {
-				kind = &b.Kinds[i]
+		draw, kind := rng.IntN(total), &options.Kinds[0]
+		for i := range options.Kinds {
+			if draw < options.Kinds[i].Weight {
+				kind = &options.Kinds[i]
 				break
 			}
-			x -= b.Kinds[i].Weight
+			draw -= options.Kinds[i].Weight
 		}
-		id := fmt.Sprintf("%s-%d", b.Name, n)
-		out.Add(1)
+		id := fmt.Sprintf("%s-%d", options.Name, n)
+		pending.Add(1)
 		go func() {
-			defer out.Done()
-			b.Book.Add(One(client, b, kind, id))
+			defer pending.Done()
+			options.Log.Add(Send(client, options, kind, id))
 		}()
 	}
 }
 
-// One sends one request and judges what came of it.
-func One(client *http.Client, b Boot, k *Kind, id string) Told {
-	told := Told{ID: id, Kind: k, Began: time.Now()}
-	ctx, stop := context.WithTimeout(context.Background(), b.Limit)
-	defer stop()
+// Send sends one request and judges what came of it.
+func Send(client *http.Client, options Options, kind *Kind, id string) Result {
+	result := Result{ID: id, Kind: kind, Start: time.Now()}
+	ctx, cancel := context.WithTimeout(context.Background(), options.Timeout)
+	defer cancel()
 	var body io.Reader
-	if k.Method != "GET" {
+	if kind.Method != "GET" {
 		body = strings.NewReader(`{"id":"` + id + `"}`)
 	}
-	req, err := http.NewRequestWithContext(ctx, k.Method, "http://"+string(b.Addr)+k.Path, body)
+	request, err := http.NewRequestWithContext(ctx, kind.Method, "http://"+string(options.SidecarAddr)+kind.Path, body)
 	if err != nil {
-		told.Fate, told.Note = Dropped, err.Error()
-		return told
+		result.Outcome, result.Note = Dropped, err.Error()
+		return result
 	}
-	req.GetBody = nil
-	req.Host = k.Host
-	req.Header.Set("X-Request-Id", id)
-	req.Header.Set("X-Caller", b.Name)
-	res, err := client.Do(req)
-	told.Took = time.Since(told.Began)
+	request.GetBody = nil
+	request.Host = kind.Host
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Caller", options.Name)
+	httpResponse, err := client.Do(request)
+	result.Duration = time.Since(result.Start)
 	if err != nil {
-		told.Fate, told.Note = Dropped, err.Error()
-		return told
+		result.Outcome, result.Note = Dropped, err.Error()
+		return result
 	}
-	data, err := io.ReadAll(res.Body)
-	_ = res.Body.Close()
-	told.Took = time.Since(told.Began)
-	told.Code = res.StatusCode
+	data, err := io.ReadAll(httpResponse.Body)
+	_ = httpResponse.Body.Close()
+	result.Duration = time.Since(result.Start)
+	result.Status = httpResponse.StatusCode
 	if err != nil {
-		told.Fate, told.Note = Dropped, "cut off: "+err.Error()
-		return told
+		result.Outcome, result.Note = Dropped, "cut off: "+err.Error()
+		return result
 	}
-	switch fate := res.Header.Get(response.FateHeader); {
-	case fate == string(failure.NotExecuted):
-		told.Fate, told.Note = NotRun, string(data)
-	case fate == string(failure.OutcomeUnknown):
-		told.Fate, told.Note = Unknown, string(data)
+	switch outcome := httpResponse.Header.Get(response.OutcomeHeader); {
+	case outcome == string(failure.NotExecuted):
+		result.Outcome, result.Note = NotExecuted, string(data)
+	case outcome == string(failure.OutcomeUnknown):
+		result.Outcome, result.Note = Unknown, string(data)
 	default:
-		var e endpoint.Echo
-		if json.Unmarshal(data, &e) != nil || e.ID != id || e.Path != k.Path || e.Service != k.Service {
-			told.Fate, told.Note = Wrong, string(data)
+		var echo endpoint.Echo
+		if json.Unmarshal(data, &echo) != nil || echo.ID != id || echo.Path != kind.Path || echo.Service != kind.Service {
+			result.Outcome, result.Note = Wrong, string(data)
 		} else {
-			told.Fate = Served
+			result.Outcome = Served
 		}
 	}
-	return told
+	return result
 }
--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -21,99 +21,99 @@
 
 // Pool keeps one kratos client an address.
 type Pool struct {
-	mu   sync.Mutex
-	all  map[ident.Addr]*khttp.Client
-	trip lean
+	mu        sync.Mutex
+	clients   map[ident.Addr]*khttp.Client
+	transport minimalTransport
 }
 
-// lean leaves out what no process of the mesh reads: many requests are smaller than their
+// minimalTransport leaves out what no process of the mesh reads: many requests are smaller than their
 // heads.
-type lean struct{ *http.Transport }
+type minimalTransport struct{ *http.Transport }
 
 // RoundTrip sends one request.
-func (l lean) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t minimalTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r.Header["User-Agent"] = []string{""}
-	return l.Transport.RoundTrip(r)
+	return t.Transport.RoundTrip(r)
 }
 
 const (
-	dialMost = 500 * time.Millisecond
-	// ackMost is how long bytes may go without an acknowledgement: behind a cut, or without
+	dialTimeout = 500 * time.Millisecond
+	// ackTimeout is how long bytes may go without an acknowledgement: behind a cut, or without
 	// power, a machine is silent and would hold a connection for minutes.
-	ackMost = 3 * time.Second
+	ackTimeout = 3 * time.Second
 )
 
-// probes find out that a machine is gone while nothing is to be sent to it.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
+// keepAlive find out that a machine is gone while nothing is to be sent to it.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
-// watch bounds how long the kernel waits for a silent machine.
-func watch(_, _ string, c syscall.RawConn) error {
+// setUserTimeout bounds how long the kernel waits for a silent machine.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	if e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackMost.Milliseconds()))
-	}); e != nil {
-		return e
+	if controlErr := raw.Control(func(fd uintptr) {
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
 // New makes a pool that dials from the machine's own IP. The time limit is each
 // call's own, so kratos' is switched off.
-func New(own ident.Addr) *Pool { return NewWithin(own, dialMost) }
+func New(localAddr ident.Addr) *Pool { return NewWithDialTimeout(localAddr, dialTimeout) }
 
-// NewWithin is New with a limit of its own for a connection to come up. One that comes up
+// NewWithDialTimeout is New with a limit of its own for a connection to come up. One that comes up
 // after its call has ended serves the next.
-func NewWithin(own ident.Addr, dial time.Duration) *Pool {
-	return &Pool{all: map[ident.Addr]*khttp.Client{}, trip: lean{&http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dial, KeepAliveConfig: probes, Control: watch, LocalAddr: own.DialSource()}).DialContext,
+func NewWithDialTimeout(localAddr ident.Addr, timeout time.Duration) *Pool {
+	return &Pool{clients: map[ident.Addr]*khttp.Client{}, transport: minimalTransport{&http.Transport{
+		DialContext:         (&net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout, LocalAddr: localAddr.DialSource()}).DialContext,
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}}}
 }
 
-func (p *Pool) at(addr ident.Addr) (*khttp.Client, error) {
+func (p *Pool) client(addr ident.Addr) (*khttp.Client, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c, ok := p.all[addr]; ok {
+	if c, ok := p.clients[addr]; ok {
 		return c, nil
 	}
-	c, err := khttp.NewClient(context.Background(), khttp.WithEndpoint(string(addr)), khttp.WithTimeout(0), khttp.WithTransport(p.trip),
-		khttp.WithErrorDecoder(decode))
+	c, err := khttp.NewClient(context.Background(), khttp.WithEndpoint(string(addr)), khttp.WithTimeout(0), khttp.WithTransport(p.transport),
+		khttp.WithErrorDecoder(decodeError))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "client")
 	}
-	p.all[addr] = c
+	p.clients[addr] = c
 	return c, nil
 }
 
-// decode turns a return of the mesh back into its failure.
-func decode(_ context.Context, res *http.Response) error {
-	if res.StatusCode >= 200 && res.StatusCode < 300 {
+// decodeError turns a return of the mesh back into its failure.
+func decodeError(_ context.Context, response *http.Response) error {
+	if response.StatusCode >= 200 && response.StatusCode < 300 {
 		return nil
 	}
-	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, 1<<20))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 	if err != nil {
 		return failure.Wrap(err, failure.LostResponse, "read return")
 	}
-	d := &failure.Error{}
-	if json.Unmarshal(data, d) != nil || d.Kind == "" {
-		return failure.NewUnknown(failure.BadResponse, "status %d", res.StatusCode)
+	fail := &failure.Error{}
+	if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
+		return failure.NewUnknown(failure.BadResponse, "status %d", response.StatusCode)
 	}
-	return d
+	return fail
 }
 
-// Ask sends one JSON request and reads its JSON return.
-func (p *Pool) Ask(ctx context.Context, addr ident.Addr, method, path string, args, into any) error {
-	c, err := p.at(addr)
+// Call sends one JSON request and reads its JSON return.
+func (p *Pool) Call(ctx context.Context, addr ident.Addr, method, path string, args, result any) error {
+	c, err := p.client(addr)
 	if err != nil {
 		return err
 	}
-	if into == nil {
-		into = &struct{}{}
+	if result == nil {
+		result = &struct{}{}
 	}
-	if err := c.Invoke(ctx, method, path, args, into); err != nil {
-		if d := (*failure.Error)(nil); failure.As(err, &d) {
-			return d
+	if err := c.Invoke(ctx, method, path, args, result); err != nil {
+		if fail := (*failure.Error)(nil); failure.As(err, &fail) {
+			return fail
 		}
 		return failure.Wrap(err, failure.LostResponse, "ask "+path)
 	}
@@ -121,4 +121,4 @@
 }
 
 // Close lets idle connections go.
-func (p *Pool) Close() { p.trip.CloseIdleConnections() }
+func (p *Pool) Close() { p.transport.CloseIdleConnections() }
--- a/wire/client/client_test.go
+++ b/wire/client/client_test.go
@@ -16,35 +16,35 @@
 
 // A refused connection can be told from other ends through every layer: cores take
 // it as the hint that a process is gone.
-func TestRefusedConnectionIsTold(t *testing.T) {
+func TestRefusedConnectionIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := ident.Addr(l.Addr().String())
 	must.NoError(t, l.Close())
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	err = New("").Ask(ctx, addr, "POST", "/x", map[string]int{"a": 1}, nil)
+	err = New("").Call(ctx, addr, "POST", "/x", map[string]int{"a": 1}, nil)
 	must.True(t, errors.Is(err, syscall.ECONNREFUSED), must.Sprint(err))
 	must.Eq(t, failure.OutcomeUnknown, failure.From(err).Outcome)
 }
 
 // The kernel gives a silent machine up soon: what was sent and is not acknowledged, and a
 // connection on which nothing is sent.
-func TestSilentMachinesAreGivenUp(t *testing.T) {
+func TestUnresponsiveMachinesAreGivenUp(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	c, err := New("").trip.DialContext(context.Background(), "tcp", l.Addr().String())
+	c, err := New("").transport.DialContext(context.Background(), "tcp", l.Addr().String())
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	must.NoError(t, err)
 	must.NoError(t, raw.Control(func(fd uintptr) {
-		for opt, most := range map[int]int{unix.TCP_USER_TIMEOUT: 5000, unix.TCP_KEEPIDLE: 10, unix.TCP_KEEPINTVL: 3, unix.TCP_KEEPCNT: 5} {
+		for opt, limit := range map[int]int{unix.TCP_USER_TIMEOUT: 5000, unix.TCP_KEEPIDLE: 10, unix.TCP_KEEPINTVL: 3, unix.TCP_KEEPCNT: 5} {
 			v, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, opt)
 			must.NoError(t, err)
 			must.Positive(t, v)
-			must.LessEq(t, most, v)
+			must.LessEq(t, limit, v)
 		}
 	}))
 }
--- a/wire/exchange/bench_test.go
+++ b/wire/exchange/bench_test.go
@@ -32,12 +32,12 @@
 				_, _ = io.WriteString(w, text)
 			}))
 			defer srv.Close()
-			p := exchange.New("")
+			pool := exchange.New("")
 			addr := ident.Addr(strings.TrimPrefix(srv.URL, "http://"))
-			q := exchange.Call{Method: "POST", Target: "/lepu270/2f?a=b", Host: "jepu9.example", Body: []byte(text), Header: http.Header{
+			call := exchange.Call{Method: "POST", Target: "/lepu270/2f?a=b", Host: "jepu9.example", Body: []byte(text), Header: http.Header{
 				idHeader: {"9c41d07be2a35f68"}, "X-Left": {"500"}, "X-Target-Server": {"i-7f3a91c2"}, "Accept": {"*/*"}, "X-Calling": {"huvo11a"}}}
-			benched(&q)
-			run(b, p, addr, q)
+			identify(&call)
+			runBenchmark(b, pool, addr, call)
 		})
 	}
 }
@@ -52,46 +52,48 @@
 		if err != nil {
 			return
 		}
-		say := []byte("HTTP/1.1 200 OK\r\nX-Bench-Id: 9c41d07be2a35f68\r\nX-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nContent-Type: application/octet-stream\r\nDate: Wed, 02 Dec 2026 02:39:36 GMT\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024))
-		all := make([]byte, 64<<10)
-		for at := 0; ; {
-			n, err := c.Read(all[at:])
+		response := []byte("HTTP/1.1 200 OK\r\nX-Bench-Id: 9c41d07be2a35f68\r\nX-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nContent-Type: application/octet-stream\r\nDate: Wed, 02 Dec 2026 02:39:36 GMT\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024))
+		received := make([]byte, 64<<10)
+		for size := 0; ; {
+			n, err := c.Read(received[size:])
 			if err != nil {
 				return
 			}
-			if at += n; bytes.HasSuffix(all[:at], []byte("the end")) {
-				at = 0
-				_, _ = c.Write(say)
+			if size += n; bytes.HasSuffix(received[:size], []byte("the end")) {
+				size = 0
+				_, _ = c.Write(response)
 			}
 		}
 	}()
-	q := exchange.Call{Method: "POST", Target: "/lepu270/2f?a=b", Host: "jepu9.example", Body: []byte(strings.Repeat("x", 1000) + "the end"), Header: http.Header{
+	call := exchange.Call{Method: "POST", Target: "/lepu270/2f?a=b", Host: "jepu9.example", Body: []byte(strings.Repeat("x", 1000) + "the end"), Header: http.Header{
 		idHeader: {"9c41d07be2a35f68"}, "X-Left": {"500"}, "X-Target-Server": {"i-7f3a91c2"}, "Accept": {"*/*"}, "X-Calling": {"huvo11a"}}}
-	benched(&q)
-	run(b, exchange.New(""), ident.Addr(l.Addr().String()), q)
+	identify(&call)
+	runBenchmark(b, exchange.New(""), ident.Addr(l.Addr().String()), call)
 }
 
-func run(b *testing.B, p *exchange.Pool, addr ident.Addr, q exchange.Call) {
-	var from, to syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &from)
+func runBenchmark(b *testing.B, pool *exchange.Pool, addr ident.Addr, call exchange.Call) {
+	var before, after syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	b.ReportAllocs()
 	for b.Loop() {
-		ctx, stop := limited(&q, 2*time.Second)
-		_, _, d := p.Do(ctx, addr, q)
+		ctx, stop := withDeadline(&call, 2*time.Second)
+		_, _, fail := pool.Do(ctx, addr, call)
 		stop()
-		must.Nil(b, d)
+		must.Nil(b, fail)
 	}
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &to)
-	spent := to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
+	spent := after.Utime.Nano() + after.Stime.Nano() - before.Utime.Nano() - before.Stime.Nano()
 	b.ReportMetric(float64(spent)/float64(b.N), "cpu-ns/op")
 }
 
 const idHeader = "X-Bench-Id"
 
-// benched asks for what a call to an endpoint asks for.
-func benched(q *exchange.Call) { q.IdHeader, q.Id, q.Seal = idHeader, "9c41d07be2a35f68", "X-Seal" }
+// identify asks for what a call to an endpoint asks for.
+func identify(call *exchange.Call) {
+	call.IDHeader, call.ID, call.RequiredHeader = idHeader, "9c41d07be2a35f68", "X-Seal"
+}
 
-func limited(q *exchange.Call, span time.Duration) (context.Context, func()) {
-	q.Until = time.Now().Add(span)
+func withDeadline(call *exchange.Call, span time.Duration) (context.Context, func()) {
+	call.Deadline = time.Now().Add(span)
 	return context.Background(), func() {}
 }
--- a/wire/exchange/exchange_test.go
+++ b/wire/exchange/exchange_test.go
@@ -16,9 +16,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// raw serves each request of a connection with the given bytes, and closes after
+// serveRaw serves each request of a connection with the given bytes, and closes after
 // shut of them; it counts the requests that it read.
-func raw(t *testing.T, say string, shut int) (ident.Addr, *atomic.Int64) {
+func serveRaw(t *testing.T, response string, limit int) (ident.Addr, *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -39,8 +39,8 @@
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
 					seen.Add(1)
-					_, _ = c.Write([]byte(say))
-					if n >= shut {
+					_, _ = c.Write([]byte(response))
+					if n >= limit {
 						return
 					}
 				}
@@ -50,18 +50,18 @@
 	return ident.Addr(l.Addr().String()), &seen
 }
 
-func call(method string) exchange.Call {
+func newCall(method string) exchange.Call {
 	return exchange.Call{Method: method, Target: "/x//y?z=1", Host: "h.x", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(`{}`)}
 }
 
-func do(t *testing.T, p *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Return, bool, *failure.Error) {
+func doCall(t *testing.T, pool *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Response, bool, *failure.Error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	return p.Do(ctx, addr, c)
+	return pool.Do(ctx, addr, c)
 }
 
 // What is cut off, garbled, or not marked as whole never passes; what is whole does.
-func TestOnlyWholeReturnsPass(t *testing.T) {
+func TestOnlyCompleteResponsesPass(t *testing.T) {
 	const j = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 	for name, c := range map[string]struct {
 		say  string
@@ -82,17 +82,17 @@
 		"nothing":            {"", failure.LostResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := raw(t, c.say, 1)
-			ret, sent, d := do(t, exchange.New(""), addr, call("GET"))
+			addr, _ := serveRaw(t, c.say, 1)
+			response, sent, fail := doCall(t, exchange.New(""), addr, newCall("GET"))
 			must.True(t, sent)
 			if c.kind == "" {
-				must.Nil(t, d)
-				must.NotNil(t, ret)
+				must.Nil(t, fail)
+				must.NotNil(t, response)
 				return
 			}
-			must.Nil(t, ret)
-			must.Eq(t, c.kind, d.Kind)
-			must.Eq(t, failure.OutcomeUnknown, d.Outcome)
+			must.Nil(t, response)
+			must.Eq(t, c.kind, fail.Kind)
+			must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 		})
 	}
 }
@@ -101,16 +101,16 @@
 // client would send this one again, for its Idempotency-Key.
 func TestNothingIsSentTwice(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-	addr, seen := raw(t, ok, 100)
-	p := exchange.New("")
+	addr, seen := serveRaw(t, ok, 100)
+	pool := exchange.New("")
 	for range 5 {
-		_, _, d := do(t, p, addr, call("POST"))
-		must.Nil(t, d)
+		_, _, fail := doCall(t, pool, addr, newCall("POST"))
+		must.Nil(t, fail)
 	}
 	must.Eq(t, 5, seen.Load())
-	lost, seen2 := raw(t, "", 1)
-	_, sent, d := do(t, p, lost, call("POST"))
-	must.NotNil(t, d)
+	lost, seen2 := serveRaw(t, "", 1)
+	_, sent, fail := doCall(t, pool, lost, newCall("POST"))
+	must.NotNil(t, fail)
 	must.True(t, sent)
 	must.Eq(t, 1, seen2.Load())
 }
@@ -122,15 +122,15 @@
 	must.NoError(t, err)
 	addr := ident.Addr(l.Addr().String())
 	must.NoError(t, l.Close())
-	_, sent, d := do(t, exchange.New(""), addr, call("POST"))
+	_, sent, fail := doCall(t, exchange.New(""), addr, newCall("POST"))
 	must.False(t, sent)
-	must.Eq(t, failure.Unreachable, d.Kind)
-	there, seen := raw(t, "", 1)
-	c := call("POST")
-	c.Last = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") }
-	_, sent, d = do(t, exchange.New(""), there, c)
+	must.Eq(t, failure.Unreachable, fail.Kind)
+	there, seen := serveRaw(t, "", 1)
+	c := newCall("POST")
+	c.BeforeSend = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") }
+	_, sent, fail = doCall(t, exchange.New(""), there, c)
 	must.False(t, sent)
-	must.Eq(t, failure.EndpointRejected, d.Kind)
+	must.Eq(t, failure.EndpointRejected, fail.Kind)
 	must.Eq(t, 0, seen.Load())
 }
 
@@ -152,27 +152,27 @@
 				over <- struct{}{}
 			}
 		}()
-		c := call("POST")
-		c.Last = func() *failure.Error { <-over; return nil }
-		_, sent, d := do(t, exchange.New(""), ident.Addr(l.Addr().String()), c)
+		c := newCall("POST")
+		c.BeforeSend = func() *failure.Error { <-over; return nil }
+		_, sent, fail := doCall(t, exchange.New(""), ident.Addr(l.Addr().String()), c)
 		must.False(t, sent)
-		must.Eq(t, failure.Busy, d.Kind)
-		must.Eq(t, failure.NotExecuted, d.Outcome)
+		must.Eq(t, failure.Busy, fail.Kind)
+		must.Eq(t, failure.NotExecuted, fail.Outcome)
 	}
 }
 
 // A kept connection that the other end has closed is not used again.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	addr, seen := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without a word
-	p := exchange.New("")
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	addr, seen := serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without a word
+	pool := exchange.New("")
 	for range 4 {
 		for {
-			_, sent, d := do(t, p, addr, call("GET"))
-			if d == nil {
+			_, sent, fail := doCall(t, pool, addr, newCall("GET"))
+			if fail == nil {
 				break
 			}
 			// The close was still on its way when it was taken, or when it was written to.
-			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], d.Kind)
+			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], fail.Kind)
 		}
 	}
 	must.GreaterEq(t, 4, seen.Load())
--- a/wire/exchange/expect.go
+++ b/wire/exchange/expect.go
@@ -6,51 +6,51 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// askFirst sends the head of a request alone and waits for the other end's word on its body
+// sendHeadFirst sends the head of a request alone and waits for the other end's word on its body
 // (Expect: 100-continue). may tells that the body is wanted; else end is what became of the
 // call. As no byte of the body left, the other end can't have acted on the request: without a
 // whole answer it counts as not sent.
-func (c *conn) askFirst(call *Call, w *writing) (end ending, may bool) {
-	_, d, shut := c.send(call, &writing{head: w.head})
-	if shut {
-		return c.shutEnding(), false
+func (c *conn) sendHeadFirst(call *Call, request *encodedRequest) (res result, wanted bool) {
+	_, fail, closed := c.send(call, &encodedRequest{head: request.head})
+	if closed {
+		return c.closedResult(), false
 	}
-	if d != nil {
-		return ending{d: notSent(d)}, false
+	if fail != nil {
+		return result{fail: asNotSent(fail)}, false
 	}
-	c.openReader()
-	defer c.closeReader()
-	may, err := c.in.wanted()
+	c.attachReader()
+	defer c.detachReader()
+	wanted, err := c.reader.awaitContinue()
 	if err != nil {
-		return ending{d: notSent(ended(err, false))}, false
+		return result{fail: asNotSent(readFailure(err, false))}, false
 	}
-	if may {
-		return ending{}, true
+	if wanted {
+		return result{}, true
 	}
-	ret, _, bad := c.in.read(call, c.shelf.set.Most, c.restFor)
-	if bad != nil {
-		return ending{d: notSent(bad)}, false
+	response, _, readFail := c.reader.readResponse(call, c.host.settings.MaxBodyBytes, c.limitIdle)
+	if readFail != nil {
+		return result{fail: asNotSent(readFail)}, false
 	}
-	return ending{ret: ret, sent: true}, false // the other end may still wait for the body
+	return result{response: response, sent: true}, false // the other end may still wait for the body
 }
 
-// notSent tells of a failure that came before the body of the request left.
-func notSent(d *failure.Error) *failure.Error {
-	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", d.Note)
+// asNotSent tells of a failure that came before the body of the request left.
+func asNotSent(fail *failure.Error) *failure.Error {
+	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", fail.Note)
 }
 
-// wanted waits for the word on a body: true for 100 Continue, false for a final answer, which
+// awaitContinue waits for the word on a body: true for 100 Continue, false for a final answer, which
 // is left to be read. Other answers that only inform are read past.
-func (r *reading) wanted() (bool, error) {
-	for range inform {
-		raw, err := r.until(beginsAnswer)
+func (r *responseReader) awaitContinue() (bool, error) {
+	for range maxInformational {
+		raw, err := r.peekHead(beginsResponse)
 		if err != nil {
 			return false, err
 		}
 		if raw[9] != '1' {
 			return false, nil
 		}
-		h, err := r.head()
+		h, err := r.readHead()
 		if err != nil {
 			return false, err
 		}
@@ -58,5 +58,5 @@
 			return r.Buffered() == 0, nil
 		}
 	}
-	return false, errHead
+	return false, errMalformedHead
 }
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	largeBody    = 64 << 10
-	continueSay  = "HTTP/1.1 100 Continue\r\n\r\n"
-	acceptedSay  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	refusedSay   = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull"
-	bodyPatience = 200 * time.Millisecond
+	largeBody        = 64 << 10
+	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+	acceptedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	refusedResponse  = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull"
+	bodyTimeout      = 200 * time.Millisecond
 )
 
-// reluctant is a server that answers the head of each request with early, reads the body if
+// continueServer is a server that answers the head of each request with early, reads the body if
 // reads is set, and then answers with late. It counts connections and bytes of bodies.
-type reluctant struct {
+type continueServer struct {
 	early, late string
 	reads       bool
 	conns       atomic.Int64
@@ -36,7 +36,7 @@
 	expected    atomic.Int64
 }
 
-func (s *reluctant) serve(t *testing.T) ident.Addr {
+func (s *continueServer) serve(t *testing.T) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -53,7 +53,7 @@
 	return ident.Addr(l.Addr().String())
 }
 
-func (s *reluctant) talk(c net.Conn) {
+func (s *continueServer) talk(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -90,33 +90,33 @@
 // before that word is known not to have been executed, and a refusal is told as it came.
 func TestBodyLeavesOnlyWhenWanted(t *testing.T) {
 	for name, c := range map[string]struct {
-		server *reluctant
+		server *continueServer
 		status int // 0 for none
 		sent   bool
 		body   int64
 	}{
-		"wanted":                   {&reluctant{early: continueSay, late: acceptedSay, reads: true}, 200, true, largeBody},
-		"wanted after other words": {&reluctant{early: "HTTP/1.1 102 Processing\r\n\r\n" + continueSay, late: acceptedSay, reads: true}, 200, true, largeBody},
-		"refused":                  {&reluctant{early: refusedSay}, 503, true, 0},
-		"refused in one breath":    {&reluctant{early: continueSay + refusedSay}, 503, true, 0},
-		"silent":                   {&reluctant{}, 0, false, 0},
-		"garbled":                  {&reluctant{early: "what is this\r\n\r\n"}, 0, false, 0},
-		"half a refusal":           {&reluctant{early: refusedSay[:50]}, 0, false, 0},
-		"endless words":            {&reluctant{early: manyProcessing()}, 0, false, 0},
+		"wanted":                   {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"wanted after other words": {&continueServer{early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"refused":                  {&continueServer{early: refusedResponse}, 503, true, 0},
+		"refused in one breath":    {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
+		"silent":                   {&continueServer{}, 0, false, 0},
+		"garbled":                  {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
+		"half a refusal":           {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
+		"endless words":            {&continueServer{early: manyProcessing()}, 0, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := c.server.serve(t)
-			p := exchange.New("")
-			req := exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), Expect: true, Until: time.Now().Add(bodyPatience)}
-			ret, sent, d := do(t, p, addr, req)
+			pool := exchange.New("")
+			req := exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), ExpectContinue: true, Deadline: time.Now().Add(bodyTimeout)}
+			response, sent, fail := doCall(t, pool, addr, req)
 			must.Eq(t, c.sent, sent)
 			must.Eq(t, 1, c.server.expected.Load())
 			if c.status != 0 {
-				must.Nil(t, d)
-				must.Eq(t, c.status, ret.Status)
+				must.Nil(t, fail)
+				must.Eq(t, c.status, response.Status)
 			} else {
-				must.NotNil(t, d)
-				must.Eq(t, failure.NotExecuted, d.Outcome)
+				must.NotNil(t, fail)
+				must.Eq(t, failure.NotExecuted, fail.Outcome)
 			}
 			must.Eq(t, c.body, c.server.bodyBytes.Load())
 		})
@@ -134,17 +134,17 @@
 // is not, since the other end may still wait for the body.
 func TestConnectionAfterAnAskedBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		server *reluctant
+		server *continueServer
 		conns  int64
 	}{
-		"wanted":  {&reluctant{early: continueSay, late: acceptedSay, reads: true}, 1},
-		"refused": {&reluctant{early: refusedSay}, 3},
+		"wanted":  {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 1},
+		"refused": {&continueServer{early: refusedResponse}, 3},
 	} {
 		addr := c.server.serve(t)
-		p := exchange.New("")
+		pool := exchange.New("")
 		for range 3 {
-			_, _, d := do(t, p, addr, exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), Expect: true})
-			must.Nil(t, d)
+			_, _, fail := doCall(t, pool, addr, exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), ExpectContinue: true})
+			must.Nil(t, fail)
 		}
 		must.Eq(t, c.conns, c.server.conns.Load(), must.Sprint(name))
 	}
@@ -153,14 +153,14 @@
 // A body that was asked for and is broken off has an unknown outcome; a small body is not
 // asked for at all.
 func TestWhatIsNotAskedForFirst(t *testing.T) {
-	p := exchange.New("")
-	broken := &reluctant{early: continueSay}
-	_, sent, d := do(t, p, broken.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 16<<20), Expect: true})
+	pool := exchange.New("")
+	interrupted := &continueServer{early: continueResponse}
+	_, sent, fail := doCall(t, pool, interrupted.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 16<<20), ExpectContinue: true})
 	must.True(t, sent)
-	must.NotNil(t, d)
-	must.Eq(t, failure.OutcomeUnknown, d.Outcome)
-	small := &reluctant{late: acceptedSay, reads: true}
-	_, _, d = do(t, p, small.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 100), Expect: true})
-	must.Nil(t, d)
+	must.NotNil(t, fail)
+	must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
+	small := &continueServer{late: acceptedResponse, reads: true}
+	_, _, fail = doCall(t, pool, small.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 100), ExpectContinue: true})
+	must.Nil(t, fail)
 	must.Eq(t, 0, small.expected.Load())
 }
--- a/wire/exchange/fuzz_test.go
+++ b/wire/exchange/fuzz_test.go
@@ -15,28 +15,28 @@
 // fuzzBodyMax bounds the bodies of fuzzed answers.
 const fuzzBodyMax = 1 << 10
 
-// readAnswer reads one answer off the bytes as a connection would bring them; used tells
+// readFrom reads one answer off the bytes as a connection would bring them; used tells
 // how many of them were taken.
-func readAnswer(raw []byte, call *Call) (answer *Return, keep bool, used int) {
+func readFrom(raw []byte, call *Call) (response *Response, reusable bool, used int) {
 	source := bytes.NewReader(raw)
-	r := reads.Get().(*reading)
-	defer reads.Put(r)
+	r := responseReaders.Get().(*responseReader)
+	defer responseReaders.Put(r)
 	r.Reset(source)
-	answer, keep, problem := r.read(call, fuzzBodyMax, func(time.Duration) {})
-	if (answer == nil) == (problem == nil) {
+	response, reusable, fail := r.readResponse(call, fuzzBodyMax, func(time.Duration) {})
+	if (response == nil) == (fail == nil) {
 		panic("an answer without a defect, or neither")
 	}
-	return answer, keep, len(raw) - source.Len() - r.Buffered()
+	return response, reusable, len(raw) - source.Len() - r.Buffered()
 }
 
 // Whatever bytes a peer sends as an answer: reading ends, what is accepted carries the
 // call's own id, is within the bound, is read the same by net/http's own reader, and is
 // not accepted when its last byte is missing.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	const id = "X-Id: i\r\n"
 	for _, seed := range []string{
-		well, "", "HTTP/1.1 200 OK\r\n" + id + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Tail: a\r\n\r\n",
-		"HTTP/1.1 100 Continue\r\n\r\n" + well, "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\nho" + well, well + well,
+		okResponse, "", "HTTP/1.1 200 OK\r\n" + id + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Tail: a\r\n\r\n",
+		"HTTP/1.1 100 Continue\r\n\r\n" + okResponse, "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\nho" + okResponse, okResponse + okResponse,
 		"HTTP/1.1 204 No Content\r\n" + id + "\r\n", "HTTP/1.1 304 Not Modified\r\n" + id + "Content-Length: 2\r\n\r\n",
 		"HTTP/1.0 200 OK\r\n" + id + "Content-Type: application/json\r\n\r\n{\"a\":1}", "HTTP/1.1 200 OK\r\n" + id + "Keep-Alive: timeout=5\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
 		"\x00\x01 garbage\r\n\r\n", "HTTP/1.1 200 OK\r\n" + id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -49,38 +49,38 @@
 	f.Fuzz(func(t *testing.T, method string, named bool, raw []byte) {
 		call := &Call{Method: method}
 		if named {
-			call.IdHeader, call.Id = "X-Id", "i"
+			call.IDHeader, call.ID = "X-Id", "i"
 		}
-		answer, keep, used := readAnswer(raw, call)
-		if answer == nil {
+		response, reusable, used := readFrom(raw, call)
+		if response == nil {
 			return
 		}
-		must.LessEq(t, fuzzBodyMax, len(answer.Body))
-		must.True(t, answer.Status >= 200 && answer.Status <= 999)
+		must.LessEq(t, fuzzBodyMax, len(response.Body))
+		must.True(t, response.Status >= 200 && response.Status <= 999)
 		if named {
-			must.Eq(t, []string{"i"}, answer.Header["X-Id"])
+			must.Eq(t, []string{"i"}, response.Header["X-Id"])
 		}
-		if keep {
-			cut, _, _ := readAnswer(raw[:used-1], call)
+		if reusable {
+			cut, _, _ := readFrom(raw[:used-1], call)
 			must.Nil(t, cut, must.Sprint("accepted without its last byte"))
 		}
-		reference(t, raw, call, answer)
+		compareWithNetHTTP(t, raw, call, response)
 	})
 }
 
-// reference reads the same bytes with net/http, past what the exchange reads past.
-func reference(t *testing.T, raw []byte, call *Call, answer *Return) {
+// compareWithNetHTTP reads the same bytes with net/http, past what the exchange reads past.
+func compareWithNetHTTP(t *testing.T, raw []byte, call *Call, response *Response) {
 	source := bufio.NewReader(bytes.NewReader(raw))
 	for {
 		got, err := http.ReadResponse(source, &http.Request{Method: call.Method})
 		must.NoError(t, err)
 		body, err := io.ReadAll(got.Body)
 		must.NoError(t, err)
-		if got.StatusCode < 200 || call.IdHeader != "" && got.Header.Get(call.IdHeader) != call.Id {
+		if got.StatusCode < 200 || call.IDHeader != "" && got.Header.Get(call.IDHeader) != call.ID {
 			continue
 		}
-		must.Eq(t, got.StatusCode, answer.Status)
-		must.True(t, bytes.Equal(body, answer.Body), must.Sprintf("%q is not %q", answer.Body, body))
+		must.Eq(t, got.StatusCode, response.Status)
+		must.True(t, bytes.Equal(body, response.Body), must.Sprintf("%q is not %q", response.Body, body))
 		return
 	}
 }
@@ -95,9 +95,9 @@
 	f.Add("GET /", "", "", "", "\x00", "", []byte{}, true)
 	f.Add("DELETE", "/", "h", "Connection", "X-Id, Content-Length", "r", []byte("body"), false)
 	f.Fuzz(func(t *testing.T, method, target, host, name, value, id string, body []byte, fresh bool) {
-		call := &Call{Method: method, Target: target, Host: host, Header: http.Header{name: {value}}, Body: body, IdHeader: "X-Id", Id: id, Fresh: fresh}
-		out := &writing{}
-		if out.fill(call) != nil {
+		call := &Call{Method: method, Target: target, Host: host, Header: http.Header{name: {value}}, Body: body, IDHeader: "X-Id", ID: id, SingleUse: fresh}
+		out := &encodedRequest{}
+		if out.encode(call) != nil {
 			return
 		}
 		written := append(bytes.Clone(out.head), out.body...)
--- a/wire/exchange/orders_test.go
+++ b/wire/exchange/orders_test.go
@@ -16,75 +16,77 @@
 	"github.com/shoenig/test/must"
 )
 
-// fate is what must become of a request that an endpoint has read.
-type fate int
+// expectation is what must become of a request that an endpoint has read.
+type expectation int
 
 const (
-	own  fate = iota // the caller gets its own return
-	lost             // it gets none, and what became of it is unknown
+	ownResponse expectation = iota // the caller gets its own return
+	noResponse                     // it gets none, and what became of it is unknown
 )
 
-// move is what an endpoint does with one request that it has read whole; past holds the
+// action is what an endpoint does with one request that it has read whole; past holds the
 // returns that it gave before. ends says that it then ends the connection, and how.
-type move struct {
-	name string
-	say  func(id string, past []string) string
-	fate fate
-	ends ends
+type action struct {
+	name    string
+	respond func(id string, past []string) string
+	expect  expectation
+	then    connEnd
 }
 
-type ends int
+type connEnd int
 
 const (
-	stays ends = iota
-	closes
-	resets
-	forgets // resets once the next bytes come, which are not read
+	keepOpen connEnd = iota
+	closeConn
+	resetConn
+	resetOnNextBytes // resets once the next bytes come, which are not read
 )
 
-func copyOf(past []string) string {
+func repeatLast(past []string) string {
 	if len(past) == 0 {
-		return told("before")
+		return responseTo("before")
 	}
-	return told(past[len(past)-1])
+	return responseTo(past[len(past)-1])
 }
 
-func alone(id string, _ []string) string { return told(id) }
+func respondOwn(id string, _ []string) string { return responseTo(id) }
 
-func cutAt(part func(say string) int) func(string, []string) string {
-	return func(id string, _ []string) string { return told(id)[:part(told(id))] }
+func truncated(part func(say string) int) func(string, []string) string {
+	return func(id string, _ []string) string { return responseTo(id)[:part(responseTo(id))] }
 }
 
-var moves = []move{
-	{"own", alone, own, stays},
-	{"late copy first", func(id string, past []string) string { return copyOf(past) + told(id) }, own, stays},
-	{"late copy after", func(id string, past []string) string { return told(id) + copyOf(past) }, own, stays},
-	{"doubled", func(id string, _ []string) string { return told(id) + told(id) }, own, stays},
-	{"foreign first", func(id string, _ []string) string { return told("foreign") + told(id) }, own, stays},
-	{"foreign only", func(string, []string) string { return told("foreign") }, lost, closes},
-	{"no id", func(id string, _ []string) string { return strings.Replace(told(id), idName, "X-Other", 1) }, lost, stays},
-	{"garbage after", func(id string, _ []string) string { return told(id) + "\x00\x01 garbage\r\n" }, own, stays},
-	{"garbage instead", func(string, []string) string { return "\x00\x01 garbage\r\n" }, lost, stays},
-	{"cut in the head", cutAt(func(say string) int { return strings.Index(say, "Content-Length") + 4 }), lost, closes},
-	{"cut in the body", cutAt(func(say string) int { return len(say) - 3 }), lost, resets},
-	{"early close", func(string, []string) string { return "" }, lost, closes},
-	{"closed after", alone, own, closes},
-	{"reset when idle", alone, own, resets},
-	{"forgotten when idle", alone, own, forgets},
+var actions = []action{
+	{"own", respondOwn, ownResponse, keepOpen},
+	{"late copy first", func(id string, past []string) string { return repeatLast(past) + responseTo(id) }, ownResponse, keepOpen},
+	{"late copy after", func(id string, past []string) string { return responseTo(id) + repeatLast(past) }, ownResponse, keepOpen},
+	{"doubled", func(id string, _ []string) string { return responseTo(id) + responseTo(id) }, ownResponse, keepOpen},
+	{"foreign first", func(id string, _ []string) string { return responseTo("foreign") + responseTo(id) }, ownResponse, keepOpen},
+	{"foreign only", func(string, []string) string { return responseTo("foreign") }, noResponse, closeConn},
+	{"no id", func(id string, _ []string) string {
+		return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1)
+	}, noResponse, keepOpen},
+	{"garbage after", func(id string, _ []string) string { return responseTo(id) + "\x00\x01 garbage\r\n" }, ownResponse, keepOpen},
+	{"garbage instead", func(string, []string) string { return "\x00\x01 garbage\r\n" }, noResponse, keepOpen},
+	{"cut in the head", truncated(func(say string) int { return strings.Index(say, "Content-Length") + 4 }), noResponse, closeConn},
+	{"cut in the body", truncated(func(say string) int { return len(say) - 3 }), noResponse, resetConn},
+	{"early close", func(string, []string) string { return "" }, noResponse, closeConn},
+	{"closed after", respondOwn, ownResponse, closeConn},
+	{"reset when idle", respondOwn, ownResponse, resetConn},
+	{"forgotten when idle", respondOwn, ownResponse, resetOnNextBytes},
 }
 
 // endpoint plays one move a request, in the order of its script, whatever the connection.
 type endpoint struct {
-	mu     sync.Mutex
-	script []move
-	past   []string
-	read   map[string]int
-	at     net.Listener
+	mu       sync.Mutex
+	script   []action
+	past     []string
+	read     map[string]int
+	listener net.Listener
 }
 
 func (e *endpoint) serve() {
 	for {
-		c, err := e.at.Accept()
+		c, err := e.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -96,25 +98,25 @@
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
-		id, ok := readId(r)
+		id, ok := readID(r)
 		if !ok {
 			return
 		}
 		e.mu.Lock()
 		e.read[id]++
-		m := e.script[0]
+		next := e.script[0]
 		e.script = e.script[1:]
-		say := m.say(id, e.past)
+		text := next.respond(id, e.past)
 		e.past = append(e.past, id)
 		e.mu.Unlock()
-		_, _ = c.Write([]byte(say))
-		switch m.ends {
-		case closes:
+		_, _ = c.Write([]byte(text))
+		switch next.then {
+		case closeConn:
 			return
-		case forgets:
+		case resetOnNextBytes:
 			_, _ = r.Peek(1)
 			fallthrough
-		case resets:
+		case resetConn:
 			_ = c.SetLinger(0)
 			return
 		}
@@ -124,73 +126,73 @@
 // All orders of three of an endpoint's moves, on kept connections: each caller gets its
 // own return or none; the return that came whole, with its own id, always reaches its
 // caller; no request is written twice, and what is told as not sent was not read.
-func TestAllOrdersOfAnEndpointsMoves(t *testing.T) {
-	for a := range moves {
-		t.Run(moves[a].name, func(t *testing.T) {
+func TestAllOrdersOfAnEndpointsActions(t *testing.T) {
+	for a := range actions {
+		t.Run(actions[a].name, func(t *testing.T) {
 			t.Parallel()
-			for b := range moves {
-				for c := range moves {
-					order(t, []move{moves[a], moves[b], moves[c]})
+			for b := range actions {
+				for c := range actions {
+					testOrder(t, []action{actions[a], actions[b], actions[c]})
 				}
 			}
 		})
 	}
 }
 
-func order(t *testing.T, script []move) {
+func testOrder(t *testing.T, script []action) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	e := &endpoint{script: append(script[:len(script):len(script)], moves[0], moves[0], moves[0]), read: map[string]int{}, at: l}
-	go e.serve()
-	p := exchange.New("", patient)
+	server := &endpoint{script: append(script[:len(script):len(script)], actions[0], actions[0], actions[0]), read: map[string]int{}, listener: l}
+	go server.serve()
+	pool := exchange.New("", patientSettings)
 	addr := ident.Addr(l.Addr().String())
-	defer func() { p.Drop(addr); _ = l.Close() }()
+	defer func() { pool.Drop(addr); _ = l.Close() }()
 	for n := range script {
 		id := fmt.Sprintf("r%d", n)
-		e.mu.Lock()
-		m := e.script[0]
-		e.mu.Unlock()
-		ret, sent, d := do(t, p, addr, asked([]string{"POST", "GET"}[n%2], id))
-		e.mu.Lock()
-		read := e.read[id]
-		e.mu.Unlock()
-		say := must.Sprintf("%s, %s, %s: request %d: %v", script[0].name, script[1].name, script[2].name, n, d)
-		must.LessEq(t, 1, read, say)
-		must.Eq(t, ret == nil, d != nil, say)
-		if ret != nil {
-			must.Eq(t, body(id), string(ret.Body), say)
+		server.mu.Lock()
+		next := server.script[0]
+		server.mu.Unlock()
+		response, sent, fail := doCall(t, pool, addr, identifiedCall([]string{"POST", "GET"}[n%2], id))
+		server.mu.Lock()
+		read := server.read[id]
+		server.mu.Unlock()
+		context := must.Sprintf("%s, %s, %s: request %d: %v", script[0].name, script[1].name, script[2].name, n, fail)
+		must.LessEq(t, 1, read, context)
+		must.Eq(t, response == nil, fail != nil, context)
+		if response != nil {
+			must.Eq(t, bodyFraming(id), string(response.Body), context)
 		}
 		switch {
 		case !sent:
-			must.Eq(t, 0, read, say)
-			must.Eq(t, failure.NotExecuted, d.Outcome, say)
-		case d != nil:
-			must.Eq(t, failure.OutcomeUnknown, d.Outcome, say)
+			must.Eq(t, 0, read, context)
+			must.Eq(t, failure.NotExecuted, fail.Outcome, context)
+		case fail != nil:
+			must.Eq(t, failure.OutcomeUnknown, fail.Outcome, context)
 		}
 		if read == 1 {
-			must.Eq(t, m.fate == own, ret != nil, say)
+			must.Eq(t, next.expect == ownResponse, response != nil, context)
 			continue
 		}
 		// It met a connection whose end was still on its way: the last move played ends one.
-		last := e.last(script)
-		must.True(t, last != nil && last.ends != stays, say)
+		last := server.last(script)
+		must.True(t, last != nil && last.then != keepOpen, context)
 	}
 }
 
 // last is the last move that was played, if any was.
-func (e *endpoint) last(script []move) *move {
+func (e *endpoint) last(played []action) *action {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.past) == 0 {
 		return nil
 	}
-	return &script[len(e.past)-1]
+	return &played[len(e.past)-1]
 }
 
 // A return that breaks off passes at no byte; whole it does. Both ways to mark its end,
 // both ways to break off.
-func TestBrokenOffAtEachByte(t *testing.T) {
-	const first = "HTTP/1.1 200 OK\r\n" + idName + ": r\r\nContent-Type: text/plain\r\n"
+func TestResponseTruncatedAtEachByte(t *testing.T) {
+	const first = "HTTP/1.1 200 OK\r\n" + requestIDHeader + ": r\r\nContent-Type: text/plain\r\n"
 	for name, whole := range map[string]string{
 		"length": first + "Content-Length: 5\r\n\r\nhello",
 		"chunks": first + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
@@ -200,7 +202,7 @@
 			t.Run(fmt.Sprint(name, "/reset ", reset), func(t *testing.T) {
 				t.Parallel()
 				at := make(chan int, 1)
-				addr := played(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
+				addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 					for _, ok := next(); ok; _, ok = next() {
 						n := <-at
 						_, _ = c.Write([]byte(whole[:n]))
@@ -212,18 +214,18 @@
 						}
 					}
 				})
-				p := exchange.New("", patient)
+				pool := exchange.New("", patientSettings)
 				for n := range len(whole) + 1 {
 					at <- n
-					ret, sent, d := do(t, p, addr, asked("POST", "r"))
+					response, sent, fail := doCall(t, pool, addr, identifiedCall("POST", "r"))
 					must.True(t, sent)
 					if n == len(whole) {
-						must.Nil(t, d)
-						must.Eq(t, "hello", string(ret.Body))
+						must.Nil(t, fail)
+						must.Eq(t, "hello", string(response.Body))
 						continue
 					}
-					must.Nil(t, ret)
-					must.Eq(t, failure.OutcomeUnknown, d.Outcome)
+					must.Nil(t, response)
+					must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 				}
 			})
 		}
@@ -232,7 +234,7 @@
 
 // What could be read in two ways, or is not what was asked for, passes nowhere.
 func TestStrictness(t *testing.T) {
-	const id = idName + ": r\r\n"
+	const id = requestIDHeader + ": r\r\n"
 	const ok = "HTTP/1.1 200 OK\r\n" + id
 	for name, say := range map[string]string{
 		"well":                      ok + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
@@ -264,23 +266,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := played(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
+			addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 				if _, ok := next(); ok {
 					_, _ = c.Write([]byte(say))
 				}
 			})
-			q := asked("POST", "r")
-			q.Seal, q.Plain = "X-Seal", true
-			ret, sent, d := do(t, exchange.New("", patient), addr, q)
+			call := identifiedCall("POST", "r")
+			call.RequiredHeader, call.Unencoded = "X-Seal", true
+			response, sent, fail := doCall(t, exchange.New("", patientSettings), addr, call)
 			must.True(t, sent)
 			if strings.HasPrefix(name, "well") || name == "lengths that agree" {
-				must.Nil(t, d)
-				must.Eq(t, "hi", string(ret.Body))
+				must.Nil(t, fail)
+				must.Eq(t, "hi", string(response.Body))
 				return
 			}
-			must.Nil(t, ret)
-			must.Eq(t, failure.BadResponse, d.Kind)
-			must.Eq(t, failure.OutcomeUnknown, d.Outcome)
+			must.Nil(t, response)
+			must.Eq(t, failure.BadResponse, fail.Kind)
+			must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 		})
 	}
 }
@@ -289,7 +291,7 @@
 // header could smuggle in.
 func TestWhatIsWritten(t *testing.T) {
 	got := make(chan string, 1)
-	addr := played(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
+	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
 		var all strings.Builder
 		for {
 			line, err := r.ReadString('\n')
@@ -302,53 +304,53 @@
 			}
 		}
 		got <- all.String()
-		_, _ = c.Write([]byte(told("r")))
+		_, _ = c.Write([]byte(responseTo("r")))
 	})
-	q := asked("GET", "r")
-	q.Target, q.Body = "//x//y/../z?q=%2F&a=;b", nil
-	q.Header = map[string][]string{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Content-Length": {"9"}, "Transfer-Encoding": {"chunked"}, idName: {"forged"}, "X-Calling": {"forged"}, "Host": {"forged"}, "X-Gone": {"1"}}
-	q.Set = []exchange.Field{{Name: "X-Calling", Value: "real"}, {Name: "X-Gone"}}
-	p := exchange.New("", patient)
-	_, _, d := do(t, p, addr, q)
-	must.Nil(t, d)
-	must.Eq(t, "GET //x//y/../z?q=%2F&a=;b HTTP/1.1\r\nHost: h.x\r\n"+idName+": r\r\nX-Calling: real\r\n\r\n", <-got)
+	call := identifiedCall("GET", "r")
+	call.Target, call.Body = "//x//y/../z?q=%2F&a=;b", nil
+	call.Header = map[string][]string{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Content-Length": {"9"}, "Transfer-Encoding": {"chunked"}, requestIDHeader: {"forged"}, "X-Calling": {"forged"}, "Host": {"forged"}, "X-Gone": {"1"}}
+	call.HeaderOverrides = []exchange.HeaderField{{Name: "X-Calling", Value: "real"}, {Name: "X-Gone"}}
+	pool := exchange.New("", patientSettings)
+	_, _, fail := doCall(t, pool, addr, call)
+	must.Nil(t, fail)
+	must.Eq(t, "GET //x//y/../z?q=%2F&a=;b HTTP/1.1\r\nHost: h.x\r\n"+requestIDHeader+": r\r\nX-Calling: real\r\n\r\n", <-got)
 	for name, spoil := range map[string]func(*exchange.Call){
-		"target": func(q *exchange.Call) { q.Target = "/a b" },
-		"empty":  func(q *exchange.Call) { q.Target = "" },
-		"host":   func(q *exchange.Call) { q.Host = "a\r\nb" },
-		"method": func(q *exchange.Call) { q.Method = "GET /" },
-		"value":  func(q *exchange.Call) { q.Header = map[string][]string{"A": {"b\r\nC: d"}} },
-		"name":   func(q *exchange.Call) { q.Header = map[string][]string{"A: b\r\nC": {"d"}} },
-		"id":     func(q *exchange.Call) { q.Id = "r\n" },
+		"target": func(call *exchange.Call) { call.Target = "/a b" },
+		"empty":  func(call *exchange.Call) { call.Target = "" },
+		"host":   func(call *exchange.Call) { call.Host = "a\r\nb" },
+		"method": func(call *exchange.Call) { call.Method = "GET /" },
+		"value":  func(call *exchange.Call) { call.Header = map[string][]string{"A": {"b\r\nC: d"}} },
+		"name":   func(call *exchange.Call) { call.Header = map[string][]string{"A: b\r\nC": {"d"}} },
+		"id":     func(call *exchange.Call) { call.ID = "r\n" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := asked("GET", "r")
-			spoil(&q)
-			_, sent, d := do(t, p, addr, q)
+			call := identifiedCall("GET", "r")
+			spoil(&call)
+			_, sent, fail := doCall(t, pool, addr, call)
 			must.False(t, sent)
-			must.Eq(t, failure.Malformed, d.Kind)
+			must.Eq(t, failure.Malformed, fail.Kind)
 		})
 	}
 }
 
 // An endpoint that turns a long request away before it is whole is heard, if the return
 // names the request.
-func TestTurnedAwayBeforeTheRequestIsWhole(t *testing.T) {
-	addr := played(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
+func TestRejectedBeforeTheRequestIsComplete(t *testing.T) {
+	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
 		_, _ = r.Peek(1)
-		_, _ = c.Write([]byte(told("r")))
+		_, _ = c.Write([]byte(responseTo("r")))
 	})
-	q := asked("POST", "r")
-	q.Body = make([]byte, 64<<20)
+	call := identifiedCall("POST", "r")
+	call.Body = make([]byte, 64<<20)
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	ret, sent, d := exchange.New("", patient).Do(ctx, addr, q)
+	response, sent, fail := exchange.New("", patientSettings).Do(ctx, addr, call)
 	must.True(t, sent)
-	must.Nil(t, d)
-	must.Eq(t, body("r"), string(ret.Body))
+	must.Nil(t, fail)
+	must.Eq(t, bodyFraming("r"), string(response.Body))
 }
 
-func readId(r *bufio.Reader) (id string, ok bool) {
+func readID(r *bufio.Reader) (id string, ok bool) {
 	length := 0
 	for {
 		line, err := r.ReadString('\n')
@@ -358,7 +360,7 @@
 		if line == "\r\n" {
 			break
 		}
-		_, _ = fmt.Sscanf(line, idName+": %s", &id)
+		_, _ = fmt.Sscanf(line, requestIDHeader+": %s", &id)
 		_, _ = fmt.Sscanf(line, "Content-Length: %d", &length)
 	}
 	_, err := r.Discard(length)
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -16,301 +16,301 @@
 // Pool keeps connections. Invariants: a kept connection is young enough when it is taken
 // out; before the first byte of a request it is seen to be open and silent.
 type Pool struct {
-	mu      sync.Mutex
-	set     Settings
-	dial    net.Dialer
-	shelves map[ident.Addr]*shelf
-	news    int
+	mu        sync.Mutex
+	settings  Settings
+	dialer    net.Dialer
+	hosts     map[ident.Addr]*hostPool
+	dialCount int
 }
 
-// shelf holds the connections of one address. Invariants: open counts those in use,
+// hostPool holds the connections of one address. Invariants: open counts those in use,
 // unused and being dialled; idle is in order of use, the latest last; somebody is in
 // line only while open is at the bound.
-type shelf struct {
-	addr ident.Addr
-	set  *Settings
-	idle []*conn
-	open int
-	line []chan *conn // gets a connection, or nil: the room to dial one; closed when dropped
-	dead bool
+type hostPool struct {
+	addr      ident.Addr
+	settings  *Settings
+	idle      []*conn
+	openCount int
+	waiters   []chan *conn // gets a connection, or nil: the room to dial one; closed when dropped
+	dropped   bool
 }
 
 // New makes a pool that dials from the machine's own IP.
-func New(own ident.Addr, set ...Settings) *Pool {
-	p := &Pool{shelves: map[ident.Addr]*shelf{}}
-	for _, s := range set {
-		p.set = s
+func New(localAddr ident.Addr, settings ...Settings) *Pool {
+	pool := &Pool{hosts: map[ident.Addr]*hostPool{}}
+	for _, given := range settings {
+		pool.settings = given
 	}
-	p.set = p.set.filled()
-	span := p.set.Silence
-	p.dial = net.Dialer{Timeout: p.set.Dial, LocalAddr: own.DialSource(), KeepAlive: -1,
-		Control: func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, span) }}
-	return p
+	pool.settings = pool.settings.withDefaults()
+	timeout := pool.settings.DeadPeerTimeout
+	pool.dialer = net.Dialer{Timeout: pool.settings.DialTimeout, LocalAddr: localAddr.DialSource(), KeepAlive: -1,
+		Control: func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, timeout) }}
+	return pool
 }
 
 // Dials tells how many connections were begun so far.
-func (p *Pool) Dials() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.news
+func (pool *Pool) Dials() int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.dialCount
 }
 
-// Open tells how many connections to an address are open, unused ones included.
-func (p *Pool) Open(addr ident.Addr) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if s := p.shelves[addr]; s != nil {
-		return s.open
+// OpenConns tells how many connections to an address are open, unused ones included.
+func (pool *Pool) OpenConns(addr ident.Addr) int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if host := pool.hosts[addr]; host != nil {
+		return host.openCount
 	}
 	return 0
 }
 
 // Drop closes the kept connections of an address, keeps none of those in use and turns
 // away who waits for one. Those still in use no longer count against the bound.
-func (p *Pool) Drop(addr ident.Addr) {
-	p.mu.Lock()
-	s := p.shelves[addr]
-	if s == nil {
-		p.mu.Unlock()
+func (pool *Pool) Drop(addr ident.Addr) {
+	pool.mu.Lock()
+	host := pool.hosts[addr]
+	if host == nil {
+		pool.mu.Unlock()
 		return
 	}
-	delete(p.shelves, addr)
-	s.dead = true
-	idle, line := s.idle, s.line
-	s.open -= len(idle)
-	s.idle, s.line = nil, nil
-	p.mu.Unlock()
+	delete(pool.hosts, addr)
+	host.dropped = true
+	idle, waiters := host.idle, host.waiters
+	host.openCount -= len(idle)
+	host.idle, host.waiters = nil, nil
+	pool.mu.Unlock()
 	for _, c := range idle {
-		c.cut()
+		c.abort()
 	}
-	for _, in := range line {
-		close(in)
+	for _, waiter := range waiters {
+		close(waiter)
 	}
 }
 
-// Tidy closes what has been unused for too long. A connection that the other end closed
+// CloseExpired closes what has been unused for too long. A connection that the other end closed
 // holds a descriptor until it is taken or tidied.
-func (p *Pool) Tidy() {
+func (pool *Pool) CloseExpired() {
 	now := time.Now()
-	var old []*conn
-	p.mu.Lock()
-	for addr, s := range p.shelves {
-		if s.open == 0 {
-			delete(p.shelves, addr)
+	var expired []*conn
+	pool.mu.Lock()
+	for addr, host := range pool.hosts {
+		if host.openCount == 0 {
+			delete(pool.hosts, addr)
 			continue
 		}
-		kept := s.idle[:0]
-		for _, c := range s.idle {
-			if now.Sub(c.used) < c.rest {
-				kept = append(kept, c)
+		fresh := host.idle[:0]
+		for _, c := range host.idle {
+			if now.Sub(c.lastUsed) < c.maxIdle {
+				fresh = append(fresh, c)
 				continue
 			}
-			old = append(old, c)
+			expired = append(expired, c)
 		}
-		clear(s.idle[len(kept):])
-		s.idle = kept
+		clear(host.idle[len(fresh):])
+		host.idle = fresh
 	}
-	p.mu.Unlock()
-	for _, c := range old {
-		p.give(c, false)
+	pool.mu.Unlock()
+	for _, c := range expired {
+		pool.release(c, false)
 	}
 }
 
-func (p *Pool) shelf(addr ident.Addr) *shelf {
-	s := p.shelves[addr]
-	if s == nil {
-		s = &shelf{addr: addr, set: &p.set}
-		p.shelves[addr] = s
+func (pool *Pool) host(addr ident.Addr) *hostPool {
+	host := pool.hosts[addr]
+	if host == nil {
+		host = &hostPool{addr: addr, settings: &pool.settings}
+		pool.hosts[addr] = host
 	}
-	return s
+	return host
 }
 
-// pop takes the latest used connection that may still be used for the call; old ones on
+// popIdle takes the latest used connection that may still be used for the call; old ones on
 // the way go to cut.
-func (s *shelf) pop(now time.Time, call *Call, cut *[]*conn) *conn {
-	for n := len(s.idle); n > 0; n = len(s.idle) {
-		c := s.idle[n-1]
-		age := now.Sub(c.used)
-		if age < c.rest && call.Sure > 0 && age >= call.Sure {
+func (h *hostPool) popIdle(now time.Time, call *Call, expired *[]*conn) *conn {
+	for n := len(h.idle); n > 0; n = len(h.idle) {
+		c := h.idle[n-1]
+		age := now.Sub(c.lastUsed)
+		if age < c.maxIdle && call.MaxIdleAge > 0 && age >= call.MaxIdleAge {
 			return nil
 		}
-		s.idle[n-1] = nil
-		s.idle = s.idle[:n-1]
-		if age < c.rest {
+		h.idle[n-1] = nil
+		h.idle = h.idle[:n-1]
+		if age < c.maxIdle {
 			return c
 		}
-		s.vacate()
-		*cut = append(*cut, c)
+		h.releaseSlot()
+		*expired = append(*expired, c)
 	}
 	return nil
 }
 
-// take finds a connection for the call, or dials one within the bound. kept says that it
+// acquire finds a connection for the call, or dials one within the bound. kept says that it
 // was in use before.
-func (p *Pool) take(ctx context.Context, addr ident.Addr, call *Call) (c *conn, kept bool, d *failure.Error) {
-	most := call.Conns
-	if most <= 0 {
-		most = p.set.Conns
+func (pool *Pool) acquire(ctx context.Context, addr ident.Addr, call *Call) (c *conn, reused bool, fail *failure.Error) {
+	limit := call.MaxConns
+	if limit <= 0 {
+		limit = pool.settings.MaxConns
 	}
 	now := time.Now()
-	if ctx.Err() != nil || !call.Until.IsZero() && !now.Before(call.Until) {
+	if ctx.Err() != nil || !call.Deadline.IsZero() && !now.Before(call.Deadline) {
 		return nil, false, failure.New(failure.DeadlineExceeded, "no time is left")
 	}
-	var old []*conn
-	p.mu.Lock()
-	s := p.shelf(addr)
-	if !call.Fresh {
-		if c := s.pop(now, call, &old); c != nil {
-			p.mu.Unlock()
-			cut(old)
-			_ = c.SetDeadline(call.Until)
+	var evicted []*conn
+	pool.mu.Lock()
+	host := pool.host(addr)
+	if !call.SingleUse {
+		if c := host.popIdle(now, call, &evicted); c != nil {
+			pool.mu.Unlock()
+			abortAll(evicted)
+			_ = c.SetDeadline(call.Deadline)
 			return c, true, nil
 		}
 	}
-	for most > 0 && s.open >= most && len(s.idle) > 0 {
+	for limit > 0 && host.openCount >= limit && len(host.idle) > 0 {
 		// An unused one makes room for the new one that is asked for.
-		old = append(old, s.idle[0])
-		s.idle = slices.Delete(s.idle, 0, 1)
-		s.open--
+		evicted = append(evicted, host.idle[0])
+		host.idle = slices.Delete(host.idle, 0, 1)
+		host.openCount--
 	}
-	if most <= 0 || s.open < most {
-		s.open++
-		p.mu.Unlock()
-		cut(old)
-		return p.begin(ctx, s, call)
+	if limit <= 0 || host.openCount < limit {
+		host.openCount++
+		pool.mu.Unlock()
+		abortAll(evicted)
+		return pool.dialConn(ctx, host, call)
 	}
-	if !call.Wait {
-		p.mu.Unlock()
-		cut(old)
+	if !call.WaitForConn {
+		pool.mu.Unlock()
+		abortAll(evicted)
 		return nil, false, failure.New(failure.Busy, "%s has all the connections it may have", addr)
 	}
-	in := make(chan *conn, 1)
-	s.line = append(s.line, in)
-	p.mu.Unlock()
-	cut(old)
-	return p.wait(ctx, s, call, in)
+	waiter := make(chan *conn, 1)
+	host.waiters = append(host.waiters, waiter)
+	pool.mu.Unlock()
+	abortAll(evicted)
+	return pool.waitForConn(ctx, host, call, waiter)
 }
 
-// wait stands in line for a connection, or for the room to dial one.
-func (p *Pool) wait(ctx context.Context, s *shelf, call *Call, in chan *conn) (*conn, bool, *failure.Error) {
-	var end <-chan time.Time
-	if !call.Until.IsZero() {
-		t := time.NewTimer(time.Until(call.Until))
-		defer t.Stop()
-		end = t.C
+// waitForConn stands in line for a connection, or for the room to dial one.
+func (pool *Pool) waitForConn(ctx context.Context, host *hostPool, call *Call, waiter chan *conn) (*conn, bool, *failure.Error) {
+	var deadline <-chan time.Time
+	if !call.Deadline.IsZero() {
+		timer := time.NewTimer(time.Until(call.Deadline))
+		defer timer.Stop()
+		deadline = timer.C
 	}
 	select {
-	case c, ok := <-in:
-		return p.handed(ctx, s, call, c, ok)
-	case <-end:
+	case c, ok := <-waiter:
+		return pool.useHandover(ctx, host, call, c, ok)
+	case <-deadline:
 	case <-ctx.Done():
 	}
-	p.mu.Lock()
-	for n, one := range s.line {
-		if one == in {
-			s.line = slices.Delete(s.line, n, n+1)
-			p.mu.Unlock()
-			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
+	pool.mu.Lock()
+	for n, other := range host.waiters {
+		if other == waiter {
+			host.waiters = slices.Delete(host.waiters, n, n+1)
+			pool.mu.Unlock()
+			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
 		}
 	}
-	p.mu.Unlock()
-	if c, ok := <-in; ok {
+	pool.mu.Unlock()
+	if c, ok := <-waiter; ok {
 		if c == nil {
-			p.vacate(s)
+			pool.releaseSlot(host)
 		} else {
-			p.give(c, true)
+			pool.release(c, true)
 		}
 	}
-	return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
+	return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
 }
 
-func (p *Pool) handed(ctx context.Context, s *shelf, call *Call, c *conn, ok bool) (*conn, bool, *failure.Error) {
-	if !ok {
-		return nil, false, failure.New(failure.Unreachable, "%s is no longer served", s.addr)
+func (pool *Pool) useHandover(ctx context.Context, host *hostPool, call *Call, c *conn, served bool) (*conn, bool, *failure.Error) {
+	if !served {
+		return nil, false, failure.New(failure.Unreachable, "%s is no longer served", host.addr)
 	}
 	if c != nil {
-		if !call.Fresh {
-			_ = c.SetDeadline(call.Until)
+		if !call.SingleUse {
+			_ = c.SetDeadline(call.Deadline)
 			return c, true, nil
 		}
-		c.cut()
+		c.abort()
 	}
-	return p.begin(ctx, s, call)
+	return pool.dialConn(ctx, host, call)
 }
 
-// begin dials. Invariant: the new connection is counted already.
-func (p *Pool) begin(ctx context.Context, s *shelf, call *Call) (*conn, bool, *failure.Error) {
-	p.mu.Lock()
-	p.news++
-	p.mu.Unlock()
-	dial := p.dial
-	dial.Deadline = call.Until
-	raw, err := dial.DialContext(ctx, "tcp", string(s.addr))
+// dialConn dials. Invariant: the new connection is counted already.
+func (pool *Pool) dialConn(ctx context.Context, host *hostPool, call *Call) (*conn, bool, *failure.Error) {
+	pool.mu.Lock()
+	pool.dialCount++
+	pool.mu.Unlock()
+	dialer := pool.dialer
+	dialer.Deadline = call.Deadline
+	raw, err := dialer.DialContext(ctx, "tcp", string(host.addr))
 	if err != nil {
-		p.vacate(s)
-		if ctx.Err() != nil || !call.Until.IsZero() && !time.Now().Before(call.Until) {
-			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", s.addr)
+		pool.releaseSlot(host)
+		if ctx.Err() != nil || !call.Deadline.IsZero() && !time.Now().Before(call.Deadline) {
+			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
 		}
-		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", s.addr)
+		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", host.addr)
 	}
-	c, err := opened(raw.(*net.TCPConn), s)
+	c, err := newConn(raw.(*net.TCPConn), host)
 	if err != nil {
-		p.vacate(s)
+		pool.releaseSlot(host)
 		_ = raw.Close()
-		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", s.addr)
+		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", host.addr)
 	}
-	_ = c.SetDeadline(call.Until)
+	_ = c.SetDeadline(call.Deadline)
 	return c, false, nil
 }
 
-// vacate gives the room of one connection to who is first in line.
-func (p *Pool) vacate(s *shelf) {
-	p.mu.Lock()
-	s.vacate()
-	p.mu.Unlock()
+// releaseSlot gives the room of one connection to who is first in line.
+func (pool *Pool) releaseSlot(host *hostPool) {
+	pool.mu.Lock()
+	host.releaseSlot()
+	pool.mu.Unlock()
 }
 
-func (s *shelf) vacate() {
-	if len(s.line) > 0 {
-		s.line[0] <- nil
-		s.line = s.line[1:]
+func (h *hostPool) releaseSlot() {
+	if len(h.waiters) > 0 {
+		h.waiters[0] <- nil
+		h.waiters = h.waiters[1:]
 		return
 	}
-	s.open--
+	h.openCount--
 }
 
-// give takes a connection back: to who is first in line, to the shelf, or to its end.
-func (p *Pool) give(c *conn, keep bool) {
-	s := c.shelf
-	p.mu.Lock()
-	if !keep || s.dead {
-		s.vacate()
-		p.mu.Unlock()
-		c.cut()
+// release takes a connection back: to who is first in line, to the shelf, or to its end.
+func (pool *Pool) release(c *conn, reusable bool) {
+	host := c.host
+	pool.mu.Lock()
+	if !reusable || host.dropped {
+		host.releaseSlot()
+		pool.mu.Unlock()
+		c.abort()
 		return
 	}
-	c.used = time.Now()
-	if len(s.line) > 0 {
-		s.line[0] <- c
-		s.line = s.line[1:]
-		p.mu.Unlock()
+	c.lastUsed = time.Now()
+	if len(host.waiters) > 0 {
+		host.waiters[0] <- c
+		host.waiters = host.waiters[1:]
+		pool.mu.Unlock()
 		return
 	}
-	var old *conn
-	if len(s.idle) >= p.set.Keep {
-		old = s.idle[0]
-		s.idle = slices.Delete(s.idle, 0, 1)
-		s.open--
+	var evicted *conn
+	if len(host.idle) >= pool.settings.MaxIdleConns {
+		evicted = host.idle[0]
+		host.idle = slices.Delete(host.idle, 0, 1)
+		host.openCount--
 	}
-	s.idle = append(s.idle, c)
-	p.mu.Unlock()
-	if old != nil {
-		old.cut()
+	host.idle = append(host.idle, c)
+	pool.mu.Unlock()
+	if evicted != nil {
+		evicted.abort()
 	}
 }
 
-func cut(list []*conn) {
-	for _, c := range list {
-		c.cut()
+func abortAll(conns []*conn) {
+	for _, c := range conns {
+		c.abort()
 	}
 }
--- a/wire/exchange/read.go
+++ b/wire/exchange/read.go
@@ -20,102 +20,102 @@
 )
 
 const (
-	// inform is how many 1xx returns may come before the real one.
-	inform = 8
-	// strays is how many whole returns of other ids may come before a call's own.
-	strays = 4
-	// headMax is the largest head of a return.
-	headMax = 16 << 10
+	// maxInformational is how many 1xx returns may come before the real one.
+	maxInformational = 8
+	// maxStrayResponses is how many whole returns of other ids may come before a call's own.
+	maxStrayResponses = 4
+	// maxHeadBytes is the largest head of a return.
+	maxHeadBytes = 16 << 10
 )
 
 var (
-	errHead = errors.New("the head is none")
-	errBig  = errors.New("the body is too large")
+	errMalformedHead = errors.New("the head is none")
+	errBodyTooLarge  = errors.New("the body is too large")
 )
 
-// reading reads returns off one connection.
-type reading struct {
+// responseReader reads returns off one connection.
+type responseReader struct {
 	*bufio.Reader
-	text textproto.Reader
+	textReader textproto.Reader
 }
 
-var reads = sync.Pool{New: func() any {
-	r := bufio.NewReaderSize(nil, headMax)
-	return &reading{Reader: r, text: textproto.Reader{R: r}}
+var responseReaders = sync.Pool{New: func() any {
+	r := bufio.NewReaderSize(nil, maxHeadBytes)
+	return &responseReader{Reader: r, textReader: textproto.Reader{R: r}}
 }}
 
-// head is a return without its body.
-type head struct {
+// responseHead is a return without its body.
+type responseHead struct {
 	status int
-	old    bool // HTTP/1.0
+	http10 bool // HTTP/1.0
 	http.Header
 }
 
-// body says how a return's end is marked. Invariant: length counts only when neither
+// bodyFraming says how a return's end is marked. Invariant: length counts only when neither
 // chunks nor open.
-type body struct {
-	length       int64
-	chunks, open bool
+type bodyFraming struct {
+	length              int64
+	chunked, untilClose bool
 }
 
-// read takes the call's own return in whole. keep says whether the connection may be used
+// readResponse takes the call's own return in whole. keep says whether the connection may be used
 // again; rest gets how long the other end said it keeps it.
-func (r *reading) read(call *Call, most int, rest func(time.Duration)) (*Return, bool, *failure.Error) {
-	other := false
-	for told, n := 0, 0; ; {
-		h, err := r.head()
+func (r *responseReader) readResponse(call *Call, limit int, setKeepAlive func(time.Duration)) (*Response, bool, *failure.Error) {
+	sawStray := false
+	for informational, strayCount := 0, 0; ; {
+		h, err := r.readHead()
 		if err != nil {
-			return nil, false, ended(err, other)
+			return nil, false, readFailure(err, sawStray)
 		}
 		if h.status < 200 {
 			if h.status == http.StatusSwitchingProtocols {
 				return nil, false, failure.NewUnknown(failure.BadResponse, "the return changes the protocol")
 			}
-			if told++; told > inform {
-				return nil, false, failure.NewUnknown(failure.BadResponse, "more than %d returns only inform", inform)
+			if informational++; informational > maxInformational {
+				return nil, false, failure.NewUnknown(failure.BadResponse, "more than %d returns only inform", maxInformational)
 			}
 			continue
 		}
-		b, ok := h.body(call.Method)
+		framing, ok := h.framing(call.Method)
 		if !ok {
 			return nil, false, failure.NewUnknown(failure.BadResponse, "the return's length is not clear")
 		}
-		own := call.IdHeader == "" || h.says(call.IdHeader, call.Id)
-		if !own && (b.open || !h.other(call.IdHeader) || call.Method == http.MethodHead || n == strays) {
+		isOwn := call.IDHeader == "" || h.hasSingle(call.IDHeader, call.ID)
+		if !isOwn && (framing.untilClose || !h.namesOneRequest(call.IDHeader) || call.Method == http.MethodHead || strayCount == maxStrayResponses) {
 			return nil, false, failure.NewUnknown(failure.BadResponse, "the return is not to this request")
 		}
-		data, err := r.body(b, most)
+		data, err := r.readBody(framing, limit)
 		switch {
-		case err == errBig:
-			return nil, false, failure.NewUnknown(failure.BadResponse, "the return is over %d bytes", most)
+		case err == errBodyTooLarge:
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the return is over %d bytes", limit)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, false, failure.NewUnknown(failure.DeadlineExceeded, "the return was not whole in time")
 		case err != nil:
 			return nil, false, failure.NewUnknown(failure.BadResponse, "the return broke off")
 		}
-		if !own {
-			other = true
-			n++
+		if !isOwn {
+			sawStray = true
+			strayCount++
 			continue
 		}
-		if d := h.check(call, b, data); d != nil {
-			return nil, false, d
+		if fail := h.validate(call, framing, data); fail != nil {
+			return nil, false, fail
 		}
-		keep := !other && !h.old && !b.open && call.Method != http.MethodHead && !listed(h.Header["Connection"], "close")
-		if span, ok := h.told(); ok && keep {
-			rest(span)
+		reusable := !sawStray && !h.http10 && !framing.untilClose && call.Method != http.MethodHead && !listContains(h.Header["Connection"], "close")
+		if keepAlive, ok := h.keepAlive(); ok && reusable {
+			setKeepAlive(keepAlive)
 		}
-		h.strip()
-		return &Return{Status: h.status, Header: h.Header, Body: data}, keep, nil
+		h.removeHopByHop()
+		return &Response{Status: h.status, Header: h.Header, Body: data}, reusable, nil
 	}
 }
 
-// ended names the failure of a return that did not come.
-func ended(err error, other bool) *failure.Error {
+// readFailure names the failure of a return that did not come.
+func readFailure(err error, sawStray bool) *failure.Error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return failure.NewUnknown(failure.DeadlineExceeded, "no return in time")
-	case other:
+	case sawStray:
 		return failure.NewUnknown(failure.BadResponse, "the last return is not to this request")
 	case err == io.EOF || err == io.ErrUnexpectedEOF || errors.Is(err, syscall.ECONNRESET):
 		return failure.NewUnknown(failure.LostResponse, "the connection ended before the return")
@@ -124,76 +124,76 @@
 }
 
 var (
-	proto = []byte("HTTP/1.")
-	blank = []byte("\r\n\r\n")
+	versionPrefix = []byte("HTTP/1.")
+	headEnd       = []byte("\r\n\r\n")
 )
 
-// head waits for a return's head, whole, and reads it. Bytes that are no head are told as
+// readHead waits for a return's head, whole, and reads it. Bytes that are no head are told as
 // soon as they are seen.
-func (r *reading) head() (h head, err error) {
-	raw, err := r.until(beginsAnswer)
+func (r *responseReader) readHead() (h responseHead, err error) {
+	raw, err := r.peekHead(beginsResponse)
 	if err != nil {
 		return h, err
 	}
-	line := raw[:bytes.IndexByte(raw, '\r')]
-	if len(line) < 12 || line[7] != '0' && line[7] != '1' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return h, errHead
+	statusLine := raw[:bytes.IndexByte(raw, '\r')]
+	if len(statusLine) < 12 || statusLine[7] != '0' && statusLine[7] != '1' || statusLine[8] != ' ' || len(statusLine) > 12 && statusLine[12] != ' ' {
+		return h, errMalformedHead
 	}
-	for _, b := range line[9:12] {
+	for _, b := range statusLine[9:12] {
 		if b < '0' || b > '9' {
-			return h, errHead
+			return h, errMalformedHead
 		}
 		h.status = h.status*10 + int(b-'0')
 	}
 	if h.status < 100 {
-		return h, errHead
+		return h, errMalformedHead
 	}
-	h.old = line[7] == '0'
-	if _, err := r.Discard(len(line) + 2); err != nil {
+	h.http10 = statusLine[7] == '0'
+	if _, err := r.Discard(len(statusLine) + 2); err != nil {
 		return h, err
 	}
-	fields, err := r.text.ReadMIMEHeader()
+	fields, err := r.textReader.ReadMIMEHeader()
 	if err != nil {
-		return h, errHead
+		return h, errMalformedHead
 	}
 	h.Header = http.Header(fields)
 	return h, nil
 }
 
-// beginsAnswer tells whether bytes are the beginning of an answer, as far as they go.
-func beginsAnswer(b []byte) bool {
-	n := min(len(b), len(proto))
-	return bytes.Equal(b[:n], proto[:n])
+// beginsResponse tells whether bytes are the beginning of an answer, as far as they go.
+func beginsResponse(b []byte) bool {
+	n := min(len(b), len(versionPrefix))
+	return bytes.Equal(b[:n], versionPrefix[:n])
 }
 
-// until waits for an empty line and gives what stands up to it, checked: lines end with
+// peekHead waits for an empty line and gives what stands up to it, checked: lines end with
 // CR LF, none goes on in the next, and there are no control bytes. It takes nothing.
-func (r *reading) until(begins func([]byte) bool) ([]byte, error) {
+func (r *responseReader) peekHead(begins func([]byte) bool) ([]byte, error) {
 	for seen := 0; ; {
 		_, err := r.Peek(seen + 1)
 		raw, _ := r.Peek(r.Buffered())
 		if !begins(raw) {
-			return nil, errHead
+			return nil, errMalformedHead
 		}
-		if n := bytes.Index(raw[max(seen-3, 0):], blank); n >= 0 {
-			raw = raw[:max(seen-3, 0)+n+len(blank)]
-			if !tidy(raw) {
-				return nil, errHead
+		if n := bytes.Index(raw[max(seen-3, 0):], headEnd); n >= 0 {
+			raw = raw[:max(seen-3, 0)+n+len(headEnd)]
+			if !isWellFormed(raw) {
+				return nil, errMalformedHead
 			}
 			return raw, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if seen = len(raw); seen >= headMax {
-			return nil, errHead
+		if seen = len(raw); seen >= maxHeadBytes {
+			return nil, errMalformedHead
 		}
 	}
 }
 
-// tidy tells whether a head has no control bytes, no bare line ends and no line that
+// isWellFormed tells whether a head has no control bytes, no bare line ends and no line that
 // goes on in the next. It ends with CR LF CR LF.
-func tidy(raw []byte) bool {
+func isWellFormed(raw []byte) bool {
 	for n := 0; n < len(raw); n++ {
 		b := raw[n]
 		if b >= ' ' && b != 0x7f || b == '\t' {
@@ -210,150 +210,150 @@
 	return true
 }
 
-// says tells whether the return carries a header once, with that value.
-func (h *head) says(name, value string) bool {
-	list := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
-	return len(list) == 1 && list[0] == value
+// hasSingle tells whether the return carries a header once, with that value.
+func (h *responseHead) hasSingle(name, value string) bool {
+	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
+	return len(values) == 1 && values[0] == value
 }
 
-// other tells whether the return names one request, which a stray return does.
-func (h *head) other(name string) bool {
-	list := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
-	return len(list) == 1 && list[0] != ""
+// namesOneRequest tells whether the return names one request, which a stray return does.
+func (h *responseHead) namesOneRequest(name string) bool {
+	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
+	return len(values) == 1 && values[0] != ""
 }
 
-// body finds out where the return ends, and refuses what could be read in two ways.
-func (h *head) body(method string) (b body, ok bool) {
-	size, coded := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
-	for _, one := range size {
-		if one != size[0] || one == "" || strings.Trim(one, "0123456789") != "" {
-			return b, false
+// framing finds out where the return ends, and refuses what could be read in two ways.
+func (h *responseHead) framing(method string) (framing bodyFraming, ok bool) {
+	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
+	for _, length := range lengths {
+		if length != lengths[0] || length == "" || strings.Trim(length, "0123456789") != "" {
+			return framing, false
 		}
 	}
-	if len(coded) > 0 {
-		if len(size) > 0 || h.old || len(coded) != 1 || !strings.EqualFold(coded[0], "chunked") {
-			return b, false
+	if len(codings) > 0 {
+		if len(lengths) > 0 || h.http10 || len(codings) != 1 || !strings.EqualFold(codings[0], "chunked") {
+			return framing, false
 		}
-		b.chunks = true
+		framing.chunked = true
 	}
-	if len(size) > 0 {
-		n, err := strconv.ParseInt(size[0], 10, 64)
+	if len(lengths) > 0 {
+		n, err := strconv.ParseInt(lengths[0], 10, 64)
 		if err != nil {
-			return b, false
+			return framing, false
 		}
-		b.length = n
+		framing.length = n
 	}
 	if method == http.MethodHead || h.status == http.StatusNoContent || h.status == http.StatusNotModified {
-		return body{}, true
+		return bodyFraming{}, true
 	}
-	b.open = len(coded) == 0 && len(size) == 0
-	return b, true
+	framing.untilClose = len(codings) == 0 && len(lengths) == 0
+	return framing, true
 }
 
-// body reads a body whole.
-func (r *reading) body(b body, most int) ([]byte, error) {
+// readBody reads a body whole.
+func (r *responseReader) readBody(framing bodyFraming, limit int) ([]byte, error) {
 	switch {
-	case b.chunks:
-		data, err := within(httputil.NewChunkedReader(r.Reader), most)
+	case framing.chunked:
+		data, err := readAtMost(httputil.NewChunkedReader(r.Reader), limit)
 		if err != nil {
 			return nil, err
 		}
-		return data, r.trailer()
-	case b.open:
-		return within(r.Reader, most)
-	case b.length > int64(most):
-		return nil, errBig
-	case b.length == 0:
+		return data, r.skipTrailer()
+	case framing.untilClose:
+		return readAtMost(r.Reader, limit)
+	case framing.length > int64(limit):
+		return nil, errBodyTooLarge
+	case framing.length == 0:
 		return nil, nil
 	}
-	data := make([]byte, b.length)
+	data := make([]byte, framing.length)
 	_, err := io.ReadFull(r.Reader, data)
 	return data, err
 }
 
-// trailer reads past what may follow the last chunk.
-func (r *reading) trailer() error {
-	two, err := r.Peek(2)
+// skipTrailer reads past what may follow the last chunk.
+func (r *responseReader) skipTrailer() error {
+	next, err := r.Peek(2)
 	if err != nil {
 		return err
 	}
-	if two[0] == '\r' && two[1] == '\n' {
+	if next[0] == '\r' && next[1] == '\n' {
 		_, err = r.Discard(2)
 		return err
 	}
-	if _, err := r.until(func([]byte) bool { return true }); err != nil {
+	if _, err := r.peekHead(func([]byte) bool { return true }); err != nil {
 		return err
 	}
-	if _, err := r.text.ReadMIMEHeader(); err != nil {
-		return errHead
+	if _, err := r.textReader.ReadMIMEHeader(); err != nil {
+		return errMalformedHead
 	}
 	return nil
 }
 
-func within(from io.Reader, most int) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(from, int64(most)+1))
-	if err == nil && len(data) > most {
-		err = errBig
+func readAtMost(from io.Reader, limit int) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(from, int64(limit)+1))
+	if err == nil && len(data) > limit {
+		err = errBodyTooLarge
 	}
 	return data, err
 }
 
-// check refuses what cannot be whole or the endpoint's own: JSON that is none, a body
+// validate refuses what cannot be whole or the endpoint's own: JSON that is none, a body
 // whose end nothing marks, unless it is JSON and so marks its own, and a 2xx without its
 // seal.
-func (h *head) check(call *Call, b body, data []byte) *failure.Error {
-	if call.Seal != "" && h.status < 300 && len(h.Header[textproto.CanonicalMIMEHeaderKey(call.Seal)]) == 0 {
-		return failure.NewUnknown(failure.BadResponse, "the return has no %s", call.Seal)
+func (h *responseHead) validate(call *Call, framing bodyFraming, data []byte) *failure.Error {
+	if call.RequiredHeader != "" && h.status < 300 && len(h.Header[textproto.CanonicalMIMEHeaderKey(call.RequiredHeader)]) == 0 {
+		return failure.NewUnknown(failure.BadResponse, "the return has no %s", call.RequiredHeader)
 	}
-	code := h.Get("Content-Encoding")
-	if call.Plain && code != "" && !strings.EqualFold(code, "identity") {
+	encoding := h.Get("Content-Encoding")
+	if call.Unencoded && encoding != "" && !strings.EqualFold(encoding, "identity") {
 		return failure.NewUnknown(failure.BadResponse, "the return is encoded, which nobody asked for")
 	}
-	if call.Method == http.MethodHead || len(data) == 0 && !b.open {
+	if call.Method == http.MethodHead || len(data) == 0 && !framing.untilClose {
 		return nil
 	}
-	plain := code == ""
+	unencoded := encoding == ""
 	isJSON := isJSON(h.Get("Content-Type"))
-	if isJSON && plain && len(data) > 0 && !json.Valid(data) {
+	if isJSON && unencoded && len(data) > 0 && !json.Valid(data) {
 		return failure.NewUnknown(failure.BadResponse, "the return says it is JSON and is not")
 	}
-	if b.open && !(len(data) > 0 && isJSON && plain && (data[0] == '{' || data[0] == '[')) {
+	if framing.untilClose && !(len(data) > 0 && isJSON && unencoded && (data[0] == '{' || data[0] == '[')) {
 		return failure.NewUnknown(failure.BadResponse, "nothing marks where the return ends")
 	}
 	return nil
 }
 
-func isJSON(kind string) bool {
-	kind, _, _ = strings.Cut(kind, ";")
-	kind = textproto.TrimString(kind)
-	const plain, tail = "application/json", "+json"
-	return strings.EqualFold(kind, plain) || len(kind) > len(tail) && strings.EqualFold(kind[len(kind)-len(tail):], tail)
+func isJSON(contentType string) bool {
+	contentType, _, _ = strings.Cut(contentType, ";")
+	contentType = textproto.TrimString(contentType)
+	const plain, suffix = "application/json", "+json"
+	return strings.EqualFold(contentType, plain) || len(contentType) > len(suffix) && strings.EqualFold(contentType[len(contentType)-len(suffix):], suffix)
 }
 
-// told reads how long the other end keeps an unused connection, in whole seconds.
-func (h *head) told() (time.Duration, bool) {
+// keepAlive reads how long the other end keeps an unused connection, in whole seconds.
+func (h *responseHead) keepAlive() (time.Duration, bool) {
 	for _, field := range h.Header["Keep-Alive"] {
-		for one := range strings.SplitSeq(field, ",") {
-			name, value, _ := strings.Cut(textproto.TrimString(one), "=")
-			if s, err := strconv.Atoi(textproto.TrimString(value)); err == nil && s >= 0 && strings.EqualFold(textproto.TrimString(name), "timeout") {
-				return time.Duration(s) * time.Second, true
+		for parameter := range strings.SplitSeq(field, ",") {
+			name, value, _ := strings.Cut(textproto.TrimString(parameter), "=")
+			if seconds, err := strconv.Atoi(textproto.TrimString(value)); err == nil && seconds >= 0 && strings.EqualFold(textproto.TrimString(name), "timeout") {
+				return time.Duration(seconds) * time.Second, true
 			}
 		}
 	}
 	return 0, false
 }
 
-// strip takes out what belongs to the connection, but the length.
-func (h *head) strip() {
-	if named := h.Header["Connection"]; named != nil {
+// removeHopByHop takes out what belongs to the connection, but the length.
+func (h *responseHead) removeHopByHop() {
+	if connectionFields := h.Header["Connection"]; connectionFields != nil {
 		for name := range h.Header {
-			if name != "Content-Length" && listed(named, name) {
+			if name != "Content-Length" && listContains(connectionFields, name) {
 				delete(h.Header, name)
 			}
 		}
 	}
 	for name := range h.Header {
-		if name != "Content-Length" && Hop(name) {
+		if name != "Content-Length" && IsHopByHop(name) {
 			delete(h.Header, name)
 		}
 	}
