--- a/wire/exchange/unasked_test.go
+++ b/wire/exchange/unasked_test.go
@@ -18,9 +18,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// played serves every connection with a script of its own; next reads one request and
+// serveConns serves every connection with a script of its own; next reads one request and
 // gives its X-Request-Id, r what is left of the connection.
-func played(t *testing.T, play func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
+func serveConns(t *testing.T, play func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -39,7 +39,7 @@
 						return "", false
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
-					return req.Header.Get(idName), true
+					return req.Header.Get(requestIDHeader), true
 				})
 			}()
 		}
@@ -47,26 +47,26 @@
 	return ident.Addr(l.Addr().String())
 }
 
-const idName = "X-Request-Id"
+const requestIDHeader = "X-Request-Id"
 
-// patient is for tests on a machine under load: nothing ends by time.
-var patient = exchange.Settings{Dial: time.Minute}
+// patientSettings is for tests on a machine under load: nothing ends by time.
+var patientSettings = exchange.Settings{DialTimeout: time.Minute}
 
-// asked is a call that wants its own id echoed.
-func asked(method, id string) exchange.Call {
-	q := call(method)
-	q.Header, q.IdHeader, q.Id = nil, idName, id
-	return q
+// identifiedCall is a call that wants its own id echoed.
+func identifiedCall(method, id string) exchange.Call {
+	call := newCall(method)
+	call.Header, call.IDHeader, call.ID = nil, requestIDHeader, id
+	return call
 }
 
-func body(id string) string { return `{"id":"` + id + `"}` }
+func bodyFraming(id string) string { return `{"id":"` + id + `"}` }
 
-func told(id string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", idName, id, len(body(id)), body(id))
+func responseTo(id string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", requestIDHeader, id, len(bodyFraming(id)), bodyFraming(id))
 }
 
-// each serves every request of a connection with what say makes of its id.
-func each(say func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
+// respondEach serves every request of a connection with what say makes of its id.
+func respondEach(say func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
 	return func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
 			_, _ = c.Write([]byte(say(id)))
@@ -77,9 +77,9 @@
 // Whatever an endpoint says unasked, doubled, too early or with a wrong end, a caller
 // gets the return to its own request or none, and so does whoever comes next. Each case
 // is played over connections of their own and over kept ones.
-func TestOnlyTheOwnReturnReachesACaller(t *testing.T) {
+func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
 	const all, none, some = "all", "none", "some"
-	bare := func(id string) string { return strings.Replace(told(id), idName, "X-Other", 1) }
+	bare := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
 	early := func(first string, then func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
 		return func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
 			for {
@@ -104,79 +104,83 @@
 		good  string
 		large int
 	}{
-		"well":                           {each(told), all, 0},
-		"a second return with the first": {each(func(id string) string { return told(id) + told("other") }), all, 0},
-		"a doubled return":               {each(func(id string) string { return told(id) + told(id) }), all, 0},
-		"another's return with the own":  {each(func(id string) string { return told("other") + told(id) }), all, 0},
+		"well":                           {respondEach(responseTo), all, 0},
+		"a second return with the first": {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), all, 0},
+		"a doubled return":               {respondEach(func(id string) string { return responseTo(id) + responseTo(id) }), all, 0},
+		"another's return with the own":  {respondEach(func(id string) string { return responseTo("other") + responseTo(id) }), all, 0},
 		"another's return alone": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			if _, ok := next(); ok {
-				_, _ = c.Write([]byte(told("other")))
+				_, _ = c.Write([]byte(responseTo("other")))
 			}
 		}, none, 0},
-		"no id":                           {each(bare), none, 0},
-		"no id, then the own":             {each(func(id string) string { return bare(id) + told(id) }), none, 0},
-		"an empty id, then the own":       {each(func(id string) string { return told("") + told(id) }), none, 0},
-		"two ids":                         {each(func(id string) string { return strings.Replace(told(id), idName, idName+": other\r\n"+idName, 1) }), none, 0},
-		"two ids, the own first":          {each(func(id string) string { return strings.Replace(told("other"), idName, idName+": "+id+"\r\n"+idName, 1) }), none, 0},
-		"a few of others, then the own":   {each(func(id string) string { return strings.Repeat(told("other"), 4) + told(id) }), all, 0},
-		"a flood of others, then the own": {each(func(id string) string { return strings.Repeat(told("other"), 5) + told(id) }), none, 0},
-		"another's without an end, the own": {each(func(id string) string {
-			return strings.Replace(told("other"), "Content-Length", "X-Length", 1) + told(id)
+		"no id":                     {respondEach(bare), none, 0},
+		"no id, then the own":       {respondEach(func(id string) string { return bare(id) + responseTo(id) }), none, 0},
+		"an empty id, then the own": {respondEach(func(id string) string { return responseTo("") + responseTo(id) }), none, 0},
+		"two ids": {respondEach(func(id string) string {
+			return strings.Replace(responseTo(id), requestIDHeader, requestIDHeader+": other\r\n"+requestIDHeader, 1)
+		}), none, 0},
+		"two ids, the own first": {respondEach(func(id string) string {
+			return strings.Replace(responseTo("other"), requestIDHeader, requestIDHeader+": "+id+"\r\n"+requestIDHeader, 1)
+		}), none, 0},
+		"a few of others, then the own":   {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 4) + responseTo(id) }), all, 0},
+		"a flood of others, then the own": {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 5) + responseTo(id) }), none, 0},
+		"another's without an end, the own": {respondEach(func(id string) string {
+			return strings.Replace(responseTo("other"), "Content-Length", "X-Length", 1) + responseTo(id)
 		}), none, 0},
 		"a second return a little later": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			for id, ok := next(); ok; id, ok = next() {
-				_, _ = c.Write([]byte(told(id)))
-				_, _ = c.Write([]byte(told("other")))
+				_, _ = c.Write([]byte(responseTo(id)))
+				_, _ = c.Write([]byte(responseTo("other")))
 			}
 		}, some, 0},
 		"a return before any request": {func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
-			_, _ = c.Write([]byte(told("other")))
-			each(told)(c, r, next)
+			_, _ = c.Write([]byte(responseTo("other")))
+			respondEach(responseTo)(c, r, next)
 		}, some, 0},
-		"a return before the request is whole":               {early(told("other"), nothing), none, 1 << 20},
-		"a return before the request is whole, then the own": {early(told("other"), told), all, 1 << 20},
-		"no id before the request is whole, then the own":    {early(bare("other"), told), none, 1 << 20},
-		"a length below the body's": {each(func(id string) string {
-			return strings.Replace(told(id), "application/json", "text/plain", 1) + "more"
+		"a return before the request is whole":               {early(responseTo("other"), nothing), none, 1 << 20},
+		"a return before the request is whole, then the own": {early(responseTo("other"), responseTo), all, 1 << 20},
+		"no id before the request is whole, then the own":    {early(bare("other"), responseTo), none, 1 << 20},
+		"a length below the body's": {respondEach(func(id string) string {
+			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), all, 0},
 		"a length above the body's": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			id, _ := next()
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + idName + ": " + id + "\r\nContent-Type: text/plain\r\nContent-Length: 90\r\n\r\nhalf"))
+			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + requestIDHeader + ": " + id + "\r\nContent-Type: text/plain\r\nContent-Length: 90\r\n\r\nhalf"))
 		}, none, 0},
-		"two lengths": {each(func(id string) string {
-			return strings.Replace(told(id), "Content-Length", "Content-Length: 3\r\nContent-Length", 1)
+		"two lengths": {respondEach(func(id string) string {
+			return strings.Replace(responseTo(id), "Content-Length", "Content-Length: 3\r\nContent-Length", 1)
 		}), none, 0},
-		"a length and chunks": {each(func(id string) string {
-			return "HTTP/1.1 200 OK\r\n" + idName + ": " + id + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
+		"a length and chunks": {respondEach(func(id string) string {
+			return "HTTP/1.1 200 OK\r\n" + requestIDHeader + ": " + id + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 		}), none, 0},
-		"a flood of 1xx": {each(func(id string) string { return strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 500) + told(id) }), none, 0},
-		"a few 1xx":      {each(func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + told(id) }), all, 0},
+		"a flood of 1xx": {respondEach(func(id string) string { return strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 500) + responseTo(id) }), none, 0},
+		"a few 1xx":      {respondEach(func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + responseTo(id) }), all, 0},
 		"a reset between header and body": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			id, _ := next()
-			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + idName + ": " + id + "\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\n"))
+			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + requestIDHeader + ": " + id + "\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\n"))
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, none, 0},
 	} {
 		for _, fresh := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, "/fresh ", fresh), func(t *testing.T) {
 				good := 0
-				p := exchange.New("", patient)
-				addr := played(t, c.play)
+				pool := exchange.New("", patientSettings)
+				addr := serveConns(t, c.play)
 				for n := range 30 {
 					id := fmt.Sprintf("r%d", n)
-					q := asked([]string{"GET", "POST"}[n%2], id)
-					q.Fresh = fresh
+					call := identifiedCall([]string{"GET", "POST"}[n%2], id)
+					call.SingleUse = fresh
 					if c.large > 0 {
-						q.Body = bytes.Repeat([]byte("x"), c.large)
+						call.Body = bytes.Repeat([]byte("x"), c.large)
 					}
-					ret, sent, d := do(t, p, addr, q)
-					if d == nil {
+					response, sent, fail := doCall(t, pool, addr, call)
+					if fail == nil {
 						good++
-						must.Eq(t, body(id), string(ret.Body))
+						must.Eq(t, bodyFraming(id), string(response.Body))
 						continue
 					}
-					must.Nil(t, ret)
-					must.Eq(t, sent, d.Outcome == failure.OutcomeUnknown)
+					must.Nil(t, response)
+					must.Eq(t, sent, fail.Outcome == failure.OutcomeUnknown)
 				}
 				must.True(t, c.good == some || c.good == all && good == 30 || c.good == none && good == 0, must.Sprintf("%d of 30 came through", good))
 			})
@@ -186,37 +190,37 @@
 
 // Without an id only the connection tells whose a return is: what follows it in one
 // piece, or stands there before the last byte of a long request left, makes it none.
-func TestWithoutAnIdOnlyALonelyReturnPasses(t *testing.T) {
+func TestWithoutAnIDOnlyASingleResponsePasses(t *testing.T) {
 	for name, c := range map[string]struct {
 		play  func(net.Conn, *bufio.Reader, func() (string, bool))
 		large int
 	}{
-		"a second return with the first": {each(func(id string) string { return told(id) + told("other") }), 0},
-		"a length below the body's": {each(func(id string) string {
-			return strings.Replace(told(id), "application/json", "text/plain", 1) + "more"
+		"a second return with the first": {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), 0},
+		"a length below the body's": {respondEach(func(id string) string {
+			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), 0},
 		// The buffers between hold less than the request: its last byte can't leave before
 		// the other end, which has spoken by then, reads on.
 		"a return before the request is whole": {func(c net.Conn, _ *bufio.Reader, _ func() (string, bool)) {
 			_ = c.(*net.TCPConn).SetReadBuffer(256 << 10)
 			_, _ = c.Read(make([]byte, 1))
-			_, _ = c.Write([]byte(told("other")))
+			_, _ = c.Write([]byte(responseTo("other")))
 			_, _ = io.Copy(io.Discard, c)
 		}, 16 << 20},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := played(t, c.play)
-			p := exchange.New("", patient)
+			addr := serveConns(t, c.play)
+			pool := exchange.New("", patientSettings)
 			for n := range 3 {
-				q := call("POST")
-				q.Fresh, q.Header = true, http.Header{idName: {fmt.Sprintf("r%d", n)}}
+				call := newCall("POST")
+				call.SingleUse, call.Header = true, http.Header{requestIDHeader: {fmt.Sprintf("r%d", n)}}
 				if c.large > 0 {
-					q.Body = bytes.Repeat([]byte("x"), c.large)
+					call.Body = bytes.Repeat([]byte("x"), c.large)
 				}
-				ret, sent, d := do(t, p, addr, q)
-				must.Nil(t, ret)
+				response, sent, fail := doCall(t, pool, addr, call)
+				must.Nil(t, response)
 				must.True(t, sent)
-				must.Eq(t, failure.BadResponse, d.Kind)
+				must.Eq(t, failure.BadResponse, fail.Kind)
 			}
 		})
 	}
@@ -224,53 +228,53 @@
 
 // On kept connections without ids the second return does reach the next caller: what the
 // test above looks for can happen.
-func TestKeptConnectionsWouldMixReturns(t *testing.T) {
+func TestReusedConnectionsWouldMixResponses(t *testing.T) {
 	step := make(chan struct{})
-	addr := played(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
+	addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
-			_, _ = c.Write([]byte(told(id)))
+			_, _ = c.Write([]byte(responseTo(id)))
 			id, ok = next() // the next request is here: the unasked return comes first
 			if !ok {
 				return
 			}
-			_, _ = c.Write([]byte(told("other") + told(id)))
+			_, _ = c.Write([]byte(responseTo("other") + responseTo(id)))
 			close(step)
 		}
 	})
-	p := exchange.New("")
+	pool := exchange.New("")
 	for n, want := range []string{"r0", "other"} {
-		q := call("GET")
-		q.Header = http.Header{"X-Request-Id": {fmt.Sprintf("r%d", n)}}
-		ret, _, d := do(t, p, addr, q)
-		must.Nil(t, d)
-		must.Eq(t, body(want), string(ret.Body))
+		call := newCall("GET")
+		call.Header = http.Header{"X-Request-Id": {fmt.Sprintf("r%d", n)}}
+		response, _, fail := doCall(t, pool, addr, call)
+		must.Nil(t, fail)
+		must.Eq(t, bodyFraming(want), string(response.Body))
 	}
 	<-step
 }
 
 // A return that comes after the limit reaches nobody: neither who gave up nor who comes
 // next. The request may still be run by an endpoint that was hung, so its fate is unknown.
-func TestLateReturnReachesNobody(t *testing.T) {
+func TestLateResponseReachesNobody(t *testing.T) {
 	wake := make(chan struct{})
-	addr := played(t, func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
+	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
 		<-wake
-		each(told)(c, r, next)
+		respondEach(responseTo)(c, r, next)
 	})
-	p := exchange.New("")
-	q := call("POST")
-	q.Fresh, q.Header = true, http.Header{"X-Request-Id": {"late"}}
+	pool := exchange.New("")
+	call := newCall("POST")
+	call.SingleUse, call.Header = true, http.Header{"X-Request-Id": {"late"}}
 	ctx, stop := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer stop()
-	ret, sent, d := p.Do(ctx, addr, q)
-	must.Nil(t, ret)
+	response, sent, fail := pool.Do(ctx, addr, call)
+	must.Nil(t, response)
 	must.True(t, sent)
-	must.Eq(t, failure.DeadlineExceeded, d.Kind)
-	must.Eq(t, failure.OutcomeUnknown, d.Outcome)
+	must.Eq(t, failure.DeadlineExceeded, fail.Kind)
+	must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 	close(wake)
 	for _, id := range []string{"a", "b", "c"} {
-		q.Header = http.Header{"X-Request-Id": {id}}
-		ret, _, d := do(t, p, addr, q)
-		must.Nil(t, d)
-		must.Eq(t, body(id), string(ret.Body))
+		call.Header = http.Header{"X-Request-Id": {id}}
+		response, _, fail := doCall(t, pool, addr, call)
+		must.Nil(t, fail)
+		must.Eq(t, bodyFraming(id), string(response.Body))
 	}
 }
--- a/wire/exchange/write.go
+++ b/wire/exchange/write.go
@@ -10,24 +10,24 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// writing is a request as it goes out. Invariant: body is either empty, then head holds
+// encodedRequest is a request as it goes out. Invariant: body is either empty, then head holds
 // all, or the call's own bytes, which are not copied.
-type writing struct {
+type encodedRequest struct {
 	head []byte
 	body []byte
 }
 
-var writes = sync.Pool{New: func() any { return &writing{head: make([]byte, 0, 2<<10)} }}
+var encodedRequests = sync.Pool{New: func() any { return &encodedRequest{head: make([]byte, 0, 2<<10)} }}
 
-func (w *writing) done() {
-	w.body = nil
-	if cap(w.head) <= 4*oneWrite {
-		writes.Put(w)
+func (r *encodedRequest) recycle() {
+	r.body = nil
+	if cap(r.head) <= 4*singleWriteMax {
+		encodedRequests.Put(r)
 	}
 }
 
-// Hop tells whether a header, by its canonical name, belongs to one connection only.
-func Hop(name string) bool {
+// IsHopByHop tells whether a header, by its canonical name, belongs to one connection only.
+func IsHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Expect", "Content-Length":
@@ -36,41 +36,41 @@
 	return false
 }
 
-// fill puts the target on the wire as it came.
-func (w *writing) fill(call *Call) *failure.Error {
-	if !token(call.Method) || !visible(call.Target) || !visible(call.Host) {
+// encode puts the target on the wire as it came.
+func (r *encodedRequest) encode(call *Call) *failure.Error {
+	if !isToken(call.Method) || !isVisible(call.Target) || !isVisible(call.Host) {
 		return failure.New(failure.Malformed, "the method, target or host can't be sent")
 	}
-	b := w.head[:0]
+	b := r.head[:0]
 	b = append(b, call.Method...)
 	b = append(b, ' ')
 	b = append(b, call.Target...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, call.Host...)
 	b = append(b, '\r', '\n')
-	ok := true
-	put := func(name, value string) {
-		ok = ok && token(name) && text(value)
+	valid := true
+	appendField := func(name, value string) {
+		valid = valid && isToken(name) && isFieldValue(value)
 		b = append(b, name...)
 		b = append(b, ':', ' ')
 		b = append(b, value...)
 		b = append(b, '\r', '\n')
 	}
-	if call.IdHeader != "" {
-		put(call.IdHeader, call.Id)
+	if call.IDHeader != "" {
+		appendField(call.IDHeader, call.ID)
 	}
-	for _, f := range call.Set {
-		if f.Value != "" {
-			put(f.Name, f.Value)
+	for _, field := range call.HeaderOverrides {
+		if field.Value != "" {
+			appendField(field.Name, field.Value)
 		}
 	}
-	named := call.Header["Connection"]
-	for name, list := range call.Header {
-		if Hop(textproto.CanonicalMIMEHeaderKey(name)) || alike(name, "Host") || call.sets(name) || named != nil && listed(named, name) {
+	connectionFields := call.Header["Connection"]
+	for name, values := range call.Header {
+		if IsHopByHop(textproto.CanonicalMIMEHeaderKey(name)) || equalNames(name, "Host") || call.overrides(name) || connectionFields != nil && listContains(connectionFields, name) {
 			continue
 		}
-		for _, value := range list {
-			put(name, value)
+		for _, value := range values {
+			appendField(name, value)
 		}
 	}
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut || call.Method == http.MethodPatch {
@@ -78,46 +78,46 @@
 		b = strconv.AppendInt(b, int64(len(call.Body)), 10)
 		b = append(b, '\r', '\n')
 	}
-	if call.Expect && len(call.Body) > oneWrite {
+	if call.ExpectContinue && len(call.Body) > singleWriteMax {
 		b = append(b, "Expect: 100-continue\r\n"...)
 	}
-	if call.Fresh {
+	if call.SingleUse {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, '\r', '\n')
-	w.body = nil
-	if len(call.Body) <= oneWrite {
+	r.body = nil
+	if len(call.Body) <= singleWriteMax {
 		b = append(b, call.Body...)
 	} else {
-		w.body = call.Body
+		r.body = call.Body
 	}
-	w.head = b
-	if !ok {
+	r.head = b
+	if !valid {
 		return failure.New(failure.Malformed, "a header can't be sent")
 	}
 	return nil
 }
 
-// sets tells whether the call itself sets a header.
-func (c *Call) sets(name string) bool {
-	if c.IdHeader != "" && alike(c.IdHeader, name) {
+// overrides tells whether the call itself sets a header.
+func (c *Call) overrides(name string) bool {
+	if c.IDHeader != "" && equalNames(c.IDHeader, name) {
 		return true
 	}
-	for _, f := range c.Set {
-		if alike(f.Name, name) {
+	for _, field := range c.HeaderOverrides {
+		if equalNames(field.Name, name) {
 			return true
 		}
 	}
 	return false
 }
 
-func alike(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
+func equalNames(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
 
-// listed tells whether a name is among the comma-separated ones of some fields.
-func listed(fields []string, name string) bool {
+// listContains tells whether a name is among the comma-separated ones of some fields.
+func listContains(fields []string, name string) bool {
 	for _, field := range fields {
-		for one := range strings.SplitSeq(field, ",") {
-			if alike(textproto.TrimString(one), name) {
+		for item := range strings.SplitSeq(field, ",") {
+			if equalNames(textproto.TrimString(item), name) {
 				return true
 			}
 		}
@@ -125,25 +125,25 @@
 	return false
 }
 
-// names holds the bytes that a header name or a method may have.
-var names = func() (t [256]bool) {
+// tokenBytes holds the bytes that a header name or a method may have.
+var tokenBytes = func() (table [256]bool) {
 	for _, b := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
-		t[b] = true
+		table[b] = true
 	}
-	return t
+	return table
 }()
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for n := range len(s) {
-		if !names[s[n]] {
+		if !tokenBytes[s[n]] {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// visible tells whether a text holds neither space nor control bytes.
-func visible(s string) bool {
+// isVisible tells whether a text holds neither space nor control bytes.
+func isVisible(s string) bool {
 	for n := range len(s) {
 		if s[n] <= ' ' || s[n] == 0x7f {
 			return false
@@ -152,8 +152,8 @@
 	return s != ""
 }
 
-// text tells whether a header's value holds no control bytes but tabs.
-func text(s string) bool {
+// isFieldValue tells whether a header's value holds no control bytes but tabs.
+func isFieldValue(s string) bool {
 	for n := range len(s) {
 		if s[n] < ' ' && s[n] != '\t' || s[n] == 0x7f {
 			return false
--- a/wire/response/reply.go
+++ b/wire/response/reply.go
@@ -11,74 +11,74 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// FateHeader says outside whether the thing asked for took effect.
-const FateHeader = "X-Cottonarch-Fate"
+// OutcomeHeader says outside whether the thing asked for took effect.
+const OutcomeHeader = "X-Cottonarch-Fate"
 
-// JSON writes a value.
-func JSON(w http.ResponseWriter, code int, v any) {
-	data, err := json.Marshal(v)
+// WriteJSON writes a value.
+func WriteJSON(w http.ResponseWriter, status int, value any) {
+	data, err := json.Marshal(value)
 	if err != nil {
-		Defect(w, failure.New(failure.Internal, "encode: %v", err))
+		WriteError(w, failure.New(failure.Internal, "encode: %v", err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	w.WriteHeader(code)
+	w.WriteHeader(status)
 	_, _ = w.Write(data)
 }
 
-// Defect writes a failure with its status, its fate and when to come back.
-func Defect(w http.ResponseWriter, d *failure.Error) {
-	if d.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(d.RetryAfter))))
+// WriteError writes a failure with its status, its fate and when to come back.
+func WriteError(w http.ResponseWriter, fail *failure.Error) {
+	if fail.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(fail.RetryAfter))))
 	}
-	w.Header().Set(FateHeader, string(d.Outcome))
-	JSON(w, d.Status(), d)
+	w.Header().Set(OutcomeHeader, string(fail.Outcome))
+	WriteJSON(w, fail.Status(), fail)
 }
 
-// Fine is Defect on a surface whose callers read fractions of a second in Retry-After and
+// WriteErrorFractional is Defect on a surface whose callers read fractions of a second in Retry-After and
 // take a 503 for a promise. Invariant: a failure of fate no leaves with a 4xx or 503, any
 // other never with 503.
-func Fine(w http.ResponseWriter, d *failure.Error) {
-	if d.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(d.RetryAfter, 'f', -1, 64))
+func WriteErrorFractional(w http.ResponseWriter, fail *failure.Error) {
+	if fail.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(fail.RetryAfter, 'f', -1, 64))
 	}
-	w.Header().Set(FateHeader, string(d.Outcome))
-	code := d.Status()
+	w.Header().Set(OutcomeHeader, string(fail.Outcome))
+	status := fail.Status()
 	switch {
-	case d.Outcome == failure.NotExecuted && code >= http.StatusInternalServerError:
-		code = http.StatusServiceUnavailable
-	case d.Outcome != failure.NotExecuted && code == http.StatusServiceUnavailable:
-		code = http.StatusBadGateway
+	case fail.Outcome == failure.NotExecuted && status >= http.StatusInternalServerError:
+		status = http.StatusServiceUnavailable
+	case fail.Outcome != failure.NotExecuted && status == http.StatusServiceUnavailable:
+		status = http.StatusBadGateway
 	}
-	JSON(w, code, d)
+	WriteJSON(w, status, fail)
 }
 
-// Read reads a whole body of at most most bytes.
-func Read(r *http.Request, most int64) ([]byte, *failure.Error) {
+// ReadBody reads a whole body of at most most bytes.
+func ReadBody(r *http.Request, limit int64) ([]byte, *failure.Error) {
 	if r.Body == nil {
 		return nil, nil
 	}
-	if r.ContentLength > most {
-		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", most)
+	if r.ContentLength > limit {
+		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", limit)
 	}
-	data, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, failure.New(failure.Malformed, "the body broke off: %v", err)
 	}
-	if int64(len(data)) > most {
-		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", most)
+	if int64(len(data)) > limit {
+		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", limit)
 	}
 	return data, nil
 }
 
-// Decode reads a JSON body strictly.
-func Decode(r *http.Request, most int64, into any) *failure.Error {
-	data, d := Read(r, most)
-	if d != nil {
-		return d
+// DecodeBody reads a JSON body strictly.
+func DecodeBody(r *http.Request, limit int64, target any) *failure.Error {
+	data, fail := ReadBody(r, limit)
+	if fail != nil {
+		return fail
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, target); err != nil {
 		return failure.New(failure.Malformed, "%v", err)
 	}
 	return nil
--- a/wire/server/listen.go
+++ b/wire/server/listen.go
@@ -22,21 +22,23 @@
 // Option changes how a server takes connections.
 type Option func(*listener)
 
-// Silence has a connection given up once its other end is gone without a word for span:
+// DeadPeerTimeout has a connection given up once its other end is gone without a word for span:
 // sent bytes unacknowledged, or probes unanswered. Probes go by whole seconds.
-func Silence(span time.Duration) Option { return func(l *listener) { l.silence = span } }
+func DeadPeerTimeout(timeout time.Duration) Option {
+	return func(l *listener) { l.deadPeerTimeout = timeout }
+}
 
-// Deaf leaves out net/http's listening for the close of a connection while its request is
+// WithoutCloseDetection leaves out net/http's listening for the close of a connection while its request is
 // served: that takes a goroutine, a timer and a read a request. Such a request's context
 // does not end when its caller goes away.
-func Deaf() Option { return func(l *listener) { l.deaf = true } }
+func WithoutCloseDetection() Option { return func(l *listener) { l.withoutCloseDetection = true } }
 
 // listener begins to listen when it is first used, as kratos' own does.
 type listener struct {
-	addr    ident.Addr
-	silence time.Duration
-	deaf    bool
-	once    sync.Once
+	addr                  ident.Addr
+	deadPeerTimeout       time.Duration
+	withoutCloseDetection bool
+	once                  sync.Once
 	*net.TCPListener
 	err error
 
@@ -47,18 +49,18 @@
 
 func (l *listener) open() error {
 	l.once.Do(func() {
-		conf := net.ListenConfig{}
-		if l.silence > 0 {
+		config := net.ListenConfig{}
+		if l.deadPeerTimeout > 0 {
 			// What is accepted has this from the listening socket.
-			conf.KeepAlive = -1
-			conf.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.silence) }
+			config.KeepAlive = -1
+			config.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.deadPeerTimeout) }
 		}
-		open, err := conf.Listen(context.Background(), "tcp", string(l.addr))
+		opened, err := config.Listen(context.Background(), "tcp", string(l.addr))
 		if err != nil {
 			l.err = err
 			return
 		}
-		l.TCPListener = open.(*net.TCPListener)
+		l.TCPListener = opened.(*net.TCPListener)
 	})
 	return l.err
 }
@@ -89,8 +91,8 @@
 		return nil, err
 	}
 	c := &conn{TCPConn: tcp, source: tcp, accepted: time.Now()}
-	if l.deaf {
-		c.source = &deaf{TCPConn: tcp}
+	if l.withoutCloseDetection {
+		c.source = &noCloseDetection{TCPConn: tcp}
 	}
 	return c, nil
 }
@@ -102,7 +104,7 @@
 			return c, err
 		}
 	}
-	if time.Now().After(l.acceptUntil) || !l.waits() {
+	if time.Now().After(l.acceptUntil) || !l.pending() {
 		return nil, http.ErrServerClosed
 	}
 	c, err := l.AcceptTCP()
@@ -119,8 +121,8 @@
 	return !l.acceptUntil.IsZero()
 }
 
-// waits tells whether a connection waits to be accepted.
-func (l *listener) waits() bool {
+// pending tells whether a connection waits to be accepted.
+func (l *listener) pending() bool {
 	_ = l.SetDeadline(l.acceptUntil.Add(acceptGrace))
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -133,26 +135,26 @@
 	return err == nil && ready > 0
 }
 
-// deaf is a connection that does not listen while its request is served. net/http listens
+// noCloseDetection is a connection that does not listen while its request is served. net/http listens
 // by reading into a single byte of its own, apart from the buffer into which it reads
 // requests; a read of no bytes ends that at once, and harms nothing.
 //
 // Invariant: end is where what was read into before ended. The rest of a buffer, when it
 // is a single byte, ends there too, and is read; net/http's own byte, which lives as long
 // as the connection, never does.
-type deaf struct {
+type noCloseDetection struct {
 	*net.TCPConn
-	end uintptr
+	lastEnd uintptr
 }
 
-func (d *deaf) Read(into []byte) (int, error) {
-	if len(into) == 0 {
+func (c *noCloseDetection) Read(buffer []byte) (int, error) {
+	if len(buffer) == 0 {
 		return 0, nil
 	}
-	end := uintptr(unsafe.Pointer(&into[len(into)-1]))
-	if len(into) == 1 && end != d.end {
+	end := uintptr(unsafe.Pointer(&buffer[len(buffer)-1]))
+	if len(buffer) == 1 && end != c.lastEnd {
 		return 0, nil
 	}
-	d.end = end
-	return d.TCPConn.Read(into)
+	c.lastEnd = end
+	return c.TCPConn.Read(buffer)
 }
--- a/wire/server/listen_test.go
+++ b/wire/server/listen_test.go
@@ -21,57 +21,57 @@
 // A deaf server reads every request as it came, wherever the reads fall: heads of all
 // lengths around net/http's buffer and its double, bodies of all small ones, the last
 // byte of a buffer on its own, several requests in one piece.
-func TestDeafServerReadsAll(t *testing.T) {
-	s := served(t, func(w http.ResponseWriter, r *http.Request) bool {
+func TestServerWithoutCloseDetectionReadsAll(t *testing.T) {
+	addr := startServer(t, func(w http.ResponseWriter, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
 		_, _ = fmt.Fprint(w, len(r.Header.Get("X-Pad")), " ", len(body), " ", err)
 		return true
-	}, server.Deaf())
-	c, err := net.Dial("tcp", s)
+	}, server.WithoutCloseDetection())
+	c, err := net.Dial("tcp", addr)
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, c.SetDeadline(time.Now().Add(time.Minute)))
 	in := bufio.NewReader(c)
-	heard := func(pad, size int) {
+	mustRespond := func(pad, size int) {
 		res, err := http.ReadResponse(in, nil)
 		must.NoError(t, err)
-		said, err := io.ReadAll(res.Body)
+		text, err := io.ReadAll(res.Body)
 		must.NoError(t, err)
-		must.Eq(t, fmt.Sprint(pad, " ", size, " ", error(nil)), string(said))
+		must.Eq(t, fmt.Sprint(pad, " ", size, " ", error(nil)), string(text))
 	}
-	req := func(pad, size int) string {
+	request := func(pad, size int) string {
 		return fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nX-Pad: %s\r\nContent-Length: %d\r\n\r\n%s", strings.Repeat("p", pad), size, strings.Repeat("b", size))
 	}
-	head := len(req(0, 0))
+	head := len(request(0, 0))
 	for _, edge := range []int{4096, 8192} {
 		for pad := edge - head - 3; pad <= edge-head+3; pad++ {
 			for size := range 3 {
-				all := req(pad, size)
+				requestBytes := request(pad, size)
 				// First up to one byte before the edge, so that a buffer's rest is one byte.
-				for _, cut := range []int{len(all), edge - 1, edge, len(all) - 1} {
-					cut = min(cut, len(all))
-					_, _ = io.WriteString(c, all[:cut])
-					_, _ = io.WriteString(c, all[cut:])
-					heard(pad, size)
+				for _, cut := range []int{len(requestBytes), edge - 1, edge, len(requestBytes) - 1} {
+					cut = min(cut, len(requestBytes))
+					_, _ = io.WriteString(c, requestBytes[:cut])
+					_, _ = io.WriteString(c, requestBytes[cut:])
+					mustRespond(pad, size)
 				}
 			}
 		}
 	}
-	_, _ = io.WriteString(c, req(1, 0)+req(2, 1)+req(3, 5000))
-	heard(1, 0)
-	heard(2, 1)
-	heard(3, 5000)
-	all := req(40, 40)
-	for n := range len(all) {
-		_, _ = io.WriteString(c, all[n:n+1])
+	_, _ = io.WriteString(c, request(1, 0)+request(2, 1)+request(3, 5000))
+	mustRespond(1, 0)
+	mustRespond(2, 1)
+	mustRespond(3, 5000)
+	requestBytes := request(40, 40)
+	for n := range len(requestBytes) {
+		_, _ = io.WriteString(c, requestBytes[n:n+1])
 	}
-	heard(40, 40)
+	mustRespond(40, 40)
 }
 
 // What is accepted notices silence, as the listening socket was told to.
-func TestSilenceIsInherited(t *testing.T) {
+func TestDeadPeerTimeoutIsInherited(t *testing.T) {
 	got := make(chan int, 3)
-	s := server.New("127.0.0.1:0", func(http.ResponseWriter, *http.Request) bool { return true }, server.Silence(6*time.Second))
+	s := server.New("127.0.0.1:0", func(http.ResponseWriter, *http.Request) bool { return true }, server.DeadPeerTimeout(6*time.Second))
 	s.ConnState = func(c net.Conn, to http.ConnState) {
 		if to != http.StateNew {
 			return
@@ -85,11 +85,11 @@
 			}
 		}))
 	}
-	at, err := s.Endpoint()
+	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
 	go func() { _ = s.Start(context.Background()) }()
 	defer func() { _ = s.Stop(context.Background()) }()
-	c, err := net.Dial("tcp", at.Host)
+	c, err := net.Dial("tcp", endpoint.Host)
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.Eq(t, 6000, <-got)
@@ -98,10 +98,10 @@
 }
 
 // A server whose address is taken says so when it starts.
-func TestTakenAddressIsTold(t *testing.T) {
+func TestTakenAddressIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	s := server.New(ident.Addr(l.Addr().String()), nil, server.Deaf())
+	s := server.New(ident.Addr(l.Addr().String()), nil, server.WithoutCloseDetection())
 	must.ErrorContains(t, s.Start(context.Background()), "address already in use")
 }
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -21,9 +21,9 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// headMost is the largest head that is read at all, in bytes; what a manifest allows is
+// maxHeaderBytes is the largest head that is read at all, in bytes; what a manifest allows is
 // below it.
-const headMost = 256 << 10
+const maxHeaderBytes = 256 << 10
 
 // readHeaderTimeout bounds the reading of a request's head.
 const readHeaderTimeout = 10 * time.Second
@@ -34,7 +34,7 @@
 type Server struct {
 	*kratosServer
 	listener *listener
-	conns    *conns
+	conns    *connTracker
 	stopping atomic.Bool
 	started  chan struct{} // closed when Start begins to accept
 	served   chan struct{} // closed when Start has returned
@@ -43,34 +43,34 @@
 // New makes a server. kratos' own limit of one second is switched off: requests
 // carry their own. front, when given, sees every request before the table of paths
 // and before any path is cleaned, and answers true when it has served it.
-func New(addr ident.Addr, front func(http.ResponseWriter, *http.Request) bool, with ...Option) *Server {
-	s := &Server{listener: &listener{addr: addr}, conns: newConns(), started: make(chan struct{}), served: make(chan struct{})}
-	for _, o := range with {
-		o(s.listener)
+func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
+	s := &Server{listener: &listener{addr: addr}, conns: newConnTracker(), started: make(chan struct{}), served: make(chan struct{})}
+	for _, option := range options {
+		option(s.listener)
 	}
-	opts := []khttp.ServerOption{
+	kratosOptions := []khttp.ServerOption{
 		khttp.Listener(s.listener),
 		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 		})),
 	}
-	filters := []khttp.FilterFunc{s.closing}
-	if front != nil {
+	filters := []khttp.FilterFunc{s.closeWhileStopping}
+	if intercept != nil {
 		filters = append(filters, func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !front(w, r) {
+				if !intercept(w, r) {
 					next.ServeHTTP(w, r)
 				}
 			})
 		})
 	}
-	opts = append(opts, khttp.Filter(filters...))
-	s.kratosServer = khttp.NewServer(opts...)
-	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, 90*time.Second, headMost
+	kratosOptions = append(kratosOptions, khttp.Filter(filters...))
+	s.kratosServer = khttp.NewServer(kratosOptions...)
+	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, 90*time.Second, maxHeaderBytes
 	return s
 }
 
@@ -91,7 +91,7 @@
 		return err
 	}
 	defer close(s.served)
-	s.ConnState = s.conns.follow(s.ConnState)
+	s.ConnState = s.conns.connStateHook(s.ConnState)
 	close(s.started)
 	return s.kratosServer.Start(ctx)
 }
@@ -102,37 +102,37 @@
 // Register puts the table on a server.
 func (p Paths) Register(s *Server) {
 	// Longer paths first: a pattern may cover a shorter one's tail.
-	order := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
+	patterns := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
 		if len(a) != len(b) {
 			return len(b) - len(a)
 		}
 		return strings.Compare(a, b)
 	})
-	for _, path := range order {
+	for _, path := range patterns {
 		methods := p[path]
 		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			serve, ok := methods[r.Method]
+			handler, ok := methods[r.Method]
 			if !ok {
-				response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+				response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 				return
 			}
-			serve(w, r)
+			handler(w, r)
 		})
 	}
 }
 
-type quiet struct{ log *zap.Logger }
+type warningLogger struct{ logger *zap.Logger }
 
-func (q quiet) Log(level log.Level, kv ...any) error {
+func (w warningLogger) Log(level log.Level, keyValues ...any) error {
 	if level >= log.LevelWarn {
-		q.log.Warn("kratos", zap.Any("said", kv))
+		w.logger.Warn("kratos", zap.Any("said", keyValues))
 	}
 	return nil
 }
 
 // Logger gives kratos' lines, from warnings up, to zap.
-func Logger(l *zap.Logger) log.Logger {
-	out := quiet{l}
-	log.SetLogger(out)
-	return out
+func Logger(logger *zap.Logger) log.Logger {
+	adapter := warningLogger{logger}
+	log.SetLogger(adapter)
+	return adapter
 }
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -25,7 +25,7 @@
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	var err error
-	if s.listener.stop() && s.accepts(ctx) {
+	if s.listener.stop() && s.awaitStart(ctx) {
 		err = s.drain(ctx)
 	}
 	if stopErr := s.kratosServer.Stop(ctx); stopErr != nil {
@@ -34,15 +34,15 @@
 	return err
 }
 
-// accepts tells whether Start was called. A listener takes connections from Endpoint on, so
+// awaitStart tells whether Start was called. A listener takes connections from Endpoint on, so
 // a Start that is on its way is waited for.
-func (s *Server) accepts(ctx context.Context) bool {
-	late := time.NewTimer(startGrace)
-	defer late.Stop()
+func (s *Server) awaitStart(ctx context.Context) bool {
+	timeout := time.NewTimer(startGrace)
+	defer timeout.Stop()
 	select {
 	case <-s.started:
 		return true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// closing marks each answer of a server that stops as the last on its connection.
-func (s *Server) closing(next http.Handler) http.Handler {
+// closeWhileStopping marks each answer of a server that stops as the last on its connection.
+func (s *Server) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
 			w.Header().Set("Connection", "close")
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -21,10 +21,10 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
-	at, err := s.Endpoint()
+	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
 	go func() { _ = s.Start(context.Background()) }()
-	c, err := net.Dial("tcp", at.Host)
+	c, err := net.Dial("tcp", endpoint.Host)
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
@@ -34,7 +34,7 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	for { // the stop has begun once nobody is taken any more
-		more, err := net.Dial("tcp", at.Host)
+		more, err := net.Dial("tcp", endpoint.Host)
 		if err != nil {
 			break
 		}
@@ -42,28 +42,28 @@
 	}
 	_, err = io.WriteString(c, "Host: h\r\n\r\n")
 	must.NoError(t, err)
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
-	must.Eq(t, http.StatusServiceUnavailable, answer.StatusCode)
-	_ = answer.Body.Close()
+	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
+	_ = response.Body.Close()
 	must.NoError(t, <-stopped)
 }
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// started runs a server that answers 204.
-func started(t *testing.T, with ...server.Option) (s *server.Server, addr string) {
+// startNoContentServer runs a server that answers 204.
+func startNoContentServer(t *testing.T, options ...server.Option) (s *server.Server, addr string) {
 	s = server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusNoContent)
 		return true
-	}, with...)
-	at, err := s.Endpoint()
+	}, options...)
+	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
 	go func() { _ = s.Start(context.Background()) }()
-	return s, at.Host
+	return s, endpoint.Host
 }
 
-func dialed(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", addr)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -71,31 +71,31 @@
 	return c, bufio.NewReader(c)
 }
 
-// answered reads one answer and tells whether it closes its connection.
-func answered(t *testing.T, from *bufio.Reader) bool {
-	answer, err := http.ReadResponse(from, nil)
+// readResponse reads one answer and tells whether it closes its connection.
+func readResponse(t *testing.T, from *bufio.Reader) bool {
+	response, err := http.ReadResponse(from, nil)
 	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
-	must.Eq(t, http.StatusNoContent, answer.StatusCode)
-	_ = answer.Body.Close()
-	return answer.Close
+	must.Eq(t, http.StatusNoContent, response.StatusCode)
+	_ = response.Body.Close()
+	return response.Close
 }
 
 // Each kind of connection that is open as the server stops: what was begun on it is answered,
 // and it ends with that answer; one that is unused ends without a wait.
 func TestStopEndsEachConnectionInOrder(t *testing.T) {
-	for name, with := range map[string][]server.Option{"plain": nil, "deaf": {server.Deaf(), server.Silence(3 * time.Second)}} {
+	for name, with := range map[string][]server.Option{"plain": nil, "deaf": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}} {
 		t.Run(name, func(t *testing.T) {
-			s, addr := started(t, with...)
-			fresh, fromFresh := dialed(t, addr)
-			idle, fromIdle := dialed(t, addr)
-			begun, fromBegun := dialed(t, addr)
+			s, addr := startNoContentServer(t, with...)
+			fresh, fromFresh := dial(t, addr)
+			idle, fromIdle := dial(t, addr)
+			begun, fromBegun := dial(t, addr)
 			for _, c := range []struct {
 				net.Conn
 				from *bufio.Reader
 			}{{idle, fromIdle}, {begun, fromBegun}} {
 				_, err := io.WriteString(c, request)
 				must.NoError(t, err)
-				must.False(t, answered(t, c.from))
+				must.False(t, readResponse(t, c.from))
 			}
 			_, err := io.WriteString(begun, request[:9])
 			must.NoError(t, err)
@@ -108,10 +108,10 @@
 			must.Less(t, time.Second, time.Since(began))
 			_, err = io.WriteString(begun, request[9:])
 			must.NoError(t, err)
-			must.True(t, answered(t, fromBegun))
+			must.True(t, readResponse(t, fromBegun))
 			_, err = io.WriteString(fresh, request)
 			must.NoError(t, err)
-			must.True(t, answered(t, fromFresh))
+			must.True(t, readResponse(t, fromFresh))
 			must.NoError(t, <-stopped)
 			_, err = net.Dial("tcp", addr)
 			must.Error(t, err)
@@ -125,32 +125,32 @@
 		w.WriteHeader(http.StatusNoContent)
 		return true
 	})
-	at, err := s.Endpoint()
+	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
 	var waiting []*bufio.Reader
 	for range 100 {
-		c, from := dialed(t, at.Host)
+		c, from := dial(t, endpoint.Host)
 		_, err := io.WriteString(c, request)
 		must.NoError(t, err)
 		waiting = append(waiting, from)
 	}
 	go func() { _ = s.Start(context.Background()) }()
-	answered(t, waiting[0])
+	readResponse(t, waiting[0])
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	for _, from := range waiting[1:] {
-		answered(t, from)
+		readResponse(t, from)
 	}
 	must.NoError(t, <-stopped)
 }
 
 // A request that never becomes whole holds up a stop until its context ends, not longer.
 func TestStopIsBoundedByItsContext(t *testing.T) {
-	s, addr := started(t)
-	c, from := dialed(t, addr)
+	s, addr := startNoContentServer(t)
+	c, from := dial(t, addr)
 	_, err := io.WriteString(c, request)
 	must.NoError(t, err)
-	must.False(t, answered(t, from))
+	must.False(t, readResponse(t, from))
 	_, err = io.WriteString(c, request[:9])
 	must.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
