--- a/mesh/endpoint/gate.go
+++ b/mesh/endpoint/tracker.go
@@ -1,5 +1,6 @@
-// Package endpoint is the destination's last word: it says, just before a request goes
-// to an endpoint, whether that endpoint still is the one that was meant.
+// Package endpoint tracks the endpoints of one machine by their heartbeats. Its Tracker derives
+// their health for the registry and checks, just before a request goes to an endpoint, that the
+// endpoint still is the one that was meant: addresses are reused by other servers and services.
 package endpoint
 
 import (
@@ -13,75 +14,44 @@
 )
 
 const (
-	// HeartbeatTimeout is how long an endpoint may go without a beat, and SilentMost how long one
-	// may that beats more slowly than it is asked to. Invariant: with the longest dial
-	// it stays inside the shortest reuseAfterS.
-	HeartbeatTimeout    = 1100 * time.Millisecond
+	// HeartbeatTimeout is how long an endpoint may go without a heartbeat.
+	HeartbeatTimeout = 1100 * time.Millisecond
+	// MaxHeartbeatTimeout is the same for one whose heartbeats come more slowly than it is asked.
+	// Invariant: with the longest dial it stays below the shortest reuseAfterS, the time after
+	// which another server may use the address.
 	MaxHeartbeatTimeout = 1600 * time.Millisecond
-	// HeartbeatInterval is what endpoints are asked to keep to.
+	// HeartbeatInterval is the interval that endpoints are asked to keep.
 	HeartbeatInterval = 300 * time.Millisecond
-	// stallThreshold is how long without a Tick means that this process was held up.
+	// stallThreshold is how long without a Tick means that this process was suspended.
 	stallThreshold = 400 * time.Millisecond
-	// distrustAfterStall is how long after being held up beats are not trusted: they may have lain
-	// in a socket since before the endpoint's end.
-	distrustAfterStall    = 500 * time.Millisecond
-	forgetAfter           = 4 * time.Second
-	signOffRetention      = 3 * time.Second
+	// distrustAfterStall is for how long after a stall heartbeats that say alive are ignored:
+	// they may have lain in a socket since before the endpoint ended.
+	distrustAfterStall = 500 * time.Millisecond
+	// forgetAfter is how long an endpoint without heartbeats is kept as unhealthy.
+	forgetAfter = 4 * time.Second
+	// signOffRetention is for how long a late heartbeat can't bring back a server that has
+	// signed off, or whose address belongs to another.
+	signOffRetention = 3 * time.Second
+	// unhealthyAfterFailure is for how long an endpoint is unhealthy that refused a connection.
 	unhealthyAfterFailure = 700 * time.Millisecond
 )
 
-// State is what a beat says.
-type State string
-
-// The states of a beat.
-const (
-	Alive   State = "alive"
-	Leaving State = "leaving"
-	Gone    State = "gone"
-)
-
-// Heartbeat is an endpoint's report.
-type Heartbeat struct {
-	Server  ident.Server  `json:"serverId"`
-	Service ident.Service `json:"service"`
-	Addr    ident.Addr    `json:"address"`
-	State   State         `json:"state"`
-	Load    float64       `json:"burden"`
-	Weight  uint32        `json:"weight"`
-	// Seq, when given, orders the beats of one server.
-	Seq uint64 `json:"seq"`
-	// Slots is how many requests it works on at once, 0 when it does not say.
-	Slots int `json:"slots,omitempty"`
-	// SlowStartMillis is how much longer it is slow from its start, in milliseconds.
-	SlowStartMillis float64 `json:"coldMs,omitempty"`
-}
-
-type trackedEndpoint struct {
-	Heartbeat
-	lastHeartbeat     monotime.Time
-	meanInterval      time.Duration // between beats, smoothed
-	unhealthyUntil    monotime.Time
-	status            record.Status
-	leaving           bool
-	inFlight          int
-	skipChecks        bool
-	requestedInterval time.Duration // the pace asked for, 0 when it is the gate's own
-}
-
-// Tracker knows the endpoints of one machine. Invariants: an address belongs to one
-// server at a time, the one that beat last; leaving is never taken back; a server
-// that signed off, or whose address has passed on, is not let in again by a late beat.
+// Tracker knows the endpoints of one machine. It reads no clock and does no I/O. Invariants: an
+// address belongs to one server at a time, the one with the newest heartbeat; leaving is never
+// taken back; a server that signed off, or whose address has passed on, is not let in again by a
+// late heartbeat.
 type Tracker struct {
 	endpoints     map[ident.Server]*trackedEndpoint
 	serverByAddr  map[ident.Addr]ident.Server
 	signedOffAt   map[ident.Server]monotime.Time
 	lastTick      monotime.Time
 	distrustUntil monotime.Time
-	stopping      bool // the machine stops: whoever beats now leaves with the rest
-	// Fenced says that an endpoint turns away what names another, so an old beat does no
-	// harm and a process that was held up may go on at once.
+	stopping      bool // the machine stops: an endpoint that comes now leaves with the rest
+	// Fenced says that endpoints reject requests that name another server, so a stale heartbeat
+	// does no harm and a process that was suspended may go on at once.
 	Fenced bool
-	// requestedInterval is how often endpoints beat.
+	// requestedInterval is the heartbeat interval that endpoints are asked for, 0 for
+	// HeartbeatInterval.
 	requestedInterval time.Duration
 	// SkipChecks, when set, switches the checks off; only tests of the checkers do that.
 	SkipChecks bool
@@ -89,89 +59,90 @@
 	Accepted, Rejected, Expired, StaleHeartbeats uint64
 }
 
-// New makes a gate without endpoints.
+// Change is the effect of a step.
+type Change struct {
+	// Updated says that what Workloads lists is different now.
+	Updated bool
+	// CloseAddrs lists the addresses whose open connections must be closed.
+	CloseAddrs []ident.Addr
+}
+
+// New makes a tracker without endpoints.
 func New() *Tracker {
 	return &Tracker{endpoints: map[ident.Server]*trackedEndpoint{}, serverByAddr: map[ident.Addr]ident.Server{}, signedOffAt: map[ident.Server]monotime.Time{}}
 }
 
-// WithHeartbeatInterval sets how often endpoints beat, where they keep a pace of their own.
+// WithHeartbeatInterval sets the heartbeat interval that endpoints are asked for, where it is not
+// HeartbeatInterval; it returns the tracker itself.
 func (t *Tracker) WithHeartbeatInterval(interval time.Duration) *Tracker {
 	t.requestedInterval = interval
 	return t
 }
 
-// Change tells what a step did. Closed lists addresses whose connections must go.
-type Change struct {
-	Updated    bool
-	CloseAddrs []ident.Addr
-}
-
-// heartbeatHandlers is the table of what each state of a beat does.
-var heartbeatHandlers = map[State]func(*Tracker, monotime.Time, Heartbeat) Change{Alive: (*Tracker).handleAlive, Leaving: (*Tracker).handleLeaving, Gone: (*Tracker).handleGone}
-
-// stalled tells whether this process was held up just now, so that what it hears may
-// be old. Invariant: an old beat never makes a server well.
+// stalled tells whether this process was suspended just now, so that what it receives may be old.
+// Invariant: a stale heartbeat never makes a server healthy.
 func (t *Tracker) stalled(now monotime.Time) bool {
 	return !t.Fenced && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
 }
 
-// HandleHeartbeat takes a beat.
+// HandleHeartbeat takes a heartbeat of an endpoint of this machine.
 func (t *Tracker) HandleHeartbeat(now monotime.Time, heartbeat Heartbeat) (Change, *failure.Error) {
-	handle, ok := heartbeatHandlers[heartbeat.State]
-	if t.stalled(now) && heartbeat.State == Alive {
+	if heartbeat.State == Alive && t.stalled(now) {
 		t.StaleHeartbeats++
 		return Change{}, nil
 	}
-	if !ok {
-		return Change{}, failure.New(failure.Invalid, "state must be alive, leaving or gone")
-	}
-	if heartbeat.Server == "" || heartbeat.State != Gone && (heartbeat.Service == "" || heartbeat.Addr == "") {
-		return Change{}, failure.New(failure.Invalid, "a beat needs serverId, service and address")
+	if err := heartbeat.validate(); err != nil {
+		return Change{}, err
 	}
 	if e := t.endpoints[heartbeat.Server]; e != nil && heartbeat.Seq != 0 && heartbeat.Seq <= e.Seq {
 		return Change{}, nil
 	}
-	return handle(t, now, heartbeat), nil
+	switch heartbeat.State {
+	case Leaving:
+		return t.handleLeaving(now, heartbeat), nil
+	case Gone:
+		return t.handleGone(now, heartbeat), nil
+	}
+	return t.handleAlive(now, heartbeat), nil
 }
 
-func (t *Tracker) handleAlive(now monotime.Time, heartbeat Heartbeat) (change Change) {
+func (t *Tracker) handleAlive(now monotime.Time, heartbeat Heartbeat) Change {
 	if signedOffAt, signedOff := t.signedOffAt[heartbeat.Server]; signedOff && now.Since(signedOffAt) < signOffRetention {
-		return change
+		return Change{}
 	}
 	if heartbeat.Weight == 0 {
 		heartbeat.Weight = 1
 	}
-	if previous, ok := t.serverByAddr[heartbeat.Addr]; ok && previous != heartbeat.Server && !t.SkipChecks {
-		// Its address is another's now: a late beat must not bring it back.
-		change = t.remove(previous)
-		t.signedOffAt[previous] = now
-	}
+	change := t.evictFormerServer(now, heartbeat)
 	e := t.endpoints[heartbeat.Server]
 	if e == nil {
 		e = &trackedEndpoint{status: record.Unknown, skipChecks: t.SkipChecks, requestedInterval: t.requestedInterval}
 		t.endpoints[heartbeat.Server] = e
 	} else if e.Addr != heartbeat.Addr {
 		change.CloseAddrs = append(change.CloseAddrs, e.Addr)
-		if t.serverByAddr[e.Addr] == heartbeat.Server {
-			delete(t.serverByAddr, e.Addr)
-		}
+		t.releaseAddr(heartbeat.Server, e.Addr)
 	}
 	t.serverByAddr[heartbeat.Addr] = heartbeat.Server
 	before := *e
-	if e.lastHeartbeat != 0 {
-		e.meanInterval += (min(now.Since(e.lastHeartbeat), MaxHeartbeatTimeout) - e.meanInterval) / 4
-	}
-	e.Heartbeat, e.lastHeartbeat = heartbeat, now
+	e.accept(now, heartbeat)
 	e.leaving = e.leaving || t.stopping
 	e.status = e.statusAt(now)
-	if before.status != e.status || before.Service != heartbeat.Service || before.Addr != heartbeat.Addr || before.Weight != heartbeat.Weight || loadDiffers(before.Load, heartbeat.Load) {
-		change.Updated = true
-	}
+	change.Updated = change.Updated || e.reportDiffers(&before)
 	return change
 }
 
-func loadDiffers(a, b float64) bool { return a-b > 0.1 || b-a > 0.1 }
+// evictFormerServer removes the server that had a heartbeat's address before. It counts as signed
+// off, so that a late heartbeat of its own does not take the address back.
+func (t *Tracker) evictFormerServer(now monotime.Time, heartbeat Heartbeat) Change {
+	former, ok := t.serverByAddr[heartbeat.Addr]
+	if !ok || former == heartbeat.Server || t.SkipChecks {
+		return Change{}
+	}
+	t.signedOffAt[former] = now
+	return t.remove(former)
+}
 
+// handleLeaving marks an endpoint as leaving, also while heartbeats are not trusted.
 func (t *Tracker) handleLeaving(now monotime.Time, heartbeat Heartbeat) Change {
 	var change Change
 	if !t.stalled(now) {
@@ -190,51 +161,54 @@
 
 func (t *Tracker) handleGone(now monotime.Time, heartbeat Heartbeat) Change {
 	t.signedOffAt[heartbeat.Server] = now
-	if t.endpoints[heartbeat.Server] == nil {
-		return Change{}
-	}
 	return t.remove(heartbeat.Server)
 }
 
+// remove forgets an endpoint, if it is known, and has its connections closed.
 func (t *Tracker) remove(server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
 		return Change{}
 	}
 	delete(t.endpoints, server)
-	if t.serverByAddr[e.Addr] == server {
-		delete(t.serverByAddr, e.Addr)
-	}
+	t.releaseAddr(server, e.Addr)
 	return Change{Updated: true, CloseAddrs: []ident.Addr{e.Addr}}
 }
 
-// heartbeatTimeout is how long this endpoint may go without a beat.
-func (e *trackedEndpoint) heartbeatTimeout() time.Duration {
-	if e.requestedInterval > 0 {
-		return e.requestedInterval * 5 / 2
+// releaseAddr frees an address if it still is the server's.
+func (t *Tracker) releaseAddr(server ident.Server, addr ident.Addr) {
+	if t.serverByAddr[addr] == server {
+		delete(t.serverByAddr, addr)
 	}
-	return min(MaxHeartbeatTimeout, max(HeartbeatTimeout, e.meanInterval*9/5))
 }
 
-func (e *trackedEndpoint) statusAt(now monotime.Time) record.Status {
-	switch {
-	case !e.skipChecks && (now.Since(e.lastHeartbeat) > e.heartbeatTimeout() || e.unhealthyUntil.After(now)):
-		return record.Unhealthy
-	case e.leaving:
-		return record.Draining
+// Tick notices stalls of this process and endpoints without heartbeats. It is to be called more
+// often than every stallThreshold.
+func (t *Tracker) Tick(now monotime.Time) Change {
+	if t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold {
+		t.recoverFromStall(now)
+	}
+	t.lastTick = now
+	change := t.refreshStatuses(now)
+	for server, signedOffAt := range t.signedOffAt {
+		if now.Since(signedOffAt) > signOffRetention {
+			delete(t.signedOffAt, server)
+		}
 	}
-	return record.Healthy
+	return change
 }
 
-// Tick forgets the silent.
-func (t *Tracker) Tick(now monotime.Time) (change Change) {
-	if t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold {
-		t.distrustUntil = now.Add(distrustAfterStall)
-		for server, signedOffAt := range t.signedOffAt { // time that was not watched, or never was, does not count
-			t.signedOffAt[server] = signedOffAt.Add(now.Since(t.lastTick))
-		}
+// recoverFromStall begins the time in which heartbeats are not trusted. The time of the stall does
+// not count as retention of sign-offs, for nothing was received in it.
+func (t *Tracker) recoverFromStall(now monotime.Time) {
+	t.distrustUntil = now.Add(distrustAfterStall)
+	for server, signedOffAt := range t.signedOffAt {
+		t.signedOffAt[server] = signedOffAt.Add(now.Since(t.lastTick))
 	}
-	t.lastTick = now
+}
+
+// refreshStatuses updates the status of every endpoint and forgets those that are long silent.
+func (t *Tracker) refreshStatuses(now monotime.Time) (change Change) {
 	for _, server := range t.sortedServers() {
 		e := t.endpoints[server]
 		if now.Since(e.lastHeartbeat) > max(forgetAfter, 2*e.heartbeatTimeout()) && !t.SkipChecks {
@@ -250,14 +224,10 @@
 			e.status, change.Updated = status, true
 		}
 	}
-	for server, signedOffAt := range t.signedOffAt {
-		if now.Since(signedOffAt) > signOffRetention {
-			delete(t.signedOffAt, server)
-		}
-	}
 	return change
 }
 
+// sortedServers lists the servers in a fixed order, so that runs can be repeated.
 func (t *Tracker) sortedServers() []ident.Server {
 	servers := make([]ident.Server, 0, len(t.endpoints))
 	for server := range t.endpoints {
@@ -267,8 +237,9 @@
 	return servers
 }
 
-// Check is asked just before a request goes to the endpoint, and again just before
-// its first byte. Fresh is until when the first byte may go.
+// Check is asked just before a request goes to an endpoint, and again just before its first byte.
+// It gives the endpoint's address and until when the first byte may go, or why the request must
+// not go there: then it has not been executed.
 func (t *Tracker) Check(now monotime.Time, server ident.Server, service ident.Service) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
 	e := t.endpoints[server]
 	if t.SkipChecks && e != nil {
@@ -292,7 +263,7 @@
 	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
 }
 
-// ConnectFailed says that the endpoint took no connection.
+// ConnectFailed says that an endpoint refused a connection: it is unhealthy for a while.
 func (t *Tracker) ConnectFailed(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
@@ -306,7 +277,7 @@
 	return Change{}
 }
 
-// DrainAll marks every endpoint as leaving: the machine stops.
+// DrainAll marks every endpoint as leaving, and those that come later too: the machine stops.
 func (t *Tracker) DrainAll(now monotime.Time) Change {
 	t.stopping = true
 	for _, e := range t.endpoints {
@@ -316,14 +287,15 @@
 	return Change{Updated: true}
 }
 
-// AddInFlight counts requests in hand at an endpoint.
+// AddInFlight adds to the number of requests in flight at an endpoint; delta is negative when one
+// has ended.
 func (t *Tracker) AddInFlight(server ident.Server, delta int) {
 	if e := t.endpoints[server]; e != nil {
 		e.inFlight += delta
 	}
 }
 
-// Workloads lists what the sidecar reports.
+// Workloads lists the endpoints as the sidecar reports them to the registry.
 func (t *Tracker) Workloads() []record.Workload {
 	workloads := []record.Workload{}
 	for _, server := range t.sortedServers() {
--- a/mesh/endpoint/gate_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -17,7 +17,7 @@
 	return Heartbeat{Server: server, Service: service, Addr: addr, State: state}
 }
 
-// permutations gives every order of n things.
+// permutations gives every order of the numbers below n.
 func permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{{}}
@@ -32,9 +32,9 @@
 	return all
 }
 
-// A leaving, a sign-off, late beats and the address passing to another service, in
-// every order: once a server has left or signed off, or another beats at its
-// address, nothing passes to it.
+// Leaving, signing off, late heartbeats and reuse of the address by another service, in every
+// order: once a server has left or signed off, or another server's heartbeat has come from its
+// address, no request is let through to it.
 func TestAllOrdersOfLeavingAndReuse(t *testing.T) {
 	heartbeats := []Heartbeat{
 		newHeartbeat("a", "one", "ip:1", Alive),
@@ -72,7 +72,8 @@
 	}
 }
 
-// A silent endpoint is forgotten well inside reuseAfterS, and its connections with it.
+// An endpoint without heartbeats is forgotten, and its connections are closed, well before
+// reuseAfterS is over.
 func TestSilentEndpointIsForgottenInTime(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
@@ -90,8 +91,8 @@
 	must.SliceEmpty(t, tracker.Workloads())
 }
 
-// After this process was held up, beats that may have lain in a socket make nobody
-// well, nothing passes, and fresh beats count again soon.
+// After this process was suspended, heartbeats that may have lain in a socket make no endpoint
+// healthy and no request is let through; fresh heartbeats count again after distrustAfterStall.
 func TestHeartbeatsFromBeforeAFreezeAreNotTrusted(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
@@ -112,7 +113,7 @@
 	must.Nil(t, err)
 }
 
-// A refused connection makes the endpoint unwell at once and for a while.
+// A refused connection makes the endpoint unhealthy at once, for unhealthyAfterFailure.
 func TestRefusedConnectionIsUnhealthy(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
@@ -127,8 +128,8 @@
 	must.Nil(t, err)
 }
 
-// An endpoint that beats once a second stays well; when it falls silent it is still
-// forgotten inside reuseAfterS.
+// An endpoint with a heartbeat a second stays healthy; when its heartbeats stop, it is still
+// forgotten before reuseAfterS is over.
 func TestSlowHeartbeatsAreTolerated(t *testing.T) {
 	tracker := New()
 	lastHeartbeat := time.Duration(0)
@@ -146,14 +147,14 @@
 			rejections++
 		}
 		if elapsed > 15*time.Second {
-			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout, must.Sprintf("passed %v after the last beat", elapsed-lastHeartbeat))
+			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout, must.Sprintf("passed %v after the last heartbeat", elapsed-lastHeartbeat))
 		}
 	}
 	must.Eq(t, 0, rejections)
 }
 
-// An endpoint that first beats while its machine stops gets nothing any more. Found by
-// seed 30185: a stop went on for ever, since requests went on coming.
+// An endpoint whose first heartbeat comes while its machine stops gets no requests. Found by
+// seed 30185: the stop never ended, since requests went on coming.
 func TestNoEndpointIsHealthyOnAMachineThatStops(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
