--- a/mesh/attempt/told_test.go
+++ b/mesh/attempt/loadreport_test.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
-// What a gate tells reaches the picker with every kind of end; one that its bay turned away
-// goes elsewhere as one that must, and the endpoint is not suspect for it, only busy.
+// Load reports reach the balancer with every kind of result; an attempt that an admission queue
+// rejects goes elsewhere as a last resort, and the endpoint is not suspect for it, only busy.
 func TestLoadReportsReachTheBalancer(t *testing.T) {
 	planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: "POST"}
 	must.Nil(t, planner.Route(start, call, 0))
--- a/mesh/attempt/path_test.go
+++ b/mesh/attempt/planner_test.go
@@ -32,9 +32,9 @@
 	return planner
 }
 
-// Every order of three verdicts, for a safe and an unsafe method: what may have run
-// is never tried again unless it is safe, "no" is never said after an unknown end,
-// and no server is tried twice.
+// Every order of three outcomes, for a repeatable and another method: what may have been executed is
+// never tried again unless it is repeatable, no failure says "not executed" after an unknown
+// outcome, and no server is tried twice.
 func TestAllOrdersOfOutcomes(t *testing.T) {
 	outcomes := []Outcome{Executed, NotExecuted, Unknown}
 	for _, method := range []string{"GET", "POST"} {
@@ -45,10 +45,10 @@
 			for i := 0; ; i++ {
 				decision := planner.Next(start.Add(time.Duration(i)*time.Millisecond), call)
 				if decision.Failure != nil {
-					must.Eq(t, unknown, decision.Failure.Outcome == failure.OutcomeUnknown, must.Sprintf("%s %d: fate %s", method, n, decision.Failure.Outcome))
+					must.Eq(t, unknown, decision.Failure.Outcome == failure.OutcomeUnknown, must.Sprintf("%s %d: outcome %s", method, n, decision.Failure.Outcome))
 					break
 				}
-				must.False(t, unknown && method == "POST", must.Sprintf("%d: an unknown POST was tried again", n))
+				must.False(t, unknown && method == "POST", must.Sprintf("%d: a POST with unknown outcome was tried again", n))
 				must.False(t, seen[decision.Entry.UID])
 				seen[decision.Entry.UID] = true
 				outcome := outcomes[n/[]int{1, 3, 9}[i]%3]
@@ -68,7 +68,7 @@
 	}
 }
 
-// What the way says of repeats goes before the method, for a try with unknown end.
+// The route's repeat policy goes before the method, for an attempt with unknown outcome.
 func TestRouteDecidesWhatMayRepeat(t *testing.T) {
 	for repeat, wantByMethod := range map[validation.RepeatPolicy]map[string]bool{
 		validation.ByMethod: {"GET": true, "POST": false}, validation.Repeatable: {"GET": true, "POST": true}, validation.Download: {"GET": true, "POST": true},
@@ -85,7 +85,7 @@
 	}
 }
 
-// Parts finer than a hundredth are kept to.
+// Parts of a weighted route may be finer than a hundredth.
 func TestFineSplitsHold(t *testing.T) {
 	planner, n := newPlanner(validation.WeightedService{Service: "b", Percent: 33, ExtraMillionths: 3333}), 0
 	for range 30000 {
@@ -98,8 +98,8 @@
 	must.Between(t, 9700, n, 10300)
 }
 
-// A session moves to the new service at most once while its part grows, and the parts
-// are kept to.
+// A session moves to the new service at most once while the service's part grows, and the parts
+// hold.
 func TestSessionsMoveOnce(t *testing.T) {
 	serviceBySession := map[string]ident.Service{}
 	for _, percent := range []int{0, 5, 25, 50, 100} {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Without a well workload the caller is told at once, and when to come back.
+// Without a healthy workload the call fails at once, with a Retry-After.
 func TestNoWorkloadFailsAtOnce(t *testing.T) {
 	planner := newPlanner()
 	planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 2}})
@@ -133,8 +133,7 @@
 	must.Eq(t, 404, planner.Route(start, &Call{Host: "other", Path: "/"}, 0).Status())
 }
 
-// A manifest below what was confirmed at the entry is never put in force, whichever
-// core or peer gives it.
+// A configuration below MinRevision is never put in force, whichever core or peer gives it.
 func TestNothingBelowMinRevisionIsEnforced(t *testing.T) {
 	planner := New(start, "d", 1, retrybudget.Limits{})
 	planner.MinRevision = 10
@@ -145,9 +144,9 @@
 	must.Eq(t, 10, planner.Revision())
 }
 
-// All orders of four ends before the last try: only what may have arrived at an endpoint
-// is charged for, once, and counts against the way's tries; gates that refuse and dials
-// that fail cost nothing, but are not gone on with for ever.
+// All orders of four results before the last attempt: only what may have reached an endpoint is
+// charged, once, and counts against the route's attempts; rejections by the destination's checks and
+// refused connections cost nothing, but are bounded by maxUncharged.
 func TestOnlyArrivalsAreCharged(t *testing.T) {
 	results := []Result{{Outcome: NotExecuted, Rejected: true}, {Outcome: NotExecuted, Unreachable: true}, {Outcome: NotExecuted, ReachedEndpoint: true}, {Outcome: Unknown}}
 	for n := range 256 {
@@ -182,7 +181,7 @@
 	}
 }
 
-// A machine that refuses everything sees no more than a few tries of a call.
+// A call makes no more than maxUncharged+1 attempts where all are rejected.
 func TestUnchargedAttemptsAreBounded(t *testing.T) {
 	planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "POST"}
 	planner.RetryBudget.Unlimited = false
@@ -196,8 +195,8 @@
 	must.Eq(t, uint64(0), planner.RetryBudget.Granted+planner.RetryBudget.Denied)
 }
 
-// A try has all the time that is left, however often the call may go again: an endpoint
-// that is silent may be at work, and to break it off is to drop the request.
+// An attempt has all the time that is left, however many attempts may follow: an endpoint that does
+// not answer may be at work, and to cut the attempt short is to lose its response.
 func TestAttemptHasAllTheTimeLeft(t *testing.T) {
 	planner := newPlanner()
 	for _, method := range []string{"GET", "POST"} {
@@ -211,8 +210,8 @@
 	}
 }
 
-// A repeat that finds no room at a gate says nothing of the endpoint behind it, so first
-// tries still go there; any other refusal of a gate sends them around it.
+// A retry that the destination's retry budget rejects tells nothing of the endpoint, so first
+// attempts still go there; after any other rejection they avoid it.
 func TestBusyRepeatLeavesTheEndpointAlone(t *testing.T) {
 	for kind, chosen := range map[failure.Kind]bool{failure.Busy: true, failure.EndpointRejected: false} {
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
