--- a/mesh/routetable/way_test.go
+++ b/mesh/routetable/table_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// longestPrefix is the rule itself: of a host's ways, the longest pathStart that begins the path;
-// the host "*" where the host has none.
+// longestPrefix is the rule itself, by a scan of all routes: of a host's routes the one with the
+// longest prefix of the path, or of those of host "*" where the host has none.
 func longestPrefix(config *validation.Config, host, path string) string {
 	for _, name := range []string{host, "*"} {
 		best := -1
@@ -28,9 +28,9 @@
 	return ""
 }
 
-// Every path is found as the rule says, over all tables of nested, bordering and equal
-// beginnings on three hosts, one of them the wild one.
-func TestLongestPathStartWins(t *testing.T) {
+// Random paths are found as longestPrefix finds them, in random tables of nested and adjacent
+// prefixes on three hosts, one of them "*".
+func TestLongestPrefixWins(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	randomPath := func() string {
 		path := "/"
