--- a/mesh/bandwidth/inbound_test.go
+++ b/mesh/bandwidth/inbound_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// While a large body is received no other is admitted that would make the link late; small ones
-// always are, and a body alone is never refused.
+// While a large body is received, no other is admitted that would exceed maxReceiveTime; small ones
+// always are, and a body alone is never rejected.
 func TestLargeBodiesAreSpaced(t *testing.T) {
 	link := NewInbound(6 * megabit)
 	_, ok := link.Admit(5_000_000)
@@ -32,15 +32,15 @@
 	}
 }
 
-// Machines send bodies to one link at random, four times what it carries: with admission what
-// waits at the link is carried soon, so that a configuration behind it is in time, and the
-// link is still used; without it the wait grows without end.
+// Machines send random bodies to one link, four times what it carries: with admission the wait at the
+// link stays short, so that a configuration behind the bodies is in time, and the link is still used;
+// without it the wait grows without end.
 func TestBodiesBeyondTheLink(t *testing.T) {
 	const rate, step, length = 6 * megabit, 5 * time.Millisecond, 20 * time.Second
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		link := NewInbound(rate)
-		type body struct{ size, budget float64 }
+		type body struct{ size, left float64 }
 		var queue []body // on the link, in order
 		waiting, longest, carried := 0.0, 0.0, 0.0
 		for now := time.Duration(0); now < length; now += step {
@@ -55,10 +55,10 @@
 				}
 			}
 			for budget := rate * step.Seconds(); budget > 0 && len(queue) > 0; {
-				part := min(budget, queue[0].budget)
-				queue[0].budget -= part
+				part := min(budget, queue[0].left)
+				queue[0].left -= part
 				budget, waiting, carried = budget-part, waiting-part, carried+part
-				if queue[0].budget <= 0 {
+				if queue[0].left <= 0 {
 					link.Received(int64(queue[0].size))
 					queue = queue[1:]
 				}
--- a/mesh/bandwidth/link_test.go
+++ b/mesh/bandwidth/outbound_test.go
@@ -17,15 +17,15 @@
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// The first large answer is admitted whatever its size; while it is expected, no other is
-// that would wait too long, and what was refused is admitted when it was told to come back.
+// The first large response is admitted whatever its size; while it is expected, no other is that
+// would wait too long, and what was rejected is admitted after its retryAfter.
 func TestLargeResponsesAreSpaced(t *testing.T) {
 	link := NewOutbound(11 * megabit)
 	_, ok := link.Admit(at(0), 2_000_000, false)
 	must.True(t, ok)
 	_, ok = link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
-	link.Sent(at(0), 2_000_000, 0) // it ended without an answer
+	link.Sent(at(0), 2_000_000, 0) // it ended without a response
 	_, ok = link.Admit(at(0), responseBytes, false)
 	must.True(t, ok)
 	link.Sent(at(0), responseBytes, 4*responseBytes) // it was larger than was expected
@@ -35,8 +35,8 @@
 	must.True(t, ok)
 }
 
-// Small answers pass a full link, one that must be served here waits longer, and a link of
-// unknown speed bounds nothing.
+// A full link admits small responses, and as a last resort those that wait longer; a link of unknown
+// rate bounds nothing.
 func TestWhatAFullLinkAdmits(t *testing.T) {
 	link := NewOutbound(11 * megabit)
 	link.Sent(at(0), 0, 600_000)
@@ -56,8 +56,8 @@
 	must.Eq(t, 0, unknown.Wait(at(0)))
 }
 
-// A machine that is asked for twice what its link carries: with admission the queue of a
-// real link stays short and the link full; without it the queue grows without end.
+// A machine is asked for twice what its link carries: with admission the queue of a simulated link
+// stays short and the link full; without it the queue grows without end.
 func TestQueueOfAnOverloadedLinkStaysShort(t *testing.T) {
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(3, 4))
