--- a/mesh/loadreport/loadreport.go
+++ b/mesh/loadreport/loadreport.go
@@ -1,4 +1,5 @@
-// Package loadreport is what a sidecar tells of its endpoint's load with each response.
+// Package loadreport holds the report of an endpoint's load that a sidecar adds to each response, and
+// its form in a header.
 package loadreport
 
 import (
@@ -10,11 +11,11 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Report is the state of one endpoint as its gate sees it. Invariant: no field is
-// negative and all are finite, also in one that was parsed.
+// Report is the load of one endpoint as the admission queue of its machine sees it. Invariant: no
+// field is negative and all are finite, also in one that was parsed.
 type Report struct {
-	// Running counts requests at the endpoint, Waiting those that wait for it at its gate, and
-	// Slots those it works on at once; Slots 0 is unknown.
+	// Running counts the requests at the endpoint, Waiting those that wait for it in its admission
+	// queue, and Slots is how many it works on at once, 0 for unknown.
 	Running, Waiting, Slots int
 	// RelativeTime is its time for a request over that of the service's mean endpoint.
 	RelativeTime float64
@@ -24,14 +25,18 @@
 	QueueDelay time.Duration
 }
 
-// maxValue bounds every field of a text, so that no sum of a few runs over.
+// maxValue bounds every field of the header form, so that sums of a few do not overflow.
 const maxValue = 1 << 20
 
-// Text is the header form: running, waiting, slots, relative time and failure rate in
+// fieldCount is how many fields the header form has.
+const fieldCount = 6
+
+// Text gives the header form: running, waiting, slots, relative time and failure rate in
 // thousandths, queue delay in milliseconds.
 func (r Report) Text() string {
 	buf := make([]byte, 0, 40)
-	for i, value := range []int64{int64(r.Running), int64(r.Waiting), int64(r.Slots), thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds()} {
+	values := [fieldCount]int64{int64(r.Running), int64(r.Waiting), int64(r.Slots), thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds()}
+	for i, value := range values {
 		if i > 0 {
 			buf = append(buf, ',')
 		}
@@ -40,6 +45,7 @@
 	return string(buf)
 }
 
+// thousandths rounds a fraction; what is negative or no number is 0.
 func thousandths(value float64) int64 {
 	if !(value > 0) {
 		return 0
@@ -47,9 +53,9 @@
 	return int64(math.Round(min(value*1000, maxValue)))
 }
 
-// Parse reads the header form; a text with other fields is malformed.
+// Parse reads the header form.
 func Parse(text string) (Report, *failure.Error) {
-	var values [6]int
+	var values [fieldCount]int
 	rest := text
 	for i := range values {
 		field, tail, more := strings.Cut(rest, ",")
@@ -59,6 +65,12 @@
 		}
 		values[i], rest = int(n), tail
 	}
-	return Report{Running: values[0], Waiting: values[1], Slots: values[2], RelativeTime: float64(values[3]) / 1000,
-		FailureRate: min(float64(values[4])/1000, 1), QueueDelay: time.Duration(values[5]) * time.Millisecond}, nil
+	return Report{
+		Running:      values[0],
+		Waiting:      values[1],
+		Slots:        values[2],
+		RelativeTime: float64(values[3]) / 1000,
+		FailureRate:  min(float64(values[4])/1000, 1),
+		QueueDelay:   time.Duration(values[5]) * time.Millisecond,
+	}, nil
 }
--- a/mesh/loadreport/loadreport_test.go
+++ b/mesh/loadreport/loadreport_test.go
@@ -8,6 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
+// A report survives its header form; values out of range are bounded, and other texts malformed.
 func TestTextAndBack(t *testing.T) {
 	for _, report := range []Report{{}, {Running: 7, Waiting: 3, Slots: 6, RelativeTime: 1.25, FailureRate: 0.5, QueueDelay: 40 * time.Millisecond}} {
 		got, err := Parse(report.Text())
