--- a/mesh/priorityqueue/priorityqueue_test.go
+++ b/mesh/priorityqueue/priorityqueue_test.go
@@ -11,11 +11,11 @@
 
 const start = monotime.Time(time.Second)
 
-// Every order of eight offers, takes and ends: no queue and no sender is used over its
-// bound, an urgent request never waits while a sender is free, and requests of one kind
-// go in the order they came.
+// Every order of eight calls of Enqueue, Dequeue and Done: no queue and no sender is used beyond its
+// bound, an urgent request never waits while a sender is free, and requests of one kind are sent in
+// the order they came.
 func TestAllOrdersOfEnqueueDequeueAndDone(t *testing.T) {
-	for n := range 1 << 16 { // two bits a step: normal, urgent, take, end
+	for n := range 1 << 16 { // two bits a step: enqueue ordinary, enqueue urgent, dequeue, done
 		queue := New[int](4, 2)
 		var inFlight []bool
 		lastTaken := map[bool]int{}
@@ -55,7 +55,7 @@
 	}
 }
 
-// What would be late before its turn is turned away when it comes; an urgent one is not,
+// A request whose deadline would pass in the queue is rejected when it comes; an urgent one is not,
 // for it has a queue of its own.
 func TestLateRequestsAreRejectedEarly(t *testing.T) {
 	queue := New[int](4, 100)
@@ -73,7 +73,7 @@
 	must.Eq(t, 1, queue.Rejected)
 }
 
-// Who leaves is taken out of its queue, once; the others keep their order and their places.
+// A removed request is taken out of its queue, once; the others keep their order and their places.
 func TestRemovedRequestsAreSkipped(t *testing.T) {
 	for removed := range 6 {
 		queue := New[int](10, 3)
