--- a/mesh/admission/compare_test.go
+++ b/mesh/admission/compare_test.go
@@ -14,43 +14,7 @@
 	"cottonarch.example/cottonarch/mesh/loadbalancer"
 )
 
-var (
-	mixedKinds = []requestKind{
-		{name: "lookup", share: 0.55, rank: 1, work: 59 * ms, spread: 0.8, tailFactor: 3, target: 300 * ms, deadline: 1200 * ms, worth: 2, lateWorth: 0.6, bytes: 1500},
-		{name: "booking", share: 0.15, rank: 1, work: 140 * ms, spread: 0.5, tailFactor: 5, target: 600 * ms, deadline: 1500 * ms, worth: 2, lateWorth: 0.2, unsafe: true, bytes: 5000},
-		{name: "pull", share: 0.3, rank: 2, work: 120 * ms, spread: 0.3, tailFactor: 5, target: 500 * ms, deadline: 2000 * ms, worth: 1, lateWorth: 0.3, bytes: 90000},
-	}
-	smallMesh = scenario{clients: 9, servers: 6, zones: 3, kinds: mixedKinds, speeds: []float64{0.5, 1, 1, 1.5}, load: 0.75, wave: 0.2, burst: 1, batch: 2, length: 20 * time.Second}
-	largeMesh = scenario{clients: 69, servers: 53, zones: 4, kinds: mixedKinds, speeds: []float64{0.7, 0.7, 1.6}, load: 0.75, wave: 0.2, burst: 1, batch: 2, length: 20 * time.Second}
-)
-
-func modified(scenario scenario, change func(*scenario)) scenario { change(&scenario); return scenario }
-
-// scenarios are the scenarios: each for few and for many.
-func scenarios() (names []string, all []scenario) {
-	add := func(name string, change func(*scenario)) {
-		for i, base := range []scenario{smallMesh, largeMesh} {
-			names = append(names, fmt.Sprint([]string{"few ", "many "}[i], name))
-			all = append(all, modified(base, change))
-		}
-	}
-	faultyServers := func(base *scenario) int { return max(1, base.servers/7) }
-	add("calm", func(*scenario) {})
-	add("full", func(base *scenario) { base.load = 0.9 })
-	add("burst", func(base *scenario) { base.burst = 1.7 })
-	add("over", func(base *scenario) { base.load = 1.4 })
-	add("slow", func(base *scenario) {
-		base.faults = []fault{{servers: faultyServers(base), from: 6 * time.Second, to: 13 * time.Second, slowdown: 5}}
-	})
-	add("ill", func(base *scenario) {
-		base.faults = []fault{{servers: faultyServers(base), from: 6 * time.Second, to: 13 * time.Second, failureRate: 0.5}}
-	})
-	add("cold", func(base *scenario) { base.slowStart = 3 * time.Second })
-	add("reset", func(base *scenario) { base.burst, base.resetWhenFull = 1.7, true })
-	return names, all
-}
-
-// averages are the means of some runs.
+// averages are the means of the results of some runs.
 type averages struct{ score, earned, firstRank, worstWindows, crossZone, rejectedLate, hops float64 }
 
 func mean(scenario scenario, policy policy, seeds uint64) (average averages) {
@@ -69,38 +33,38 @@
 }
 
 var (
-	legacyPolicy  = policy{name: "former", balancer: "former"}
-	currentPolicy = policy{name: "told+bay", balancer: "told", admission: true}
+	legacyPolicy  = policy{name: "legacy", balancer: "legacy"}
+	currentPolicy = policy{name: "current", balancer: "current", admission: true}
 )
 
-// Each day is played with the choice and the endpoints' own queues as they were, and as
-// they are: many more requests are served within their aim, the higher rank nearly all,
-// and what is turned away is turned away early.
+// Each scenario is simulated without admission queues, with the balancer that did without load
+// reports, and as it is today: many more requests are served within their target, those of the higher
+// rank nearly all, and rejections come early.
 func TestMoreRequestsInTimeThanLegacy(t *testing.T) {
 	for _, testCase := range []struct {
 		name   string
-		day    scenario
-		gain   float64 // times as many served within their aim, at least
+		base   scenario
+		gain   float64 // times as many served within their target, at least
 		rank1  float64 // part of the higher rank's worth, at least
 		score  float64
 		change func(*scenario)
 	}{
-		{"calm few", smallMesh, 1.03, 0.97, 0.96, func(*scenario) {}},
-		{"calm many", largeMesh, 1.2, 0.97, 0.97, func(*scenario) {}},
-		{"burst few", smallMesh, 1.12, 0.95, 0.91, func(scenario *scenario) { scenario.burst = 1.7 }},
-		{"burst many", largeMesh, 1.3, 0.95, 0.91, func(scenario *scenario) { scenario.burst = 1.7 }},
-		{"over few", smallMesh, 2, 0.88, 0.70, func(scenario *scenario) { scenario.load = 1.4 }},
-		{"over many", largeMesh, 2, 0.88, 0.70, func(scenario *scenario) { scenario.load = 1.4 }},
-		{"slow many", largeMesh, 1.2, 0.96, 0.96, func(scenario *scenario) {
+		{"calm small", smallMesh, 1.03, 0.97, 0.96, func(*scenario) {}},
+		{"calm large", largeMesh, 1.2, 0.97, 0.97, func(*scenario) {}},
+		{"burst small", smallMesh, 1.12, 0.95, 0.91, func(scenario *scenario) { scenario.burst = 1.7 }},
+		{"burst large", largeMesh, 1.3, 0.95, 0.91, func(scenario *scenario) { scenario.burst = 1.7 }},
+		{"overload small", smallMesh, 2, 0.88, 0.70, func(scenario *scenario) { scenario.load = 1.4 }},
+		{"overload large", largeMesh, 2, 0.88, 0.70, func(scenario *scenario) { scenario.load = 1.4 }},
+		{"slow large", largeMesh, 1.2, 0.96, 0.96, func(scenario *scenario) {
 			scenario.faults = []fault{{servers: 8, from: 3 * time.Second, to: 10 * time.Second, slowdown: 5}}
 		}},
-		{"ill few", smallMesh, 1.03, 0.96, 0.95, func(scenario *scenario) {
+		{"failing small", smallMesh, 1.03, 0.96, 0.95, func(scenario *scenario) {
 			scenario.faults = []fault{{servers: 1, from: 3 * time.Second, to: 10 * time.Second, failureRate: 0.5}}
 		}},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
-			scenario := modified(testCase.day, testCase.change)
+			scenario := modified(testCase.base, testCase.change)
 			scenario.length = 13 * time.Second
 			legacy, current := simulate(scenario, legacyPolicy, 11), simulate(scenario, currentPolicy, 11)
 			must.Eq(t, legacy.calls, current.calls)
@@ -113,8 +77,8 @@
 	}
 }
 
-// With a price on bytes between districts most large returns stay near, and no worth is
-// lost for it.
+// With a cost for bytes between zones most large responses stay in their zone, and no worth is lost
+// for it.
 func TestPricedBytesStayInTheZone(t *testing.T) {
 	scenario, priced := largeMesh, currentPolicy
 	scenario.length = 8 * time.Second
@@ -124,37 +88,37 @@
 	must.Greater(t, unpricedResult.score()-0.01, pricedResult.score())
 }
 
-// A run is fixed by its seed.
+// A simulation is determined by its seed.
 func TestSameSeedSameRun(t *testing.T) {
 	scenario := modified(smallMesh, func(scenario *scenario) { scenario.load, scenario.length = 1.2, 4*time.Second })
 	must.Eq(t, fmt.Sprint(*simulate(scenario, currentPolicy, 5)), fmt.Sprint(*simulate(scenario, currentPolicy, 5)))
 }
 
-// BenchmarkTable prints the figures of all scenarios and policies, or with BAY_TABLE=tune
-// those of settings; BAY_DAYS names some of the days.
+// BenchmarkTable prints the averages of all scenarios and policies, or with ADMISSION_TABLE=tune those
+// of other settings; ADMISSION_SCENARIOS names some of the scenarios.
 func BenchmarkTable(*testing.B) {
 	policies := []policy{
-		{name: "blind", balancer: "blind"},
-		{name: "former", balancer: "former"},
-		{name: "blind+bay", balancer: "blind", admission: true},
-		{name: "former+bay", balancer: "former", admission: true},
-		{name: "told+bay", balancer: "told", admission: true},
+		{name: "random", balancer: "random"},
+		{name: "legacy", balancer: "legacy"},
+		{name: "random+queue", balancer: "random", admission: true},
+		{name: "legacy+queue", balancer: "legacy", admission: true},
+		{name: "current", balancer: "current", admission: true},
 	}
-	if os.Getenv("BAY_TABLE") == "tune" {
+	if os.Getenv("ADMISSION_TABLE") == "tune" {
 		policies = tunedPolicies
 	}
 	names, all := scenarios()
-	if only := os.Getenv("BAY_DAYS"); only != "" {
+	if only := os.Getenv("ADMISSION_SCENARIOS"); only != "" {
 		var selectedNames []string
 		var selected []scenario
-		for i, n := range names {
-			if strings.Contains(only, n) {
-				selectedNames, selected = append(selectedNames, n), append(selected, all[i])
+		for i, name := range names {
+			if strings.Contains(only, name) {
+				selectedNames, selected = append(selectedNames, name), append(selected, all[i])
 			}
 		}
 		names, all = selectedNames, selected
 	}
-	fmt.Printf("%-14s %-12s %6s %6s %6s %6s %6s %6s %6s\n", "day", "policy", "score", "worth", "rank1", "worst", "cross", "late", "hops")
+	fmt.Printf("%-14s %-12s %6s %6s %6s %6s %6s %6s %6s\n", "scenario", "policy", "score", "worth", "rank1", "worst", "cross", "late", "hops")
 	sums, results := map[string]float64{}, make([]averages, len(all)*len(policies))
 	var group sync.WaitGroup
 	semaphore := make(chan bool, 4)
@@ -178,12 +142,12 @@
 }
 
 var tunedPolicies = []policy{
-	{name: "usual", balancer: "told", admission: true},
-	{name: "draws3", balancer: "told", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.SampleSize = 3 }},
-	{name: "cross1", balancer: "told", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond }},
-	{name: "margin1", balancer: "told", admission: true, tuneAdmission: func(s *admission.Settings) { s.Margin = 1 }},
-	{name: "extra0", balancer: "told", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 0 }},
-	{name: "extra2", balancer: "told", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 2 }},
-	{name: "most3", balancer: "told", admission: true, maxAttempts: 3},
-	{name: "retry2", balancer: "told", admission: true, tuneAdmission: func(s *admission.Settings) { s.MinRetryAfter = 60 * ms }},
+	{name: "default", balancer: "current", admission: true},
+	{name: "sample3", balancer: "current", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.SampleSize = 3 }},
+	{name: "cross1", balancer: "current", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond }},
+	{name: "margin1", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Margin = 1 }},
+	{name: "extra0", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 0 }},
+	{name: "extra2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 2 }},
+	{name: "attempts3", balancer: "current", admission: true, maxAttempts: 3},
+	{name: "retry2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.MinRetryAfter = 60 * ms }},
 }
--- a/mesh/admission/model_test.go
+++ b/mesh/admission/model_test.go
@@ -17,183 +17,19 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-const ms = time.Millisecond
-
-// requestKind is one kind of request of the model.
-type requestKind struct {
-	name             string
-	share            float64 // of arrivals
-	rank             int
-	work             time.Duration
-	spread           float64 // sigma of the lognormal
-	tailFactor       float64 // times, for one in a hundred
-	target, deadline time.Duration
-	worth, lateWorth float64
-	unsafe           bool
-	bytes            int64
-}
-
-// fault is what ails some endpoints for a while.
-type fault struct {
-	servers     int // the first of them
-	from, to    time.Duration
-	slowdown    float64 // times their work
-	failureRate float64 // part of runs
-}
-
-// scenario is one scenario. Load is the part of all slots' time that is asked for when nothing
-// is the matter.
-type scenario struct {
-	clients, servers, zones int
-	kinds                   []requestKind
-	speeds                  []float64
-	load, wave, burst       float64 // burst times the load for 3 s from the 10th on
-	batch                   int
-	length                  time.Duration
-	faults                  []fault
-	slowStart               time.Duration // the last server starts at 5 s and is slow for so long
-	resetWhenFull           bool          // a full endpoint resets
-}
-
-// balancer is a policy at the caller's machine.
-type balancer interface {
-	ChooseForRoute(now monotime.Time, way string, all []registry.Entry, past map[ident.Server]bool) (registry.Entry, bool)
-	Started(ident.Server)
-	Finished(now monotime.Time, e registry.Entry, doubt, lost bool)
-	Rejected(monotime.Time, ident.Server)
-}
-
-// randomBalancer draws any endpoint.
-type randomBalancer struct{ rng *rand.Rand }
-
-func (b randomBalancer) ChooseForRoute(_ monotime.Time, _ string, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool) {
-	for range 100 {
-		if e := entries[b.rng.IntN(len(entries))]; !tried[e.UID] {
-			return e, true
-		}
-	}
-	return registry.Entry{}, false
-}
-func (randomBalancer) Started(ident.Server)                               {}
-func (randomBalancer) Finished(monotime.Time, registry.Entry, bool, bool) {}
-func (randomBalancer) Rejected(monotime.Time, ident.Server)               {}
-
-// legacyBalancer is the choice as it was before gates told anything: the better of two by own
-// requests in hand and district, suspects aside.
-type legacyBalancer struct {
-	rng          *rand.Rand
-	zone         ident.Zone
-	inFlight     map[ident.Server]int
-	suspectUntil map[ident.Server]monotime.Time
-}
-
-func (l *legacyBalancer) ChooseForRoute(now monotime.Time, _ string, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool) {
-	var preferred, suspects []registry.Entry
-	for _, e := range entries {
-		switch {
-		case tried[e.UID]:
-		case l.suspectUntil[e.UID].After(now):
-			suspects = append(suspects, e)
-		default:
-			preferred = append(preferred, e)
-		}
-	}
-	if len(preferred) == 0 {
-		preferred = suspects
-	}
-	if len(preferred) == 0 {
-		return registry.Entry{}, false
-	}
-	cost := func(e registry.Entry) float64 {
-		c := float64(l.inFlight[e.UID]) + 1
-		if e.Zone != l.zone {
-			c *= 1.3
-		}
-		return c
-	}
-	a, b := preferred[l.rng.IntN(len(preferred))], preferred[l.rng.IntN(len(preferred))]
-	if cost(b) < cost(a) {
-		a = b
-	}
-	return a, true
-}
-func (l *legacyBalancer) Started(s ident.Server) { l.inFlight[s]++ }
-func (l *legacyBalancer) Finished(now monotime.Time, e registry.Entry, uncertain, _ bool) {
-	l.inFlight[e.UID]--
-	if uncertain {
-		l.suspectUntil[e.UID] = now.Add(time.Second)
-	}
-}
-func (l *legacyBalancer) Rejected(now monotime.Time, s ident.Server) {
-	l.suspectUntil[s] = now.Add(250 * ms)
-}
-
-// policy is what a model is run with.
-type policy struct {
-	name          string
-	balancer      string // blind, former, told
-	admission     bool
-	maxAttempts   int // tries a call; 0 is two
-	tuneBalancer  func(*loadbalancer.Settings)
-	tuneAdmission func(*admission.Settings)
-}
-
-// tally is what came of a day.
-type tally struct {
-	possible, earned, penalty float64
-	byRank                    map[int][2]float64
-	windows                   map[int][2]float64
-	calls, served             int
-	onTime, failed            int
-	rejected, returned        int
-	arrivals, tries           int
-	rejectedLate              int
-	crossKB, allKB            float64
-	hops                      int
-}
-
-func (t *tally) earnedShare() float64 { return t.earned / t.possible }
-
-// score is worth less prices.
-func (t *tally) score() float64 { return (t.earned - t.penalty) / t.possible }
-
-func (t *tally) rank(r int) float64 { x := t.byRank[r]; return x[0] / max(x[1], 1) }
-
-// worstWindows is the mean of the two worst windows of two seconds.
-func (t *tally) worstWindows() float64 {
-	var all []float64
-	for _, x := range t.windows {
-		if x[1] > 20 {
-			all = append(all, x[0]/x[1])
-		}
-	}
-	slices.Sort(all)
-	return (all[0] + all[1]) / 2
-}
-
-type event struct {
-	at  monotime.Time
-	seq int
-	run func()
-}
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
+const (
+	ms        = time.Millisecond
+	startTime = monotime.Time(time.Second)
+)
 
-// call is one request of a client, with its one return after a refusal.
+// call is one request of a client, which tries once again after it was rejected.
 type call struct {
 	kind                 *requestKind
 	work                 float64 // nanoseconds at speed 1
 	client               int
 	createdAt, arrivedAt monotime.Time
 	isRetry              bool
-	rejectedEarly        bool // refused within a quarter of its aim
+	rejectedEarly        bool // within a quarter of its target
 	reachedEndpoint      bool
 	rejectedLate         bool
 	tried                map[ident.Server]bool
@@ -206,13 +42,13 @@
 
 func (c *call) deadline() monotime.Time { return c.createdAt.Add(c.kind.deadline) }
 
-// server is one endpoint.
+// server is one endpoint and the sidecar of its machine.
 type server struct {
 	index      int
 	entry      registry.Entry
 	speed      float64
 	busy       int
-	queue      []*call
+	queue      []*call // its own queue
 	admission  *admission.Queue
 	waiting    map[uint64]*call
 	admittedAt map[uint64]monotime.Time
@@ -220,6 +56,8 @@
 	startedAt  monotime.Time
 }
 
+// model is a mesh of clients with a balancer each, and endpoints with or without admission queues. All
+// its events are in one queue, by time.
 type model struct {
 	scenario   scenario
 	policy     policy
@@ -227,14 +65,14 @@
 	queue      events
 	seq        int
 	rng        *rand.Rand
-	arrivals   *rand.Rand // what clients do is the same whatever the policy
+	arrivals   *rand.Rand // a source of its own, so that the calls are the same whatever the policy
 	balancers  []balancer
 	servers    []*server
 	byID       map[ident.Server]*server
 	entries    []registry.Entry
 	tally      tally
 	lastID     uint64
-	retries    float64 // further tries, as a part of calls
+	retries    float64 // attempts after one that may have been executed
 	totalSpeed float64
 }
 
@@ -244,33 +82,18 @@
 	sidecarTime         = 1500 * time.Microsecond // a sidecar's own time for a request
 )
 
+// simulate plays a scenario with a policy.
 func simulate(scenario scenario, policy policy, seed uint64) *tally {
-	m := &model{scenario: scenario, policy: policy, now: monotime.Time(time.Second), rng: rand.New(rand.NewPCG(seed, 7)), arrivals: rand.New(rand.NewPCG(seed, 8)), byID: map[ident.Server]*server{},
+	m := &model{scenario: scenario, policy: policy, now: startTime,
+		rng: rand.New(rand.NewPCG(seed, 7)), arrivals: rand.New(rand.NewPCG(seed, 8)), byID: map[ident.Server]*server{},
 		tally: tally{byRank: map[int][2]float64{}, windows: map[int][2]float64{}}}
 	for i := range scenario.servers {
-		s := &server{index: i, speed: scenario.speeds[i%len(scenario.speeds)], waiting: map[uint64]*call{}, admittedAt: map[uint64]monotime.Time{}}
-		id := ident.Server(fmt.Sprintf("e%02d", i))
-		s.entry = registry.Entry{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: m.zone(i), Weight: 1, Status: record.Healthy}}
-		if policy.admission {
-			settings := admission.DefaultSettings()
-			if policy.tuneAdmission != nil {
-				policy.tuneAdmission(&settings)
-			}
-			s.admission = admission.New(settings)
-		}
-		if scenario.slowStart > 0 && i == scenario.servers-1 {
-			s.startedAt = m.now.Add(5 * time.Second)
-			m.schedule(s.startedAt, func() { m.addServer(s, scenario.slowStart) })
-		} else {
-			m.addServer(s, 0)
-		}
-		m.servers, m.byID[id] = append(m.servers, s), s
-		m.totalSpeed += slots * s.speed
+		m.newServer(i)
 	}
 	for i := range scenario.clients {
 		m.balancers = append(m.balancers, m.newBalancer(i, seed))
 	}
-	m.scheduleArrivals(monotime.Time(time.Second))
+	m.scheduleArrivals(startTime)
 	for len(m.queue) > 0 {
 		event := heap.Pop(&m.queue).(event)
 		m.now = event.at
@@ -283,6 +106,29 @@
 	return ident.Zone(fmt.Sprint("d", i%m.scenario.zones))
 }
 
+// newServer makes an endpoint; the last one enters later if the scenario has a slow start.
+func (m *model) newServer(i int) {
+	s := &server{index: i, speed: m.scenario.speeds[i%len(m.scenario.speeds)], waiting: map[uint64]*call{}, admittedAt: map[uint64]monotime.Time{}}
+	id := ident.Server(fmt.Sprintf("e%02d", i))
+	s.entry = registry.Entry{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: m.zone(i), Weight: 1, Status: record.Healthy}}
+	if m.policy.admission {
+		settings := admission.DefaultSettings()
+		if m.policy.tuneAdmission != nil {
+			m.policy.tuneAdmission(&settings)
+		}
+		s.admission = admission.New(settings)
+	}
+	if m.scenario.slowStart > 0 && i == m.scenario.servers-1 {
+		s.startedAt = m.now.Add(5 * time.Second)
+		m.schedule(s.startedAt, func() { m.addServer(s, m.scenario.slowStart) })
+	} else {
+		m.addServer(s, 0)
+	}
+	m.servers, m.byID[id] = append(m.servers, s), s
+	m.totalSpeed += slots * s.speed
+}
+
+// addServer makes an endpoint known to the balancers.
 func (m *model) addServer(s *server, slowStart time.Duration) {
 	m.entries = append(slices.Clone(m.entries), s.entry)
 	if s.admission != nil {
@@ -290,28 +136,13 @@
 	}
 }
 
-func (m *model) newBalancer(i int, seed uint64) balancer {
-	rng := rand.New(rand.NewPCG(seed, uint64(i)+100))
-	switch m.policy.balancer {
-	case "blind":
-		return randomBalancer{rng}
-	case "former":
-		return &legacyBalancer{rng: rng, zone: m.zone(i), inFlight: map[ident.Server]int{}, suspectUntil: map[ident.Server]monotime.Time{}}
-	}
-	p := loadbalancer.New(m.zone(i), seed*1000+uint64(i))
-	if m.policy.tuneBalancer != nil {
-		m.policy.tuneBalancer(&p.Settings)
-	}
-	return p
-}
-
 func (m *model) schedule(t monotime.Time, do func()) {
 	m.seq++
 	heap.Push(&m.queue, event{t, m.seq, do})
 }
 func (m *model) scheduleAfter(d time.Duration, do func()) { m.schedule(m.now.Add(d), do) }
 
-// scheduleArrivals makes the arrivals: a wave, clumps and a burst.
+// scheduleArrivals makes the calls: their rate is a wave with a burst, and they come in batches.
 func (m *model) scheduleArrivals(from monotime.Time) {
 	mean := 0.0
 	for _, k := range m.scenario.kinds {
@@ -337,6 +168,7 @@
 	m.schedule(from, next)
 }
 
+// arrive makes a call of a random kind.
 func (m *model) arrive() {
 	x, k := m.arrivals.Float64(), &m.scenario.kinds[0]
 	for i := range m.scenario.kinds {
@@ -356,6 +188,7 @@
 	m.begin(c)
 }
 
+// begin brings a call to its client's sidecar, the first time or again.
 func (m *model) begin(c *call) {
 	c.arrivedAt, c.tried, c.attempts, c.shed, c.retryAfter = m.now, map[ident.Server]bool{}, 0, false, 0
 	m.scheduleAfter(sidecarTime, func() { m.send(c) })
@@ -368,6 +201,7 @@
 	return 900 * time.Microsecond
 }
 
+// send makes an attempt.
 func (m *model) send(c *call) {
 	balancer := m.balancers[c.client]
 	if !c.deadline().After(m.now) {
@@ -386,9 +220,6 @@
 	m.tally.hops++
 	balancer.Started(e.UID)
 	request := admission.Request{ID: c.id, Rank: c.kind.rank, FreeRejectUntil: c.arrivedAt.Add(c.kind.target/4 - 5*ms), Target: c.arrivedAt.Add(c.kind.target), Deadline: c.deadline(), LastResort: c.shed}
-	if c.isRetry {
-		request.FreeRejectUntil = c.arrivedAt.Add(c.kind.target/4 - 5*ms)
-	}
 	if p, ok := balancer.(*loadbalancer.Balancer); ok {
 		request.Work, request.PeerFailureRate = p.MeanWork(c.kind.name), p.MeanFailureRate("s")
 		request.LastResort = request.LastResort || p.LastResort(m.now, e.UID)
@@ -397,6 +228,7 @@
 	m.scheduleAfter(m.networkDelay(c)+sidecarTime, func() { m.submit(s, c, request) })
 }
 
+// submit brings an attempt to the endpoint's machine.
 func (m *model) submit(s *server, c *call, request admission.Request) {
 	if s.admission == nil {
 		m.deliver(s, c)
@@ -406,6 +238,7 @@
 	m.apply(s, s.admission.Submit(m.now, s.entry.UID, request))
 }
 
+// apply takes the verdicts of an admission queue, and schedules its next tick.
 func (m *model) apply(s *server, verdicts []admission.Verdict) {
 	for _, verdict := range slices.Clone(verdicts) {
 		c := s.waiting[verdict.ID]
@@ -422,7 +255,7 @@
 			c.retryAfter = verdict.RetryAfter
 		}
 		c.shed = true
-		m.respond(s, c, "shed", 0)
+		m.respond(s, c, shed, 0)
 	}
 	if due, ok := s.admission.NextTick(m.now); ok && (s.nextTick <= m.now || due < s.nextTick) {
 		s.nextTick = max(due, m.now.Add(ms))
@@ -430,6 +263,7 @@
 	}
 }
 
+// deliver brings an attempt to the endpoint.
 func (m *model) deliver(s *server, c *call) {
 	m.tally.arrivals++
 	switch {
@@ -438,25 +272,26 @@
 	case len(s.queue) < endpointQueueLength:
 		s.queue = append(s.queue, c)
 	case m.scenario.resetWhenFull:
-		m.finish(s, c, "lost", 0)
+		m.finish(s, c, lost, 0)
 	default:
-		m.finish(s, c, "full", 0)
+		m.finish(s, c, endpointFull, 0)
 	}
 }
 
+// execute runs an attempt at the endpoint.
 func (m *model) execute(s *server, c *call) {
 	k := c.kind
 	if m.now.Since(c.arrivedAt) <= k.target {
 		c.reachedEndpoint = true
 	}
 	work := c.work / s.speed
-	fail := m.rng.Float64()
-	end := "ok"
-	for _, t := range m.scenario.faults {
-		if x := m.now.Since(monotime.Time(time.Second)); s.index < t.servers && x >= t.from && x < t.to {
-			work *= max(t.slowdown, 1)
-			if fail < t.failureRate {
-				work, end = work/10, "fail"
+	chance := m.rng.Float64()
+	end := served
+	for _, fault := range m.scenario.faults {
+		if fault.hits(s.index, m.now.Since(startTime)) {
+			work *= max(fault.slowdown, 1)
+			if chance < fault.failureRate {
+				work, end = work/10, failed
 			}
 		}
 	}
@@ -465,47 +300,65 @@
 	}
 	elapsed := time.Duration(work)
 	if m.now.Add(elapsed).After(c.deadline()) {
-		elapsed, end = c.deadline().Since(m.now), "late"
+		elapsed, end = c.deadline().Since(m.now), late
 	}
 	s.busy++
 	m.scheduleAfter(elapsed, func() {
 		s.busy--
 		m.finish(s, c, end, elapsed)
-		for s.busy < slots && len(s.queue) > 0 {
-			n := s.queue[0]
-			s.queue = s.queue[1:]
-			if !n.deadline().After(m.now) {
-				m.finish(s, n, "full", 0)
-				continue
-			}
-			m.execute(s, n)
-		}
+		m.executeQueued(s)
 	})
 }
 
-var outcomeByEnd = map[string]admission.Outcome{"ok": admission.Served, "fail": admission.Failed, "lost": admission.GivenUp, "full": admission.GivenUp, "late": admission.GivenUp}
+// executeQueued gives the free slots of an endpoint to its own queue.
+func (m *model) executeQueued(s *server) {
+	for s.busy < slots && len(s.queue) > 0 {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		if !next.deadline().After(m.now) {
+			m.finish(s, next, endpointFull, 0)
+			continue
+		}
+		m.execute(s, next)
+	}
+}
+
+// ending is how an attempt ended.
+type ending int
+
+const (
+	served       ending = iota
+	failed              // the endpoint ran it and failed
+	lost                // the endpoint reset the connection
+	endpointFull        // the endpoint's own queue was full
+	late                // its deadline passed at the endpoint
+	shed                // the admission queue rejected it
+)
+
+var outcomeByEnding = map[ending]admission.Outcome{served: admission.Served, failed: admission.Failed, lost: admission.GivenUp, endpointFull: admission.GivenUp, late: admission.GivenUp}
 
-// finish is the end of a request at its endpoint, seen by the gate.
-func (m *model) finish(s *server, c *call, end string, elapsed time.Duration) {
+// finish ends an attempt at its endpoint.
+func (m *model) finish(s *server, c *call, end ending, elapsed time.Duration) {
 	if s.admission == nil {
 		m.respond(s, c, end, elapsed)
 		return
 	}
 	admittedAt := s.admittedAt[c.id]
 	delete(s.admittedAt, c.id)
-	verdicts := s.admission.Done(m.now, s.entry.UID, c.id, outcomeByEnd[end], m.now.Since(admittedAt))
+	verdicts := s.admission.Done(m.now, s.entry.UID, c.id, outcomeByEnding[end], m.now.Since(admittedAt))
 	m.respond(s, c, end, m.now.Since(admittedAt))
 	m.apply(s, verdicts)
 }
 
-func (m *model) respond(s *server, c *call, end string, elapsed time.Duration) {
+// respond sends the response of an attempt, with a load report if there is an admission queue.
+func (m *model) respond(s *server, c *call, end ending, elapsed time.Duration) {
 	var report *loadreport.Report
 	if s.admission != nil {
 		parsed, _ := s.admission.LoadReport(m.now, s.entry.UID)
 		parsed, _ = loadreport.Parse(parsed.Text())
 		report = &parsed
 	}
-	if end == "ok" {
+	if end == served {
 		m.tally.allKB += float64(c.kind.bytes) / 1024
 		if m.zone(c.client) != c.entry.Zone {
 			m.tally.crossKB += float64(c.kind.bytes) / 1024
@@ -514,23 +367,24 @@
 	m.scheduleAfter(m.networkDelay(c)+sidecarTime, func() { m.receive(c, end, elapsed, report) })
 }
 
-func (m *model) receive(c *call, end string, elapsed time.Duration, report *loadreport.Report) {
+// receive takes the response of an attempt at the client's sidecar.
+func (m *model) receive(c *call, end ending, elapsed time.Duration, report *loadreport.Report) {
 	balancer := m.balancers[c.client]
-	balancer.Finished(m.now, c.entry, end == "lost" || end == "late", false)
+	balancer.Finished(m.now, c.entry, end == lost || end == late, false)
 	if p, ok := balancer.(*loadbalancer.Balancer); ok && report != nil {
 		p.HandleReport(m.now, c.entry.UID, *report)
-		if end == "ok" {
+		if end == served {
 			p.RecordRun(m.now, c.kind.name, elapsed, c.kind.bytes)
 		}
 	}
-	if end == "full" {
+	if end == endpointFull {
 		balancer.Rejected(m.now, c.entry.UID)
 	}
 	switch end {
-	case "ok":
+	case served:
 		m.record(c, true)
 		return
-	case "full", "shed":
+	case endpointFull, shed:
 		if c.attempts < max(m.policy.maxAttempts, 2) && c.deadline().Since(m.now) > 5*ms {
 			m.send(c)
 			return
@@ -538,7 +392,7 @@
 		m.reject(c)
 		return
 	}
-	// It ran, or may have: tried again only if it may be, out of the allowance.
+	// It may have been executed: it is tried again only if it is repeatable, within a retry budget.
 	if !c.kind.unsafe && c.attempts < 2 && m.retries < 0.18*float64(m.tally.calls)+20 && c.deadline().Since(m.now) > 5*ms {
 		m.retries++
 		m.send(c)
@@ -552,6 +406,7 @@
 	m.record(c, false)
 }
 
+// reject tells the client that its call was not executed; the client tries once again.
 func (m *model) reject(c *call) {
 	m.tally.rejected++
 	if remaining := c.deadline().Since(m.now); !c.isRetry && remaining > 20*ms {
@@ -566,6 +421,7 @@
 	m.record(c, false)
 }
 
+// record counts the end of a call.
 func (m *model) record(c *call, ok bool) {
 	k, worth := c.kind, 0.0
 	m.tally.tries += c.attempts
@@ -593,5 +449,5 @@
 		in[at] = [2]float64{x[0] + worth, x[1] + k.worth}
 	}
 	add(m.tally.byRank, k.rank)
-	add(m.tally.windows, int(c.createdAt.Since(monotime.Time(time.Second))/(2*time.Second)))
+	add(m.tally.windows, int(c.createdAt.Since(startTime)/(2*time.Second)))
 }
--- a/mesh/admission/admission_test.go
+++ b/mesh/admission/queue_test.go
@@ -15,7 +15,8 @@
 
 func at(n int) monotime.Time { return monotime.Time(time.Second + time.Duration(n)*ms) }
 
-// newRequest comes at n ms, of 40 ms work, with an aim of 400 and a deadline of 1200 ms.
+// newRequest makes a request that comes at n ms, with 40 ms of work, a target of 400 ms and a deadline
+// of 1200 ms.
 func newRequest(id uint64, rank, n int) Request {
 	return Request{ID: id, Rank: rank, Work: 40 * ms, FreeRejectUntil: at(n + 95), Target: at(n + 400), Deadline: at(n + 1200)}
 }
@@ -35,9 +36,9 @@
 	return ids
 }
 
-// Five requests of three ranks come, one leaves, runs end, in every order: no more than
-// slots and one are out, each gets one word at most, none goes that quit or was turned away,
-// and a higher rank in the queue always goes before a lower one.
+// Five requests of three ranks come, one is abandoned, runs end, in every order: no more than the
+// slots and one are at the endpoint, each request gets one verdict at most, none is admitted that was
+// abandoned or rejected, and a higher rank in the queue always goes before a lower one.
 func TestAllOrdersOfSubmitAbandonAndDone(t *testing.T) {
 	ranks := []int{2, 0, 1, 2, 0}
 	for _, order := range permutations(7) {
@@ -46,8 +47,8 @@
 		apply := func(verdicts []Verdict) {
 			for _, verdict := range verdicts {
 				_, decided := decisions[verdict.ID]
-				must.False(t, decided, must.Sprintf("%v: two words for %d", order, verdict.ID))
-				must.False(t, abandoned[verdict.ID], must.Sprintf("%v: a word for %d that quit", order, verdict.ID))
+				must.False(t, decided, must.Sprintf("%v: two verdicts for %d", order, verdict.ID))
+				must.False(t, abandoned[verdict.ID], must.Sprintf("%v: a verdict for the abandoned %d", order, verdict.ID))
 				decisions[verdict.ID] = verdict.Decision
 				rank, waited := waitingRank[verdict.ID]
 				delete(waitingRank, verdict.ID)
@@ -108,7 +109,7 @@
 	return all
 }
 
-// Unknown slots are no bound, as they were before there was a bay.
+// Unknown slots are no bound.
 func TestUnknownSlotsAdmitAll(t *testing.T) {
 	queue := New(DefaultSettings())
 	for id := range uint64(500) {
@@ -116,8 +117,8 @@
 	}
 }
 
-// What can't be in time is turned away when it comes, with a time to come back that grows
-// with what waits; a higher rank still gets in.
+// A request that can't be in time is rejected when it comes, with a retryAfter that grows with what
+// waits; one of a higher rank still gets in.
 func TestRejectedAtOnceWhenTooManyWait(t *testing.T) {
 	queue, rejected, longestRetry := newQueue(2), 0, time.Duration(0)
 	for id := range uint64(60) {
@@ -135,13 +136,13 @@
 	must.Eq(t, 100, queue.Done(at(40), "e", 0, Served, 40*ms)[0].ID)
 }
 
-// A full line gives its last place to a higher rank, and the one that had it is told.
+// A full queue gives its last place to a higher rank, and rejects the request that had it.
 func TestAFullQueueGivesPlaceToAHigherRank(t *testing.T) {
 	settings := DefaultSettings()
 	settings.QueuePerSlot = 1
 	queue := New(settings)
 	queue.SetSlots(at(0), "e", 1, 0)
-	for id := range uint64(3) { // two go, one waits
+	for id := range uint64(3) { // two are admitted, one waits
 		must.SliceEmpty(t, withDecision(queue.Submit(at(0), "e", newRequest(id, 2, 0)), Reject))
 	}
 	must.Eq(t, []uint64{3}, withDecision(queue.Submit(at(1), "e", newRequest(3, 2, 1)), Reject))
@@ -149,8 +150,8 @@
 	must.Eq(t, []uint64{4}, withDecision(queue.Done(at(40), "e", 0, Served, 40*ms), Admit))
 }
 
-// A waiting request whose endpoint stalls is turned away while that costs nothing, and
-// none is held beyond its aim. The bay says itself when to look.
+// A waiting request whose endpoint stalls is rejected while that costs nothing, and none waits beyond
+// its target. NextTick says when to check.
 func TestStalledEndpointRejectsEarly(t *testing.T) {
 	queue, rejectedAtMs := newQueue(2), map[uint64]int{}
 	for id := range uint64(17) {
@@ -178,11 +179,11 @@
 			early++
 		}
 	}
-	must.Between(t, 1, early, 4) // the last of the line only: the others may be in time yet
+	must.Between(t, 1, early, 4) // the last of the queue only: the others may be in time yet
 }
 
-// An endpoint that takes five times as long says so soon, is given nothing that it can't
-// do in time but for one at a time, and is given all again when it is well.
+// An endpoint that becomes slower reports so, gets no more than one request at a time that it can't
+// finish in time, and gets all again when it has recovered.
 func TestSlowEndpointIsLearntAndForgiven(t *testing.T) {
 	queue, id := newQueue(6), uint64(0)
 	run := func(n int, elapsed time.Duration) {
@@ -213,7 +214,7 @@
 	must.Between(t, 0.9, loadReportOf(queue, at(40000)).RelativeTime, 1.3)
 }
 
-// Its start makes an endpoint slower for a while; that is expected, and not learnt.
+// An endpoint's slow start is expected, and does not change its estimates.
 func TestSlowStartIsExpected(t *testing.T) {
 	queue := New(DefaultSettings())
 	queue.SetSlots(at(0), "e", 6, 3*time.Second)
@@ -225,8 +226,8 @@
 	must.Between(t, 0.9, loadReportOf(queue, at(3100)).RelativeTime, 1.1)
 }
 
-// An endpoint that fails half its runs gets one trial in a while and those that must;
-// when its peers fail as much it is as good as they; when it is well it gets all.
+// An endpoint that fails half its runs gets one trial in every TrialInterval and the last resorts; all
+// if its peers fail as often, and all when it has recovered.
 func TestEndpointThatFailsGetsTrialsOnly(t *testing.T) {
 	queue, id := newQueue(6), uint64(0)
 	submit := func(n int, change func(*Request)) bool {
@@ -257,7 +258,7 @@
 	must.Eq(t, 100, count(6000, healthy, unchanged))
 }
 
-// Who waits for an endpoint that is no more is told.
+// RejectAll and Remove reject the requests that wait for an endpoint.
 func TestRemoveRejectsWaitingRequests(t *testing.T) {
 	queue := newQueue(1)
 	for id := range uint64(5) {
