--- a/mesh/loadbalancer/pick_test.go
+++ b/mesh/loadbalancer/balancer_test.go
@@ -18,9 +18,9 @@
 	return registry.Entry{Workload: &record.Workload{UID: ident.Server(fmt.Sprint("e", i)), SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: "d", Weight: 1, Status: status}}
 }
 
-// Every mix of statuses, lapses and past tries of three workloads: only a well one that
-// was not tried is ever chosen, one that has not lapsed before one that has, and somebody
-// is chosen whenever there is one.
+// Every mix of status, lapsed lease and earlier attempt of three workloads: only a healthy one that was
+// not tried is ever chosen, one with a lease in force before one whose lease has lapsed, and there is a
+// choice whenever there is one to choose.
 func TestAllMixesOfThree(t *testing.T) {
 	statuses := []record.Status{record.Healthy, record.Draining, record.Unhealthy, record.Unknown}
 	for n := range 16 * 16 * 16 {
@@ -51,8 +51,8 @@
 	}
 }
 
-// What is in hand, what is reported and the district turn the choice; a server that gave
-// no sure return, and a machine that could not be reached, are left alone for a while.
+// Requests in flight change the choice; a workload with an attempt of unknown outcome, and a machine
+// that could not be reached, are avoided for a while.
 func TestLoadAndSuspicionSteerTheChoice(t *testing.T) {
 	entries := []registry.Entry{newEntry(0, record.Healthy), newEntry(1, record.Healthy), newEntry(2, record.Healthy)}
 	count := func(balancer *Balancer, at monotime.Time) map[ident.Server]int {
@@ -81,5 +81,5 @@
 	must.Eq(t, 600, count(balancer, now)["e0"])
 	must.Less(t, 300, count(balancer, now.Add(2*suspectDuration))["e0"])
 	balancer.Rejected(now, "e0")
-	must.Positive(t, count(balancer, now)["e1"]) // all are doubtful: one of them it must be
+	must.Positive(t, count(balancer, now)["e1"]) // all are suspect: one of them is chosen all the same
 }
--- a/mesh/loadbalancer/heard_test.go
+++ b/mesh/loadbalancer/report_test.go
@@ -19,7 +19,7 @@
 	return entries
 }
 
-// choiceCounts chooses many times at one moment; what is chosen is not sent.
+// choiceCounts counts 1000 choices at one time; nothing is sent.
 func choiceCounts(balancer *Balancer, after time.Duration, entries []registry.Entry) map[ident.Server]int {
 	chosen := map[ident.Server]int{}
 	for range 1000 {
@@ -29,7 +29,7 @@
 	return chosen
 }
 
-// What a gate tells turns the choice at once, and less and less as it gets old.
+// A load report changes the choice at once, and less and less as it gets old.
 func TestLoadReportsSteerTheChoice(t *testing.T) {
 	normal := loadreport.Report{Running: 2, Slots: 6, RelativeTime: 1}
 	for name, report := range map[string]loadreport.Report{
@@ -50,8 +50,7 @@
 	}
 }
 
-// Own requests that the gate has not told of yet count on top; those it told of do not
-// count twice.
+// Own requests in flight that are not in a report yet count on top; those that are do not count twice.
 func TestOwnRequestsCountOnce(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(2)
 	choiceCounts(balancer, 0, entries)
@@ -71,8 +70,8 @@
 	must.Between(t, 400, choiceCounts(balancer, 0, entries)["e0"], 600)
 }
 
-// Those that fail are left out, but never more than a part of a service, and the last is
-// taken whatever it does; a service that fails as a whole has nobody left out.
+// Workloads that fail are ejected, but no more than MaxEjectedShare of a service, and the only one
+// never; where all workloads of a service fail, none is ejected.
 func TestNoMoreThanMaxEjectedShareIsEjected(t *testing.T) {
 	for failing := range 7 {
 		balancer, entries := New("d", 1), healthyEntries(6)
@@ -94,7 +93,7 @@
 		chosen := choiceCounts(balancer, 0, entries)
 		for i := range failing {
 			if failing <= 2 {
-				must.Eq(t, 0, chosen[entries[i].UID], must.Sprintf("%d ill", failing))
+				must.Eq(t, 0, chosen[entries[i].UID], must.Sprintf("%d failing", failing))
 			}
 		}
 		if failing == 6 {
@@ -107,8 +106,7 @@
 	must.Eq(t, 1000, choiceCounts(balancer, 0, entries)["e0"])
 }
 
-// A large return stays in its district while that is not much busier; a small one does not
-// mind.
+// A large response stays in its zone while the zone is not much busier; a small one need not.
 func TestLargeResponsesStayInTheZone(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(2)
 	entries[1].Zone = "other"
@@ -134,7 +132,7 @@
 	must.Eq(t, 1000, count("large"))
 }
 
-// A workload that came after the others is taken to be slow until its gate has told.
+// A workload that came after the others is taken to be slow until it reports.
 func TestNewEndpointsStartSlowly(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(4)
 	choiceCounts(balancer, 0, entries[:3])
@@ -149,7 +147,7 @@
 	must.Eq(t, 1000, choiceCounts(balancer, 0, entries)["e3"])
 }
 
-// A choice makes nothing that must be collected again.
+// A choice allocates no memory.
 func TestChoiceAllocatesNothing(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(53)
 	must.Eq(t, 0, testing.AllocsPerRun(100, func() { balancer.ChooseForRoute(now, "w", entries, nil) }))
