--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -48,7 +48,13 @@
 
 // New makes a planner without a configuration.
 func New(now monotime.Time, zone ident.Zone, seed uint64, limits retrybudget.Limits) *Planner {
-	return &Planner{Index: registry.New(), Balancer: loadbalancer.New(zone, seed), RetryBudget: retrybudget.New(now, limits), routes: routetable.New(nil), outcomes: map[ident.Service]reconcile.CallCounts{}}
+	return &Planner{
+		Index:       registry.New(),
+		Balancer:    loadbalancer.New(zone, seed),
+		RetryBudget: retrybudget.New(now, limits),
+		routes:      routetable.New(nil),
+		outcomes:    map[ident.Service]reconcile.CallCounts{},
+	}
 }
 
 // Revision is the revision of the configuration in force, 0 for none.
--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -69,7 +69,11 @@
 
 // New makes a tracker without endpoints.
 func New() *Tracker {
-	return &Tracker{endpoints: map[ident.Server]*trackedEndpoint{}, serverByAddr: map[ident.Addr]ident.Server{}, signedOffAt: map[ident.Server]monotime.Time{}}
+	return &Tracker{
+		endpoints:    map[ident.Server]*trackedEndpoint{},
+		serverByAddr: map[ident.Addr]ident.Server{},
+		signedOffAt:  map[ident.Server]monotime.Time{},
+	}
 }
 
 // WithHeartbeatInterval sets the heartbeat interval that endpoints are asked for, where it is not
@@ -113,7 +117,7 @@
 	if heartbeat.Weight == 0 {
 		heartbeat.Weight = 1
 	}
-	change := t.evictFormerServer(now, heartbeat)
+	change := t.evictPreviousServer(now, heartbeat)
 	e := t.endpoints[heartbeat.Server]
 	if e == nil {
 		e = &trackedEndpoint{status: record.Unknown, skipChecks: t.SkipChecks, requestedInterval: t.requestedInterval}
@@ -131,15 +135,15 @@
 	return change
 }
 
-// evictFormerServer removes the server that had a heartbeat's address before. It counts as signed
+// evictPreviousServer removes the server that had a heartbeat's address before. It counts as signed
 // off, so that a late heartbeat of its own does not take the address back.
-func (t *Tracker) evictFormerServer(now monotime.Time, heartbeat Heartbeat) Change {
-	former, ok := t.serverByAddr[heartbeat.Addr]
-	if !ok || former == heartbeat.Server || t.SkipChecks {
+func (t *Tracker) evictPreviousServer(now monotime.Time, heartbeat Heartbeat) Change {
+	previous, ok := t.serverByAddr[heartbeat.Addr]
+	if !ok || previous == heartbeat.Server || t.SkipChecks {
 		return Change{}
 	}
-	t.signedOffAt[former] = now
-	return t.remove(former)
+	t.signedOffAt[previous] = now
+	return t.remove(previous)
 }
 
 // handleLeaving marks an endpoint as leaving, also while heartbeats are not trusted.
@@ -300,7 +304,14 @@
 	workloads := []record.Workload{}
 	for _, server := range t.sortedServers() {
 		e := t.endpoints[server]
-		workloads = append(workloads, record.Workload{UID: server, Service: e.Service, Addresses: []ident.Addr{e.Addr}, Weight: e.Weight, Status: e.status, Load: e.Load})
+		workloads = append(workloads, record.Workload{
+			UID:       server,
+			Service:   e.Service,
+			Addresses: []ident.Addr{e.Addr},
+			Weight:    e.Weight,
+			Status:    e.status,
+			Load:      e.Load,
+		})
 	}
 	return workloads
 }
--- a/mesh/loadreport/loadreport.go
+++ b/mesh/loadreport/loadreport.go
@@ -35,7 +35,10 @@
 // thousandths, queue delay in milliseconds.
 func (r Report) Text() string {
 	buf := make([]byte, 0, 40)
-	values := [fieldCount]int64{int64(r.Running), int64(r.Waiting), int64(r.Slots), thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds()}
+	values := [fieldCount]int64{
+		int64(r.Running), int64(r.Waiting), int64(r.Slots),
+		thousandths(r.RelativeTime), thousandths(r.FailureRate), r.QueueDelay.Milliseconds(),
+	}
 	for i, value := range values {
 		if i > 0 {
 			buf = append(buf, ',')
