--- a/control/core/joinqueue/admission.go
+++ b/control/core/joinqueue/queue.go
@@ -1,5 +1,5 @@
-// Package joinqueue queues the joins of sidecars at one core and takes them into batches,
-// so that many that come together cost a few rounds of quorum and not some for each.
+// Package joinqueue queues the joins of sidecars at one core and groups them into batches, so that
+// many joins at once need a few quorum rounds in all and not some for each.
 package joinqueue
 
 import (
@@ -13,45 +13,49 @@
 )
 
 const (
-	// MaxBatch bounds the joins of one batch.
+	// MaxBatch is the greatest number of joins in one batch.
 	MaxBatch = 128
-	// MaxWaiting bounds the joins that wait at one core.
+	// MaxWaiting is the greatest number of joins that wait at one core.
 	MaxWaiting = 512
-	// minRetryAfter and retryMost bound what a refused sidecar is told to wait.
+	// minRetryAfter and maxRetryAfter bound the time, without jitter, that a refused sidecar is
+	// asked to wait.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// initialBatchDuration is how long a batch is taken to last before one has ended.
+	// initialBatchDuration is the estimate of a batch's duration before one has ended.
 	initialBatchDuration = 250 * time.Millisecond
 )
 
-// Request is a sidecar's wish to join. Run marks this attempt of one run of the sidecar: a
-// repeat under the same mark is the same join.
+// Request is a sidecar's request to join. Run names one attempt of one run of the sidecar: a
+// repeated request with the same Run is the same join.
 type Request struct {
-	Node       ident.Node
-	Run        string
-	RetryTotal int // of further tries, as in share.Args
+	Node ident.Node
+	Run  string
+	// RetryTotal is the mesh's retry budget in the sidecar's settings, see quota.Args.Total.
+	RetryTotal int
 }
 
-// Refusal ends one waiting join.
+// Refusal is the failure of one caller's join.
 type Refusal struct {
 	Ticket  uint64
 	Failure *failure.Error
 }
 
-// waiter is one caller that waits for a join, at most until its deadline.
+// waiter is one caller that waits for a join until its deadline at most.
 type waiter struct {
 	ticket   uint64
 	deadline monotime.Time
 }
 
+// join is one join with all its callers.
 type join struct {
 	Request
 	queuedAt monotime.Time
 	waiters  []waiter
 }
 
-// Queue is the step function. Invariants: at most one batch is out; a node is at most once
-// in a batch; every ticket that was added ends once, by Refuse, Expire or End.
+// Queue holds the joins at one core; its zero value is empty. Invariants: at most one batch is in
+// progress; a node is at most once in a batch; every ticket that was added ends exactly once, by
+// RefuseWaiting, Expire or EndBatch.
 type Queue struct {
 	waiting           []*join
 	batch             []*join
@@ -59,13 +63,13 @@
 	lastBatchDuration time.Duration // of the last batch
 }
 
-// Len is how many joins wait for a batch.
+// Len returns how many joins wait for a batch.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// BatchInFlight tells whether a batch is out.
+// BatchInFlight reports whether a batch is in progress.
 func (q *Queue) BatchInFlight() bool { return len(q.batch) > 0 }
 
-// Add queues a join until a deadline, or tells why it is refused.
+// Add queues a join until a deadline, or returns why it is refused.
 func (q *Queue) Add(now monotime.Time, ticket uint64, r Request, deadline monotime.Time) *failure.Error {
 	w := waiter{ticket, deadline}
 	if j := q.find(r); j != nil {
@@ -79,7 +83,7 @@
 	return nil
 }
 
-// find looks for the same join, waiting or under way.
+// find returns the same join if it waits or is in progress, else nil.
 func (q *Queue) find(r Request) *join {
 	if r.Run == "" {
 		return nil
@@ -94,7 +98,7 @@
 	return nil
 }
 
-// BeginBatch takes the next batch out; it has none while one is out.
+// BeginBatch begins the next batch and returns its requests, none while one is in progress.
 func (q *Queue) BeginBatch(now monotime.Time) []Request {
 	if len(q.batch) > 0 {
 		return nil
@@ -114,8 +118,8 @@
 	return batch
 }
 
-// EndBatch ends the batch that is out; one that went well shows how long a batch takes. It gives
-// the tickets that wait for each of its joins, in the order of the batch.
+// EndBatch ends the batch in progress and returns the tickets that wait for each of its joins, in
+// the order of the batch. The duration of a batch that succeeded is the estimate for the next.
 func (q *Queue) EndBatch(now monotime.Time, succeeded bool) [][]uint64 {
 	tickets := make([][]uint64, len(q.batch))
 	for i, j := range q.batch {
@@ -130,8 +134,8 @@
 	return tickets
 }
 
-// Expire refuses the joins whose deadline is over. One whose batch is out may yet be
-// granted.
+// Expire ends the tickets whose deadline is over. The outcome of those whose batch is in progress
+// is unknown.
 func (q *Queue) Expire(now monotime.Time) []Refusal {
 	var refusals []Refusal
 	for _, j := range q.waiting {
@@ -146,7 +150,7 @@
 	return refusals
 }
 
-// expireWaiters takes the waiters out whose time is over.
+// expireWaiters removes the waiters whose deadline is over.
 func (q *Queue) expireWaiters(now monotime.Time, j *join, refusal *failure.Error) (refusals []Refusal) {
 	j.waiters = slices.DeleteFunc(j.waiters, func(w waiter) bool {
 		if !now.After(w.deadline) {
@@ -158,7 +162,7 @@
 	return refusals
 }
 
-// RefuseWaiting refuses those that wait, are in no batch and came no later than a moment.
+// RefuseWaiting refuses the joins that are in no batch and were queued no later than queuedBy.
 func (q *Queue) RefuseWaiting(queuedBy monotime.Time, kind failure.Kind, reason string) []Refusal {
 	var refusals []Refusal
 	q.waiting = slices.DeleteFunc(q.waiting, func(j *join) bool {
@@ -178,8 +182,8 @@
 	return failure.New(failure.Busy, format, args...).WithRetryAfter(q.RetryAfter(r).Seconds())
 }
 
-// RetryAfter is when a refused join may come back: once the batches before it have ended,
-// and by its own hash up to as long again, so that those refused together do not come back
+// RetryAfter returns how long a refused join is to wait: until the batches before it have ended,
+// and up to twice as long by its own jitter, so that joins refused together do not return
 // together.
 func (q *Queue) RetryAfter(r Request) time.Duration {
 	batchDuration := q.lastBatchDuration
@@ -191,7 +195,7 @@
 	return wait + time.Duration(float64(wait)*jitter(r))
 }
 
-// jitter is a number from 0 to 1 that is a join's own.
+// jitter returns a number from 0 to 1 that depends on the join alone.
 func jitter(r Request) float64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(r.Node))
--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -1,4 +1,5 @@
-// Package message holds what core processes say to each other.
+// Package message defines the messages between core processes. Their JSON field names are fixed:
+// cores of different releases exchange them.
 package message
 
 import (
@@ -13,9 +14,8 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// Message is one message. Invariants: exactly one part is set; To is empty or the
-// mark of the very process it is meant for, and any other drops it; a message is
-// sent at most once by whoever sends it.
+// Message is one message. Invariants: exactly one part is set; To is empty or the InstanceID of
+// the run that it is meant for, and any other run drops it; its sender sends it at most once.
 type Message struct {
 	From               ident.Addr           `json:"from,omitempty"`
 	To                 string               `json:"to,omitempty"`
@@ -35,32 +35,39 @@
 	SilenceCheck       *SilenceCheck        `json:"quiet,omitempty"`
 }
 
-// Empty tells whether no part is set.
+// Empty reports whether no part is set.
 func (m Message) Empty() bool { return m == Message{From: m.From, To: m.To} }
 
-// Heartbeat is what cores tell each other several times a second. A brief one leaves out what
-// the last whole one of the same Run said. Invariants: Run stands for Mark; No rises with
-// every hello of one run; Ack is the newest No of the run Of whose Sum was that of the list held here, so
-// that this core has heard of every renewal that hello told of.
+// Heartbeat is what a core sends each other core several times a second. A brief one leaves out
+// what the last full one of the same run said.
 type Heartbeat struct {
-	Run         uint64 `json:"run"`
-	Brief       bool   `json:"brief,omitempty"`
-	Seq         uint64 `json:"no"`
+	// Run is InstanceHash of the sender's InstanceID.
+	Run   uint64 `json:"run"`
+	Brief bool   `json:"brief,omitempty"`
+	// Seq rises with every heartbeat of one run.
+	Seq uint64 `json:"no"`
+	// AckInstance is the Run of the receiver that AckSeq and ReceivedSeq refer to.
 	AckInstance uint64 `json:"of,omitempty"`
-	AckSeq      uint64 `json:"ack,omitempty"`
-	// ReceivedSeq is the newest No of the run Of that was taken at all; it is left out when it
-	// is Ack.
-	ReceivedSeq     uint64      `json:"heard,omitempty"`
-	LeaseChecksum   uint64      `json:"sum,omitempty"` // of the sidecars kept at the sender
-	MembershipEpoch ident.Epoch `json:"at,omitempty"`  // of the membership
+	// AckSeq is the receiver's newest heartbeat whose LeaseChecksum was that of the list of leases
+	// held here: this core knows of every renewal that came in before it.
+	AckSeq uint64 `json:"ack,omitempty"`
+	// ReceivedSeq is the newest heartbeat that was received at all; 0 if that is AckSeq.
+	ReceivedSeq uint64 `json:"heard,omitempty"`
+	// LeaseChecksum is that of the leases that are registered at the sender.
+	LeaseChecksum   uint64      `json:"sum,omitempty"`
+	MembershipEpoch ident.Epoch `json:"at,omitempty"`
 	ConfigRevision  ident.Epoch `json:"manifest"`
-	// ConfigAgeMs is how long ago, plus one, the sender knew that nothing newer than Manifest
-	// was confirmed; 0 is never.
-	ConfigAgeMs   int64                                  `json:"ageMs,omitempty"`
-	HoldsDuty     bool                                   `json:"duty,omitempty"`    // the sender holds the anti-entropy duty
-	RolloutActive bool                                   `json:"rolling,omitempty"` // a roll-out runs: say Ends
+	// ConfigAgeMs is how many milliseconds ago, plus one, the sender knew that nothing newer than
+	// ConfigRevision was confirmed; 0 if it never did.
+	ConfigAgeMs int64 `json:"ageMs,omitempty"`
+	// HoldsDuty reports that the sender holds the anti-entropy duty.
+	HoldsDuty bool `json:"duty,omitempty"`
+	// RolloutActive reports that a roll-out runs and that CallOutcomes are wanted.
+	RolloutActive bool                                   `json:"rolling,omitempty"`
 	CallOutcomes  map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
-	// What a brief one leaves out.
+
+	// The fields from here on are those that a brief heartbeat leaves out.
+
 	InstanceID string             `json:"mark,omitempty"`
 	Disk       ident.Disk         `json:"disk,omitempty"`
 	Zone       ident.Zone         `json:"district,omitempty"`
@@ -68,13 +75,14 @@
 	Leaving    bool               `json:"leaving,omitempty"`
 	DiskFailed bool               `json:"broken,omitempty"`
 	Cores      []ident.Addr       `json:"cores,omitempty"`
-	// AcceptsPatches says that this process takes accepts that carry a quorum.Patch.
+	// AcceptsPatches reports that the sender handles accepts that carry a quorum.Patch.
 	AcceptsPatches bool `json:"patches,omitempty"`
-	// ReportsReceived says that this process's hellos tell what it has Heard.
+	// ReportsReceived reports that the sender sets ReceivedSeq.
 	ReportsReceived bool `json:"echo,omitempty"`
 }
 
-// InstanceHash stands for the mark of a run.
+// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, finished by a round of
+// the mixer of MurmurHash3.
 func InstanceHash(instanceID string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instanceID))
@@ -84,13 +92,14 @@
 	return mixed ^ mixed>>33
 }
 
-// MergedWith lays a later hello of the same run over this one.
+// MergedWith returns a later heartbeat of the same run, completed by this one if it is brief.
 func (h Heartbeat) MergedWith(later Heartbeat) Heartbeat {
 	if !later.Brief {
 		return later
 	}
 	later.Brief, later.InstanceID = h.Brief, h.InstanceID
-	later.Disk, later.Zone, later.Membership, later.Leaving, later.DiskFailed, later.Cores = h.Disk, h.Zone, h.Membership, h.Leaving, h.DiskFailed, h.Cores
+	later.Disk, later.Zone, later.Membership = h.Disk, h.Zone, h.Membership
+	later.Leaving, later.DiskFailed, later.Cores = h.Leaving, h.DiskFailed, h.Cores
 	later.AcceptsPatches, later.ReportsReceived = h.AcceptsPatches, h.ReportsReceived
 	if later.CallOutcomes == nil {
 		later.CallOutcomes = h.CallOutcomes
@@ -98,50 +107,52 @@
 	return later
 }
 
-// ResendRequest asks for a whole hello, or for all sidecars kept at the receiver.
+// ResendRequest asks for a full heartbeat, or for all leases that are registered at the receiver.
 type ResendRequest struct {
 	Heartbeat bool `json:"hello,omitempty"`
 	Leases    bool `json:"kept,omitempty"`
 }
 
-// SilenceCheck asks a voter which of the nodes it has not heard for table.SilentAfter, or says so.
+// SilenceCheck asks a voter which of some nodes it has not heard for leasetable.SilentAfter, or
+// answers that.
 type SilenceCheck struct {
 	Round     uint64       `json:"turn"`
-	Responder ident.Disk   `json:"says,omitempty"` // empty in the question
+	Responder ident.Disk   `json:"says,omitempty"` // empty in the request
 	Nodes     []ident.Node `json:"nodes,omitempty"`
 }
 
-// Forward carries an operation to its key's proposer. LeftMs is how much longer its client waits, a
-// span as of the sending: the receiver counts it from the receipt and begins the operation no
-// later. 0, of a core that knows no such field, sets no bound.
+// Forward carries an operation to the proposer of its key. LeftMs is how many milliseconds its
+// client still waits: the receiver counts them from the receipt and does not begin the operation
+// later. 0, from a core that does not know this field, sets no bound.
 type Forward struct {
 	Ticket    uint64             `json:"ticket"`
 	Operation proposer.Operation `json:"deed"`
 	LeftMs    int64              `json:"leftMs,omitempty"`
 }
 
-// ForwardResult is the end of a forwarded operation.
+// ForwardResult is the result of a forwarded operation. Abandoned means that the receiver did not
+// complete it, MayHaveTakenEffect that it is not known whether it did.
 type ForwardResult struct {
 	Ticket   uint64         `json:"ticket"`
 	Body     []byte         `json:"body,omitempty"`
 	Failure  *failure.Error `json:"defect,omitempty"`
 	Revision ident.Revision `json:"revision"`
-	// Ballot is the term under which the key's state was confirmed at Revision; zero where
-	// that is not known.
+	// Ballot is the one under which the key's value was confirmed at Revision; zero where that
+	// is not known.
 	Ballot             ident.Ballot `json:"ballot,omitzero"`
 	Abandoned          bool         `json:"lost,omitempty"`
 	MayHaveTakenEffect bool         `json:"risk,omitempty"`
 }
 
-// Learned tells that a key was confirmed at a revision, under a ballot. Invariant: a
-// disk that holds that very ballot and revision holds the confirmed value.
+// Learned announces that a key was confirmed at a revision under a ballot. Invariant: a disk that
+// holds this ballot and revision holds the confirmed value.
 type Learned struct {
 	Key      ident.Key      `json:"key"`
 	Revision ident.Revision `json:"revision"`
 	Ballot   ident.Ballot   `json:"ballot"`
 }
 
-// Handover names the receiver as successor for keys.
+// Handover makes the receiver the next proposer of some keys.
 type Handover struct {
 	Keys []ident.Key `json:"keys"`
 }
--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -1,4 +1,5 @@
-// Package acceptor is one disk's part in deciding the membership.
+// Package acceptor implements the acceptor, in the sense of Paxos, of changes of the membership: one
+// disk's promises and accepted proposals for the next membership epoch.
 package acceptor
 
 import (
@@ -11,34 +12,34 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Tag is the ring tag of the state.
+// Tag is the ring key of the state.
 const Tag = "roster"
 
-// State is what the disk remembers. Invariants: Current's epoch only rises; Promised,
-// Accepted and Next speak of the epoch after Current's and are forgotten when Current moves on;
-// a Current is only ever set to a membership that was chosen.
+// State is what the disk stores. Invariants: the epoch of Current only rises; Promised, Accepted
+// and Next belong to the epoch after it and are dropped when Current changes; Current is only ever
+// set to a membership that was chosen.
 type State struct {
 	Current  quorum.Membership  `json:"now"`
 	Promised ident.Ballot       `json:"promised"`
 	Accepted ident.Ballot       `json:"taken"`
 	Next     *quorum.Membership `json:"next,omitempty"`
-	// BoundTo is the first membership this disk, while empty, has agreed to form, and BoundBy
-	// the disk that proposed it. Invariant: an empty disk is bound to one at a time.
+	// BoundTo is the first membership that this disk has agreed to form while it is empty, and
+	// BoundBy the disk that proposed it. Invariant: an empty disk is bound to one at a time.
 	BoundTo *quorum.Membership `json:"bound,omitempty"`
 	BoundBy ident.Disk         `json:"by,omitempty"`
 }
 
-// Kind is the kind of membership message.
+// Kind is the kind of a request.
 type Kind string
 
-// The membership messages.
+// The kinds of requests: the two phases of a change, and the vote for the first membership.
 const (
 	Prepare Kind = "prepare"
 	Accept  Kind = "accept"
 	Form    Kind = "form"
 )
 
-// Request is a membership request. Base is the epoch it builds on.
+// Request asks a disk for its vote. Base is the epoch of the membership that the change is based on.
 type Request struct {
 	Kind   Kind               `json:"kind"`
 	Round  uint64             `json:"turn"`
@@ -48,7 +49,7 @@
 	Next   *quorum.Membership `json:"next,omitempty"`
 }
 
-// Response answers it. Heard lists the disks that the voter has heard lately.
+// Response answers a Request. Heard lists the disks that the voter has heard lately.
 type Response struct {
 	Kind     Kind               `json:"kind"`
 	Round    uint64             `json:"turn"`
@@ -61,30 +62,32 @@
 	Heard    []ident.Disk       `json:"alive,omitempty"`
 }
 
-// Acceptor is the step function.
+// Acceptor is the acceptor of one disk.
 type Acceptor struct {
 	Disk ident.Disk
 	State
 	handlers map[Kind]func(*Acceptor, Request) (ok, write bool)
 }
 
-// New makes an empty one.
+// New returns the acceptor of an empty disk.
 func New(disk ident.Disk) *Acceptor {
 	return &Acceptor{Disk: disk, handlers: map[Kind]func(*Acceptor, Request) (bool, bool){Prepare: prepare, Accept: accept, Form: bind}}
 }
 
-// Load reads the state back.
+// Load restores the state from the data of a Record.
 func (a *Acceptor) Load(data []byte) error {
-	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "roster")
+	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "membership")
 }
 
-// Record writes the state.
+// Record returns the state as a ring record.
 func (a *Acceptor) Record() ring.Record {
 	data, _ := json.Marshal(a.State)
 	return ring.Record{Key: Tag, Data: data}
 }
 
-func prepare(a *Acceptor, request Request) (bool, bool) {
+// prepare promises a ballot unless a higher one was promised before. Like the other handlers it returns
+// whether the disk agrees, and whether its state changed and must be written.
+func prepare(a *Acceptor, request Request) (ok, write bool) {
 	if request.Ballot.Less(a.Promised) {
 		return false, false
 	}
@@ -92,7 +95,8 @@
 	return true, true
 }
 
-func accept(a *Acceptor, request Request) (bool, bool) {
+// accept accepts a membership for the next epoch unless a higher ballot was promised before.
+func accept(a *Acceptor, request Request) (ok, write bool) {
 	if request.Ballot.Less(a.Promised) || request.Next == nil || request.Next.Epoch != a.Current.Epoch+1 {
 		return false, false
 	}
@@ -100,9 +104,9 @@
 	return true, true
 }
 
-// bind binds an empty disk. It may be bound anew only by the same disk, which alone
-// counts its own agreements, or when the disk that proposed it first is gone from the founders.
-func bind(a *Acceptor, request Request) (bool, bool) {
+// bind binds an empty disk to a first membership. It may be bound again only by the same disk,
+// which alone counts the votes for it, or once the disk that bound it is not among the founders.
+func bind(a *Acceptor, request Request) (ok, write bool) {
 	if request.Next == nil || request.Next.Epoch != 1 {
 		return false, false
 	}
@@ -119,7 +123,8 @@
 	return true, true
 }
 
-// Step serves one request; counted says whether this disk is a counted voter now.
+// Step handles one request. It returns the response, the records to be synced before it is sent,
+// and whether there is a response at all; heard lists the disks that were heard lately.
 func (a *Acceptor) Step(request Request, heard []ident.Disk) (Response, []ring.Record, bool) {
 	handle, known := a.handlers[request.Kind]
 	if !known || request.Base != a.Current.Epoch || (request.Kind == Form) != (a.Current.Epoch == 0) {
@@ -129,7 +134,10 @@
 		return Response{}, nil, false
 	}
 	ok, write := handle(a, request)
-	response := Response{Kind: request.Kind, Round: request.Round, Base: request.Base, Disk: a.Disk, OK: ok, Promised: a.Promised, Accepted: a.Accepted, Next: a.Next, Heard: slices.Clone(heard)}
+	response := Response{
+		Kind: request.Kind, Round: request.Round, Base: request.Base, Disk: a.Disk, OK: ok,
+		Promised: a.Promised, Accepted: a.Accepted, Next: a.Next, Heard: slices.Clone(heard),
+	}
 	if request.Kind == Form {
 		response.Next = a.BoundTo
 	}
@@ -139,7 +147,7 @@
 	return response, []ring.Record{a.Record()}, true
 }
 
-// Adopt takes a chosen membership; it answers false when it is not newer.
+// Adopt takes a chosen membership. It returns false if that is not newer than Current.
 func (a *Acceptor) Adopt(chosen quorum.Membership) ([]ring.Record, bool) {
 	if chosen.Epoch <= a.Current.Epoch {
 		return nil, false
--- a/control/membership/bootstrap/bootstrap.go
+++ b/control/membership/bootstrap/bootstrap.go
@@ -1,4 +1,4 @@
-// Package bootstrap decides the first membership: only when every founder says that it is
+// Package bootstrap forms the first membership, once every founder has reported that its disk is
 // empty.
 package bootstrap
 
@@ -12,10 +12,11 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+// resendInterval is the time between two rounds of requests.
 const resendInterval = 250 * time.Millisecond
 
-// Bootstrap asks the founders. Invariant: it counts only agreements to the very membership it
-// asks for in this round; the membership is chosen when every founder agreed.
+// Bootstrap asks the founders for their votes. Invariant: it counts only votes for the membership
+// that it proposes in this round; that membership is chosen when every founder has voted for it.
 type Bootstrap struct {
 	disk     ident.Disk
 	addr     ident.Addr
@@ -26,19 +27,19 @@
 	lastSent monotime.Time
 }
 
-// New makes a bootstrap for the founders' addresses.
+// New returns the bootstrap of a core; founders are the addresses of all founders.
 func New(disk ident.Disk, addr ident.Addr, founders []ident.Addr) *Bootstrap {
 	return &Bootstrap{disk: disk, addr: addr, founders: slices.Sorted(slices.Values(founders))}
 }
 
-// Send is one request.
+// Send is a request to one founder.
 type Send struct {
 	To      ident.Addr
 	Request acceptor.Request
 }
 
-// Tick asks when this is the founder that should: the first by address. empty holds
-// the founders heard lately that say they are empty, with their disks.
+// Tick returns the requests that are due. Only the first founder by address sends any.
+// emptyFounders holds, with their disks, the founders heard lately that are empty.
 func (b *Bootstrap) Tick(now monotime.Time, emptyFounders map[ident.Addr]ident.Disk) []Send {
 	if len(b.founders) == 0 || b.founders[0] != b.addr || b.lastSent != 0 && now.Since(b.lastSent) < resendInterval {
 		return nil
@@ -66,7 +67,7 @@
 	return sends
 }
 
-// Step takes one response; the membership is not nil once it is chosen.
+// Step handles one response. It returns the membership once that is chosen, else nil.
 func (b *Bootstrap) Step(r acceptor.Response) *quorum.Membership {
 	if b.proposed == nil || !r.OK || r.Round != b.round || r.Next == nil || !slices.Equal(r.Next.Voters, b.proposed.Voters) {
 		return nil
--- a/control/membership/reconfiguration/reconfiguration_test.go
+++ b/control/membership/reconfiguration/reconfiguration_test.go
@@ -14,17 +14,30 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+func membershipOf(epoch ident.Epoch, voters ...quorum.Voter) quorum.Membership {
+	return quorum.Membership{Epoch: epoch, Voters: voters}
+}
+
+func countedVoter(disk ident.Disk, addr ident.Addr) quorum.Voter {
+	return quorum.Voter{Disk: disk, Addr: addr, Counted: true}
+}
+
+// copyingVoter is a voter that has a slot and is not counted yet.
+func copyingVoter(disk ident.Disk, addr ident.Addr) quorum.Voter {
+	return quorum.Voter{Disk: disk, Addr: addr}
+}
+
+// envelope is a request on its way from a proposer to an acceptor.
 type envelope struct {
 	from    ident.Disk
 	to      ident.Disk
 	request acceptor.Request
 }
 
-// Two machines come back empty at once and both want the dead slot: in every order
-// of their messages one membership is chosen at most, and whoever goes on to the end
-// agrees with it.
+// Two machines return with empty disks at once and both want the dead voter's slot: in every order of
+// their messages at most one membership is chosen, and whichever proposer completes agrees with it.
 func TestAllOrdersOfTwoNewcomers(t *testing.T) {
-	base := quorum.Membership{Epoch: 1, Voters: []quorum.Voter{{Disk: "d1", Addr: "1", Counted: true}, {Disk: "d2", Addr: "2", Counted: true}, {Disk: "dead", Addr: "3", Counted: true}}}
+	base := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3"))
 	heard := []ident.Disk{"d1", "d2"}
 	chosen := 0
 	for seed := range 4 * 4 * 4 * 4 * 4 * 4 {
@@ -78,7 +91,7 @@
 			}
 			must.Eq(t, ident.Epoch(2), next.Epoch)
 			if chosenNext != nil {
-				must.Eq(t, chosenNext.Voters, next.Voters, must.Sprintf("seed %d: two rosters at one epoch", seed))
+				must.Eq(t, chosenNext.Voters, next.Voters, must.Sprintf("seed %d: two memberships at one epoch", seed))
 			}
 			chosenNext = next
 			if step > 60 {
@@ -92,11 +105,11 @@
 	must.Greater(t, 3000, chosen)
 }
 
-// A voter that somebody in the majority has heard is not replaced; the last that a
-// majority rests on is not either.
+// A voter that some voter of the majority has heard is not replaced, nor is one without which there is
+// no majority.
 func TestOnlyADeadSlotIsTaken(t *testing.T) {
 	me := quorum.Voter{Disk: "n", Addr: "9"}
-	three := quorum.Membership{Epoch: 4, Voters: []quorum.Voter{{Disk: "a", Addr: "1", Counted: true}, {Disk: "b", Addr: "2", Counted: true}, {Disk: "c", Addr: "3", Counted: true}}}
+	three := membershipOf(4, countedVoter("a", "1"), countedVoter("b", "2"), countedVoter("c", "3"))
 	all := map[ident.Disk]bool{"a": true, "b": true, "c": true}
 	must.Nil(t, reconfiguration.TakeSlot(me, 3, true)(three, all))
 	next := reconfiguration.TakeSlot(me, 5, true)(three, all)
@@ -107,13 +120,13 @@
 	must.False(t, next.Voters[2].Counted)
 	same := reconfiguration.TakeSlot(quorum.Voter{Disk: "n", Addr: "2"}, 5, false)(three, all)
 	must.Eq(t, ident.Disk("n"), same.Voters[1].Disk)
-	// One slot is copying already: taking a counted one would leave no majority.
-	copying := quorum.Membership{Epoch: 5, Voters: []quorum.Voter{{Disk: "a", Addr: "1", Counted: true}, {Disk: "b", Addr: "2", Counted: true}, {Disk: "n", Addr: "9"}}}
+	// One slot is being copied already: without another counted voter there is no majority.
+	copying := membershipOf(5, countedVoter("a", "1"), countedVoter("b", "2"), copyingVoter("n", "9"))
 	must.Nil(t, reconfiguration.TakeSlot(quorum.Voter{Disk: "m", Addr: "8"}, 3, false)(copying, map[ident.Disk]bool{"a": true, "n": true}))
 }
 
-// The first membership needs every founder's word that it is empty; a founder bound to
-// one first membership does not join another while who asked first is still there.
+// The first membership needs the vote of every founder that it is empty. A founder that is bound to one
+// first membership votes for no other while the disk that bound it is still a founder.
 func TestFormingNeedsEveryFounder(t *testing.T) {
 	founders := []ident.Addr{"1", "2", "3"}
 	forming := bootstrap.New("d1", "1", founders)
@@ -128,16 +141,16 @@
 		next := forming.Step(response)
 		must.Eq(t, i == 2, next != nil, must.Sprint("chosen too early or not at all"))
 	}
-	// Another founder with another set, while d1 is in it: no.
-	other := &quorum.Membership{Epoch: 1, Voters: []quorum.Voter{{Disk: "d1", Addr: "1", Counted: true}, {Disk: "d2", Addr: "2", Counted: true}, {Disk: "d9", Addr: "3", Counted: true}}}
-	response, _, _ := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d9", Next: other}, nil)
+	// Another founder proposes another set that d1 is in: rejected.
+	other := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("d9", "3"))
+	response, _, _ := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d9", Next: &other}, nil)
 	must.False(t, response.OK)
-	// The one that asked first is gone with its disk: then yes.
-	fresh := &quorum.Membership{Epoch: 1, Voters: []quorum.Voter{{Disk: "d8", Addr: "1", Counted: true}, {Disk: "d2", Addr: "2", Counted: true}, {Disk: "d3", Addr: "3", Counted: true}}}
-	response, _, _ = acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d8", Next: fresh}, nil)
+	// The disk that bound it is not in the set any more: accepted.
+	fresh := membershipOf(1, countedVoter("d8", "1"), countedVoter("d2", "2"), countedVoter("d3", "3"))
+	response, _, _ = acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d8", Next: &fresh}, nil)
 	must.True(t, response.OK)
-	// A disk that has a membership forms none.
-	acceptors["2"].Adopt(*fresh)
-	_, _, answered := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 2, Disk: "d8", Next: fresh}, nil)
+	// A disk that has a membership votes for no first one.
+	acceptors["2"].Adopt(fresh)
+	_, _, answered := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 2, Disk: "d8", Next: &fresh}, nil)
 	must.False(t, answered)
 }
--- a/control/membership/reconfiguration/restart_test.go
+++ b/control/membership/reconfiguration/restart_test.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A return to a proposal of an earlier run is none to the next run's: else a membership could be
-// said to be chosen that a majority never took.
+// A response to an earlier run's proposal does not count for the next run's: otherwise a membership
+// could be reported as chosen that a majority never accepted.
 func TestResponseToAnEarlierRunDoesNotCount(t *testing.T) {
 	base := quorum.Membership{Epoch: 1}
 	disks := map[ident.Disk]*acceptor.Acceptor{}
@@ -37,7 +37,7 @@
 	next.Begin(now, base, change)
 	for _, r := range late {
 		sends, chosen := next.Step(now, r)
-		must.SliceEmpty(t, sends, must.Sprint("an earlier run's promise was taken for this one's"))
+		must.SliceEmpty(t, sends, must.Sprint("an earlier run's promise was counted for this run"))
 		must.Nil(t, chosen)
 	}
 }
--- a/control/membership/reconfiguration/run_test.go
+++ b/control/membership/reconfiguration/run_test.go
@@ -13,11 +13,11 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A newcomer is restarted while the voters' answers to its earlier run are still on their
-// way, and meanwhile another newcomer's membership is chosen. The new run counts none of the
-// old promises: they were given to another ballot, and say nothing of what was taken since.
+// A new disk's core is restarted while the voters' responses to its earlier run are still on their
+// way, and meanwhile another new disk's membership is chosen. The new run counts none of the old
+// promises: they were given to another ballot, and do not report what was accepted since.
 func TestPromisesToAnEarlierRunCountForNothing(t *testing.T) {
-	base := quorum.Membership{Epoch: 1, Voters: []quorum.Voter{{Disk: "d1", Addr: "1", Counted: true}, {Disk: "d2", Addr: "2", Counted: true}, {Disk: "dead", Addr: "3", Counted: true}}}
+	base := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3"))
 	heard := []ident.Disk{"d1", "d2"}
 	acceptors := map[ident.Disk]*acceptor.Acceptor{}
 	for _, d := range heard {
@@ -41,7 +41,7 @@
 	late := answers(reconfiguration.New("n1", "m1").Begin(now, base, takeSlot("n1")))
 	must.SliceLen(t, 2, late)
 
-	// Another newcomer's membership is chosen.
+	// Another new disk's membership is chosen.
 	other, chosen := reconfiguration.New("n2", "m2"), (*quorum.Membership)(nil)
 	for round := answers(other.Begin(now, base, takeSlot("n2"))); len(round) > 0 && chosen == nil; {
 		var next []acceptor.Response
@@ -60,7 +60,7 @@
 	again.Begin(now, base, takeSlot("n1"))
 	for _, r := range late {
 		sends, membership := again.Step(now, r)
-		must.SliceEmpty(t, sends, must.Sprint("it proposes a roster on promises that its ballot was never given"))
+		must.SliceEmpty(t, sends, must.Sprint("it proposes a membership on promises that were never given to its ballot"))
 		must.Nil(t, membership)
 	}
 }
