--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// processStartTime is how long after its machine a process is there, as measured on the
-	// users' bench; catchUp is the users' catchUpS on the small sites.
+	// processStartTime is how long after its machine a process has started, as measured on the
+	// users' bench; catchUpLimit is the users' catchUpS on the small sites.
 	processStartTime = 900 * time.Millisecond
 	catchUpLimit     = 4 * time.Second
 	// leaveLimit is the daemon's bound on a planned stop.
@@ -38,16 +38,16 @@
 	addr          ident.Addr
 	node          *node.Node
 	running       bool
-	bootedAt      monotime.Time // when the machine was last there again
+	bootedAt      monotime.Time // when the machine was last started
 	startedAt     monotime.Time
 	run           int
 	synced        map[string]ring.Record
-	heldRevisions map[ident.Key]ident.Revision // of what is synced
-	membership    acceptor.State               // as synced
-	unsynced      []node.Effects               // not synced yet
+	heldRevisions map[ident.Key]ident.Revision // of the synced records
+	membership    acceptor.State               // as last synced
+	unsynced      []node.Effects               // waiting for the next sync
 	syncing       []node.Effects
 	syncEnds      monotime.Time
-	extraSyncTime time.Duration // a sync's
+	extraSyncTime time.Duration // of each sync
 }
 
 type envelope struct {
@@ -56,9 +56,9 @@
 	msg       message.Message
 }
 
-// cluster drives whole nodes with disks under virtual time, one message or one sync at a
-// time. Nothing in it is left to chance. After every sync and every confirmation it looks
-// whether what may still be lost could be lost: see spare.
+// cluster drives whole nodes with disks under virtual time, one message or one sync at a time, and
+// is deterministic. After every sync and every confirmation it checks its invariants, see
+// checkInvariants.
 type cluster struct {
 	t        *testing.T
 	now      monotime.Time
@@ -68,27 +68,27 @@
 	voters   int
 	founders []ident.Addr
 	inFlight []envelope
-	// confirmed is the newest revision of each key that a caller was told of.
+	// confirmed is the newest revision of each key that was acknowledged to a caller.
 	confirmed        map[ident.Key]ident.Revision
-	confirmedKeys    []ident.Key // of confirmed
-	writtenKeys      []ident.Key // those that are written
+	confirmedKeys    []ident.Key // the keys of confirmed
+	writtenKeys      []ident.Key // the keys that are written
 	tickets          map[uint64]ident.Key
 	lastTicket       uint64
 	writing          bool
-	everyMillisecond func(ms int) // when set, is run each millisecond
+	everyMillisecond func(ms int) // when set, is called each millisecond
 	drop             func(to ident.Addr, m message.Message) bool
-	// successorOf names the successor of a machine that is gone for good.
+	// successorOf names the replacement of a machine that is lost for good.
 	successorOf map[ident.Addr]ident.Addr
 	disksMade   int
 	violations  []string
 	checks      int
-	timingOnly  bool // only times are wanted, so nothing is looked at
+	timingOnly  bool // only times are wanted, so no invariant is checked
 }
 
 func addrOf(i int) ident.Addr { return ident.Addr(fmt.Sprintf("m%02d:1", i)) }
 
-// newCluster gives so many members, the first three or five of them voters whose disks hold
-// so many cells; the others have just come.
+// newCluster returns a cluster of so many machines. The first slots of them are voters whose disks
+// hold so many records; the others have just started.
 func newCluster(t *testing.T, machines, slots, canLose, records int) *cluster {
 	c := &cluster{t: t, now: monotime.Time(time.Second), machines: map[ident.Addr]*machine{}, canLose: canLose, voters: max(5, 2*canLose+1),
 		confirmed: map[ident.Key]ident.Revision{}, tickets: map[uint64]ident.Key{}, successorOf: map[ident.Addr]ident.Addr{}}
@@ -126,7 +126,7 @@
 	return m
 }
 
-// store makes records last.
+// store writes records to a disk.
 func (c *cluster) store(m *machine, recs []ring.Record) {
 	for _, r := range recs {
 		m.synced[r.Key] = r
@@ -145,7 +145,7 @@
 	}
 }
 
-// startProcess starts a process on what its disk holds.
+// startProcess starts a process on its disk.
 func (c *cluster) startProcess(a ident.Addr) {
 	m := c.machines[a]
 	var recs []ring.Record
@@ -169,22 +169,22 @@
 	c.store(m, created)
 }
 
-// machinesByAddr lists the members by address.
+// machinesByAddr lists the machines by address.
 func (c *cluster) machinesByAddr() []*machine { return c.byAddr }
 
-// killProcess ends a process; what was not synced is lost with it, as after a loss of power.
+// killProcess kills a process; what was not synced is lost, as in a power failure.
 func (c *cluster) killProcess(a ident.Addr) {
 	m := c.machines[a]
 	m.running, m.unsynced, m.syncing = false, nil, nil
 }
 
-// wipeDisk takes a disk away.
+// wipeDisk empties a disk.
 func (c *cluster) wipeDisk(a ident.Addr) {
 	m := c.machines[a]
 	m.synced, m.heldRevisions, m.membership = map[string]ring.Record{}, map[ident.Key]ident.Revision{}, acceptor.State{}
 }
 
-// startMachine brings a machine back; its process starts a little later.
+// startMachine starts a machine; its process starts a little later.
 func (c *cluster) startMachine(a ident.Addr) {
 	if c.machines[a] == nil {
 		c.addMachine(a)
@@ -194,8 +194,8 @@
 	c.startProcess(a)
 }
 
-// stopGracefully stops a process as planned; it tells how long that took and whether the process
-// itself said that it was done.
+// stopGracefully stops a process as planned. It returns how long that took and whether the process
+// reported that it was done.
 func (c *cluster) stopGracefully(a ident.Addr) (took time.Duration, done bool) {
 	m, from := c.machines[a], c.now
 	c.apply(m, m.node.Leave(c.now, 10*time.Second))
@@ -218,7 +218,7 @@
 	c.beginSync(m)
 }
 
-// beginSync begins the next batch if none is under way.
+// beginSync begins the next sync if none is in progress.
 func (c *cluster) beginSync(m *machine) {
 	if len(m.syncing) == 0 && len(m.unsynced) > 0 {
 		m.syncing, m.unsynced = m.unsynced, nil
@@ -247,7 +247,7 @@
 	}
 }
 
-// advance lets time go by.
+// advance advances the virtual time by milliseconds.
 func (c *cluster) advance(d time.Duration) {
 	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(time.Millisecond) {
 		ms := int(c.now / monotime.Time(time.Millisecond))
@@ -301,7 +301,7 @@
 	}
 }
 
-// write has the members, in turn, raise a number.
+// write has the running machines, in turn, increment a number.
 func (c *cluster) write(number int) {
 	var up []*machine
 	for _, m := range c.machinesByAddr() {
@@ -315,10 +315,12 @@
 func (c *cluster) writeAt(m *machine, k ident.Key) {
 	c.lastTicket++
 	c.tickets[c.lastTicket] = k
-	c.apply(m, m.node.Submit(c.now, c.lastTicket, proposer.Operation{Op: ident.OperationID(fmt.Sprint("w", c.lastTicket)), Key: k, Kind: "number/next"}, 2*time.Second))
+	op := proposer.Operation{Op: ident.OperationID(fmt.Sprint("w", c.lastTicket)), Key: k, Kind: "number/next"}
+	c.apply(m, m.node.Submit(c.now, c.lastTicket, op, 2*time.Second))
 }
 
-// lostMachines lists the machines that count as lost now.
+// lostMachines lists the machines that count as lost: those that are down, and those that have been
+// back for less than catchUpLimit.
 func (c *cluster) lostMachines() (lost []ident.Addr) {
 	for _, m := range c.machinesByAddr() {
 		successor, replaced := c.successorOf[m.addr]
@@ -331,7 +333,8 @@
 	return lost
 }
 
-// chosenMembership is the newest membership that any disk says was chosen, or that a majority took.
+// chosenMembership returns the newest membership that any disk holds as chosen, or that a majority
+// has accepted.
 func (c *cluster) chosenMembership() quorum.Membership {
 	var newest quorum.Membership
 	for _, m := range c.machines {
@@ -350,11 +353,11 @@
 	return newest
 }
 
-// checkInvariants is run at every step, on what is synced. Two things must be so:
+// checkInvariants checks the synced state after a step. Two invariants must hold:
 //
-//   - Each majority of the newest membership's disks has every confirmed value.
-//   - So it is still, and there is such a majority, after any further loss that canLose
-//     allows, disks and all, with every other machine losing power too.
+//   - Each majority of the newest membership's disks holds every confirmed value.
+//   - This is still so, and there is such a majority, after any further loss of machines with their
+//     disks that canLose allows, even if every other machine loses power too.
 func (c *cluster) checkInvariants() {
 	lost := c.lostMachines()
 	mayStillBeLost := c.canLose - len(lost)
@@ -367,12 +370,13 @@
 		return
 	}
 	violation := func(format string, args ...any) {
-		c.violations = append(c.violations, fmt.Sprintf("%v: membership %d of %d slots, lost %v: ", time.Duration(c.now), membership.Epoch, membership.Size(), lost)+fmt.Sprintf(format, args...))
+		state := fmt.Sprintf("%v: membership %d of %d slots, lost %v: ", time.Duration(c.now), membership.Epoch, membership.Size(), lost)
+		c.violations = append(c.violations, state+fmt.Sprintf(format, args...))
 	}
 	counted, remaining := c.machinesCounted(membership, nil), c.machinesCounted(membership, lost)
 	for _, k := range c.confirmedKeys {
 		for _, disks := range [][]*machine{counted, remaining} {
-			// All but a majority less one may lack the value, whichever else are lost.
+			// Fewer disks than a majority may lack the value, whichever others are lost.
 			if lacking := c.countLacking(disks, k); lacking >= membership.Majority() {
 				violation("%s at revision %d is not on %d of %d disks that count", k, c.confirmed[k], lacking, len(disks))
 				return
@@ -384,7 +388,7 @@
 	}
 }
 
-// machinesCounted lists the members whose disks count, but for some.
+// machinesCounted lists the machines whose disks are counted, without the excluded ones.
 func (c *cluster) machinesCounted(membership quorum.Membership, excluded []ident.Addr) (counted []*machine) {
 	for _, m := range c.machinesByAddr() {
 		if membership.Counts(ident.Disk(m.synced["disk"].Data)) && !slices.Contains(excluded, m.addr) {
@@ -394,7 +398,7 @@
 	return counted
 }
 
-// countLacking counts the disks that have not what was confirmed of a key.
+// countLacking counts the disks that lack the confirmed value of a key.
 func (c *cluster) countLacking(disks []*machine, k ident.Key) (n int) {
 	for _, m := range disks {
 		if m.heldRevisions[k] < c.confirmed[k] {
@@ -404,8 +408,8 @@
 	return n
 }
 
-// fullyReplicated tells whether so many slots are full and all their disks hold all that was
-// confirmed.
+// fullyReplicated reports whether there are so many slots, each with a counted voter whose disk
+// holds every confirmed value.
 func (c *cluster) fullyReplicated(slots int) bool {
 	membership := c.chosenMembership()
 	if membership.Size() != slots {
--- a/control/core/membership/doc.go
+++ b/control/core/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership holds the tests of changes of the core's members: whole nodes with
-// disks, driven under virtual time, of which any further loss is looked at after each step.
-// The mechanism is in control/core/node and control/membership.
+// Package membership holds the tests of membership changes: whole nodes with disks, driven under
+// virtual time, are checked after each step for whether they tolerate any further failure that they
+// must. The implementation is in control/core/node and control/membership.
 package membership
--- a/control/core/membership/membership_test.go
+++ b/control/core/membership/membership_test.go
@@ -14,11 +14,11 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// memberChange is one change of the members. It ends when no machine counts as lost any more.
+// memberChange is one change of the machines. It ends when no machine counts as lost any more.
 type memberChange struct {
 	name string
-	// apply makes it of member a; it returns when all that the change itself needs is begun,
-	// and the moment from which the copies are to be whole again is when it returns.
+	// apply makes the change to machine a. The time within which all copies must be restored counts
+	// from its return.
 	apply func(c *cluster, a ident.Addr)
 }
 
@@ -81,15 +81,16 @@
 	}
 }
 
-// dropAccepts has one member take no accept, so that what is confirmed is on as few as can be.
+// dropAccepts drops the accepts to one machine, so that a confirmed value is on as few disks as
+// possible.
 func dropAccepts(lagging ident.Addr) func(ident.Addr, message.Message) bool {
 	return func(to ident.Addr, m message.Message) bool {
 		return to == lagging && m.Request != nil && (m.Request.Kind == quorum.Accept || m.Request.Kind == quorum.PatchAccept)
 	}
 }
 
-// forEachSize lists the sizes for which a majority can bear the loss: canLose of at least
-// 2*canLose+1 members. Of fewer, no majority is left, whatever the members do.
+// forEachSize runs a test for each size of cluster that can tolerate the loss of canLose machines,
+// that is, at least 2*canLose+1. Of fewer machines no majority is left in any case.
 func forEachSize(run func(members, canLose int)) {
 	for _, members := range []int{3, 4, 5, 12} {
 		for _, canLose := range []int{1, 2} {
@@ -100,9 +101,9 @@
 	}
 }
 
-// At every sync and every confirmation of every change of the members, whatever else may
-// be lost then can be lost: a majority is left that has every confirmed value. One member
-// has lagged until the change begins, and each voter in turn is the one that changes.
+// At every sync and every confirmation of every change of the machines, the cluster tolerates the loss
+// of whatever else may be lost then: a majority is left that holds every confirmed value. One machine
+// lags until the change begins, and different voters are changed.
 func TestOneMoreLossAtEveryStep(t *testing.T) {
 	forEachSize(func(members, canLose int) {
 		for _, change := range memberChanges() {
@@ -117,7 +118,7 @@
 					c.advance(5 * time.Second)
 					c.writing, c.drop = true, dropAccepts(addrOf(2))
 					c.advance(1500 * time.Millisecond)
-					c.drop, c.writing = nil, changed == 0 // with no further change of its keys, the one that lagged lags on
+					c.drop, c.writing = nil, changed == 0 // without further writes to its keys, the lagging machine goes on to lag
 					change.apply(c, addrOf(changed))
 					c.advance(catchUpLimit + 3*time.Second)
 					c.writing = false
@@ -136,8 +137,8 @@
 	})
 }
 
-// At the first start three cores form the membership and the others join it. Once catchUpS is
-// over since then, as much may be lost as later.
+// At the first start three cores form the membership and the others join it. After catchUpLimit the
+// cluster tolerates as many failures as later.
 func TestFirstStartToleratesALossInTime(t *testing.T) {
 	forEachSize(func(members, canLose int) {
 		c := newCluster(t, 0, 0, canLose, 0)
@@ -161,11 +162,11 @@
 	})
 }
 
-// A voter that leaves as planned, with no core to follow it, says that it is done only when
-// each confirmed value is on a majority of the voters that stay. The last writes reach it
-// before all others, one of which takes none for a while longer: the leaver's vote is the
-// first of rounds that end after it fell silent. Leaves begin at every moment of that. Then
-// the same with writes that go on while it leaves, and one that takes accepts now and then.
+// A voter that leaves as planned, with no core to replace it, reports that it is done only when each
+// confirmed value is on a majority of the voters that stay. The last writes reach it before all
+// others, and one voter later still, so that its vote is the first of rounds that end after it
+// stopped voting. It leaves at various times of that. Then the same with writes that go on while it
+// leaves, and a voter that misses some accepts.
 func TestLeaverStaysUntilTheOthersHoldAll(t *testing.T) {
 	const leaverAlone, laggingFor = 100 * time.Millisecond, 260 * time.Millisecond
 	for run := range 4 * 41 {
@@ -185,7 +186,7 @@
 				return false
 			}
 			if steadyWrites {
-				return to == lagging && since/time.Millisecond%37 < 10 // no multiple of a resend
+				return to == lagging && since/time.Millisecond%37 < 10 // not a multiple of a resend interval
 			}
 			return to != leaver && since < leaverAlone || to == lagging && since < laggingFor
 		}
@@ -217,8 +218,8 @@
 	}
 }
 
-// A leaver that is killed after its successor was counted in leaves an even number of slots,
-// one of them empty: one that bears no loss. It is dropped once it is held for dead.
+// A leaver that is killed after its successor was counted in leaves an even number of slots, one of
+// them empty, which tolerates one failure less. The slot is dropped once its voter is presumed dead.
 func TestEmptySlotOfEvenMembershipIsDropped(t *testing.T) {
 	for _, members := range []int{4, 12} {
 		slots := 3 + members/12*2
@@ -239,8 +240,8 @@
 	}
 }
 
-// A leaver's slot is dropped only when the others hold all. What is confirmed between the
-// successor's copy and its being counted in may be on the leaver and one other alone.
+// A leaver's slot is dropped only when the others hold all values: those that are confirmed between the
+// successor's copy and its being counted may be on the leaver and one other voter alone.
 func TestDropWaitsForTheCopies(t *testing.T) {
 	for lagFor := time.Duration(0); lagFor <= 120*time.Millisecond; lagFor += 5 * time.Millisecond {
 		c := newCluster(t, 4, 3, 1, 12)
@@ -263,10 +264,9 @@
 	}
 }
 
-// How long the copies are not whole after each kind of loss, in virtual time: from the
-// moment when the machine is there again (or its successor, or when the leaver was told to
-// go) until every slot is full and each disk that counts holds all that was confirmed. Each
-// must be whole before it no longer counts as lost.
+// The time until all copies are restored after each kind of loss, in virtual time: from the start of
+// the machine or of its replacement, or of the planned stop, until every slot is full and each counted
+// disk holds every confirmed value. It must end before the machine no longer counts as lost.
 func TestCopiesAreRestoredInTime(t *testing.T) {
 	sizes := []int{300}
 	if !testing.Short() {
@@ -286,14 +286,14 @@
 					c.advance(20 * time.Millisecond)
 				}
 				took := c.now.Since(bootedAt)
-				t.Logf("%6d cells, %2d members: %-42s %5.2f s", records, members, loss.name, took.Seconds())
+				t.Logf("%6d records, %2d machines: %-42s %5.2f s", records, members, loss.name, took.Seconds())
 				must.Less(t, catchUpLimit, took, must.Sprint(records, members, loss.name))
 			}
 		}
 	}
 }
 
-// machineLoss is one loss; do gives the moment from which the users count catchUpS.
+// machineLoss is one kind of loss; apply returns the time from which the users count catchUpS.
 type machineLoss struct {
 	name  string
 	apply func(c *cluster, a ident.Addr) monotime.Time
@@ -302,7 +302,7 @@
 func machineLosses() []machineLoss {
 	restartAfter := func(c *cluster, downFor time.Duration, a ident.Addr) monotime.Time {
 		c.advance(downFor - 100*time.Millisecond)
-		c.writing = false // no later write brings the new copies of its key
+		c.writing = false // so that no later write restores the copies of its key
 		c.advance(100 * time.Millisecond)
 		bootedAt := c.now
 		c.startMachine(a)
--- a/control/core/membership/twoleave_test.go
+++ b/control/core/membership/twoleave_test.go
@@ -10,10 +10,9 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Two voters leave as planned at the same moment, or one shortly after the other, while writes
-// go on. Both have handed over when they go, before their time is over; a majority of those that
-// stay holds every confirmed value at each step, and once both are back all copies are whole in
-// time.
+// Two voters leave as planned at the same time, or one shortly after the other, while writes go on.
+// Both are done before their time is over; a majority of the voters that stay holds every confirmed
+// value at each step, and once both are back all copies are restored in time.
 func TestTwoLeaveAtOnce(t *testing.T) {
 	for _, size := range []struct{ members, slots, canLose int }{{4, 4, 1}, {5, 5, 2}, {12, 5, 2}} {
 		for _, gap := range []time.Duration{0, 20 * time.Millisecond, 150 * time.Millisecond, 600 * time.Millisecond} {
@@ -42,8 +41,8 @@
 	}
 }
 
-// leaveTogether stops two processes as planned, the second a while after the first, each until it
-// is done or its time is over, and tells how many were done.
+// leaveTogether stops two processes as planned, the second a while after the first, each until it is
+// done or its time is over, and returns how many were done.
 func (c *cluster) leaveTogether(first, second ident.Addr, gap time.Duration) (inTime int) {
 	const pollEvery = 30 * time.Millisecond
 	leaveAfter := map[ident.Addr]time.Duration{first: 0, second: gap}
@@ -54,7 +53,7 @@
 			if since < 0 || left[a] {
 				continue
 			}
-			c.apply(m, m.node.Leave(c.now, leaveLimit)) // does nothing but the first time
+			c.apply(m, m.node.Leave(c.now, leaveLimit)) // only the first call has an effect
 			done, fx := m.node.ContinueLeave(c.now)
 			c.apply(m, fx)
 			if done {
--- /dev/null
+++ b/control/core/node/antientropy.go
@@ -0,0 +1,63 @@
+package node
+
+import (
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/register/quorumread"
+)
+
+// The number of digests that a comparison exchanges, a power of two, is between these.
+const (
+	minBuckets = 16
+	maxBuckets = 1024
+)
+
+// AntiEntropyPass is the outcome of an anti-entropy pass. Invariant: Read of the
+// CountedDisks were compared, and on one of these the copies of at least LaggingKeys keys were
+// not the newest. FinishedAt is 0 if there was no pass.
+type AntiEntropyPass struct {
+	FinishedAt   monotime.Time
+	Read         int
+	CountedDisks int
+	LaggingKeys  int
+}
+
+// antiEntropyState is when this core began its last anti-entropy pass, and its outcome.
+type antiEntropyState struct {
+	startedAt monotime.Time
+	result    AntiEntropyPass
+}
+
+// LastPass returns the outcome of this core's last anti-entropy pass. It returns false if there
+// is none, or if another core holds the duty by now.
+func (n *Node) LastPass() (AntiEntropyPass, bool) {
+	return n.antiEntropy.result, n.duty.held && n.antiEntropy.result.FinishedAt != 0
+}
+
+// repairLagging reads every key whose copies differ through its proposer, which repairs them.
+func (n *Node) repairLagging(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
+	if reader == nil {
+		return
+	}
+	found := reader.Entries()
+	result := &n.antiEntropy.result
+	*result = AntiEntropyPass{FinishedAt: now}
+	result.Read, result.CountedDisks = reader.Coverage()
+	for _, k := range sortedKeys(found) {
+		if len(reader.Lagging(found[k])) == 0 {
+			continue
+		}
+		result.LaggingKeys++
+		n.Repaired++
+		n.submitInternal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, ignoreResult)
+	}
+}
+
+// bucketCount returns how many digests a comparison of so many keys exchanges.
+func bucketCount(keys int) int {
+	count := minBuckets
+	for count < keys/2 && count < maxBuckets {
+		count *= 2
+	}
+	return count
+}
--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// lastPass gives the last anti-entropy pass of whoever holds the duty.
+// lastPass returns the last anti-entropy pass of the core that holds the duty.
 func (cluster *threeCores) lastPass(t *testing.T) node.AntiEntropyPass {
 	var passes []node.AntiEntropyPass
 	for _, addr := range coreAddrs {
@@ -22,8 +22,8 @@
 	return passes[0]
 }
 
-// What the anti-entropy pass says is so: a copy that forgot all is counted as differing until it is
-// repaired, and a disk that says nothing as not read.
+// An anti-entropy pass counts the keys of a copy that lost everything as lagging until they are
+// repaired, and a disk that does not answer as not read.
 func TestAntiEntropyReportsLaggingCopies(t *testing.T) {
 	cluster := newThreeCores(t)
 	for i, k := range []ident.Key{"number/a", "number/b", "number/c"} {
@@ -40,7 +40,8 @@
 	}
 	cluster.nodes[loser].ForgetRecords()
 	before := pass.FinishedAt
-	for ; cluster.lastPass(t).FinishedAt == before; cluster.advance(10 * time.Millisecond) {
+	for cluster.lastPass(t).FinishedAt == before {
+		cluster.advance(10 * time.Millisecond)
 	}
 	pass = cluster.lastPass(t)
 	must.Eq(t, 3, pass.Read)
--- a/control/core/node/change_test.go
+++ b/control/core/node/audit_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposeChange proposes on a release at some core, as an operator does; changes are 0.3 s apart,
-// so the audit log's duty looks at every third or fourth.
+// proposeChange proposes a change of a version at some core, as an operator does. Changes are 0.3 s
+// apart, so that the holder of the duty reads the audit log at every third or fourth.
 func (cluster *jsonCluster) proposeChange(t testing.TB, kind proposal.Kind, base uint64, body string) {
 	const steps = 6
 	cluster.lastTicket++
@@ -26,10 +26,7 @@
 	}
 	core := coreAddrs[cluster.lastTicket%3]
 	args := operation.Encode(proposal.Args{Kind: kind, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(body)})
-	cluster.apply(t, core, cluster.nodes[core].Submit(cluster.now, uint64(cluster.lastTicket), proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: args, Repeatable: true}, time.Second))
-	cluster.deliverAll(t)
-	must.Nil(t, cluster.results[uint64(cluster.lastTicket)].Failure)
-	delete(cluster.results, uint64(cluster.lastTicket))
+	cluster.execute(t, core, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: args, Repeatable: true})
 }
 
 // auditLog reads the whole audit log.
@@ -44,21 +41,26 @@
 	return entries
 }
 
-// What a change of the manifest sends between the cores, with its line of the audit log,
-// does not grow with the number of changes before it; and every change stands in the log.
+// The bytes that a change of the configuration takes between the cores, with its audit entry, do
+// not grow with the number of earlier changes; and every change has its entry.
 func TestChangesAreFewBytes(t *testing.T) {
 	const routeCount, perRound, mostBytes = 100, 40, 25_000
 	cluster := newJSONCluster(t, time.Minute)
 	var routes []string
 	for i := range routeCount {
-		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","timeoutMs":500,"aimMs":200,"service":"a"}`, i*7919, i%9, i, i))
+		routes = append(routes, fmt.Sprintf(
+			`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","timeoutMs":500,"aimMs":200,"service":"a"}`,
+			i*7919, i%9, i, i))
 	}
 	cluster.proposeChange(t, proposal.FullConfig, 0, `{"release":1,"services":{"a":{}},"ways":{`+strings.Join(routes, ",")+`}}`)
 	release := uint64(1)
 	for _, before := range []uint64{0, 300, 1000} {
 		changeUpTo := func(upTo uint64) {
 			for ; release < upTo; release++ {
-				cluster.proposeChange(t, proposal.ItemPatch, release, fmt.Sprintf(`{"release":%d,"upsert":{"ways":{"r-%07x":{"host":"new%d.example","timeoutMs":500,"service":"a"}}}}`, release+1, release%routeCount*7919, release))
+				patch := fmt.Sprintf(
+					`{"release":%d,"upsert":{"ways":{"r-%07x":{"host":"new%d.example","timeoutMs":500,"service":"a"}}}}`,
+					release+1, release%routeCount*7919, release)
+				cluster.proposeChange(t, proposal.ItemPatch, release, patch)
 			}
 		}
 		changeUpTo(1 + before)
@@ -66,7 +68,7 @@
 		changeUpTo(1 + before + perRound)
 		total := 0
 		for kind, n := range cluster.bytes {
-			if kind != "hello" {
+			if kind != "heartbeat" {
 				total += n
 			}
 		}
--- a/control/core/node/catchup.go
+++ b/control/core/node/catchup.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// catchUpPause parts two comparisons, catchUpMost bounds them: while much is written,
-	// something on its way always looks as if it was missed. The anti-entropy pass does the rest.
-	catchUpPause    = 200 * time.Millisecond
+	// catchUpPause is the time between two comparisons.
+	catchUpPause = 200 * time.Millisecond
+	// maxCatchUpTries bounds the comparisons: while there are many writes, some that are in
+	// progress always look like missed ones. The anti-entropy pass repairs the rest.
 	maxCatchUpTries = 5
 )
 
-// catchUp is how a voter that counts again, after a start, a cut or a stalled disk, finds
-// what it missed. It need not wait for the next anti-entropy pass, whose holder may be the one that was
-// lost.
-type catchUp struct {
+// catchUpState is how a voter that counts again, after a start, a partition or a stalled disk,
+// finds the writes that it missed. It does not wait for the next anti-entropy pass, as the core
+// with that duty may be the one that failed.
+type catchUpState struct {
 	done    bool
 	reading bool
 	tries   int
 	nextTry monotime.Time
 }
 
-// catchUp compares this disk's copies with those of the others, by digests first, and has
-// repaired what is behind here.
-func (n *Node) catchUp(now monotime.Time, fx *Effects) {
+// tickCatchUp compares this disk's copies with those of the other voters, and has the keys
+// repaired whose copy here is older.
+func (n *Node) tickCatchUp(now monotime.Time, fx *Effects) {
 	if !n.IsVoter() || n.leaving || !n.hasMajorityWithin(now, silentMajorityAge) {
-		n.catchUpState = &catchUp{}
+		n.catchUp = &catchUpState{}
 		return
 	}
-	state := n.catchUpState
+	state := n.catchUp
 	if state.done || state.reading || state.nextTry.After(now) {
 		return
 	}
 	state.reading = true
-	n.startRead(now, &pendingRead{deadline: now.Add(compareTimeout), everyVoter: n.allVotersHeard(now, ""), buckets: bucketCount(n.RecordCount()), onDone: func(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
+	n.startCompare(now, n.allVotersHeard(now, ""), "", fx, func(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 		state.reading, state.nextTry = false, now.Add(catchUpPause)
 		state.tries++
 		if reader == nil {
 			return
 		}
-		behind := n.laggingHere(reader)
-		state.done = len(behind) == 0 || state.tries >= maxCatchUpTries
-		n.repairKeys(now, behind, fx)
-	}}, "", false, "", fx)
+		lagging := n.laggingHere(reader)
+		state.done = len(lagging) == 0 || state.tries >= maxCatchUpTries
+		n.repairKeys(now, lagging, fx)
+	})
 }
 
 // laggingHere lists the keys of which a quorum read found an older copy here than elsewhere.
--- a/control/core/node/example_test.go
+++ b/control/core/node/example_test.go
@@ -13,9 +13,9 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Example embeds three cores in one process, each on a ring in memory, and takes a
-// lock at one of them. A program with sockets and real disks does the same: it hands
-// messages and ticks in, syncs Records before what Gate holds back, and sends.
+// Example runs three cores in one process, each on a ring in memory, and acquires a lock at one of
+// them. A program with sockets and real disks does the same: it passes in messages and ticks, syncs
+// the Records of SplitDurable before it sends the messages of it, and sends the others at once.
 func Example() {
 	addrs := []ident.Addr{"a:1", "b:1", "c:1"}
 	nodes, rings := map[ident.Addr]*node.Node{}, map[ident.Addr]*ring.Ring{}
@@ -24,7 +24,9 @@
 		if err != nil {
 			panic(err)
 		}
-		n, created, err := node.New(1, node.Config{Addr: a, Founders: addrs, InstanceID: "run1", NewDisk: func() ident.Disk { return ident.Disk("disk-" + a) }}, disk.Records())
+		newDisk := func() ident.Disk { return ident.Disk("disk-" + a) }
+		config := node.Config{Addr: a, Founders: addrs, InstanceID: "run1", NewDisk: newDisk}
+		n, created, err := node.New(1, config, disk.Records())
 		if err != nil {
 			panic(err)
 		}
@@ -60,7 +62,8 @@
 	}
 	advance(2 * time.Second)
 	fmt.Println("membership epoch", nodes["a:1"].Membership().Epoch, "votes", nodes["a:1"].IsVoter())
-	apply("b:1", nodes["b:1"].Submit(now, 7, proposer.Operation{Key: "lock/mine", Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: "me", TTL: 5000})}, time.Second))
+	acquire := proposer.Operation{Key: "lock/mine", Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: "me", TTL: 5000})}
+	apply("b:1", nodes["b:1"].Submit(now, 7, acquire, time.Second))
 	advance(time.Second)
 	for _, e := range results {
 		if e.Ticket == 7 {
--- a/control/core/node/late_test.go
+++ b/control/core/node/forward_test.go
@@ -12,7 +12,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposerAndAnother gives the proposer of a number, which stands at 1, and another core.
+// proposerAndAnother returns the proposer of a number that stands at 1, and another core.
 func (cluster *threeCores) proposerAndAnother() (proposing, other ident.Addr) {
 	cluster.submit("a:1", 1, "number/next", "number/n")
 	cluster.advance(200 * time.Millisecond)
@@ -34,12 +34,13 @@
 	return message.Message{}
 }
 
-// A forward that its receiver rejected is not begun when a copy of it comes later,
-// though the receiver could serve it by then: its sender was told that it was not run.
+// A forward that its receiver rejected is not begun when a copy of it comes later, though the
+// receiver could serve it by then: its sender was answered that it was not executed.
 func TestRejectedForwardIsNeverBegun(t *testing.T) {
 	cluster := newThreeCores(t)
 	proposing, sender := cluster.proposerAndAnother()
-	m := sentForward(t, sender, cluster.nodes[sender].Submit(cluster.now, 2, proposer.Operation{Key: "number/n", Kind: "number/next"}, 900*time.Millisecond))
+	next := proposer.Operation{Key: "number/n", Kind: "number/next"}
+	m := sentForward(t, sender, cluster.nodes[sender].Submit(cluster.now, 2, next, 900*time.Millisecond))
 	must.Between(t, 1, m.Forward.LeftMs, 900)
 	for _, diskFailed := range []bool{true, false, false} {
 		cluster.nodes[proposing].SetDiskFailed(diskFailed)
@@ -56,9 +57,9 @@
 	must.Eq(t, `{"number":1}`, string(cluster.ticketResult(3).Body))
 }
 
-// What a caller is told of an operation with a budget is true, and said in time, whichever
-// messages between the cores are lost for how long: no one is told of a no that comes
-// about, and nothing is begun after the budget.
+// The outcome that a caller gets of an operation with a budget is true and comes in time, whichever
+// messages between the cores are lost for how long: nothing that is reported as not executed takes
+// effect, and nothing is begun after the budget.
 func TestOutcomeWithinTheBudget(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	kinds := map[string]func(message.Message) bool{
@@ -69,12 +70,13 @@
 	}
 	outcomes := map[string]int{}
 	for what, matches := range kinds {
-		for _, span := range []time.Duration{0, 100 * time.Millisecond, 500 * time.Millisecond, 850 * time.Millisecond, time.Second, 1300 * time.Millisecond, 3 * time.Second} {
+		for _, spanMs := range []int{0, 100, 500, 850, 1000, 1300, 3000} {
+			span := time.Duration(spanMs) * time.Millisecond
 			cluster := newThreeCores(t)
 			_, sender := cluster.proposerAndAnother()
 			began := cluster.now
 			cluster.drop = func(_ ident.Addr, m message.Message) bool { return matches(m) && cluster.now.Since(began) < span }
-			cluster.apply(sender, cluster.nodes[sender].Submit(cluster.now, 2, proposer.Operation{Op: "once", Key: "number/n", Kind: "number/next"}, budget))
+			cluster.submitOperation(sender, 2, proposer.Operation{Op: "once", Key: "number/n", Kind: "number/next"}, budget)
 			for cluster.ticketResult(2) == nil && cluster.now.Since(began) < 2*time.Second {
 				cluster.advance(10 * time.Millisecond)
 			}
--- a/control/core/node/run_test.go
+++ b/control/core/node/instance_test.go
@@ -11,13 +11,13 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// A core is restarted while answers to its earlier run's quorum read still wait to be sent to
-// it. The new run begins a quorum read too, of which nothing arrives: the old answers, from
-// before a put that was acknowledged meanwhile, end it not.
+// A core is restarted while responses to its earlier run's quorum read are still on their way. The
+// new run begins a quorum read too, whose own responses are lost: the old ones, from before a put
+// that was acknowledged meanwhile, do not complete it.
 func TestQuorumReadOfAnEarlierRunAnswersNothing(t *testing.T) {
 	cluster := newThreeCores(t)
 	put := func(ticket uint64, value string) {
-		cluster.apply("a:1", cluster.nodes["a:1"].Submit(cluster.now, ticket, proposer.Operation{Key: "key/k", Kind: "key/write", Args: []byte(`{"value":` + value + `}`)}, 4*time.Second))
+		cluster.submitOperation("a:1", ticket, proposer.Operation{Key: "key/k", Kind: "key/write", Args: []byte(`{"value":` + value + `}`)}, 4*time.Second)
 		cluster.advance(2500 * time.Millisecond)
 		must.NotNil(t, cluster.ticketResult(ticket))
 		must.Nil(t, cluster.ticketResult(ticket).Failure)
@@ -40,12 +40,12 @@
 	for _, m := range late {
 		cluster.apply("c:1", cluster.nodes["c:1"].Step(cluster.now, m))
 	}
-	must.Nil(t, cluster.ticketResult(4), must.Sprint("a quorum read was answered by what an earlier run had asked"))
+	must.Nil(t, cluster.ticketResult(4), must.Sprint("a quorum read was completed by responses to an earlier run"))
 }
 
-// Two runs of a core give no two forwards the same number, though both do the same from
-// their start: a proposer would take the second, of a caller that names its operation
-// itself, for a repeat of the first and answer it from memory.
+// Two runs of a core never use the same number for a forward, though both do the same from their
+// start: a proposer would take the second for a repeat of the first, if the client named the
+// operation itself, and answer it from memory.
 func TestForwardsOfTwoRunsDiffer(t *testing.T) {
 	cluster := newThreeCores(t)
 	proposing, sender := cluster.proposerAndAnother()
@@ -59,7 +59,7 @@
 		}
 		must.Eq(t, proposing, fx.Sends[0].To)
 		ticket := sentForward(t, sender, fx).Forward.Ticket
-		must.False(t, tickets[ticket], must.Sprint("the number was used by the run before: ", ticket))
+		must.False(t, tickets[ticket], must.Sprint("the number was used by the earlier run: ", ticket))
 		tickets[ticket] = true
 		cluster.down[sender] = true
 	}
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -16,25 +16,30 @@
 )
 
 const (
-	// JoinBudget is how long a join waits at a core at most; it holds a batch that was out
-	// when it came and its own.
+	// JoinBudget is how long a join may wait at a core: long enough for the batch in progress
+	// and for its own.
 	JoinBudget = 1800 * time.Millisecond
-	// majorityWait is how long one waits at a core that sees no majority: another may.
+	// majorityWait is how long a join waits at a core that hears no majority before it is sent
+	// to another.
 	majorityWait = 600 * time.Millisecond
 	// batchBudget is how long the operations of one batch may take.
 	batchBudget = 1500 * time.Millisecond
+	// batchOperations is the number of operations of a batch.
+	batchOperations = 2
+	// minJoinRetryAfter is, in seconds, the least time after which a failed join is repeated.
+	minJoinRetryAfter = 0.1
 )
 
-// Joined is the body of the End of a join. Nothing newer than Manifest was confirmed before
-// the join came in.
+// Joined is the body of the Result of a join. No configuration newer than ConfigRevision was
+// confirmed before the join came in.
 type Joined struct {
 	LeaseEpoch     ident.Epoch `json:"claim"`
 	Share          quota.Share `json:"share"`
 	ConfigRevision ident.Epoch `json:"manifest"`
 }
 
-// joinBatch is the batch that is out: its two operations run beside each other, and it ends with
-// the later of them.
+// joinBatch is the batch in progress. Its operations run concurrently, and it ends with the
+// last of them.
 type joinBatch struct {
 	startedAt      monotime.Time
 	size           int
@@ -44,35 +49,35 @@
 	failure        *failure.Error
 }
 
-// Join takes a sidecar's wish to join; its End carries the ticket and a Joined. It costs
-// nothing before the next tick, so what else a core has to answer goes first.
+// Join queues a sidecar's request to join. Its Result carries the ticket and a Joined. The
+// request is not worked on before the next tick, so that a core's other requests go first.
 func (n *Node) Join(now monotime.Time, ticket uint64, r joinqueue.Request, budget time.Duration) (fx Effects) {
 	refusal := errStopping()
 	if !n.leaving {
-		refusal = n.joinQueue.Add(now, ticket, r, now.Add(budget))
+		refusal = n.joins.Add(now, ticket, r, now.Add(budget))
 	}
 	if refusal != nil {
 		n.JoinsRefused++
-		fx.Results = append(fx.Results, Result{Ticket: ticket, Failure: refusal})
+		fx.fail(ticket, refusal)
 	}
 	return fx
 }
 
-// processJoins is the part of a tick that ends late joins and begins the next batch.
-func (n *Node) processJoins(now monotime.Time, fx *Effects) {
-	n.refuseJoins(n.joinQueue.Expire(now), fx)
+// tickJoins ends the joins whose time is over and begins the next batch.
+func (n *Node) tickJoins(now monotime.Time, fx *Effects) {
+	n.refuseJoins(n.joins.Expire(now), fx)
 	if n.leaving {
-		n.refuseJoins(n.joinQueue.RefuseWaiting(now, failure.Stopping, "the core stops"), fx)
+		n.refuseJoins(n.joins.RefuseWaiting(now, failure.Stopping, "the core stops"), fx)
 		return
 	}
-	if n.joinQueue.Len() == 0 {
+	if n.joins.Len() == 0 {
 		return
 	}
 	if !n.HasMajority(now) {
-		n.refuseJoins(n.joinQueue.RefuseWaiting(now.Add(-majorityWait), failure.NoMajority, "this core sees no majority"), fx)
+		n.refuseJoins(n.joins.RefuseWaiting(now.Add(-majorityWait), failure.NoMajority, "this core sees no majority"), fx)
 		return
 	}
-	if batch := n.joinQueue.BeginBatch(now); len(batch) > 0 {
+	if batch := n.joins.BeginBatch(now); len(batch) > 0 {
 		n.beginJoinBatch(now, batch, fx)
 	}
 }
@@ -80,40 +85,41 @@
 func (n *Node) refuseJoins(refusals []joinqueue.Refusal, fx *Effects) {
 	for _, r := range refusals {
 		n.JoinsRefused++
-		fx.Results = append(fx.Results, Result{Ticket: r.Ticket, Failure: r.Failure})
+		fx.fail(r.Ticket, r.Failure)
 	}
 }
 
-// beginJoinBatch sends the operations of a batch: one for all claims and shares, and one read of the
-// newest manifest epoch, which begins after all of its joins came in.
-func (n *Node) beginJoinBatch(now monotime.Time, batch []joinqueue.Request, fx *Effects) {
-	joining := &joinBatch{startedAt: now, size: len(batch), remaining: 2}
+// beginJoinBatch starts the operations of a batch: one that gives every node its lease epoch and
+// its share, and one read of the newest configuration revision, which begins after all joins of
+// the batch came in.
+func (n *Node) beginJoinBatch(now monotime.Time, requests []joinqueue.Request, fx *Effects) {
+	batch := &joinBatch{startedAt: now, size: len(requests), remaining: batchOperations}
 	n.JoinBatches++
 	deadline := now.Add(batchBudget)
-	n.begin(now, &pending{operation: proposer.Operation{Key: quota.Key, Kind: quota.JoinKind, Args: operation.Encode(n.entrants(batch))}, deadline: deadline,
-		onDone: func(now monotime.Time, result Result, fx *Effects) {
-			joining.collect(result, &joining.entered)
-			n.finishJoinOperation(now, joining, fx)
-		}}, fx)
-	n.begin(now, &pending{operation: proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}, deadline: deadline,
-		onDone: func(now monotime.Time, result Result, fx *Effects) {
-			var accepted proposal.Accepted
-			joining.collect(result, &accepted)
-			joining.configRevision = accepted.Revision
-			n.finishJoinOperation(now, joining, fx)
-		}}, fx)
+	join := proposer.Operation{Key: quota.Key, Kind: quota.JoinKind, Args: operation.Encode(n.joinArgs(requests))}
+	n.begin(now, &pending{operation: join, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
+		batch.collect(result, &batch.entered)
+		n.finishJoinOperation(now, batch, fx)
+	}}, fx)
+	read := proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}
+	n.begin(now, &pending{operation: read, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
+		var newest proposal.Accepted
+		batch.collect(result, &newest)
+		batch.configRevision = newest.Revision
+		n.finishJoinOperation(now, batch, fx)
+	}}, fx)
 }
 
-// entrants are the arguments of a batch. A claim that the lease table knows of is told, so that
-// the new one is above it even if the shares have forgotten the node.
-func (n *Node) entrants(batch []joinqueue.Request) (args quota.JoinArgs) {
-	for _, r := range batch {
+// joinArgs returns the arguments of a batch. They name each lease epoch that the lease table
+// knows of, so that the new one is higher even if the shares have forgotten the node.
+func (n *Node) joinArgs(requests []joinqueue.Request) (args quota.JoinArgs) {
+	for _, r := range requests {
 		args.Nodes = append(args.Nodes, quota.Joiner{Node: r.Node, Run: r.Run, Total: r.RetryTotal, KnownEpoch: n.Leases.LeaseEpoch(r.Node)})
 	}
 	return args
 }
 
-// collect reads the return of one of the operations.
+// collect takes the result of one of the operations, and the first failure of them.
 func (b *joinBatch) collect(result Result, into any) {
 	failed := result.Failure
 	if failed == nil {
@@ -126,37 +132,37 @@
 	}
 }
 
-// finishJoinOperation ends the batch once both of its operations have.
+// finishJoinOperation ends the batch once all of its operations have ended.
 func (n *Node) finishJoinOperation(now monotime.Time, b *joinBatch, fx *Effects) {
 	if b.remaining--; b.remaining > 0 {
 		return
 	}
 	if b.failure == nil && len(b.entered) != b.size {
-		b.failure = failure.New(failure.Damaged, "%d claims for %d joins", len(b.entered), b.size)
+		b.failure = failure.New(failure.Damaged, "%d lease epochs for %d joins", len(b.entered), b.size)
 	}
 	if b.failure == nil {
 		n.learnFromJoins(now, b, fx)
 	}
-	for i, tickets := range n.joinQueue.EndBatch(now, b.failure == nil) {
+	for i, tickets := range n.joins.EndBatch(now, b.failure == nil) {
 		for _, ticket := range tickets {
 			fx.Results = append(fx.Results, b.result(ticket, i))
 		}
 	}
 }
 
-// learnFromJoins takes the epoch that the batch has read as known here too.
+// learnFromJoins takes the configuration revision that the batch has read.
 func (n *Node) learnFromJoins(now monotime.Time, b *joinBatch, fx *Effects) {
 	if b.configRevision > n.ConfigRevision {
 		n.learn(now, message.Learned{Key: proposal.Key, Revision: ident.Revision(b.configRevision)}, fx)
 	}
-	n.freshAsOf = max(n.freshAsOf, b.startedAt)
+	n.freshness.asOf = max(n.freshness.asOf, b.startedAt)
 }
 
-// result is what one caller of the batch is told.
+// result returns the answer to one caller of the batch.
 func (b *joinBatch) result(ticket uint64, index int) Result {
 	if b.failure != nil {
 		failed := *b.failure
-		failed.RetryAfter = max(failed.RetryAfter, 0.1)
+		failed.RetryAfter = max(failed.RetryAfter, minJoinRetryAfter)
 		return Result{Ticket: ticket, Failure: &failed}
 	}
 	entry := b.entered[index]
--- a/control/core/node/join_test.go
+++ b/control/core/node/join_test.go
@@ -19,7 +19,7 @@
 	return joinqueue.Request{Node: ident.Node(fmt.Sprint("node-", n)), Run: attempt}
 }
 
-// join asks a core to let a sidecar join; its end carries the ticket.
+// join starts a sidecar's join at a core.
 func (cluster *threeCores) join(core ident.Addr, ticket uint64, r joinqueue.Request) {
 	cluster.apply(core, cluster.nodes[core].Join(cluster.now, ticket, r, node.JoinBudget))
 }
@@ -32,7 +32,7 @@
 	return j
 }
 
-// quorumRounds counts the rounds of quorum of all owners, without those of reads.
+// quorumRounds counts the rounds of all proposers, without those of quorum reads.
 func (cluster *threeCores) quorumRounds() (sum uint64) {
 	for _, a := range coreAddrs {
 		sum += cluster.nodes[a].Proposer().Rounds
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// Joins that come together at one core, or at all of them, cost a bounded number of rounds
-// of quorum and not one each; every node gets a claim of its own.
+// Joins that come together at one core, or at all of them, need a bounded number of rounds and not
+// one each; every node gets a lease epoch of its own.
 func TestJoinsThatComeTogetherShareRounds(t *testing.T) {
 	for _, c := range []struct{ joins, cores, batches, rounds int }{{100, 1, 1, 8}, {320, 1, 3, 12}, {320, 3, 3, 12}} {
 		cluster := newThreeCores(t)
@@ -69,8 +69,8 @@
 	}
 }
 
-// A repeat of a join, at the same core or at another, is given the same claim; a later run
-// of the same node is given a higher one.
+// A repeat of a join, at the same core or at another, gets the same lease epoch; a later run of the
+// same node gets a higher one.
 func TestRepeatedJoinKeepsItsLeaseEpoch(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.join("a:1", 1, joinRequest(1, "first"))
@@ -86,8 +86,8 @@
 	must.Greater(t, first.LeaseEpoch, cluster.joinResult(t, 4).LeaseEpoch)
 }
 
-// A core without a majority holds a join for a while and then sends it on; one that gets
-// its majority in time grants it.
+// A core without a majority holds a join for a while and then refuses it; one that regains its
+// majority in time grants it.
 func TestJoinWaitsForAMajority(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.drop = func(to ident.Addr, m message.Message) bool { return (to == "a:1") != (m.From == "a:1") }
@@ -119,8 +119,8 @@
 	must.Eq(t, 2, cluster.nodes["a:1"].JoinsRefused)
 }
 
-// Whichever core is lost while joins are under way, each of them ends in time, and who
-// asks again is let in with a claim above all that were given before.
+// Whichever core fails while joins are in progress, each of them ends in time, and its repeat gets a
+// lease epoch above all that were given before.
 func TestJoinsSurviveTheLossOfACore(t *testing.T) {
 	for _, dead := range coreAddrs[1:] {
 		cluster := newThreeCores(t)
@@ -130,7 +130,7 @@
 		for n := 1; n <= 40; n++ {
 			cluster.join("a:1", uint64(100+n), joinRequest(n, "run"))
 		}
-		cluster.apply("a:1", cluster.nodes["a:1"].Tick(cluster.now)) // the batch is on its way
+		cluster.apply("a:1", cluster.nodes["a:1"].Tick(cluster.now)) // the batch is sent
 		cluster.down[dead] = true
 		cluster.advance(node.JoinBudget + 100*time.Millisecond)
 		for n := 1; n <= 40; n++ {
--- /dev/null
+++ b/control/core/node/leaseupdate.go
@@ -0,0 +1,91 @@
+package node
+
+import (
+	"slices"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/core/message"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+// Renew renews a sidecar's lease at this core.
+func (n *Node) Renew(now monotime.Time, r record.Renewal) (record.RenewalResponse, Effects, *failure.Error) {
+	renewed, rejected := n.Leases.Renew(now, r)
+	if rejected != nil {
+		return record.RenewalResponse{}, Effects{}, rejected
+	}
+	response := record.RenewalResponse{
+		ReportWanted:        renewed.ReportWanted,
+		AcknowledgedRenewal: n.Leases.AcknowledgedRenewal(r.Node, n.MajorityAckedSeq()),
+		Members:             n.Leases.LiveCount(),
+		Leaving:             n.leaving,
+		Stale:               n.stale(now),
+	}
+	return response, Effects{SidecarViewChanged: renewed.Changed}, nil
+}
+
+// sendLeaseUpdates sends the other cores what changed among the leases that are registered
+// here, and the full list to those that asked for it.
+func (n *Node) sendLeaseUpdates(now monotime.Time, fx *Effects) {
+	if update, due := n.Leases.PendingUpdate(); due {
+		for _, a := range n.peerAddrs() {
+			if n.peers[a].live(now) {
+				fx.send(a, message.Message{LeaseUpdate: &update})
+			}
+		}
+	}
+	if len(n.heartbeats.leaseResendTo) == 0 {
+		return
+	}
+	if update, ok := n.Leases.FullUpdate(); ok {
+		for _, a := range n.heartbeats.leaseResendTo {
+			fx.send(a, message.Message{LeaseUpdate: &update})
+		}
+		n.heartbeats.leaseResendTo = nil
+	}
+}
+
+// onLeaseUpdate takes what changed among the leases of a peer. An update that does not follow
+// the list held here is answered by a request for the full list.
+func (n *Node) onLeaseUpdate(now monotime.Time, m message.Message, fx *Effects) bool {
+	if m.LeaseUpdate == nil {
+		return false
+	}
+	p := n.peers[m.From]
+	if p == nil {
+		return true // its heartbeat comes first
+	}
+	changed, inSync := n.Leases.ApplyUpdate(now, m.From, *m.LeaseUpdate)
+	fx.SidecarViewChanged = fx.SidecarViewChanged || changed
+	if !inSync {
+		n.requestResend(now, m.From, p, message.ResendRequest{Leases: true}, fx)
+	}
+	return true
+}
+
+// MajorityAckedSeq returns the newest heartbeat of this core that a majority of the voters,
+// this one included, has received together with the list of leases that it refers to. That
+// majority knows of every renewal which came in before that heartbeat. It is 0 if there is none.
+func (n *Node) MajorityAckedSeq() uint64 {
+	var acked []uint64
+	for _, v := range n.membership.Current.Voters {
+		switch {
+		case v.Joining:
+		case v.Disk == n.Disk:
+			acked = append(acked, n.heartbeats.seq+1) // what came in here is known here
+		default:
+			for _, a := range n.peerAddrs() {
+				if p := n.peers[a]; p.heartbeat.Disk == v.Disk {
+					acked = append(acked, p.ackedSeq)
+				}
+			}
+		}
+	}
+	need := n.membership.Current.Majority()
+	if n.membership.Current.Epoch == 0 || len(acked) < need {
+		return 0
+	}
+	slices.Sort(acked)
+	return acked[len(acked)-need]
+}
--- a/control/core/node/leases_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -17,8 +17,8 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// renew renews for a while at one core, and gives when the newest renewal that a majority
-// is said to have taken was sent.
+// renew renews a lease at one core for a while, and returns when the newest renewal was sent that
+// a majority is reported to know of.
 func (cluster *threeCores) renew(t *testing.T, core ident.Addr, seq *uint64, sentAt map[uint64]monotime.Time, d time.Duration) (ackedAt monotime.Time) {
 	for end := cluster.now.Add(d); cluster.now < end; cluster.advance(400 * time.Millisecond) {
 		*seq++
@@ -32,12 +32,12 @@
 	return ackedAt
 }
 
-// shares reads the shares, at a core that can.
+// shares reads the retry budget shares at any core that can.
 func (cluster *threeCores) shares(t *testing.T) (s quota.State) {
 	for n := range 10 {
 		cluster.lastTicket++
 		core := coreAddrs[n%3]
-		cluster.apply(core, cluster.nodes[core].Submit(cluster.now, cluster.lastTicket, proposer.Operation{Key: "share", Kind: "share/read"}, 2*time.Second))
+		cluster.submitOperation(core, cluster.lastTicket, proposer.Operation{Key: "share", Kind: "share/read"}, 2*time.Second)
 		for n := 0; n < 30 && cluster.ticketResult(cluster.lastTicket) == nil; n++ {
 			cluster.advance(100 * time.Millisecond)
 		}
@@ -46,31 +46,32 @@
 			return s
 		}
 	}
-	t.Fatal("nobody can read the shares")
+	t.Fatal("no core can read the shares")
 	return s
 }
 
-// A registrar whose words reach nobody tells its sidecar of no majority from then on, and the
-// share is taken back only when a majority has long not heard the sidecar: by then the
-// last renewal that was told as taken is long past, whatever is lost on the way.
+// A core whose messages reach no other acknowledges no renewal from then on, and the share of its
+// sidecar is reclaimed only after a majority has not heard of the sidecar for a long time. By then
+// the last acknowledged renewal is long past, whichever messages are lost.
 func TestShareIsReclaimedOnlyFromSilentNodes(t *testing.T) {
 	for name, lost := range map[string]func(registrar, to ident.Addr, m message.Message) bool{
-		"all that the registrar says": func(registrar, _ ident.Addr, m message.Message) bool { return m.From == registrar },
-		"its lists":                   func(_, _ ident.Addr, m message.Message) bool { return m.LeaseUpdate != nil },
-		"its hellos": func(registrar, _ ident.Addr, m message.Message) bool {
+		"all that the registrar sends": func(registrar, _ ident.Addr, m message.Message) bool { return m.From == registrar },
+		"its lease updates":            func(_, _ ident.Addr, m message.Message) bool { return m.LeaseUpdate != nil },
+		"its heartbeats": func(registrar, _ ident.Addr, m message.Message) bool {
 			return m.From == registrar && m.Heartbeat != nil
 		},
-		"the hellos that it is told": func(registrar, to ident.Addr, m message.Message) bool { return to == registrar && m.Heartbeat != nil },
+		"the heartbeats to it": func(registrar, to ident.Addr, m message.Message) bool { return to == registrar && m.Heartbeat != nil },
 	} {
 		cluster := newThreeCores(t)
-		cluster.apply("b:1", cluster.nodes["b:1"].Submit(cluster.now, 1, proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(quota.Args{Node: "n", LeaseEpoch: 1})}, 4*time.Second))
-		cluster.advance(32 * time.Second) // a core that was just started takes nothing back
+		take := proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(quota.Args{Node: "n", LeaseEpoch: 1})}
+		cluster.submitOperation("b:1", 1, take, 4*time.Second)
+		cluster.advance(32 * time.Second) // a core that has just started reclaims nothing
 		registrar := coreAddrs[0]
 		if cluster.nodes[registrar].HoldsDuty() {
-			registrar = coreAddrs[2] // the one with the duty asks only of those that it does not hear itself
+			registrar = coreAddrs[2] // the holder of the duty asks only about nodes that it does not hear itself
 		}
 		seq, sentAt := uint64(0), map[uint64]monotime.Time{}
-		if name != "its lists" {
+		if name != "its lease updates" {
 			ackedAt := cluster.renew(t, registrar, &seq, sentAt, 40*time.Second)
 			must.Less(t, 1500*time.Millisecond, cluster.now.Since(ackedAt), must.Sprint(name))
 			must.MapContainsKey(t, cluster.shares(t).Nodes, ident.Node("n"), must.Sprint(name))
@@ -84,14 +85,14 @@
 				must.Greater(t, 25*time.Second, cluster.now.Since(ackedAt), must.Sprint(name))
 			}
 		}
-		// Where its words go out and only the answers are lost it is still heard.
-		must.Eq(t, name != "the hellos that it is told", freed, must.Sprint(name))
+		// While its messages arrive and only the answers are lost it is still heard.
+		must.Eq(t, name != "the heartbeats to it", freed, must.Sprint(name))
 	}
 }
 
-// Every core knows within a second that a sidecar renews, at which core soever; a brief
-// hello from a run that is not known brings the whole one, and a core that lost the lists
-// gets them again.
+// Every core knows within a second that a sidecar renews, at whichever core it does. A brief
+// heartbeat from an unknown run makes the receiver ask for a full one, and a core that lost the
+// lists of leases gets them again.
 func TestCoresReplicateSidecarLeases(t *testing.T) {
 	for n := range 3 {
 		cluster := newThreeCores(t)
@@ -100,9 +101,11 @@
 		for _, a := range coreAddrs {
 			must.Eq(t, 1, cluster.nodes[a].Leases.LiveCount(), must.Sprintf("%s of %s", a, coreAddrs[n]))
 		}
-		// One other core starts anew, with nothing of what it knew.
+		// Another core restarts with an empty disk.
 		restarted := coreAddrs[(n+1)%3]
-		fresh, _, err := node.New(cluster.now, node.Config{Addr: restarted, Founders: coreAddrs, InstanceID: "m2", NewDisk: func() ident.Disk { return ident.Disk("new-" + restarted) }}, nil)
+		newDisk := func() ident.Disk { return ident.Disk("new-" + restarted) }
+		config := node.Config{Addr: restarted, Founders: coreAddrs, InstanceID: "m2", NewDisk: newDisk}
+		fresh, _, err := node.New(cluster.now, config, nil)
 		must.NoError(t, err)
 		cluster.nodes[restarted] = fresh
 		cluster.renew(t, coreAddrs[n], &seq, sentAt, 1500*time.Millisecond)
--- a/control/core/node/stop_test.go
+++ b/control/core/node/leave_test.go
@@ -12,9 +12,9 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// A core is cut off, in each way, at each of a few times around the start of its planned stop,
-// while calls go on to come to it. Each of them has its answer before the stop is over, and one
-// that is told "not run" never acts later. The times are virtual.
+// A core is cut off, in each direction, at a few times after the start of its planned stop, while
+// calls go on. Each call has its answer before the stop ends, and none that was answered as not
+// executed takes effect later. The times are virtual.
 func TestPlannedStopAnswersAllPending(t *testing.T) {
 	for direction := range cuts {
 		for _, lead := range []time.Duration{0, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
@@ -23,15 +23,15 @@
 	}
 }
 
-// stopWhileCutOff cuts the core that owns a number's key off so long after its stop began, and
-// calls the number at that core all the while.
+// stopWhileCutOff cuts off the proposer of a number, lead after its planned stop began, and calls it
+// all the while.
 func stopWhileCutOff(t *testing.T, direction string, lead time.Duration) {
 	const firstTicket, callEvery = uint64(2000), 20 * time.Millisecond
 	cluster := newThreeCores(t)
 	cluster.submit("a:1", 1, "number/next", "number/n")
 	cluster.advance(200 * time.Millisecond)
 	leaver := cluster.proposerOf("number/n")
-	// Something is in hand that can't end by itself: its messages to the others are lost.
+	// An operation is in progress that can't end by itself, as its requests are lost.
 	cluster.drop = func(to ident.Addr, m message.Message) bool {
 		return m.From == leaver && to != leaver && m.Request != nil
 	}
@@ -41,13 +41,13 @@
 		if cluster.now.Since(began) >= lead {
 			cluster.cut(leaver, direction)
 		}
-		cluster.apply(leaver, cluster.nodes[leaver].Submit(cluster.now, ticket, operationOf("number/n", "number/next", map[string]int{}), 4*time.Second))
+		cluster.submitOperation(leaver, ticket, operationOf("number/n", "number/next", map[string]int{}), 4*time.Second)
 		cluster.advance(callEvery)
 		done, fx := cluster.nodes[leaver].ContinueLeave(cluster.now)
 		cluster.apply(leaver, fx)
 		left = done
 	}
-	executed, unknown := 1, 0 // the first call came before the stop
+	executed, unknown := 1, 0 // the first call was before the stop
 	for i := firstTicket; i < ticket; i++ {
 		must.NotNil(t, cluster.ticketResult(i), must.Sprintf("call %d of %d has no answer when the process ends", i-firstTicket, ticket-firstTicket))
 		switch f := cluster.ticketResult(i).Failure; {
--- a/control/core/node/placement_test.go
+++ b/control/core/node/membership_test.go
@@ -15,9 +15,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// While a lost disk's place is empty the next loss is one too many, so an empty core
-// counts soon after its start: at its own address at once, at another as soon as the
-// voters have not heard the lost one for long.
+// While the slot of a lost disk is empty the next failure is one too many, so an empty core is counted
+// soon after its start: at the same address at once, at another address as soon as the voters presume
+// the lost one dead.
 func TestEmptyCoreIsCountedQuickly(t *testing.T) {
 	for name, replacement := range map[string]struct {
 		at     ident.Addr
@@ -31,7 +31,7 @@
 		cluster.advance(200 * time.Millisecond)
 		must.Nil(t, cluster.ticketResult(1).Failure)
 		cluster.down["c:1"] = true
-		cluster.advance(1900 * time.Millisecond) // the machine comes, its process starts
+		cluster.advance(1900 * time.Millisecond) // the machine boots, its process starts
 		delete(cluster.disks, "c:1")
 		cluster.start(t, replacement.at, "new", nil)
 		from := cluster.now
@@ -44,8 +44,8 @@
 	}
 }
 
-// Who has only just started has heard nobody, which says nothing of the others: no slot
-// is taken on such a word.
+// A voter that has just started has heard nobody yet and presumes nobody dead: no slot is taken on its
+// vote.
 func TestRestartedVotersPresumeNobodyDead(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.start(t, "d:1", "new", nil)
@@ -63,9 +63,9 @@
 	must.True(t, in)
 }
 
-// A core comes to replace another, which leaves for good at any moment before or after,
-// stopped or killed; later the next is lost for good and replaced. At each moment the
-// mesh goes on: no slot is made that only the lost could fill.
+// A core replaces another, which is stopped or killed for good at any time after the start of its
+// replacement; later the next one fails for good and is replaced. The cluster always serves again: no
+// slot is created that only the lost disk could fill.
 func TestReplacementAtAnyTime(t *testing.T) {
 	for delay := 250 * time.Millisecond; delay <= 9*time.Second; delay += 250 * time.Millisecond {
 		for _, stop := range []bool{true, false} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Two that join are counted in, one after the other; one alone stands by.
+// Two joining cores are counted in, one after the other; a single one stands by.
 func TestCoresJoinInPairs(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.start(t, "d:1", "new-d", nil)
@@ -106,9 +106,9 @@
 	must.True(t, cluster.nodes["e:1"].IsVoter())
 }
 
-// Cores come, are killed, lose messages, and one at a time loses its disk or is replaced,
-// while the membership grows from three to five: no number is ever given out again, and in the
-// end the mesh serves.
+// Cores start, are killed, lose messages, and one at a time loses its disk or is replaced, while the
+// membership grows from three to five: no number is ever issued twice, and in the end the cluster
+// serves.
 func TestGrowthForgetsNothing(t *testing.T) {
 	for seed := range uint64(12) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -122,7 +122,8 @@
 		nextNumber := func() bool {
 			ticket++
 			if at := names[random.IntN(len(names))]; !cluster.down[at] {
-				cluster.apply(at, cluster.nodes[at].Submit(cluster.now, ticket, proposer.Operation{Op: ident.OperationID(fmt.Sprint(ticket)), Key: "number/n", Kind: "number/next"}, 4*time.Second))
+				op := proposer.Operation{Op: ident.OperationID(fmt.Sprint(ticket)), Key: "number/n", Kind: "number/next"}
+				cluster.submitOperation(at, ticket, op, 4*time.Second)
 			}
 			cluster.advance(time.Duration(random.IntN(300)) * time.Millisecond)
 			e := cluster.ticketResult(ticket)
@@ -137,12 +138,12 @@
 		}
 		for range 24 {
 			switch at := names[random.IntN(len(names))]; random.IntN(5) {
-			case 0, 1: // another comes
+			case 0, 1: // a new core starts
 				if a := ident.Addr(fmt.Sprintf("%c:1", 'd'+fresh)); len(names) < 5 {
 					names = append(names, a)
 					startEmpty(a)
 				}
-			case 2: // killed, and started on its disk
+			case 2: // killed, and restarted on its disk
 				cluster.down[at] = true
 				nextNumber()
 				cluster.start(t, at, "", nil)
@@ -151,7 +152,7 @@
 				nextNumber()
 				delete(cluster.disks, at)
 				startEmpty(at)
-			default: // gone for good, another comes
+			default: // lost for good and replaced by a new core
 				cluster.down[at] = true
 				nextNumber()
 				a := ident.Addr(fmt.Sprintf("%c:1", 'd'+fresh))
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -1,12 +1,12 @@
-// Package node joins the parts of one core into one step function, which the daemon
-// and the simulator drive alike.
+// Package node combines the protocols of one core (consensus, membership, leases, duties)
+// into one deterministic step function. The daemon and the simulator drive it alike: they
+// pass in messages, ticks and the time, and carry out the Effects that are returned.
 package node
 
 import (
 	"encoding/json"
 	"time"
 
-	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/audit/segment"
@@ -26,274 +26,205 @@
 	"cottonarch.example/cottonarch/control/register/acceptor"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/register/quorum"
-	"cottonarch.example/cottonarch/control/register/quorumread"
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 	rollout "cottonarch.example/cottonarch/control/rollout/state"
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-const (
-	heartbeatInterval = 300 * time.Millisecond
-	// nonVoterHeartbeatInterval is the same between two cores that do not vote, helloLate how long the
-	// second of two waits for the first, helloLook how often their turns are looked at.
-	nonVoterHeartbeatInterval = 500 * time.Millisecond
-	secondSenderDelay         = 70 * time.Millisecond
-	heartbeatCheckInterval    = 30 * time.Millisecond
-	// heartbeatTimeout is how long a core counts as live after its last hello.
-	heartbeatTimeout = 1200 * time.Millisecond
-	// receiptTimeout is the same for how long ago the newest hello that it is known to have taken
-	// was sent: twice as long as the other, for it is told by a return.
-	receiptTimeout = 2500 * time.Millisecond
-	// voterDeadAfter is how long a voter must be unheard, by disks that have listened for as
-	// long, before its slot may be taken.
-	voterDeadAfter      = 3 * time.Second
-	growAfter           = 6 * time.Second
-	diskTag             = "disk"
-	antiEntropyInterval = 5 * time.Second
-	dutyLeaseTTLMs      = 3000
-	dutyRenewInterval   = time.Second
-	maxForwardResults   = 1 << 12
-)
+// diskTag is the ring key of the disk's identifier.
+const diskTag = "disk"
 
-// Config is what a core must know.
-type Config struct {
-	Addr         ident.Addr
-	Zone         ident.Zone
-	Seeds        []ident.Addr
-	Founders     []ident.Addr
-	MaxVoters    int
-	InstanceID   string
-	NewDisk      func() ident.Disk
-	StateMachine proposer.StateMachine
-	QuorumSize   int // see quorum.Membership
-	// CanLose is how many machines with a disk may be lost at once; 0 where nobody says.
-	CanLose int
-	// History is how long at least a group's puts are kept for watches; 60 s if it is 0.
-	History time.Duration
-	// DiskFull, when set, tells that the disk has little room left.
-	DiskFull func() bool
-}
+// Node is one core. It is not safe for concurrent use.
+type Node struct {
+	// Disk is the identifier of this core's disk.
+	Disk ident.Disk
+	// Leases holds the sidecars that are registered here and at other cores.
+	Leases *leasetable.Table
+	// ConfigRevision is the newest configuration revision that is known to be confirmed.
+	ConfigRevision ident.Epoch
+	// AntiEntropyPasses counts the passes that were begun here, Repaired the keys whose copies
+	// they found to differ.
+	AntiEntropyPasses uint64
+	Repaired          uint64
+	// JoinBatches counts the batches of joins that were begun here, JoinsRefused the joins
+	// that were refused and are to be tried again.
+	JoinBatches  uint64
+	JoinsRefused uint64
 
-// Effects is what a step wants done. Invariant: what Gate takes out leaves only
-// after the Records of this and all earlier steps are synced; the rest rests on no
-// disk of this core's and may go at once.
-type Effects struct {
-	Records            []ring.Record
-	Sends              []Send
-	Results            []Result
-	Learned            []message.Learned
-	SidecarViewChanged bool // the lease table has news
-	// ConfirmedConfig is a manifest, as held, that was just learned to be confirmed.
-	ConfirmedConfig json.RawMessage
-	Exit            *failure.Error
-}
+	config    Config
+	startedAt monotime.Time
+	// diskFailed is set while the disk is out of use: this core then neither votes nor proposes.
+	diskFailed bool
+	// firstNumber is where the request numbers of this run begin, see ident.FirstRequestNumber.
+	firstNumber uint64
+	lastNumber  uint64
 
-// SplitDurable splits off the records and the messages that rest on this disk. A question about the
-// membership is one of them: a newcomer that asks to be counted says by it that it holds its
-// copy, and a loss of power must not prove it wrong.
-func (fx *Effects) SplitDurable() Effects {
-	durable := Effects{Records: fx.Records}
-	var immediate []Send
-	for _, s := range fx.Sends {
-		if s.Msg.Response != nil || s.Msg.MembershipRequest != nil || s.Msg.MembershipResponse != nil || s.Msg.ScanResponse != nil {
-			durable.Sends = append(durable.Sends, s)
-			continue
-		}
-		immediate = append(immediate, s)
-	}
-	fx.Records, fx.Sends = nil, immediate
-	return durable
-}
+	acceptor     *acceptor.Acceptor
+	proposer     *proposer.Proposer
+	membership   *membership.Acceptor
+	reconfigurer *reconfiguration.Reconfigurer
+	bootstrap    *bootstrap.Bootstrap
 
-// Send is a message to one core.
-type Send struct {
-	To  ident.Addr
-	Msg message.Message
-}
+	peers map[ident.Addr]*peer
+	// knownCores are the cores that others listed, with the time of the last mention.
+	knownCores map[ident.Addr]monotime.Time
+	heartbeats heartbeatState
+	// hasSeenMajority is set once this run has heard a majority of the voters.
+	hasSeenMajority bool
+	operations      operationState
+	reads           map[uint64]*pendingRead
 
-// Result is the end of a local request.
-type Result struct {
-	Ticket   uint64
-	Body     json.RawMessage
-	Failure  *failure.Error
-	Revision ident.Revision
-	Ballot   ident.Ballot // under which Revision was confirmed, zero where that is not known
-	Found    map[ident.Key]quorumread.Entry
-}
+	voterCopy   voterCopy
+	catchUp     *catchUpState
+	replication *replicationCheck
 
-// Node is one core.
-type Node struct {
-	config         Config
-	Disk           ident.Disk
-	startedAt      monotime.Time
-	membership     *membership.Acceptor
-	acceptor       *acceptor.Acceptor
-	proposer       *proposer.Proposer
-	reconfigurer   *reconfiguration.Reconfigurer
-	bootstrap      *bootstrap.Bootstrap
-	Leases         *leasetable.Table
-	peers          map[ident.Addr]*peer
-	knownCores     map[ident.Addr]monotime.Time // told of by others, and when last
-	inFlight       map[uint64]*pending          // by out
-	waiting        []*pending                   // no copy out
-	forwardOrigins map[uint64]forwardOrigin
-	// forwardResults holds the changes that came from other cores, with their ends once there
-	// are any. Invariant: a doubled or repeated message is one message.
-	forwardResults     map[string]*message.ForwardResult
-	forwardOrder       []string
-	reads              map[uint64]*pendingRead
-	firstNumber        uint64 // where the numbers of this run begin, see ident.FirstNumber
-	lastNumber         uint64
-	lastHeartbeatCheck monotime.Time
-	hasSeenMajority    bool // this run has heard a majority
-	leaving            bool
-	answerDeadline     monotime.Time // set while leaving: when everything in hand is answered
-	departure          *departure
-	recentVotes        []castVote // the accepts taken lately, oldest first
-	replication        *replicationCheck
-	catchUpState       *catchUp
-	diskFailed         bool
-	copyingState       bool
-	copiedEpoch        ident.Epoch // the membership epoch whose cells were copied and synced
-	copySyncRound      uint64      // the turn of the word that a copy is synced, 0 if none is awaited
-	copySyncSentAt     monotime.Time
-	lastPassAt         monotime.Time
-	passResult         AntiEntropyPass
-	dutyRenewedAt      monotime.Time
-	dutyFence          uint64
-	holdsDuty          bool
-	reconciler         *reconcile.Reconciler
-	rolloutsReadAt     monotime.Time
-	// auditedRevision is the newest epoch in the audit log and leaves their number, as this core
-	// last read or wrote it. Both only rise, for the log only grows.
-	auditedRevision    ident.Epoch
-	auditLength        int
-	auditReadAt        monotime.Time
-	AntiEntropyPasses  uint64
-	Repaired           uint64
-	ConfigRevision     ident.Epoch     // newest manifest epoch learned
-	heartbeatSeq       uint64          // of the last hello
-	sentHeartbeats     []sentHeartbeat // when the last hellos were sent, in order of their numbers
-	unheardContactedAt monotime.Time   // when those that were never heard were last told hello
-	leaseResendTo      []ident.Addr
-	freshAsOf          monotime.Time // nothing newer than Epoch was confirmed before this
-	refreshStarted     monotime.Time // when the read that is out began, 0 if none is
-	wasStale           bool          // see Stale
-	behindSince        monotime.Time // since when a newer manifest than the one held is known of, 0 if none is
-	rolloutSeenAt      monotime.Time // when a roll-out was last known to run
-	silenceRound       silenceRound
-	joinQueue          joinqueue.Queue
-	// JoinBatches counts the batches of joins that were begun here, JoinsRefused the joins
-	// that were told to come back.
-	JoinBatches  uint64
-	JoinsRefused uint64
-	handlers     []func(*Node, monotime.Time, message.Message, *Effects) bool
+	leaving bool
+	// answerDeadline is set while leaving: by then every request has its answer.
+	answerDeadline monotime.Time
+	departure      *departure
+	// recentVotes are the accepts that this disk agreed to lately, oldest first.
+	recentVotes []castVote
+
+	freshness   freshness
+	duty        dutyState
+	antiEntropy antiEntropyState
+	audit       auditState
+	rollouts    rolloutState
+	silence     silenceRound
+	joins       joinqueue.Queue
 }
 
-// Handlers is the table of every operation that the control state knows; history is as in Boot.
+// Handlers returns the handlers of every operation on the control state; history is as in Config.
 func Handlers(history time.Duration) operation.Table {
 	merged := operation.Table{}
-	for _, handlers := range []operation.Table{lock.Handlers(), sequence.Handlers(), keyvalue.Handlers(), keyspace.Handlers(history), quota.Handlers(), proposal.Handlers(), rollout.Handlers(), segment.Handlers()} {
+	for _, handlers := range []operation.Table{
+		lock.Handlers(), sequence.Handlers(), keyvalue.Handlers(), keyspace.Handlers(history),
+		quota.Handlers(), proposal.Handlers(), rollout.Handlers(), segment.Handlers(),
+	} {
 		for kind, handler := range handlers {
 			merged[kind] = handler
 		}
 	}
-	merged[proposer.Repair] = func(proposer.Context, json.RawMessage, json.RawMessage) operation.Result { return operation.Result{} }
+	merged[proposer.Repair] = func(proposer.Context, json.RawMessage, json.RawMessage) operation.Result {
+		return operation.Result{}
+	}
 	return merged
 }
 
-// New builds a node from what its disk holds; the records it returns must be synced
-// before anything else.
+// New builds a node from the records of its disk. The records that it returns must be synced
+// before the first step.
 func New(now monotime.Time, config Config, recs []ring.Record) (*Node, []ring.Record, error) {
 	if config.StateMachine == nil {
 		config.StateMachine = Handlers(config.History)
 	}
 	if config.MaxVoters == 0 {
-		config.MaxVoters = 5
+		config.MaxVoters = defaultMaxVoters
 	}
-	n := &Node{config: config, startedAt: now, peers: map[ident.Addr]*peer{}, knownCores: map[ident.Addr]monotime.Time{}, inFlight: map[uint64]*pending{}, forwardOrigins: map[uint64]forwardOrigin{},
-		forwardResults: map[string]*message.ForwardResult{}, reads: map[uint64]*pendingRead{}, Leases: leasetable.New()}
-	var created []ring.Record
+	firstNumber := ident.FirstRequestNumber(config.InstanceID)
+	n := &Node{
+		Leases:      leasetable.New(),
+		config:      config,
+		startedAt:   now,
+		firstNumber: firstNumber,
+		lastNumber:  firstNumber,
+		peers:       map[ident.Addr]*peer{},
+		knownCores:  map[ident.Addr]monotime.Time{},
+		operations:  newOperationState(),
+		reads:       map[uint64]*pendingRead{},
+		catchUp:     &catchUpState{},
+		departure:   &departure{},
+		rollouts:    rolloutState{reconciler: reconcile.New()},
+	}
+	created := n.loadDisk(recs)
+	n.acceptor, n.membership = acceptor.New(n.Disk), membership.New(n.Disk)
+	if err := n.loadState(recs); err != nil {
+		return nil, nil, err
+	}
+	n.membership.Current.MajorityOverride = config.QuorumSize
+	n.proposer = n.newProposer()
+	n.reconfigurer = reconfiguration.New(n.Disk, config.InstanceID)
+	n.bootstrap = bootstrap.New(n.Disk, config.Addr, config.Founders)
+	n.proposer.SetMembership(now, n.membership.Current)
+	return n, created, nil
+}
+
+// loadDisk takes the disk's identifier from its records, or gives it a new one and returns
+// the record of that.
+func (n *Node) loadDisk(recs []ring.Record) []ring.Record {
 	for _, rec := range recs {
 		if rec.Key == diskTag {
 			n.Disk = ident.Disk(rec.Data)
 		}
 	}
-	if n.Disk == "" {
-		n.Disk = config.NewDisk()
-		created = append(created, ring.Record{Key: diskTag, Data: []byte(n.Disk)})
+	if n.Disk != "" {
+		return nil
 	}
-	n.firstNumber = ident.FirstRequestNumber(config.InstanceID)
-	n.lastNumber = n.firstNumber
-	n.acceptor, n.membership, n.departure = acceptor.New(n.Disk), membership.New(n.Disk), &departure{}
-	n.catchUpState = &catchUp{}
+	n.Disk = n.config.NewDisk()
+	return []ring.Record{{Key: diskTag, Data: []byte(n.Disk)}}
+}
+
+// loadState restores the acceptors from the disk's records; empty ones are deletions.
+func (n *Node) loadState(recs []ring.Record) error {
 	for _, rec := range recs {
 		if len(rec.Data) == 0 || rec.Key == diskTag {
 			continue
 		}
 		if rec.Key == membership.Tag {
 			if err := n.membership.Load(rec.Data); err != nil {
-				return nil, nil, err
+				return err
 			}
 			continue
 		}
 		if _, err := n.acceptor.Load(rec); err != nil {
-			return nil, nil, err
+			return err
 		}
 	}
-	n.membership.Current.MajorityOverride = config.QuorumSize
-	n.start(now)
-	return n, created, nil
+	return nil
 }
 
-// newProposer makes the proposer of this disk's name.
+// newProposer returns a proposer under the name of this disk and run.
 func (n *Node) newProposer() *proposer.Proposer {
-	made := proposer.New(string(n.Disk)+"."+n.config.InstanceID, n.config.StateMachine)
-	made.Local = func(k ident.Key) quorum.Record { return n.acceptor.Peek(k) }
-	return made
+	created := proposer.New(string(n.Disk)+"."+n.config.InstanceID, n.config.StateMachine)
+	created.Local = func(k ident.Key) quorum.Record { return n.acceptor.Peek(k) }
+	return created
 }
 
-func (n *Node) start(now monotime.Time) {
-	n.proposer = n.newProposer()
-	n.reconfigurer = reconfiguration.New(n.Disk, n.config.InstanceID)
-	n.bootstrap = bootstrap.New(n.Disk, n.config.Addr, n.config.Founders)
-	n.proposer.SetMembership(now, n.membership.Current)
-	n.handlers = messageHandlers
-	n.reconciler = reconcile.New()
-}
-
-// Membership is the membership in force here.
+// Membership returns the membership in force at this core.
 func (n *Node) Membership() quorum.Membership { return n.membership.Current }
 
-// IsVoter tells whether this disk's responses count.
+// IsVoter reports whether this disk's responses count.
 func (n *Node) IsVoter() bool { return !n.diskFailed && n.membership.Current.Counts(n.Disk) }
 
-// RecordCount counts what the disk holds.
+// RecordCount returns the number of keys that the disk holds a record of.
 func (n *Node) RecordCount() int { return n.acceptor.Len() }
 
-// HeldKeys lists the keys held now.
+// HeldKeys lists the keys that this core is the proposer of.
 func (n *Node) HeldKeys() []ident.Key { return n.proposer.HeldKeys() }
 
-// Proposer gives the proposer, for its counters.
+// Proposer returns the proposer, for its counters.
 func (n *Node) Proposer() *proposer.Proposer { return n.proposer }
 
-// HoldsDuty tells whether this core holds the anti-entropy duty.
-func (n *Node) HoldsDuty() bool { return n.holdsDuty }
+// HoldsDuty reports whether this core holds the anti-entropy duty.
+func (n *Node) HoldsDuty() bool { return n.duty.held }
 
-// SetDiskFailed says whether the disk is out of use; it tells whether that is news.
+// SetDiskFailed sets whether the disk is out of use, and reports whether that is a change.
 func (n *Node) SetDiskFailed(failed bool) bool {
 	changed := n.diskFailed != failed
 	n.diskFailed = failed
 	return changed
 }
 
-// nextNumber numbers what this run asks of others. Invariant: no other run uses the number.
-func (n *Node) nextNumber() uint64 { n.lastNumber++; return n.lastNumber }
+// nextNumber returns the number of the next request of this core. Invariant: no other run uses
+// the same number.
+func (n *Node) nextNumber() uint64 {
+	n.lastNumber++
+	return n.lastNumber
+}
 
-// sendToVoter reaches a voter, at the address it was last heard from.
+// sendToVoter sends a message to a voter, at the address that it was last heard from.
 func (n *Node) sendToVoter(v quorum.Voter, m message.Message, fx *Effects) {
 	if v.Disk == n.Disk {
-		fx.Sends = append(fx.Sends, Send{n.config.Addr, m})
+		fx.send(n.config.Addr, m)
 		return
 	}
 	to := v.Addr
@@ -302,15 +233,15 @@
 			to = a
 		}
 	}
-	fx.Sends = append(fx.Sends, Send{to, m})
+	fx.send(to, m)
 }
 
-// Step takes one message.
+// Step handles one message. A message to another run of this core is dropped.
 func (n *Node) Step(now monotime.Time, m message.Message) (fx Effects) {
 	if m.To != "" && m.To != n.config.InstanceID {
 		return fx
 	}
-	for _, handle := range n.handlers {
+	for _, handle := range messageHandlers {
 		if handle(n, now, m, &fx) {
 			break
 		}
@@ -318,20 +249,19 @@
 	return fx
 }
 
-// messageHandlers is the table of what to do with each part of a message.
-var messageHandlers []func(*Node, monotime.Time, message.Message, *Effects) bool
+// messageHandler handles one part of a message; it returns false when that part is not set.
+type messageHandler func(n *Node, now monotime.Time, m message.Message, fx *Effects) bool
 
-func init() {
-	messageHandlers = []func(*Node, monotime.Time, message.Message, *Effects) bool{
-		(*Node).onHeartbeat, (*Node).onRequest, (*Node).onResponse, (*Node).onForward, (*Node).onForwardResult, (*Node).onScan,
-		(*Node).onScanResponse, (*Node).onLearned, (*Node).onMembershipRequest, (*Node).onMembershipResponse, (*Node).onHandover,
-		(*Node).onLeaseUpdate, (*Node).onResendRequest, (*Node).onSilenceCheck,
-	}
+var messageHandlers = []messageHandler{
+	(*Node).onHeartbeat, (*Node).onRequest, (*Node).onResponse, (*Node).onForward, (*Node).onForwardResult,
+	(*Node).onScan, (*Node).onScanResponse, (*Node).onLearned, (*Node).onMembershipRequest,
+	(*Node).onMembershipResponse, (*Node).onHandover, (*Node).onLeaseUpdate, (*Node).onResendRequest,
+	(*Node).onSilenceCheck,
 }
 
-// ForgetRecords makes the acceptor forget everything, which no real disk may; the
-// simulator uses it to see its checkers catch that.
+// ForgetRecords makes the acceptor lose all its records, which no real disk may do. The
+// simulator uses it to show that its checkers detect that.
 func (n *Node) ForgetRecords() { n.acceptor = acceptor.New(n.Disk) }
 
-// Copies gives what this disk holds of every key, without values.
+// Copies returns this disk's record of every key, without the values.
 func (n *Node) Copies() map[ident.Key]quorum.Record { return n.acceptor.AcceptedStates() }
--- a/control/core/node/cut_test.go
+++ b/control/core/node/partition_test.go
@@ -20,7 +20,7 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// cuts are the ways in which a core may be cut off from the others.
+// cuts are the directions in which a core may be cut off from the others.
 var cuts = map[string]func(at, to ident.Addr, m message.Message) bool{
 	"both": func(at, to ident.Addr, m message.Message) bool { return (m.From == at) != (to == at) },
 	"in":   func(at, to ident.Addr, m message.Message) bool { return to == at && m.From != at },
@@ -31,11 +31,11 @@
 	cluster.drop = func(to ident.Addr, m message.Message) bool { return cuts[direction](core, to, m) }
 }
 
-// call runs an operation at a core until it has ended.
+// call runs an operation at a core and waits for its result.
 func (cluster *threeCores) call(core ident.Addr, op proposer.Operation, budget time.Duration) (e callResult) {
 	cluster.lastTicket++
 	ticket, began := cluster.lastTicket, cluster.now
-	cluster.apply(core, cluster.nodes[core].Submit(cluster.now, ticket, op, budget))
+	cluster.submitOperation(core, ticket, op, budget)
 	for cluster.ticketResult(ticket) == nil && cluster.now.Since(began) < budget+time.Second {
 		cluster.advance(10 * time.Millisecond)
 	}
@@ -62,11 +62,11 @@
 	return proposer.Operation{Key: key, Kind: kind, Args: operation.Encode(args), Repeatable: true}
 }
 
-// knownCalls are calls that a core which owns every key answers, or refuses, when it is well:
-// each names the answer, which it knows from its own term's memory.
+// knownCalls are calls that a core which proposes for every key could answer from its own memory,
+// each with the kind of the failure that it returns while it is connected.
 var knownCalls = []struct {
 	operation   proposer.Operation
-	failureKind failure.Kind // "" for a yes
+	failureKind failure.Kind // "" for a success
 }{
 	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "other", TTL: 60000}), failure.LockHeld},
 	{operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000, KeepToken: true}), ""},
@@ -90,7 +90,7 @@
 	{operationOf("number/n", "no/such", nil), failure.Malformed},
 }
 
-// fillAllKeys gives every key of the table a state, and has one core own them all.
+// fillAllKeys gives every key of knownCalls a value, and has one core propose for them all.
 func (cluster *threeCores) fillAllKeys(t *testing.T, core ident.Addr) {
 	for _, op := range []proposer.Operation{
 		operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000}),
@@ -105,20 +105,21 @@
 	}
 }
 
-// takeOver makes one core own a key again, by taking it.
+// takeOver makes one core the proposer of a key again.
 func (cluster *threeCores) takeOver(core ident.Addr, k ident.Key) {
 	cluster.apply(core, cluster.nodes[core].Step(cluster.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{k}}}))
 	cluster.advance(50 * time.Millisecond)
 }
 
-// A core that owns a key, and so remembers all of its state, neither answers nor refuses
-// from memory: cut off in any way, and called at any time after that, it says that no
-// majority answered, or that the fate of a change is not known, and nothing else. What it
-// said was not done is not done afterwards. Well, it gives each of the answers.
+// A core that proposes for a key, and so remembers its value, neither answers nor rejects from
+// memory: cut off in any direction, and called at any time afterwards, it reports that no majority
+// answered, or that the outcome of a change is unknown, and nothing else. What it reported as not
+// executed is not executed later. Connected, it gives each of the answers.
 func TestCutOffCoreAnswersNothingFromMemory(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	for direction := range cuts {
-		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1300 * time.Millisecond, 2 * time.Second, 3100 * time.Millisecond} {
+		for _, afterMs := range []int{0, 300, 900, 1300, 2000, 3100} {
+			after := time.Duration(afterMs) * time.Millisecond
 			cluster := newThreeCores(t)
 			cluster.fillAllKeys(t, "a:1")
 			for i, call := range knownCalls {
@@ -149,14 +150,13 @@
 	}
 }
 
-// What waits at a core when it loses the majority is answered then and not at the end of
-// its time: a read at once, and a change that was not begun at once too; both as not run.
-// A change that was begun has an unknown outcome, and is answered with its end if the majority
-// is back in time.
+// What waits at a core when it loses the majority is answered then and not at its deadline: a read,
+// and a change that was not begun, as not executed. A change that was begun has an unknown outcome,
+// and is answered with its result if the majority is back in time.
 func TestWaitingCallsEndWithTheMajority(t *testing.T) {
 	const budget = 4 * time.Second
 	next, read := operationOf("number/n", "number/next", map[string]int{}), operationOf("number/n", "number/read", map[string]int{})
-	next.Repeatable = false // so that the copies of one call act once
+	next.Repeatable = false // so that the copies of one call take effect once
 	startCutOff := func(direction string) *threeCores {
 		cluster := newThreeCores(t)
 		cluster.fillAllKeys(t, "a:1")
@@ -170,10 +170,10 @@
 		must.Eq(t, failure.NoMajority, got.failureKind())
 		must.Less(t, 1300*time.Millisecond, got.took)
 
-		// The first change is in a round; the ones behind it are not begun.
+		// The first change is in a round; those behind it are not begun.
 		cluster = startCutOff(direction)
 		for ticket := uint64(1); ticket <= 3; ticket++ {
-			cluster.apply("a:1", cluster.nodes["a:1"].Submit(cluster.now, ticket, next, budget))
+			cluster.submitOperation("a:1", ticket, next, budget)
 		}
 		cluster.advance(1300 * time.Millisecond)
 		must.Nil(t, cluster.ticketResult(1))
@@ -188,8 +188,8 @@
 	}
 }
 
-// A core that has just started, and has heard no majority yet, keeps a call until it hears
-// one: those that live may not have said so.
+// A core that has just started, and has heard no majority yet, keeps a call until it hears one, as
+// the live cores may not have sent a heartbeat.
 func TestStartingCoreKeepsCalls(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.down["c:1"] = true
@@ -198,12 +198,12 @@
 	must.Nil(t, got.failure)
 }
 
-// holdConfig has a core hold the manifest of an epoch, as the daemon does once it has read it.
+// holdConfig has a core hold the configuration of a revision, as the daemon does once it has read it.
 func (cluster *threeCores) holdConfig(core ident.Addr, revision ident.Epoch) {
 	cluster.nodes[core].Leases.SetConfig(&validation.Config{Revision: revision})
 }
 
-// isStale asks as a sidecar that renews whether a core can tell what the newest manifest is.
+// isStale renews a sidecar's lease at a core, and returns whether that core reports to be stale.
 func (cluster *threeCores) isStale(t *testing.T, core ident.Addr) bool {
 	renewed, fx, rejected := cluster.nodes[core].Renew(cluster.now, record.Renewal{Node: "s", LeaseEpoch: 1, Seq: 1, Report: &record.Report{Node: "s"}})
 	must.Nil(t, rejected)
@@ -211,9 +211,9 @@
 	return renewed.Stale
 }
 
-// A core that is cut off tells the sidecars that renew at it so in time, however it is cut:
-// within a second once it hears no majority, and within one after it has heard of a
-// manifest that it can't get. Well, it never does.
+// A core that is cut off, in any direction, reports to the sidecars that renew at it that it is
+// stale: within a second after it lost the majority, or after it heard of a configuration that it
+// can't get. Connected, it never does.
 func TestCutOffCoreTellsItsSidecarsToLeave(t *testing.T) {
 	for direction := range cuts {
 		cluster := newThreeCores(t)
@@ -226,13 +226,14 @@
 			must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction))
 		}
 		cluster.cut("a:1", direction)
-		cluster.advance(1300 * time.Millisecond) // the others take the key over
+		cluster.advance(1300 * time.Millisecond) // another core becomes the proposer of the key
 		must.Eq(t, direction != "out", cluster.isStale(t, "a:1"), must.Sprint(direction))
-		must.Eq(t, "", cluster.call("b:1", operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":4}`)}), time.Second).failureKind(), must.Sprint(direction))
+		newer := operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":4}`)})
+		must.Eq(t, "", cluster.call("b:1", newer, time.Second).failureKind(), must.Sprint(direction))
 		cluster.holdConfig("b:1", 2)
 		cluster.holdConfig("c:1", 2)
 		cluster.advance(1300 * time.Millisecond)
-		must.True(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": it holds an older manifest and does not say so"))
+		must.True(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": it holds an older configuration and does not report it"))
 		must.False(t, cluster.isStale(t, "b:1"), must.Sprint(direction))
 		cluster.drop = nil
 		cluster.advance(time.Second)
@@ -242,9 +243,9 @@
 	}
 }
 
-// A core is cut off for twenty seconds, in which a spare core takes its slot of the membership
-// and the others go on changing what it owned. All the while it says 503 or 504; once it is
-// back it is a new disk, holds nothing of the old one, and tells the newest state.
+// A core is cut off for twenty seconds, in which a spare core takes its slot of the membership and
+// the others change the keys that it proposed for. All the while it answers 503 or 504. Once it is
+// back it is a new disk, holds nothing of the old one, and returns the newest values.
 func TestReplacedWhileCutOff(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	next, read := operationOf("number/n", "number/next", nil), operationOf("number/n", "number/read", nil)
@@ -258,7 +259,7 @@
 		cluster.cut("a:1", direction)
 		for began := cluster.now; cluster.now.Since(began) < 20*time.Second; {
 			if got := cluster.call("b:1", next, budget); cluster.now.Since(began) > 4*time.Second {
-				must.Nil(t, got.failure, must.Sprint(direction, ": a core that has a majority serves not, after ", cluster.now.Since(began)))
+				must.Nil(t, got.failure, must.Sprint(direction, ": a core that has a majority does not serve, after ", cluster.now.Since(began)))
 			}
 			for _, op := range []proposer.Operation{read, next, knownCalls[0].operation, knownCalls[9].operation, knownCalls[15].operation} {
 				got := cluster.call("a:1", op, budget)
@@ -266,7 +267,7 @@
 				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(direction, op.Kind))
 			}
 		}
-		if direction != "in" { // else the others hear it
+		if direction != "in" { // otherwise the others hear it
 			_, in := cluster.nodes["b:1"].Membership().Find(disk)
 			must.False(t, in, must.Sprint(direction, ": the spare did not take the slot"))
 		}
--- a/control/core/node/quorumread.go
+++ b/control/core/node/quorumread.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
@@ -9,30 +11,45 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
+// readFunc receives the reader of a finished quorum read, nil if it was not answered in time.
+type readFunc func(now monotime.Time, reader *quorumread.Reader, fx *Effects)
+
+// pendingRead is one quorum read in progress.
 type pendingRead struct {
-	ticket     uint64
-	everyVoter bool
-	// buckets, when set, has digests compared first.
-	buckets int
 	*quorumread.Reader
+	// ticket is that of the local request, if onDone is nil.
+	ticket   uint64
 	deadline monotime.Time
-	onDone   func(monotime.Time, *quorumread.Reader, *Effects)
+	// waitForAll has the read wait for every counted voter, not only for a majority.
+	waitForAll bool
+	// buckets, when set, has digests of so many buckets of keys compared first.
+	buckets int
+	onDone  readFunc
 }
 
-// QuorumRead reads all records below a prefix from a majority.
+// QuorumRead reads all records below a prefix from a majority of the voters.
 func (n *Node) QuorumRead(now monotime.Time, ticket uint64, prefix string, values bool, budget time.Duration) (fx Effects) {
 	n.startRead(now, &pendingRead{ticket: ticket, deadline: n.deadlineFor(now, budget)}, prefix, values, "", &fx)
 	return fx
 }
 
+// startRead begins a quorum read of the records below a prefix, with or without their values.
+// The responses of the excluded disk do not count.
 func (n *Node) startRead(now monotime.Time, r *pendingRead, prefix string, values bool, excluded ident.Disk, fx *Effects) {
 	round := n.nextNumber()
 	r.Reader = quorumread.New(round, n.membership.Current, prefix, values, excluded)
-	r.Reader.WaitForAll, r.Reader.Buckets = r.everyVoter, r.buckets
+	r.Reader.WaitForAll, r.Reader.Buckets = r.waitForAll, r.buckets
 	n.reads[round] = r
 	n.sendScans(r.Tick(now), fx)
 }
 
+// startCompare begins a quorum read that compares the copies of all keys, by digests first and
+// without their values.
+func (n *Node) startCompare(now monotime.Time, waitForAll bool, excluded ident.Disk, fx *Effects, onDone readFunc) {
+	r := &pendingRead{deadline: now.Add(compareTimeout), waitForAll: waitForAll, buckets: bucketCount(n.RecordCount()), onDone: onDone}
+	n.startRead(now, r, "", false, excluded, fx)
+}
+
 func (n *Node) sendScans(sends []quorumread.Send, fx *Effects) {
 	for _, s := range sends {
 		scan := s.Scan
@@ -40,6 +57,7 @@
 	}
 }
 
+// onScan answers one page of a quorum read, if this disk counts.
 func (n *Node) onScan(_ monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Scan == nil {
 		return false
@@ -47,12 +65,14 @@
 	if n.diskFailed || !n.membership.Current.Counts(n.Disk) {
 		return true
 	}
-	if r, ok := n.acceptor.Scan(n.membership.Current.Epoch, *m.Scan); ok {
-		fx.Sends = append(fx.Sends, Send{m.From, message.Message{ScanResponse: &r}})
+	if response, ok := n.acceptor.Scan(n.membership.Current.Epoch, *m.Scan); ok {
+		fx.send(m.From, message.Message{ScanResponse: &response})
 	}
 	return true
 }
 
+// onScanResponse takes one page of a quorum read, or this core's own notice that its copy is
+// synced.
 func (n *Node) onScanResponse(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.ScanResponse == nil {
 		return false
@@ -77,3 +97,44 @@
 	fx.Results = append(fx.Results, Result{Ticket: read.ticket, Found: read.Entries()})
 	return true
 }
+
+// tickReads repeats the scans that were not answered, and ends the reads whose time is over.
+func (n *Node) tickReads(now monotime.Time, fx *Effects) {
+	for _, round := range n.readRounds() {
+		read := n.reads[round]
+		if now <= read.deadline && (read.onDone != nil || !n.lostMajority(now)) {
+			n.sendScans(read.Tick(now), fx)
+			continue
+		}
+		delete(n.reads, round)
+		switch {
+		case read.onDone == nil:
+			fx.fail(read.ticket, errNoMajority())
+		case read.WaitForAll && read.HasMajority():
+			read.onDone(now, read.Reader, fx)
+		default:
+			read.onDone(now, nil, fx)
+		}
+	}
+}
+
+// restartReads begins the local requests' reads anew under a new membership, and drops the
+// core's own, which are repeated anyway.
+func (n *Node) restartReads(now monotime.Time, fx *Effects) {
+	for _, round := range n.readRounds() {
+		read := n.reads[round]
+		delete(n.reads, round)
+		if read.onDone == nil && read.deadline.After(now) {
+			n.startRead(now, &pendingRead{ticket: read.ticket, deadline: read.deadline}, read.Prefix, read.Values, read.Excluded, fx)
+		}
+	}
+}
+
+// readRounds lists the rounds of the reads in progress in order.
+func (n *Node) readRounds() []uint64 {
+	return slices.Sorted(maps.Keys(n.reads))
+}
+
+func sortedKeys(found map[ident.Key]quorumread.Entry) []ident.Key {
+	return slices.Sorted(maps.Keys(found))
+}
--- a/control/core/node/restart_test.go
+++ b/control/core/node/restart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"testing"
 	"time"
 
@@ -17,7 +18,7 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// A page of a quorum read that an earlier run began is none of the next run's quorum read: it may be
+// The rounds of quorum reads differ between two runs of a core: a page of an earlier run's read may be
 // older than what was acknowledged since.
 func TestQuorumReadsOfTwoRunsShareNoRound(t *testing.T) {
 	formed := acceptor.New("d1")
@@ -40,19 +41,20 @@
 	must.NotEq(t, first, second)
 }
 
-// A configuration is acknowledged and every core restarts before any other was told of it. Once
-// they have a majority again, each core shows it from its own disk, without reading it through
-// its proposer.
+// A configuration is acknowledged and every core restarts before it was announced. Once they have a
+// majority again, each core serves it from its own disk, without reading it through its proposer.
 func TestRestartedCoresShowWhatTheirDisksHold(t *testing.T) {
 	const shownWithin = 300 * time.Millisecond
 	cluster := newThreeCores(t)
 	cluster.drop = func(_ ident.Addr, m message.Message) bool { return m.Learned != nil }
-	must.Eq(t, "", cluster.call("a:1", operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":7}`)}), time.Second).failureKind())
+	propose := operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":7}`)})
+	must.Eq(t, "", cluster.call("a:1", propose, time.Second).failureKind())
 	for _, a := range coreAddrs {
 		cluster.start(t, a, "", coreAddrs)
 	}
 	cluster.drop, cluster.confirmed = nil, map[ident.Addr][]string{}
-	for !cluster.nodes["a:1"].HasMajority(cluster.now) || !cluster.nodes["b:1"].HasMajority(cluster.now) || !cluster.nodes["c:1"].HasMajority(cluster.now) {
+	lacksMajority := func(a ident.Addr) bool { return !cluster.nodes[a].HasMajority(cluster.now) }
+	for slices.ContainsFunc(coreAddrs, lacksMajority) {
 		cluster.advance(10 * time.Millisecond)
 	}
 	cluster.advance(shownWithin)
--- a/control/core/node/bytes_test.go
+++ b/control/core/node/traffic_test.go
@@ -19,8 +19,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// jsonCluster is three nodes whose messages travel as JSON; bytes counts what goes from one to
-// another, hellos aside.
+// jsonCluster is three nodes whose messages travel as JSON; bytes counts, by kind of message, what
+// goes from one node to another.
 type jsonCluster struct {
 	nodes        map[ident.Addr]*node.Node
 	now          monotime.Time
@@ -28,12 +28,17 @@
 	results      map[uint64]node.Result
 	bytes        map[string]int
 	lastTicket   int
-	oldCore      ident.Addr // whose hellos say nothing of patches
+	oldCore      ident.Addr // whose heartbeats do not say that it accepts patches
 	patchesToOld int        // patches sent there
 }
 
 func newJSONCluster(t testing.TB, history time.Duration) *jsonCluster {
-	cluster := &jsonCluster{nodes: map[ident.Addr]*node.Node{}, now: monotime.Time(time.Second), results: map[uint64]node.Result{}, bytes: map[string]int{}}
+	cluster := &jsonCluster{
+		nodes:   map[ident.Addr]*node.Node{},
+		now:     monotime.Time(time.Second),
+		results: map[uint64]node.Result{},
+		bytes:   map[string]int{},
+	}
 	for _, a := range coreAddrs {
 		n, _, err := node.New(cluster.now, node.Config{Addr: a, Founders: coreAddrs, InstanceID: "0123456789abcdef0123456789abcdef", History: history,
 			NewDisk: func() ident.Disk { return ident.Disk("0123456789abcdef0123456789abc" + string(a)) }}, nil)
@@ -49,11 +54,11 @@
 func messageKind(m message.Message) string {
 	switch {
 	case m.Heartbeat != nil:
-		return "hello"
+		return "heartbeat"
 	case m.Request != nil:
 		return string(m.Request.Kind)
 	case m.Response != nil:
-		return "return"
+		return "response"
 	case m.Learned != nil:
 		return "learned"
 	}
@@ -84,7 +89,7 @@
 	}
 }
 
-// deliverAll delivers all that is out.
+// deliverAll delivers messages until none is left.
 func (cluster *jsonCluster) deliverAll(t testing.TB) {
 	for len(cluster.mailbox) > 0 {
 		next := cluster.mailbox[0]
@@ -93,7 +98,7 @@
 	}
 }
 
-// step lets time go on.
+// step advances the time by one tick of all nodes.
 func (cluster *jsonCluster) step(t testing.TB) {
 	cluster.now = cluster.now.Add(50 * time.Millisecond)
 	for _, a := range coreAddrs {
@@ -107,15 +112,24 @@
 	cluster.step(t)
 	cluster.step(t)
 	core := coreAddrs[cluster.lastTicket%3]
-	a := keyspace.Args{Name: fmt.Sprintf("%x", cluster.lastTicket*7919%values), Value: operation.Encode(fmt.Sprintf("%016x", cluster.lastTicket*0x9e3779b97f4a7c1))}
-	cluster.apply(t, core, cluster.nodes[core].Submit(cluster.now, uint64(cluster.lastTicket), proposer.Operation{Key: "group/g.", Kind: "group/put", Args: operation.Encode(a)}, time.Second))
+	put := keyspace.Args{
+		Name:  fmt.Sprintf("%x", cluster.lastTicket*7919%values),
+		Value: operation.Encode(fmt.Sprintf("%016x", cluster.lastTicket*0x9e3779b97f4a7c1)),
+	}
+	cluster.execute(t, core, proposer.Operation{Key: "group/g.", Kind: "group/put", Args: operation.Encode(put)})
+}
+
+// execute runs an operation at a core, under the last ticket, which must succeed.
+func (cluster *jsonCluster) execute(t testing.TB, core ident.Addr, op proposer.Operation) {
+	ticket := uint64(cluster.lastTicket)
+	cluster.apply(t, core, cluster.nodes[core].Submit(cluster.now, ticket, op, time.Second))
 	cluster.deliverAll(t)
-	must.Nil(t, cluster.results[uint64(cluster.lastTicket)].Failure)
-	delete(cluster.results, uint64(cluster.lastTicket))
+	must.Nil(t, cluster.results[ticket].Failure)
+	delete(cluster.results, ticket)
 }
 
-// A put of a group of 300 cells with 400 past puts takes few bytes between cores that all
-// know patches; a core that does not say so is sent none, and has every value all the same.
+// A put to a keyspace of 300 entries with 400 past puts takes few bytes between cores that all
+// accept patches. A core that does not is sent none, and has every value all the same.
 func TestPutsAreFewBytes(t *testing.T) {
 	cluster := newJSONCluster(t, 40*time.Second)
 	for range 800 {
@@ -127,19 +141,19 @@
 	}
 	total := 0
 	for k, n := range cluster.bytes {
-		if k != "hello" {
+		if k != "heartbeat" {
 			total += n
 		}
 	}
 	must.Less(t, 3500*200, total)
 	must.Positive(t, cluster.bytes["patch"])
-	// The earlier release at a core that does not own the group.
+	// An earlier release runs at a core that does not propose for the keyspace.
 	oldCore := coreAddrs[0]
 	if cluster.proposes(oldCore) {
 		oldCore = coreAddrs[1]
 	}
 	cluster.oldCore = oldCore
-	// What a process knows stands in its whole hello, which comes every ten seconds here
+	// What a process accepts is said in its full heartbeat, which comes every ten seconds here
 	// (and at once from a new run, which this one is not).
 	for range 250 {
 		cluster.step(t)
@@ -158,8 +172,9 @@
 	return slices.Contains(cluster.nodes[a].HeldKeys(), "group/g.")
 }
 
-// Puts over three cores, messages as JSON between them, ten a second: 300 cells, 400 past
-// puts. bytes/put is all that travels for a put, with what its responses and news take.
+// BenchmarkPut measures puts, ten a second, to a keyspace of 300 entries with 400 past puts, over
+// three cores that exchange JSON. bytes/put is all that is sent for a put, with responses and
+// announcements.
 func BenchmarkPut(b *testing.B) {
 	cluster := newJSONCluster(b, 40*time.Second)
 	for range 1000 {
@@ -171,7 +186,7 @@
 	}
 	n := 0.0
 	for k, v := range cluster.bytes {
-		if k != "hello" {
+		if k != "heartbeat" {
 			n += float64(v)
 			b.ReportMetric(float64(v)/float64(b.N), k+"-B/put")
 		}
--- a/control/core/node/copy_test.go
+++ b/control/core/node/votercopy_test.go
@@ -15,13 +15,16 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// A newcomer asks to be counted only once its copy is synced: no ask leaves before the gate
-// has let out what rests on the copy's records. Found by a scripted run of explore/cluster: the
-// asks left at once, and a loss of power behind them left a disk that counted and knew nothing of
-// what had been acknowledged.
+// A new voter asks to be counted only once its copy is synced. Found by a scripted run of
+// explore/cluster: the requests were sent at once, and a power failure after them left a disk that
+// counted without the values that had been acknowledged.
 func TestCopyIsSyncedBeforeTheDiskCounts(t *testing.T) {
 	members := acceptor.New("d4")
-	members.Adopt(quorum.Membership{Epoch: 2, Voters: []quorum.Voter{{Disk: "d1", Addr: "a:1", Counted: true}, {Disk: "d4", Addr: "b:1"}, {Disk: "d3", Addr: "c:1", Counted: true}}})
+	members.Adopt(quorum.Membership{Epoch: 2, Voters: []quorum.Voter{
+		{Disk: "d1", Addr: "a:1", Counted: true},
+		{Disk: "d4", Addr: "b:1"},
+		{Disk: "d3", Addr: "c:1", Counted: true},
+	}})
 	n, _, err := node.New(1, node.Config{Addr: "b:1", InstanceID: "run1"}, []ring.Record{{Key: "disk", Data: []byte("d4")}, members.Record()})
 	must.NoError(t, err)
 	now := monotime.Time(time.Second)
@@ -40,10 +43,12 @@
 		}
 	}
 	must.NotNil(t, scan)
-	row := quorum.Row{Key: "k", Record: quorum.Record{Promised: ident.Ballot{Epoch: 1, Proposer: "o"}, Accepted: ident.Ballot{Epoch: 1, Proposer: "o"}, Revision: 1, Value: []byte(`"one"`)}}
+	ballot := ident.Ballot{Epoch: 1, Proposer: "o"}
+	row := quorum.Row{Key: "k", Record: quorum.Record{Promised: ballot, Accepted: ballot, Revision: 1, Value: []byte(`"one"`)}}
 	var durable node.Effects
 	for addr, disk := range map[ident.Addr]ident.Disk{"a:1": "d1", "c:1": "d3"} {
-		fx := n.Step(now, message.Message{From: addr, ScanResponse: &quorum.ScanResponse{Round: scan.Round, Disk: disk, Membership: 2, Rows: []quorum.Row{row}}})
+		response := quorum.ScanResponse{Round: scan.Round, Disk: disk, Membership: 2, Rows: []quorum.Row{row}}
+		fx := n.Step(now, message.Message{From: addr, ScanResponse: &response})
 		held := fx.SplitDurable()
 		must.Eq(t, 0, countRequests(fx))
 		durable.Records, durable.Sends = append(durable.Records, held.Records...), append(durable.Sends, held.Sends...)
@@ -51,7 +56,7 @@
 	must.SliceNotEmpty(t, durable.Records)
 	for range 20 { // the disk is slow
 		now = now.Add(50 * time.Millisecond)
-		must.Eq(t, 0, countRequests(n.Tick(now)), must.Sprint("it asks to be counted with its copy not synced"))
+		must.Eq(t, 0, countRequests(n.Tick(now)), must.Sprint("it asks to be counted before its copy is synced"))
 	}
 	for _, s := range durable.Sends {
 		must.Eq(t, ident.Addr("b:1"), s.To)
