--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -50,6 +50,7 @@
 	extraSyncTime time.Duration // of each sync
 }
 
+// envelope is a message on its way.
 type envelope struct {
 	deliverAt monotime.Time
 	to        ident.Addr
@@ -63,7 +64,7 @@
 	t        *testing.T
 	now      monotime.Time
 	machines map[ident.Addr]*machine
-	byAddr   []*machine // by address
+	byAddr   []*machine // the same, in the order of their addresses
 	canLose  int
 	voters   int
 	founders []ident.Addr
@@ -90,8 +91,16 @@
 // newCluster returns a cluster of so many machines. The first slots of them are voters whose disks
 // hold so many records; the others have just started.
 func newCluster(t *testing.T, machines, slots, canLose, records int) *cluster {
-	c := &cluster{t: t, now: monotime.Time(time.Second), machines: map[ident.Addr]*machine{}, canLose: canLose, voters: max(5, 2*canLose+1),
-		confirmed: map[ident.Key]ident.Revision{}, tickets: map[uint64]ident.Key{}, successorOf: map[ident.Addr]ident.Addr{}}
+	c := &cluster{
+		t:           t,
+		now:         monotime.Time(time.Second),
+		machines:    map[ident.Addr]*machine{},
+		canLose:     canLose,
+		voters:      max(5, 2*canLose+1),
+		confirmed:   map[ident.Key]ident.Revision{},
+		tickets:     map[uint64]ident.Key{},
+		successorOf: map[ident.Addr]ident.Addr{},
+	}
 	first := quorum.Membership{Epoch: 1}
 	for i := range slots {
 		first.Voters = append(first.Voters, quorum.Voter{Disk: ident.Disk(fmt.Sprint("disk", i)), Addr: addrOf(i), Counted: true})
@@ -119,6 +128,7 @@
 	return c
 }
 
+// addMachine adds a machine with an empty disk that does not run.
 func (c *cluster) addMachine(a ident.Addr) *machine {
 	m := &machine{addr: a, synced: map[string]ring.Record{}, heldRevisions: map[ident.Key]ident.Revision{}}
 	c.machines[a] = m
@@ -153,7 +163,7 @@
 		recs = append(recs, m.synced[tag])
 	}
 	var seeds []ident.Addr
-	for _, other := range c.machinesByAddr() {
+	for _, other := range c.byAddr {
 		if other.running && other != m && len(seeds) < 3 {
 			seeds = append(seeds, other.addr)
 		}
@@ -169,9 +179,6 @@
 	c.store(m, created)
 }
 
-// machinesByAddr lists the machines by address.
-func (c *cluster) machinesByAddr() []*machine { return c.byAddr }
-
 // killProcess kills a process; what was not synced is lost, as in a power failure.
 func (c *cluster) killProcess(a ident.Addr) {
 	m := c.machines[a]
@@ -209,6 +216,7 @@
 	return c.now.Since(from), done
 }
 
+// apply sends what may be sent at once, and queues the rest for the next sync.
 func (c *cluster) apply(m *machine, fx node.Effects) {
 	durable := fx.SplitDurable()
 	c.send(m, fx)
@@ -226,6 +234,7 @@
 	}
 }
 
+// send sends the messages of a step and takes its results.
 func (c *cluster) send(m *machine, fx node.Effects) {
 	for _, s := range fx.Sends {
 		s.Msg.From = m.addr
@@ -257,29 +266,35 @@
 		if c.everyMillisecond != nil {
 			c.everyMillisecond(ms)
 		}
-		for i, m := range c.machinesByAddr() {
+		for i, m := range c.byAddr {
 			if m.running && ms%20 == i%20 {
 				c.apply(m, m.node.Tick(c.now))
 			}
 		}
 		c.deliver()
-		for _, m := range c.machinesByAddr() {
+		for _, m := range c.byAddr {
 			if m.running && len(m.syncing) > 0 && !m.syncEnds.After(c.now) {
-				batch := m.syncing
-				m.syncing = nil
-				for _, fx := range batch {
-					c.store(m, fx.Records)
-				}
-				for _, fx := range batch {
-					c.send(m, fx)
-				}
-				c.beginSync(m)
-				c.checkInvariants()
+				c.endSync(m)
 			}
 		}
 	}
 }
 
+// endSync stores the records of the sync that ends and sends the messages that waited for it.
+func (c *cluster) endSync(m *machine) {
+	batch := m.syncing
+	m.syncing = nil
+	for _, fx := range batch {
+		c.store(m, fx.Records)
+	}
+	for _, fx := range batch {
+		c.send(m, fx)
+	}
+	c.beginSync(m)
+	c.checkInvariants()
+}
+
+// deliver delivers the messages that are due.
 func (c *cluster) deliver() {
 	var later, due []envelope
 	for _, next := range c.inFlight {
@@ -304,7 +319,7 @@
 // write has the running machines, in turn, increment a number.
 func (c *cluster) write(number int) {
 	var up []*machine
-	for _, m := range c.machinesByAddr() {
+	for _, m := range c.byAddr {
 		if m.running {
 			up = append(up, m)
 		}
@@ -312,122 +327,10 @@
 	c.writeAt(up[number%len(up)], c.writtenKeys[number%len(c.writtenKeys)])
 }
 
+// writeAt has a machine increment a number.
 func (c *cluster) writeAt(m *machine, k ident.Key) {
 	c.lastTicket++
 	c.tickets[c.lastTicket] = k
 	op := proposer.Operation{Op: ident.OperationID(fmt.Sprint("w", c.lastTicket)), Key: k, Kind: "number/next"}
 	c.apply(m, m.node.Submit(c.now, c.lastTicket, op, 2*time.Second))
 }
-
-// lostMachines lists the machines that count as lost: those that are down, and those that have been
-// back for less than catchUpLimit.
-func (c *cluster) lostMachines() (lost []ident.Addr) {
-	for _, m := range c.machinesByAddr() {
-		successor, replaced := c.successorOf[m.addr]
-		switch {
-		case replaced && c.machines[successor] != nil && c.machines[successor].running && c.now.Since(c.machines[successor].bootedAt) >= catchUpLimit:
-		case !m.running, c.now.Since(m.bootedAt) < catchUpLimit:
-			lost = append(lost, m.addr)
-		}
-	}
-	return lost
-}
-
-// chosenMembership returns the newest membership that any disk holds as chosen, or that a majority
-// has accepted.
-func (c *cluster) chosenMembership() quorum.Membership {
-	var newest quorum.Membership
-	for _, m := range c.machines {
-		if m.membership.Current.Epoch > newest.Epoch {
-			newest = m.membership.Current
-		}
-	}
-	accepted := map[ident.Ballot]int{}
-	for _, m := range c.machinesByAddr() {
-		if d := ident.Disk(m.synced["disk"].Data); m.membership.Current.Epoch == newest.Epoch && m.membership.Next != nil && newest.Counts(d) {
-			if accepted[m.membership.Accepted]++; accepted[m.membership.Accepted] >= newest.Majority() {
-				return *m.membership.Next
-			}
-		}
-	}
-	return newest
-}
-
-// checkInvariants checks the synced state after a step. Two invariants must hold:
-//
-//   - Each majority of the newest membership's disks holds every confirmed value.
-//   - This is still so, and there is such a majority, after any further loss of machines with their
-//     disks that canLose allows, even if every other machine loses power too.
-func (c *cluster) checkInvariants() {
-	lost := c.lostMachines()
-	mayStillBeLost := c.canLose - len(lost)
-	if c.timingOnly || len(c.violations) > 20 {
-		return
-	}
-	c.checks++
-	membership := c.chosenMembership()
-	if membership.Epoch == 0 {
-		return
-	}
-	violation := func(format string, args ...any) {
-		state := fmt.Sprintf("%v: membership %d of %d slots, lost %v: ", time.Duration(c.now), membership.Epoch, membership.Size(), lost)
-		c.violations = append(c.violations, state+fmt.Sprintf(format, args...))
-	}
-	counted, remaining := c.machinesCounted(membership, nil), c.machinesCounted(membership, lost)
-	for _, k := range c.confirmedKeys {
-		for _, disks := range [][]*machine{counted, remaining} {
-			// Fewer disks than a majority may lack the value, whichever others are lost.
-			if lacking := c.countLacking(disks, k); lacking >= membership.Majority() {
-				violation("%s at revision %d is not on %d of %d disks that count", k, c.confirmed[k], lacking, len(disks))
-				return
-			}
-		}
-	}
-	if mayStillBeLost >= 0 && len(remaining)-mayStillBeLost < membership.Majority() {
-		violation("%d more, of %d disks that count, leave no majority", mayStillBeLost, len(remaining))
-	}
-}
-
-// machinesCounted lists the machines whose disks are counted, without the excluded ones.
-func (c *cluster) machinesCounted(membership quorum.Membership, excluded []ident.Addr) (counted []*machine) {
-	for _, m := range c.machinesByAddr() {
-		if membership.Counts(ident.Disk(m.synced["disk"].Data)) && !slices.Contains(excluded, m.addr) {
-			counted = append(counted, m)
-		}
-	}
-	return counted
-}
-
-// countLacking counts the disks that lack the confirmed value of a key.
-func (c *cluster) countLacking(disks []*machine, k ident.Key) (n int) {
-	for _, m := range disks {
-		if m.heldRevisions[k] < c.confirmed[k] {
-			n++
-		}
-	}
-	return n
-}
-
-// fullyReplicated reports whether there are so many slots, each with a counted voter whose disk
-// holds every confirmed value.
-func (c *cluster) fullyReplicated(slots int) bool {
-	membership := c.chosenMembership()
-	if membership.Size() != slots {
-		return false
-	}
-	for _, v := range membership.Voters {
-		if v.Joining {
-			continue
-		}
-		m := c.machines[v.Addr]
-		if !v.Counted || m == nil || !m.running || !m.node.IsVoter() || string(m.synced["disk"].Data) != string(v.Disk) {
-			return false
-		}
-		for _, k := range c.confirmedKeys {
-			if m.heldRevisions[k] < c.confirmed[k] {
-				return false
-			}
-		}
-	}
-	return true
-}
