--- a/control/core/node/config.go
+++ b/control/core/node/config.go
@@ -27,7 +27,8 @@
 	NewDisk func() ident.Disk
 	// StateMachine applies operations to values; Handlers(History) if it is nil.
 	StateMachine proposer.StateMachine
-	// QuorumSize overrides the size of a majority, see quorum.Membership; 0 does not.
+	// QuorumSize, if it is not 0, overrides the size of a majority. Only the simulator sets it, to
+	// show that its checkers detect a quorum that is none.
 	QuorumSize int
 	// CanLose is how many machines with a disk may fail at once; 0 if that is not known.
 	CanLose int
