--- a/wire/exchange/orders_test.go
+++ b/wire/exchange/actions_test.go
@@ -20,12 +20,12 @@
 type expectation int
 
 const (
-	ownResponse expectation = iota // the caller gets its own return
+	ownResponse expectation = iota // the caller gets its own response
 	noResponse                     // it gets none, and what became of it is unknown
 )
 
-// action is what an endpoint does with one request that it has read whole; past holds the
-// returns that it gave before. ends says that it then ends the connection, and how.
+// action is what an endpoint does with one request that it has read completely; past holds the
+// ids of the requests before. then says whether it ends the connection after that, and how.
 type action struct {
 	name    string
 	respond func(id string, past []string) string
@@ -51,7 +51,7 @@
 
 func respondOwn(id string, _ []string) string { return responseTo(id) }
 
-func truncated(part func(say string) int) func(string, []string) string {
+func truncated(part func(text string) int) func(string, []string) string {
 	return func(id string, _ []string) string { return responseTo(id)[:part(responseTo(id))] }
 }
 
@@ -67,15 +67,16 @@
 	}, noResponse, keepOpen},
 	{"garbage after", func(id string, _ []string) string { return responseTo(id) + "\x00\x01 garbage\r\n" }, ownResponse, keepOpen},
 	{"garbage instead", func(string, []string) string { return "\x00\x01 garbage\r\n" }, noResponse, keepOpen},
-	{"cut in the head", truncated(func(say string) int { return strings.Index(say, "Content-Length") + 4 }), noResponse, closeConn},
-	{"cut in the body", truncated(func(say string) int { return len(say) - 3 }), noResponse, resetConn},
+	{"cut in the head", truncated(func(text string) int { return strings.Index(text, "Content-Length") + 4 }), noResponse, closeConn},
+	{"cut in the body", truncated(func(text string) int { return len(text) - 3 }), noResponse, resetConn},
 	{"early close", func(string, []string) string { return "" }, noResponse, closeConn},
 	{"closed after", respondOwn, ownResponse, closeConn},
 	{"reset when idle", respondOwn, ownResponse, resetConn},
 	{"forgotten when idle", respondOwn, ownResponse, resetOnNextBytes},
 }
 
-// endpoint plays one move a request, in the order of its script, whatever the connection.
+// endpoint performs one action for each request, in the order of its script, on whatever
+// connection the request comes.
 type endpoint struct {
 	mu       sync.Mutex
 	script   []action
@@ -123,9 +124,9 @@
 	}
 }
 
-// All orders of three of an endpoint's moves, on kept connections: each caller gets its
-// own return or none; the return that came whole, with its own id, always reaches its
-// caller; no request is written twice, and what is told as not sent was not read.
+// All orders of three of an endpoint's actions, on pooled connections: each caller gets its
+// own response or none; a complete response with the caller's id always reaches it; no request
+// is written twice, and what is reported as not sent was not read.
 func TestAllOrdersOfAnEndpointsActions(t *testing.T) {
 	for a := range actions {
 		t.Run(actions[a].name, func(t *testing.T) {
@@ -156,30 +157,30 @@
 		server.mu.Lock()
 		read := server.read[id]
 		server.mu.Unlock()
-		context := must.Sprintf("%s, %s, %s: request %d: %v", script[0].name, script[1].name, script[2].name, n, fail)
-		must.LessEq(t, 1, read, context)
-		must.Eq(t, response == nil, fail != nil, context)
+		detail := must.Sprintf("%s, %s, %s: request %d: %v", script[0].name, script[1].name, script[2].name, n, fail)
+		must.LessEq(t, 1, read, detail)
+		must.Eq(t, response == nil, fail != nil, detail)
 		if response != nil {
-			must.Eq(t, bodyFraming(id), string(response.Body), context)
+			must.Eq(t, jsonBody(id), string(response.Body), detail)
 		}
 		switch {
 		case !sent:
-			must.Eq(t, 0, read, context)
-			must.Eq(t, failure.NotExecuted, fail.Outcome, context)
+			must.Eq(t, 0, read, detail)
+			must.Eq(t, failure.NotExecuted, fail.Outcome, detail)
 		case fail != nil:
-			must.Eq(t, failure.OutcomeUnknown, fail.Outcome, context)
+			must.Eq(t, failure.OutcomeUnknown, fail.Outcome, detail)
 		}
 		if read == 1 {
-			must.Eq(t, next.expect == ownResponse, response != nil, context)
+			must.Eq(t, next.expect == ownResponse, response != nil, detail)
 			continue
 		}
-		// It met a connection whose end was still on its way: the last move played ends one.
+		// It met a connection whose close was still in flight: the last action ended one.
 		last := server.last(script)
-		must.True(t, last != nil && last.then != keepOpen, context)
+		must.True(t, last != nil && last.then != keepOpen, detail)
 	}
 }
 
-// last is the last move that was played, if any was.
+// last is the last action that was performed, or nil.
 func (e *endpoint) last(played []action) *action {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,8 +190,8 @@
 	return &played[len(e.past)-1]
 }
 
-// A return that breaks off passes at no byte; whole it does. Both ways to mark its end,
-// both ways to break off.
+// A response that is cut off at any byte is rejected, a complete one passes: with either way to
+// mark its end, and either way to cut it off.
 func TestResponseTruncatedAtEachByte(t *testing.T) {
 	const first = "HTTP/1.1 200 OK\r\n" + requestIDHeader + ": r\r\nContent-Type: text/plain\r\n"
 	for name, whole := range map[string]string{
@@ -236,14 +237,14 @@
 func TestStrictness(t *testing.T) {
 	const id = requestIDHeader + ": r\r\n"
 	const ok = "HTTP/1.1 200 OK\r\n" + id
-	for name, say := range map[string]string{
-		"well":                      ok + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+	for name, text := range map[string]string{
+		"valid":                     ok + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
 		"lengths that agree":        ok + "X-Seal: s\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
 		"no seal":                   ok + "Content-Length: 2\r\n\r\nhi",
 		"encoded":                   ok + "X-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
 		"a line that goes on":       ok + "X-Seal: s\r\n more\r\nContent-Length: 2\r\n\r\nhi",
 		"a bare line end":           ok + "X-Seal: s\nContent-Length: 2\r\n\r\nhi",
-		"a bare return":             ok + "X-Seal: s\rContent-Length: 2\r\n\r\nhi",
+		"a bare CR":                 ok + "X-Seal: s\rContent-Length: 2\r\n\r\nhi",
 		"a control byte":            ok + "X-Seal: s\x01\r\nContent-Length: 2\r\n\r\nhi",
 		"a space before the colon":  ok + "X-Seal: s\r\nContent-Length : 2\r\n\r\nhi",
 		"no colon":                  ok + "X-Seal: s\r\nContent-Length 2\r\n\r\nhi",
@@ -268,14 +269,14 @@
 			t.Parallel()
 			addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 				if _, ok := next(); ok {
-					_, _ = c.Write([]byte(say))
+					_, _ = c.Write([]byte(text))
 				}
 			})
 			call := identifiedCall("POST", "r")
 			call.RequiredHeader, call.Unencoded = "X-Seal", true
 			response, sent, fail := doCall(t, exchange.New("", patientSettings), addr, call)
 			must.True(t, sent)
-			if strings.HasPrefix(name, "well") || name == "lengths that agree" {
+			if strings.HasPrefix(name, "valid") || name == "lengths that agree" {
 				must.Nil(t, fail)
 				must.Eq(t, "hi", string(response.Body))
 				return
@@ -287,7 +288,7 @@
 	}
 }
 
-// What is written is the call's own, whole: nothing of one connection's, nothing that a
+// What is written is exactly the call's own: no hop-by-hop headers, nothing that a
 // header could smuggle in.
 func TestWhatIsWritten(t *testing.T) {
 	got := make(chan string, 1)
@@ -333,7 +334,7 @@
 	}
 }
 
-// An endpoint that turns a long request away before it is whole is heard, if the return
+// The response of an endpoint that rejects a long request before it is complete is read, if it
 // names the request.
 func TestRejectedBeforeTheRequestIsComplete(t *testing.T) {
 	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
@@ -347,7 +348,7 @@
 	response, sent, fail := exchange.New("", patientSettings).Do(ctx, addr, call)
 	must.True(t, sent)
 	must.Nil(t, fail)
-	must.Eq(t, bodyFraming("r"), string(response.Body))
+	must.Eq(t, jsonBody("r"), string(response.Body))
 }
 
 func readID(r *bufio.Reader) (id string, ok bool) {
--- a/wire/exchange/bench_test.go
+++ b/wire/exchange/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkDo sends over one kept connection to a net/http server of the same process,
+// BenchmarkDo sends over one pooled connection to a net/http server of the same process,
 // whose own cost is in the figures.
 func BenchmarkDo(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 64 << 10} {
@@ -93,7 +93,7 @@
 	call.IDHeader, call.ID, call.RequiredHeader = idHeader, "9c41d07be2a35f68", "X-Seal"
 }
 
-func withDeadline(call *exchange.Call, span time.Duration) (context.Context, func()) {
-	call.Deadline = time.Now().Add(span)
+func withDeadline(call *exchange.Call, timeout time.Duration) (context.Context, func()) {
+	call.Deadline = time.Now().Add(timeout)
 	return context.Background(), func() {}
 }
--- /dev/null
+++ b/wire/exchange/body.go
@@ -0,0 +1,129 @@
+package exchange
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httputil"
+	"net/textproto"
+	"strconv"
+	"strings"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+// bodyFraming says how a response's end is marked. Invariant: length counts only when neither
+// chunked nor untilClose is set.
+type bodyFraming struct {
+	length              int64
+	chunked, untilClose bool
+}
+
+// framing finds out where the response ends, and rejects what two readers could understand
+// differently (RFC 9112, section 6.3).
+func (h *responseHead) framing(method string) (framing bodyFraming, ok bool) {
+	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
+	for _, length := range lengths {
+		if length != lengths[0] || length == "" || strings.Trim(length, "0123456789") != "" {
+			return framing, false
+		}
+	}
+	if len(codings) > 0 {
+		if len(lengths) > 0 || h.http10 || len(codings) != 1 || !strings.EqualFold(codings[0], "chunked") {
+			return framing, false
+		}
+		framing.chunked = true
+	}
+	if len(lengths) > 0 {
+		n, err := strconv.ParseInt(lengths[0], 10, 64)
+		if err != nil {
+			return framing, false
+		}
+		framing.length = n
+	}
+	if method == http.MethodHead || h.status == http.StatusNoContent || h.status == http.StatusNotModified {
+		return bodyFraming{}, true
+	}
+	framing.untilClose = len(codings) == 0 && len(lengths) == 0
+	return framing, true
+}
+
+// readBody reads a complete body.
+func (r *responseReader) readBody(framing bodyFraming, limit int) ([]byte, error) {
+	switch {
+	case framing.chunked:
+		data, err := readAtMost(httputil.NewChunkedReader(r.Reader), limit)
+		if err != nil {
+			return nil, err
+		}
+		return data, r.skipTrailer()
+	case framing.untilClose:
+		return readAtMost(r.Reader, limit)
+	case framing.length > int64(limit):
+		return nil, errBodyTooLarge
+	case framing.length == 0:
+		return nil, nil
+	}
+	data := make([]byte, framing.length)
+	_, err := io.ReadFull(r.Reader, data)
+	return data, err
+}
+
+// skipTrailer consumes the trailer section after the last chunk.
+func (r *responseReader) skipTrailer() error {
+	next, err := r.Peek(2)
+	if err != nil {
+		return err
+	}
+	if next[0] == '\r' && next[1] == '\n' {
+		_, err = r.Discard(2)
+		return err
+	}
+	if _, err := r.peekHead(func([]byte) bool { return true }); err != nil {
+		return err
+	}
+	if _, err := r.textReader.ReadMIMEHeader(); err != nil {
+		return errMalformedHead
+	}
+	return nil
+}
+
+func readAtMost(from io.Reader, limit int) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(from, int64(limit)+1))
+	if err == nil && len(data) > limit {
+		err = errBodyTooLarge
+	}
+	return data, err
+}
+
+// validate rejects a response that may be incomplete or not the endpoint's own: invalid JSON, a
+// body without a marked end (except JSON, which marks its own), and a 2xx without the required
+// header.
+func (h *responseHead) validate(call *Call, framing bodyFraming, data []byte) *failure.Error {
+	if call.RequiredHeader != "" && h.status < 300 && len(h.Header[textproto.CanonicalMIMEHeaderKey(call.RequiredHeader)]) == 0 {
+		return failure.NewUnknown(failure.BadResponse, "the response has no %s", call.RequiredHeader)
+	}
+	encoding := h.Get("Content-Encoding")
+	if call.Unencoded && encoding != "" && !strings.EqualFold(encoding, "identity") {
+		return failure.NewUnknown(failure.BadResponse, "the response is encoded, which was not asked for")
+	}
+	if call.Method == http.MethodHead || len(data) == 0 && !framing.untilClose {
+		return nil
+	}
+	unencoded := encoding == ""
+	isJSON := isJSON(h.Get("Content-Type"))
+	if isJSON && unencoded && len(data) > 0 && !json.Valid(data) {
+		return failure.NewUnknown(failure.BadResponse, "the response is declared as JSON and is not")
+	}
+	if framing.untilClose && !(len(data) > 0 && isJSON && unencoded && (data[0] == '{' || data[0] == '[')) {
+		return failure.NewUnknown(failure.BadResponse, "nothing marks where the response ends")
+	}
+	return nil
+}
+
+func isJSON(contentType string) bool {
+	contentType, _, _ = strings.Cut(contentType, ";")
+	contentType = textproto.TrimString(contentType)
+	const plain, suffix = "application/json", "+json"
+	return strings.EqualFold(contentType, plain) || len(contentType) > len(suffix) && strings.EqualFold(contentType[len(contentType)-len(suffix):], suffix)
+}
--- a/wire/exchange/exchange_test.go
+++ b/wire/exchange/exchange_test.go
@@ -54,20 +54,20 @@
 	return exchange.Call{Method: method, Target: "/x//y?z=1", Host: "h.x", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(`{}`)}
 }
 
-func doCall(t *testing.T, pool *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Response, bool, *failure.Error) {
+func doCall(_ *testing.T, pool *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Response, bool, *failure.Error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	return pool.Do(ctx, addr, c)
 }
 
-// What is cut off, garbled, or not marked as whole never passes; what is whole does.
+// A response that is cut off, garbled, or has no marked end is rejected; a complete one passes.
 func TestOnlyCompleteResponsesPass(t *testing.T) {
 	const j = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 	for name, c := range map[string]struct {
 		say  string
 		kind failure.Kind
 	}{
-		"whole":              {j + "Content-Length: 7\r\n\r\n{\"a\":1}", ""},
+		"complete":           {j + "Content-Length: 7\r\n\r\n{\"a\":1}", ""},
 		"chunked":            {j + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n0\r\n\r\n", ""},
 		"json marks its end": {j + "Connection: close\r\n\r\n{\"a\":1}", ""},
 		"no content":         {"HTTP/1.1 204 No Content\r\n\r\n", ""},
@@ -97,7 +97,7 @@
 	}
 }
 
-// A request is written once, whatever becomes of the connection: net/http's own
+// A request is written once, whatever happens to the connection: net/http's own
 // client would send this one again, for its Idempotency-Key.
 func TestNothingIsSentTwice(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
@@ -136,7 +136,7 @@
 
 // An endpoint that closes or speaks before it is asked has taken nothing, and is not lost.
 func TestClosedBeforeItIsAskedIsBusy(t *testing.T) {
-	for _, say := range []string{"", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"} {
+	for _, text := range []string{"", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = l.Close() })
@@ -147,7 +147,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, say)
+				_, _ = io.WriteString(c, text)
 				_ = c.Close()
 				over <- struct{}{}
 			}
@@ -161,9 +161,9 @@
 	}
 }
 
-// A kept connection that the other end has closed is not used again.
+// An idle connection that the peer has closed is not reused.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	addr, seen := serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without a word
+	addr, seen := serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without Connection: close
 	pool := exchange.New("")
 	for range 4 {
 		for {
@@ -171,7 +171,7 @@
 			if fail == nil {
 				break
 			}
-			// The close was still on its way when it was taken, or when it was written to.
+			// The close was still in flight when it was taken, or when it was written to.
 			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], fail.Kind)
 		}
 	}
--- a/wire/exchange/expect.go
+++ b/wire/exchange/expect.go
@@ -6,10 +6,10 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// sendHeadFirst sends the head of a request alone and waits for the other end's word on its body
-// (Expect: 100-continue). may tells that the body is wanted; else end is what became of the
-// call. As no byte of the body left, the other end can't have acted on the request: without a
-// whole answer it counts as not sent.
+// sendHeadFirst sends the head of a request alone and waits for 100 Continue (RFC 9110, section
+// 10.1.1). wanted tells that the body may follow; otherwise res is the result of the call. As no
+// byte of the body left, the peer can't have acted on the request: without a complete response
+// it counts as not sent.
 func (c *conn) sendHeadFirst(call *Call, request *encodedRequest) (res result, wanted bool) {
 	_, fail, closed := c.send(call, &encodedRequest{head: request.head})
 	if closed {
@@ -31,16 +31,16 @@
 	if readFail != nil {
 		return result{fail: asNotSent(readFail)}, false
 	}
-	return result{response: response, sent: true}, false // the other end may still wait for the body
+	return result{response: response, sent: true}, false // the peer may still wait for the body
 }
 
-// asNotSent tells of a failure that came before the body of the request left.
+// asNotSent is the failure of a call whose body was never sent.
 func asNotSent(fail *failure.Error) *failure.Error {
 	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", fail.Note)
 }
 
-// awaitContinue waits for the word on a body: true for 100 Continue, false for a final answer, which
-// is left to be read. Other answers that only inform are read past.
+// awaitContinue returns true for 100 Continue and false for a final response, which is left to
+// be read. Other informational responses are skipped.
 func (r *responseReader) awaitContinue() (bool, error) {
 	for range maxInformational {
 		raw, err := r.peekHead(beginsResponse)
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// A body that is asked for first leaves only on the other end's word. Whatever ends the call
-// before that word is known not to have been executed, and a refusal is told as it came.
+// A body is sent only after 100 Continue. Whatever ends the call before that is known not to have
+// been executed, and a rejection is passed on as it came.
 func TestBodyLeavesOnlyWhenWanted(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *continueServer
@@ -95,14 +95,14 @@
 		sent   bool
 		body   int64
 	}{
-		"wanted":                   {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
-		"wanted after other words": {&continueServer{early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
-		"refused":                  {&continueServer{early: refusedResponse}, 503, true, 0},
-		"refused in one breath":    {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
-		"silent":                   {&continueServer{}, 0, false, 0},
-		"garbled":                  {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
-		"half a refusal":           {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
-		"endless words":            {&continueServer{early: manyProcessing()}, 0, false, 0},
+		"wanted":                 {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"wanted after other 1xx": {&continueServer{early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"refused":                {&continueServer{early: refusedResponse}, 503, true, 0},
+		"refused in one breath":  {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
+		"silent":                 {&continueServer{}, 0, false, 0},
+		"garbled":                {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
+		"half a refusal":         {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
+		"endless 1xx":            {&continueServer{early: manyProcessing()}, 0, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := c.server.serve(t)
@@ -123,15 +123,15 @@
 	}
 }
 
-func manyProcessing() (say string) {
+func manyProcessing() (text string) {
 	for range 20 {
-		say += "HTTP/1.1 102 Processing\r\n\r\n"
+		text += "HTTP/1.1 102 Processing\r\n\r\n"
 	}
-	return say
+	return text
 }
 
-// A connection on which a body was asked for, and sent, is kept; one on which it was refused
-// is not, since the other end may still wait for the body.
+// A connection on which a body was asked for, and sent, is reused; one on which it was refused
+// is not, since the peer may still wait for the body.
 func TestConnectionAfterAnAskedBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *continueServer
--- a/wire/exchange/fuzz_test.go
+++ b/wire/exchange/fuzz_test.go
@@ -24,7 +24,7 @@
 	r.Reset(source)
 	response, reusable, fail := r.readResponse(call, fuzzBodyMax, func(time.Duration) {})
 	if (response == nil) == (fail == nil) {
-		panic("an answer without a defect, or neither")
+		panic("neither or both of a response and a failure")
 	}
 	return response, reusable, len(raw) - source.Len() - r.Buffered()
 }
@@ -109,7 +109,7 @@
 		source := bufio.NewReader(bytes.NewReader(written))
 		got, err := http.ReadRequest(source)
 		if err != nil {
-			return // a host that net/http refuses whole
+			return // a host that net/http rejects
 		}
 		data, err := io.ReadAll(got.Body)
 		must.NoError(t, err)
--- /dev/null
+++ b/wire/exchange/header.go
@@ -0,0 +1,68 @@
+package exchange
+
+import (
+	"net/textproto"
+	"strings"
+)
+
+// IsHopByHop tells whether a header, by its canonical name, belongs to one connection only.
+// Content-Length counts among them: each hop writes its own.
+func IsHopByHop(name string) bool {
+	switch name {
+	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
+		"Transfer-Encoding", "Upgrade", "Expect", "Content-Length":
+		return true
+	}
+	return false
+}
+
+func equalNames(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
+
+// listContains tells whether a name is among the comma-separated items of some fields.
+func listContains(fields []string, name string) bool {
+	for _, field := range fields {
+		for item := range strings.SplitSeq(field, ",") {
+			if equalNames(textproto.TrimString(item), name) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// tokenBytes holds the bytes of a token (RFC 9110, section 5.6.2): of a header name or method.
+var tokenBytes = func() (table [256]bool) {
+	for _, b := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
+		table[b] = true
+	}
+	return table
+}()
+
+func isToken(s string) bool {
+	for n := range len(s) {
+		if !tokenBytes[s[n]] {
+			return false
+		}
+	}
+	return s != ""
+}
+
+// isVisible tells whether a text is not empty and holds neither spaces nor control bytes.
+func isVisible(s string) bool {
+	for n := range len(s) {
+		if s[n] <= ' ' || s[n] == 0x7f {
+			return false
+		}
+	}
+	return s != ""
+}
+
+// isFieldValue tells whether a text holds no control bytes except tabs.
+func isFieldValue(s string) bool {
+	for n := range len(s) {
+		if s[n] < ' ' && s[n] != '\t' || s[n] == 0x7f {
+			return false
+		}
+	}
+	return true
+}
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -13,8 +12,9 @@
 	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
-// Pool keeps connections. Invariants: a kept connection is young enough when it is taken
-// out; before the first byte of a request it is seen to be open and silent.
+// Pool keeps connections for reuse. Invariants: a pooled connection has not exceeded its idle
+// time when it is taken; before the first byte of a request is written it is seen to be open
+// with nothing to read.
 type Pool struct {
 	mu        sync.Mutex
 	settings  Settings
@@ -23,19 +23,8 @@
 	dialCount int
 }
 
-// hostPool holds the connections of one address. Invariants: open counts those in use,
-// unused and being dialled; idle is in order of use, the latest last; somebody is in
-// line only while open is at the bound.
-type hostPool struct {
-	addr      ident.Addr
-	settings  *Settings
-	idle      []*conn
-	openCount int
-	waiters   []chan *conn // gets a connection, or nil: the room to dial one; closed when dropped
-	dropped   bool
-}
-
-// New makes a pool that dials from the machine's own IP.
+// New makes a pool that dials from the machine's own IP. The last of the given settings
+// counts.
 func New(localAddr ident.Addr, settings ...Settings) *Pool {
 	pool := &Pool{hosts: map[ident.Addr]*hostPool{}}
 	for _, given := range settings {
@@ -48,14 +37,14 @@
 	return pool
 }
 
-// Dials tells how many connections were begun so far.
+// Dials returns how many connections were dialled so far.
 func (pool *Pool) Dials() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.dialCount
 }
 
-// OpenConns tells how many connections to an address are open, unused ones included.
+// OpenConns returns how many connections to an address are open, idle ones included.
 func (pool *Pool) OpenConns(addr ident.Addr) int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -65,8 +54,8 @@
 	return 0
 }
 
-// Drop closes the kept connections of an address, keeps none of those in use and turns
-// away who waits for one. Those still in use no longer count against the bound.
+// Drop closes the idle connections of an address, lets those in use end after their call and
+// fails the calls that wait for one. Those still in use no longer count against the limit.
 func (pool *Pool) Drop(addr ident.Addr) {
 	pool.mu.Lock()
 	host := pool.hosts[addr]
@@ -80,16 +69,14 @@
 	host.openCount -= len(idle)
 	host.idle, host.waiters = nil, nil
 	pool.mu.Unlock()
-	for _, c := range idle {
-		c.abort()
-	}
+	abortAll(idle)
 	for _, waiter := range waiters {
 		close(waiter)
 	}
 }
 
-// CloseExpired closes what has been unused for too long. A connection that the other end closed
-// holds a descriptor until it is taken or tidied.
+// CloseExpired closes the connections that exceeded their idle time. A connection that the
+// peer has closed holds a file descriptor until it is taken or expires.
 func (pool *Pool) CloseExpired() {
 	now := time.Now()
 	var expired []*conn
@@ -99,16 +86,7 @@
 			delete(pool.hosts, addr)
 			continue
 		}
-		fresh := host.idle[:0]
-		for _, c := range host.idle {
-			if now.Sub(c.lastUsed) < c.maxIdle {
-				fresh = append(fresh, c)
-				continue
-			}
-			expired = append(expired, c)
-		}
-		clear(host.idle[len(fresh):])
-		host.idle = fresh
+		expired = append(expired, host.takeExpired(now)...)
 	}
 	pool.mu.Unlock()
 	for _, c := range expired {
@@ -125,28 +103,8 @@
 	return host
 }
 
-// popIdle takes the latest used connection that may still be used for the call; old ones on
-// the way go to cut.
-func (h *hostPool) popIdle(now time.Time, call *Call, expired *[]*conn) *conn {
-	for n := len(h.idle); n > 0; n = len(h.idle) {
-		c := h.idle[n-1]
-		age := now.Sub(c.lastUsed)
-		if age < c.maxIdle && call.MaxIdleAge > 0 && age >= call.MaxIdleAge {
-			return nil
-		}
-		h.idle[n-1] = nil
-		h.idle = h.idle[:n-1]
-		if age < c.maxIdle {
-			return c
-		}
-		h.releaseSlot()
-		*expired = append(*expired, c)
-	}
-	return nil
-}
-
-// acquire finds a connection for the call, or dials one within the bound. kept says that it
-// was in use before.
+// acquire finds a connection for the call, or dials one within the limit. reused says that
+// it was in use before.
 func (pool *Pool) acquire(ctx context.Context, addr ident.Addr, call *Call) (c *conn, reused bool, fail *failure.Error) {
 	limit := call.MaxConns
 	if limit <= 0 {
@@ -167,12 +125,7 @@
 			return c, true, nil
 		}
 	}
-	for limit > 0 && host.openCount >= limit && len(host.idle) > 0 {
-		// An unused one makes room for the new one that is asked for.
-		evicted = append(evicted, host.idle[0])
-		host.idle = slices.Delete(host.idle, 0, 1)
-		host.openCount--
-	}
+	evicted = append(evicted, host.evictIdle(limit)...)
 	if limit <= 0 || host.openCount < limit {
 		host.openCount++
 		pool.mu.Unlock()
@@ -191,7 +144,7 @@
 	return pool.waitForConn(ctx, host, call, waiter)
 }
 
-// waitForConn stands in line for a connection, or for the room to dial one.
+// waitForConn waits in the host's queue for a connection, or for a free slot to dial one.
 func (pool *Pool) waitForConn(ctx context.Context, host *hostPool, call *Call, waiter chan *conn) (*conn, bool, *failure.Error) {
 	var deadline <-chan time.Time
 	if !call.Deadline.IsZero() {
@@ -206,24 +159,16 @@
 	case <-ctx.Done():
 	}
 	pool.mu.Lock()
-	for n, other := range host.waiters {
-		if other == waiter {
-			host.waiters = slices.Delete(host.waiters, n, n+1)
-			pool.mu.Unlock()
-			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
-		}
-	}
+	left := host.removeWaiter(waiter)
 	pool.mu.Unlock()
-	if c, ok := <-waiter; ok {
-		if c == nil {
-			pool.releaseSlot(host)
-		} else {
-			pool.release(c, true)
-		}
+	if !left {
+		pool.returnHandover(host, waiter)
 	}
 	return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
 }
 
+// useHandover uses what a waiting call was handed: a connection, or, if c is nil, the slot
+// for one. served is false when the address was dropped.
 func (pool *Pool) useHandover(ctx context.Context, host *hostPool, call *Call, c *conn, served bool) (*conn, bool, *failure.Error) {
 	if !served {
 		return nil, false, failure.New(failure.Unreachable, "%s is no longer served", host.addr)
@@ -238,7 +183,19 @@
 	return pool.dialConn(ctx, host, call)
 }
 
-// dialConn dials. Invariant: the new connection is counted already.
+// returnHandover gives back what a call was handed as it stopped waiting.
+func (pool *Pool) returnHandover(host *hostPool, waiter chan *conn) {
+	c, ok := <-waiter
+	switch {
+	case !ok:
+	case c == nil:
+		pool.releaseSlot(host)
+	default:
+		pool.release(c, true)
+	}
+}
+
+// dialConn dials. Invariant: the new connection is counted in openCount already.
 func (pool *Pool) dialConn(ctx context.Context, host *hostPool, call *Call) (*conn, bool, *failure.Error) {
 	pool.mu.Lock()
 	pool.dialCount++
@@ -263,23 +220,14 @@
 	return c, false, nil
 }
 
-// releaseSlot gives the room of one connection to who is first in line.
+// releaseSlot hands the slot of one connection to the first waiter.
 func (pool *Pool) releaseSlot(host *hostPool) {
 	pool.mu.Lock()
 	host.releaseSlot()
 	pool.mu.Unlock()
 }
 
-func (h *hostPool) releaseSlot() {
-	if len(h.waiters) > 0 {
-		h.waiters[0] <- nil
-		h.waiters = h.waiters[1:]
-		return
-	}
-	h.openCount--
-}
-
-// release takes a connection back: to who is first in line, to the shelf, or to its end.
+// release takes a connection back: it goes to the first waiter, becomes idle, or is closed.
 func (pool *Pool) release(c *conn, reusable bool) {
 	host := c.host
 	pool.mu.Lock()
@@ -290,19 +238,7 @@
 		return
 	}
 	c.lastUsed = time.Now()
-	if len(host.waiters) > 0 {
-		host.waiters[0] <- c
-		host.waiters = host.waiters[1:]
-		pool.mu.Unlock()
-		return
-	}
-	var evicted *conn
-	if len(host.idle) >= pool.settings.MaxIdleConns {
-		evicted = host.idle[0]
-		host.idle = slices.Delete(host.idle, 0, 1)
-		host.openCount--
-	}
-	host.idle = append(host.idle, c)
+	evicted := host.put(c)
 	pool.mu.Unlock()
 	if evicted != nil {
 		evicted.abort()
--- a/wire/exchange/write.go
+++ b/wire/exchange/request.go
@@ -4,21 +4,24 @@
 	"net/http"
 	"net/textproto"
 	"strconv"
-	"strings"
 	"sync"
 
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// encodedRequest is a request as it goes out. Invariant: body is either empty, then head holds
-// all, or the call's own bytes, which are not copied.
+// encodedRequest is a request as it is written to the connection. Invariant: either body is
+// empty and head holds everything, or body is the call's own bytes, which are not copied.
 type encodedRequest struct {
 	head []byte
 	body []byte
 }
 
-var encodedRequests = sync.Pool{New: func() any { return &encodedRequest{head: make([]byte, 0, 2<<10)} }}
+// headCapacity is the initial capacity of a pooled head, in bytes.
+const headCapacity = 2 << 10
 
+var encodedRequests = sync.Pool{New: func() any { return &encodedRequest{head: make([]byte, 0, headCapacity)} }}
+
+// recycle returns the request to the pool, unless its buffer has grown large.
 func (r *encodedRequest) recycle() {
 	r.body = nil
 	if cap(r.head) <= 4*singleWriteMax {
@@ -26,17 +29,8 @@
 	}
 }
 
-// IsHopByHop tells whether a header, by its canonical name, belongs to one connection only.
-func IsHopByHop(name string) bool {
-	switch name {
-	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
-		"Transfer-Encoding", "Upgrade", "Expect", "Content-Length":
-		return true
-	}
-	return false
-}
-
-// encode puts the target on the wire as it came.
+// encode writes the head, and a small body behind it. The target is copied as it is. A call
+// that would not be read back as one request with these parts is Malformed.
 func (r *encodedRequest) encode(call *Call) *failure.Error {
 	if !isToken(call.Method) || !isVisible(call.Target) || !isVisible(call.Host) {
 		return failure.New(failure.Malformed, "the method, target or host can't be sent")
@@ -48,7 +42,25 @@
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, call.Host...)
 	b = append(b, '\r', '\n')
-	valid := true
+	b, valid := appendHeader(b, call)
+	b = appendFraming(b, call)
+	b = append(b, '\r', '\n')
+	r.body = nil
+	if len(call.Body) <= singleWriteMax {
+		b = append(b, call.Body...)
+	} else {
+		r.body = call.Body
+	}
+	r.head = b
+	if !valid {
+		return failure.New(failure.Malformed, "a header can't be sent")
+	}
+	return nil
+}
+
+// appendHeader appends the call's header fields, and tells whether all of them are valid.
+func appendHeader(b []byte, call *Call) (out []byte, valid bool) {
+	valid = true
 	appendField := func(name, value string) {
 		valid = valid && isToken(name) && isFieldValue(value)
 		b = append(b, name...)
@@ -73,6 +85,11 @@
 			appendField(name, value)
 		}
 	}
+	return b, valid
+}
+
+// appendFraming appends the fields of this connection: length, expectation, close.
+func appendFraming(b []byte, call *Call) []byte {
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut || call.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(call.Body)), 10)
@@ -84,80 +101,5 @@
 	if call.SingleUse {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	b = append(b, '\r', '\n')
-	r.body = nil
-	if len(call.Body) <= singleWriteMax {
-		b = append(b, call.Body...)
-	} else {
-		r.body = call.Body
-	}
-	r.head = b
-	if !valid {
-		return failure.New(failure.Malformed, "a header can't be sent")
-	}
-	return nil
-}
-
-// overrides tells whether the call itself sets a header.
-func (c *Call) overrides(name string) bool {
-	if c.IDHeader != "" && equalNames(c.IDHeader, name) {
-		return true
-	}
-	for _, field := range c.HeaderOverrides {
-		if equalNames(field.Name, name) {
-			return true
-		}
-	}
-	return false
-}
-
-func equalNames(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
-
-// listContains tells whether a name is among the comma-separated ones of some fields.
-func listContains(fields []string, name string) bool {
-	for _, field := range fields {
-		for item := range strings.SplitSeq(field, ",") {
-			if equalNames(textproto.TrimString(item), name) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-// tokenBytes holds the bytes that a header name or a method may have.
-var tokenBytes = func() (table [256]bool) {
-	for _, b := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
-		table[b] = true
-	}
-	return table
-}()
-
-func isToken(s string) bool {
-	for n := range len(s) {
-		if !tokenBytes[s[n]] {
-			return false
-		}
-	}
-	return s != ""
-}
-
-// isVisible tells whether a text holds neither space nor control bytes.
-func isVisible(s string) bool {
-	for n := range len(s) {
-		if s[n] <= ' ' || s[n] == 0x7f {
-			return false
-		}
-	}
-	return s != ""
-}
-
-// isFieldValue tells whether a header's value holds no control bytes but tabs.
-func isFieldValue(s string) bool {
-	for n := range len(s) {
-		if s[n] < ' ' && s[n] != '\t' || s[n] == 0x7f {
-			return false
-		}
-	}
-	return true
+	return b
 }
--- a/wire/exchange/kept_test.go
+++ b/wire/exchange/reuse_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// harness is an endpoint that answers each request with what say makes of it, and the pool
-// that asks it. Moments pass by setting back when a kept connection was in use.
+// harness is an endpoint that answers each request by a function, and the pool that calls it.
+// Time passes by setting back when an idle connection was last used.
 type harness struct {
 	*testing.T
 	addr         ident.Addr
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// ageIdle lets the kept connections have been unused for a span.
-func (r *harness) ageIdle(span time.Duration) {
+// ageIdle makes the idle connections unused for that long.
+func (r *harness) ageIdle(unused time.Duration) {
 	for _, c := range r.idle() {
-		c.lastUsed = time.Now().Add(-span)
+		c.lastUsed = time.Now().Add(-unused)
 	}
 }
 
-// awaitInput waits until the end of the only kept connection, or bytes on it, are here.
+// awaitInput waits until the only idle connection is closed or has bytes to read.
 func (r *harness) awaitInput() {
 	list := r.idle()
 	must.SliceLen(r, 1, list)
@@ -101,8 +101,8 @@
 	must.NoError(r, c.rawConn.Read(func(fd uintptr) bool { c.visit.peek(fd); return !c.visit.nothingWaits() }))
 }
 
-// A kept connection that was closed, reset or spoken on while it was unused is seen
-// before the first byte: nothing goes out on it, and another carries the call.
+// An idle connection that was closed or reset, or has bytes to read, is noticed before the
+// first byte: nothing is sent on it, and another carries the call.
 func TestIdleConnectionIsCheckedBeforeUse(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -124,8 +124,8 @@
 	}
 }
 
-// How long a connection is kept is what the other end told, less a margin, or else the
-// settings' time.
+// A connection is kept for the peer's keep-alive timeout, less a margin, or else for the
+// settings' idle timeout.
 func TestKeepAliveIsHeeded(t *testing.T) {
 	withField := func(field string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: i\r\n" + field + "Content-Length: 2\r\n\r\nhi"
@@ -159,21 +159,21 @@
 	}
 }
 
-// What can't be told apart from what follows is not kept.
+// A connection is not reused after a response whose end is not certain.
 func TestWhatIsNotReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		say    string
 		method string
 		kept   bool
 	}{
-		"well":          {okResponse, "GET", true},
-		"HTTP/1.0":      {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi", "GET", false},
-		"HEAD":          {"HTTP/1.1 200 OK\r\nX-Id: i\r\nContent-Length: 2\r\n\r\n", "HEAD", false},
-		"more after":    {okResponse + "x", "GET", false},
-		"another first": {"HTTP/1.1 200 OK\r\nX-Id: o\r\nContent-Length: 2\r\n\r\nho" + okResponse, "GET", false},
-		"chunked":       {"HTTP/1.1 200 OK\r\nX-Id: i\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "GET", true},
-		"no content":    {"HTTP/1.1 204 No Content\r\nX-Id: i\r\n\r\n", "GET", true},
-		"told length":   {"HTTP/1.1 304 Not Modified\r\nX-Id: i\r\nContent-Length: 2\r\n\r\n", "GET", true},
+		"valid":           {okResponse, "GET", true},
+		"HTTP/1.0":        {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi", "GET", false},
+		"HEAD":            {"HTTP/1.1 200 OK\r\nX-Id: i\r\nContent-Length: 2\r\n\r\n", "HEAD", false},
+		"more after":      {okResponse + "x", "GET", false},
+		"another first":   {"HTTP/1.1 200 OK\r\nX-Id: o\r\nContent-Length: 2\r\n\r\nho" + okResponse, "GET", false},
+		"chunked":         {"HTTP/1.1 200 OK\r\nX-Id: i\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "GET", true},
+		"no content":      {"HTTP/1.1 204 No Content\r\nX-Id: i\r\n\r\n", "GET", true},
+		"304 with length": {"HTTP/1.1 304 Not Modified\r\nX-Id: i\r\nContent-Length: 2\r\n\r\n", "GET", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, Settings{}, respondAlways(c.say))
@@ -183,8 +183,8 @@
 	}
 }
 
-// A sure call takes a connection that was just in use, or a new one; the older one stays
-// for others.
+// A call with MaxIdleAge takes a connection that was in use within it, or a new one; an older
+// one stays for others.
 func TestMaxIdleAge(t *testing.T) {
 	r := newHarness(t, Settings{}, respondAlways(okResponse))
 	recentOnly := func(call *Call) { call.MaxIdleAge = time.Second }
@@ -206,27 +206,27 @@
 	must.Eq(t, 2, r.pool.OpenConns(r.addr))
 }
 
-// The bound of an address holds; who finds it reached is turned away, not sent, or waits
-// for a connection, for room, for the end of its time, or for the address to be dropped.
+// The connection limit of an address holds; a call that finds it reached is rejected, not sent,
+// or waits for a connection, for a slot, for its deadline, or for the address to be dropped.
 func TestBoundOfAnAddress(t *testing.T) {
 	bound := Settings{MaxConns: 1}
 	wait := func(call *Call) { call.WaitForConn = true }
-	// held gives a rig whose only connection is in hand, until go on is closed.
-	held := func(t *testing.T, say string) (r *harness, goOn chan struct{}, first chan *failure.Error) {
+	// held makes a harness whose only connection is in use until goOn is closed.
+	held := func(t *testing.T, text string) (r *harness, goOn chan struct{}, first chan *failure.Error) {
 		goOn, read := make(chan struct{}), make(chan struct{}, 8)
 		r = newHarness(t, bound, func(c *net.TCPConn, n int64) {
 			read <- struct{}{}
 			if n == 1 {
 				<-goOn
 			}
-			_, _ = c.Write([]byte(say))
+			_, _ = c.Write([]byte(text))
 		})
 		first = make(chan *failure.Error, 1)
 		go func() { _, fail := r.do(); first <- fail }()
 		<-read
 		return r, goOn, first
 	}
-	// second waits in line beside the first.
+	// second starts a call that waits behind the first.
 	second := func(r *harness, change ...func(*Call)) chan *failure.Error {
 		out := make(chan *failure.Error, 1)
 		go func() {
@@ -241,7 +241,7 @@
 		}
 		return out
 	}
-	t.Run("turned away", func(t *testing.T) {
+	t.Run("rejected", func(t *testing.T) {
 		r, goOn, first := held(t, okResponse)
 		sent, fail := r.do()
 		must.False(t, sent)
@@ -260,7 +260,7 @@
 		must.Eq(t, 1, r.pool.Dials())
 		must.Eq(t, 1, r.pool.OpenConns(r.addr))
 	})
-	t.Run("gets the room", func(t *testing.T) {
+	t.Run("gets the slot", func(t *testing.T) {
 		r, goOn, first := held(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
 		next := second(r)
 		close(goOn)
@@ -269,7 +269,7 @@
 		must.Eq(t, 2, r.pool.Dials())
 		must.Eq(t, 0, r.pool.OpenConns(r.addr))
 	})
-	t.Run("a lonely one gets the room", func(t *testing.T) {
+	t.Run("a single-use call gets the slot", func(t *testing.T) {
 		r, goOn, first := held(t, okResponse)
 		next := second(r, func(call *Call) { call.SingleUse = true })
 		close(goOn)
@@ -278,7 +278,7 @@
 		must.Eq(t, 2, r.pool.Dials())
 		must.Eq(t, 0, r.pool.OpenConns(r.addr))
 	})
-	t.Run("until its end", func(t *testing.T) {
+	t.Run("until its deadline", func(t *testing.T) {
 		r, goOn, first := held(t, okResponse)
 		sent, fail := r.do(wait, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
 		must.False(t, sent)
@@ -318,7 +318,8 @@
 	})
 }
 
-// Last's no leaves the connection to others; a time that is over is told as not sent.
+// A rejection by BeforeSend leaves the connection to others; a deadline that has passed is
+// reported as not sent.
 func TestNothingIsSentAfterARejection(t *testing.T) {
 	r := newHarness(t, Settings{}, respondAlways(okResponse))
 	r.mustSucceed()
@@ -335,24 +336,24 @@
 	must.Eq(t, 2, r.requestsRead.Load())
 }
 
-// A body above the bound is refused before it is read, by either mark of its end.
+// A body above the limit is rejected, whichever way its end is marked.
 func TestBoundOfABody(t *testing.T) {
-	for name, say := range map[string]string{
+	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nX-Id: i\r\nContent-Length: 4\r\n\r\nhigh",
 		"chunks": "HTTP/1.1 200 OK\r\nX-Id: i\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n2\r\ngh\r\n0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, Settings{MaxBodyBytes: 3}, respondAlways(say))
+			r := newHarness(t, Settings{MaxBodyBytes: 3}, respondAlways(text))
 			sent, fail := r.do()
 			must.True(t, sent)
 			must.Eq(t, failure.BadResponse, fail.Kind)
-			r = newHarness(t, Settings{MaxBodyBytes: 4}, respondAlways(say))
+			r = newHarness(t, Settings{MaxBodyBytes: 4}, respondAlways(text))
 			r.mustSucceed()
 		})
 	}
 }
 
-// Every connection has the bound on silence.
+// Every connection has the timeout for unresponsive peers.
 func TestDeadPeerTimeoutIsSet(t *testing.T) {
 	r := newHarness(t, Settings{DeadPeerTimeout: 6 * time.Second}, respondAlways(okResponse))
 	r.mustSucceed()
--- a/wire/exchange/unasked_test.go
+++ b/wire/exchange/unsolicited_test.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// serveConns serves every connection with a script of its own; next reads one request and
+// serveConns serves every connection by a script; next reads one request and
 // gives its X-Request-Id, r what is left of the connection.
 func serveConns(t *testing.T, play func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,34 +49,34 @@
 
 const requestIDHeader = "X-Request-Id"
 
-// patientSettings is for tests on a machine under load: nothing ends by time.
+// patientSettings are for tests on a machine under load: nothing times out.
 var patientSettings = exchange.Settings{DialTimeout: time.Minute}
 
-// identifiedCall is a call that wants its own id echoed.
+// identifiedCall is a call whose id the response must echo.
 func identifiedCall(method, id string) exchange.Call {
 	call := newCall(method)
 	call.Header, call.IDHeader, call.ID = nil, requestIDHeader, id
 	return call
 }
 
-func bodyFraming(id string) string { return `{"id":"` + id + `"}` }
+func jsonBody(id string) string { return `{"id":"` + id + `"}` }
 
 func responseTo(id string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", requestIDHeader, id, len(bodyFraming(id)), bodyFraming(id))
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", requestIDHeader, id, len(jsonBody(id)), jsonBody(id))
 }
 
-// respondEach serves every request of a connection with what say makes of its id.
-func respondEach(say func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
+// respondEach answers every request of a connection by a function of its id.
+func respondEach(text func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
 	return func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
-			_, _ = c.Write([]byte(say(id)))
+			_, _ = c.Write([]byte(text(id)))
 		}
 	}
 }
 
-// Whatever an endpoint says unasked, doubled, too early or with a wrong end, a caller
-// gets the return to its own request or none, and so does whoever comes next. Each case
-// is played over connections of their own and over kept ones.
+// Whatever an endpoint sends unsolicited, twice, too early or with a wrong end, a caller gets
+// the response to its own request or none, and so does the next one. Each case runs over
+// single-use connections and over pooled ones.
 func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
 	const all, none, some = "all", "none", "some"
 	bare := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
@@ -91,8 +91,8 @@
 				if !ok {
 					return
 				}
-				say := then(id)
-				if _, _ = c.Write([]byte(say)); say == "" {
+				text := then(id)
+				if _, _ = c.Write([]byte(text)); text == "" {
 					return
 				}
 			}
@@ -104,42 +104,42 @@
 		good  string
 		large int
 	}{
-		"well":                           {respondEach(responseTo), all, 0},
-		"a second return with the first": {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), all, 0},
-		"a doubled return":               {respondEach(func(id string) string { return responseTo(id) + responseTo(id) }), all, 0},
-		"another's return with the own":  {respondEach(func(id string) string { return responseTo("other") + responseTo(id) }), all, 0},
-		"another's return alone": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
+		"valid":                             {respondEach(responseTo), all, 0},
+		"a second response with the first":  {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), all, 0},
+		"a doubled response":                {respondEach(func(id string) string { return responseTo(id) + responseTo(id) }), all, 0},
+		"another's response before its own": {respondEach(func(id string) string { return responseTo("other") + responseTo(id) }), all, 0},
+		"another's response alone": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			if _, ok := next(); ok {
 				_, _ = c.Write([]byte(responseTo("other")))
 			}
 		}, none, 0},
 		"no id":                     {respondEach(bare), none, 0},
-		"no id, then the own":       {respondEach(func(id string) string { return bare(id) + responseTo(id) }), none, 0},
-		"an empty id, then the own": {respondEach(func(id string) string { return responseTo("") + responseTo(id) }), none, 0},
+		"no id, then its own":       {respondEach(func(id string) string { return bare(id) + responseTo(id) }), none, 0},
+		"an empty id, then its own": {respondEach(func(id string) string { return responseTo("") + responseTo(id) }), none, 0},
 		"two ids": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), requestIDHeader, requestIDHeader+": other\r\n"+requestIDHeader, 1)
 		}), none, 0},
-		"two ids, the own first": {respondEach(func(id string) string {
+		"two ids, its own first": {respondEach(func(id string) string {
 			return strings.Replace(responseTo("other"), requestIDHeader, requestIDHeader+": "+id+"\r\n"+requestIDHeader, 1)
 		}), none, 0},
-		"a few of others, then the own":   {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 4) + responseTo(id) }), all, 0},
-		"a flood of others, then the own": {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 5) + responseTo(id) }), none, 0},
-		"another's without an end, the own": {respondEach(func(id string) string {
+		"a few of others, then its own":   {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 4) + responseTo(id) }), all, 0},
+		"a flood of others, then its own": {respondEach(func(id string) string { return strings.Repeat(responseTo("other"), 5) + responseTo(id) }), none, 0},
+		"another's without an end, then its own": {respondEach(func(id string) string {
 			return strings.Replace(responseTo("other"), "Content-Length", "X-Length", 1) + responseTo(id)
 		}), none, 0},
-		"a second return a little later": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
+		"a second response a little later": {func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 			for id, ok := next(); ok; id, ok = next() {
 				_, _ = c.Write([]byte(responseTo(id)))
 				_, _ = c.Write([]byte(responseTo("other")))
 			}
 		}, some, 0},
-		"a return before any request": {func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
+		"a response before any request": {func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
 			_, _ = c.Write([]byte(responseTo("other")))
 			respondEach(responseTo)(c, r, next)
 		}, some, 0},
-		"a return before the request is whole":               {early(responseTo("other"), nothing), none, 1 << 20},
-		"a return before the request is whole, then the own": {early(responseTo("other"), responseTo), all, 1 << 20},
-		"no id before the request is whole, then the own":    {early(bare("other"), responseTo), none, 1 << 20},
+		"a response before the request is complete":               {early(responseTo("other"), nothing), none, 1 << 20},
+		"a response before the request is complete, then its own": {early(responseTo("other"), responseTo), all, 1 << 20},
+		"no id before the request is complete, then its own":      {early(bare("other"), responseTo), none, 1 << 20},
 		"a length below the body's": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), all, 0},
@@ -176,7 +176,7 @@
 					response, sent, fail := doCall(t, pool, addr, call)
 					if fail == nil {
 						good++
-						must.Eq(t, bodyFraming(id), string(response.Body))
+						must.Eq(t, jsonBody(id), string(response.Body))
 						continue
 					}
 					must.Nil(t, response)
@@ -188,20 +188,20 @@
 	}
 }
 
-// Without an id only the connection tells whose a return is: what follows it in one
-// piece, or stands there before the last byte of a long request left, makes it none.
+// Without an id only the connection tells to which request a response belongs: bytes that follow
+// it at once, or that come before the last byte of a long request is sent, make it invalid.
 func TestWithoutAnIDOnlyASingleResponsePasses(t *testing.T) {
 	for name, c := range map[string]struct {
 		play  func(net.Conn, *bufio.Reader, func() (string, bool))
 		large int
 	}{
-		"a second return with the first": {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), 0},
+		"a second response with the first": {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), 0},
 		"a length below the body's": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), 0},
 		// The buffers between hold less than the request: its last byte can't leave before
-		// the other end, which has spoken by then, reads on.
-		"a return before the request is whole": {func(c net.Conn, _ *bufio.Reader, _ func() (string, bool)) {
+		// the peer, which has sent its response by then, reads on.
+		"a response before the request is complete": {func(c net.Conn, _ *bufio.Reader, _ func() (string, bool)) {
 			_ = c.(*net.TCPConn).SetReadBuffer(256 << 10)
 			_, _ = c.Read(make([]byte, 1))
 			_, _ = c.Write([]byte(responseTo("other")))
@@ -226,14 +226,14 @@
 	}
 }
 
-// On kept connections without ids the second return does reach the next caller: what the
+// On pooled connections without ids the second response does reach the next caller: what the
 // test above looks for can happen.
 func TestReusedConnectionsWouldMixResponses(t *testing.T) {
 	step := make(chan struct{})
 	addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
 			_, _ = c.Write([]byte(responseTo(id)))
-			id, ok = next() // the next request is here: the unasked return comes first
+			id, ok = next() // the next request is here: the unsolicited response comes first
 			if !ok {
 				return
 			}
@@ -247,13 +247,13 @@
 		call.Header = http.Header{"X-Request-Id": {fmt.Sprintf("r%d", n)}}
 		response, _, fail := doCall(t, pool, addr, call)
 		must.Nil(t, fail)
-		must.Eq(t, bodyFraming(want), string(response.Body))
+		must.Eq(t, jsonBody(want), string(response.Body))
 	}
 	<-step
 }
 
-// A return that comes after the limit reaches nobody: neither who gave up nor who comes
-// next. The request may still be run by an endpoint that was hung, so its fate is unknown.
+// A response that comes after the deadline reaches nobody: neither the caller that gave up nor
+// the next one. An endpoint that hung may still execute the request, so its outcome is unknown.
 func TestLateResponseReachesNobody(t *testing.T) {
 	wake := make(chan struct{})
 	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
@@ -275,6 +275,6 @@
 		call.Header = http.Header{"X-Request-Id": {id}}
 		response, _, fail := doCall(t, pool, addr, call)
 		must.Nil(t, fail)
-		must.Eq(t, bodyFraming(id), string(response.Body))
+		must.Eq(t, jsonBody(id), string(response.Body))
 	}
 }
