--- a/wire/server/bench_test.go
+++ b/wire/server/bench_test.go
@@ -17,15 +17,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkIntercept serves requests on one kept connection by the front filter alone; the
-// other end only counts bytes, so most of the figure is the server's own.
+// BenchmarkIntercept serves requests on one connection by the intercept function alone; the
+// client only counts bytes, so most of the figure is the server's own.
 func BenchmarkIntercept(b *testing.B) {
 	for name, request := range map[string]string{
 		"get":  "GET /lepu270/2f HTTP/1.1\r\nHost: jepu9.example\r\nX-Id: 9c41d07be2a35f68\r\nX-Left: 500\r\nAccept: */*\r\n\r\n",
 		"post": "POST /lepu270/2f HTTP/1.1\r\nHost: jepu9.example\r\nX-Id: 9c41d07be2a35f68\r\nX-Left: 500\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024),
 	} {
 		for _, withoutCloseDetection := range []bool{false, true} {
-			b.Run(fmt.Sprint(name, "/deaf ", withoutCloseDetection), func(b *testing.B) {
+			b.Run(fmt.Sprint(name, "/without close detection ", withoutCloseDetection), func(b *testing.B) {
 				var options []server.Option
 				if withoutCloseDetection {
 					options = []server.Option{server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}
@@ -36,7 +36,7 @@
 						body := make([]byte, r.ContentLength)
 						_, _ = io.ReadFull(r.Body, body)
 					}
-					for range 3 { // who serves is another one: a request takes a while
+					for range 3 { // another goroutine serves: a request takes a while
 						runtime.Gosched()
 					}
 					h := w.Header()
--- a/wire/server/deaf_test.go
+++ b/wire/server/closedetection_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A buffer's last byte is read even when it comes on its own; a byte apart is not, and
-// is still there for the buffer.
+// The last byte of a buffer is read even when it comes on its own; into a separate byte nothing
+// is read, and the byte is still there for the buffer.
 func TestNoCloseDetectionReadsABuffersLastByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/wire/server/listen.go
+++ b/wire/server/listener.go
@@ -7,7 +7,6 @@
 	"sync"
 	"syscall"
 	"time"
-	"unsafe"
 
 	"golang.org/x/sys/unix"
 
@@ -15,25 +14,11 @@
 	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
-// acceptGrace bounds how long a stopped listener goes on accepting what waits. It ends as soon
-// as nothing waits; the bound is for a flood of connections, or a machine without free processors.
+// acceptGrace bounds how long a stopped listener goes on accepting the connections that wait. It
+// ends as soon as none waits; the limit is for a flood of them, or a machine under load.
 const acceptGrace = time.Second
 
-// Option changes how a server takes connections.
-type Option func(*listener)
-
-// DeadPeerTimeout has a connection given up once its other end is gone without a word for span:
-// sent bytes unacknowledged, or probes unanswered. Probes go by whole seconds.
-func DeadPeerTimeout(timeout time.Duration) Option {
-	return func(l *listener) { l.deadPeerTimeout = timeout }
-}
-
-// WithoutCloseDetection leaves out net/http's listening for the close of a connection while its request is
-// served: that takes a goroutine, a timer and a read a request. Such a request's context
-// does not end when its caller goes away.
-func WithoutCloseDetection() Option { return func(l *listener) { l.withoutCloseDetection = true } }
-
-// listener begins to listen when it is first used, as kratos' own does.
+// listener listens from its first use on, as kratos' own does.
 type listener struct {
 	addr                  ident.Addr
 	deadPeerTimeout       time.Duration
@@ -43,7 +28,7 @@
 	err error
 
 	mu sync.Mutex
-	// acceptUntil is until when a stopped listener still accepts what waits; zero before.
+	// acceptUntil is until when a stopped listener still accepts; zero before the stop.
 	acceptUntil time.Time
 }
 
@@ -51,7 +36,7 @@
 	l.once.Do(func() {
 		config := net.ListenConfig{}
 		if l.deadPeerTimeout > 0 {
-			// What is accepted has this from the listening socket.
+			// Accepted connections inherit this from the listening socket.
 			config.KeepAlive = -1
 			config.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.deadPeerTimeout) }
 		}
@@ -65,8 +50,8 @@
 	return l.err
 }
 
-// stop has Accept take what waits to be accepted and then end, and tells whether the listener
-// listens. One that does not yet never will.
+// stop makes Accept take the connections that wait and then end, and tells whether the listener
+// was opened. One that was not never will be.
 func (l *listener) stop() bool {
 	l.once.Do(func() { l.err = http.ErrServerClosed })
 	if l.err != nil {
@@ -82,9 +67,9 @@
 	return true
 }
 
-// Accept takes a connection. It answers http.ErrServerClosed once the listener was stopped
-// and nothing waits to be accepted: what waits when the listener closes is reset, with the
-// request that was sent on it.
+// Accept takes a connection. Once the listener was stopped and no connection waits, it returns
+// http.ErrServerClosed. Those that wait are accepted before that, because the kernel resets a
+// connection that waits as its listener closes, with the request that was sent on it.
 func (l *listener) Accept() (net.Conn, error) {
 	tcp, err := l.acceptTCP()
 	if err != nil {
@@ -134,27 +119,3 @@
 	})
 	return err == nil && ready > 0
 }
-
-// noCloseDetection is a connection that does not listen while its request is served. net/http listens
-// by reading into a single byte of its own, apart from the buffer into which it reads
-// requests; a read of no bytes ends that at once, and harms nothing.
-//
-// Invariant: end is where what was read into before ended. The rest of a buffer, when it
-// is a single byte, ends there too, and is read; net/http's own byte, which lives as long
-// as the connection, never does.
-type noCloseDetection struct {
-	*net.TCPConn
-	lastEnd uintptr
-}
-
-func (c *noCloseDetection) Read(buffer []byte) (int, error) {
-	if len(buffer) == 0 {
-		return 0, nil
-	}
-	end := uintptr(unsafe.Pointer(&buffer[len(buffer)-1]))
-	if len(buffer) == 1 && end != c.lastEnd {
-		return 0, nil
-	}
-	c.lastEnd = end
-	return c.TCPConn.Read(buffer)
-}
--- a/wire/server/listen_test.go
+++ b/wire/server/listener_test.go
@@ -18,9 +18,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A deaf server reads every request as it came, wherever the reads fall: heads of all
-// lengths around net/http's buffer and its double, bodies of all small ones, the last
-// byte of a buffer on its own, several requests in one piece.
+// A server without close detection reads every request as it came, however the reads split it:
+// heads of all lengths around net/http's buffer and its double, small bodies, the last byte of
+// a buffer on its own, several requests at once.
 func TestServerWithoutCloseDetectionReadsAll(t *testing.T) {
 	addr := startServer(t, func(w http.ResponseWriter, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
@@ -47,7 +47,7 @@
 		for pad := edge - head - 3; pad <= edge-head+3; pad++ {
 			for size := range 3 {
 				requestBytes := request(pad, size)
-				// First up to one byte before the edge, so that a buffer's rest is one byte.
+				// Also cut one byte before the edge, so that one byte of the buffer is left.
 				for _, cut := range []int{len(requestBytes), edge - 1, edge, len(requestBytes) - 1} {
 					cut = min(cut, len(requestBytes))
 					_, _ = io.WriteString(c, requestBytes[:cut])
@@ -68,7 +68,7 @@
 	mustRespond(40, 40)
 }
 
-// What is accepted notices silence, as the listening socket was told to.
+// Accepted connections inherit the timeout for unresponsive peers from the listening socket.
 func TestDeadPeerTimeoutIsInherited(t *testing.T) {
 	got := make(chan int, 3)
 	s := server.New("127.0.0.1:0", func(http.ResponseWriter, *http.Request) bool { return true }, server.DeadPeerTimeout(6*time.Second))
@@ -97,7 +97,7 @@
 	must.Eq(t, 2, <-got)
 }
 
-// A server whose address is taken says so when it starts.
+// A server whose address is taken reports it when it starts.
 func TestTakenAddressIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- /dev/null
+++ b/wire/server/log.go
@@ -0,0 +1,25 @@
+package server
+
+import (
+	"github.com/go-kratos/kratos/v2/log"
+	"go.uber.org/zap"
+)
+
+// warningLogger passes kratos' log entries on to zap, from warnings up.
+type warningLogger struct{ logger *zap.Logger }
+
+// Log implements kratos' log.Logger.
+func (w warningLogger) Log(level log.Level, keyValues ...any) error {
+	if level >= log.LevelWarn {
+		w.logger.Warn("kratos reports a problem", zap.Any("fields", keyValues))
+	}
+	return nil
+}
+
+// Logger makes a kratos logger that writes warnings and errors to zap, and installs it as
+// kratos' global one.
+func Logger(logger *zap.Logger) log.Logger {
+	adapter := warningLogger{logger}
+	log.SetLogger(adapter)
+	return adapter
+}
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -1,36 +1,35 @@
-// Package server makes HTTP servers on kratos' transport.
+// Package server makes HTTP servers on kratos' transport that stop without losing a request.
 package server
 
 import (
 	"context"
 	"errors"
-	"maps"
 	"net/http"
 	"net/url"
-	"slices"
-	"strings"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kratos/kratos/v2/log"
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
-	"go.uber.org/zap"
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// maxHeaderBytes is the largest head that is read at all, in bytes; what a manifest allows is
-// below it.
-const maxHeaderBytes = 256 << 10
-
-// readHeaderTimeout bounds the reading of a request's head.
-const readHeaderTimeout = 10 * time.Second
+const (
+	// maxHeaderBytes is the largest head that is read at all; a configuration allows less.
+	maxHeaderBytes = 256 << 10
+	// readHeaderTimeout bounds the reading of a request's head.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 90 * time.Second
+)
 
+// kratosServer keeps kratos' Server out of the way of the field of that name in it, which is
+// net/http's.
 type kratosServer = khttp.Server
 
-// Server is a kratos server that answers every request it has begun to read before it stops.
+// Server is a kratos server whose Stop answers every request of which it has read a part.
 type Server struct {
 	*kratosServer
 	listener *listener
@@ -40,9 +39,9 @@
 	served   chan struct{} // closed when Start has returned
 }
 
-// New makes a server. kratos' own limit of one second is switched off: requests
-// carry their own. front, when given, sees every request before the table of paths
-// and before any path is cleaned, and answers true when it has served it.
+// New makes a server. kratos' own time limit of one second is switched off: requests carry
+// their own. intercept, when given, sees every request before it is routed and before its path
+// is cleaned, and returns true when it has served it.
 func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
 	s := &Server{listener: &listener{addr: addr}, conns: newConnTracker(), started: make(chan struct{}), served: make(chan struct{})}
 	for _, option := range options {
@@ -60,21 +59,26 @@
 	}
 	filters := []khttp.FilterFunc{s.closeWhileStopping}
 	if intercept != nil {
-		filters = append(filters, func(next http.Handler) http.Handler {
-			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !intercept(w, r) {
-					next.ServeHTTP(w, r)
-				}
-			})
-		})
+		filters = append(filters, interceptor(intercept))
 	}
 	kratosOptions = append(kratosOptions, khttp.Filter(filters...))
 	s.kratosServer = khttp.NewServer(kratosOptions...)
-	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, 90*time.Second, maxHeaderBytes
+	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, idleTimeout, maxHeaderBytes
 	return s
 }
 
-// Endpoint is the address that the server listens at; it begins to listen.
+// interceptor makes a filter of an intercept function.
+func interceptor(intercept func(http.ResponseWriter, *http.Request) bool) khttp.FilterFunc {
+	return func(next http.Handler) http.Handler {
+		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if !intercept(w, r) {
+				next.ServeHTTP(w, r)
+			}
+		})
+	}
+}
+
+// Endpoint returns the address that the server listens at, and begins to listen.
 func (s *Server) Endpoint() (*url.URL, error) {
 	if err := s.listener.open(); err != nil {
 		return nil, err
@@ -95,44 +99,3 @@
 	close(s.started)
 	return s.kratosServer.Start(ctx)
 }
-
-// Paths is a table of paths, each with its methods.
-type Paths map[string]map[string]http.HandlerFunc
-
-// Register puts the table on a server.
-func (p Paths) Register(s *Server) {
-	// Longer paths first: a pattern may cover a shorter one's tail.
-	patterns := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
-		if len(a) != len(b) {
-			return len(b) - len(a)
-		}
-		return strings.Compare(a, b)
-	})
-	for _, path := range patterns {
-		methods := p[path]
-		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			handler, ok := methods[r.Method]
-			if !ok {
-				response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
-				return
-			}
-			handler(w, r)
-		})
-	}
-}
-
-type warningLogger struct{ logger *zap.Logger }
-
-func (w warningLogger) Log(level log.Level, keyValues ...any) error {
-	if level >= log.LevelWarn {
-		w.logger.Warn("kratos", zap.Any("said", keyValues))
-	}
-	return nil
-}
-
-// Logger gives kratos' lines, from warnings up, to zap.
-func Logger(logger *zap.Logger) log.Logger {
-	adapter := warningLogger{logger}
-	log.SetLogger(adapter)
-	return adapter
-}
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// stopPollFirst and stopPollMost bound how often the connections are looked at while the
-	// server stops.
-	stopPollFirst = time.Millisecond
-	stopPollMost  = 500 * time.Millisecond
-	// startGrace is how long a Start that is on its way is waited for.
+	// stopPollMin and stopPollMax bound the interval at which unused connections are looked for
+	// while the server stops. It doubles from one to the other, as in http.Server.Shutdown.
+	stopPollMin = time.Millisecond
+	stopPollMax = 500 * time.Millisecond
+	// startGrace is how long Stop waits for a concurrent Start.
 	startGrace = time.Second
 )
 
-// Stop stops the server in order: it takes no more connections, answers every request of
-// which a part was read, closes each connection after its answer and the unused ones at
-// once, and returns when none is open. When ctx ends first, it is an error: what was unused or
-// read in part is closed, and what is served goes on.
+// Stop stops the server gracefully: it accepts no more connections, answers every request of
+// which a part was read, closes each connection after its response and the unused ones at once,
+// and returns when none is open. If ctx ends first, Stop returns its error: connections that
+// are unused or on which a part of a head was read are closed, handlers go on.
 //
 // http.Server.Shutdown alone would end a connection without an answer when its request is
-// read after Shutdown began, so it comes last, when nothing is open.
+// read after Shutdown began, so it comes last, when no connection is open.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	var err error
@@ -34,8 +34,8 @@
 	return err
 }
 
-// awaitStart tells whether Start was called. A listener takes connections from Endpoint on, so
-// a Start that is on its way is waited for.
+// awaitStart tells whether Start was called. Connections can be made from Endpoint on, so a
+// concurrent Start is waited for.
 func (s *Server) awaitStart(ctx context.Context) bool {
 	timeout := time.NewTimer(startGrace)
 	defer timeout.Stop()
@@ -48,14 +48,14 @@
 	return false
 }
 
-// drain waits until no connection is open and none can be taken any more, or ctx ends.
+// drain waits until no connection is open and none is accepted any more, or ctx ends.
 func (s *Server) drain(ctx context.Context) error {
 	select {
 	case <-s.served:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	wait := stopPollFirst
+	wait := stopPollMin
 	poll := time.NewTimer(wait)
 	defer poll.Stop()
 	for s.conns.wakeUnused() > 0 {
@@ -64,14 +64,14 @@
 			return ctx.Err()
 		case <-s.conns.changed:
 		case <-poll.C:
-			wait = min(2*wait, stopPollMost)
+			wait = min(2*wait, stopPollMax)
 			poll.Reset(wait)
 		}
 	}
 	return nil
 }
 
-// closeWhileStopping marks each answer of a server that stops as the last on its connection.
+// closeWhileStopping marks each response of a stopping server as the last on its connection.
 func (s *Server) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -15,7 +15,7 @@
 )
 
 // A connection was accepted before a planned stop; its request comes as the server stops. It is
-// answered, since its sender can't know whether it was executed when the connection just ends.
+// answered, since its client can't know whether it was executed when the connection just ends.
 func TestRequestThatComesAsTheServerStopsIsAnswered(t *testing.T) {
 	s := server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -33,7 +33,7 @@
 	must.NoError(t, err)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	for { // the stop has begun once nobody is taken any more
+	for { // the stop has begun once no connection is accepted any more
 		more, err := net.Dial("tcp", endpoint.Host)
 		if err != nil {
 			break
@@ -43,7 +43,7 @@
 	_, err = io.WriteString(c, "Host: h\r\n\r\n")
 	must.NoError(t, err)
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
-	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
+	must.NoError(t, err, must.Sprint("the connection ended without a response"))
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 	_ = response.Body.Close()
 	must.NoError(t, <-stopped)
@@ -71,19 +71,19 @@
 	return c, bufio.NewReader(c)
 }
 
-// readResponse reads one answer and tells whether it closes its connection.
+// readResponse reads one response and tells whether it closes its connection.
 func readResponse(t *testing.T, from *bufio.Reader) bool {
 	response, err := http.ReadResponse(from, nil)
-	must.NoError(t, err, must.Sprint("the connection ended without an answer"))
+	must.NoError(t, err, must.Sprint("the connection ended without a response"))
 	must.Eq(t, http.StatusNoContent, response.StatusCode)
 	_ = response.Body.Close()
 	return response.Close
 }
 
-// Each kind of connection that is open as the server stops: what was begun on it is answered,
-// and it ends with that answer; one that is unused ends without a wait.
+// Each kind of connection that is open as the server stops: a request that was begun is answered,
+// and its connection ends with the response; an unused one ends without a wait.
 func TestStopEndsEachConnectionInOrder(t *testing.T) {
-	for name, with := range map[string][]server.Option{"plain": nil, "deaf": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}} {
+	for name, with := range map[string][]server.Option{"plain": nil, "without close detection": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}} {
 		t.Run(name, func(t *testing.T) {
 			s, addr := startNoContentServer(t, with...)
 			fresh, fromFresh := dial(t, addr)
@@ -144,7 +144,7 @@
 	must.NoError(t, <-stopped)
 }
 
-// A request that never becomes whole holds up a stop until its context ends, not longer.
+// A request that never becomes complete delays a stop until its context ends, not longer.
 func TestStopIsBoundedByItsContext(t *testing.T) {
 	s, addr := startNoContentServer(t)
 	c, from := dial(t, addr)
