--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -1,4 +1,4 @@
-// Package client is how processes of the mesh ask each other, over kratos' client.
+// Package client sends JSON requests between the mesh's own processes, over kratos' client.
 package client
 
 import (
@@ -19,15 +19,15 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Pool keeps one kratos client an address.
+// Pool keeps one kratos client for each address.
 type Pool struct {
 	mu        sync.Mutex
 	clients   map[ident.Addr]*khttp.Client
 	transport minimalTransport
 }
 
-// minimalTransport leaves out what no process of the mesh reads: many requests are smaller than their
-// heads.
+// minimalTransport omits the headers that no process of the mesh reads: many requests are
+// smaller than their heads.
 type minimalTransport struct{ *http.Transport }
 
 // RoundTrip sends one request.
@@ -38,15 +38,15 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// ackTimeout is how long bytes may go without an acknowledgement: behind a cut, or without
-	// power, a machine is silent and would hold a connection for minutes.
+	// ackTimeout is how long sent bytes may stay unacknowledged: a machine that is partitioned
+	// or without power would otherwise hold a connection for minutes.
 	ackTimeout = 3 * time.Second
 )
 
-// keepAlive find out that a machine is gone while nothing is to be sent to it.
+// keepAlive detects that a machine is unreachable while nothing is sent to it.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
-// setUserTimeout bounds how long the kernel waits for a silent machine.
+// setUserTimeout bounds how long the kernel waits for acknowledgements.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
@@ -57,12 +57,12 @@
 	return err
 }
 
-// New makes a pool that dials from the machine's own IP. The time limit is each
-// call's own, so kratos' is switched off.
+// New makes a pool that dials from the machine's own IP. Each call has a time limit of its own,
+// so kratos' is switched off.
 func New(localAddr ident.Addr) *Pool { return NewWithDialTimeout(localAddr, dialTimeout) }
 
-// NewWithDialTimeout is New with a limit of its own for a connection to come up. One that comes up
-// after its call has ended serves the next.
+// NewWithDialTimeout is New with another dial timeout. A connection that is established after
+// its call has ended serves the next call.
 func NewWithDialTimeout(localAddr ident.Addr, timeout time.Duration) *Pool {
 	return &Pool{clients: map[ident.Addr]*khttp.Client{}, transport: minimalTransport{&http.Transport{
 		DialContext:         (&net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout, LocalAddr: localAddr.DialSource()}).DialContext,
@@ -85,7 +85,7 @@
 	return c, nil
 }
 
-// decodeError turns a return of the mesh back into its failure.
+// decodeError turns an error response back into its failure.
 func decodeError(_ context.Context, response *http.Response) error {
 	if response.StatusCode >= 200 && response.StatusCode < 300 {
 		return nil
@@ -93,7 +93,7 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 	if err != nil {
-		return failure.Wrap(err, failure.LostResponse, "read return")
+		return failure.Wrap(err, failure.LostResponse, "read response")
 	}
 	fail := &failure.Error{}
 	if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
@@ -102,7 +102,7 @@
 	return fail
 }
 
-// Call sends one JSON request and reads its JSON return.
+// Call sends one JSON request and reads its JSON response into result, which may be nil.
 func (p *Pool) Call(ctx context.Context, addr ident.Addr, method, path string, args, result any) error {
 	c, err := p.client(addr)
 	if err != nil {
@@ -115,10 +115,10 @@
 		if fail := (*failure.Error)(nil); failure.As(err, &fail) {
 			return fail
 		}
-		return failure.Wrap(err, failure.LostResponse, "ask "+path)
+		return failure.Wrap(err, failure.LostResponse, "call "+path)
 	}
 	return nil
 }
 
-// Close lets idle connections go.
+// Close closes the idle connections.
 func (p *Pool) Close() { p.transport.CloseIdleConnections() }
--- a/wire/client/client_test.go
+++ b/wire/client/client_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A refused connection can be told from other ends through every layer: cores take
-// it as the hint that a process is gone.
+// A refused connection can be told apart from other failures through every layer: cores take
+// it as a hint that a process is gone.
 func TestRefusedConnectionIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -28,8 +28,8 @@
 	must.Eq(t, failure.OutcomeUnknown, failure.From(err).Outcome)
 }
 
-// The kernel gives a silent machine up soon: what was sent and is not acknowledged, and a
-// connection on which nothing is sent.
+// The kernel gives up an unresponsive machine within seconds, whether sent bytes stay
+// unacknowledged or nothing is sent.
 func TestUnresponsiveMachinesAreGivenUp(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/wire/response/reply.go
+++ b/wire/response/response.go
@@ -1,4 +1,4 @@
-// Package response writes returns as JSON.
+// Package response reads request bodies and writes JSON responses.
 package response
 
 import (
@@ -11,10 +11,10 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// OutcomeHeader says outside whether the thing asked for took effect.
+// OutcomeHeader tells a client whether its operation took effect: "no", "yes" or "unknown".
 const OutcomeHeader = "X-Cottonarch-Fate"
 
-// WriteJSON writes a value.
+// WriteJSON writes a value as the whole response.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -27,7 +27,8 @@
 	_, _ = w.Write(data)
 }
 
-// WriteError writes a failure with its status, its fate and when to come back.
+// WriteError writes a failure with its status, its outcome and, in whole seconds, its
+// Retry-After.
 func WriteError(w http.ResponseWriter, fail *failure.Error) {
 	if fail.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(fail.RetryAfter))))
@@ -36,9 +37,9 @@
 	WriteJSON(w, fail.Status(), fail)
 }
 
-// WriteErrorFractional is Defect on a surface whose callers read fractions of a second in Retry-After and
-// take a 503 for a promise. Invariant: a failure of fate no leaves with a 4xx or 503, any
-// other never with 503.
+// WriteErrorFractional is WriteError for clients that read fractions of a second in Retry-After
+// and take a 503 as proof that the request was not executed. Invariant: a failure that was not
+// executed has a 4xx or 503, any other never has 503.
 func WriteErrorFractional(w http.ResponseWriter, fail *failure.Error) {
 	if fail.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(fail.RetryAfter, 'f', -1, 64))
@@ -54,7 +55,7 @@
 	WriteJSON(w, status, fail)
 }
 
-// ReadBody reads a whole body of at most most bytes.
+// ReadBody reads a complete body of at most limit bytes.
 func ReadBody(r *http.Request, limit int64) ([]byte, *failure.Error) {
 	if r.Body == nil {
 		return nil, nil
@@ -64,7 +65,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, failure.New(failure.Malformed, "the body broke off: %v", err)
+		return nil, failure.New(failure.Malformed, "the body was interrupted: %v", err)
 	}
 	if int64(len(data)) > limit {
 		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", limit)
@@ -72,7 +73,7 @@
 	return data, nil
 }
 
-// DecodeBody reads a JSON body strictly.
+// DecodeBody reads a body of one JSON value of at most limit bytes into target.
 func DecodeBody(r *http.Request, limit int64, target any) *failure.Error {
 	data, fail := ReadBody(r, limit)
 	if fail != nil {
--- a/wire/response/reply_test.go
+++ b/wire/response/response_test.go
@@ -10,11 +10,11 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// notExecutedStatuses are the statuses by which a caller is told that its request never runs.
+// notExecutedStatuses are those that a client takes as proof that its request was not executed.
 var notExecutedStatuses = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
 
-// Whatever the kind of a failure: a failure of the mesh's own that is proved not to have run
-// is told by a promise, and no other failure is.
+// Whatever the kind of a failure: one that is proved not to have been executed has such a
+// status, and no other has.
 func TestNotExecutedIsSaidOnlyWhenProved(t *testing.T) {
 	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoWorkload, failure.Busy, failure.DeadlineExceeded, failure.EndpointRejected,
 		failure.Unreachable, failure.BadResponse, failure.LostResponse, failure.NoMajority, failure.UnknownOutcome, failure.NotFound, failure.LockHeld, failure.NotHolder, failure.Compacted, failure.Stopping,
@@ -23,12 +23,12 @@
 		for _, outcome := range []failure.Outcome{failure.NotExecuted, failure.OutcomeUnknown, failure.Executed, ""} {
 			w := httptest.NewRecorder()
 			WriteErrorFractional(w, &failure.Error{Kind: kind, Outcome: outcome})
-			context := must.Sprintf("%s, fate %q: %d", kind, outcome, w.Code)
-			must.Eq(t, string(outcome), w.Header().Get(OutcomeHeader), context)
+			detail := must.Sprintf("%s, outcome %q: %d", kind, outcome, w.Code)
+			must.Eq(t, string(outcome), w.Header().Get(OutcomeHeader), detail)
 			if outcome == failure.NotExecuted {
-				must.True(t, w.Code < 500 || w.Code == http.StatusServiceUnavailable, context)
+				must.True(t, w.Code < 500 || w.Code == http.StatusServiceUnavailable, detail)
 			} else {
-				must.False(t, notExecutedStatuses[w.Code], context)
+				must.False(t, notExecutedStatuses[w.Code], detail)
 			}
 		}
 	}
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// stopPollMin and stopPollMax bound the interval at which unused connections are looked for
+	// stopPollShortest and stopPollLongest bound the interval at which unused connections are looked for
 	// while the server stops. It doubles from one to the other, as in http.Server.Shutdown.
-	stopPollMin = time.Millisecond
-	stopPollMax = 500 * time.Millisecond
+	stopPollShortest = time.Millisecond
+	stopPollLongest  = 500 * time.Millisecond
 	// startGrace is how long Stop waits for a concurrent Start.
 	startGrace = time.Second
 )
@@ -55,7 +55,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	wait := stopPollMin
+	wait := stopPollShortest
 	poll := time.NewTimer(wait)
 	defer poll.Stop()
 	for s.conns.wakeUnused() > 0 {
@@ -64,7 +64,7 @@
 			return ctx.Err()
 		case <-s.conns.changed:
 		case <-poll.C:
-			wait = min(2*wait, stopPollMax)
+			wait = min(2*wait, stopPollLongest)
 			poll.Reset(wait)
 		}
 	}
