--- /dev/null
+++ b/standin/client/client.go
@@ -0,0 +1,149 @@
+// Package client is a stand-in for the clients of one machine. It checks every response against
+// its request.
+package client
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/standin/endpoint"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+const (
+	maxIdleConns = 64
+	maxConns     = 256
+	idleTimeout  = 5 * time.Second
+	// randomStream is the second half of the random generator's seed.
+	randomStream = 99
+)
+
+// Kind is one kind of request. Weight is its share among the kinds.
+type Kind struct {
+	Name    string
+	Method  string
+	Host    string
+	Path    string
+	Service ident.Service
+	Weight  int
+}
+
+// Options describe the clients of one machine. Rate is in requests per second.
+type Options struct {
+	Name        string
+	SidecarAddr ident.Addr
+	Kinds       []Kind
+	Rate        float64
+	Log         *Log
+	Seed        uint64
+	Timeout     time.Duration
+}
+
+// Run sends requests at the rate until ctx ends, then waits for those in flight.
+func Run(ctx context.Context, options Options) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, MaxConnsPerHost: maxConns, IdleConnTimeout: idleTimeout},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	defer client.CloseIdleConnections()
+	rng := rand.New(rand.NewPCG(options.Seed, randomStream))
+	var pending sync.WaitGroup
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / options.Rate))
+	defer ticker.Stop()
+	for n := 0; ; n++ {
+		select {
+		case <-ctx.Done():
+			pending.Wait()
+			return
+		case <-ticker.C:
+		}
+		kind := drawKind(rng, options.Kinds)
+		id := fmt.Sprintf("%s-%d", options.Name, n)
+		pending.Go(func() { options.Log.Add(Send(client, options, kind, id)) })
+	}
+}
+
+// drawKind draws a kind by weight.
+func drawKind(rng *rand.Rand, kinds []Kind) *Kind {
+	total := 0
+	for _, kind := range kinds {
+		total += kind.Weight
+	}
+	draw := rng.IntN(total)
+	for i := range kinds {
+		if draw < kinds[i].Weight {
+			return &kinds[i]
+		}
+		draw -= kinds[i].Weight
+	}
+	return &kinds[0]
+}
+
+// Send sends one request and checks its response.
+func Send(client *http.Client, options Options, kind *Kind, id string) Result {
+	result := Result{ID: id, Kind: kind, Start: time.Now()}
+	ctx, cancel := context.WithTimeout(context.Background(), options.Timeout)
+	defer cancel()
+	request, err := newRequest(ctx, options, kind, id)
+	if err != nil {
+		result.Outcome, result.Note = Dropped, err.Error()
+		return result
+	}
+	httpResponse, err := client.Do(request)
+	result.Duration = time.Since(result.Start)
+	if err != nil {
+		result.Outcome, result.Note = Dropped, err.Error()
+		return result
+	}
+	data, err := io.ReadAll(httpResponse.Body)
+	_ = httpResponse.Body.Close()
+	result.Duration = time.Since(result.Start)
+	result.Status = httpResponse.StatusCode
+	if err != nil {
+		result.Outcome, result.Note = Dropped, "cut off: "+err.Error()
+		return result
+	}
+	result.Outcome = outcome(httpResponse.Header.Get(response.OutcomeHeader), data, kind, id)
+	if result.Outcome != Served {
+		result.Note = string(data)
+	}
+	return result
+}
+
+func newRequest(ctx context.Context, options Options, kind *Kind, id string) (*http.Request, error) {
+	var body io.Reader
+	if kind.Method != http.MethodGet {
+		body = strings.NewReader(`{"id":"` + id + `"}`)
+	}
+	request, err := http.NewRequestWithContext(ctx, kind.Method, "http://"+string(options.SidecarAddr)+kind.Path, body)
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // net/http must not send it again
+	request.Host = kind.Host
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Caller", options.Name)
+	return request, nil
+}
+
+// outcome is that of a complete response with an outcome header and a body.
+func outcome(header string, body []byte, kind *Kind, id string) Outcome {
+	switch header {
+	case string(failure.NotExecuted):
+		return NotExecuted
+	case string(failure.OutcomeUnknown):
+		return Unknown
+	}
+	var echo endpoint.Echo
+	if json.Unmarshal(body, &echo) != nil || echo.ID != id || echo.Path != kind.Path || echo.Service != kind.Service {
+		return Wrong
+	}
+	return Served
+}
