--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -14,27 +14,27 @@
 )
 
 type capacityCmd struct {
-	Sizes  []int         `default:"5,10,20,40" help:"Numbers of nodes to measure, each at least double the last."`
-	Loads  []string      `default:"steady,leave,manifest,restart,walk" help:"What to measure: all, or some of ${loads}. Steady beats are always measured."`
-	For    time.Duration `default:"3s" help:"How long each look is; regions are apart as long."`
-	Out    string        `default:"capacity-out" help:"Folder for the figures, tables and plots." type:"path"`
-	Target string        `help:"File with the size that is asked about and its budgets; the users' if not given." type:"path"`
-	Page   string        `help:"A page whose tables are put in place between its capacity marks." type:"path"`
-	From   string        `help:"Write tables, plots and page from an earlier run's figures, and measure nothing." type:"path"`
-	Limit  time.Duration `default:"170s" help:"How long the whole may take; what does not fit is left out and named."`
-	Disks  string        `help:"Folder for the cores' disk folders; the system's temporary one if not given." type:"path"`
-	Memory float64       `help:"Bytes that all processes together may take; half of the machine's if not given."`
-	Commit string        `help:"Commit that this program was built from, where the build does not hold it."`
-	Most   int           `default:"300" help:"How many processes there may be at once."`
+	Sizes        []int         `default:"5,10,20,40" help:"Numbers of nodes to measure, each at least double the last."`
+	Loads        []string      `default:"steady,leave,manifest,restart,walk" help:"What to measure: all, or some of ${loads}. Steady heartbeats are always measured."`
+	For          time.Duration `default:"3s" help:"How long each measurement is; as long lies between two of them."`
+	Out          string        `default:"capacity-out" help:"Folder for the figures, tables and plots." type:"path"`
+	Target       string        `help:"File with the size to extrapolate to and its budgets; the users' if not given." type:"path"`
+	Page         string        `help:"A page whose tables are replaced between its capacity markers." type:"path"`
+	From         string        `help:"Write tables, plots and page from an earlier run's figures, and measure nothing." type:"path"`
+	Limit        time.Duration `default:"170s" help:"How long the whole run may take; what does not fit is left out and listed."`
+	Disks        string        `help:"Folder for the cores' disk folders; the system's temporary one if not given." type:"path"`
+	Memory       float64       `help:"Bytes that all processes together may take; half of the machine's if not given."`
+	Commit       string        `help:"Commit that this program was built from, where the build does not hold it."`
+	MaxProcesses int           `aliases:"most" default:"300" help:"How many processes there may be at once."`
 }
 
-type capacityPartCmd struct{}
+type capacityProcessCmd struct{}
 
-// Run is one process of a measured mesh.
-func (capacityPartCmd) Run() error { return process.Run(os.Stdin, os.Stdout) }
+// Run runs one process of a measured mesh.
+func (capacityProcessCmd) Run() error { return process.Run(os.Stdin, os.Stdout) }
 
+// Run measures, or reads an earlier result, and writes the report.
 func (c capacityCmd) Run() error {
-	logf := func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) }
 	if c.From != "" {
 		result, err := report.ReadResult(c.From)
 		if err != nil {
@@ -42,33 +42,58 @@
 		}
 		return c.write(result)
 	}
-	sizing, err := plan.Read(c.Target)
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
+	result, err := run.Measure(options)
+	if err != nil {
+		return err
+	}
+	return c.write(result)
+}
+
+func (c capacityCmd) options() (run.Options, error) {
+	target, err := plan.Read(c.Target)
+	if err != nil {
+		return run.Options{}, err
+	}
 	self, err := os.Executable()
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "own program")
+		return run.Options{}, failure.Wrap(err, failure.Internal, "own program")
+	}
+	options := run.Options{
+		ProcessCommand: []string{self, "capacity-part"},
+		Dir:            c.Disks,
+		Target:         target,
+		Sizes:          c.Sizes,
+		Workloads:      c.Loads,
+		Commit:         c.Commit,
+		Command:        "cottonarch " + strings.Join(os.Args[1:], " "),
+		Window:         c.For,
+		TimeLimit:      c.Limit,
+		MemoryLimit:    c.Memory,
+		MaxProcesses:   c.MaxProcesses,
+		Logf:           logf,
+		OnSize: func(result *run.Result) {
+			if _, err := report.Write(result, c.Out); err != nil {
+				logf("%v", err)
+			}
+		},
 	}
-	options := run.Options{ProcessCommand: []string{self, "capacity-part"}, Dir: c.Disks, Target: sizing, Sizes: c.Sizes, Workloads: c.Loads, Commit: c.Commit, Command: "cottonarch " + strings.Join(os.Args[1:], " "), Window: c.For, TimeLimit: c.Limit, MemoryLimit: c.Memory, MaxProcesses: c.Most, Logf: logf}
 	if options.MemoryLimit <= 0 {
 		options.MemoryLimit = run.HalfOfMemory()
 	}
-	options.OnSize = func(result *run.Result) {
-		if _, err := report.Write(result, c.Out); err != nil {
-			logf("%v", err)
-		}
-	}
 	if len(c.Loads) == 1 && c.Loads[0] == "all" {
 		options.Workloads = run.WorkloadNames()
 	}
-	result, err := run.Measure(options)
-	if err != nil {
-		return err
-	}
-	return c.write(result)
+	return options, nil
 }
 
+// logf prints progress to standard error.
+func logf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+
+// write writes the report and the page, and prints the tables.
 func (c capacityCmd) write(result *run.Result) error {
 	text, err := report.Write(result, c.Out)
 	if err != nil {
--- /dev/null
+++ b/cmd/cottonarch/coordination.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strings"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+const (
+	actionAcquire  = "acquire"
+	actionTransfer = "transfer"
+)
+
+type lockCmd struct {
+	target
+	Action string `arg:"" enum:"acquire,renew,release,transfer,read,claim,pass" help:"acquire, renew, release, transfer or read."`
+	Name   string `arg:""`
+	Holder string `help:"Who holds it."`
+	Fence  uint64 `help:"Fencing token of the lock."`
+	TTL    int64  `default:"10000" help:"Milliseconds that the lock lasts without renewal."`
+	To     string `help:"Next holder, for transfer."`
+}
+
+// lockRequest is the body of a request that changes a lock.
+type lockRequest struct {
+	FencingToken uint64 `json:"fence"`
+	Holder       string `json:"holder"`
+	To           string `json:"to"`
+	TTL          int64  `json:"ttlMs"`
+}
+
+// Run changes or reads a lock, and prints its state.
+func (c lockCmd) Run() error {
+	path := "/locks/" + c.Name
+	switch action := currentAction(c.Action); action {
+	case "read":
+		return c.print(http.MethodGet, path, nil)
+	case actionAcquire:
+		path += "/claim"
+	case actionTransfer:
+		path += "/pass"
+	default:
+		path += "/" + action
+	}
+	return c.printJSON(http.MethodPost, path, lockRequest{c.Fence, c.Holder, c.To, c.TTL})
+}
+
+type numberCmd struct {
+	target
+	Action string `arg:"" enum:"next,read" help:"next or read."`
+	Name   string `arg:""`
+}
+
+// Run takes or reads a number of a sequence, and prints it.
+func (c numberCmd) Run() error {
+	if c.Action == "read" {
+		return c.print(http.MethodGet, "/numbers/"+c.Name, nil)
+	}
+	return c.print(http.MethodPost, "/numbers/"+c.Name+"/next", nil)
+}
+
+type keyCmd struct {
+	target
+	Action string `arg:"" enum:"read,write,delete,list" help:"read, write, delete or list."`
+	Name   string `arg:"" optional:"" help:"Key, or prefix for list."`
+	Value  string `arg:"" optional:"" help:"Value for write; JSON, or else a string."`
+	If     *int64 `help:"Revision the key must be at; 0 means it must not exist."`
+}
+
+// Run reads, changes or lists keys, and prints the response.
+func (c keyCmd) Run() error {
+	if c.Action == "list" {
+		return c.print(http.MethodGet, "/keys?prefix="+url.QueryEscape(c.Name), nil)
+	}
+	query := url.Values{}
+	if c.If != nil {
+		query.Set("ifRevision", fmt.Sprint(*c.If))
+	}
+	body := []byte(c.Value)
+	if c.Action == "write" && !json.Valid(body) {
+		body, _ = json.Marshal(c.Value)
+	}
+	methods := map[string]string{"read": http.MethodGet, "write": http.MethodPut, "delete": http.MethodDelete}
+	return c.print(methods[c.Action], "/keys/"+c.Name+"?"+query.Encode(), body)
+}
+
+type watchCmd struct {
+	target
+	Prefix   string `arg:"" optional:"" help:"Prefix of the keys."`
+	Position string `aliases:"place" help:"Position in the changes to continue from."`
+	Count    int    `aliases:"rounds" default:"0" help:"How many responses to print; 0 sets no limit."`
+}
+
+// Run prints changes as they come, one response a line.
+func (c watchCmd) Run() error {
+	position := c.Position
+	for n := 0; c.Count == 0 || n < c.Count; n++ {
+		data, err := c.request(http.MethodGet, "/watch?prefix="+url.QueryEscape(c.Prefix)+"&place="+url.QueryEscape(position), nil)
+		if err != nil {
+			return err
+		}
+		var changes struct {
+			Position string `json:"place"`
+		}
+		if err := json.Unmarshal(data, &changes); err != nil {
+			return failure.Wrap(err, failure.BadResponse, "watch")
+		}
+		position = changes.Position
+		fmt.Println(strings.TrimSpace(string(data)))
+	}
+	return nil
+}
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -13,11 +13,14 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
+// allHeld is printed when no rule was broken.
+const allHeld = "all held"
+
 type exploreCmd struct {
 	Model     string         `default:"all" enum:"register,membership,configuration,locks,all" help:"What is explored: ${enum}."`
-	Members   int            `default:"3" help:"Members that form the first roster, 3 to 5."`
+	Members   int            `default:"3" help:"Members of the first membership, 3 to 5."`
 	Keys      int            `default:"2" help:"Control keys."`
-	Operators int            `default:"2" help:"Clients that ask at the same time."`
+	Operators int            `default:"2" help:"Clients that call at the same time."`
 	Depth     int            `default:"40" help:"Longest run of the breadth-first search, in choices."`
 	States    int            `default:"20000" help:"States that the breadth-first search of one model remembers."`
 	Faults    map[string]int `help:"Numbers of faults, in place of the models' own, such as crash=1;late=2. Known: ${explore_faults}."`
@@ -26,12 +29,12 @@
 	Seed      uint64         `default:"1" help:"Seed of the walks."`
 	For       time.Duration  `default:"0s" help:"Stop after this time; what was explored then depends on the machine. 0 sets no limit."`
 	Ring      bool           `help:"Write to the daemon's ring, which is slower."`
-	Break     string         `help:"Break a rule on purpose, to see it found. Known: ${explore_breaks}."`
-	Trace     string         `help:"Write the run that broke a rule to this file." type:"path"`
-	Replay    string         `help:"Replay such a file instead." type:"path"`
+	Break     string         `help:"Break a rule on purpose (a mutant), to see it found. Known: ${explore_breaks}."`
+	Trace     string         `help:"Write the trace of the run that broke a rule to this file." type:"path"`
+	Replay    string         `help:"Replay such a trace instead." type:"path"`
 }
 
-// exploreVars are what the help names.
+// exploreVars are the names that the help of explore lists.
 func exploreVars() kong.Vars {
 	var faults []string
 	for _, f := range cluster.Faults() {
@@ -40,28 +43,20 @@
 	return kong.Vars{"explore_faults": strings.Join(faults, ", "), "explore_breaks": strings.Join(explore.MutantNames(), ", ")}
 }
 
-// Run explores, or replays.
+// Run explores, or replays a trace.
 func (c exploreCmd) Run() error {
 	if c.Replay != "" {
 		return c.replay()
 	}
-	options := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
-		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Mutant: cluster.Mutant(c.Break), Faults: map[cluster.Fault]int{}}
-	for name, n := range c.Faults {
-		options.Faults[cluster.Fault(name)] = n
-	}
+	options := c.options()
 	if fail := options.Validate(); fail != nil {
 		return fail
 	}
-	if c.For > 0 {
-		deadline := time.Now().Add(c.For)
-		options.Stop = func() bool { return time.Now().After(deadline) }
-	}
 	parts := explore.Run(options)
 	fmt.Print(explore.Text(parts))
 	last := parts[len(parts)-1]
 	if last.Violation == nil {
-		fmt.Println("all held")
+		fmt.Println(allHeld)
 		return nil
 	}
 	if c.Trace != "" {
@@ -72,6 +67,20 @@
 	return failure.New(failure.Conflict, "%s", last.Violation)
 }
 
+func (c exploreCmd) options() explore.Options {
+	options := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
+		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Mutant: cluster.Mutant(c.Break), Faults: map[cluster.Fault]int{}}
+	for name, n := range c.Faults {
+		options.Faults[cluster.Fault(name)] = n
+	}
+	if c.For > 0 {
+		deadline := time.Now().Add(c.For)
+		options.Stop = func() bool { return time.Now().After(deadline) }
+	}
+	return options
+}
+
+// replay replays a trace and prints its steps.
 func (c exploreCmd) replay() error {
 	raw, err := os.ReadFile(c.Replay)
 	if err != nil {
@@ -81,16 +90,16 @@
 	if fail != nil {
 		return fail
 	}
-	lines, breach, fail := trace.Replay()
+	lines, violation, fail := trace.Replay()
 	for _, line := range lines {
 		fmt.Println(line)
 	}
 	if fail != nil {
 		return fail
 	}
-	if breach == nil {
-		fmt.Println("all held")
+	if violation == nil {
+		fmt.Println(allHeld)
 		return nil
 	}
-	return failure.New(failure.Conflict, "%s", breach)
+	return failure.New(failure.Conflict, "%s", violation)
 }
--- /dev/null
+++ b/cmd/cottonarch/standin.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
+)
+
+const (
+	// endpointStopTimeout bounds how long an endpoint that stops waits for its requests.
+	endpointStopTimeout = 5 * time.Second
+	// clientTimeout bounds one request of a stand-in client.
+	clientTimeout = 10 * time.Second
+)
+
+type endpointCmd struct {
+	Server    string        `required:"" help:"serverId of this run."`
+	Service   string        `required:"" help:"Service it serves."`
+	Address   string        `required:"" help:"Own address, ip:port."`
+	Sidecar   string        `required:"" help:"The sidecar's address towards the mesh, which takes the heartbeats."`
+	Work      time.Duration `default:"2ms" help:"How long a request takes."`
+	Lost      float64       `aliases:"lose" help:"Share of requests that are executed and get no response."`
+	Garbage   float64       `help:"Share that get garbage."`
+	Truncated float64       `aliases:"cut" help:"Share whose response is cut off."`
+}
+
+// Run runs an endpoint until SIGTERM or SIGINT.
+func (c endpointCmd) Run() error {
+	e, err := endpoint.Start(endpoint.Options{Server: ident.Server(c.Server), Service: ident.Service(c.Service), Addr: ident.Addr(c.Address), SidecarAddr: ident.Addr(c.Sidecar),
+		Behavior: endpoint.Behavior{WorkTime: c.Work, LostShare: c.Lost, GarbageShare: c.Garbage, TruncatedShare: c.Truncated}})
+	if err != nil {
+		return failure.Wrap(err, failure.Internal, "endpoint")
+	}
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	<-stop
+	e.Stop(endpointStopTimeout)
+	return nil
+}
+
+type clientCmd struct {
+	Address string        `required:"" help:"The sidecar's address for clients."`
+	Host    string        `required:"" help:"Host of the requests."`
+	Path    string        `default:"/" help:"Path of the requests."`
+	Method  string        `default:"GET" help:"Method of the requests."`
+	Service string        `required:"" help:"Service whose responses are expected."`
+	Rate    float64       `default:"20" help:"Requests per second."`
+	For     time.Duration `default:"5s" help:"How long to send."`
+}
+
+// Run sends requests and prints how many had which outcome.
+func (c clientCmd) Run() error {
+	results := &client.Log{}
+	ctx, cancel := context.WithTimeout(context.Background(), c.For)
+	defer cancel()
+	client.Run(ctx, client.Options{Name: "caller", SidecarAddr: ident.Addr(c.Address), Rate: c.Rate, Log: results, Seed: 1, Timeout: clientTimeout,
+		Kinds: []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}}})
+	counts := map[client.Outcome]int{}
+	for _, result := range results.All() {
+		counts[result.Outcome]++
+	}
+	fmt.Printf("served %d, not executed %d, unknown %d, dropped %d, wrong %d\n", counts[client.Served], counts[client.NotExecuted], counts[client.Unknown], counts[client.Dropped], counts[client.Wrong])
+	if bad := counts[client.Wrong] + counts[client.Dropped]; bad > 0 {
+		return failure.New(failure.BadResponse, "%d responses were wrong or missing", bad)
+	}
+	return nil
+}
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet is the test program that brings up a deployment as real processes on
-// loopback addresses and counts what happens against the never-list.
+// Command fleet is the test program that runs a deployment as real processes on loopback
+// addresses and checks what happens against the invariants.
 package main
 
 import (
@@ -17,17 +17,17 @@
 
 var app struct {
 	Bin        string        `default:"bin/cottonarch" help:"The cottonarch program."`
-	Old        string        `help:"An older release of it that every process starts as; the fault release rolls the new one."`
+	Old        string        `help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
 	Deployment string        `default:"prairie" help:"prairie or volta."`
 	For        time.Duration `default:"120s" help:"How long the traffic runs."`
-	Faults     []string      `help:"Faults to bring about in turn; all for every one; none if not given."`
+	Faults     []string      `help:"Faults to inject in turn; all for every one; none if not given."`
 	Every      time.Duration `default:"3s" help:"Pause between faults."`
-	Seed       uint64        `default:"1" help:"Seed of what is drawn."`
-	Scale      float64       `default:"1" help:"Times the deployment's rates."`
-	Keep       bool          `help:"Keep boot files, logs and data."`
+	Seed       uint64        `default:"1" help:"Seed of the random choices."`
+	Scale      float64       `default:"1" help:"Factor of the deployment's rates."`
+	Keep       bool          `help:"Keep settings files, logs and data."`
 }
 
-// validate names every fault of the command line.
+// validate checks the command line; the failure names every fault.
 func validate(faults []string) *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
 	add := func(path, format string, args ...any) {
@@ -62,11 +62,17 @@
 	return nil
 }
 
+// The exit codes.
+const (
+	exitViolation = 1
+	exitBadInput  = 2
+)
+
 func main() {
-	parser := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and counts against the never-list."),
+	parser := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and checks it against the invariants."),
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = 2 // all that ends here is a wrong command line
+				code = exitBadInput // all that ends here is a wrong command line
 			}
 			os.Exit(code)
 		}))
@@ -76,33 +82,44 @@
 	}
 	if invalid := validate(faults); invalid != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", invalid.Error())
-		os.Exit(2)
+		os.Exit(exitBadInput)
 	}
 	dir, err := os.MkdirTemp("", "fleet")
 	parser.FatalIfErrorf(err)
-	fleet, err := run.Start(run.Options{Binary: app.Bin, OldBinary: app.Old, Dir: dir, Deployment: scenario.Deployments[app.Deployment], Duration: app.For, Faults: faults, FaultInterval: app.Every, Seed: app.Seed, Scale: app.Scale,
-		Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }})
+	code := runFleet(dir, faults)
+	if app.Keep || code != 0 {
+		fmt.Println("settings files and logs:", dir)
+	} else {
+		_ = os.RemoveAll(dir)
+	}
+	os.Exit(code)
+}
+
+// runFleet runs the deployment in a folder, prints the report and returns the exit code.
+func runFleet(dir string, faults []string) int {
+	fleet, err := run.Start(run.Options{
+		Binary:        app.Bin,
+		OldBinary:     app.Old,
+		Dir:           dir,
+		Deployment:    scenario.Deployments[app.Deployment],
+		Duration:      app.For,
+		Faults:        faults,
+		FaultInterval: app.Every,
+		Seed:          app.Seed,
+		Scale:         app.Scale,
+		Logf:          func(format string, args ...any) { fmt.Printf(format+"\n", args...) },
+	})
 	if fleet != nil {
 		defer fleet.Stop()
 	}
-	if err == nil {
-		fleet.Run()
-		fmt.Print(fleet.Report())
-	}
-	code := 0
 	if err != nil {
 		fmt.Println(err)
-		code = 2
-	} else if len(fleet.Checker.Violations) > 0 {
-		code = 1
-	}
-	if fleet != nil {
-		fleet.Stop()
+		return exitBadInput
 	}
-	if app.Keep || code != 0 {
-		fmt.Println("boot files and logs:", dir)
-	} else {
-		_ = os.RemoveAll(dir)
+	fleet.Run()
+	fmt.Print(fleet.Report())
+	if len(fleet.Checker.Violations) > 0 {
+		return exitViolation
 	}
-	os.Exit(code)
+	return 0
 }
