--- a/wire/exchange/actions_test.go
+++ b/wire/exchange/actions_test.go
@@ -78,25 +78,13 @@
 // endpoint performs one action for each request, in the order of its script, on whatever
 // connection the request comes.
 type endpoint struct {
-	mu       sync.Mutex
-	script   []action
-	past     []string
-	read     map[string]int
-	listener net.Listener
-}
-
-func (e *endpoint) serve() {
-	for {
-		c, err := e.listener.Accept()
-		if err != nil {
-			return
-		}
-		go e.play(c.(*net.TCPConn))
-	}
+	mu     sync.Mutex
+	script []action
+	past   []string
+	read   map[string]int
 }
 
 func (e *endpoint) play(c *net.TCPConn) {
-	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
 		id, ok := readID(r)
@@ -143,8 +131,8 @@
 func testOrder(t *testing.T, script []action) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := &endpoint{script: append(script[:len(script):len(script)], actions[0], actions[0], actions[0]), read: map[string]int{}, listener: l}
-	go server.serve()
+	server := &endpoint{script: append(script[:len(script):len(script)], actions[0], actions[0], actions[0]), read: map[string]int{}}
+	go acceptAll(l, server.play)
 	pool := exchange.New("", patientSettings)
 	addr := ident.Addr(l.Addr().String())
 	defer func() { pool.Drop(addr); _ = l.Close() }()
--- a/wire/exchange/exchange_test.go
+++ b/wire/exchange/exchange_test.go
@@ -16,38 +16,23 @@
 	"github.com/shoenig/test/must"
 )
 
-// serveRaw serves each request of a connection with the given bytes, and closes after
-// shut of them; it counts the requests that it read.
+// serveRaw answers each request of a connection with the given bytes, and closes it after limit
+// of them; it counts the requests that it read.
 func serveRaw(t *testing.T, response string, limit int) (ident.Addr, *atomic.Int64) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
 	var seen atomic.Int64
-	go func() {
-		for {
-			c, err := l.Accept()
+	addr := serveEach(t, func(c *net.TCPConn) {
+		r := bufio.NewReader(c)
+		for range limit {
+			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			go func() {
-				defer func() { _ = c.Close() }()
-				r := bufio.NewReader(c)
-				for n := 1; ; n++ {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, req.Body)
-					seen.Add(1)
-					_, _ = c.Write([]byte(response))
-					if n >= limit {
-						return
-					}
-				}
-			}()
+			_, _ = io.Copy(io.Discard, req.Body)
+			seen.Add(1)
+			_, _ = c.Write([]byte(response))
 		}
-	}()
-	return ident.Addr(l.Addr().String()), &seen
+	})
+	return addr, &seen
 }
 
 func newCall(method string) exchange.Call {
@@ -137,24 +122,15 @@
 // An endpoint that closes or speaks before it is asked has taken nothing, and is not lost.
 func TestClosedBeforeItIsAskedIsBusy(t *testing.T) {
 	for _, text := range []string{"", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		must.NoError(t, err)
-		t.Cleanup(func() { _ = l.Close() })
 		over := make(chan struct{}, 8)
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				_, _ = io.WriteString(c, text)
-				_ = c.Close()
-				over <- struct{}{}
-			}
-		}()
+		addr := serveEach(t, func(c *net.TCPConn) {
+			_, _ = io.WriteString(c, text)
+			_ = c.Close()
+			over <- struct{}{}
+		})
 		c := newCall("POST")
 		c.BeforeSend = func() *failure.Error { <-over; return nil }
-		_, sent, fail := doCall(t, exchange.New(""), ident.Addr(l.Addr().String()), c)
+		_, sent, fail := doCall(t, exchange.New(""), addr, c)
 		must.False(t, sent)
 		must.Eq(t, failure.Busy, fail.Kind)
 		must.Eq(t, failure.NotExecuted, fail.Outcome)
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -37,24 +37,13 @@
 }
 
 func (s *continueServer) serve(t *testing.T) ident.Addr {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.conns.Add(1)
-			go s.talk(c)
-		}
-	}()
-	return ident.Addr(l.Addr().String())
+	return serveEach(t, func(c *net.TCPConn) {
+		s.conns.Add(1)
+		s.talk(c)
+	})
 }
 
 func (s *continueServer) talk(c net.Conn) {
-	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadString('\n')
--- a/wire/exchange/reuse_test.go
+++ b/wire/exchange/reuse_test.go
@@ -124,16 +124,16 @@
 	}
 }
 
-// A connection is kept for the peer's keep-alive timeout, less a margin, or else for the
+// A connection is reused for the peer's keep-alive timeout, less a margin, or else for the
 // settings' idle timeout.
 func TestKeepAliveIsHeeded(t *testing.T) {
 	withField := func(field string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: i\r\n" + field + "Content-Length: 2\r\n\r\nhi"
 	}
 	for _, c := range []struct {
-		field string
-		age   time.Duration
-		kept  bool
+		field  string
+		age    time.Duration
+		reused bool
 	}{
 		{"", 7 * time.Second, true},
 		{"", 9 * time.Second, false},
@@ -151,7 +151,7 @@
 			r.mustSucceed()
 			r.ageIdle(c.age)
 			r.mustSucceed()
-			must.Eq(t, map[bool]int{true: 1, false: 2}[c.kept], r.pool.Dials())
+			must.Eq(t, map[bool]int{true: 1, false: 2}[c.reused], r.pool.Dials())
 			r.ageIdle(time.Hour)
 			r.pool.CloseExpired()
 			must.Eq(t, 0, r.pool.OpenConns(r.addr))
@@ -164,7 +164,7 @@
 	for name, c := range map[string]struct {
 		say    string
 		method string
-		kept   bool
+		reused bool
 	}{
 		"valid":           {okResponse, "GET", true},
 		"HTTP/1.0":        {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi", "GET", false},
@@ -178,7 +178,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, Settings{}, respondAlways(c.say))
 			r.mustSucceed(func(call *Call) { call.Method = c.method })
-			must.Eq(t, map[bool]int{true: 1, false: 0}[c.kept], r.pool.OpenConns(r.addr))
+			must.Eq(t, map[bool]int{true: 1, false: 0}[c.reused], r.pool.OpenConns(r.addr))
 		})
 	}
 }
--- a/wire/exchange/unsolicited_test.go
+++ b/wire/exchange/unsolicited_test.go
@@ -21,30 +21,17 @@
 // serveConns serves every connection by a script; next reads one request and
 // gives its X-Request-Id, r what is left of the connection.
 func serveConns(t *testing.T, play func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
+	return serveEach(t, func(c *net.TCPConn) {
+		r := bufio.NewReader(c)
+		play(c, r, func() (string, bool) {
+			req, err := http.ReadRequest(r)
 			if err != nil {
-				return
+				return "", false
 			}
-			go func() {
-				defer func() { _ = c.Close() }()
-				r := bufio.NewReader(c)
-				play(c, r, func() (string, bool) {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return "", false
-					}
-					_, _ = io.Copy(io.Discard, req.Body)
-					return req.Header.Get(requestIDHeader), true
-				})
-			}()
-		}
-	}()
-	return ident.Addr(l.Addr().String())
+			_, _ = io.Copy(io.Discard, req.Body)
+			return req.Header.Get(requestIDHeader), true
+		})
+	})
 }
 
 const requestIDHeader = "X-Request-Id"
