--- a/cmd/cottonarch/deployment.go
+++ b/cmd/cottonarch/deployment.go
@@ -43,7 +43,8 @@
 
 // decodeDeployment reads a deployment; name is that of one without a name of its own.
 func decodeDeployment(node decode.Object, name string) scenario.Deployment {
-	node.RejectUnknown("name", "cores", "moreCores", "sidecars", fieldZones, oldFieldZones, "services", "requests", "rate", "locks", "coordination", fieldConfigInterval, oldFieldConfigInterval)
+	node.RejectUnknown("name", "cores", "moreCores", "sidecars", fieldZones, oldFieldZones, "services", "requests",
+		"rate", "locks", "coordination", fieldConfigInterval, oldFieldConfigInterval)
 	zones := renamedField(node, fieldZones, oldFieldZones)
 	configInterval := renamedField(node, fieldConfigInterval, oldFieldConfigInterval)
 	deployment := scenario.Deployment{
@@ -87,7 +88,11 @@
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
 		field.RejectUnknown("host", "endpoints")
-		services = append(services, scenario.Service{Name: ident.Service(name), Host: field.RequiredString("host"), Endpoints: int(field.Int("endpoints", 2, 1, 1000))})
+		services = append(services, scenario.Service{
+			Name:      ident.Service(name),
+			Host:      field.RequiredString("host"),
+			Endpoints: int(field.Int("endpoints", 2, 1, 1000)),
+		})
 	}
 	return services
 }
@@ -96,7 +101,13 @@
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
 		field.RejectUnknown("method", "service", "path", "weight")
-		kind := world.RequestKind{Name: name, Method: field.String("method", "GET"), Path: field.String("path", "/"), Service: ident.Service(field.RequiredString("service")), Weight: int(field.Int("weight", 1, 1, 1000))}
+		kind := world.RequestKind{
+			Name:    name,
+			Method:  field.String("method", "GET"),
+			Path:    field.String("path", "/"),
+			Service: ident.Service(field.RequiredString("service")),
+			Weight:  int(field.Int("weight", 1, 1, 1000)),
+		}
 		for _, service := range services {
 			if service.Name == kind.Service {
 				kind.Host = service.Host
--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -34,8 +34,13 @@
 
 // Run runs an endpoint until SIGTERM or SIGINT.
 func (c endpointCmd) Run() error {
-	e, err := endpoint.Start(endpoint.Options{Server: ident.Server(c.Server), Service: ident.Service(c.Service), Addr: ident.Addr(c.Address), SidecarAddr: ident.Addr(c.Sidecar),
-		Behavior: endpoint.Behavior{WorkTime: c.Work, LostShare: c.Lost, GarbageShare: c.Garbage, TruncatedShare: c.Truncated}})
+	e, err := endpoint.Start(endpoint.Options{
+		Server:      ident.Server(c.Server),
+		Service:     ident.Service(c.Service),
+		Addr:        ident.Addr(c.Address),
+		SidecarAddr: ident.Addr(c.Sidecar),
+		Behavior:    endpoint.Behavior{WorkTime: c.Work, LostShare: c.Lost, GarbageShare: c.Garbage, TruncatedShare: c.Truncated},
+	})
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "endpoint")
 	}
@@ -61,13 +66,21 @@
 	results := &client.Log{}
 	ctx, cancel := context.WithTimeout(context.Background(), c.For)
 	defer cancel()
-	client.Run(ctx, client.Options{Name: "caller", SidecarAddr: ident.Addr(c.Address), Rate: c.Rate, Log: results, Seed: 1, Timeout: clientTimeout,
-		Kinds: []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}}})
+	client.Run(ctx, client.Options{
+		Name:        "caller",
+		SidecarAddr: ident.Addr(c.Address),
+		Rate:        c.Rate,
+		Log:         results,
+		Seed:        1,
+		Timeout:     clientTimeout,
+		Kinds:       []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}},
+	})
 	counts := map[client.Outcome]int{}
 	for _, result := range results.All() {
 		counts[result.Outcome]++
 	}
-	fmt.Printf("served %d, not executed %d, unknown %d, dropped %d, wrong %d\n", counts[client.Served], counts[client.NotExecuted], counts[client.Unknown], counts[client.Dropped], counts[client.Wrong])
+	fmt.Printf("served %d, not executed %d, unknown %d, dropped %d, wrong %d\n",
+		counts[client.Served], counts[client.NotExecuted], counts[client.Unknown], counts[client.Dropped], counts[client.Wrong])
 	if bad := counts[client.Wrong] + counts[client.Dropped]; bad > 0 {
 		return failure.New(failure.BadResponse, "%d responses were wrong or missing", bad)
 	}
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -66,7 +66,10 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "listen")
 	}
-	e.server = &http.Server{Handler: http.HandlerFunc(e.serve), ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	e.server = &http.Server{
+		Handler:     http.HandlerFunc(e.serve),
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+	}
 	go func() { _ = e.server.Serve(hangListener{listener, e}) }()
 	go e.sendHeartbeats()
 	return e, nil
--- /dev/null
+++ b/standin/endpoint/endpoint_test.go
@@ -0,0 +1,97 @@
+package endpoint_test
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
+)
+
+// started runs an endpoint behind a sidecar that confirms every heartbeat; the endpoint's own
+// address takes the client's requests.
+func started(t *testing.T, behavior endpoint.Behavior) (*endpoint.Endpoint, client.Options) {
+	sidecar := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	t.Cleanup(sidecar.Close)
+	free := httptest.NewServer(nil)
+	addr := ident.Addr(strings.TrimPrefix(free.URL, "http://"))
+	free.Close()
+	e, err := endpoint.Start(endpoint.Options{
+		Server:      "e1",
+		Service:     "a.x",
+		Addr:        addr,
+		SidecarAddr: ident.Addr(strings.TrimPrefix(sidecar.URL, "http://")),
+		Executions:  &endpoint.ExecutionLog{},
+		Behavior:    behavior,
+	})
+	must.NoError(t, err)
+	t.Cleanup(e.Kill)
+	return e, client.Options{Name: "c", SidecarAddr: addr, Timeout: 10 * time.Second}
+}
+
+// What a client learns of a request, for each way in which an endpoint corrupts its response. Every
+// request is in the execution log.
+func TestOutcomeOfEachBehavior(t *testing.T) {
+	for name, c := range map[string]struct {
+		behavior endpoint.Behavior
+		want     client.Outcome
+	}{
+		"none":      {endpoint.Behavior{}, client.Served},
+		"lost":      {endpoint.Behavior{LostShare: 1}, client.Dropped},
+		"garbage":   {endpoint.Behavior{GarbageShare: 1}, client.Dropped},
+		"truncated": {endpoint.Behavior{TruncatedShare: 1}, client.Dropped},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e, options := started(t, c.behavior)
+			kind := &client.Kind{Method: http.MethodPost, Host: "h", Path: "/p", Service: "a.x"}
+			result := client.Send(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, options, kind, "r1")
+			must.Eq(t, c.want, result.Outcome, must.Sprint(result.Note))
+			must.SliceLen(t, 1, e.Executions.All())
+			must.Eq(t, "r1", e.Executions.All()[0].ID)
+		})
+	}
+}
+
+// A client does not take another request's response, nor another service's, for its own.
+func TestWrongResponse(t *testing.T) {
+	e, options := started(t, endpoint.Behavior{})
+	kind := &client.Kind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "other.x"}
+	must.Eq(t, client.Wrong, client.Send(http.DefaultClient, options, kind, "r1").Outcome)
+	response, err := http.Get("http://" + string(e.Addr) + "/p")
+	must.NoError(t, err)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	must.NoError(t, err)
+	var echo endpoint.Echo
+	must.NoError(t, json.Unmarshal(body, &echo))
+	must.Eq(t, "/p", echo.Path)
+}
+
+// A stop waits for the requests in flight; a hung endpoint answers when it wakes.
+func TestStopAndHang(t *testing.T) {
+	release := make(chan struct{})
+	e, options := started(t, endpoint.Behavior{Release: release})
+	kind := &client.Kind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "a.x"}
+	outcomes := make(chan client.Outcome, 1)
+	e.Hang(true)
+	go func() { outcomes <- client.Send(http.DefaultClient, options, kind, "r1").Outcome }()
+	time.Sleep(20 * time.Millisecond)
+	must.Eq(t, 0, e.InFlight())
+	e.Hang(false)
+	for e.InFlight() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	stopped := make(chan struct{})
+	go func() { e.Stop(10 * time.Second); close(stopped) }()
+	close(release)
+	must.Eq(t, client.Served, <-outcomes)
+	<-stopped
+}
--- a/wire/exchange/reuse_test.go
+++ b/wire/exchange/reuse_test.go
@@ -206,43 +206,48 @@
 	must.Eq(t, 2, r.pool.OpenConns(r.addr))
 }
 
+var oneConn = Settings{MaxConns: 1}
+
+func waitForConn(call *Call) { call.WaitForConn = true }
+
+// newBusyHarness makes a harness whose only connection is in use until goOn is closed; its first
+// call reports to first.
+func newBusyHarness(t *testing.T, response string) (r *harness, goOn chan struct{}, first chan *failure.Error) {
+	goOn, read := make(chan struct{}), make(chan struct{}, 8)
+	r = newHarness(t, oneConn, func(c *net.TCPConn, n int64) {
+		read <- struct{}{}
+		if n == 1 {
+			<-goOn
+		}
+		_, _ = c.Write([]byte(response))
+	})
+	first = make(chan *failure.Error, 1)
+	go func() { _, fail := r.do(); first <- fail }()
+	<-read
+	return r, goOn, first
+}
+
+// startWaiting starts a call that waits for a connection, and returns when it does.
+func (r *harness) startWaiting(change ...func(*Call)) chan *failure.Error {
+	ended := make(chan *failure.Error, 1)
+	go func() {
+		sent, fail := r.do(append(change, waitForConn)...)
+		must.Eq(r, fail == nil, sent)
+		ended <- fail
+	}()
+	for waits := false; !waits; runtime.Gosched() {
+		r.pool.mu.Lock()
+		waits = len(r.pool.hosts[r.addr].waiters) > 0
+		r.pool.mu.Unlock()
+	}
+	return ended
+}
+
 // The connection limit of an address holds; a call that finds it reached is rejected, not sent,
 // or waits for a connection, for a slot, for its deadline, or for the address to be dropped.
 func TestBoundOfAnAddress(t *testing.T) {
-	bound := Settings{MaxConns: 1}
-	wait := func(call *Call) { call.WaitForConn = true }
-	// held makes a harness whose only connection is in use until goOn is closed.
-	held := func(t *testing.T, text string) (r *harness, goOn chan struct{}, first chan *failure.Error) {
-		goOn, read := make(chan struct{}), make(chan struct{}, 8)
-		r = newHarness(t, bound, func(c *net.TCPConn, n int64) {
-			read <- struct{}{}
-			if n == 1 {
-				<-goOn
-			}
-			_, _ = c.Write([]byte(text))
-		})
-		first = make(chan *failure.Error, 1)
-		go func() { _, fail := r.do(); first <- fail }()
-		<-read
-		return r, goOn, first
-	}
-	// second starts a call that waits behind the first.
-	second := func(r *harness, change ...func(*Call)) chan *failure.Error {
-		out := make(chan *failure.Error, 1)
-		go func() {
-			sent, fail := r.do(append(change, wait)...)
-			must.Eq(r, fail == nil, sent)
-			out <- fail
-		}()
-		for waits := false; !waits; runtime.Gosched() {
-			r.pool.mu.Lock()
-			waits = len(r.pool.hosts[r.addr].waiters) > 0
-			r.pool.mu.Unlock()
-		}
-		return out
-	}
 	t.Run("rejected", func(t *testing.T) {
-		r, goOn, first := held(t, okResponse)
+		r, goOn, first := newBusyHarness(t, okResponse)
 		sent, fail := r.do()
 		must.False(t, sent)
 		must.Eq(t, failure.Busy, fail.Kind)
@@ -252,8 +257,8 @@
 		must.Eq(t, 1, r.requestsRead.Load())
 	})
 	t.Run("gets the connection", func(t *testing.T) {
-		r, goOn, first := held(t, okResponse)
-		next := second(r)
+		r, goOn, first := newBusyHarness(t, okResponse)
+		next := r.startWaiting()
 		close(goOn)
 		must.Nil(t, <-first)
 		must.Nil(t, <-next)
@@ -261,8 +266,8 @@
 		must.Eq(t, 1, r.pool.OpenConns(r.addr))
 	})
 	t.Run("gets the slot", func(t *testing.T) {
-		r, goOn, first := held(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
-		next := second(r)
+		r, goOn, first := newBusyHarness(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
+		next := r.startWaiting()
 		close(goOn)
 		must.Nil(t, <-first)
 		must.Nil(t, <-next)
@@ -270,8 +275,8 @@
 		must.Eq(t, 0, r.pool.OpenConns(r.addr))
 	})
 	t.Run("a single-use call gets the slot", func(t *testing.T) {
-		r, goOn, first := held(t, okResponse)
-		next := second(r, func(call *Call) { call.SingleUse = true })
+		r, goOn, first := newBusyHarness(t, okResponse)
+		next := r.startWaiting(func(call *Call) { call.SingleUse = true })
 		close(goOn)
 		must.Nil(t, <-first)
 		must.Nil(t, <-next)
@@ -279,8 +284,8 @@
 		must.Eq(t, 0, r.pool.OpenConns(r.addr))
 	})
 	t.Run("until its deadline", func(t *testing.T) {
-		r, goOn, first := held(t, okResponse)
-		sent, fail := r.do(wait, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
+		r, goOn, first := newBusyHarness(t, okResponse)
+		sent, fail := r.do(waitForConn, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
 		must.False(t, sent)
 		must.Eq(t, failure.DeadlineExceeded, fail.Kind)
 		close(goOn)
@@ -290,8 +295,8 @@
 		r.mustSucceed()
 	})
 	t.Run("dropped", func(t *testing.T) {
-		r, goOn, first := held(t, okResponse)
-		next := second(r)
+		r, goOn, first := newBusyHarness(t, okResponse)
+		next := r.startWaiting()
 		r.pool.mu.Lock()
 		old := r.pool.hosts[r.addr]
 		r.pool.mu.Unlock()
@@ -308,9 +313,9 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		must.NoError(t, l.Close())
-		r := &harness{T: t, addr: ident.Addr(l.Addr().String()), pool: New("", bound)}
+		r := &harness{T: t, addr: ident.Addr(l.Addr().String()), pool: New("", oneConn)}
 		for range 3 {
-			sent, fail := r.do(wait)
+			sent, fail := r.do(waitForConn)
 			must.False(t, sent)
 			must.Eq(t, failure.Unreachable, fail.Kind)
 			must.Eq(t, 0, r.pool.OpenConns(r.addr))
--- a/wire/exchange/unsolicited_test.go
+++ b/wire/exchange/unsolicited_test.go
@@ -61,30 +61,33 @@
 	}
 }
 
+// respondEarly answers each request with first as soon as its first byte is here, and then by a
+// function of its id; it closes the connection if that returns nothing.
+func respondEarly(first string, then func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
+	return func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
+		for {
+			if _, err := r.Peek(1); err != nil {
+				return
+			}
+			_, _ = c.Write([]byte(first))
+			id, ok := next()
+			if !ok {
+				return
+			}
+			text := then(id)
+			if _, _ = c.Write([]byte(text)); text == "" {
+				return
+			}
+		}
+	}
+}
+
 // Whatever an endpoint sends unsolicited, twice, too early or with a wrong end, a caller gets
 // the response to its own request or none, and so does the next one. Each case runs over
 // single-use connections and over pooled ones.
 func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
 	const all, none, some = "all", "none", "some"
 	bare := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
-	early := func(first string, then func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
-		return func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
-			for {
-				if _, err := r.Peek(1); err != nil {
-					return
-				}
-				_, _ = c.Write([]byte(first))
-				id, ok := next()
-				if !ok {
-					return
-				}
-				text := then(id)
-				if _, _ = c.Write([]byte(text)); text == "" {
-					return
-				}
-			}
-		}
-	}
 	nothing := func(string) string { return "" }
 	for name, c := range map[string]struct {
 		play  func(net.Conn, *bufio.Reader, func() (string, bool))
@@ -124,9 +127,9 @@
 			_, _ = c.Write([]byte(responseTo("other")))
 			respondEach(responseTo)(c, r, next)
 		}, some, 0},
-		"a response before the request is complete":               {early(responseTo("other"), nothing), none, 1 << 20},
-		"a response before the request is complete, then its own": {early(responseTo("other"), responseTo), all, 1 << 20},
-		"no id before the request is complete, then its own":      {early(bare("other"), responseTo), none, 1 << 20},
+		"a response before the request is complete":               {respondEarly(responseTo("other"), nothing), none, 1 << 20},
+		"a response before the request is complete, then its own": {respondEarly(responseTo("other"), responseTo), all, 1 << 20},
+		"no id before the request is complete, then its own":      {respondEarly(bare("other"), responseTo), none, 1 << 20},
 		"a length below the body's": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), all, 0},
