--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet is the test program that brings up a deployment as real processes on
-// loopback addresses and counts what happens against the never-list.
+// Command fleet is the test program that runs a deployment as real processes on loopback
+// addresses and checks what happens against the invariants.
 package main
 
 import (
@@ -17,21 +17,21 @@
 
 var app struct {
 	Bin        string        `default:"bin/cottonarch" help:"The cottonarch program."`
-	Old        string        `help:"An older release of it that every process starts as; the fault release rolls the new one."`
+	Old        string        `help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
 	Deployment string        `default:"prairie" help:"prairie or volta."`
 	For        time.Duration `default:"120s" help:"How long the traffic runs."`
-	Faults     []string      `help:"Faults to bring about in turn; all for every one; none if not given."`
+	Faults     []string      `help:"Faults to inject in turn; all for every one; none if not given."`
 	Every      time.Duration `default:"3s" help:"Pause between faults."`
-	Seed       uint64        `default:"1" help:"Seed of what is drawn."`
-	Scale      float64       `default:"1" help:"Times the deployment's rates."`
-	Keep       bool          `help:"Keep boot files, logs and data."`
+	Seed       uint64        `default:"1" help:"Seed of the random choices."`
+	Scale      float64       `default:"1" help:"Factor of the deployment's rates."`
+	Keep       bool          `help:"Keep settings files, logs and data."`
 }
 
-// check names every fault of the command line.
-func check(faults []string) *failure.Error {
-	d := failure.New(failure.BadSettings, "the fleet can't be run")
-	add := func(path, form string, args ...any) {
-		d.Faults = append(d.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(form, args...)})
+// validate checks the command line; the failure names every fault.
+func validate(faults []string) *failure.Error {
+	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
+	add := func(path, format string, args ...any) {
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
 	}
 	if _, ok := scenario.Deployments[app.Deployment]; !ok {
 		add("deployment", "there is no deployment %q; there are prairie, volta", app.Deployment)
@@ -56,17 +56,23 @@
 	if _, err := os.Stat(app.Old); app.Old != "" && err != nil {
 		add("old", "%v", err)
 	}
-	if len(d.Faults) > 0 {
-		return d
+	if len(invalid.Faults) > 0 {
+		return invalid
 	}
 	return nil
 }
 
+// The exit codes.
+const (
+	exitViolation = 1
+	exitBadInput  = 2
+)
+
 func main() {
-	k := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and counts against the never-list."),
+	parser := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and checks it against the invariants."),
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = 2 // all that ends here is a wrong command line
+				code = exitBadInput // all that ends here is a wrong command line
 			}
 			os.Exit(code)
 		}))
@@ -74,35 +80,46 @@
 	if len(faults) == 1 && faults[0] == "all" {
 		faults = run.FaultNames()
 	}
-	if d := check(faults); d != nil {
-		fmt.Fprintln(os.Stderr, "fleet:", d.Error())
-		os.Exit(2)
+	if invalid := validate(faults); invalid != nil {
+		fmt.Fprintln(os.Stderr, "fleet:", invalid.Error())
+		os.Exit(exitBadInput)
 	}
 	dir, err := os.MkdirTemp("", "fleet")
-	k.FatalIfErrorf(err)
-	f, err := run.Start(run.Options{Binary: app.Bin, OldBinary: app.Old, Dir: dir, Deployment: scenario.Deployments[app.Deployment], Duration: app.For, Faults: faults, FaultInterval: app.Every, Seed: app.Seed, Scale: app.Scale,
-		Logf: func(form string, args ...any) { fmt.Printf(form+"\n", args...) }})
-	if f != nil {
-		defer f.Stop()
+	parser.FatalIfErrorf(err)
+	code := runFleet(dir, faults)
+	if app.Keep || code != 0 {
+		fmt.Println("settings files and logs:", dir)
+	} else {
+		_ = os.RemoveAll(dir)
 	}
-	if err == nil {
-		f.Run()
-		fmt.Print(f.Report())
+	os.Exit(code)
+}
+
+// runFleet runs the deployment in a folder, prints the report and returns the exit code.
+func runFleet(dir string, faults []string) int {
+	fleet, err := run.Start(run.Options{
+		Binary:        app.Bin,
+		OldBinary:     app.Old,
+		Dir:           dir,
+		Deployment:    scenario.Deployments[app.Deployment],
+		Duration:      app.For,
+		Faults:        faults,
+		FaultInterval: app.Every,
+		Seed:          app.Seed,
+		Scale:         app.Scale,
+		Logf:          func(format string, args ...any) { fmt.Printf(format+"\n", args...) },
+	})
+	if fleet != nil {
+		defer fleet.Stop()
 	}
-	code := 0
 	if err != nil {
 		fmt.Println(err)
-		code = 2
-	} else if len(f.Checker.Violations) > 0 {
-		code = 1
-	}
-	if f != nil {
-		f.Stop()
+		return exitBadInput
 	}
-	if app.Keep || code != 0 {
-		fmt.Println("boot files and logs:", dir)
-	} else {
-		_ = os.RemoveAll(dir)
+	fleet.Run()
+	fmt.Print(fleet.Report())
+	if len(fleet.Checker.Violations) > 0 {
+		return exitViolation
 	}
-	os.Exit(code)
+	return 0
 }
--- a/daemon/api/health/health.go
+++ b/daemon/api/health/health.go
@@ -26,19 +26,19 @@
 	return server.Paths{
 		"/ready": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
 			if !ready() {
-				response.Defect(w, failure.New(failure.NotReady, "not ready").WithRetryAfter(1))
+				response.WriteError(w, failure.New(failure.NotReady, "not ready").WithRetryAfter(1))
 				return
 			}
-			response.JSON(w, http.StatusOK, readyResponse{Ready: true})
+			response.WriteJSON(w, http.StatusOK, readyResponse{Ready: true})
 		}},
 		"/live": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, liveResponse{Live: true})
+			response.WriteJSON(w, http.StatusOK, liveResponse{Live: true})
 		}},
 		"/counters": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, counters.Snapshot())
+			response.WriteJSON(w, http.StatusOK, counters.Snapshot())
 		}},
 		"/status": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, status())
+			response.WriteJSON(w, http.StatusOK, status())
 		}},
 	}
 }
--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), discoveryTimeout)
 	defer cancel()
 	var known KnownCores
-	if c.pool.Ask(ctx, seed, http.MethodGet, "/cottonarch/v1/cores", nil, &known) != nil {
+	if c.pool.Call(ctx, seed, http.MethodGet, "/cottonarch/v1/cores", nil, &known) != nil {
 		return // it is asked again at the next tick
 	}
 	c.RunStep(func(now monotime.Time) node.Effects {
--- a/daemon/core/messages.go
+++ b/daemon/core/messages.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	var reply Batch
-	if err := c.pool.Ask(ctx, addr, http.MethodPost, "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages}, &reply); err != nil {
+	if err := c.pool.Call(ctx, addr, http.MethodPost, "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages}, &reply); err != nil {
 		c.Metrics.Add("posts_failed", 1)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.RunStep(func(now monotime.Time) node.Effects { return c.node.MarkUnreachable(now, addr) })
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -18,9 +18,9 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// unackedTimeout is how long the other end of a connection may leave bytes unacknowledged
+// deadPeerTimeout is how long the other end of a connection may leave bytes unacknowledged
 // before the connection is closed.
-const unackedTimeout = 3 * time.Second
+const deadPeerTimeout = 3 * time.Second
 
 // Core opens a core on its data folder, and makes the server that it is reached by. Neither is
 // started yet.
@@ -56,10 +56,10 @@
 func Sidecar(options settings.Sidecar, log *zap.Logger) (s *sidecar.Sidecar, meshServer, clientServer *server.Server) {
 	warnDeprecated(log, options.DeprecatedKeys)
 	s = sidecar.New(options, log)
-	meshServer = server.New(options.Listen, s.ServePeer, server.Silence(unackedTimeout), server.Deaf())
+	meshServer = server.New(options.Listen, s.ServePeer, server.DeadPeerTimeout(deadPeerTimeout), server.WithoutCloseDetection())
 	s.Paths().Register(meshServer)
 	health.Paths(s.Ready, s.Metrics, s.Status).Register(meshServer)
-	clientServer = server.New(options.ClientAddr, s.HandleCaller, server.Silence(unackedTimeout), server.Deaf())
+	clientServer = server.New(options.ClientAddr, s.HandleCaller, server.DeadPeerTimeout(deadPeerTimeout), server.WithoutCloseDetection())
 	return s, meshServer, clientServer
 }
 
--- a/wire/exchange/exchange_test.go
+++ b/wire/exchange/exchange_test.go
@@ -16,58 +16,43 @@
 	"github.com/shoenig/test/must"
 )
 
-// raw serves each request of a connection with the given bytes, and closes after
-// shut of them; it counts the requests that it read.
-func raw(t *testing.T, say string, shut int) (ident.Addr, *atomic.Int64) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+// serveRaw answers each request of a connection with the given bytes, and closes it after limit
+// of them; it counts the requests that it read.
+func serveRaw(t *testing.T, response string, limit int) (ident.Addr, *atomic.Int64) {
 	var seen atomic.Int64
-	go func() {
-		for {
-			c, err := l.Accept()
+	addr := serveEach(t, func(c *net.TCPConn) {
+		r := bufio.NewReader(c)
+		for range limit {
+			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			go func() {
-				defer func() { _ = c.Close() }()
-				r := bufio.NewReader(c)
-				for n := 1; ; n++ {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, req.Body)
-					seen.Add(1)
-					_, _ = c.Write([]byte(say))
-					if n >= shut {
-						return
-					}
-				}
-			}()
+			_, _ = io.Copy(io.Discard, req.Body)
+			seen.Add(1)
+			_, _ = c.Write([]byte(response))
 		}
-	}()
-	return ident.Addr(l.Addr().String()), &seen
+	})
+	return addr, &seen
 }
 
-func call(method string) exchange.Call {
+func newCall(method string) exchange.Call {
 	return exchange.Call{Method: method, Target: "/x//y?z=1", Host: "h.x", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(`{}`)}
 }
 
-func do(t *testing.T, p *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Return, bool, *failure.Error) {
+func doCall(_ *testing.T, pool *exchange.Pool, addr ident.Addr, c exchange.Call) (*exchange.Response, bool, *failure.Error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	return p.Do(ctx, addr, c)
+	return pool.Do(ctx, addr, c)
 }
 
-// What is cut off, garbled, or not marked as whole never passes; what is whole does.
-func TestOnlyWholeReturnsPass(t *testing.T) {
+// A response that is cut off, garbled, or has no marked end is rejected; a complete one passes.
+func TestOnlyCompleteResponsesPass(t *testing.T) {
 	const j = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 	for name, c := range map[string]struct {
 		say  string
 		kind failure.Kind
 	}{
-		"whole":              {j + "Content-Length: 7\r\n\r\n{\"a\":1}", ""},
+		"complete":           {j + "Content-Length: 7\r\n\r\n{\"a\":1}", ""},
 		"chunked":            {j + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n0\r\n\r\n", ""},
 		"json marks its end": {j + "Connection: close\r\n\r\n{\"a\":1}", ""},
 		"no content":         {"HTTP/1.1 204 No Content\r\n\r\n", ""},
@@ -82,35 +67,35 @@
 		"nothing":            {"", failure.LostResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := raw(t, c.say, 1)
-			ret, sent, d := do(t, exchange.New(""), addr, call("GET"))
+			addr, _ := serveRaw(t, c.say, 1)
+			response, sent, fail := doCall(t, exchange.New(""), addr, newCall("GET"))
 			must.True(t, sent)
 			if c.kind == "" {
-				must.Nil(t, d)
-				must.NotNil(t, ret)
+				must.Nil(t, fail)
+				must.NotNil(t, response)
 				return
 			}
-			must.Nil(t, ret)
-			must.Eq(t, c.kind, d.Kind)
-			must.Eq(t, failure.OutcomeUnknown, d.Outcome)
+			must.Nil(t, response)
+			must.Eq(t, c.kind, fail.Kind)
+			must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 		})
 	}
 }
 
-// A request is written once, whatever becomes of the connection: net/http's own
+// A request is written once, whatever happens to the connection: net/http's own
 // client would send this one again, for its Idempotency-Key.
 func TestNothingIsSentTwice(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-	addr, seen := raw(t, ok, 100)
-	p := exchange.New("")
+	addr, seen := serveRaw(t, ok, 100)
+	pool := exchange.New("")
 	for range 5 {
-		_, _, d := do(t, p, addr, call("POST"))
-		must.Nil(t, d)
+		_, _, fail := doCall(t, pool, addr, newCall("POST"))
+		must.Nil(t, fail)
 	}
 	must.Eq(t, 5, seen.Load())
-	lost, seen2 := raw(t, "", 1)
-	_, sent, d := do(t, p, lost, call("POST"))
-	must.NotNil(t, d)
+	lost, seen2 := serveRaw(t, "", 1)
+	_, sent, fail := doCall(t, pool, lost, newCall("POST"))
+	must.NotNil(t, fail)
 	must.True(t, sent)
 	must.Eq(t, 1, seen2.Load())
 }
@@ -122,57 +107,48 @@
 	must.NoError(t, err)
 	addr := ident.Addr(l.Addr().String())
 	must.NoError(t, l.Close())
-	_, sent, d := do(t, exchange.New(""), addr, call("POST"))
+	_, sent, fail := doCall(t, exchange.New(""), addr, newCall("POST"))
 	must.False(t, sent)
-	must.Eq(t, failure.Unreachable, d.Kind)
-	there, seen := raw(t, "", 1)
-	c := call("POST")
-	c.Last = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") }
-	_, sent, d = do(t, exchange.New(""), there, c)
+	must.Eq(t, failure.Unreachable, fail.Kind)
+	there, seen := serveRaw(t, "", 1)
+	c := newCall("POST")
+	c.BeforeSend = func() *failure.Error { return failure.New(failure.EndpointRejected, "left") }
+	_, sent, fail = doCall(t, exchange.New(""), there, c)
 	must.False(t, sent)
-	must.Eq(t, failure.EndpointRejected, d.Kind)
+	must.Eq(t, failure.EndpointRejected, fail.Kind)
 	must.Eq(t, 0, seen.Load())
 }
 
 // An endpoint that closes or speaks before it is asked has taken nothing, and is not lost.
 func TestClosedBeforeItIsAskedIsBusy(t *testing.T) {
-	for _, say := range []string{"", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		must.NoError(t, err)
-		t.Cleanup(func() { _ = l.Close() })
+	for _, text := range []string{"", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"} {
 		over := make(chan struct{}, 8)
-		go func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				_, _ = io.WriteString(c, say)
-				_ = c.Close()
-				over <- struct{}{}
-			}
-		}()
-		c := call("POST")
-		c.Last = func() *failure.Error { <-over; return nil }
-		_, sent, d := do(t, exchange.New(""), ident.Addr(l.Addr().String()), c)
+		addr := serveEach(t, func(c *net.TCPConn) {
+			_, _ = io.WriteString(c, text)
+			_ = c.Close()
+			over <- struct{}{}
+		})
+		c := newCall("POST")
+		c.BeforeSend = func() *failure.Error { <-over; return nil }
+		_, sent, fail := doCall(t, exchange.New(""), addr, c)
 		must.False(t, sent)
-		must.Eq(t, failure.Busy, d.Kind)
-		must.Eq(t, failure.NotExecuted, d.Outcome)
+		must.Eq(t, failure.Busy, fail.Kind)
+		must.Eq(t, failure.NotExecuted, fail.Outcome)
 	}
 }
 
-// A kept connection that the other end has closed is not used again.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	addr, seen := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without a word
-	p := exchange.New("")
+// An idle connection that the peer has closed is not reused.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	addr, seen := serveRaw(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 1) // closes without Connection: close
+	pool := exchange.New("")
 	for range 4 {
 		for {
-			_, sent, d := do(t, p, addr, call("GET"))
-			if d == nil {
+			_, sent, fail := doCall(t, pool, addr, newCall("GET"))
+			if fail == nil {
 				break
 			}
-			// The close was still on its way when it was taken, or when it was written to.
-			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], d.Kind)
+			// The close was still in flight when it was taken, or when it was written to.
+			must.Eq(t, map[bool]failure.Kind{false: failure.Unreachable, true: failure.LostResponse}[sent], fail.Kind)
 		}
 	}
 	must.GreaterEq(t, 4, seen.Load())
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -1,100 +1,101 @@
-// Package server makes HTTP servers on kratos' transport.
+// Package server makes HTTP servers on kratos' transport that stop without losing a request.
 package server
 
 import (
-	"maps"
+	"context"
+	"errors"
 	"net/http"
-	"slices"
-	"strings"
+	"net/url"
+	"sync/atomic"
 	"time"
 
-	"github.com/go-kratos/kratos/v2/log"
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
-	"go.uber.org/zap"
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// headMost is the largest head that is read at all, in bytes; what a manifest allows is
-// below it.
-const headMost = 256 << 10
+const (
+	// maxHeaderBytes is the largest head that is read at all; a configuration allows less.
+	maxHeaderBytes = 256 << 10
+	// readHeaderTimeout bounds the reading of a request's head.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 90 * time.Second
+)
+
+// kratosServer keeps kratos' Server out of the way of the field of that name in it, which is
+// net/http's.
+type kratosServer = khttp.Server
 
-// Server is a kratos server.
-type Server = khttp.Server
+// Server is a kratos server whose Stop answers every request of which it has read a part.
+type Server struct {
+	*kratosServer
+	listener *listener
+	conns    *connTracker
+	stopping atomic.Bool
+	started  chan struct{} // closed when Start begins to accept
+	served   chan struct{} // closed when Start has returned
+}
 
-// New makes a server. kratos' own limit of one second is switched off: requests
-// carry their own. front, when given, sees every request before the table of paths
-// and before any path is cleaned, and answers true when it has served it.
-func New(addr ident.Addr, front func(http.ResponseWriter, *http.Request) bool, with ...Option) *Server {
-	opts := []khttp.ServerOption{
+// New makes a server. kratos' own time limit of one second is switched off: requests carry
+// their own. intercept, when given, sees every request before it is routed and before its path
+// is cleaned, and returns true when it has served it.
+func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
+	s := &Server{listener: &listener{addr: addr}, conns: newConnTracker(), started: make(chan struct{}), served: make(chan struct{})}
+	for _, option := range options {
+		option(s.listener)
+	}
+	kratosOptions := []khttp.ServerOption{
+		khttp.Listener(s.listener),
 		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
 		})),
 	}
-	if len(with) > 0 {
-		l := &listener{addr: addr}
-		for _, o := range with {
-			o(l)
-		}
-		opts = append(opts, khttp.Listener(l))
+	filters := []khttp.FilterFunc{s.closeWhileStopping}
+	if intercept != nil {
+		filters = append(filters, interceptor(intercept))
 	}
-	if front != nil {
-		opts = append(opts, khttp.Filter(func(next http.Handler) http.Handler {
-			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if !front(w, r) {
-					next.ServeHTTP(w, r)
-				}
-			})
-		}))
-	}
-	s := khttp.NewServer(opts...)
-	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = 10*time.Second, 90*time.Second, headMost
+	kratosOptions = append(kratosOptions, khttp.Filter(filters...))
+	s.kratosServer = khttp.NewServer(kratosOptions...)
+	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, idleTimeout, maxHeaderBytes
 	return s
 }
 
-// Paths is a table of paths, each with its methods.
-type Paths map[string]map[string]http.HandlerFunc
-
-// Register puts the table on a server.
-func (p Paths) Register(s *Server) {
-	// Longer paths first: a pattern may cover a shorter one's tail.
-	order := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
-		if len(a) != len(b) {
-			return len(b) - len(a)
-		}
-		return strings.Compare(a, b)
-	})
-	for _, path := range order {
-		methods := p[path]
-		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			serve, ok := methods[r.Method]
-			if !ok {
-				response.Defect(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
-				return
+// interceptor makes a filter of an intercept function.
+func interceptor(intercept func(http.ResponseWriter, *http.Request) bool) khttp.FilterFunc {
+	return func(next http.Handler) http.Handler {
+		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if !intercept(w, r) {
+				next.ServeHTTP(w, r)
 			}
-			serve(w, r)
 		})
 	}
 }
 
-type quiet struct{ log *zap.Logger }
-
-func (q quiet) Log(level log.Level, kv ...any) error {
-	if level >= log.LevelWarn {
-		q.log.Warn("kratos", zap.Any("said", kv))
+// Endpoint returns the address that the server listens at, and begins to listen.
+func (s *Server) Endpoint() (*url.URL, error) {
+	if err := s.listener.open(); err != nil {
+		return nil, err
 	}
-	return nil
+	return s.kratosServer.Endpoint()
 }
 
-// Logger gives kratos' lines, from warnings up, to zap.
-func Logger(l *zap.Logger) log.Logger {
-	out := quiet{l}
-	log.SetLogger(out)
-	return out
+// Start accepts connections until Stop. It is called once.
+func (s *Server) Start(ctx context.Context) error {
+	switch err := s.listener.open(); {
+	case errors.Is(err, http.ErrServerClosed):
+		return nil
+	case err != nil:
+		return err
+	}
+	defer close(s.served)
+	s.ConnState = s.conns.connStateHook(s.ConnState)
+	close(s.started)
+	return s.kratosServer.Start(ctx)
 }
