--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -24,6 +24,18 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
+// The paths under which cores serve sidecars and each other. Sidecars serve CoresPath and
+// ConfigPartPath too.
+const (
+	MessagesPath    = "/cottonarch/v1/messages"
+	CoresPath       = "/cottonarch/v1/cores"
+	JoinPath        = "/cottonarch/v1/claim"
+	RenewPath       = "/cottonarch/v1/renew"
+	BudgetSharePath = "/cottonarch/v1/share"
+	WatchPath       = "/cottonarch/v1/news"
+	ConfigPartPath  = "/cottonarch/v1/part"
+)
+
 const (
 	maxBodyBytes = 32 << 20
 	// maxPollWait bounds a long poll; one that asks for less gets that, one that asks for
--- /dev/null
+++ b/daemon/sidecar/bodies.go
@@ -0,0 +1,75 @@
+package sidecar
+
+import (
+	"net/http"
+	"sync/atomic"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// headerFieldBytes is what a header field takes beside its name and its value: ": " and CRLF.
+const headerFieldBytes = 4
+
+// bodyBudget bounds the requests that are held in memory.
+type bodyBudget struct {
+	limits   atomic.Pointer[validation.Limits] // of the active configuration; nil means the default
+	inFlight atomic.Int64                      // bytes of the bodies that are held
+}
+
+func (b *bodyBudget) current() validation.Limits {
+	if limits := b.limits.Load(); limits != nil {
+		return *limits
+	}
+	return validation.DefaultLimits
+}
+
+// readRequest reads the whole body of a request, within the limits of the configuration and the
+// memory for bodies. release must be called when the request is over.
+func (s *Sidecar) readRequest(r *http.Request) (body []byte, release func(), fail *failure.Error) {
+	limits := s.bodies.current()
+	if headerBytes(r) > limits.MaxHeaderBytes+meshHeaderBytes {
+		return nil, nil, failure.New(failure.Oversize, "a head is at most %d bytes", limits.MaxHeaderBytes)
+	}
+	// A body of unknown length may be as large as the limit; it is counted once it is read.
+	declared := max(0, r.ContentLength)
+	if declared > limits.MaxBodyBytes {
+		return nil, nil, failure.New(failure.Oversize, "a body is at most %d bytes", limits.MaxBodyBytes)
+	}
+	budget := s.Settings.MaxBodyBytes
+	if s.bodies.inFlight.Add(declared) > budget && budget > 0 && declared > 0 {
+		s.bodies.inFlight.Add(-declared)
+		s.count(counterBodiesRejected)
+		return nil, nil, bodyBudgetExceeded()
+	}
+	most := limits.MaxBodyBytes
+	if budget > 0 {
+		most = min(most, max(declared, budget-s.bodies.inFlight.Load()+declared))
+	}
+	if body, fail = response.Read(r, most); fail != nil {
+		s.bodies.inFlight.Add(-declared)
+		if fail.Kind == failure.Oversize && most < limits.MaxBodyBytes {
+			fail = bodyBudgetExceeded()
+		}
+		return nil, nil, fail
+	}
+	held := int64(len(body))
+	s.bodies.inFlight.Add(held - declared)
+	return body, func() { s.bodies.inFlight.Add(-held) }, nil
+}
+
+func bodyBudgetExceeded() *failure.Error {
+	return failure.New(failure.Busy, "too many bytes are in hand").WithRetryAfter(retryAfterSeconds)
+}
+
+// headerBytes is about the size of a request's line and headers.
+func headerBytes(r *http.Request) int64 {
+	size := int64(len(r.RequestURI))
+	for name, values := range r.Header {
+		for _, value := range values {
+			size += int64(len(name) + len(value) + headerFieldBytes)
+		}
+	}
+	return size
+}
--- a/daemon/sidecar/whole_test.go
+++ b/daemon/sidecar/bodies_test.go
@@ -16,13 +16,13 @@
 // a length or in pieces; what is turned away has not run and leaves no room taken.
 func TestRequestsAreTakenWithinLimits(t *testing.T) {
 	s := New(settings.Sidecar{MaxBodyBytes: 1000}, nil)
-	s.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
+	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
 	for _, pieces := range []bool{false, true} {
 		for _, c := range []struct {
 			body, head, held int
 			kind             failure.Kind
 		}{{0, 0, 0, ""}, {800, 0, 0, ""}, {801, 0, 0, failure.Oversize}, {0, 9000, 0, failure.Oversize}, {500, 0, 500, ""}, {501, 0, 500, failure.Busy}, {0, 0, 1000, ""}} {
-			s.bodyBytesInFlight.Store(int64(c.held))
+			s.bodies.inFlight.Store(int64(c.held))
 			r := httptest.NewRequest("POST", "/x", strings.NewReader(strings.Repeat("b", c.body)))
 			if pieces {
 				r.ContentLength = -1
@@ -33,14 +33,14 @@
 				must.NotNil(t, fail, must.Sprint(pieces, c))
 				must.Eq(t, c.kind, fail.Kind, must.Sprint(pieces, c))
 				must.Eq(t, failure.NotExecuted, fail.Outcome)
-				must.Eq(t, int64(c.held), s.bodyBytesInFlight.Load())
+				must.Eq(t, int64(c.held), s.bodies.inFlight.Load())
 				continue
 			}
 			must.Nil(t, fail, must.Sprint(pieces, c))
 			must.Eq(t, c.body, len(body))
-			must.Eq(t, int64(c.held+c.body), s.bodyBytesInFlight.Load())
+			must.Eq(t, int64(c.held+c.body), s.bodies.inFlight.Load())
 			release()
-			must.Eq(t, int64(c.held), s.bodyBytesInFlight.Load())
+			must.Eq(t, int64(c.held), s.bodies.inFlight.Load())
 		}
 	}
 }
--- a/daemon/sidecar/callers_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -94,15 +94,15 @@
 		"two lengths":    {"POST /once/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n" + smuggled, []string{"400 "}, nil, false, nil},
 		"another coding": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + smuggled, []string{"501 "}, nil, false, nil},
 		"too large, small enough to be read past": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"413 ", "200 r2"}, []receivedRequest{second}, true,
-			func(s *Sidecar) { s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
 		"too large by far": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"413 "}, nil, false,
-			func(s *Sidecar) { s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
 		"no room for the body": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"503 ", "200 r2"}, []receivedRequest{second}, true,
 			func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
 		"no room for a large body": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"503 "}, nil, false, func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
 		"no way":                   {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
 		"turned away before it sends its body": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
-			func(s *Sidecar) { s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
 		"it asks to close": {strings.Replace(one, "Host", "Connection: close\r\nHost", 1) + two, []string{"200 r1"}, []receivedRequest{first}, false, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 				t.Fatal("more answers than requests")
 			}
 			must.Eq(t, c.runs, received.list())
-			must.Eq(t, 0, s.bodyBytesInFlight.Load())
+			must.Eq(t, 0, s.bodies.inFlight.Load())
 		})
 	}
 }
--- a/daemon/sidecar/judge_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -19,11 +19,11 @@
 		for _, name := range []string{"", "X-Not"} {
 			for _, notRun := range []string{"", "1", "0"} {
 				resp := &exchange.Return{Status: status, Header: http.Header{"X-Not": {notRun}}}
-				got, result, fail := classifyResponse(settings.Headers{NotExecuted: name}, resp)
+				got := classifyResponse(settings.Headers{NotExecuted: name}, resp)
 				shed := status == 421 || name != "" && notRun != ""
-				must.Eq(t, map[bool]string{false: resultResponse, true: resultShed}[shed], result, must.Sprint(status, name, notRun))
-				must.Eq(t, !shed, got != nil && fail == nil)
-				must.Eq(t, shed, endByResult[result].Outcome == attempt.NotExecuted)
+				must.Eq(t, map[bool]string{false: resultResponse, true: resultShed}[shed], got.result, must.Sprint(status, name, notRun))
+				must.Eq(t, !shed, got.response != nil && got.failure == nil)
+				must.Eq(t, shed, endByResult[got.result].Outcome == attempt.NotExecuted)
 			}
 		}
 	}
@@ -35,7 +35,7 @@
 	for result, want := range map[string]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
 		must.Eq(t, want, endForResult(nil, result).Outcome, must.Sprint(result))
 	}
-	for _, hints := range []admissionHints{{}, {priority: 2, expectedTime: 31 * time.Millisecond, earlyTarget: -time.Second, latencyTarget: 200 * time.Millisecond, peerFailureRate: 0.25, lastResort: true}} {
+	for _, hints := range []admissionHints{{}, {priority: 2, expectedTime: 31 * time.Millisecond, earlyRejection: -time.Second, latencyTarget: 200 * time.Millisecond, peerFailureRate: 0.25, lastResort: true}} {
 		must.Eq(t, hints, parseHints(hints.encode()))
 	}
 	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
--- /dev/null
+++ b/daemon/sidecar/config.go
@@ -0,0 +1,204 @@
+package sidecar
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/decode"
+	"cottonarch.example/cottonarch/control/config/delta"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/daemon/api/mesh"
+	"cottonarch.example/cottonarch/mesh/configcache"
+)
+
+// partTimeout bounds how long one part of a configuration may take to come.
+const partTimeout = 2 * time.Second
+
+// configState is the configuration that this sidecar holds. Sidecar.mu guards it, but for
+// fetching. A configuration is held as pending first, and becomes active when the cache says so.
+type configState struct {
+	cache    *configcache.Cache
+	active   storedConfig
+	pending  storedConfig
+	fetching atomic.Int64 // fetches under way
+}
+
+// storedConfig is a configuration as it was stored, its compressed form for peers, and the delta
+// that it came by, nil if it came whole.
+type storedConfig struct {
+	raw        json.RawMessage
+	compressed *delta.Compressed
+	delta      *delta.Delta
+}
+
+// deltaFrom gives the delta that this configuration came by, to those who have the revision
+// before it.
+func (c storedConfig) deltaFrom(revision ident.Epoch) *delta.Delta {
+	if c.delta == nil || c.delta.From != revision {
+		return nil
+	}
+	return c.delta
+}
+
+// fetchConfigOrCount fetches the configuration from another process; it counts a failure, and
+// tells whether there was none.
+func (s *Sidecar) fetchConfigOrCount(from ident.Addr) bool {
+	if err := s.fetchConfig(from); err != nil {
+		s.count(counterConfigFetchesFailed)
+		return false
+	}
+	return true
+}
+
+// fetchConfig fetches the configuration from another process: as a delta to what is held here if
+// the process has one, else whole, in bounded parts. A part of another revision begins it anew.
+func (s *Sidecar) fetchConfig(from ident.Addr) error {
+	s.config.fetching.Add(1)
+	defer s.config.fetching.Add(-1)
+	haveRevision := s.newestRevision()
+	var assembly configAssembly
+	for !assembly.complete() {
+		part, err := s.fetchPart(from, len(assembly.data), haveRevision)
+		if err != nil {
+			return err
+		}
+		if part.Revision <= s.newestRevision() {
+			return nil // it came from elsewhere meanwhile
+		}
+		if part.Delta != nil {
+			if fail := s.applyDelta(*part.Delta); fail == nil {
+				return nil
+			}
+			s.count(counterDeltasRejected)
+			haveRevision = 0 // ask for the whole
+			continue
+		}
+		if fail := assembly.add(part); fail != nil {
+			return fail
+		}
+	}
+	raw, fail := assembly.bytes()
+	if fail != nil {
+		return fail
+	}
+	return s.acceptWhole(assembly.revision, raw)
+}
+
+// fetchPart fetches one part. haveRevision names the configuration that a delta may start from, 0
+// if no delta is wanted.
+func (s *Sidecar) fetchPart(from ident.Addr, offset int, haveRevision ident.Epoch) (part mesh.ConfigPart, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
+	defer cancel()
+	path := fmt.Sprintf("%s?at=%d&packed=1", mesh.ConfigPartPath, offset)
+	if haveRevision > 0 {
+		path += fmt.Sprintf("&have=%d", uint64(haveRevision))
+	}
+	err = s.apiClient.Ask(ctx, from, http.MethodGet, path, nil, &part)
+	return part, err
+}
+
+// applyDelta applies a delta to the newest configuration that is held here, and accepts the
+// result.
+func (s *Sidecar) applyDelta(update delta.Delta) *failure.Error {
+	s.mu.Lock()
+	haveRevision, base := s.newestConfig()
+	s.mu.Unlock()
+	if update.To <= haveRevision {
+		return nil
+	}
+	if update.From != haveRevision {
+		return failure.New(failure.BadResponse, "a delta from revision %d, not from %d", update.From, haveRevision)
+	}
+	version, fail := update.Apply(base.raw)
+	if fail != nil {
+		return fail
+	}
+	s.count(counterDeltasApplied)
+	return s.acceptVersion(version, &update)
+}
+
+// acceptWhole accepts a configuration that came whole.
+func (s *Sidecar) acceptWhole(revision ident.Epoch, raw []byte) error {
+	tree, fail := decode.Parse(raw)
+	if fail != nil {
+		return fail
+	}
+	if fail := s.acceptVersion(delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}, nil); fail != nil {
+		return fail
+	}
+	return nil
+}
+
+// acceptVersion holds a confirmed configuration and tells peers of it; update is the delta that
+// it came by, nil if it came whole.
+func (s *Sidecar) acceptVersion(version delta.Snapshot, update *delta.Delta) *failure.Error {
+	config, fail := validation.Lenient(version.Tree)
+	if fail != nil {
+		return fail
+	}
+	config.Revision = version.Revision
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	peers := s.peerAddrs()
+	shuffle(peers)
+	if s.config.cache.Add(s.clock(), config, s.router.Revision(), len(peers)) {
+		s.config.pending = storedConfig{raw: version.Raw, compressed: delta.NewCompressed(version.Raw), delta: update}
+		for _, peer := range peers[:min(len(peers), configcache.MaxNotified)] {
+			go s.notifyPeer(peer, version.Revision)
+		}
+	}
+	s.activatePending()
+	return nil
+}
+
+// activatePending makes the pending configuration active once enough peers hold it too; mu is
+// held.
+func (s *Sidecar) activatePending() {
+	config := s.config.cache.TakeReady(s.clock())
+	if config == nil {
+		return
+	}
+	pending := s.config.pending
+	s.config.pending = storedConfig{}
+	if !s.router.Enforce(config) {
+		return
+	}
+	s.config.active = pending
+	if config.Limits != (validation.Limits{}) {
+		s.bodies.limits.Store(&config.Limits)
+	}
+	s.configActive.Store(true)
+	s.Log.Info("configuration active", zap.Uint64("revision", uint64(config.Revision)), zap.Int("routes", len(config.Routes)))
+	s.renewer.wake()
+}
+
+// newestRevision is the revision of the newest configuration that is held here.
+func (s *Sidecar) newestRevision() ident.Epoch {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	revision, _ := s.newestConfig()
+	return revision
+}
+
+// newestConfig is the newest configuration that is held here, active or pending; mu is held.
+func (s *Sidecar) newestConfig() (ident.Epoch, storedConfig) {
+	if config := s.config.cache.Pending(); config != nil && s.config.pending.raw != nil {
+		return config.Revision, s.config.pending
+	}
+	return s.router.Revision(), s.config.active
+}
+
+// minRevision is the revision below which no configuration may become active here.
+func (s *Sidecar) minRevision() ident.Epoch {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.router.MinRevision
+}
--- a/daemon/sidecar/parts_test.go
+++ b/daemon/sidecar/config_test.go
@@ -58,11 +58,11 @@
 	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
 }
 
-// activeConfig is the manifest in force at a sidecar.
-func activeConfig(s *Sidecar) (ident.Epoch, json.RawMessage) {
+// activeConfigOf is the manifest in force at a sidecar.
+func activeConfigOf(s *Sidecar) (ident.Epoch, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Revision(), s.activeConfig.raw
+	return s.router.Revision(), s.config.active.raw
 }
 
 // A sidecar takes a manifest whole the first time and then what changed; a delta that does
@@ -74,7 +74,7 @@
 	defer server.Close()
 	from := ident.Addr(strings.TrimPrefix(server.URL, "http://"))
 	s := New(settings.Sidecar{}, zap.NewNop())
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 	var history delta.History
 	change := func(revision ident.Epoch, timeout int) {
 		history.Add(source.setConfig(t, revision, 400, timeout))
@@ -83,7 +83,7 @@
 	fetch := func() (bytes int) {
 		before := source.bytes
 		must.NoError(t, s.fetchConfig(from))
-		revision, raw := activeConfig(s)
+		revision, raw := activeConfigOf(s)
 		must.Eq(t, source.source.Revision, revision)
 		must.Eq(t, string(source.source.Raw), string(raw))
 		return source.bytes - before
@@ -111,7 +111,7 @@
 	source.old, source.queries = false, nil
 	must.NoError(t, s.fetchConfig(from))
 	must.SliceLen(t, 1, source.queries)
-	revision, _ := activeConfig(s)
+	revision, _ := activeConfigOf(s)
 	must.Eq(t, ident.Epoch(4), revision)
 }
 
@@ -122,7 +122,7 @@
 	change, ok := delta.Between(before, after)
 	must.True(t, ok)
 	s := New(settings.Sidecar{}, zap.NewNop())
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 	must.NoError(t, s.acceptWhole(before.Revision, before.Raw))
 	must.Nil(t, s.applyDelta(change))
 	for haveRevision, wantDelta := range map[string]bool{"5": true, "4": false, "6": false, "": false} {
--- a/daemon/sidecar/follow_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -33,7 +33,7 @@
 	c.polledSignal = make(chan struct{}, 100)
 	done := make(chan struct{})
 	mux := http.NewServeMux()
-	mux.HandleFunc("/cottonarch/v1/renew", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("/cottonarch/v1/renew", func(w http.ResponseWriter, _ *http.Request) {
 		c.renewals.Add(1)
 		if c.renewAfter < 0 {
 			<-done
@@ -66,8 +66,8 @@
 func startRenewingSidecar(t *testing.T, cores ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{Node: "n", Seeds: cores}, zap.NewNop())
 	s.leaseHeld.Store(true)
-	go s.runRenewals()
-	go s.runWatch()
+	go s.renewer.run()
+	go s.configWatch.run()
 	t.Cleanup(func() { close(s.done) })
 	return s
 }
--- /dev/null
+++ b/daemon/sidecar/endpointcall.go
@@ -0,0 +1,192 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/mesh/admission"
+	"cottonarch.example/cottonarch/settings"
+	"cottonarch.example/cottonarch/wire/exchange"
+)
+
+const (
+	// endpointMarginMs is how many milliseconds before this sidecar gives up the endpoint is
+	// told to end, so that its own answer is heard.
+	endpointMarginMs = 10
+	// idleTrust is for how long after its last use a connection to an endpoint counts as open:
+	// an endpoint may close one that is idle just as the next request is sent.
+	idleTrust = 2 * time.Second
+)
+
+// endpointRequest is a request for an endpoint of this machine, of a caller here or of another
+// sidecar.
+type endpointRequest struct {
+	server        ident.Server
+	service       ident.Service
+	call          exchange.Call
+	deadline      time.Time
+	retryFraction float64 // the probability that it repeats one that ran
+	hints         admissionHints
+}
+
+// endpointResult is what became of a request at an endpoint of this machine. Invariant: response
+// is set if and only if result is resultResponse, failure if and only if it is not.
+type endpointResult struct {
+	response   *exchange.Return
+	result     string
+	failure    *failure.Error
+	loadReport string        // the endpoint's load when the request was over, as text
+	duration   time.Duration // how long the endpoint had it
+}
+
+// sendToEndpoint sends a request to an endpoint of this machine. It checks that the endpoint is
+// still the one that is meant, waits for a slot, and checks again right before the first byte.
+func (s *Sidecar) sendToEndpoint(request endpointRequest) (result endpointResult) {
+	if _, fail := s.checkEndpoint(request); fail != nil {
+		return endpointResult{result: resultRejected, failure: fail}
+	}
+	slot, fail := s.waitForSlot(request)
+	if fail != nil {
+		return endpointResult{result: resultNoCapacity, failure: fail, loadReport: s.loadReport(request.server)}
+	}
+	outcome := admission.GivenUp
+	defer func() {
+		s.releaseSlot(request.server, slot, outcome, result.duration)
+		result.loadReport = s.loadReport(request.server)
+	}()
+	result, outcome = s.sendWithSlot(request)
+	return result
+}
+
+// checkEndpoint gives the address of the endpoint that is meant, or why it may not be sent to.
+func (s *Sidecar) checkEndpoint(request endpointRequest) (ident.Addr, *failure.Error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	addr, _, fail := s.endpoints.Check(s.clock(), request.server, request.service)
+	return addr, fail
+}
+
+// sendWithSlot sends a request that has a slot, and tells the admission queue how it ended.
+func (s *Sidecar) sendWithSlot(request endpointRequest) (endpointResult, admission.Outcome) {
+	addr, connections, fail := s.beginEndpointCall(request)
+	if fail != nil {
+		return endpointResult{result: resultRejected, failure: fail}, admission.GivenUp
+	}
+	defer s.endEndpointCall(request)
+	call := endpointCall(s.Settings.Headers, request.call, request.server, request.deadline)
+	call.Conns = connections
+	call.Last = func() *failure.Error { return s.checkNotMoved(request, addr) }
+	sentAt := s.clock()
+	resp, sent, fail := s.endpointExchange.Do(context.Background(), addr, call)
+	if fail != nil {
+		return s.endpointFailed(request.server, fail, sent, sentAt)
+	}
+	return s.endpointAnswered(resp, sentAt)
+}
+
+// beginEndpointCall checks the endpoint a second time and charges the request to the retry
+// budget. It gives the endpoint's address, and the bound of its connections that the
+// configuration sets, 0 if none.
+func (s *Sidecar) beginEndpointCall(request endpointRequest) (addr ident.Addr, connections int, fail *failure.Error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	addr, _, fail = s.endpoints.Check(s.clock(), request.server, request.service)
+	if fail != nil {
+		return "", 0, fail
+	}
+	if !s.router.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
+		return "", 0, failure.New(failure.Busy, "a repeat has no room below").WithRetryAfter(retryAfterSeconds)
+	}
+	s.endpoints.AddInFlight(request.server, 1)
+	if config := s.router.Config(); config != nil {
+		connections = config.Services[request.service].MaxConnections
+	}
+	return addr, connections, nil
+}
+
+// endEndpointCall ends what beginEndpointCall began.
+func (s *Sidecar) endEndpointCall(request endpointRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.router.RetryBudget.EndRun(request.retryFraction)
+	s.endpoints.AddInFlight(request.server, -1)
+}
+
+// checkNotMoved is the last check before the first byte: while the connection came up, the
+// endpoint may have ended and another may have taken its address.
+func (s *Sidecar) checkNotMoved(request endpointRequest, addr ident.Addr) *failure.Error {
+	current, fail := s.checkEndpoint(request)
+	if fail == nil && current != addr {
+		return failure.New(failure.EndpointRejected, "server %q has moved", request.server)
+	}
+	return fail
+}
+
+// endpointFailed is the result of a call that brought no response.
+func (s *Sidecar) endpointFailed(server ident.Server, fail *failure.Error, sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+	if fail.Kind == failure.Unreachable {
+		s.mu.Lock()
+		s.applyEndpointChange(s.endpoints.ConnectFailed(s.clock(), server))
+		s.mu.Unlock()
+	}
+	switch {
+	case !sent:
+		return endpointResult{result: resultRejected, failure: fail}, admission.GivenUp
+	case fail.Kind == failure.DeadlineExceeded:
+		return endpointResult{result: resultUnknown, failure: fail, duration: s.clock().Since(sentAt)}, admission.GivenUp
+	default:
+		return endpointResult{result: resultUnknown, failure: fail}, admission.Failed
+	}
+}
+
+// endpointAnswered is the result of a call that brought a response.
+func (s *Sidecar) endpointAnswered(resp *exchange.Return, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+	result := classifyResponse(s.Settings.Headers, resp)
+	switch {
+	case result.result == resultShed:
+		return result, admission.GivenUp
+	case resp.Status == http.StatusGatewayTimeout:
+		result.duration = s.clock().Since(sentAt)
+		return result, admission.GivenUp
+	case resp.Status >= 500:
+		return result, admission.Failed
+	default:
+		result.duration = s.clock().Since(sentAt)
+		return result, admission.Served
+	}
+}
+
+// classifyResponse tells the endpoint's response to the request from its word that it did not
+// run it. That the response is whole and belongs to this request, the exchange has checked.
+func classifyResponse(headers settings.Headers, resp *exchange.Return) endpointResult {
+	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
+		return endpointResult{result: resultShed, failure: failure.New(failure.Busy, "the endpoint turned it away").WithRetryAfter(retryAfterSeconds)}
+	}
+	return endpointResult{result: resultResponse, response: resp}
+}
+
+// endpointCall makes the call of one endpoint: it names the endpoint and the time that is left,
+// and says how the response is known as this call's own.
+func endpointCall(headers settings.Headers, call exchange.Call, server ident.Server, deadline time.Time) exchange.Call {
+	call.Until = deadline
+	call.Set = append(make([]exchange.Field, 0, 4), call.Set...)
+	call.Set = append(call.Set, exchange.Field{Name: TargetHeader, Value: string(server)})
+	if headers.RequestID != "" {
+		limitMs := max(1, time.Until(deadline).Milliseconds()-endpointMarginMs)
+		call.Set = append(call.Set, exchange.Field{Name: headers.Deadline, Value: strconv.FormatInt(limitMs, 10)})
+		call.Seal, call.Plain = headers.SuccessMark, true
+	}
+	if id := firstValue(call.Header, headers.RequestID); id == "" {
+		// Without an id nothing tells an unasked response on a kept connection from the one
+		// that is due: each request has a connection of its own.
+		call.Fresh = true
+	} else {
+		call.IdHeader, call.Id, call.Sure = headers.RequestID, id, idleTrust
+	}
+	return call
+}
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -90,7 +90,7 @@
 			s.ServeCaller(w, r)
 		}
 		must.Eq(t, 0, s.inFlight)
-		must.Eq(t, 0, s.bodyBytesInFlight.Load())
+		must.Eq(t, 0, s.bodies.inFlight.Load())
 		must.Eq(t, 0, s.sendQueue.Len())
 		must.NotEq(t, http.StatusBadGateway, w.Code, must.Sprintf("%s", w.Body))
 		select {
--- a/daemon/sidecar/paths.go
+++ b/daemon/sidecar/handlers.go
@@ -15,24 +15,38 @@
 	"github.com/gorilla/mux"
 )
 
+// maxMessageBytes bounds the bodies that these handlers read.
+const maxMessageBytes = 1 << 16
+
+// heartbeatAck tells an endpoint how often to send heartbeats, and after how long without one it
+// counts as unhealthy.
+type heartbeatAck struct {
+	IntervalMs    int64 `json:"beatEveryMs"`
+	SilentAfterMs int64 `json:"silentAfterMs"`
+}
+
+// activeConfig is the active configuration, as operators read it.
+type activeConfig struct {
+	Revision ident.Epoch     `json:"epoch"`
+	Config   json.RawMessage `json:"manifest"`
+}
+
 // Paths is what endpoints, peers and operators may ask a sidecar.
 func (s *Sidecar) Paths() server.Paths {
 	return server.Paths{
-		"/beat":               {"POST": s.handleHeartbeat},
-		"/manifest":           {"GET": s.handleConfig},
-		"/address/{key:.+}":   {"GET": s.handleAddress},
-		"/cottonarch/v1/peer": {"GET": s.handlePeerState},
-		"/cottonarch/v1/cores": {"GET": func(w http.ResponseWriter, _ *http.Request) {
-			response.JSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
-		}},
-		"/cottonarch/v1/part":  {"GET": s.handleConfigPart},
-		"/cottonarch/v1/heard": {"POST": s.handleRevisionNotice},
+		"/beat":             {http.MethodPost: s.handleHeartbeat},
+		"/manifest":         {http.MethodGet: s.handleConfig},
+		"/address/{key:.+}": {http.MethodGet: s.handleAddress},
+		PeerStatePath:       {http.MethodGet: s.handlePeerState},
+		RevisionNoticePath:  {http.MethodPost: s.handleRevisionNotice},
+		mesh.CoresPath:      {http.MethodGet: s.handleCores},
+		mesh.ConfigPartPath: {http.MethodGet: s.handleConfigPart},
 	}
 }
 
 func (s *Sidecar) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var heartbeat endpoint.Heartbeat
-	if fail := response.Decode(r, 1<<16, &heartbeat); fail != nil {
+	if fail := response.Decode(r, maxMessageBytes, &heartbeat); fail != nil {
 		response.Defect(w, fail)
 		return
 	}
@@ -40,27 +54,22 @@
 		response.Defect(w, fail)
 		return
 	}
-	response.JSON(w, http.StatusOK, map[string]any{"beatEveryMs": endpoint.HeartbeatInterval.Milliseconds(), "silentAfterMs": endpoint.HeartbeatTimeout.Milliseconds()})
+	response.JSON(w, http.StatusOK, heartbeatAck{IntervalMs: endpoint.HeartbeatInterval.Milliseconds(), SilentAfterMs: endpoint.HeartbeatTimeout.Milliseconds()})
 }
 
-// activeConfigOrNotFound gives the manifest in force, or says that there is none.
-func (s *Sidecar) activeConfigOrNotFound(w http.ResponseWriter) (revision ident.Epoch, raw json.RawMessage) {
+// handleConfig shows the active configuration.
+func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	revision, raw = s.router.Revision(), s.activeConfig.raw
+	config := activeConfig{Revision: s.router.Revision(), Config: s.config.active.raw}
 	s.mu.Unlock()
-	if revision == 0 {
+	if config.Revision == 0 {
 		response.Defect(w, failure.New(failure.NotFound, "no manifest is in force yet"))
+		return
 	}
-	return
-}
-
-// handleConfig shows what is in force here.
-func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
-	if revision, raw := s.activeConfigOrNotFound(w); revision > 0 {
-		response.JSON(w, http.StatusOK, map[string]any{"epoch": revision, "manifest": raw})
-	}
+	response.JSON(w, http.StatusOK, config)
 }
 
+// handleAddress looks a record of the registry up by its key.
 func (s *Sidecar) handleAddress(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
 	s.mu.Lock()
@@ -74,16 +83,29 @@
 }
 
 func (s *Sidecar) handlePeerState(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	revision, _ := s.newestConfig()
-	state := PeerState{ConfigRevision: revision, NewestKnownRevision: s.configCache.NewestKnown(), Joined: s.leaseHeld.Load(), Sets: s.router.Index.Sets()}
-	s.mu.Unlock()
+	state := s.peerState()
 	if query := r.URL.Query(); query.Get("brief") != "" || query.Get("have") == registryDigest(state.Sets) {
 		state.Sets = nil
 	}
 	response.JSON(w, http.StatusOK, state)
 }
 
+func (s *Sidecar) peerState() PeerState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	revision, _ := s.newestConfig()
+	return PeerState{
+		ConfigRevision:      revision,
+		NewestKnownRevision: s.config.cache.NewestKnown(),
+		Joined:              s.leaseHeld.Load(),
+		Sets:                s.router.Index.Sets(),
+	}
+}
+
+func (s *Sidecar) handleCores(w http.ResponseWriter, _ *http.Request) {
+	response.JSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
+}
+
 func (s *Sidecar) handleConfigPart(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	revision, held := s.newestConfig()
@@ -97,15 +119,9 @@
 
 func (s *Sidecar) handleRevisionNotice(w http.ResponseWriter, r *http.Request) {
 	var notice RevisionNotice
-	if fail := response.Decode(r, 1<<16, &notice); fail != nil {
+	if fail := response.Decode(r, maxMessageBytes, &notice); fail != nil {
 		response.Defect(w, fail)
 		return
 	}
 	response.JSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
 }
-
-// HandleCaller takes every request of the callers' address.
-func (s *Sidecar) HandleCaller(w http.ResponseWriter, r *http.Request) bool {
-	s.ServeCaller(w, r)
-	return true
-}
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -62,7 +62,7 @@
 	bodies := &countedBodies{}
 	s := newTestSidecar("a", "127.0.0.1:1")
 	s.addWorkloads("b", bodies.startPeerServer(t, stage.peer.Load), "b0", "b1")
-	s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
+	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	post := func(id string, size int) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
 		r.Host = "h"
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -2,125 +2,158 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"go.uber.org/zap"
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/daemon/api/mesh"
 	"cottonarch.example/cottonarch/daemon/core"
 	"cottonarch.example/cottonarch/mesh/lease/joiner"
 )
 
 const (
-	// coresTimeout is how long a core may take to list the cores.
+	// coresTimeout bounds how long a process may take to list the cores.
 	coresTimeout = 500 * time.Millisecond
-	// coresInterval bounds how often a sidecar without a lease asks for the list.
+	// coresInterval is how often a sidecar without a lease asks for the list.
 	coresInterval = time.Second
-	// joinAttemptIDLength is the length of the mark of a join. It tells the joins of one node apart, and
-	// the cores keep it for every node.
+	// joinAttemptIDLength is the length of the id of a join, which the cores keep for every node.
 	joinAttemptIDLength = 12
 )
 
-// tryJoin asks one core for a lease. Before any core has listed the others, one of the
-// seeds is asked for them, so that a herd does not join at the seeds alone.
-func (s *Sidecar) tryJoin() {
-	if s.joinAttemptID == "" {
-		s.joinAttemptID = ident.NewID()[:joinAttemptIDLength]
+// joining is how a sidecar without a lease obtains one. Only the renewer's goroutine uses it.
+type joining struct {
+	sidecar       *Sidecar
+	joiner        *joiner.Joiner
+	coresListedAt monotime.Time // when a process last listed the cores, 0 if none has
+	// attemptID tells the joins of one node apart: a repeat under the same id is the same join,
+	// at whichever core. It is "" while no join is tried.
+	attemptID string
+}
+
+func newJoining(s *Sidecar) *joining {
+	return &joining{sidecar: s, joiner: joiner.New(s.Settings.Node, s.Settings.Zone)}
+}
+
+// backoff is how long the next try has to wait.
+func (j *joining) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
+
+// try asks one core for a lease, and tells whether it granted one. Before any process has listed
+// the cores one of the seeds is asked for them, so that sidecars that start together do not all
+// join at the seeds.
+func (j *joining) try() bool {
+	s := j.sidecar
+	if j.attemptID == "" {
+		j.attemptID = ident.NewID()[:joinAttemptIDLength]
 	}
-	coreAddr := s.nextJoinCore()
-	if s.coresLearnedAt == 0 {
-		if !s.learnCores(coreAddr) {
-			s.joiner.HandleFailure(s.clock(), coreAddr)
-			return
+	addr := j.nextCore()
+	if j.coresListedAt == 0 {
+		if !j.listCores(addr) {
+			j.joiner.HandleFailure(s.clock(), addr)
+			return false
 		}
-		coreAddr = s.nextJoinCore()
+		addr = j.nextCore()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), joiner.JoinTimeout)
 	defer cancel()
+	request := mesh.JoinRequest{Node: s.Settings.Node, Run: j.attemptID}
 	var granted mesh.JoinResponse
-	if err := s.apiClient.Ask(ctx, coreAddr, "POST", "/cottonarch/v1/claim", mesh.JoinRequest{Node: s.Settings.Node, Run: s.joinAttemptID}, &granted); err != nil {
-		s.joinFailed(coreAddr, err)
-		return
+	if err := s.apiClient.Ask(ctx, addr, http.MethodPost, mesh.JoinPath, request, &granted); err != nil {
+		j.handleFailure(addr, err)
+		return false
 	}
-	s.completeJoin(coreAddr, granted)
+	j.complete(addr, granted)
+	return s.leaseHeld.Load()
 }
 
-// nextJoinCore is the core to ask for a lease.
-func (s *Sidecar) nextJoinCore() ident.Addr {
+// nextCore is the core to ask for a lease.
+func (j *joining) nextCore() ident.Addr {
+	s := j.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.joiner.NextCore(s.usableCoresLocked(), s.lease.CoreLocations())
+	return j.joiner.NextCore(s.cores.usable(), s.lease.CoreLocations())
 }
 
-// joinFailed takes a refusal, or the silence of a core.
-func (s *Sidecar) joinFailed(coreAddr ident.Addr, err error) {
-	s.Metrics.Add("claims_failed", 1)
-	fail := (*failure.Error)(nil)
+// handleFailure takes a core's rejection, or its silence.
+func (j *joining) handleFailure(addr ident.Addr, err error) {
+	s := j.sidecar
+	s.count(counterJoinsFailed)
+	var fail *failure.Error
 	if failure.As(err, &fail) && fail.Kind == failure.Busy && fail.RetryAfter > 0 {
-		s.joiner.HandleRejection(s.clock(), coreAddr, time.Duration(fail.RetryAfter*float64(time.Second)))
+		retryAfter := time.Duration(fail.RetryAfter * float64(time.Second))
+		j.joiner.HandleRejection(s.clock(), addr, retryAfter)
 	} else {
-		s.joiner.HandleFailure(s.clock(), coreAddr)
+		j.joiner.HandleFailure(s.clock(), addr)
 	}
-	isSidecar := fail != nil && fail.Kind == failure.NotFound // a sidecar: it knows cores
 	answered := fail != nil && fail.Kind != failure.LostResponse
+	isSidecar := fail != nil && fail.Kind == failure.NotFound // it has no such path, but it knows cores
 	if answered {
 		s.mu.Lock()
-		s.sidecarSeeds[coreAddr] = isSidecar
+		s.cores.isSidecar[addr] = isSidecar
 		s.mu.Unlock()
 	}
-	if isSidecar || answered && s.clock().Since(s.coresLearnedAt) > coresInterval {
-		s.learnCores(coreAddr)
+	if isSidecar || answered && s.clock().Since(j.coresListedAt) > coresInterval {
+		j.listCores(addr)
 	}
 }
 
-// learnCores asks a core, or a seed that is a sidecar, for the cores that it knows. It
-// tells whether there was an answer.
-func (s *Sidecar) learnCores(addr ident.Addr) bool {
+// listCores asks a core, or a seed that is a sidecar, for the cores that it knows. It tells
+// whether there was an answer.
+func (j *joining) listCores(addr ident.Addr) bool {
+	s := j.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
 	defer cancel()
 	var known core.KnownCores
-	if s.apiClient.Ask(ctx, addr, "GET", "/cottonarch/v1/cores", nil, &known) != nil {
+	if s.apiClient.Ask(ctx, addr, http.MethodGet, mesh.CoresPath, nil, &known) != nil {
 		return false
 	}
 	now := s.clock()
-	s.coresLearnedAt = now
+	j.coresListedAt = now
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addCores(known.Cores)
+	s.cores.add(now, known.Cores)
 	if known.FromCore {
 		for _, coreAddr := range append(known.Cores, addr) {
-			delete(s.sidecarSeeds, coreAddr)
-			s.notPeerUntil[coreAddr] = now.Add(coreSeedInterval)
+			s.cores.markCore(now, coreAddr)
 		}
 	}
 	return true
 }
 
-// completeJoin takes a lease, and the manifest from the core that gave it unless a peer was
+// complete takes a lease, and the configuration from the core that granted it unless a peer was
 // faster.
-func (s *Sidecar) completeJoin(coreAddr ident.Addr, granted mesh.JoinResponse) {
+func (j *joining) complete(addr ident.Addr, granted mesh.JoinResponse) {
+	s := j.sidecar
+	haveRevision := s.takeLease(granted)
+	j.attemptID = "" // the next join, if there is one, is another
+	j.joiner.Reset()
+	s.leaseHeld.Store(true)
+	if granted.ConfigRevision > haveRevision {
+		s.fetchConfigOrCount(addr)
+	}
+	s.Log.Info("lease granted",
+		zap.Uint64("leaseEpoch", uint64(granted.LeaseEpoch)),
+		zap.Int("budgetShare", granted.BudgetShare.Amount),
+		zap.Uint64("configRevision", uint64(granted.ConfigRevision)))
+	s.configWatch.redirectTo(addr)
+}
+
+// takeLease takes what came with a lease, and gives the revision of the newest configuration
+// that is held here.
+func (s *Sidecar) takeLease(granted mesh.JoinResponse) (haveRevision ident.Epoch) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
 	s.router.MinRevision = max(s.router.MinRevision, granted.ConfigRevision)
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 	s.lease.LeaseGranted()
 	s.budgetShare.Start(s.watchedClock(), granted.BudgetShare)
 	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 	s.lease.SetCores(granted.CoresVersion, granted.Cores)
-	s.addCores(s.lease.CoreAddrs())
+	s.cores.add(s.clock(), s.lease.CoreAddrs())
 	s.lastCoreContact = s.clock()
-	haveRevision := s.configCache.NewestHeld(s.router.Revision())
-	s.mu.Unlock()
-	s.joinAttemptID = "" // the next join, if there is one, is another
-	s.joiner.Reset()
-	s.leaseHeld.Store(true)
-	if granted.ConfigRevision > haveRevision {
-		if err := s.fetchConfig(coreAddr); err != nil {
-			s.Metrics.Add("manifest_fetches_failed", 1)
-		}
-	}
-	s.Log.Info("entry granted", zap.Uint64("claim", uint64(granted.LeaseEpoch)), zap.Int("share", granted.BudgetShare.Amount), zap.Uint64("manifest", uint64(granted.ConfigRevision)))
-	s.redirectWatch(coreAddr)
+	return s.config.cache.NewestHeld(s.router.Revision())
 }
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -5,8 +5,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// reserveOutbound decides whether this machine's link has room for the answer to another
-// sidecar's request. What it admits must be ended with linkSent.
+// reserveOutbound reserves this machine's link for the response to another sidecar's request. A
+// reservation must be ended with releaseOutbound.
 func (s *Sidecar) reserveOutbound(hints admissionHints) *failure.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,30 +14,31 @@
 	if ok {
 		return nil
 	}
-	s.Metrics.Add("link_turned_away", 1)
+	s.count(counterOutboundLinkFull)
 	return failure.New(failure.Busy, "the link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 }
 
-// releaseOutbound counts the answer that goes out now; there is none if ret is nil.
+// releaseOutbound ends a reservation, and counts the response that goes out now; resp is nil if
+// there is none.
 func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Return) {
-	bytes := 0
+	sent := 0
 	if resp != nil {
-		bytes = len(resp.Body)
+		sent = len(resp.Body)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outboundLink.Sent(s.clock(), hints.responseBytes, bytes)
+	s.outboundLink.Sent(s.clock(), hints.responseBytes, sent)
 }
 
-// reserveInbound decides whether this machine's link has room for the body of another sidecar's
-// request, before any of it is read. received must be called once it was, or was not.
+// reserveInbound reserves this machine's link for the body of another sidecar's request, before
+// any of it is read. received must be called once the body was read, or reading it failed.
 func (s *Sidecar) reserveInbound(size int64) (received func(), fail *failure.Error) {
 	size = max(0, size)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	retryAfter, ok := s.inboundLink.Admit(size)
 	if !ok {
-		s.Metrics.Add("bodies_not_asked_for", 1)
+		s.count(counterInboundLinkFull)
 		return nil, failure.New(failure.Busy, "the link of %s is full of what comes in", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 	}
 	return func() {
--- a/daemon/sidecar/look.go
+++ b/daemon/sidecar/lookup.go
@@ -5,8 +5,8 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// Lookup gives what this sidecar's copy of the registry says of one server of a service;
-// it is false when the copy does not hold it.
+// Lookup gives what this sidecar's copy of the registry holds of an endpoint of a service; it is
+// false when the copy does not hold it.
 func (s *Sidecar) Lookup(service ident.Service, server ident.Server) (registry.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +18,7 @@
 	return registry.Entry{}, false
 }
 
-// ConfigRevision is that of the manifest in force here, 0 if none is.
+// ConfigRevision is the revision of the active configuration, 0 if there is none.
 func (s *Sidecar) ConfigRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/daemon/sidecar/maintenance.go
@@ -0,0 +1,90 @@
+package sidecar
+
+import (
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/mesh/endpoint"
+)
+
+const (
+	// maintenanceInterval is how often time-outs are looked at.
+	maintenanceInterval = 80 * time.Millisecond
+	// tidyEvery is at which of these rounds what is no longer used is dropped.
+	tidyEvery = 100
+)
+
+// runMaintenance lets time pass for all that depends on it: endpoints that fell silent, waiting
+// requests, the retry budget, a configuration whose wait is over.
+func (s *Sidecar) runMaintenance() {
+	ticker := time.NewTicker(maintenanceInterval)
+	defer ticker.Stop()
+	for round := 0; ; round++ {
+		select {
+		case <-ticker.C:
+		case <-s.done:
+			return
+		}
+		s.mu.Lock()
+		s.tick(s.clock())
+		if round%tidyEvery == 0 {
+			s.tidy(s.clock())
+		}
+		s.mu.Unlock()
+	}
+}
+
+// tick lets time pass; mu is held.
+func (s *Sidecar) tick(now monotime.Time) {
+	s.activatePending()
+	s.router.RetryBudget.Tick(now)
+	s.watchedClock() // it counts only the time between calls that follow closely
+	s.applyEndpointChange(s.endpoints.Tick(now))
+	s.slots.deliver(s.slots.queue.Tick(now))
+}
+
+// tidy drops connections that are not used and the statistics of endpoints that are gone; mu is
+// held.
+func (s *Sidecar) tidy(now monotime.Time) {
+	s.endpointExchange.Tidy()
+	s.peerExchange.Tidy()
+	s.router.Balancer.Prune(now, func(server ident.Server) bool {
+		_, ok := s.router.Index.Lookup(string(server))
+		return ok
+	})
+}
+
+// Heartbeat takes an endpoint's heartbeat.
+func (s *Sidecar) Heartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.count(counterHeartbeats)
+	return s.takeHeartbeat(heartbeat)
+}
+
+// takeHeartbeat takes an endpoint's heartbeat, and its slots unless it is rejected; mu is held.
+func (s *Sidecar) takeHeartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
+	now := s.clock()
+	change, fail := s.endpoints.HandleHeartbeat(now, heartbeat)
+	s.applyEndpointChange(change)
+	if fail != nil {
+		return fail
+	}
+	s.slots.update(now, heartbeat)
+	return nil
+}
+
+// applyEndpointChange carries out what a change of the endpoints of this machine asks for; mu
+// is held.
+func (s *Sidecar) applyEndpointChange(change endpoint.Change) {
+	for _, addr := range change.CloseAddrs {
+		s.endpointExchange.Drop(addr)
+	}
+	if change.Updated {
+		s.slots.sync(s.endpoints.Workloads())
+		s.reportChanged = true
+		s.renewer.wake()
+	}
+}
--- /dev/null
+++ b/daemon/sidecar/metrics.go
@@ -0,0 +1,135 @@
+package sidecar
+
+import "strings"
+
+// The counters and gauges of a sidecar. Those whose name ends with a separator are followed by a
+// reason, a kind of failure or a service.
+const (
+	counterHeartbeats              = "heartbeats"
+	counterProbes                  = "endpoint_probes"
+	counterResponses               = "responses"
+	counterRequestsFailedPrefix    = "requests_failed_"
+	counterQueueFull               = "rejected_queue_full"
+	counterLateInQueue             = "late_in_queue"
+	counterBodiesRejected          = "bodies_rejected"
+	counterInboundLinkFull         = "rejected_inbound_link_full"
+	counterOutboundLinkFull        = "rejected_outbound_link_full"
+	counterAdmissionRejectedPrefix = "admission_rejected_"
+	counterJoinsFailed             = "joins_failed"
+	counterRenewalsFailed          = "renewals_failed"
+	counterRenewalsLate            = "renewals_late"
+	counterBudgetRequestsFailed    = "budget_requests_failed"
+	counterWatchesFailed           = "watches_failed"
+	counterRegistryChanges         = "registry_changes"
+	counterConfigFetchesFailed     = "config_fetches_failed"
+	counterConfigsFromPeers        = "configs_from_peers"
+	counterDeltasApplied           = "deltas_applied"
+	counterDeltasRejected          = "deltas_rejected"
+
+	gaugeCalls                  = "calls"
+	gaugeCallsPrefix            = "calls."
+	gaugeRetries                = "retries"
+	gaugeRetriesPrefix          = "retries."
+	gaugeGaveUp                 = "gave_up"
+	gaugeNoRoute                = "no_route"
+	gaugeEndpointChecksPassed   = "endpoint_checks_passed"
+	gaugeEndpointChecksRejected = "endpoint_checks_rejected"
+	gaugeEndpointsForgotten     = "endpoints_forgotten"
+	gaugeRetryBudgetGranted     = "retry_budget_granted"
+	gaugeRetryBudgetDenied      = "retry_budget_denied"
+	gaugeRetryBudgetRefused     = "retry_budget_refused"
+	gaugeConfigRevision         = "config_revision"
+	gaugeInFlight               = "in_flight"
+	gaugeQueued                 = "queued"
+)
+
+// formerNames gives the names under which earlier releases published counters and gauges. They
+// are published under both for one release, as tools of operators read the old ones.
+var formerNames = map[string]string{
+	counterHeartbeats:              "beats",
+	counterProbes:                  "greetings",
+	counterResponses:               "returns",
+	counterRequestsFailedPrefix:    "ended_",
+	counterQueueFull:               "turned_away",
+	counterLateInQueue:             "late_in_line",
+	counterBodiesRejected:          "bodies_turned_away",
+	counterInboundLinkFull:         "bodies_not_asked_for",
+	counterOutboundLinkFull:        "link_turned_away",
+	counterAdmissionRejectedPrefix: "bay_turned_away_",
+	counterJoinsFailed:             "claims_failed",
+	counterBudgetRequestsFailed:    "shares_failed",
+	counterWatchesFailed:           "news_failed",
+	counterConfigFetchesFailed:     "manifest_fetches_failed",
+	counterConfigsFromPeers:        "manifests_from_peers",
+	counterDeltasRejected:          "deltas_refused",
+	gaugeRetries:                   "further_tries",
+	gaugeRetriesPrefix:             "further_tries.",
+	gaugeNoRoute:                   "no_way",
+	gaugeEndpointChecksPassed:      "gate_passed",
+	gaugeEndpointChecksRejected:    "gate_turned_away",
+	gaugeEndpointsForgotten:        "gate_forgotten",
+	gaugeRetryBudgetGranted:        "allowance_granted",
+	gaugeRetryBudgetDenied:         "allowance_denied",
+	gaugeRetryBudgetRefused:        "allowance_refused",
+	gaugeConfigRevision:            "manifest_epoch",
+	gaugeInFlight:                  "in_hand",
+}
+
+// formerPrefixes lists the prefixes in formerNames.
+var formerPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
+
+// formerName gives the former name of a counter or gauge; it is false when it has none.
+func formerName(name string) (string, bool) {
+	if former, ok := formerNames[name]; ok {
+		return former, true
+	}
+	for _, prefix := range formerPrefixes {
+		if rest, ok := strings.CutPrefix(name, prefix); ok {
+			return formerNames[prefix] + rest, true
+		}
+	}
+	return "", false
+}
+
+// count counts an event.
+func (s *Sidecar) count(counter string) {
+	s.Metrics.Add(counter, 1)
+	if former, ok := formerName(counter); ok {
+		s.Metrics.Add(former, 1)
+	}
+}
+
+func (s *Sidecar) setGauge(gauge string, value int64) {
+	s.Metrics.Set(gauge, value)
+	if former, ok := formerName(gauge); ok {
+		s.Metrics.Set(former, value)
+	}
+}
+
+// refreshGauges brings the gauges up to date; it runs before they are read.
+func (s *Sidecar) refreshGauges() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	router, budget := s.router, s.router.RetryBudget
+	for gauge, value := range map[string]uint64{
+		gaugeCalls:                  router.Calls,
+		gaugeRetries:                router.Retries,
+		gaugeGaveUp:                 router.GaveUp,
+		gaugeNoRoute:                router.NoRoutes,
+		gaugeEndpointChecksPassed:   s.endpoints.Accepted,
+		gaugeEndpointChecksRejected: s.endpoints.Rejected,
+		gaugeEndpointsForgotten:     s.endpoints.Expired,
+		gaugeRetryBudgetGranted:     budget.Granted,
+		gaugeRetryBudgetDenied:      budget.Denied,
+		gaugeRetryBudgetRefused:     budget.RejectedRepeats,
+		gaugeConfigRevision:         uint64(router.Revision()),
+	} {
+		s.setGauge(gauge, int64(value))
+	}
+	for service, totals := range budget.Totals() {
+		s.setGauge(gaugeCallsPrefix+string(service), totals[0])
+		s.setGauge(gaugeRetriesPrefix+string(service), totals[1])
+	}
+	s.setGauge(gaugeInFlight, int64(s.inFlight))
+	s.setGauge(gaugeQueued, int64(s.sendQueue.Len()))
+}
--- /dev/null
+++ b/daemon/sidecar/peernotices.go
@@ -0,0 +1,87 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/mesh/configcache"
+)
+
+const (
+	// RevisionNoticePath is where a sidecar takes the RevisionNotice of a peer.
+	RevisionNoticePath = "/cottonarch/v1/heard"
+
+	// noticeTimeout bounds the notice to one peer.
+	noticeTimeout = 250 * time.Millisecond
+	// A notice waits for a fetch that is under way, fetchWaitInterval at a time, at most
+	// maxFetchWaits times.
+	fetchWaitInterval = 10 * time.Millisecond
+	maxFetchWaits     = 15
+)
+
+// RevisionNotice tells a peer that a sidecar holds a revision and is about to make it active.
+type RevisionNotice struct {
+	Revision ident.Epoch `json:"epoch"`
+	From     ident.Addr  `json:"from"`
+}
+
+// RevisionAck is the answer: whether the peer holds that revision too, or a newer one.
+type RevisionAck struct {
+	Held bool `json:"held"`
+}
+
+// notifyPeer sends a notice to one peer.
+func (s *Sidecar) notifyPeer(peer ident.Addr, revision ident.Epoch) {
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+	defer cancel()
+	var ack RevisionAck
+	notice := RevisionNotice{Revision: revision, From: s.Settings.Addr}
+	err := s.apiClient.Ask(ctx, peer, http.MethodPost, RevisionNoticePath, notice, &ack)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.config.cache.HandleAck(revision, err == nil && ack.Held)
+	s.activatePending()
+}
+
+// ReceiveRevisionNotice takes a peer's notice. The configuration is fetched from that peer if it
+// does not come from a core meanwhile; a revision below what may become active here is neither
+// fetched nor acknowledged.
+func (s *Sidecar) ReceiveRevisionNotice(notice RevisionNotice) RevisionAck {
+	if !s.noteRevision(notice.Revision) {
+		return RevisionAck{Held: false}
+	}
+	if s.holdsRevision(notice.Revision) {
+		return RevisionAck{Held: true}
+	}
+	s.sleep(configcache.PullDelay)
+	for range maxFetchWaits {
+		if s.holdsRevision(notice.Revision) || s.config.fetching.Load() == 0 {
+			break
+		}
+		s.sleep(fetchWaitInterval)
+	}
+	if !s.holdsRevision(notice.Revision) && s.config.fetching.Load() == 0 {
+		s.fetchConfigOrCount(notice.From)
+	}
+	return RevisionAck{Held: s.holdsRevision(notice.Revision)}
+}
+
+// noteRevision notes that a peer holds a revision; it is false if that may not become active here.
+func (s *Sidecar) noteRevision(revision ident.Epoch) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if revision < s.router.MinRevision {
+		return false
+	}
+	s.config.cache.ObservePeer(s.clock(), revision)
+	return true
+}
+
+// holdsRevision tells whether that revision or a newer one is held here.
+func (s *Sidecar) holdsRevision(revision ident.Epoch) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.config.cache.NewestHeld(s.router.Revision()) >= revision
+}
--- /dev/null
+++ b/daemon/sidecar/peerqueries.go
@@ -0,0 +1,182 @@
+package sidecar
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+const (
+	// PeerStatePath is where a sidecar tells peers its PeerState.
+	PeerStatePath = "/cottonarch/v1/peer"
+
+	// peerQueryInterval is how often peers are asked, and maxPeersAsked how many at once.
+	peerQueryInterval = 250 * time.Millisecond
+	maxPeersAsked     = 8
+	// peerQueryTimeout bounds one request to a peer.
+	peerQueryTimeout = 400 * time.Millisecond
+)
+
+// PeerState is what a sidecar tells a peer that hears no core. Sets is left out when the peer has
+// the same, or does not want them.
+type PeerState struct {
+	// ConfigRevision is the newest revision that it holds.
+	ConfigRevision ident.Epoch `json:"manifest"`
+	// NewestKnownRevision is the newest that it knows some sidecar to hold.
+	NewestKnownRevision ident.Epoch  `json:"heard"`
+	Joined              bool         `json:"entered"`
+	Sets                []record.Set `json:"sets,omitempty"`
+}
+
+// peerQuerier is the duty that asks peers for a newer configuration, and for their copy of the
+// registry, while no core is heard.
+type peerQuerier struct{ sidecar *Sidecar }
+
+// run is the duty's loop.
+func (d *peerQuerier) run() {
+	ticker := time.NewTicker(peerQueryInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+		case <-d.sidecar.done:
+			return
+		}
+		if peers, wantRegistry, due := d.due(); due {
+			d.queryAll(d.withSeeds(peers), wantRegistry)
+		}
+	}
+}
+
+// due tells whether peers are to be asked now, which ones are known, and whether their registry
+// is wanted.
+func (d *peerQuerier) due() (peers []ident.Addr, wantRegistry, due bool) {
+	s := d.sidecar
+	now := s.clock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.config.cache.ShouldAskPeers(now, s.lastCoreContact, s.router.Revision()) {
+		return nil, false, false
+	}
+	return s.peerAddrs(), s.config.cache.CoresSilent(now, s.lastCoreContact), true
+}
+
+// peerAddrs lists the other sidecars that the registry names; mu is held.
+func (s *Sidecar) peerAddrs() []ident.Addr {
+	var peers []ident.Addr
+	for _, set := range s.router.Index.Sets() {
+		for _, address := range set.Records {
+			if address.Workload == nil {
+				continue
+			}
+			addr := address.Workload.SidecarAddr
+			if addr != s.Settings.Addr && !slices.Contains(peers, addr) {
+				peers = append(peers, addr)
+			}
+		}
+	}
+	return peers
+}
+
+// withSeeds adds the seeds that may be asked as peers now.
+func (d *peerQuerier) withSeeds(peers []ident.Addr) []ident.Addr {
+	for _, seed := range d.sidecar.Settings.Seeds {
+		if !slices.Contains(peers, seed) && d.mayQuerySeed(seed) {
+			peers = append(peers, seed)
+		}
+	}
+	return peers
+}
+
+func (d *peerQuerier) mayQuerySeed(seed ident.Addr) bool {
+	s := d.sidecar
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.cores.mayQuerySeed(s.clock(), seed)
+}
+
+func (d *peerQuerier) noteSeedAnswer(seed ident.Addr, err error) {
+	s := d.sidecar
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cores.noteSeedAnswer(s.clock(), seed, err)
+}
+
+// queryAll asks some of the peers at random, and waits for their answers. Only one of them is
+// asked for its registry: that of all would fill a small link.
+func (d *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
+	shuffle(peers)
+	var queries sync.WaitGroup
+	for i, peer := range peers[:min(len(peers), maxPeersAsked)] {
+		queries.Add(1)
+		go func() {
+			defer queries.Done()
+			d.query(peer, wantRegistry && i == 0)
+		}()
+	}
+	queries.Wait()
+}
+
+// query asks one peer for its state, and takes what is newer.
+func (d *peerQuerier) query(peer ident.Addr, wantRegistry bool) {
+	s := d.sidecar
+	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
+	defer cancel()
+	var state PeerState
+	err := s.apiClient.Ask(ctx, peer, http.MethodGet, s.peerStateQuery(wantRegistry), nil, &state)
+	d.noteSeedAnswer(peer, err)
+	if err != nil {
+		return
+	}
+	if d.take(state) && s.fetchConfig(peer) == nil {
+		s.count(counterConfigsFromPeers)
+	}
+}
+
+// peerStateQuery is the path of a request for a peer's state. With the registry, it names the
+// copy that is here, so that the same is not sent again.
+func (s *Sidecar) peerStateQuery(wantRegistry bool) string {
+	if !wantRegistry {
+		return PeerStatePath + "?brief=1"
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return PeerStatePath + "?have=" + registryDigest(s.router.Index.Sets())
+}
+
+// take takes a peer's state, and tells whether its configuration is newer and may be taken.
+func (d *peerQuerier) take(state PeerState) (newer bool) {
+	s := d.sidecar
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.router.Index.Merge(state.Sets) {
+		s.configWatch.resync.Store(true)
+		s.configWatch.redirectTo(s.lease.Followed())
+	}
+	now := s.clock()
+	s.config.cache.HandlePeerAnswer(now, state.NewestKnownRevision, state.Joined)
+	return state.ConfigRevision > s.config.cache.NewestHeld(s.router.Revision()) && s.config.cache.TrustsPeers(now)
+}
+
+// registryDigest is a hash of a copy of the registry, by which a peer tells whether it has the
+// same.
+func registryDigest(sets []record.Set) string {
+	digest := fnv.New64a()
+	for _, set := range sets {
+		_, _ = fmt.Fprintf(digest, "%s %d %d %d %v\n", set.Author, set.LeaseEpoch, set.Seq, set.ConfigRevision, set.Lapsed)
+	}
+	return strconv.FormatUint(digest.Sum64(), 36)
+}
+
+func shuffle(addrs []ident.Addr) {
+	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+}
--- a/daemon/sidecar/early_test.go
+++ b/daemon/sidecar/peerrejection_test.go
@@ -23,7 +23,7 @@
 	rejecting.Settings.MaxInFlight = 0
 	s := newTestSidecar("a", "127.0.0.1:1")
 	s.addWorkloads("b", startPeerServer(t, stage.peer.Load), "b0", "b1")
-	s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
+	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	for round := range 2 {
 		stage.peer.Store(rejecting)
 		for _, size := range []int{100, 300 << 10, 16 << 20} {
--- a/daemon/sidecar/head_test.go
+++ b/daemon/sidecar/peerresult_test.go
@@ -22,8 +22,8 @@
 		http.MethodPost: {resultRejected: attempt.Unknown, resultNoCapacity: attempt.Unknown, resultShed: attempt.Unknown, resultUnknown: attempt.Unknown},
 	} {
 		for result, want := range wantByResult {
-			request := &queuedRequest{outgoing: exchange.Call{Method: method}}
-			resp, attemptEnd := parsePeerResponse(request, &exchange.Return{Status: 503, Header: http.Header{PeerResultHeader: {result}}})
+			call := exchange.Call{Method: method}
+			resp, attemptEnd := parsePeerResponse(call, &exchange.Return{Status: 503, Header: http.Header{PeerResultHeader: {result}}})
 			must.Nil(t, resp)
 			must.Eq(t, want, attemptEnd.Outcome, must.Sprint(method, result))
 			must.Eq(t, want == attempt.NotExecuted, attemptEnd.Failure.Outcome == failure.NotExecuted)
--- /dev/null
+++ b/daemon/sidecar/peerserver.go
@@ -0,0 +1,118 @@
+package sidecar
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/wire/exchange"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// urgentReserveFraction: a quarter of the requests that may be in flight is kept for urgent
+// routes.
+const urgentReserveFraction = 4
+
+// peerRejection is why a request of another sidecar does not go to the endpoint.
+type peerRejection struct {
+	result  string
+	failure *failure.Error
+}
+
+// ServePeer serves another sidecar's request for an endpoint of this machine; it is false when
+// the request is none.
+func (s *Sidecar) ServePeer(w http.ResponseWriter, r *http.Request) bool {
+	if r.Header.Get(TargetHeader) == "" || r.Header.Get(ServiceHeader) == "" {
+		return false
+	}
+	if !s.beginPeerRequest(r.Header.Get(UrgentHeader) != "") {
+		writePeerFailure(w, resultRejected, failure.New(failure.Busy, "too many requests are in hand at %s", s.Settings.Node))
+		return true
+	}
+	defer s.endRequest()
+	request, release, rejection := s.readPeerRequest(r)
+	if rejection != nil {
+		writePeerFailure(w, rejection.result, rejection.failure)
+		return true
+	}
+	defer release()
+	if fail := s.reserveOutbound(request.hints); fail != nil {
+		w.Header()[LoadReportHeader] = []string{s.loadReport(request.server)}
+		writePeerFailure(w, resultNoCapacity, fail)
+		return true
+	}
+	result := s.sendToEndpoint(request)
+	s.releaseOutbound(request.hints, result.response)
+	writePeerResult(w, result)
+	return true
+}
+
+// beginPeerRequest counts a request of another sidecar; it is false when too many are in flight.
+func (s *Sidecar) beginPeerRequest(urgent bool) bool {
+	limit := s.Settings.MaxInFlight
+	if !urgent {
+		limit -= limit / urgentReserveFraction
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.inFlight >= limit {
+		return false
+	}
+	s.inFlight++
+	return true
+}
+
+// readPeerRequest reads the whole request of another sidecar. The body is asked for only when
+// the link has room for it. release must be called when the request is over.
+func (s *Sidecar) readPeerRequest(r *http.Request) (request endpointRequest, release func(), rejection *peerRejection) {
+	limitMs, err := strconv.Atoi(r.Header.Get(LimitHeader))
+	if err != nil || limitMs <= 0 {
+		return request, nil, &peerRejection{resultRejected, failure.New(failure.DeadlineExceeded, "no time is left")}
+	}
+	request = endpointRequest{
+		server:        ident.Server(r.Header.Get(TargetHeader)),
+		service:       ident.Service(r.Header.Get(ServiceHeader)),
+		deadline:      time.Now().Add(time.Duration(limitMs) * time.Millisecond),
+		retryFraction: parseRetryFraction(r.Header.Get(RetryFractionHeader)),
+		hints:         parseHints(r.Header.Get(AdmissionHintsHeader)),
+	}
+	received, fail := s.reserveInbound(r.ContentLength)
+	if fail != nil {
+		return request, nil, &peerRejection{resultNoCapacity, fail}
+	}
+	body, release, fail := s.readRequest(r)
+	received()
+	if fail != nil {
+		return request, nil, &peerRejection{resultRejected, fail}
+	}
+	request.call = exchange.Call{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: stripMeshHeaders(r.Header), Body: body}
+	return request, release, nil
+}
+
+// parseRetryFraction reads RetryFractionHeader; what is missing or can't be read is 0.
+func parseRetryFraction(text string) float64 {
+	fraction, _ := strconv.ParseFloat(text, 64)
+	return min(1, max(0, fraction))
+}
+
+// writePeerFailure writes the result of a request that brought no response.
+func writePeerFailure(w http.ResponseWriter, result string, fail *failure.Error) {
+	w.Header().Set(PeerResultHeader, result)
+	response.Defect(w, fail)
+}
+
+// writePeerResult writes what became of a request at the endpoint.
+func writePeerResult(w http.ResponseWriter, result endpointResult) {
+	if result.loadReport != "" {
+		w.Header()[LoadReportHeader] = []string{result.loadReport}
+	}
+	if result.failure != nil {
+		writePeerFailure(w, result.result, result.failure)
+		return
+	}
+	w.Header()[PeerResultHeader] = []string{resultResponse}
+	w.Header()[TookHeader] = []string{strconv.FormatInt(result.duration.Microseconds(), 10)}
+	writeResponse(w, result.response)
+}
--- a/daemon/sidecar/renew_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -24,7 +24,7 @@
 func TestLateRenewalKeepsItsConnection(t *testing.T) {
 	answerNow := make(chan struct{})
 	var connections, requests atomic.Int64
-	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if requests.Add(1) == 1 {
 			<-answerNow
 		}
@@ -40,7 +40,7 @@
 	core := ident.Addr(strings.TrimPrefix(server.URL, "http://"))
 	s := New(settings.Sidecar{Seeds: []ident.Addr{core}}, zap.NewNop())
 	s.leaseHeld.Store(true)
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 
 	began := time.Now()
 	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(answerNow) })
@@ -49,7 +49,7 @@
 	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
 	must.Eq(t, int64(1), s.Metrics.Counter("renewals_late").Load())
 	s.mu.Lock()
-	must.True(t, s.configCache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
+	must.True(t, s.config.cache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
 	s.mu.Unlock()
 
 	s.renew(core, record.Renewal{})
@@ -68,8 +68,8 @@
 		must.NoError(t, json.Unmarshal(rec.Body.Bytes(), &p))
 		must.Len(t, sets, p.Sets, must.Sprint(query))
 	}
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 	now := s.clock()
-	must.False(t, s.configCache.CoresSilent(now, now))
-	must.True(t, s.configCache.CoresSilent(now.Add(time.Second), now))
+	must.False(t, s.config.cache.CoresSilent(now, now))
+	must.True(t, s.config.cache.CoresSilent(now.Add(time.Second), now))
 }
--- /dev/null
+++ b/daemon/sidecar/status.go
@@ -0,0 +1,49 @@
+package sidecar
+
+import (
+	"slices"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+// Status is what the status page shows. The keys of earlier releases stand first, in their order;
+// those whose field is named Former are published for one release beside the new ones.
+type Status struct {
+	FormerLeaseEpoch         ident.Epoch       `json:"claim"`
+	Cores                    []ident.Addr      `json:"cores"`
+	FormerConfigRevision     ident.Epoch       `json:"manifest"`
+	Node                     ident.Node        `json:"node"`
+	Ready                    bool              `json:"ready"`
+	RegistrySets             int               `json:"sets"`
+	FormerBudgetShare        int               `json:"share"`
+	FormerBudgetShareGranted int               `json:"shareGranted"`
+	Workloads                []record.Workload `json:"workloads"`
+
+	LeaseEpoch         ident.Epoch `json:"leaseEpoch"`
+	ConfigRevision     ident.Epoch `json:"configRevision"`
+	BudgetShare        int         `json:"budgetShare"`        // that may be spent now
+	BudgetShareGranted int         `json:"budgetShareGranted"` // that may be spent while the lease is renewed
+}
+
+// Status gives the Status.
+func (s *Sidecar) Status() any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	status := Status{
+		Cores:              slices.Clone(s.cores.addrs),
+		Node:               s.Settings.Node,
+		Ready:              s.Ready(),
+		RegistrySets:       len(s.router.Index.Sets()),
+		Workloads:          s.endpoints.Workloads(),
+		LeaseEpoch:         s.leaseEpoch,
+		ConfigRevision:     s.router.Revision(),
+		BudgetShare:        s.router.RetryBudget.Share(s.clock()),
+		BudgetShareGranted: s.budgetShare.Usable(),
+	}
+	status.FormerLeaseEpoch = status.LeaseEpoch
+	status.FormerConfigRevision = status.ConfigRevision
+	status.FormerBudgetShare = status.BudgetShare
+	status.FormerBudgetShareGranted = status.BudgetShareGranted
+	return status
+}
