--- a/control/leasetable/ends.go
+++ b/control/leasetable/attemptcounts.go
@@ -9,10 +9,11 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// attemptCounts counts how tries ended, by service.
+// attemptCounts counts by service how attempts ended.
 type attemptCounts map[ident.Service]reconcile.CallCounts
 
-// addGrowth adds what one count grew by over another.
+// addGrowth adds by how much one count grew over another. A count that fell is that of a process
+// that began anew: it adds nothing.
 func (counts attemptCounts) addGrowth(previous, current attemptCounts) {
 	for service, count := range current {
 		old := previous[service]
@@ -20,53 +21,60 @@
 			continue
 		}
 		sum := counts[service]
-		counts[service] = reconcile.CallCounts{Total: sum.Total + count.Total - old.Total, Failed: sum.Failed + count.Failed - old.Failed}
+		counts[service] = reconcile.CallCounts{
+			Total:  sum.Total + count.Total - old.Total,
+			Failed: sum.Failed + count.Failed - old.Failed,
+		}
 	}
 }
 
-// attemptTotals are the ends of all nodes since this core began. Invariants: local is counted from
-// renewals taken here, all from those and from the other cores' own; what a core says
-// first in a run of it only sets the base.
+// attemptTotals sums the attempts of all sidecars since this core began. Invariants: local is
+// counted from the renewals taken here, all from those and from the other cores' local totals;
+// the first totals of a core's run are only the base of what it counts later.
 type attemptTotals struct {
 	local, all attemptCounts
-	reported   map[ident.Addr]attemptCounts
-	instances  map[ident.Addr]string
+	reported   map[ident.Addr]attemptCounts // by other cores, last
+	instances  map[ident.Addr]string        // the runs of those cores
 }
 
 func newAttemptTotals() attemptTotals {
-	return attemptTotals{local: attemptCounts{}, all: attemptCounts{}, reported: map[ident.Addr]attemptCounts{}, instances: map[ident.Addr]string{}}
+	return attemptTotals{
+		local:     attemptCounts{},
+		all:       attemptCounts{},
+		reported:  map[ident.Addr]attemptCounts{},
+		instances: map[ident.Addr]string{},
+	}
 }
 
-// countAttempts adds what a node's sums grew by since its last renewal here; a new lease begins
-// at nought, and the first that is heard of a node, or is heard again, only sets the base.
+// countAttempts adds by how much a sidecar's counts grew since its last renewal here. A new lease
+// begins at 0; the counts of a sidecar that has not renewed here lately are only a base.
 func (t *Table) countAttempts(now monotime.Time, e *entry, renewal record.Renewal) {
 	if renewal.AttemptCounts == nil {
 		return
 	}
 	old := attemptCounts(e.attemptCounts)
-	known := e.lastRenewal != 0 && now.Since(e.lastRenewal) <= LeaseTTL
 	if renewal.LeaseEpoch != e.report.LeaseEpoch {
 		old = attemptCounts{}
 	}
-	if known && old != nil {
+	if old != nil && e.renewedWithin(now, LeaseTTL) {
 		t.totals.local.addGrowth(old, renewal.AttemptCounts)
 		t.totals.all.addGrowth(old, renewal.AttemptCounts)
 	}
 	e.attemptCounts = renewal.AttemptCounts
 }
 
-// AttemptCounts sums how the tries at a service ended, over all nodes, since this core began.
+// AttemptCounts sums how the attempts at a service ended, over all sidecars, since this core
+// began.
 func (t *Table) AttemptCounts(service ident.Service) reconcile.CallCounts {
 	return t.totals.all[service]
 }
 
-// LocalAttemptCounts sums the same over the renewals taken here.
+// LocalAttemptCounts gives the same over the renewals taken here, for the other cores.
 func (t *Table) LocalAttemptCounts() map[ident.Service]reconcile.CallCounts {
 	return maps.Clone(t.totals.local)
 }
 
-// AddRemoteAttemptCounts takes another core's sums of the renewals taken there, in the run of it that is
-// named.
+// AddRemoteAttemptCounts takes the LocalAttemptCounts of another core; instance names its run.
 func (t *Table) AddRemoteAttemptCounts(from ident.Addr, instance string, counts map[ident.Service]reconcile.CallCounts) {
 	if counts == nil {
 		return
--- /dev/null
+++ b/control/leasetable/feed.go
@@ -0,0 +1,78 @@
+package leasetable
+
+import (
+	"slices"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+// Config is the newest configuration that this core knows, nil if none.
+func (t *Table) Config() *validation.Config { return t.config }
+
+func (t *Table) configRevision() ident.Epoch {
+	if t.config == nil {
+		return 0
+	}
+	return t.config.Revision
+}
+
+// SetConfig takes a newer configuration, and tells whether it is one. A set whose records stay as
+// they are is not fed anew; it only carries the newer revision from now on.
+func (t *Table) SetConfig(config *validation.Config) bool {
+	if t.config != nil && config.Revision <= t.config.Revision {
+		return false
+	}
+	t.config = config
+	t.feedVersion++
+	t.servicesVersion, t.services = t.feedVersion, record.FromConfig(config)
+	for _, node := range t.order {
+		e := t.entries[node]
+		if slices.EqualFunc(e.set.Records, record.FromReport(e.report, config), sameRecord) {
+			e.set.ConfigRevision = config.Revision
+			continue
+		}
+		t.rebuild(e)
+	}
+	return true
+}
+
+// sameRecord tells whether two records that were built from one report are the same.
+func sameRecord(a, b record.Address) bool {
+	return a.Workload != nil && b.Workload != nil && a.Workload.UID == b.Workload.UID && a.Workload.Namespace == b.Workload.Namespace
+}
+
+// rebuild builds the records of a sidecar anew, as a change that is fed.
+func (t *Table) rebuild(e *entry) {
+	t.feedVersion++
+	e.feedVersion = t.feedVersion
+	e.set = record.Set{
+		Author:         e.report.Node,
+		LeaseEpoch:     e.report.LeaseEpoch,
+		Seq:            e.report.Seq,
+		ConfigRevision: t.configRevision(),
+		Lapsed:         e.lapsed,
+		Records:        record.FromReport(e.report, t.config),
+	}
+}
+
+// FeedVersion is the version of the newest change.
+func (t *Table) FeedVersion() uint64 { return t.feedVersion }
+
+// ChangesSince gives every set that changed after a version of this table's feed.
+func (t *Table) ChangesSince(version uint64) []record.Set {
+	sets := []record.Set{}
+	if t.feedVersion <= version {
+		return sets
+	}
+	if t.servicesVersion > version {
+		sets = append(sets, t.services)
+	}
+	for _, node := range t.order {
+		if e := t.entries[node]; e.feedVersion > version {
+			sets = append(sets, e.set)
+		}
+	}
+	return sets
+}
--- /dev/null
+++ b/control/leasetable/members.go
@@ -0,0 +1,69 @@
+package leasetable
+
+import (
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+)
+
+// Member is one sidecar as this core sees it.
+type Member struct {
+	Node       ident.Node  `json:"node"`
+	Addr       ident.Addr  `json:"addr"`
+	Zone       ident.Zone  `json:"district"`
+	LeaseEpoch ident.Epoch `json:"claim"`
+	// ConfigRevision is that of the sidecar's last renewal here, or of the last change that its
+	// registrar passed on.
+	ConfigRevision ident.Epoch `json:"manifest"`
+	Ready          bool        `json:"ready"`
+	Lapsed         bool        `json:"lapsed"`
+	Servers        int         `json:"servers"`
+}
+
+// Members lists the sidecars by name.
+func (t *Table) Members() []Member {
+	members := []Member{}
+	for _, node := range t.order {
+		e := t.entries[node]
+		members = append(members, Member{
+			Node:           node,
+			Addr:           e.report.Addr,
+			Zone:           e.report.Zone,
+			LeaseEpoch:     e.report.LeaseEpoch,
+			ConfigRevision: e.report.ConfigRevision,
+			Ready:          e.report.Ready,
+			Lapsed:         e.lapsed,
+			Servers:        len(e.report.Workloads),
+		})
+	}
+	return members
+}
+
+// LeaseEpoch is the epoch of the newest lease of a sidecar that is known here, 0 if none.
+func (t *Table) LeaseEpoch(node ident.Node) ident.Epoch {
+	if e := t.entries[node]; e != nil {
+		return e.report.LeaseEpoch
+	}
+	return 0
+}
+
+// LiveCount counts the sidecars whose lease holds.
+func (t *Table) LiveCount() (count int) {
+	for _, e := range t.entries {
+		if !e.lapsed {
+			count++
+		}
+	}
+	return count
+}
+
+// Silent gives those of the sidecars that showed no sign of life within SilentAfter.
+func (t *Table) Silent(now monotime.Time, nodes []ident.Node) []ident.Node {
+	var silent []ident.Node
+	for _, node := range nodes {
+		e := t.entries[node]
+		if e == nil || now.Since(t.lastSeen(node, e)) > SilentAfter {
+			silent = append(silent, node)
+		}
+	}
+	return silent
+}
--- /dev/null
+++ b/control/leasetable/table_test.go
@@ -0,0 +1,168 @@
+package leasetable
+
+import (
+	"maps"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+func timeAt(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
+
+func newRenewal(node ident.Node, leaseEpoch ident.Epoch, seq, number uint64) record.Renewal {
+	return record.Renewal{Node: node, LeaseEpoch: leaseEpoch, Seq: seq, Number: number, Report: &record.Report{Node: node, LeaseEpoch: leaseEpoch, Seq: seq}}
+}
+
+func lapsed(t *testing.T, table *Table, node ident.Node) bool {
+	for _, member := range table.Members() {
+		if member.Node == node {
+			return member.Lapsed
+		}
+	}
+	t.Fatalf("%s is not known", node)
+	return false
+}
+
+// Four updates of a registrar and its heartbeat, in every order, some lost and some twice: the
+// list that another core holds is right whenever it accepts a heartbeat, and the full update
+// always repairs it.
+func TestAllOrdersOfARegistrarsUpdates(t *testing.T) {
+	registrar := New()
+	var updates []Update
+	announced := map[uint64]map[ident.Node]leaseVersion{}
+	step := func(do func()) {
+		do()
+		update, due := registrar.PendingUpdate()
+		must.True(t, due)
+		updates = append(updates, update)
+		announced[update.Sum] = maps.Clone(registrar.local.leases)
+	}
+	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("a", 1, 1, 1)) })
+	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("b", 1, 1, 1)) })
+	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("a", 1, 2, 2)) })
+	step(func() { // b falls silent
+		_, _ = registrar.Renew(timeAt(2*time.Second), newRenewal("a", 1, 2, 3))
+		registrar.Tick(timeAt(2 * time.Second))
+	})
+	full, ok := registrar.FullUpdate()
+	must.True(t, ok)
+	const heartbeat = 4
+	accepted, rejected := 0, 0
+	for order := range 5 * 5 * 5 * 5 * 5 * 5 {
+		table, now := New(), timeAt(2*time.Second)
+		for rest, i := order, 0; i < 6; rest, i = rest/5, i+1 {
+			now = now.Add(10 * time.Millisecond)
+			event := rest % 5
+			if event != heartbeat {
+				table.ApplyUpdate(now, "core:1", updates[event])
+				continue
+			}
+			if table.Heartbeat(now, "core:1", full.Sum) {
+				accepted++
+				must.Eq(t, announced[full.Sum], table.registrars["core:1"].leases, must.Sprintf("order %d", order))
+				must.False(t, lapsed(t, table, "a"))
+			} else {
+				rejected++
+			}
+		}
+		_, fits := table.ApplyUpdate(now, "core:1", full)
+		must.True(t, fits)
+		must.True(t, table.Heartbeat(now, "core:1", full.Sum))
+		must.Eq(t, announced[full.Sum], table.registrars["core:1"].leases)
+		must.Eq(t, uint64(2), table.entries["a"].report.Seq)
+	}
+	must.Positive(t, accepted)
+	must.Positive(t, rejected)
+}
+
+// The registrar of a sidecar falls silent, drops it, or is another one now: the lease holds as
+// long as any registrar that is heard lists it, and lapses when none does.
+func TestLeaseLapsesOnlyWhenNobodyHearsIt(t *testing.T) {
+	updateOf := func(node ident.Node) Update {
+		registrar := New()
+		_, _ = registrar.Renew(timeAt(0), newRenewal(node, 1, 1, 1))
+		update, _ := registrar.PendingUpdate()
+		return update
+	}
+	update, removal := updateOf("a"), Update{Removed: []ident.Node{"a"}}
+	removal.BaseSum = update.Sum
+	for name, c := range map[string]struct {
+		secondRegistrar, heartbeats, drop, direct bool
+		lapsed                                    bool
+	}{
+		"the registrar sends its heartbeat":              {heartbeats: true},
+		"the registrar is silent":                        {lapsed: true},
+		"the registrar dropped it":                       {heartbeats: true, drop: true, lapsed: true},
+		"another registrar has it":                       {secondRegistrar: true, heartbeats: true, drop: true},
+		"it renews here":                                 {direct: true},
+		"it renews here and its old registrar drops it":  {direct: true, heartbeats: true, drop: true},
+		"two registrars had it and both are silent now":  {secondRegistrar: true, lapsed: true},
+		"its registrar dropped it and another is silent": {secondRegistrar: true, drop: true, lapsed: true},
+	} {
+		table := New()
+		table.ApplyUpdate(timeAt(0), "core:1", update)
+		if c.secondRegistrar {
+			table.ApplyUpdate(timeAt(0), "core:2", update)
+		}
+		for ms := time.Duration(0); ms < 4000; ms += 50 {
+			now := timeAt(ms * time.Millisecond)
+			if c.heartbeats && ms%300 == 0 {
+				if !c.drop || ms < 1500 {
+					must.True(t, table.Heartbeat(now, "core:1", update.Sum), must.Sprint(name))
+				} else {
+					must.True(t, table.Heartbeat(now, "core:1", 0), must.Sprint(name))
+				}
+				if c.secondRegistrar {
+					must.True(t, table.Heartbeat(now, "core:2", update.Sum))
+				}
+			}
+			if c.drop && ms == 1450 {
+				table.ApplyUpdate(now, "core:1", removal)
+			}
+			if c.direct && ms%400 == 0 {
+				_, fail := table.Renew(now, record.Renewal{Node: "a", LeaseEpoch: 1, Seq: 1, Number: uint64(ms)})
+				must.Nil(t, fail)
+			}
+			table.Tick(now)
+			if ms < 1400 {
+				must.False(t, lapsed(t, table, "a"), must.Sprintf("%s at %d", name, ms))
+			}
+		}
+		must.Eq(t, c.lapsed, lapsed(t, table, "a"), must.Sprint(name))
+		must.Eq(t, 0, len(table.Silent(timeAt(20*time.Second), []ident.Node{"a"})), must.Sprint(name))
+		must.Eq(t, 1, len(table.Silent(timeAt(40*time.Second), []ident.Node{"a"})), must.Sprint(name))
+	}
+}
+
+// A renewal without a report is taken only where the report is known, and that of a superseded
+// lease is rejected by every core that knows the newer one.
+func TestRenewalsWithoutAReport(t *testing.T) {
+	registrar := New()
+	_, _ = registrar.Renew(timeAt(0), newRenewal("a", 2, 3, 1))
+	update, _ := registrar.PendingUpdate()
+	for _, c := range []struct {
+		leaseEpoch   ident.Epoch
+		seq          uint64
+		knowsReport  bool
+		reportWanted bool
+		rejected     bool
+	}{
+		{2, 3, true, false, false}, {2, 4, true, true, false}, {3, 1, true, true, false}, {2, 2, true, false, false}, {1, 9, true, false, true},
+		{2, 3, false, true, false}, {1, 9, false, true, false},
+	} {
+		table := New()
+		if c.knowsReport {
+			table.ApplyUpdate(timeAt(0), "core:1", update)
+		}
+		got, fail := table.Renew(timeAt(0), record.Renewal{Node: "a", LeaseEpoch: c.leaseEpoch, Seq: c.seq, Number: 7})
+		must.Eq(t, c.rejected, fail != nil, must.Sprintf("%+v", c))
+		must.Eq(t, c.reportWanted, got.ReportWanted, must.Sprintf("%+v", c))
+		_, registered := table.local.leases["a"]
+		must.Eq(t, c.knowsReport && c.leaseEpoch == 2 && c.seq == 3, registered, must.Sprintf("%+v", c))
+	}
+}
--- /dev/null
+++ b/daemon/api/mesh/watch_test.go
@@ -0,0 +1,18 @@
+package mesh
+
+import (
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+// A lone change goes out soon; changes that follow one another closely are gathered for
+// longer, but never a manifest.
+func TestChangesInQuickSuccessionAreGathered(t *testing.T) {
+	must.Eq(t, batchDelay, batchDelayFor(time.Second, false))
+	must.Eq(t, batchDelay, batchDelayFor(recentPollAge, false))
+	must.Eq(t, burstBatchDelay, batchDelayFor(0, false))
+	must.Eq(t, burstBatchDelay, batchDelayFor(recentPollAge-1, false))
+	must.Eq(t, batchDelay, batchDelayFor(0, true))
+}
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -10,88 +10,93 @@
 )
 
 const (
-	requestInterval = 5 * time.Second
-	requestTimeout  = 4 * time.Second
+	// raiseInterval is how often a larger share is asked for.
+	raiseInterval = 5 * time.Second
+	// requestTimeout is after how long a request that was not answered may be sent again.
+	requestTimeout = 4 * time.Second
 )
 
-// BudgetShare is a sidecar's own view of its share. Invariants: Usable is never above what
-// the core last granted, nor, once a promise is sent, above that promise until a
-// response to that or a later question says more.
+// BudgetShare is a sidecar's view of its share of the mesh's retry budget. Invariants: Usable is
+// never above what the cores last granted; once a request to lower the share was sent, it is not
+// above the amount of that request until the response to it or to a later one allows more.
 type BudgetShare struct {
-	// Terms are this sidecar's own; the smaller of its total and the cores' rules.
+	// Terms are this sidecar's own limits: the smaller of its total and the cores' holds.
 	Terms       retrybudget.Limits
-	total       int
+	total       int // of the whole mesh
 	granted     int
 	usable      int
-	fair        int
+	fair        int // what each sidecar may have, if all have the same
 	loweredAt   monotime.Time
-	seq         uint64
-	outstanding bool
+	seq         uint64 // of the newest request
+	outstanding bool   // it was not answered yet
 	requestedAt monotime.Time
 }
 
-// Start takes the first grant of a lease.
-func (budget *BudgetShare) Start(now monotime.Time, grant quota.Share) {
-	*budget = BudgetShare{Terms: budget.Terms, total: budget.totalWithin(grant), granted: grant.Amount, usable: min(grant.Amount, grant.FairShare), fair: grant.FairShare, requestedAt: now, loweredAt: now}
+// Start takes the grant that comes with a lease.
+func (s *BudgetShare) Start(now monotime.Time, grant quota.Share) {
+	*s = BudgetShare{
+		Terms:       s.Terms,
+		total:       s.smallerTotal(grant),
+		granted:     grant.Amount,
+		usable:      min(grant.Amount, grant.FairShare),
+		fair:        grant.FairShare,
+		requestedAt: now,
+		loweredAt:   now,
+	}
 }
 
-// totalWithin is the smaller of the own total and the one that was told.
-func (budget *BudgetShare) totalWithin(grant quota.Share) int {
-	own := budget.Terms.WithDefaults().Extra
+// smallerTotal is the smaller of this sidecar's total and the cores'.
+func (s *BudgetShare) smallerTotal(grant quota.Share) int {
+	own := s.Terms.WithDefaults().Extra
 	if grant.Total != 0 {
 		return min(own, grant.Total)
 	}
 	return own
 }
 
-// Usable is what may be spent of the share.
-func (budget *BudgetShare) Usable() int { return budget.usable }
+// Usable is how many retries may be in flight.
+func (s *BudgetShare) Usable() int { return s.usable }
 
-// SetMembers tells how many sidecars a core sees now; more of them lower what is used at
-// once.
-func (budget *BudgetShare) SetMembers(now monotime.Time, members int) {
-	budget.fair = quota.FairShare(budget.total, members)
-	budget.lowerToFair(now)
+// SetMembers takes how many sidecars a core sees. When there are more, less is used at once.
+func (s *BudgetShare) SetMembers(now monotime.Time, members int) {
+	s.fair = quota.FairShare(s.total, members)
+	s.lowerToFair(now)
 }
 
-// lowerToFair uses no more than the fair share, from now on.
-func (budget *BudgetShare) lowerToFair(now monotime.Time) {
-	if budget.fair < budget.usable {
-		budget.usable, budget.loweredAt = budget.fair, now
+// lowerToFair uses no more than the fair share from now on.
+func (s *BudgetShare) lowerToFair(now monotime.Time) {
+	if s.fair < s.usable {
+		s.usable, s.loweredAt = s.fair, now
 	}
 }
 
-// NextRequest gives the question to send to a core now, if there is one: a promise to use
-// less, or the wish for more.
-func (budget *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (quota.Args, bool) {
-	if budget.outstanding && now.Since(budget.requestedAt) < requestTimeout {
+// NextRequest gives the request to send to a core now, if one is due: to lower the grant to what
+// is used, once no retry from before can be in flight, or to raise it.
+func (s *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (quota.Args, bool) {
+	if s.outstanding && now.Since(s.requestedAt) < requestTimeout {
 		return quota.Args{}, false
 	}
-	lower := budget.usable < budget.granted && now.Since(budget.loweredAt) > budget.Terms.SettleTime()
-	raise := budget.usable == budget.granted && budget.granted < budget.fair && now.Since(budget.requestedAt) > requestInterval
+	lower := s.usable < s.granted && now.Since(s.loweredAt) > s.Terms.SettleTime()
+	raise := s.usable == s.granted && s.granted < s.fair && now.Since(s.requestedAt) > raiseInterval
 	if !lower && !raise {
 		return quota.Args{}, false
 	}
-	budget.seq++
-	budget.outstanding, budget.requestedAt = true, now
-	using := budget.usable
-	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &using, Seq: budget.seq, Total: budget.Terms.WithDefaults().Extra}, true
+	s.seq++
+	s.outstanding, s.requestedAt = true, now
+	used := s.usable
+	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &used, Seq: s.seq, Total: s.Terms.WithDefaults().Extra}, true
 }
 
-// ApplyGrant takes the response to a question; only that to the newest counts.
-func (budget *BudgetShare) ApplyGrant(now monotime.Time, grant quota.Share) {
-	if grant.Seq != budget.seq || !budget.outstanding {
+// ApplyGrant takes the response to a request; only that to the newest one counts.
+func (s *BudgetShare) ApplyGrant(now monotime.Time, grant quota.Share) {
+	if grant.Seq != s.seq || !s.outstanding {
 		return
 	}
-	budget.outstanding, budget.granted = false, grant.Amount
-	if total := budget.totalWithin(grant); total != budget.total {
-		budget.total, budget.fair = total, min(grant.FairShare, quota.MaxShare(total))
-		budget.lowerToFair(now)
-	}
-	if usable := min(grant.Amount, budget.fair); usable > budget.usable {
-		budget.usable = usable
-	}
-	if budget.usable > grant.Amount {
-		budget.usable = grant.Amount
+	s.outstanding, s.granted = false, grant.Amount
+	if total := s.smallerTotal(grant); total != s.total {
+		s.total, s.fair = total, min(grant.FairShare, quota.MaxShare(total))
+		s.lowerToFair(now)
 	}
+	s.usable = max(s.usable, min(grant.Amount, s.fair))
+	s.usable = min(s.usable, grant.Amount)
 }
--- a/mesh/lease/holder/budgetshare_test.go
+++ b/mesh/lease/holder/budgetshare_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -16,76 +17,113 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// Forty sidecars join one after the other; questions and responses are lost, late,
-// doubled and out of order. What was usable within any window never sums over sixty,
-// and in the end everyone has its fair share.
+// sharesRun plays sidecars that join one after the other and ask for shares of the retry budget
+// over a network that loses, delays, doubles and reorders messages. A step is a tenth of a second.
+type sharesRun struct {
+	t         *testing.T
+	rng       *rand.Rand
+	now       monotime.Time
+	value     json.RawMessage // the state of the cores
+	inTransit []message
+	shares    []*BudgetShare
+	usable    [][]int // of each sidecar, by step
+}
+
+// message is a request or a response on its way.
+type message struct {
+	arrivesAt monotime.Time
+	deliver   func()
+}
+
+const (
+	step      = 100 * time.Millisecond
+	allNodes  = 40
+	stepCount = 3000
+	// windowSteps is the window of the retry budget: a retry within it counts.
+	windowSteps = 100
+)
+
+// apply executes a request at the cores.
+func (r *sharesRun) apply(args quota.Args) (grant quota.Share, ok bool) {
+	result := quota.Handlers().Apply(proposer.Context{}, r.value, proposer.Operation{Kind: "share/take", Args: operation.Encode(args)})
+	if result.Changed {
+		r.value = result.Value
+	}
+	return grant, result.Failure == nil && json.Unmarshal(result.Body, &grant) == nil
+}
+
+// join lets the next sidecar join, at random times.
+func (r *sharesRun) join(index int) {
+	if n := len(r.shares); n < allNodes && index%(1+r.rng.IntN(40)) == 0 {
+		share := &BudgetShare{}
+		grant, ok := r.apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
+		must.True(r.t, ok)
+		share.Start(r.now, grant)
+		r.shares, r.usable = append(r.shares, share), append(r.usable, nil)
+	}
+}
+
+// deliver delivers the messages that are due; a request may send its response.
+func (r *sharesRun) deliver() {
+	due := r.inTransit
+	r.inTransit = nil
+	for _, one := range due {
+		if one.arrivesAt <= r.now {
+			one.deliver()
+		} else {
+			r.inTransit = append(r.inTransit, one)
+		}
+	}
+}
+
+// ask lets a sidecar send the request that is due, if any: it is lost, or arrives once or twice.
+func (r *sharesRun) ask(n int, share *BudgetShare) {
+	if r.rng.IntN(3) == 0 {
+		share.SetMembers(r.now, len(r.shares))
+	}
+	args, ok := share.NextRequest(r.now, ident.Node(fmt.Sprint(n)), 1)
+	for copies := r.rng.IntN(3); ok && copies > 0; copies-- {
+		arrivesAt := r.now.Add(time.Duration(r.rng.IntN(6000)) * time.Millisecond)
+		r.inTransit = append(r.inTransit, message{arrivesAt, func() { r.answer(arrivesAt, share, args) }})
+	}
+}
+
+// answer executes a request; one response in four is lost.
+func (r *sharesRun) answer(arrivesAt monotime.Time, share *BudgetShare, args quota.Args) {
+	if grant, ok := r.apply(args); ok && r.rng.IntN(4) > 0 {
+		returnsAt := arrivesAt.Add(time.Duration(r.rng.IntN(3000)) * time.Millisecond)
+		r.inTransit = append(r.inTransit, message{returnsAt, func() { share.ApplyGrant(returnsAt, grant) }})
+	}
+}
+
+// usableInWindow sums the most that each sidecar could use within the window that ends now.
+func (r *sharesRun) usableInWindow() (sum int) {
+	for n, share := range r.shares {
+		r.usable[n] = append(r.usable[n], share.Usable())
+		sum += slices.Max(r.usable[n][max(0, len(r.usable[n])-windowSteps):])
+	}
+	return sum
+}
+
+// Forty sidecars join one after the other; requests and responses are lost, late, doubled and out
+// of order. What was usable within any window never sums to more than the total, and in the end
+// every sidecar has its fair share.
 func TestSharesMoveWithoutEverSummingOver(t *testing.T) {
 	for seed := range uint64(40) {
-		rng := rand.New(rand.NewPCG(seed, 9))
-		var value json.RawMessage
-		handlers := quota.Handlers()
-		apply := func(a quota.Args) (grant quota.Share, ok bool) {
-			v := handlers.Apply(proposer.Context{}, value, proposer.Operation{Kind: "share/take", Args: operation.Encode(a)})
-			if v.Changed {
-				value = v.Value
-			}
-			return grant, v.Failure == nil && json.Unmarshal(v.Body, &grant) == nil
-		}
-		type late struct {
-			arrivesAt monotime.Time
-			apply     func()
-		}
-		var inTransit []late
-		shares := map[int]*BudgetShare{}
-		peak := map[int][]int{} // what each could use, by tenth of a second
-		const nodes = 40
-		for tenth := 0; tenth < 3000; tenth++ {
-			now := monotime.Time(tenth+10) * monotime.Time(100*time.Millisecond)
-			if n := len(shares); n < nodes && tenth%(1+rng.IntN(40)) == 0 {
-				budget := &BudgetShare{}
-				grant, ok := apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
-				must.True(t, ok)
-				budget.Start(now, grant)
-				shares[n] = budget
-			}
-			due := inTransit
-			inTransit = nil
-			for _, message := range due {
-				if message.arrivesAt <= now {
-					message.apply() // may post its response
-				} else {
-					inTransit = append(inTransit, message)
-				}
-			}
-			for i := range len(shares) {
-				budget := shares[i]
-				if rng.IntN(3) == 0 {
-					budget.SetMembers(now, len(shares))
-				}
-				a, ok := budget.NextRequest(now, ident.Node(fmt.Sprint(i)), 1)
-				for copies := rng.IntN(3); ok && copies > 0; copies-- { // lost, once or doubled
-					arrivesAt := now.Add(time.Duration(rng.IntN(6000)) * time.Millisecond)
-					inTransit = append(inTransit, late{arrivesAt, func() {
-						if grant, ok := apply(a); ok && rng.IntN(4) > 0 {
-							returnsAt := arrivesAt.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
-							inTransit = append(inTransit, late{returnsAt, func() { budget.ApplyGrant(returnsAt, grant) }})
-						}
-					}})
-				}
-			}
-			sum := 0
-			for i := range len(shares) {
-				peak[i] = append(peak[i], shares[i].Usable())
-				top := 0
-				for _, u := range peak[i][max(0, len(peak[i])-100):] {
-					top = max(top, u)
-				}
-				sum += top
+		r := &sharesRun{t: t, rng: rand.New(rand.NewPCG(seed, 9))}
+		for index := range stepCount {
+			r.now = monotime.Time(index+10) * monotime.Time(step)
+			r.join(index)
+			r.deliver()
+			for n, share := range r.shares {
+				r.ask(n, share)
 			}
+			sum := r.usableInWindow()
 			must.LessEq(t, quota.DefaultTotal, sum, must.Sprintf("seed %d: %d usable within one window", seed, sum))
 		}
-		for i := range nodes {
-			must.Eq(t, quota.FairShare(quota.DefaultTotal, nodes), shares[i].Usable(), must.Sprintf("seed %d node %d", seed, i))
+		must.Len(t, allNodes, r.shares)
+		for n, share := range r.shares {
+			must.Eq(t, quota.FairShare(quota.DefaultTotal, allNodes), share.Usable(), must.Sprintf("seed %d node %d", seed, n))
 		}
 	}
 }
--- a/mesh/lease/holder/holder_test.go
+++ b/mesh/lease/holder/holder_test.go
@@ -12,155 +12,178 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// harness drives a holder against cores that answer, refuse, say nothing or are stale.
+// behaviour is how a core answers renewals.
+type behaviour string
+
+const (
+	answers behaviour = ""
+	refuses behaviour = "refuses"
+	silent  behaviour = "silent"
+	stale   behaviour = "stale"
+)
+
+var failing = []behaviour{refuses, silent, stale}
+
+// answerTime is how long a core takes to answer, or to refuse a connection.
+const answerTime = 10 * time.Millisecond
+
+// harness drives a holder against cores.
 type harness struct {
 	holder       *Holder
 	now          monotime.Time
 	cores        []ident.Addr
-	behaviour    map[ident.Addr]string
+	behaviour    map[ident.Addr]behaviour
 	sent         []ident.Addr
-	lastAccepted monotime.Time // last renewal that a core took
-	gap          time.Duration // the longest without one
+	lastAccepted monotime.Time // the last renewal that a core accepted
+	gap          time.Duration // the longest time without one
 	pending      []delivery
 }
 
+// delivery is the end of a renewal, which the holder is told when its time has come.
 type delivery struct {
 	at      monotime.Time
 	deliver func()
 }
 
 func newHarness() *harness {
-	r := &harness{holder: New(), now: monotime.Time(time.Second), cores: []ident.Addr{"a:1", "b:1", "c:1", "d:1"}, behaviour: map[ident.Addr]string{}}
-	r.lastAccepted = r.now
-	return r
+	h := &harness{holder: New(), now: monotime.Time(time.Second), cores: []ident.Addr{"a:1", "b:1", "c:1", "d:1"}, behaviour: map[ident.Addr]behaviour{}}
+	h.lastAccepted = h.now
+	return h
 }
 
 var testCores = []record.CoreLocation{{Addr: "a:1", Zone: "x"}, {Addr: "b:1", Zone: "x"}, {Addr: "c:1", Zone: "y"}, {Addr: "d:1", Zone: "y"}}
 
-func (r *harness) run(d time.Duration) {
-	for end := r.now.Add(d); r.now < end; r.now = r.now.Add(10 * time.Millisecond) {
-		due := r.pending
-		r.pending = nil
-		for _, e := range due {
-			if e.at > r.now {
-				r.pending = append(r.pending, e)
+func (h *harness) run(span time.Duration) {
+	for end := h.now.Add(span); h.now < end; h.now = h.now.Add(10 * time.Millisecond) {
+		due := h.pending
+		h.pending = nil
+		for _, one := range due {
+			if one.at > h.now {
+				h.pending = append(h.pending, one)
 				continue
 			}
-			e.deliver()
+			one.deliver()
 		}
-		r.holder.ChooseRegistrar(r.now, "n", "y", r.cores)
-		r.holder.Followed()
-		if !r.holder.RenewalDue(r.now, false) {
+		h.holder.ChooseRegistrar(h.now, "n", "y", h.cores)
+		h.holder.Followed()
+		if !h.holder.RenewalDue(h.now, false) {
 			continue
 		}
-		targets := r.holder.Targets()
-		renewal := r.holder.BeginRenewal(r.now, record.Report{Node: "n", LeaseEpoch: 1, Seq: 1}, nil)
-		for _, a := range targets {
-			r.send(a, renewal)
+		targets := h.holder.Targets()
+		renewal := h.holder.BeginRenewal(h.now, record.Report{Node: "n", LeaseEpoch: 1, Seq: 1}, nil)
+		for _, core := range targets {
+			h.send(core, renewal)
 		}
 	}
 }
 
-func (r *harness) send(core ident.Addr, renewal record.Renewal) {
-	r.sent = append(r.sent, core)
-	switch r.behaviour[core] {
-	case "refuse":
-		r.pending = append(r.pending, delivery{r.now.Add(10 * time.Millisecond), func() { r.holder.HandleFailure(r.now, core) }})
-	case "silent":
-		r.pending = append(r.pending, delivery{r.now.Add(RenewTimeout), func() { r.holder.HandleFailure(r.now, core) }})
+func (h *harness) send(core ident.Addr, renewal record.Renewal) {
+	h.sent = append(h.sent, core)
+	switch h.behaviour[core] {
+	case refuses:
+		h.deliverAfter(answerTime, func() { h.holder.HandleFailure(h.now, core) })
+	case silent:
+		h.deliverAfter(RenewTimeout, func() { h.holder.HandleFailure(h.now, core) })
 	default:
-		r.gap, r.lastAccepted = max(r.gap, r.now.Since(r.lastAccepted)), r.now
-		stale := r.behaviour[core] == "stale"
-		r.pending = append(r.pending, delivery{r.now.Add(10 * time.Millisecond), func() {
-			r.holder.HandleResponse(r.now, core, record.RenewalResponse{AcknowledgedRenewal: renewal.Number, Stale: stale, CoresVersion: "v", Cores: testCores})
-		}})
+		h.gap, h.lastAccepted = max(h.gap, h.now.Since(h.lastAccepted)), h.now
+		response := record.RenewalResponse{
+			AcknowledgedRenewal: renewal.Number,
+			Stale:               h.behaviour[core] == stale,
+			CoresVersion:        "v",
+			Cores:               testCores,
+		}
+		h.deliverAfter(answerTime, func() { h.holder.HandleResponse(h.now, core, response) })
 	}
 }
 
-// However a registrar ends, another takes the next renewals before the lease lapses; the one
-// of the own district comes back when it is healthy again.
+func (h *harness) deliverAfter(delay time.Duration, deliver func()) {
+	h.pending = append(h.pending, delivery{h.now.Add(delay), deliver})
+}
+
+// However a registrar fails, another one takes the renewals before the lease lapses, of the own
+// zone while there is one; the first is the registrar again once it is healthy.
 func TestRegistrarIsReplacedInTime(t *testing.T) {
-	for _, behaviour := range []string{"refuse", "silent", "stale"} {
-		r := newHarness()
-		r.run(5 * time.Second)
-		registrar := r.holder.Registrar()
+	for _, how := range failing {
+		h := newHarness()
+		h.run(5 * time.Second)
+		registrar := h.holder.Registrar()
 		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, registrar)
-		r.behaviour[registrar], r.gap = behaviour, 0
-		r.run(20 * time.Second)
-		must.Less(t, leasetable.LeaseTTL, r.gap, must.Sprint(behaviour))
-		must.NotEq(t, registrar, r.sent[len(r.sent)-1])
-		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, r.holder.Registrar(), must.Sprint("the other of the district"))
-		must.Eq(t, r.holder.Registrar(), r.holder.Followed(), must.Sprint(behaviour))
-		r.behaviour[registrar] = ""
-		r.run(20 * time.Second)
-		must.Eq(t, registrar, r.holder.Registrar(), must.Sprint(behaviour))
-		must.Less(t, leasetable.LeaseTTL, r.gap, must.Sprint(behaviour))
+		h.behaviour[registrar], h.gap = how, 0
+		h.run(20 * time.Second)
+		must.Less(t, leasetable.LeaseTTL, h.gap, must.Sprint(how))
+		must.NotEq(t, registrar, h.sent[len(h.sent)-1])
+		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, h.holder.Registrar(), must.Sprint("the other core of the zone"))
+		must.Eq(t, h.holder.Registrar(), h.holder.Followed(), must.Sprint(how))
+		h.behaviour[registrar] = answers
+		h.run(20 * time.Second)
+		must.Eq(t, registrar, h.holder.Registrar(), must.Sprint(how))
+		must.Less(t, leasetable.LeaseTTL, h.gap, must.Sprint(how))
 	}
 }
 
 // The core that is followed stays the same while no core answers in time, whatever registrar is
-// chosen meanwhile, and is another one at once when that answers.
+// chosen meanwhile, and changes as soon as another one answers.
 func TestFollowedCoreStaysUntilAnotherAnswers(t *testing.T) {
-	r := newHarness()
-	r.run(5 * time.Second)
-	followed := r.holder.Followed()
-	must.Eq(t, followed, r.holder.Registrar())
-	for _, core := range r.cores {
-		r.behaviour[core] = "silent"
+	h := newHarness()
+	h.run(5 * time.Second)
+	followed := h.holder.Followed()
+	must.Eq(t, followed, h.holder.Registrar())
+	for _, core := range h.cores {
+		h.behaviour[core] = silent
 	}
 	changed := false
 	for range 100 {
-		r.run(100 * time.Millisecond)
-		changed = changed || r.holder.Registrar() != followed
-		must.Eq(t, followed, r.holder.Followed())
+		h.run(100 * time.Millisecond)
+		changed = changed || h.holder.Registrar() != followed
+		must.Eq(t, followed, h.holder.Followed())
 	}
 	must.True(t, changed)
-	for _, core := range r.cores {
+	for _, core := range h.cores {
 		if core != followed {
-			r.behaviour[core] = ""
+			h.behaviour[core] = answers
 		}
 	}
-	r.run(3 * time.Second)
-	must.NotEq(t, followed, r.holder.Followed())
-	must.Eq(t, r.holder.Registrar(), r.holder.Followed())
+	h.run(3 * time.Second)
+	must.NotEq(t, followed, h.holder.Followed())
+	must.Eq(t, h.holder.Registrar(), h.holder.Followed())
 }
 
-// When nobody is healthy, renewals do not come faster than the usual, to three cores each, and
-// the first core that is healthy again is found within a second and a half.
+// When no core is healthy, renewals are not sent faster than usual, to three cores each, and the
+// first core that is healthy again is found within a second and a half.
 func TestNobodyIsHealthy(t *testing.T) {
-	for _, behaviour := range []string{"refuse", "silent", "stale"} {
-		r := newHarness()
-		r.run(5 * time.Second)
-		for _, c := range r.cores {
-			r.behaviour[c] = behaviour
+	for _, how := range failing {
+		h := newHarness()
+		h.run(5 * time.Second)
+		for _, core := range h.cores {
+			h.behaviour[core] = how
 		}
-		r.run(60 * time.Second)
-		sentBefore := len(r.sent)
-		r.run(20 * time.Second)
-		must.LessEq(t, 3*51, len(r.sent)-sentBefore, must.Sprint(behaviour))
-		r.behaviour["b:1"], r.lastAccepted = "", r.now
-		r.gap = 0
-		r.run(5 * time.Second)
-		must.Less(t, 1500*time.Millisecond, r.gap, must.Sprint(behaviour))
+		h.run(60 * time.Second)
+		sentBefore := len(h.sent)
+		h.run(20 * time.Second)
+		must.LessEq(t, 3*51, len(h.sent)-sentBefore, must.Sprint(how))
+		h.behaviour["b:1"], h.lastAccepted = answers, h.now
+		h.gap = 0
+		h.run(5 * time.Second)
+		must.Less(t, 1500*time.Millisecond, h.gap, must.Sprint(how))
 	}
 }
 
-// What a majority has taken is reckoned from when that renewal was sent, whatever order
-// the words of it come in.
+// MajorityAsOf is the time at which the acknowledged renewal was sent, whatever order the
+// acknowledgements come in, and never goes back.
 func TestMajorityNeverGoesBack(t *testing.T) {
 	sent := []monotime.Time{}
-	h := New()
-	for n := range 4 {
-		now := monotime.Time(time.Second) * monotime.Time(n+1)
-		h.ChooseRegistrar(now, "n", "y", []ident.Addr{"a:1"})
-		h.BeginRenewal(now, record.Report{Node: "n", LeaseEpoch: 1, Seq: 1}, nil)
+	holder := New()
+	for i := range 4 {
+		now := monotime.Time(time.Second) * monotime.Time(i+1)
+		holder.ChooseRegistrar(now, "n", "y", []ident.Addr{"a:1"})
+		holder.BeginRenewal(now, record.Report{Node: "n", LeaseEpoch: 1, Seq: 1}, nil)
 		sent = append(sent, now)
-		h.HandleResponse(now, "a:1", record.RenewalResponse{})
+		holder.HandleResponse(now, "a:1", record.RenewalResponse{})
 	}
-	must.Eq(t, monotime.Time(0), h.MajorityAsOf())
-	for n := range 256 {
-		shuffled, newest := *h, monotime.Time(0)
-		for _, i := range []int{n % 4, n / 4 % 4, n / 16 % 4, n / 64} {
+	must.Eq(t, monotime.Time(0), holder.MajorityAsOf())
+	for order := range 256 {
+		shuffled, newest := *holder, monotime.Time(0)
+		for _, i := range []int{order % 4, order / 4 % 4, order / 16 % 4, order / 64} {
 			shuffled.HandleResponse(monotime.Time(time.Minute), "a:1", record.RenewalResponse{AcknowledgedRenewal: uint64(i + 1)})
 			newest = max(newest, sent[i])
 			must.Eq(t, newest, shuffled.MajorityAsOf())
@@ -168,21 +191,21 @@
 	}
 }
 
-// While every core is avoided, whichever answered too late goes before those that said
-// nothing, and is kept to.
+// While every core is avoided, one that answered too late goes before the silent ones, and stays
+// the registrar.
 func TestLateCoreGoesBeforeSilentOnes(t *testing.T) {
 	cores := []ident.Addr{"a:1", "b:1", "c:1", "d:1"}
 	for _, late := range cores {
-		h, now := New(), monotime.Time(time.Second)
-		h.SetCores("v", testCores)
+		holder, now := New(), monotime.Time(time.Second)
+		holder.SetCores("v", testCores)
 		for _, core := range cores {
-			h.ChooseRegistrar(now, "n", "y", cores)
-			h.BeginRenewal(now, record.Report{Node: "n"}, nil)
-			h.HandleFailure(now, core)
+			holder.ChooseRegistrar(now, "n", "y", cores)
+			holder.BeginRenewal(now, record.Report{Node: "n"}, nil)
+			holder.HandleFailure(now, core)
 		}
-		h.HandleLateResponse(late, record.RenewalResponse{})
+		holder.HandleLateResponse(late, record.RenewalResponse{})
 		for range 3 {
-			must.Eq(t, late, h.ChooseRegistrar(now, "n", "y", cores))
+			must.Eq(t, late, holder.ChooseRegistrar(now, "n", "y", cores))
 			now = now.Add(100 * time.Millisecond)
 		}
 	}
--- a/mesh/lease/joiner/joiner_test.go
+++ b/mesh/lease/joiner/joiner_test.go
@@ -16,44 +16,44 @@
 
 func testCores(n int) (addrs []ident.Addr, locations []record.CoreLocation) {
 	for i := range n {
-		a := ident.Addr(fmt.Sprint("core-", i, ":1"))
-		addrs = append(addrs, a)
-		locations = append(locations, record.CoreLocation{Addr: a, Zone: ident.Zone(fmt.Sprint("z", i%4))})
+		addr := ident.Addr(fmt.Sprint("core-", i, ":1"))
+		addrs = append(addrs, addr)
+		locations = append(locations, record.CoreLocation{Addr: addr, Zone: ident.Zone(fmt.Sprint("z", i%4))})
 	}
-	return
+	return addrs, locations
 }
 
-// A herd spreads over all cores, whatever order they are listed in.
+// Many sidecars that start together spread over all cores, whatever order those are listed in.
 func TestHerdSpreadsOverAllCores(t *testing.T) {
 	addrs, _ := testCores(12)
 	joins := map[ident.Addr]int{}
 	for n := range 120 {
 		joins[New(ident.Node(fmt.Sprint("node-", n)), "").NextCore(addrs, nil)]++
 	}
-	for _, a := range addrs {
-		must.Between(t, 3, joins[a], 20, must.Sprint(a))
+	for _, addr := range addrs {
+		must.Between(t, 3, joins[addr], 20, must.Sprint(addr))
 	}
 }
 
-// Cores of the own district go first; the ones that failed go last, the longest ago first.
+// Cores of the own zone go first; those that failed go last, the longest ago first.
 func TestOwnZoneFirstAndFailedLast(t *testing.T) {
 	addrs, locations := testCores(12)
 	j := New("node-1", "z2")
 	now := startTime
 	for n := range 12 {
-		a := j.NextCore(addrs, locations)
-		sameZone := a == "core-2:1" || a == "core-6:1" || a == "core-10:1"
-		must.Eq(t, n < 3, sameZone, must.Sprint(n, a))
-		must.MapNotContainsKey(t, j.lastFailure, a)
-		j.HandleFailure(now, a)
+		core := j.NextCore(addrs, locations)
+		sameZone := core == "core-2:1" || core == "core-6:1" || core == "core-10:1"
+		must.Eq(t, n < 3, sameZone, must.Sprint(n, core))
+		must.MapNotContainsKey(t, j.lastFailure, core)
+		j.HandleFailure(now, core)
 		now = now.Add(time.Second)
 	}
 	must.Eq(t, j.lastFailure[j.NextCore(addrs, locations)], startTime)
 	must.Eq(t, "", New("node-1", "z2").NextCore(nil, nil))
 }
 
-// The word of a core when to come back is kept to, and sidecars that were refused together
-// come back at times of their own.
+// A core's Retry-After is kept to, and sidecars that were rejected together come back at
+// different times.
 func TestRefusedOnesComeBackSpread(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 100 {
@@ -67,7 +67,7 @@
 	must.Greater(t, 60, len(waits))
 }
 
-// Failures without a word are followed by pauses that grow to a bound, and that are
+// Failures without a Retry-After are followed by a backoff that grows to a bound, and that is
 // forgotten with a join.
 func TestPausesGrowToABound(t *testing.T) {
 	j := New("node-1", "")
--- a/mesh/registry/index.go
+++ b/mesh/registry/index.go
@@ -1,4 +1,4 @@
-// Package registry is a sidecar's copy of the universal records.
+// Package registry is a sidecar's copy of the registry's records.
 package registry
 
 import (
@@ -9,18 +9,18 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Entry is one workload with its core's view of its author.
+// Entry is one workload, and whether the lease of its sidecar has lapsed.
 type Entry struct {
 	*record.Workload
 	Lapsed bool
 }
 
-// Index is the copy. Invariant: a set is replaced only by one that is not older, so
-// whichever core or peer feeds it, each author's records only go forward.
+// Index is the copy, indexed by service and by key. Invariant: a set is replaced only by one that
+// is not older, so whichever core or peer it comes from, each author's records only go forward.
 type Index struct {
-	sets      map[ident.Node]record.Set
+	sets      map[ident.Node]record.Set // by author
 	services  map[ident.Service][]Entry
-	addresses map[string]record.Address
+	addresses map[string]record.Address // by key
 }
 
 // New makes an empty index.
@@ -30,11 +30,11 @@
 	return x
 }
 
-// Merge takes sets in and says whether anything changed.
+// Merge takes sets, and tells whether any changed the copy.
 func (x *Index) Merge(sets []record.Set) bool {
 	changed := false
 	for _, set := range sets {
-		if old, ok := x.sets[set.Author]; ok && (set.Older(old) || !old.Older(set) && old.Lapsed == set.Lapsed) {
+		if old, known := x.sets[set.Author]; known && !replaces(set, old) {
 			continue
 		}
 		x.sets[set.Author] = set
@@ -46,40 +46,53 @@
 	return changed
 }
 
+// replaces tells whether a set is to stand in place of the one that is held: it is a newer
+// version, or the same one in another core's view.
+func replaces(set, old record.Set) bool {
+	if set.Older(old) {
+		return false
+	}
+	return old.Older(set) || old.Lapsed != set.Lapsed
+}
+
 func (x *Index) rebuild() {
 	x.services, x.addresses = map[ident.Service][]Entry{}, map[string]record.Address{}
 	for _, set := range x.Sets() {
 		for _, address := range set.Records {
 			x.addresses[address.Key()] = address
-			if address.Workload == nil {
-				continue
-			}
-			for _, ip := range address.Workload.Addresses {
-				x.addresses[address.Workload.Network+"/"+string(ip)] = address
+			if address.Workload != nil {
+				x.addWorkload(address, set.Lapsed)
 			}
-			x.services[address.Workload.Service] = append(x.services[address.Workload.Service], Entry{address.Workload, set.Lapsed})
 		}
 	}
-	for _, list := range x.services {
-		slices.SortFunc(list, func(address, b Entry) int { return strings.Compare(string(address.UID), string(b.UID)) })
+	for _, entries := range x.services {
+		slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(string(a.UID), string(b.UID)) })
+	}
+}
+
+func (x *Index) addWorkload(address record.Address, lapsed bool) {
+	workload := address.Workload
+	for _, ip := range workload.Addresses {
+		x.addresses[workload.Network+"/"+string(ip)] = address
 	}
+	x.services[workload.Service] = append(x.services[workload.Service], Entry{workload, lapsed})
 }
 
-// Workloads lists a service's workloads in order of UID.
+// Workloads lists a service's workloads by UID.
 func (x *Index) Workloads(service ident.Service) []Entry { return x.services[service] }
 
-// Lookup finds an Address by serverId, namespace/hostname or network/ip:port.
+// Lookup finds an Address by its server id, namespace/hostname or network/ip:port.
 func (x *Index) Lookup(key string) (record.Address, bool) {
 	address, ok := x.addresses[key]
 	return address, ok
 }
 
-// Sets lists the copy by author.
+// Sets lists the sets by author.
 func (x *Index) Sets() []record.Set {
-	out := make([]record.Set, 0, len(x.sets))
-	for _, s := range x.sets {
-		out = append(out, s)
+	sets := make([]record.Set, 0, len(x.sets))
+	for _, set := range x.sets {
+		sets = append(sets, set)
 	}
-	slices.SortFunc(out, func(a, b record.Set) int { return strings.Compare(string(a.Author), string(b.Author)) })
-	return out
+	slices.SortFunc(sets, func(a, b record.Set) int { return strings.Compare(string(a.Author), string(b.Author)) })
+	return sets
 }
