--- /dev/null
+++ b/daemon/api/mesh/join.go
@@ -0,0 +1,97 @@
+package mesh
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/coordination/quota"
+	"cottonarch.example/cottonarch/control/core/joinqueue"
+	"cottonarch.example/cottonarch/control/core/node"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// budgetShareTimeout bounds the operation that changes a share of the retry budget.
+const budgetShareTimeout = 3 * time.Second
+
+// JoinRequest asks for a lease. A repeat with the same AttemptID is the same join, at whichever
+// core.
+type JoinRequest struct {
+	Node      ident.Node `json:"node"`
+	AttemptID string     `json:"run,omitempty"`
+}
+
+// validate tells what is wrong with a request.
+func (r JoinRequest) validate() *failure.Error {
+	switch {
+	case r.Node == "":
+		return failure.New(failure.Invalid, "a join needs a node")
+	case len(r.AttemptID) > quota.MaxRunIDBytes:
+		return failure.New(failure.Invalid, "the id of a join has at most %d bytes", quota.MaxRunIDBytes)
+	default:
+		return nil
+	}
+}
+
+// JoinResponse grants a lease.
+type JoinResponse struct {
+	LeaseEpoch     ident.Epoch           `json:"claim"`
+	BudgetShare    quota.Share           `json:"share"`
+	Cores          []record.CoreLocation `json:"cores"`
+	CoresVersion   string                `json:"view"` // of Cores
+	ConfigRevision ident.Epoch           `json:"manifest"`
+}
+
+// join grants a lease. Joins that come at the same time go together: the lease's epoch, the share
+// of the retry budget and the newest configuration revision are read from a majority of disks.
+func (h handlers) join(w http.ResponseWriter, r *http.Request) {
+	var request JoinRequest
+	fail := response.Decode(r, maxRequestBytes, &request)
+	if fail == nil {
+		fail = request.validate()
+	}
+	if fail != nil {
+		response.Defect(w, fail)
+		return
+	}
+	answer := h.core.Join(r.Context(), joinqueue.Request{Node: request.Node, Run: request.AttemptID, RetryTotal: h.core.Settings.RetryLimit})
+	if answer.Failure != nil {
+		response.Defect(w, answer.Failure)
+		return
+	}
+	var joined node.Joined
+	if err := json.Unmarshal(answer.Body, &joined); err != nil {
+		response.Defect(w, failure.New(failure.Damaged, "join: %v", err))
+		return
+	}
+	h.core.Metrics.Add("claims", 1)
+	view := h.core.View()
+	response.JSON(w, http.StatusOK, JoinResponse{
+		LeaseEpoch:     joined.LeaseEpoch,
+		BudgetShare:    joined.Share,
+		Cores:          view.Places,
+		CoresVersion:   view.PlacesDigest,
+		ConfigRevision: joined.ConfigRevision,
+	})
+}
+
+// budgetShare lowers or raises a sidecar's share of the retry budget.
+func (h handlers) budgetShare(w http.ResponseWriter, r *http.Request) {
+	var args quota.Args
+	if fail := response.Decode(r, maxRequestBytes, &args); fail != nil {
+		response.Defect(w, fail)
+		return
+	}
+	take := proposer.Operation{Key: quota.Key, Kind: "share/take", Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
+	answer := h.core.Execute(r.Context(), take, budgetShareTimeout)
+	if answer.Failure != nil {
+		response.Defect(w, answer.Failure)
+		return
+	}
+	response.JSON(w, http.StatusOK, json.RawMessage(answer.Body))
+}
--- a/daemon/api/mesh/mesh_test.go
+++ b/daemon/api/mesh/mesh_test.go
@@ -22,10 +22,11 @@
 
 func (memFolder) Close() error { return nil }
 
-// handlers is the sidecars' surface of a core that looks for the other founders.
-func handlers(t *testing.T, founders ...ident.Addr) (*core.Core, http.Handler) {
+// startCore starts a core that looks for the other founders, and gives its API.
+func startCore(t *testing.T, founders ...ident.Addr) (*core.Core, http.Handler) {
 	addr := ident.Addr("127.0.0.1:9")
-	c, err := core.Open(settings.Core{Addr: addr, Listen: addr, Zone: "d", Founders: append(founders, addr), Voters: 5, RingFileBytes: 1 << 20, RingFiles: 4}, zap.NewNop(), memFolder{ring.NewMemoryFolder()})
+	config := settings.Core{Addr: addr, Listen: addr, Zone: "d", Founders: append(founders, addr), Voters: 5, RingFileBytes: 1 << 20, RingFiles: 4}
+	c, err := core.Open(config, zap.NewNop(), memFolder{ring.NewMemoryFolder()})
 	must.NoError(t, err)
 	r := mux.NewRouter()
 	for path, methods := range mesh.Paths(c, "mark") {
@@ -44,16 +45,16 @@
 	return w.Code
 }
 
-// A core that hears no majority says neither that a record is there nor that it is not, and
-// not that there is no manifest: 503. With a majority the same record is missing: 404.
+// A core that hears no majority says neither that a record is there nor that it is not, and not
+// that there is no configuration: 503. With a majority the same record is missing: 404.
 func TestNoMajorityIsNoMissing(t *testing.T) {
-	_, isolated := handlers(t, "127.0.0.1:7", "127.0.0.1:8")
-	_, connected := handlers(t)
+	_, isolated := startCore(t, "127.0.0.1:7", "127.0.0.1:8")
+	_, connected := startCore(t)
 	deadline := time.Now().Add(2 * time.Minute)
 	for get(connected, "/address/none") != http.StatusNotFound && time.Now().Before(deadline) {
 		<-time.After(10 * time.Millisecond)
 	}
 	must.Eq(t, http.StatusNotFound, get(connected, "/address/none"))
 	must.Eq(t, http.StatusServiceUnavailable, get(isolated, "/address/none"))
-	must.Eq(t, http.StatusServiceUnavailable, get(isolated, "/cottonarch/v1/part?at=0"))
+	must.Eq(t, http.StatusServiceUnavailable, get(isolated, mesh.ConfigPartPath+"?at=0"))
 }
--- /dev/null
+++ b/daemon/api/mesh/renew.go
@@ -0,0 +1,51 @@
+package mesh
+
+import (
+	"net/http"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/core/node"
+	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/wire/response"
+)
+
+// renewalResult is what the core's step makes of a renewal.
+type renewalResult struct {
+	response record.RenewalResponse
+	failure  *failure.Error
+}
+
+// renew renews a sidecar's lease. The list of the cores is sent only if the sidecar has another
+// version of it.
+func (h handlers) renew(w http.ResponseWriter, r *http.Request) {
+	var request record.Renewal
+	if fail := response.Decode(r, maxBodyBytes, &request); fail != nil {
+		response.Defect(w, fail)
+		return
+	}
+	if request.Node == "" {
+		response.Defect(w, failure.New(failure.Invalid, "a renewal needs a node"))
+		return
+	}
+	result, fail := runStep(h.core, func(now monotime.Time) (renewalResult, node.Effects) {
+		renewed, effects, fail := h.core.Node().Renew(now, request)
+		return renewalResult{renewed, fail}, effects
+	})
+	if fail == nil {
+		fail = result.failure
+	}
+	if fail != nil {
+		response.Defect(w, fail)
+		return
+	}
+	renewed, view := result.response, h.core.View()
+	renewed.CoresVersion = view.PlacesDigest
+	if request.CoresVersion != view.PlacesDigest {
+		renewed.Cores = view.Places
+	}
+	if held := h.core.Config(); held != nil {
+		renewed.ConfigRevision = held.Revision
+	}
+	writeWithoutDate(w, renewed)
+}
--- a/daemon/api/mesh/watch_test.go
+++ b/daemon/api/mesh/watch_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A lone change goes out soon; changes that follow one another closely are gathered for
-// longer, but never a manifest.
+// A lone change goes out soon; changes that follow one another closely are batched for longer,
+// but never a configuration.
 func TestChangesInQuickSuccessionAreGathered(t *testing.T) {
 	must.Eq(t, batchDelay, batchDelayFor(time.Second, false))
 	must.Eq(t, batchDelay, batchDelayFor(recentPollAge, false))
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), joiner.JoinTimeout)
 	defer cancel()
-	request := mesh.JoinRequest{Node: s.Settings.Node, Run: j.attemptID}
+	request := mesh.JoinRequest{Node: s.Settings.Node, AttemptID: j.attemptID}
 	var granted mesh.JoinResponse
 	if err := s.apiClient.Ask(ctx, addr, http.MethodPost, mesh.JoinPath, request, &granted); err != nil {
 		j.handleFailure(addr, err)
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -125,8 +125,8 @@
 	s.handleSuperseded(7, nil)
 	must.False(t, s.leaseHeld.Load())
 	s.joining.try()
-	must.Eq(t, f.joinRequests[0].Run, f.joinRequests[1].Run)
-	must.NotEq(t, f.joinRequests[1].Run, f.joinRequests[2].Run)
+	must.Eq(t, f.joinRequests[0].AttemptID, f.joinRequests[1].AttemptID)
+	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
 
 // A core that refuses connections, and a seed that is a sidecar, are passed by soon.
