--- a/daemon/integration/cut_test.go
+++ b/daemon/integration/partition_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A core that owned or knew all of it is left alone by the others: whatever it would
-// answer or refuse with a majority, it now says 503, or 504 where a change may have been
-// begun, on every surface of a core. With the majority back it gives the same answers.
+// A core that was the proposer, or knew all, loses the others: whatever it answered or rejected
+// with a majority, it answers 503 now, or 504 where a change may have been begun, on every path of
+// a core. With the majority back it gives the same answers.
 func TestCoreLeftAloneNeitherAnswersNorRefuses(t *testing.T) {
 	c := startCores(t, 3)
 	calls := []struct {
