--- a/daemon/sidecar/bodies.go
+++ b/daemon/sidecar/bodies.go
@@ -30,12 +30,12 @@
 func (s *Sidecar) readRequest(r *http.Request) (body []byte, release func(), fail *failure.Error) {
 	limits := s.bodies.current()
 	if headerBytes(r) > limits.MaxHeaderBytes+meshHeaderBytes {
-		return nil, nil, failure.New(failure.Oversize, "a head is at most %d bytes", limits.MaxHeaderBytes)
+		return nil, nil, failure.New(failure.Oversize, "the headers have at most %d bytes", limits.MaxHeaderBytes)
 	}
 	// A body of unknown length may be as large as the limit; it is counted once it is read.
 	declared := max(0, r.ContentLength)
 	if declared > limits.MaxBodyBytes {
-		return nil, nil, failure.New(failure.Oversize, "a body is at most %d bytes", limits.MaxBodyBytes)
+		return nil, nil, failure.New(failure.Oversize, "a body has at most %d bytes", limits.MaxBodyBytes)
 	}
 	budget := s.Settings.MaxBodyBytes
 	if s.bodies.inFlight.Add(declared) > budget && budget > 0 && declared > 0 {
@@ -60,7 +60,7 @@
 }
 
 func bodyBudgetExceeded() *failure.Error {
-	return failure.New(failure.Busy, "too many bytes are in hand").WithRetryAfter(retryAfterSeconds)
+	return failure.New(failure.Busy, "the memory for bodies is full").WithRetryAfter(retryAfterSeconds)
 }
 
 // headerBytes is about the size of a request's line and headers.
--- a/daemon/sidecar/bodies_test.go
+++ b/daemon/sidecar/bodies_test.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// A request is taken whole within the limits of the manifest and the room for bodies, with
-// a length or in pieces; what is turned away has not run and leaves no room taken.
+// A request is read within the limits of the configuration and the memory for bodies, with a
+// length or in chunks; what is rejected has not run and holds no memory.
 func TestRequestsAreTakenWithinLimits(t *testing.T) {
 	s := New(settings.Sidecar{MaxBodyBytes: 1000}, nil)
 	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -100,8 +100,8 @@
 	return request
 }
 
-// route finds the route and the deadline; limitMs is the time that the caller asks for, if it
-// does.
+// route finds the request's route and deadline; limitMs is the time that the caller allows, "" if
+// it names none.
 func (s *Sidecar) route(request *queuedRequest, limitMs string) *failure.Error {
 	requested, _ := strconv.Atoi(limitMs)
 	s.mu.Lock()
@@ -117,11 +117,11 @@
 	s.mu.Unlock()
 	if !queued {
 		s.count(counterQueueFull)
-		return failure.New(failure.Busy, "too many requests are in hand").WithRetryAfter(retryAfterSeconds)
+		return failure.New(failure.Busy, "too many requests are queued").WithRetryAfter(retryAfterSeconds)
 	}
 	if !s.dispatchedInTime(request) {
 		s.count(counterLateInQueue)
-		return failure.New(failure.DeadlineExceeded, "its time was over before its turn").WithRetryAfter(retryAfterSeconds)
+		return failure.New(failure.DeadlineExceeded, "its time was over while it was queued").WithRetryAfter(retryAfterSeconds)
 	}
 	return nil
 }
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -62,12 +62,12 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, path, testIDHeader, id, len(body), body)
 }
 
-// smuggled is a request that stands where only a body may stand: nobody may run it.
+// smuggled is a request in the place of a body: no endpoint may run it.
 var smuggled = rawRequest("POST", "/once/smuggled", "smuggled", "s")
 
-// A caller's connection, whatever bytes come on it and however early it is answered: the
-// endpoint runs just the requests that stand whole on it, each once and as it was sent, the
-// answers come in their order, and what can't be told apart ends the connection.
+// A caller's connection, whatever bytes come on it and however early it is answered: the endpoint
+// runs just the requests that come whole, each once and as it was sent; the answers come in their
+// order; and bytes that can't be parsed end the connection.
 func TestWhatACallerSendsOnOneConnection(t *testing.T) {
 	one, two := rawRequest("POST", "/once/x", "r1", "one"), rawRequest("POST", "/again/y", "r2", "two")
 	first, second := receivedRequest{"POST", "/once/x", "r1", "one"}, receivedRequest{"POST", "/again/y", "r2", "two"}
@@ -76,7 +76,7 @@
 		sends     string
 		answers   []string // "status id", in order; then the connection ends or is silent
 		runs      []receivedRequest
-		staysOpen bool // the connection goes on
+		staysOpen bool // the connection takes another request
 		configure func(*Sidecar)
 	}{
 		"one":                       {one, []string{"200 r1"}, []receivedRequest{first}, true, nil},
@@ -100,8 +100,8 @@
 		"no room for the body": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"503 ", "200 r2"}, []receivedRequest{second}, true,
 			func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
 		"no room for a large body": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"503 "}, nil, false, func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
-		"no way":                   {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
-		"turned away before it sends its body": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
+		"no route":                 {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
+		"rejected before it sends its body": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
 			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
 		"it asks to close": {strings.Replace(one, "Host", "Connection: close\r\nHost", 1) + two, []string{"200 r1"}, []receivedRequest{first}, false, nil},
 	} {
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// What an endpoint says in a return to this request: its own word that it did not run it,
-// and nothing else, makes it not run; in all mixes.
+// Only an endpoint's own statement that it did not run a request proves that, in all combinations
+// of status and header.
 func TestClassifyResponse(t *testing.T) {
 	for _, status := range []int{200, 204, 400, 421, 500, 503, 504} {
 		for _, name := range []string{"", "X-Not"} {
@@ -29,8 +29,8 @@
 	}
 }
 
-// The words of a gate: only those that say so prove that a request did not run; what can't
-// be read proves nothing.
+// Only the results that say so prove that a request did not run; one that is not known proves
+// nothing.
 func TestPeerResults(t *testing.T) {
 	for result, want := range map[string]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
 		must.Eq(t, want, endForResult(nil, result).Outcome, must.Sprint(result))
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -19,7 +19,7 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// configSource is a process that gives parts of a manifest and counts the bytes of its returns.
+// configSource is a process that serves parts of a configuration and counts the bytes it sends.
 type configSource struct {
 	source  mesh.ConfigSource
 	old     bool // it knows neither deltas nor compressed parts
@@ -43,7 +43,7 @@
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
-// setConfig puts a manifest of so many ways in, one of which has its own timeout.
+// setConfig makes a configuration with that many routes, of which one has its own timeout.
 func (s *configSource) setConfig(t *testing.T, revision ident.Epoch, routeCount, timeout int) delta.Snapshot {
 	t.Helper()
 	routes := map[string]any{}
@@ -58,16 +58,16 @@
 	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
 }
 
-// activeConfigOf is the manifest in force at a sidecar.
+// activeConfigOf is the active configuration of a sidecar.
 func activeConfigOf(s *Sidecar) (ident.Epoch, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Revision(), s.config.active.raw
 }
 
-// A sidecar takes a manifest whole the first time and then what changed; a delta that does
-// not fit, and a giver of an earlier release, cost a whole one. What is in force is always
-// to the byte what was given, and what is here already is not taken again.
+// A sidecar fetches a configuration whole the first time and then what changed; a delta that does
+// not fit, and a source of an earlier release, cost a whole one. The active configuration is always
+// what was served, to the byte, and one that is held is not fetched again.
 func TestConfigIsFetchedByDelta(t *testing.T) {
 	source := &configSource{}
 	server := httptest.NewServer(source)
@@ -115,7 +115,8 @@
 	must.Eq(t, ident.Epoch(4), revision)
 }
 
-// A peer hands on the delta by which its manifest came, and only to who has the one before.
+// A sidecar serves its peers the delta by which its configuration came, if they have the revision
+// before.
 func TestPeersHandOnTheDelta(t *testing.T) {
 	source := &configSource{}
 	before, after := source.setConfig(t, 5, 40, 1), source.setConfig(t, 6, 40, 2)
--- a/daemon/sidecar/configwatch_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -19,8 +19,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// slowCore is a core that answers renewals after a while, never if it is negative, and holds
-// each poll for news until it is broken off.
+// slowCore is a core that answers renewals after a while, never if it is negative, and holds each
+// poll until it is broken off.
 type slowCore struct {
 	renewAfter    time.Duration
 	renewals      atomic.Int64
@@ -33,7 +33,7 @@
 	c.polledSignal = make(chan struct{}, 100)
 	done := make(chan struct{})
 	mux := http.NewServeMux()
-	mux.HandleFunc("/cottonarch/v1/renew", func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(mesh.RenewPath, func(w http.ResponseWriter, _ *http.Request) {
 		c.renewals.Add(1)
 		if c.renewAfter < 0 {
 			<-done
@@ -47,7 +47,7 @@
 		case <-done:
 		}
 	})
-	mux.HandleFunc("/cottonarch/v1/news", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc(mesh.WatchPath, func(w http.ResponseWriter, r *http.Request) {
 		c.polls.Add(1)
 		c.polledSignal <- struct{}{}
 		select {
@@ -62,7 +62,7 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// startRenewingSidecar runs the duties of a sidecar that renew its lease and poll for news.
+// startRenewingSidecar runs the duties that renew the lease and poll for changes.
 func startRenewingSidecar(t *testing.T, cores ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{Node: "n", Seeds: cores}, zap.NewNop())
 	s.leaseHeld.Store(true)
@@ -72,8 +72,8 @@
 	return s
 }
 
-// Behind a full link every core is late with its answers to renewals. The poll for news goes on
-// at the core that it began at: broken off with each renewal it would never bring any.
+// Behind a full link every core is late with its answers to renewals. The poll goes on at the core
+// where it began: broken off with each renewal, it would never bring anything.
 func TestPollGoesOnWhileAllCoresAreLate(t *testing.T) {
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -100,7 +100,7 @@
 		return "", 0, fail
 	}
 	if !s.router.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
-		return "", 0, failure.New(failure.Busy, "a repeat has no room below").WithRetryAfter(retryAfterSeconds)
+		return "", 0, failure.New(failure.Busy, "the retry budget of the services below is used up").WithRetryAfter(retryAfterSeconds)
 	}
 	s.endpoints.AddInFlight(request.server, 1)
 	if config := s.router.Config(); config != nil {
@@ -161,11 +161,11 @@
 	}
 }
 
-// classifyResponse tells the endpoint's response to the request from its word that it did not
+// classifyResponse tells the endpoint's response to the request from its statement that it did not
 // run it. That the response is whole and belongs to this request, the exchange has checked.
 func classifyResponse(headers settings.Headers, resp *exchange.Return) endpointResult {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
-		return endpointResult{result: resultShed, failure: failure.New(failure.Busy, "the endpoint turned it away").WithRetryAfter(retryAfterSeconds)}
+		return endpointResult{result: resultShed, failure: failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)}
 	}
 	return endpointResult{result: resultResponse, response: resp}
 }
--- a/daemon/sidecar/endpointcall_test.go
+++ b/daemon/sidecar/endpointcall_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// A request that brings no id has nothing that tells its answer from another's: it gets a
-// connection to the endpoint of its own, so an older answer that comes late reaches nobody.
+// Without an id nothing tells a request's answer from another's: it gets a connection of its own to
+// the endpoint, so that a late answer to an older request reaches nobody.
 func TestRequestWithoutAnIdHasAConnectionOfItsOwn(t *testing.T) {
 	for name, echo := range map[string]string{"echoed": testIDHeader + ": \r\n", "not echoed": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// Every call of an endpoint either has a connection of its own, or asks for its id and for a
-// connection that was in use just now: never for any kept one.
+// Every call of an endpoint either has a connection of its own, or has an id and asks for a
+// connection that was used within idleTrust, never for any that is open.
 func TestHowAnEndpointIsCalled(t *testing.T) {
 	for _, name := range []string{"", testIDHeader} {
 		for _, id := range []string{"", "r"} {
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -17,21 +17,21 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// These tests play all orders of what the far ends of a request's hops may do, over the
-// daemon's own code and real sockets, and hold every answer against what the endpoints
-// saw. Builds that they were seen to catch: see docs/design/control-safety/exactly-once.md.
+// These tests play all orders of what the far ends of a request's hops may do, over the daemon's
+// own code and real sockets, and check every answer against what the endpoints saw. The faulty
+// builds that they catch are listed in docs/design/control-safety/exactly-once.md.
 
-// patientLimit is the time of a request that nothing ends by time; shortLimit that of one
-// which meets a peer that hangs.
+// patientLimit is the time of a request that must not time out, shortLimit that of one which meets
+// a peer that hangs.
 const (
 	patientLimit = time.Minute
 	shortLimit   = 60 * time.Millisecond
 )
 
-// notExecutedStatuses are the statuses that promise that a request has not run and never will.
+// notExecutedStatuses are the statuses of a request that has not run and never will.
 var notExecutedStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// topology puts the two endpoints of a service on the stage and gives the sidecar that is asked.
+// topology places the two endpoints of a service and gives the sidecar that callers use.
 type topology func(*testStage) *Sidecar
 
 func localEndpoints(st *testStage) *Sidecar {
@@ -47,8 +47,8 @@
 	return s
 }
 
-// playScript sends requests one after the other against one order of moves. It is judged when
-// they are answered, and again when all of the stage is over: what was refused never runs.
+// playScript sends requests one after the other against one order of moves. The answers are checked
+// at once, and again at the end of the test: what was rejected never runs.
 func (st *testStage) playScript(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointMove, relays []relayMove) {
 	log, order := newJournal(script, relays), fmt.Sprint(st.orders.Add(1))
 	st.journals.Store(order, log)
@@ -67,7 +67,7 @@
 	t.Cleanup(checkAll)
 }
 
-// closeConnections closes the connections that an order kept.
+// closeConnections closes the connections that the sidecars kept.
 func (st *testStage) closeConnections(s *Sidecar) {
 	for _, sidecar := range []*Sidecar{s, st.peer.Swap(nil)} {
 		if sidecar == nil {
@@ -91,7 +91,7 @@
 	return strings.Join(names, "; ")
 }
 
-// checkAnswer holds the answer to one request against what the endpoints saw of it.
+// checkAnswer checks the answer to one request against what the endpoints saw of it.
 func (j *journal) checkAnswer(t *testing.T, path, id string, got *httptest.ResponseRecorder, order string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -105,7 +105,7 @@
 			must.Eq(t, refused, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", order, id))
 		}
 	}
-	message := must.Sprintf("%s: %s ran %d times, was told %d %s %s", order, id, ran, got.Code, got.Header().Get(response.FateHeader), got.Body)
+	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", order, id, ran, got.Code, got.Header().Get(response.FateHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
 		must.LessEq(t, 1, ran, message)
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// movesWithoutHang are the moves that nothing ends by time.
+// movesWithoutHang are the moves that end without a time-out.
 func movesWithoutHang() (list []endpointMove) {
 	for _, m := range endpointMoves {
 		if m.end != hangs {
@@ -139,7 +139,7 @@
 
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
-// movesNamed gives the moves of an endpoint that have these names.
+// movesNamed gives the endpoint moves of these names.
 func movesNamed(names ...string) (list []endpointMove) {
 	for _, m := range endpointMoves {
 		if slices.Contains(names, m.name) {
@@ -206,8 +206,8 @@
 	}
 }
 
-// A peer that hangs ends the request at its time: whether it ran is unknown, nothing goes
-// out again, and its connection carries nothing after it.
+// A request to a peer that hangs ends at its deadline: whether it ran is unknown, it is not sent
+// again, and its connection carries nothing after it.
 func TestAllOrdersWithAPeerThatHangs(t *testing.T) {
 	hanging := endpointMoves[len(endpointMoves)-1]
 	must.Eq(t, hangs, hanging.end)
@@ -227,8 +227,8 @@
 	}
 }
 
-// Many requests at once, on connections that are kept and ended as moves drawn by a seed
-// have it: no two of them mix, and each is judged as above.
+// Many requests at once, on connections that random moves keep and end: no two of them are mixed
+// up, and each answer is checked as above.
 func TestManyAtOnce(t *testing.T) {
 	const callers, each = 8, 30
 	for seed := range uint64(6) {
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -45,7 +45,7 @@
 var catchAllConfig = &validation.Config{Revision: 2, Services: testConfig.Services, Routes: []validation.Route{{Name: "any", Host: "*", PathPrefix: "/", Service: "s", Timeout: time.Minute, MaxAttempts: 1, Repeat: validation.OneShot}}}
 
 // Whatever a caller or another sidecar sends that net/http reads as a request: it is
-// answered and leaves nothing in hand; the endpoint reads at most one request of it, and
+// answered and leaves nothing in flight; the endpoint reads at most one request of it, and
 // that one is the caller's own, with the mesh's own headers and no other's in their place.
 func FuzzIntake(f *testing.F) {
 	for _, seed := range []string{
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -63,7 +63,7 @@
 	config := activeConfig{Revision: s.router.Revision(), Config: s.config.active.raw}
 	s.mu.Unlock()
 	if config.Revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no manifest is in force yet"))
+		response.Defect(w, failure.New(failure.NotFound, "no configuration is active yet"))
 		return
 	}
 	response.JSON(w, http.StatusOK, config)
@@ -111,7 +111,7 @@
 	revision, held := s.newestConfig()
 	s.mu.Unlock()
 	if revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no manifest is here yet"))
+		response.Defect(w, failure.New(failure.NotFound, "no configuration is held yet"))
 		return
 	}
 	mesh.ServeConfigPart(w, r, mesh.ConfigSource{Revision: revision, Raw: held.raw, Compressed: held.compressed, DeltaFrom: held.deltaFrom})
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -46,9 +46,9 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// A machine whose link is full of what comes in does not ask for another large body: the
-// sender is told so, as not run, before the body leaves; a small one is still taken. Once the
-// link is free the large one is taken too.
+// A machine whose inbound link is full does not ask for another large body: the request is answered
+// as not run before its body leaves; a small one is still taken. Once the link is free, the large
+// one is taken too.
 func TestBodyWaitsForRoomOnTheLink(t *testing.T) {
 	const large, comingIn = 300 << 10, 2_000_000
 	stage := newStage(t)
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -89,7 +89,7 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// A sidecar asks a seed for the cores before it joins, so a herd with one seed spreads.
+// A sidecar asks a seed for the cores before it joins, so that many with one seed spread.
 func TestJoinsSpreadFromOneSeed(t *testing.T) {
 	var fakes []*fakeCore
 	var addrs []ident.Addr
@@ -110,8 +110,8 @@
 	}
 }
 
-// A busy core's word is kept to, and the repeat carries the same mark; once let in, the
-// next join is another.
+// A busy core's Retry-After is kept to, and the repeat has the same attempt id; after a lease was
+// granted the next join has another.
 func TestRepeatedJoinKeepsItsMarkAndTheWait(t *testing.T) {
 	f := newFakeCore(t)
 	f.answerJoin = rejectJoin
@@ -129,7 +129,7 @@
 	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
 
-// A core that refuses connections, and a seed that is a sidecar, are passed by soon.
+// After a core that refuses connections, or a seed that is a sidecar, the next one is asked soon.
 func TestJoinPassesByWhoIsNoCore(t *testing.T) {
 	f, sidecarSeed := newFakeCore(t), newFakeCore(t)
 	f.answerJoin = grantJoin
@@ -146,8 +146,8 @@
 	must.Eq(t, 1, f.joins())
 }
 
-// A manifest that is held is not fetched again with a join; a newer one is, and the floor
-// that the join proved is kept.
+// A configuration that is held is not fetched again with a join; a newer one is, and the lowest
+// revision that the join allows is kept.
 func TestJoinFetchesOnlyWhatIsNewer(t *testing.T) {
 	f := newFakeCore(t)
 	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -15,7 +15,7 @@
 		return nil
 	}
 	s.count(counterOutboundLinkFull)
-	return failure.New(failure.Busy, "the link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
+	return failure.New(failure.Busy, "the outbound link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 }
 
 // releaseOutbound ends a reservation, and counts the response that goes out now; resp is nil if
@@ -39,7 +39,7 @@
 	retryAfter, ok := s.inboundLink.Admit(size)
 	if !ok {
 		s.count(counterInboundLinkFull)
-		return nil, failure.New(failure.Busy, "the link of %s is full of what comes in", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
+		return nil, failure.New(failure.Busy, "the inbound link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 	}
 	return func() {
 		s.mu.Lock()
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// A request whose answer has no room on this machine's link is turned away before anything
-// of it is done, with a time to come back; one that ended without an answer takes no room.
+// A request whose response has no room on this machine's outbound link is rejected before anything
+// else, with a Retry-After; one that ended without a response takes no room.
 func TestFullLinkRejects(t *testing.T) {
 	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
 	send := func(bytes int) (result, retryAfter string) {
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -43,9 +43,9 @@
 	gaugeQueued                 = "queued"
 )
 
-// formerNames gives the names under which earlier releases published counters and gauges. They
-// are published under both for one release, as tools of operators read the old ones.
-var formerNames = map[string]string{
+// deprecatedNames gives the names under which earlier releases published counters and gauges. They
+// are published under both for one release, as the tools of operators read the old ones.
+var deprecatedNames = map[string]string{
 	counterHeartbeats:              "beats",
 	counterProbes:                  "greetings",
 	counterResponses:               "returns",
@@ -75,17 +75,17 @@
 	gaugeInFlight:                  "in_hand",
 }
 
-// formerPrefixes lists the prefixes in formerNames.
-var formerPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
+// deprecatedPrefixes lists the prefixes in deprecatedNames.
+var deprecatedPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
 
-// formerName gives the former name of a counter or gauge; it is false when it has none.
-func formerName(name string) (string, bool) {
-	if former, ok := formerNames[name]; ok {
-		return former, true
+// deprecatedName gives the deprecated name of a counter or gauge; it is false when it has none.
+func deprecatedName(name string) (string, bool) {
+	if deprecated, ok := deprecatedNames[name]; ok {
+		return deprecated, true
 	}
-	for _, prefix := range formerPrefixes {
+	for _, prefix := range deprecatedPrefixes {
 		if rest, ok := strings.CutPrefix(name, prefix); ok {
-			return formerNames[prefix] + rest, true
+			return deprecatedNames[prefix] + rest, true
 		}
 	}
 	return "", false
@@ -94,15 +94,15 @@
 // count counts an event.
 func (s *Sidecar) count(counter string) {
 	s.Metrics.Add(counter, 1)
-	if former, ok := formerName(counter); ok {
-		s.Metrics.Add(former, 1)
+	if deprecated, ok := deprecatedName(counter); ok {
+		s.Metrics.Add(deprecated, 1)
 	}
 }
 
 func (s *Sidecar) setGauge(gauge string, value int64) {
 	s.Metrics.Set(gauge, value)
-	if former, ok := formerName(gauge); ok {
-		s.Metrics.Set(former, value)
+	if deprecated, ok := deprecatedName(gauge); ok {
+		s.Metrics.Set(deprecated, value)
 	}
 }
 
--- a/daemon/sidecar/peerrejection_test.go
+++ b/daemon/sidecar/peerrejection_test.go
@@ -13,8 +13,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// A peer that turns a large request away before it read the body, and closes: its word is
-// heard all the same, the request is told as not run, and the next one is not disturbed.
+// A peer that rejects a large request before it has read the body, and closes: its result is read
+// all the same, the request is answered as not run, and the next one is not disturbed.
 func TestPeerRejectsALargeRequestEarly(t *testing.T) {
 	stage := newStage(t)
 	log := newJournal(nil, nil)
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -46,7 +46,7 @@
 }
 
 // parsePeerResponse tells an endpoint's response that a sidecar passes on from the sidecar's own
-// word on the request.
+// result.
 func parsePeerResponse(call exchange.Call, resp *exchange.Return) (*exchange.Return, attempt.Result) {
 	result := resp.Header.Get(PeerResultHeader)
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
@@ -57,7 +57,7 @@
 	}
 	fail, ok := peerFailure(call, resp, result)
 	if !ok {
-		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "the gate's return can't be read")}
+		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar can't be read")}
 	}
 	end := endForResult(fail, result)
 	end.LoadReport = report
@@ -80,7 +80,7 @@
 // failureWithoutBody is the failure for a result that came without one.
 func failureWithoutBody(result string) *failure.Error {
 	if endByResult[result].Outcome == attempt.NotExecuted {
-		return failure.New(failure.Busy, "a gate turned it away").WithRetryAfter(retryAfterSeconds)
+		return failure.New(failure.Busy, "the endpoint's sidecar rejected the request").WithRetryAfter(retryAfterSeconds)
 	}
-	return failure.NewUnknown(failure.LostResponse, "a gate can't tell what became of it")
+	return failure.NewUnknown(failure.LostResponse, "the endpoint's sidecar can't tell whether the request ran")
 }
--- a/daemon/sidecar/peerresult_test.go
+++ b/daemon/sidecar/peerresult_test.go
@@ -14,8 +14,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// A gate's word on a HEAD comes without its body: the header alone tells what it says. On
-// any other method a word without a body that can be read proves nothing.
+// The result of a HEAD comes without a body: the header alone tells. With any other method a result
+// without a body that can be read proves nothing.
 func TestPeerResultWithoutABody(t *testing.T) {
 	for method, wantByResult := range map[string]map[string]attempt.Outcome{
 		http.MethodHead: {resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown},
@@ -31,8 +31,7 @@
 	}
 }
 
-// A one-shot HEAD that a peer's gate turns away goes on to another endpoint, or is told as
-// not run.
+// A one-shot HEAD that a peer rejects goes on to another endpoint, or is answered as not run.
 func TestHeadIsRejectedByAPeer(t *testing.T) {
 	peer := newTestSidecar("b", "127.0.0.1:2") // it knows no endpoint
 	s := newTestSidecar("a", "127.0.0.1:1")
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	if !s.beginPeerRequest(r.Header.Get(UrgentHeader) != "") {
-		writePeerFailure(w, resultRejected, failure.New(failure.Busy, "too many requests are in hand at %s", s.Settings.Node))
+		writePeerFailure(w, resultRejected, failure.New(failure.Busy, "too many requests are in flight at %s", s.Settings.Node))
 		return true
 	}
 	defer s.endRequest()
--- a/daemon/sidecar/probe_test.go
+++ b/daemon/sidecar/probe_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// Only an endpoint that says it is well, and who it is, is taken for well when a sidecar
-// starts; a beat that came meanwhile goes before.
+// Only an endpoint whose answer says that it is healthy, and which one it is, counts as healthy when
+// a sidecar starts.
 func TestHeartbeatFromProbe(t *testing.T) {
 	s := New(settings.Sidecar{EndpointAddr: "127.0.0.1:9", EndpointService: "svc", Headers: settings.Headers{ServerID: "X-Who", LoadReport: "X-Room"}}, nil)
 	for _, status := range []int{200, 204, 404, 503} {
--- a/daemon/sidecar/renewal_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -19,8 +19,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// An answer to a renewal that comes after its time has its news still, and the connection it
-// came by serves the next renewal: over a full link a new one may not come up in time.
+// What a late response to a renewal tells is used, and its connection serves the next renewal: over
+// a full link a new one may not come up in time.
 func TestLateRenewalKeepsItsConnection(t *testing.T) {
 	answerNow := make(chan struct{})
 	var connections, requests atomic.Int64
--- a/daemon/sidecar/sendqueue_test.go
+++ b/daemon/sidecar/sendqueue_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// A request whose time ends while it is queued is turned away then, not run, and not
-// held until one of those before it is over; who stands behind it moves up.
+// A request whose time ends while it is queued is rejected then, not run, and not held until one
+// before it is over; those behind it move up.
 func TestTimeEndsInQueue(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
 	endpointAddr := listen(t, func(c *net.TCPConn) {
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -22,7 +22,7 @@
 	queue   *admission.Queue
 	waiters map[uint64]chan admission.Verdict // by request
 	lastID  uint64
-	known   map[ident.Server]bool // endpoints whose slots the queue was told
+	known   map[ident.Server]bool // endpoints whose slots the queue knows
 }
 
 func newSlotQueue() slotQueue {
@@ -71,7 +71,7 @@
 	}
 }
 
-// update takes the number of slots that an endpoint's heartbeat tells.
+// update takes the number of slots of an endpoint's heartbeat.
 func (q *slotQueue) update(now monotime.Time, heartbeat endpoint.Heartbeat) {
 	if heartbeat.State != endpoint.Alive || heartbeat.Slots <= 0 {
 		return
@@ -92,7 +92,7 @@
 	verdict, ok := awaitVerdict(verdicts, request.deadline)
 	if !ok {
 		if verdict, ok = s.abandonSlot(request.server, id, verdicts); !ok {
-			return 0, failure.New(failure.DeadlineExceeded, "no room in time")
+			return 0, failure.New(failure.DeadlineExceeded, "no slot in time")
 		}
 	}
 	if verdict.Decision == admission.Admit {
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -69,7 +69,7 @@
 
 func sealedAnswer(id string, _ []string) string { return answerTo(200, id, testSealHeader+": s\r\n") }
 
-// newestAnswer is the answer to the request before this one, said once more.
+// newestAnswer is the answer to the request before this one, once more.
 func newestAnswer(past []string) string {
 	if len(past) == 0 {
 		return sealedAnswer("before", nil)
@@ -95,9 +95,9 @@
 	{"runs and hangs", true, func(string, []string) string { return "" }, hangs, doubt},
 }
 
-// journal is what the peers of the sidecars saw in one order. Moves are played in the order
-// in which requests come in, whatever the endpoint and the connection; then every one is the
-// first.
+// journal is what the peers of the sidecars saw in one order of moves. The moves are played in the
+// order in which requests come in, at whichever endpoint and connection; after the last of them, the
+// first move of endpointMoves goes on.
 type journal struct {
 	mu              sync.Mutex
 	script          []endpointMove
@@ -139,7 +139,7 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// endConnection carries out the end of a connection and tells whether it stays.
+// endConnection ends a connection as a move asks, and tells whether it stays open.
 func endConnection(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
 	switch end {
 	case stays:
@@ -155,9 +155,9 @@
 	return false
 }
 
-// testStage holds the sockets of one place of endpoints and peers, which serve one order after
-// the other: each has a journal and sidecars of its own. Ids begin with the number of their
-// order, so a request that arrives after its order is over is still seen.
+// testStage holds the sockets of endpoints and peers, which serve one order of moves after the other:
+// each order has a journal and sidecars of its own. Ids of requests begin with the number of their
+// order, so that one which arrives after its order is over is still seen.
 type testStage struct {
 	orders    atomic.Int64
 	journals  sync.Map
@@ -175,7 +175,7 @@
 	return st
 }
 
-// journalOf is that of the order which an id belongs to.
+// journalOf is the journal of the order to which an id belongs.
 func (st *testStage) journalOf(id string) *journal {
 	order, _, _ := strings.Cut(id, "-")
 	log, _ := st.journals.Load(order)
@@ -233,8 +233,8 @@
 	return move
 }
 
-// relay stands between two sidecars: behind it are one that knows its endpoints, and one
-// that was started anew.
+// relay is the hop between two sidecars. It forwards to one that knows its endpoints, or to one that
+// was started anew.
 func (st *testStage) relay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		eachRequest(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
@@ -254,7 +254,7 @@
 	})
 }
 
-// forwarded sends a request on over a connection of its own and gives the answer's bytes.
+// forwarded forwards a request over a connection of its own and gives the bytes of the answer.
 func forwarded(t *testing.T, target ident.Addr, req *http.Request) []byte {
 	c, err := net.Dial("tcp", string(target))
 	must.NoError(t, err)
@@ -272,7 +272,7 @@
 	{Name: "once", Host: "h", PathPrefix: "/once/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.OneShot},
 }}
 
-// newTestSidecar is a sidecar without its duties, with the endpoints of its own machine.
+// newTestSidecar makes a sidecar whose duties do not run, with endpoints of its own machine.
 func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{Node: name, Addr: addr, Zone: "d", Senders: 16, QueueCapacity: 16, MaxInFlight: 64, EndpointsVerifyTarget: true, HeartbeatInterval: time.Hour,
 		Headers: settings.Headers{RequestID: testIDHeader, Deadline: "X-Limit-Left-Ms", CallingService: "X-Calling-Service", SuccessMark: testSealHeader, NotExecuted: "X-Not-Run", FractionalRetryAfter: true}}, zap.NewNop())
@@ -284,7 +284,7 @@
 	return s
 }
 
-// addWorkloads lets a sidecar know the endpoints of a node, behind an address.
+// addWorkloads adds the endpoints of a node to a sidecar's registry, behind an address.
 func (s *Sidecar) addWorkloads(author ident.Node, sidecarAddr ident.Addr, servers ...ident.Server) {
 	var records []record.Address
 	for _, id := range servers {
@@ -293,7 +293,7 @@
 	s.router.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
 }
 
-// startPeerServer serves a sidecar towards the mesh, on the daemon's own kind of server.
+// startPeerServer serves a sidecar's address for peers, on the daemon's own kind of server.
 func startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
 	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool { return s().ServePeer(w, r) })
 	listener := httptest.NewServer(peerServer.Handler)
--- a/daemon/sidecar/status.go
+++ b/daemon/sidecar/status.go
@@ -8,17 +8,17 @@
 )
 
 // Status is what the status page shows. The keys of earlier releases stand first, in their order;
-// those whose field is named Former are published for one release beside the new ones.
+// those whose field is named Deprecated are published for one release beside the new ones.
 type Status struct {
-	FormerLeaseEpoch         ident.Epoch       `json:"claim"`
-	Cores                    []ident.Addr      `json:"cores"`
-	FormerConfigRevision     ident.Epoch       `json:"manifest"`
-	Node                     ident.Node        `json:"node"`
-	Ready                    bool              `json:"ready"`
-	RegistrySets             int               `json:"sets"`
-	FormerBudgetShare        int               `json:"share"`
-	FormerBudgetShareGranted int               `json:"shareGranted"`
-	Workloads                []record.Workload `json:"workloads"`
+	DeprecatedLeaseEpoch         ident.Epoch       `json:"claim"`
+	Cores                        []ident.Addr      `json:"cores"`
+	DeprecatedConfigRevision     ident.Epoch       `json:"manifest"`
+	Node                         ident.Node        `json:"node"`
+	Ready                        bool              `json:"ready"`
+	RegistrySets                 int               `json:"sets"`
+	DeprecatedBudgetShare        int               `json:"share"`
+	DeprecatedBudgetShareGranted int               `json:"shareGranted"`
+	Workloads                    []record.Workload `json:"workloads"`
 
 	LeaseEpoch         ident.Epoch `json:"leaseEpoch"`
 	ConfigRevision     ident.Epoch `json:"configRevision"`
@@ -41,9 +41,9 @@
 		BudgetShare:        s.router.RetryBudget.Share(s.clock()),
 		BudgetShareGranted: s.budgetShare.Usable(),
 	}
-	status.FormerLeaseEpoch = status.LeaseEpoch
-	status.FormerConfigRevision = status.ConfigRevision
-	status.FormerBudgetShare = status.BudgetShare
-	status.FormerBudgetShareGranted = status.BudgetShareGranted
+	status.DeprecatedLeaseEpoch = status.LeaseEpoch
+	status.DeprecatedConfigRevision = status.ConfigRevision
+	status.DeprecatedBudgetShare = status.BudgetShare
+	status.DeprecatedBudgetShareGranted = status.BudgetShareGranted
 	return status
 }
