--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -65,7 +65,6 @@
 }
 
 func stopServer(one *server.Server) {
-	one.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = one.Stop(ctx)
