--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -39,7 +39,7 @@
 	held := h.core.Config()
 	if held == nil {
 		// Only a majority can tell that there is none.
-		response.Defect(w, failure.New(failure.NotReady, "no configuration is known here").WithRetryAfter(retryAfterSeconds))
+		response.WriteError(w, failure.New(failure.NotReady, "no configuration is known here").WithRetryAfter(retryAfterSeconds))
 		return
 	}
 	ServeConfigPart(w, r, ConfigSource{Revision: held.Revision, Raw: held.Document, Compressed: held.Packed, DeltaFrom: h.core.ConfigDelta})
@@ -51,12 +51,12 @@
 	query := r.URL.Query()
 	offset, err := strconv.Atoi(query.Get("at"))
 	if err != nil || offset < 0 {
-		response.Defect(w, badOffset())
+		response.WriteError(w, badOffset())
 		return
 	}
 	if offset == 0 {
 		if change := source.delta(query.Get("have")); change != nil {
-			response.JSON(w, http.StatusOK, ConfigPart{Revision: change.To, Delta: change})
+			response.WriteJSON(w, http.StatusOK, ConfigPart{Revision: change.To, Delta: change})
 			return
 		}
 	}
@@ -66,11 +66,11 @@
 		data = source.Compressed.Bytes()
 	}
 	if offset > len(data) {
-		response.Defect(w, badOffset())
+		response.WriteError(w, badOffset())
 		return
 	}
 	part.Size, part.Data = len(data), data[offset:min(len(data), offset+PartBytes)]
-	response.JSON(w, http.StatusOK, part)
+	response.WriteJSON(w, http.StatusOK, part)
 }
 
 // delta gives the delta from a revision to the one that is served, nil if there is none.
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -51,27 +51,27 @@
 // of the retry budget and the newest configuration revision are read from a majority of disks.
 func (h handlers) join(w http.ResponseWriter, r *http.Request) {
 	var request JoinRequest
-	fail := response.Decode(r, maxRequestBytes, &request)
+	fail := response.DecodeBody(r, maxRequestBytes, &request)
 	if fail == nil {
 		fail = request.validate()
 	}
 	if fail != nil {
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 		return
 	}
 	answer := h.core.Join(r.Context(), joinqueue.Request{Node: request.Node, Run: request.AttemptID, RetryTotal: h.core.Settings.RetryLimit})
 	if answer.Failure != nil {
-		response.Defect(w, answer.Failure)
+		response.WriteError(w, answer.Failure)
 		return
 	}
 	var joined node.Joined
 	if err := json.Unmarshal(answer.Body, &joined); err != nil {
-		response.Defect(w, failure.New(failure.Damaged, "join: %v", err))
+		response.WriteError(w, failure.New(failure.Damaged, "join: %v", err))
 		return
 	}
 	h.core.Metrics.Add("claims", 1)
 	view := h.core.View()
-	response.JSON(w, http.StatusOK, JoinResponse{
+	response.WriteJSON(w, http.StatusOK, JoinResponse{
 		LeaseEpoch:     joined.LeaseEpoch,
 		BudgetShare:    joined.Share,
 		Cores:          view.Places,
@@ -83,15 +83,15 @@
 // budgetShare lowers or raises a sidecar's share of the retry budget.
 func (h handlers) budgetShare(w http.ResponseWriter, r *http.Request) {
 	var args quota.Args
-	if fail := response.Decode(r, maxRequestBytes, &args); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxRequestBytes, &args); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	take := proposer.Operation{Key: quota.Key, Kind: "share/take", Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
 	answer := h.core.Execute(r.Context(), take, budgetShareTimeout)
 	if answer.Failure != nil {
-		response.Defect(w, answer.Failure)
+		response.WriteError(w, answer.Failure)
 		return
 	}
-	response.JSON(w, http.StatusOK, json.RawMessage(answer.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(answer.Body))
 }
--- a/daemon/api/mesh/lookup.go
+++ b/daemon/api/mesh/lookup.go
@@ -29,7 +29,7 @@
 		fail = failure.New(failure.NoMajority, "this core hears no majority").WithRetryAfter(retryAfterSeconds)
 	}
 	if fail != nil {
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 		return
 	}
 	key := mux.Vars(r)["key"]
@@ -37,8 +37,8 @@
 	index.Merge(state.sets)
 	address, ok := index.Lookup(key)
 	if !ok {
-		response.Defect(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
 		return
 	}
-	response.JSON(w, http.StatusOK, address)
+	response.WriteJSON(w, http.StatusOK, address)
 }
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -64,21 +64,21 @@
 
 func (h handlers) messages(w http.ResponseWriter, r *http.Request) {
 	var batch core.Batch
-	if fail := response.Decode(r, maxBodyBytes, &batch); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxBodyBytes, &batch); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	writeWithoutDate(w, h.core.Receive(r.Context(), batch))
 }
 
 func (h handlers) cores(w http.ResponseWriter, _ *http.Request) {
-	response.JSON(w, http.StatusOK, core.KnownCores{Cores: h.core.View().Cores, FromCore: true})
+	response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: h.core.View().Cores, FromCore: true})
 }
 
 // writeWithoutDate writes a response without the Date header, which would be a large part of it.
 func writeWithoutDate(w http.ResponseWriter, v any) {
 	w.Header()["Date"] = nil
-	response.JSON(w, http.StatusOK, v)
+	response.WriteJSON(w, http.StatusOK, v)
 }
 
 // runStep runs a step in the core's loop, where its state may be read and changed, and waits for
--- a/daemon/api/mesh/renew.go
+++ b/daemon/api/mesh/renew.go
@@ -20,12 +20,12 @@
 // version of it.
 func (h handlers) renew(w http.ResponseWriter, r *http.Request) {
 	var request record.Renewal
-	if fail := response.Decode(r, maxBodyBytes, &request); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxBodyBytes, &request); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	if request.Node == "" {
-		response.Defect(w, failure.New(failure.Invalid, "a renewal needs a node"))
+		response.WriteError(w, failure.New(failure.Invalid, "a renewal needs a node"))
 		return
 	}
 	result, fail := runStep(h.core, func(now monotime.Time) (renewalResult, node.Effects) {
@@ -36,7 +36,7 @@
 		fail = result.failure
 	}
 	if fail != nil {
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 		return
 	}
 	renewed, view := result.response, h.core.View()
--- a/daemon/api/mesh/watch.go
+++ b/daemon/api/mesh/watch.go
@@ -81,12 +81,12 @@
 		changed := h.core.RegistryChanged()
 		update, fail := h.update(request)
 		if fail != nil {
-			response.Defect(w, fail)
+			response.WriteError(w, fail)
 			return
 		}
 		wasStale, update.Stale = update.Stale, update.Stale && !wasStale
 		if last || request.answeredBy(update) {
-			response.JSON(w, http.StatusOK, update)
+			response.WriteJSON(w, http.StatusOK, update)
 			return
 		}
 		select {
--- a/daemon/integration/sidecarstop_test.go
+++ b/daemon/integration/sidecarstop_test.go
@@ -47,10 +47,10 @@
 		status, _ := request(http.MethodPut, cluster.addrs[0], "", "/manifest", []byte(minimalConfig), nil)
 		return status == http.StatusOK
 	})
-	app, err := endpoint.Start(endpoint.Boot{Server: testApp, Service: "a.x", Addr: freeAddr(t), Beat: m.endpointSide.addr, Mood: endpoint.Mood{Work: workTime}})
+	app, err := endpoint.Start(endpoint.Options{Server: testApp, Service: "a.x", Addr: freeAddr(t), SidecarAddr: m.endpointSide.addr, Behavior: endpoint.Behavior{WorkTime: workTime}})
 	must.NoError(t, err)
 	m.app = app
-	t.Cleanup(app.Die)
+	t.Cleanup(app.Kill)
 	for _, side := range []*sidecarProcess{m.callerSide, m.endpointSide} {
 		m.awaitServing(side, "/warm")
 	}
@@ -76,7 +76,7 @@
 // are released. wait waits for the responses: each must be whole and the endpoint's own.
 func (m *smallMesh) holdRequests(side *sidecarProcess, n int) (release, wait func()) {
 	held := make(chan struct{})
-	m.app.Behave(endpoint.Mood{Hold: held})
+	m.app.SetBehavior(endpoint.Behavior{Release: held})
 	release = sync.OnceFunc(func() { close(held) })
 	m.t.Cleanup(release)
 	var requests sync.WaitGroup
@@ -85,13 +85,13 @@
 		requests.Go(func() {
 			path := fmt.Sprintf("/held/%d", i)
 			status, headers, echo := m.get(side, path)
-			ofEndpoint := echo.Path == path && echo.Server == testApp && headers.Get(response.FateHeader) == ""
+			ofEndpoint := echo.Path == path && echo.Server == testApp && headers.Get(response.OutcomeHeader) == ""
 			if status == http.StatusOK && ofEndpoint {
 				answered.Add(1)
 			}
 		})
 	}
-	eventually(m.t, "requests in flight", func() bool { return m.app.Hand() == int64(n) })
+	eventually(m.t, "requests in flight", func() bool { return m.app.InFlight() == int64(n) })
 	wait = func() {
 		requests.Wait()
 		must.Eq(m.t, int64(n), answered.Load())
@@ -130,7 +130,7 @@
 	m.awaitConfig(m.endpointSide, revision)
 	status, _, _ := m.get(m.callerSide, "/gone")
 	must.Eq(t, http.StatusNotFound, status)
-	must.Eq(t, 6, m.app.Hand())
+	must.Eq(t, 6, m.app.InFlight())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -182,7 +182,7 @@
 			must.Eq(t, path, echo.Path)
 			served++
 		case http.StatusServiceUnavailable:
-			must.Eq(t, string(failure.NotExecuted), headers.Get(response.FateHeader))
+			must.Eq(t, string(failure.NotExecuted), headers.Get(response.OutcomeHeader))
 			must.NotEq(t, "", headers.Get("Retry-After"))
 		default:
 			// Only when nobody listens any more.
--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -23,8 +23,8 @@
 // sendWithRetries sends a request to one endpoint after the other until there is a response, or
 // no further attempt is allowed. A response that says that the endpoint failed is given if the
 // attempts after it bring nothing better. Without a response there is a failure.
-func (s *Sidecar) sendWithRetries(request *queuedRequest) (*exchange.Return, *failure.Error) {
-	var failedResponse *exchange.Return
+func (s *Sidecar) sendWithRetries(request *queuedRequest) (*exchange.Response, *failure.Error) {
+	var failedResponse *exchange.Response
 	for {
 		choice := s.nextAttempt(request.call)
 		if choice.Failure != nil {
@@ -64,7 +64,7 @@
 
 // sendOnce makes one attempt: at an endpoint of this machine, or through the sidecar of the
 // endpoint's machine.
-func (s *Sidecar) sendOnce(queued *queuedRequest, choice attempt.Decision) (*exchange.Return, attempt.Result) {
+func (s *Sidecar) sendOnce(queued *queuedRequest, choice attempt.Decision) (*exchange.Response, attempt.Result) {
 	request := endpointRequest{
 		server:        choice.Entry.UID,
 		service:       choice.Entry.Service,
@@ -80,7 +80,7 @@
 }
 
 // sendLocally makes an attempt at an endpoint of this machine.
-func (s *Sidecar) sendLocally(request endpointRequest) (*exchange.Return, attempt.Result) {
+func (s *Sidecar) sendLocally(request endpointRequest) (*exchange.Response, attempt.Result) {
 	result := s.sendToEndpoint(request)
 	end := endForResult(result.failure, result.result)
 	end.LoadReport, end.Elapsed = parseLoadReport(result.loadReport), result.duration
@@ -88,7 +88,7 @@
 }
 
 // sendToPeer makes an attempt through the sidecar of the endpoint's machine.
-func (s *Sidecar) sendToPeer(choice attempt.Decision, request endpointRequest, urgent bool) (*exchange.Return, attempt.Result) {
+func (s *Sidecar) sendToPeer(choice attempt.Decision, request endpointRequest, urgent bool) (*exchange.Response, attempt.Result) {
 	call := peerCall(request, choice.Timeout, urgent)
 	resp, sent, fail := s.peerExchange.Do(context.Background(), choice.Entry.SidecarAddr, call)
 	switch {
@@ -103,25 +103,25 @@
 // peerCall makes the call to the sidecar of the endpoint's machine.
 func peerCall(request endpointRequest, limit time.Duration, urgent bool) exchange.Call {
 	call := request.call
-	call.Until, call.Expect = request.deadline, true
+	call.Deadline, call.ExpectContinue = request.deadline, true
 	peerLimit := limit - min(limit/peerMarginFraction, maxPeerMargin)
-	call.Set = append(make([]exchange.Field, 0, 8), request.call.Set...)
-	call.Set = append(call.Set,
-		exchange.Field{Name: TargetHeader, Value: string(request.server)},
-		exchange.Field{Name: ServiceHeader, Value: string(request.service)},
-		exchange.Field{Name: LimitHeader, Value: strconv.FormatInt(peerLimit.Milliseconds(), 10)},
-		exchange.Field{Name: AdmissionHintsHeader, Value: request.hints.encode()})
+	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 8), request.call.HeaderOverrides...)
+	call.HeaderOverrides = append(call.HeaderOverrides,
+		exchange.HeaderField{Name: TargetHeader, Value: string(request.server)},
+		exchange.HeaderField{Name: ServiceHeader, Value: string(request.service)},
+		exchange.HeaderField{Name: LimitHeader, Value: strconv.FormatInt(peerLimit.Milliseconds(), 10)},
+		exchange.HeaderField{Name: AdmissionHintsHeader, Value: request.hints.encode()})
 	if urgent {
-		call.Set = append(call.Set, exchange.Field{Name: UrgentHeader, Value: "1"})
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: UrgentHeader, Value: "1"})
 	}
 	if request.retryFraction > 0 {
-		call.Set = append(call.Set, exchange.Field{Name: RetryFractionHeader, Value: strconv.FormatFloat(request.retryFraction, 'f', 3, 64)})
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: strconv.FormatFloat(request.retryFraction, 'f', 3, 64)})
 	}
 	return call
 }
 
 // withSize adds to the end of an attempt what the response itself tells.
-func withSize(call exchange.Call, resp *exchange.Return, end attempt.Result) (*exchange.Return, attempt.Result) {
+func withSize(call exchange.Call, resp *exchange.Response, end attempt.Result) (*exchange.Response, attempt.Result) {
 	if resp != nil {
 		end.EndpointFailed = resp.Status >= 500
 		end.ResponseBytes = int64(len(call.Body) + len(resp.Body) + approxHeaderBytes)
--- a/daemon/sidecar/bodies.go
+++ b/daemon/sidecar/bodies.go
@@ -47,7 +47,7 @@
 	if budget > 0 {
 		most = min(most, max(declared, budget-s.bodies.inFlight.Load()+declared))
 	}
-	if body, fail = response.Read(r, most); fail != nil {
+	if body, fail = response.ReadBody(r, most); fail != nil {
 		s.bodies.inFlight.Add(-declared)
 		if fail.Kind == failure.Oversize && most < limits.MaxBodyBytes {
 			fail = bodyBudgetExceeded()
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -95,7 +95,7 @@
 	if calling := s.Settings.Headers.CallingService; calling == "" {
 		request.outgoing.Header.Add(forwardedForHeader, remoteHost)
 	} else {
-		request.outgoing.Set = []exchange.Field{{Name: calling, Value: string(s.Settings.EndpointService)}}
+		request.outgoing.HeaderOverrides = []exchange.HeaderField{{Name: calling, Value: string(s.Settings.EndpointService)}}
 	}
 	return request
 }
@@ -162,7 +162,7 @@
 
 // sendDispatched sends a request that was dispatched, and dispatches those that waited for its
 // end.
-func (s *Sidecar) sendDispatched(request *queuedRequest) (*exchange.Return, *failure.Error) {
+func (s *Sidecar) sendDispatched(request *queuedRequest) (*exchange.Response, *failure.Error) {
 	sentAt := s.clock()
 	resp, fail := s.sendWithRetries(request)
 	s.mu.Lock()
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -125,7 +125,7 @@
 		}
 		redirects <- false
 	}()
-	err = s.apiClient.Ask(ctx, position.core, http.MethodGet, watchPath(position, haveRevision), nil, &update)
+	err = s.apiClient.Call(ctx, position.core, http.MethodGet, watchPath(position, haveRevision), nil, &update)
 	close(finished)
 	redirected = <-redirects && err != nil
 	return update, redirected, err
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -37,7 +37,7 @@
 // endpointResult is what became of a request at an endpoint of this machine. Invariant: response
 // is set if and only if result is resultResponse, failure if and only if it is not.
 type endpointResult struct {
-	response   *exchange.Return
+	response   *exchange.Response
 	result     string
 	failure    *failure.Error
 	loadReport string        // the endpoint's load when the request was over, as text
@@ -79,8 +79,8 @@
 	}
 	defer s.endEndpointCall(request)
 	call := endpointCall(s.Settings.Headers, request.call, request.server, request.deadline)
-	call.Conns = connections
-	call.Last = func() *failure.Error { return s.checkNotMoved(request, addr) }
+	call.MaxConns = connections
+	call.BeforeSend = func() *failure.Error { return s.checkNotMoved(request, addr) }
 	sentAt := s.clock()
 	resp, sent, fail := s.endpointExchange.Do(context.Background(), addr, call)
 	if fail != nil {
@@ -145,7 +145,7 @@
 }
 
 // endpointAnswered is the result of a call that brought a response.
-func (s *Sidecar) endpointAnswered(resp *exchange.Return, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+func (s *Sidecar) endpointAnswered(resp *exchange.Response, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	result := classifyResponse(s.Settings.Headers, resp)
 	switch {
 	case result.result == resultShed:
@@ -163,7 +163,7 @@
 
 // classifyResponse tells the endpoint's response to the request from its statement that it did not
 // run it. That the response is whole and belongs to this request, the exchange has checked.
-func classifyResponse(headers settings.Headers, resp *exchange.Return) endpointResult {
+func classifyResponse(headers settings.Headers, resp *exchange.Response) endpointResult {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
 		return endpointResult{result: resultShed, failure: failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)}
 	}
@@ -173,20 +173,20 @@
 // endpointCall makes the call of one endpoint: it names the endpoint and the time that is left,
 // and says how the response is known as this call's own.
 func endpointCall(headers settings.Headers, call exchange.Call, server ident.Server, deadline time.Time) exchange.Call {
-	call.Until = deadline
-	call.Set = append(make([]exchange.Field, 0, 4), call.Set...)
-	call.Set = append(call.Set, exchange.Field{Name: TargetHeader, Value: string(server)})
+	call.Deadline = deadline
+	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 4), call.HeaderOverrides...)
+	call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: TargetHeader, Value: string(server)})
 	if headers.RequestID != "" {
 		limitMs := max(1, time.Until(deadline).Milliseconds()-endpointMarginMs)
-		call.Set = append(call.Set, exchange.Field{Name: headers.Deadline, Value: strconv.FormatInt(limitMs, 10)})
-		call.Seal, call.Plain = headers.SuccessMark, true
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: headers.Deadline, Value: strconv.FormatInt(limitMs, 10)})
+		call.RequiredHeader, call.Unencoded = headers.SuccessMark, true
 	}
 	if id := firstValue(call.Header, headers.RequestID); id == "" {
 		// Without an id nothing tells an unasked response on a kept connection from the one
 		// that is due: each request has a connection of its own.
-		call.Fresh = true
+		call.SingleUse = true
 	} else {
-		call.IdHeader, call.Id, call.Sure = headers.RequestID, id, idleTrust
+		call.IDHeader, call.ID, call.MaxIdleAge = headers.RequestID, id, idleTrust
 	}
 	return call
 }
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -46,15 +46,15 @@
 
 func (s *Sidecar) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var heartbeat endpoint.Heartbeat
-	if fail := response.Decode(r, maxMessageBytes, &heartbeat); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxMessageBytes, &heartbeat); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
 	if fail := s.Heartbeat(heartbeat); fail != nil {
-		response.Defect(w, fail)
+		response.WriteError(w, fail)
 		return
 	}
-	response.JSON(w, http.StatusOK, heartbeatAck{IntervalMs: endpoint.HeartbeatInterval.Milliseconds(), SilentAfterMs: endpoint.HeartbeatTimeout.Milliseconds()})
+	response.WriteJSON(w, http.StatusOK, heartbeatAck{IntervalMs: endpoint.HeartbeatInterval.Milliseconds(), SilentAfterMs: endpoint.HeartbeatTimeout.Milliseconds()})
 }
 
 // handleConfig shows the active configuration.
@@ -63,10 +63,10 @@
 	config := activeConfig{Revision: s.router.Revision(), Config: s.config.active.raw}
 	s.mu.Unlock()
 	if config.Revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no configuration is active yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no configuration is active yet"))
 		return
 	}
-	response.JSON(w, http.StatusOK, config)
+	response.WriteJSON(w, http.StatusOK, config)
 }
 
 // handleAddress looks a record of the registry up by its key.
@@ -76,10 +76,10 @@
 	address, ok := s.router.Index.Lookup(key)
 	s.mu.Unlock()
 	if !ok {
-		response.Defect(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
 		return
 	}
-	response.JSON(w, http.StatusOK, address)
+	response.WriteJSON(w, http.StatusOK, address)
 }
 
 func (s *Sidecar) handlePeerState(w http.ResponseWriter, r *http.Request) {
@@ -87,7 +87,7 @@
 	if query := r.URL.Query(); query.Get("brief") != "" || query.Get("have") == registryDigest(state.Sets) {
 		state.Sets = nil
 	}
-	response.JSON(w, http.StatusOK, state)
+	response.WriteJSON(w, http.StatusOK, state)
 }
 
 func (s *Sidecar) peerState() PeerState {
@@ -103,7 +103,7 @@
 }
 
 func (s *Sidecar) handleCores(w http.ResponseWriter, _ *http.Request) {
-	response.JSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
+	response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: s.usableCores()})
 }
 
 func (s *Sidecar) handleConfigPart(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +111,7 @@
 	revision, held := s.newestConfig()
 	s.mu.Unlock()
 	if revision == 0 {
-		response.Defect(w, failure.New(failure.NotFound, "no configuration is held yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no configuration is held yet"))
 		return
 	}
 	mesh.ServeConfigPart(w, r, mesh.ConfigSource{Revision: revision, Raw: held.raw, Compressed: held.compressed, DeltaFrom: held.deltaFrom})
@@ -119,9 +119,9 @@
 
 func (s *Sidecar) handleRevisionNotice(w http.ResponseWriter, r *http.Request) {
 	var notice RevisionNotice
-	if fail := response.Decode(r, maxMessageBytes, &notice); fail != nil {
-		response.Defect(w, fail)
+	if fail := response.DecodeBody(r, maxMessageBytes, &notice); fail != nil {
+		response.WriteError(w, fail)
 		return
 	}
-	response.JSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
+	response.WriteJSON(w, http.StatusOK, s.ReceiveRevisionNotice(notice))
 }
--- a/daemon/sidecar/headers.go
+++ b/daemon/sidecar/headers.go
@@ -41,7 +41,7 @@
 // endpoint.
 var meshHeaders = []string{
 	TargetHeader, ServiceHeader, LimitHeader, PeerResultHeader, UrgentHeader, RetryFractionHeader,
-	AdmissionHintsHeader, LoadReportHeader, TookHeader, response.FateHeader,
+	AdmissionHintsHeader, LoadReportHeader, TookHeader, response.OutcomeHeader,
 }
 
 // stripMeshHeaders takes the mesh's own headers out. Those that belong to one connection are
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -61,7 +61,7 @@
 	defer cancel()
 	request := mesh.JoinRequest{Node: s.Settings.Node, AttemptID: j.attemptID}
 	var granted mesh.JoinResponse
-	if err := s.apiClient.Ask(ctx, addr, http.MethodPost, mesh.JoinPath, request, &granted); err != nil {
+	if err := s.apiClient.Call(ctx, addr, http.MethodPost, mesh.JoinPath, request, &granted); err != nil {
 		j.handleFailure(addr, err)
 		return false
 	}
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
 	defer cancel()
 	var known core.KnownCores
-	if s.apiClient.Ask(ctx, addr, http.MethodGet, mesh.CoresPath, nil, &known) != nil {
+	if s.apiClient.Call(ctx, addr, http.MethodGet, mesh.CoresPath, nil, &known) != nil {
 		return false
 	}
 	now := s.clock()
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -20,7 +20,7 @@
 
 // releaseOutbound ends a reservation, and counts the response that goes out now; resp is nil if
 // there is none.
-func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Return) {
+func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Response) {
 	sent := 0
 	if resp != nil {
 		sent = len(resp.Body)
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -48,8 +48,8 @@
 // tidy drops connections that are not used and the statistics of endpoints that are gone; mu is
 // held.
 func (s *Sidecar) tidy(now monotime.Time) {
-	s.endpointExchange.Tidy()
-	s.peerExchange.Tidy()
+	s.endpointExchange.CloseExpired()
+	s.peerExchange.CloseExpired()
 	s.router.Balancer.Prune(now, func(server ident.Server) bool {
 		_, ok := s.router.Index.Lookup(string(server))
 		return ok
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -38,7 +38,7 @@
 	defer cancel()
 	var ack RevisionAck
 	notice := RevisionNotice{Revision: revision, From: s.Settings.Addr}
-	err := s.apiClient.Ask(ctx, peer, http.MethodPost, RevisionNoticePath, notice, &ack)
+	err := s.apiClient.Call(ctx, peer, http.MethodPost, RevisionNoticePath, notice, &ack)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config.cache.HandleAck(revision, err == nil && ack.Held)
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
 	defer cancel()
 	var state PeerState
-	err := s.apiClient.Ask(ctx, peer, http.MethodGet, s.peerStateQuery(wantRegistry), nil, &state)
+	err := s.apiClient.Call(ctx, peer, http.MethodGet, s.peerStateQuery(wantRegistry), nil, &state)
 	d.noteSeedAnswer(peer, err)
 	if err != nil {
 		return
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -47,7 +47,7 @@
 
 // parsePeerResponse tells an endpoint's response that a sidecar passes on from the sidecar's own
 // result.
-func parsePeerResponse(call exchange.Call, resp *exchange.Return) (*exchange.Return, attempt.Result) {
+func parsePeerResponse(call exchange.Call, resp *exchange.Response) (*exchange.Response, attempt.Result) {
 	result := resp.Header.Get(PeerResultHeader)
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
 	if result == resultResponse {
@@ -66,7 +66,7 @@
 
 // peerFailure reads the failure that comes with a result; it is false if there is none that can
 // be read. The response to a HEAD has no body: there the result alone tells.
-func peerFailure(call exchange.Call, resp *exchange.Return, result string) (*failure.Error, bool) {
+func peerFailure(call exchange.Call, resp *exchange.Response, result string) (*failure.Error, bool) {
 	if _, known := endByResult[result]; known && call.Method == http.MethodHead {
 		return failureWithoutBody(result), true
 	}
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -100,7 +100,7 @@
 // writePeerFailure writes the result of a request that brought no response.
 func writePeerFailure(w http.ResponseWriter, result string, fail *failure.Error) {
 	w.Header().Set(PeerResultHeader, result)
-	response.Defect(w, fail)
+	response.WriteError(w, fail)
 }
 
 // writePeerResult writes what became of a request at the endpoint.
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -67,11 +67,11 @@
 // probe asks the endpoint once, and tells whether its answer was taken as a heartbeat.
 func (s *Sidecar) probe(path string) bool {
 	call := exchange.Call{
-		Method: http.MethodGet,
-		Target: path,
-		Host:   string(s.Settings.EndpointAddr),
-		Fresh:  true,
-		Until:  time.Now().Add(probeTimeout),
+		Method:    http.MethodGet,
+		Target:    path,
+		Host:      string(s.Settings.EndpointAddr),
+		SingleUse: true,
+		Deadline:  time.Now().Add(probeTimeout),
 	}
 	resp, _, fail := s.endpointExchange.Do(context.Background(), s.Settings.EndpointAddr, call)
 	s.count(counterProbes)
@@ -89,7 +89,7 @@
 
 // heartbeatFromProbe makes a heartbeat of the endpoint's answer; there is none unless the answer
 // says that the endpoint is healthy, and which one it is.
-func (s *Sidecar) heartbeatFromProbe(resp *exchange.Return) (endpoint.Heartbeat, bool) {
+func (s *Sidecar) heartbeatFromProbe(resp *exchange.Response) (endpoint.Heartbeat, bool) {
 	if resp == nil || resp.Status != http.StatusOK {
 		return endpoint.Heartbeat{}, false
 	}
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -135,7 +135,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), lateResponseTimeout)
 		defer cancel()
 		var result renewalResult
-		result.err = s.apiClient.Ask(ctx, core, http.MethodPost, mesh.RenewPath, request, &result.response)
+		result.err = s.apiClient.Call(ctx, core, http.MethodPost, mesh.RenewPath, request, &result.response)
 		results <- result
 	}()
 	timeout := time.NewTimer(holder.RenewTimeout)
@@ -218,7 +218,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), budgetRequestTimeout)
 	defer cancel()
 	var grant quota.Share
-	if err := s.apiClient.Ask(ctx, core, http.MethodPost, mesh.BudgetSharePath, request, &grant); err != nil {
+	if err := s.apiClient.Call(ctx, core, http.MethodPost, mesh.BudgetSharePath, request, &grant); err != nil {
 		s.count(counterBudgetRequestsFailed)
 		if isConflict(err) {
 			s.handleSuperseded(request.LeaseEpoch, err)
--- a/daemon/sidecar/response.go
+++ b/daemon/sidecar/response.go
@@ -16,14 +16,14 @@
 // writeFailure writes a failure to a caller, in the form that the settings ask for.
 func (s *Sidecar) writeFailure(w http.ResponseWriter, fail *failure.Error) {
 	if s.Settings.Headers.FractionalRetryAfter {
-		response.Fine(w, fail)
+		response.WriteErrorFractional(w, fail)
 		return
 	}
-	response.Defect(w, fail)
+	response.WriteError(w, fail)
 }
 
 // writeResponse writes an endpoint's response, which is whole, without the mesh's own headers.
-func writeResponse(w http.ResponseWriter, resp *exchange.Return) {
+func writeResponse(w http.ResponseWriter, resp *exchange.Response) {
 	headers := w.Header()
 	length := resp.Header.Get("Content-Length")
 	maps.Copy(headers, stripMeshHeaders(resp.Header))
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -98,9 +98,9 @@
 		Metrics:          metrics.New(),
 		clock:            clock,
 		watchedClock:     monotime.LimitSteps(clock),
-		apiClient:        client.NewWithin(cfg.Addr, dialTimeout),
-		peerExchange:     exchange.New(cfg.Addr, exchange.Settings{Silence: silenceTimeout}),
-		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{Silence: silenceTimeout}),
+		apiClient:        client.NewWithDialTimeout(cfg.Addr, dialTimeout),
+		peerExchange:     exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}),
+		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}),
 		done:             make(chan struct{}),
 
 		sendQueue:    priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
