--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -26,71 +26,71 @@
 func (s *Sidecar) sendWithRetries(request *queuedRequest) (*exchange.Response, *failure.Error) {
 	var failedResponse *exchange.Response
 	for {
-		choice := s.nextAttempt(request.call)
-		if choice.Failure != nil {
-			return failedResponse, choice.Failure
+		decision := s.nextAttempt(request.call)
+		if decision.Failure != nil {
+			return failedResponse, decision.Failure
 		}
-		resp, end := s.sendOnce(request, choice)
-		retry, fail := s.endAttempt(request.call, end)
+		resp, result := s.sendOnce(request, decision)
+		retry, fail := s.finishAttempt(request.call, result)
 		switch {
-		case end.Outcome != attempt.Executed && !retry:
+		case result.Outcome != attempt.Executed && !retry:
 			return failedResponse, fail
-		case end.Outcome == attempt.Executed && !retry:
+		case result.Outcome == attempt.Executed && !retry:
 			return resp, nil
-		case end.Outcome == attempt.Executed:
+		case result.Outcome == attempt.Executed:
 			failedResponse = resp
 		}
 	}
 }
 
-// nextAttempt chooses the endpoint of the next request.
+// nextAttempt chooses the endpoint of the next attempt.
 func (s *Sidecar) nextAttempt(call *attempt.Call) attempt.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Next(s.clock(), call)
+	return s.planner.Next(s.clock(), call)
 }
 
-// endAttempt takes the end of an attempt, and tells whether to try again. If not, and the attempt
-// brought no response, it gives the failure of the whole call.
-func (s *Sidecar) endAttempt(call *attempt.Call, end attempt.Result) (retry bool, fail *failure.Error) {
+// finishAttempt takes the result of an attempt, and tells whether to try again. If not, and the
+// attempt brought no response, it gives the failure of the whole call.
+func (s *Sidecar) finishAttempt(call *attempt.Call, result attempt.Result) (retry bool, fail *failure.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	retry = s.router.Finished(s.clock(), call, end)
-	if end.Outcome != attempt.Executed && !retry {
-		fail = s.router.FinalFailure(call)
+	retry = s.planner.Finished(s.clock(), call, result)
+	if result.Outcome != attempt.Executed && !retry {
+		fail = s.planner.FinalFailure(call)
 	}
 	return retry, fail
 }
 
 // sendOnce makes one attempt: at an endpoint of this machine, or through the sidecar of the
 // endpoint's machine.
-func (s *Sidecar) sendOnce(queued *queuedRequest, choice attempt.Decision) (*exchange.Response, attempt.Result) {
+func (s *Sidecar) sendOnce(queued *queuedRequest, decision attempt.Decision) (*exchange.Response, attempt.Result) {
 	request := endpointRequest{
-		server:        choice.Entry.UID,
-		service:       choice.Entry.Service,
+		server:        decision.Entry.UID,
+		service:       decision.Entry.Service,
 		call:          queued.outgoing,
-		deadline:      time.Now().Add(choice.Timeout),
-		retryFraction: choice.RepeatChance,
-		hints:         hintsFor(s.clock(), queued.receivedAt, queued.call, choice),
+		deadline:      time.Now().Add(decision.Timeout),
+		retryFraction: decision.RepeatChance,
+		hints:         hintsFor(s.clock(), queued.receivedAt, queued.call, decision),
 	}
-	if choice.Entry.SidecarAddr == s.Settings.Addr {
+	if decision.Entry.SidecarAddr == s.Settings.Addr {
 		return s.sendLocally(request)
 	}
-	return s.sendToPeer(choice, request, queued.call.Route.Urgent)
+	return s.sendToPeer(decision, request, queued.call.Route.Urgent)
 }
 
 // sendLocally makes an attempt at an endpoint of this machine.
 func (s *Sidecar) sendLocally(request endpointRequest) (*exchange.Response, attempt.Result) {
-	result := s.sendToEndpoint(request)
-	end := endForResult(result.failure, result.result)
-	end.LoadReport, end.Elapsed = parseLoadReport(result.loadReport), result.duration
-	return withSize(request.call, result.response, end)
+	local := s.sendToEndpoint(request)
+	result := attemptResultFor(local.failure, local.result)
+	result.LoadReport, result.Elapsed = parseLoadReport(local.loadReport), local.duration
+	return withSize(request.call, local.response, result)
 }
 
 // sendToPeer makes an attempt through the sidecar of the endpoint's machine.
-func (s *Sidecar) sendToPeer(choice attempt.Decision, request endpointRequest, urgent bool) (*exchange.Response, attempt.Result) {
-	call := peerCall(request, choice.Timeout, urgent)
-	resp, sent, fail := s.peerExchange.Do(context.Background(), choice.Entry.SidecarAddr, call)
+func (s *Sidecar) sendToPeer(decision attempt.Decision, request endpointRequest, urgent bool) (*exchange.Response, attempt.Result) {
+	call := peerCall(request, decision.Timeout, urgent)
+	resp, sent, fail := s.peerExchange.Do(context.Background(), decision.Entry.SidecarAddr, call)
 	switch {
 	case fail != nil && !sent:
 		return nil, attempt.Result{Outcome: attempt.NotExecuted, Failure: fail, Unreachable: true}
@@ -120,11 +120,11 @@
 	return call
 }
 
-// withSize adds to the end of an attempt what the response itself tells.
-func withSize(call exchange.Call, resp *exchange.Response, end attempt.Result) (*exchange.Response, attempt.Result) {
+// withSize adds to the result of an attempt what the response itself tells.
+func withSize(call exchange.Call, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
 	if resp != nil {
-		end.EndpointFailed = resp.Status >= 500
-		end.ResponseBytes = int64(len(call.Body) + len(resp.Body) + approxHeaderBytes)
+		result.EndpointFailed = resp.Status >= 500
+		result.ResponseBytes = int64(len(call.Body) + len(resp.Body) + approxHeaderBytes)
 	}
-	return resp, end
+	return resp, result
 }
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -106,7 +106,7 @@
 	requested, _ := strconv.Atoi(limitMs)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Route(request.receivedAt, request.call, time.Duration(requested)*time.Millisecond)
+	return s.planner.Route(request.receivedAt, request.call, time.Duration(requested)*time.Millisecond)
 }
 
 // awaitDispatch queues a request and waits until it may be sent.
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -21,9 +21,9 @@
 				resp := &exchange.Response{Status: status, Header: http.Header{"X-Not": {notRun}}}
 				got := classifyResponse(settings.Headers{NotExecuted: name}, resp)
 				shed := status == 421 || name != "" && notRun != ""
-				must.Eq(t, map[bool]string{false: resultResponse, true: resultShed}[shed], got.result, must.Sprint(status, name, notRun))
+				must.Eq(t, map[bool]peerResult{false: resultResponse, true: resultShed}[shed], got.result, must.Sprint(status, name, notRun))
 				must.Eq(t, !shed, got.response != nil && got.failure == nil)
-				must.Eq(t, shed, endByResult[got.result].Outcome == attempt.NotExecuted)
+				must.Eq(t, shed, attemptResults[got.result].Outcome == attempt.NotExecuted)
 			}
 		}
 	}
@@ -32,8 +32,8 @@
 // Only the results that say so prove that a request did not run; one that is not known proves
 // nothing.
 func TestPeerResults(t *testing.T) {
-	for result, want := range map[string]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
-		must.Eq(t, want, endForResult(nil, result).Outcome, must.Sprint(result))
+	for result, want := range map[peerResult]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
+		must.Eq(t, want, attemptResultFor(nil, result).Outcome, must.Sprint(result))
 	}
 	for _, hints := range []admissionHints{{}, {priority: 2, expectedTime: 31 * time.Millisecond, earlyRejection: -time.Second, latencyTarget: 200 * time.Millisecond, peerFailureRate: 0.25, lastResort: true}} {
 		must.Eq(t, hints, parseHints(hints.encode()))
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -149,7 +149,7 @@
 	defer s.mu.Unlock()
 	peers := s.peerAddrs()
 	shuffle(peers)
-	if s.config.cache.Add(s.clock(), config, s.router.Revision(), len(peers)) {
+	if s.config.cache.Add(s.clock(), config, s.planner.Revision(), len(peers)) {
 		s.config.pending = storedConfig{raw: version.Raw, compressed: delta.NewCompressed(version.Raw), delta: update}
 		for _, peer := range peers[:min(len(peers), configcache.MaxNotified)] {
 			go s.notifyPeer(peer, version.Revision)
@@ -168,7 +168,7 @@
 	}
 	pending := s.config.pending
 	s.config.pending = storedConfig{}
-	if !s.router.Enforce(config) {
+	if !s.planner.Enforce(config) {
 		return
 	}
 	s.config.active = pending
@@ -193,12 +193,12 @@
 	if config := s.config.cache.Pending(); config != nil && s.config.pending.raw != nil {
 		return config.Revision, s.config.pending
 	}
-	return s.router.Revision(), s.config.active
+	return s.planner.Revision(), s.config.active
 }
 
 // minRevision is the revision below which no configuration may become active here.
 func (s *Sidecar) minRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.MinRevision
+	return s.planner.MinRevision
 }
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -62,7 +62,7 @@
 func activeConfigOf(s *Sidecar) (ident.Epoch, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Revision(), s.config.active.raw
+	return s.planner.Revision(), s.config.active.raw
 }
 
 // A sidecar fetches a configuration whole the first time and then what changed; a delta that does
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -62,7 +62,7 @@
 	switch {
 	case registrar != d.polled:
 		d.redirectTo(registrar)
-	case revision <= s.config.cache.NewestHeld(s.router.Revision()):
+	case revision <= s.config.cache.NewestHeld(s.planner.Revision()):
 	case answered != registrar:
 		go s.fetchConfigOrCount(answered)
 	default:
@@ -103,7 +103,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d.polled = s.lease.Followed()
-	return d.polled, s.config.cache.NewestHeld(s.router.Revision())
+	return d.polled, s.config.cache.NewestHeld(s.planner.Revision())
 }
 
 // poll asks a core for what changed after a position. redirected tells that it was broken off to
@@ -146,7 +146,7 @@
 	s := d.sidecar
 	s.mu.Lock()
 	s.lastCoreContact = s.clock()
-	if s.router.Index.Merge(update.Sets) {
+	if s.planner.Index.Merge(update.Sets) {
 		s.count(counterRegistryChanges)
 	}
 	s.mu.Unlock()
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -38,7 +38,7 @@
 // is set if and only if result is resultResponse, failure if and only if it is not.
 type endpointResult struct {
 	response   *exchange.Response
-	result     string
+	result     peerResult
 	failure    *failure.Error
 	loadReport string        // the endpoint's load when the request was over, as text
 	duration   time.Duration // how long the endpoint had it
@@ -99,11 +99,11 @@
 	if fail != nil {
 		return "", 0, fail
 	}
-	if !s.router.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
+	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
 		return "", 0, failure.New(failure.Busy, "the retry budget of the services below is used up").WithRetryAfter(retryAfterSeconds)
 	}
 	s.endpoints.AddInFlight(request.server, 1)
-	if config := s.router.Config(); config != nil {
+	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
 	}
 	return addr, connections, nil
@@ -113,7 +113,7 @@
 func (s *Sidecar) endEndpointCall(request endpointRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.router.RetryBudget.EndRun(request.retryFraction)
+	s.planner.RetryBudget.EndRun(request.retryFraction)
 	s.endpoints.AddInFlight(request.server, -1)
 }
 
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -76,7 +76,7 @@
 		sentHeader := r.Header.Clone()
 		s := newTestSidecar("a", "127.0.0.1:1", endpointAddr)
 		s.Settings.EndpointService = "own"
-		s.router.Enforce(catchAllConfig)
+		s.planner.Enforce(catchAllConfig)
 		s.addWorkloads("a", "127.0.0.1:1", "a0")
 		defer s.endpointExchange.Drop(endpointAddr)
 		w := httptest.NewRecorder()
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -60,7 +60,7 @@
 // handleConfig shows the active configuration.
 func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	config := activeConfig{Revision: s.router.Revision(), Config: s.config.active.raw}
+	config := activeConfig{Revision: s.planner.Revision(), Config: s.config.active.raw}
 	s.mu.Unlock()
 	if config.Revision == 0 {
 		response.WriteError(w, failure.New(failure.NotFound, "no configuration is active yet"))
@@ -73,7 +73,7 @@
 func (s *Sidecar) handleAddress(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
 	s.mu.Lock()
-	address, ok := s.router.Index.Lookup(key)
+	address, ok := s.planner.Index.Lookup(key)
 	s.mu.Unlock()
 	if !ok {
 		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
@@ -98,7 +98,7 @@
 		ConfigRevision:      revision,
 		NewestKnownRevision: s.config.cache.NewestKnown(),
 		Joined:              s.leaseHeld.Load(),
-		Sets:                s.router.Index.Sets(),
+		Sets:                s.planner.Index.Sets(),
 	}
 }
 
--- a/daemon/sidecar/headers.go
+++ b/daemon/sidecar/headers.go
@@ -14,7 +14,7 @@
 	ServiceHeader = "X-Cottonarch-Service"
 	// LimitHeader carries what is left of the request's time, in milliseconds.
 	LimitHeader = "X-Cottonarch-Limit-Ms"
-	// PeerResultHeader tells what a sidecar's response is: one of the peerResults.
+	// PeerResultHeader carries a peerResult.
 	PeerResultHeader = "X-Cottonarch-Gate"
 	// RetryFractionHeader carries the probability, 0 to 1, that the request repeats one that ran.
 	RetryFractionHeader = "X-Cottonarch-Repeat"
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -37,19 +37,19 @@
 }
 
 // hintsFor gives the hints of a call for the endpoint that was chosen.
-func hintsFor(now, receivedAt monotime.Time, call *attempt.Call, choice attempt.Decision) admissionHints {
+func hintsFor(now, receivedAt monotime.Time, call *attempt.Call, decision attempt.Decision) admissionHints {
 	target := call.Route.TargetLatency
 	if target <= 0 {
 		target = call.Deadline.Since(receivedAt)
 	}
 	return admissionHints{
 		priority:        call.Route.Priority,
-		expectedTime:    choice.MeanWork,
+		expectedTime:    decision.MeanWork,
 		earlyRejection:  receivedAt.Add(target / earlyRejectionFraction).Since(now),
 		latencyTarget:   receivedAt.Add(target).Since(now),
-		peerFailureRate: choice.PeerFailureRate,
-		lastResort:      choice.LastResort,
-		responseBytes:   choice.MeanResponseBytes,
+		peerFailureRate: decision.PeerFailureRate,
+		lastResort:      decision.LastResort,
+		responseBytes:   decision.MeanResponseBytes,
 	}
 }
 
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -24,8 +24,8 @@
 	joinAttemptIDLength = 12
 )
 
-// joining is how a sidecar without a lease obtains one. Only the renewer's goroutine uses it.
-type joining struct {
+// leaseJoiner is how a sidecar without a lease obtains one. Only the renewer's goroutine uses it.
+type leaseJoiner struct {
 	sidecar       *Sidecar
 	joiner        *joiner.Joiner
 	coresListedAt monotime.Time // when a process last listed the cores, 0 if none has
@@ -34,17 +34,17 @@
 	attemptID string
 }
 
-func newJoining(s *Sidecar) *joining {
-	return &joining{sidecar: s, joiner: joiner.New(s.Settings.Node, s.Settings.Zone)}
+func newLeaseJoiner(s *Sidecar) *leaseJoiner {
+	return &leaseJoiner{sidecar: s, joiner: joiner.New(s.Settings.Node, s.Settings.Zone)}
 }
 
 // backoff is how long the next try has to wait.
-func (j *joining) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
+func (j *leaseJoiner) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
 
 // try asks one core for a lease, and tells whether it granted one. Before any process has listed
 // the cores one of the seeds is asked for them, so that sidecars that start together do not all
 // join at the seeds.
-func (j *joining) try() bool {
+func (j *leaseJoiner) try() bool {
 	s := j.sidecar
 	if j.attemptID == "" {
 		j.attemptID = ident.NewID()[:joinAttemptIDLength]
@@ -70,7 +70,7 @@
 }
 
 // nextCore is the core to ask for a lease.
-func (j *joining) nextCore() ident.Addr {
+func (j *leaseJoiner) nextCore() ident.Addr {
 	s := j.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // handleFailure takes a core's rejection, or its silence.
-func (j *joining) handleFailure(addr ident.Addr, err error) {
+func (j *leaseJoiner) handleFailure(addr ident.Addr, err error) {
 	s := j.sidecar
 	s.count(counterJoinsFailed)
 	var fail *failure.Error
@@ -102,7 +102,7 @@
 
 // listCores asks a core, or a seed that is a sidecar, for the cores that it knows. It tells
 // whether there was an answer.
-func (j *joining) listCores(addr ident.Addr) bool {
+func (j *leaseJoiner) listCores(addr ident.Addr) bool {
 	s := j.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
 	defer cancel()
@@ -125,7 +125,7 @@
 
 // complete takes a lease, and the configuration from the core that granted it unless a peer was
 // faster.
-func (j *joining) complete(addr ident.Addr, granted mesh.JoinResponse) {
+func (j *leaseJoiner) complete(addr ident.Addr, granted mesh.JoinResponse) {
 	s := j.sidecar
 	haveRevision := s.takeLease(granted)
 	j.attemptID = "" // the next join, if there is one, is another
@@ -147,13 +147,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
-	s.router.MinRevision = max(s.router.MinRevision, granted.ConfigRevision)
+	s.planner.MinRevision = max(s.planner.MinRevision, granted.ConfigRevision)
 	s.config.cache.MarkJoined()
 	s.lease.LeaseGranted()
 	s.budgetShare.Start(s.watchedClock(), granted.BudgetShare)
-	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
+	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	s.lease.SetCores(granted.CoresVersion, granted.Cores)
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
 	s.lastCoreContact = s.clock()
-	return s.config.cache.NewestHeld(s.router.Revision())
+	return s.config.cache.NewestHeld(s.planner.Revision())
 }
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -101,7 +101,7 @@
 	fakes[0].cores = addrs
 	for n := range 40 {
 		s := New(settings.Sidecar{Addr: "127.0.0.1:9", Node: ident.Node(strings.Repeat("n", n+1)), Seeds: addrs[:1]}, zap.NewNop())
-		s.joining.try()
+		s.leaseJoiner.try()
 		must.True(t, s.leaseHeld.Load())
 		must.Eq(t, 7, s.leaseEpoch)
 	}
@@ -116,15 +116,15 @@
 	f := newFakeCore(t)
 	f.answerJoin = rejectJoin
 	s := newUnjoinedSidecar(f.addr)
-	s.joining.try()
+	s.leaseJoiner.try()
 	must.False(t, s.leaseHeld.Load())
-	must.Between(t, 200*time.Millisecond, s.joining.joiner.Backoff(s.clock()), 375*time.Millisecond)
+	must.Between(t, 200*time.Millisecond, s.leaseJoiner.joiner.Backoff(s.clock()), 375*time.Millisecond)
 	f.answerJoin = grantJoin
-	s.joining.try()
+	s.leaseJoiner.try()
 	must.True(t, s.leaseHeld.Load())
 	s.handleSuperseded(7, nil)
 	must.False(t, s.leaseHeld.Load())
-	s.joining.try()
+	s.leaseJoiner.try()
 	must.Eq(t, f.joinRequests[0].AttemptID, f.joinRequests[1].AttemptID)
 	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
@@ -139,8 +139,8 @@
 	}
 	s := newUnjoinedSidecar(refusingAddr(t), sidecarSeed.addr)
 	for n := 0; n < 8 && !s.leaseHeld.Load(); n++ {
-		s.joining.try()
-		must.LessEq(t, 600*time.Millisecond, s.joining.joiner.Backoff(s.clock()))
+		s.leaseJoiner.try()
+		must.LessEq(t, 600*time.Millisecond, s.leaseJoiner.joiner.Backoff(s.clock()))
 	}
 	must.True(t, s.leaseHeld.Load())
 	must.Eq(t, 1, f.joins())
@@ -155,14 +155,14 @@
 	}
 	s := newUnjoinedSidecar(f.addr)
 	must.NoError(t, s.acceptWhole(5, []byte(`{"services":{},"ways":{}}`)))
-	s.joining.try()
+	s.leaseJoiner.try()
 	must.True(t, s.leaseHeld.Load())
 	must.Eq(t, 5, s.minRevision())
 	must.Eq(t, 0, f.otherRequests)
 	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
 		return mesh.JoinResponse{LeaseEpoch: 8, ConfigRevision: 6}, nil
 	}
-	s.joining.try()
+	s.leaseJoiner.try()
 	must.Eq(t, 6, s.minRevision())
 	must.Eq(t, 1, f.otherRequests)
 }
@@ -193,7 +193,7 @@
 		f.cores, f.core = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
 		s := newUnjoinedSidecar(f.addr, "127.0.0.1:1")
 		s.cores.notPeerBefore = map[ident.Addr]monotime.Time{}
-		must.True(t, s.joining.listCores(f.addr))
+		must.True(t, s.leaseJoiner.listCores(f.addr))
 		must.Eq(t, !isCore, s.peerQuerier.mayQuerySeed("127.0.0.1:1"))
 		must.Eq(t, !isCore, s.peerQuerier.mayQuerySeed(f.addr))
 	}
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -15,7 +15,7 @@
 // else, with a Retry-After; one that ended without a response takes no room.
 func TestFullLinkRejects(t *testing.T) {
 	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
-	send := func(bytes int) (result, retryAfter string) {
+	send := func(bytes int) (result peerResult, retryAfter string) {
 		r := httptest.NewRequest("GET", "/x", nil)
 		r.Header.Set(TargetHeader, "gone")
 		r.Header.Set(ServiceHeader, "s.prairie")
@@ -24,7 +24,7 @@
 		recorder := httptest.NewRecorder()
 		must.True(t, s.ServePeer(recorder, r))
 		must.Eq(t, 503, recorder.Code)
-		return recorder.Header().Get(PeerResultHeader), recorder.Header().Get("Retry-After")
+		return peerResult(recorder.Header().Get(PeerResultHeader)), recorder.Header().Get("Retry-After")
 	}
 	for range 20 {
 		result, _ := send(90_000) // there is no such endpoint: nothing was sent
--- a/daemon/sidecar/lookup.go
+++ b/daemon/sidecar/lookup.go
@@ -10,7 +10,7 @@
 func (s *Sidecar) Lookup(service ident.Service, server ident.Server) (registry.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, entry := range s.router.Index.Workloads(service) {
+	for _, entry := range s.planner.Index.Workloads(service) {
 		if entry.UID == server {
 			return entry, true
 		}
@@ -22,5 +22,5 @@
 func (s *Sidecar) ConfigRevision() ident.Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.router.Revision()
+	return s.planner.Revision()
 }
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -39,7 +39,7 @@
 // tick lets time pass; mu is held.
 func (s *Sidecar) tick(now monotime.Time) {
 	s.activatePending()
-	s.router.RetryBudget.Tick(now)
+	s.planner.RetryBudget.Tick(now)
 	s.watchedClock() // it counts only the time between calls that follow closely
 	s.applyEndpointChange(s.endpoints.Tick(now))
 	s.slots.deliver(s.slots.queue.Tick(now))
@@ -50,8 +50,8 @@
 func (s *Sidecar) tidy(now monotime.Time) {
 	s.endpointExchange.CloseExpired()
 	s.peerExchange.CloseExpired()
-	s.router.Balancer.Prune(now, func(server ident.Server) bool {
-		_, ok := s.router.Index.Lookup(string(server))
+	s.planner.Balancer.Prune(now, func(server ident.Server) bool {
+		_, ok := s.planner.Index.Lookup(string(server))
 		return ok
 	})
 }
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -110,19 +110,19 @@
 func (s *Sidecar) refreshGauges() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	router, budget := s.router, s.router.RetryBudget
+	planner, budget := s.planner, s.planner.RetryBudget
 	for gauge, value := range map[string]uint64{
-		gaugeCalls:                  router.Calls,
-		gaugeRetries:                router.Retries,
-		gaugeGaveUp:                 router.GaveUp,
-		gaugeNoRoute:                router.NoRoutes,
+		gaugeCalls:                  planner.Calls,
+		gaugeRetries:                planner.Retries,
+		gaugeGaveUp:                 planner.GaveUp,
+		gaugeNoRoute:                planner.NoRoutes,
 		gaugeEndpointChecksPassed:   s.endpoints.Accepted,
 		gaugeEndpointChecksRejected: s.endpoints.Rejected,
 		gaugeEndpointsForgotten:     s.endpoints.Expired,
 		gaugeRetryBudgetGranted:     budget.Granted,
 		gaugeRetryBudgetDenied:      budget.Denied,
 		gaugeRetryBudgetRefused:     budget.RejectedRepeats,
-		gaugeConfigRevision:         uint64(router.Revision()),
+		gaugeConfigRevision:         uint64(planner.Revision()),
 	} {
 		s.setGauge(gauge, int64(value))
 	}
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -72,7 +72,7 @@
 func (s *Sidecar) noteRevision(revision ident.Epoch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if revision < s.router.MinRevision {
+	if revision < s.planner.MinRevision {
 		return false
 	}
 	s.config.cache.ObservePeer(s.clock(), revision)
@@ -83,5 +83,5 @@
 func (s *Sidecar) holdsRevision(revision ident.Epoch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.config.cache.NewestHeld(s.router.Revision()) >= revision
+	return s.config.cache.NewestHeld(s.planner.Revision()) >= revision
 }
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -64,7 +64,7 @@
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.config.cache.ShouldAskPeers(now, s.lastCoreContact, s.router.Revision()) {
+	if !s.config.cache.ShouldAskPeers(now, s.lastCoreContact, s.planner.Revision()) {
 		return nil, false, false
 	}
 	return s.peerAddrs(), s.config.cache.CoresSilent(now, s.lastCoreContact), true
@@ -73,7 +73,7 @@
 // peerAddrs lists the other sidecars that the registry names; mu is held.
 func (s *Sidecar) peerAddrs() []ident.Addr {
 	var peers []ident.Addr
-	for _, set := range s.router.Index.Sets() {
+	for _, set := range s.planner.Index.Sets() {
 		for _, address := range set.Records {
 			if address.Workload == nil {
 				continue
@@ -150,7 +150,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return PeerStatePath + "?have=" + registryDigest(s.router.Index.Sets())
+	return PeerStatePath + "?have=" + registryDigest(s.planner.Index.Sets())
 }
 
 // take takes a peer's state, and tells whether its configuration is newer and may be taken.
@@ -158,13 +158,13 @@
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.router.Index.Merge(state.Sets) {
+	if s.planner.Index.Merge(state.Sets) {
 		s.configWatch.resync.Store(true)
 		s.configWatch.redirectTo(s.lease.Followed())
 	}
 	now := s.clock()
 	s.config.cache.HandlePeerAnswer(now, state.NewestKnownRevision, state.Joined)
-	return state.ConfigRevision > s.config.cache.NewestHeld(s.router.Revision()) && s.config.cache.TrustsPeers(now)
+	return state.ConfigRevision > s.config.cache.NewestHeld(s.planner.Revision()) && s.config.cache.TrustsPeers(now)
 }
 
 // registryDigest is a hash of a copy of the registry, by which a peer tells whether it has the
--- a/daemon/sidecar/peerresult_test.go
+++ b/daemon/sidecar/peerresult_test.go
@@ -17,13 +17,13 @@
 // The result of a HEAD comes without a body: the header alone tells. With any other method a result
 // without a body that can be read proves nothing.
 func TestPeerResultWithoutABody(t *testing.T) {
-	for method, wantByResult := range map[string]map[string]attempt.Outcome{
+	for method, wantByResult := range map[string]map[peerResult]attempt.Outcome{
 		http.MethodHead: {resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown},
 		http.MethodPost: {resultRejected: attempt.Unknown, resultNoCapacity: attempt.Unknown, resultShed: attempt.Unknown, resultUnknown: attempt.Unknown},
 	} {
 		for result, want := range wantByResult {
 			call := exchange.Call{Method: method}
-			resp, attemptEnd := parsePeerResponse(call, &exchange.Response{Status: 503, Header: http.Header{PeerResultHeader: {result}}})
+			resp, attemptEnd := parsePeerResponse(call, &exchange.Response{Status: 503, Header: http.Header{PeerResultHeader: {string(result)}}})
 			must.Nil(t, resp)
 			must.Eq(t, want, attemptEnd.Outcome, must.Sprint(method, result))
 			must.Eq(t, want == attempt.NotExecuted, attemptEnd.Failure.Outcome == failure.NotExecuted)
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -17,7 +17,7 @@
 
 // peerRejection is why a request of another sidecar does not go to the endpoint.
 type peerRejection struct {
-	result  string
+	result  peerResult
 	failure *failure.Error
 }
 
@@ -98,8 +98,8 @@
 }
 
 // writePeerFailure writes the result of a request that brought no response.
-func writePeerFailure(w http.ResponseWriter, result string, fail *failure.Error) {
-	w.Header().Set(PeerResultHeader, result)
+func writePeerFailure(w http.ResponseWriter, result peerResult, fail *failure.Error) {
+	w.Header().Set(PeerResultHeader, string(result))
 	response.WriteError(w, fail)
 }
 
@@ -112,7 +112,7 @@
 		writePeerFailure(w, result.result, result.failure)
 		return
 	}
-	w.Header()[PeerResultHeader] = []string{resultResponse}
+	w.Header()[PeerResultHeader] = []string{string(resultResponse)}
 	w.Header()[TookHeader] = []string{strconv.FormatInt(result.duration.Microseconds(), 10)}
 	writeResponse(w, result.response)
 }
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -59,7 +59,7 @@
 func (s *Sidecar) probePath() (path string, wanted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	path = s.router.Config().Services[s.Settings.EndpointService].HealthCheckPath
+	path = s.planner.Config().Services[s.Settings.EndpointService].HealthCheckPath
 	known := len(s.endpoints.Workloads()) > 0
 	return path, path != "" && !known && !s.leaving.Load()
 }
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -58,8 +58,8 @@
 		case <-s.done:
 			return
 		}
-		if !s.leaseHeld.Load() && !s.joining.try() {
-			s.sleep(s.joining.backoff())
+		if !s.leaseHeld.Load() && !s.leaseJoiner.try() {
+			s.sleep(s.leaseJoiner.backoff())
 			d.wake() // the next try may go to another core
 			continue
 		}
@@ -102,7 +102,7 @@
 		s.reportSeq++
 		report.Seq = s.reportSeq
 	}
-	return s.lease.Targets(), s.lease.BeginRenewal(now, report, s.router.Outcomes())
+	return s.lease.Targets(), s.lease.BeginRenewal(now, report, s.planner.Outcomes())
 }
 
 // report is what this sidecar says of its machine; mu is held.
@@ -113,7 +113,7 @@
 		Zone:           s.Settings.Zone,
 		LeaseEpoch:     s.leaseEpoch,
 		Seq:            s.reportSeq,
-		ConfigRevision: s.router.Revision(),
+		ConfigRevision: s.planner.Revision(),
 		Ready:          s.Ready(),
 		Leaving:        s.leaving.Load(),
 		Workloads:      s.endpoints.Workloads(),
@@ -165,9 +165,9 @@
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
 	s.lastCoreContact = s.clock()
 	s.budgetShare.SetMembers(s.watchedClock(), result.response.Members)
-	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
+	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	if majorityAsOf := s.lease.MajorityAsOf(); majorityAsOf != 0 {
-		s.router.RetryBudget.ShareRenewed(majorityAsOf)
+		s.planner.RetryBudget.ShareRenewed(majorityAsOf)
 	}
 	s.config.cache.ObserveCore(s.clock(), result.response.ConfigRevision)
 	s.chooseRegistrar()
@@ -229,7 +229,7 @@
 	defer s.mu.Unlock()
 	if request.LeaseEpoch == s.leaseEpoch {
 		s.budgetShare.ApplyGrant(s.watchedClock(), grant)
-		s.router.RetryBudget.SetShare(s.budgetShare.Usable())
+		s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	}
 }
 
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -4,8 +4,8 @@
 //
 // The files follow a request top-down: caller.go takes it and queues it, attempts.go sends it
 // with retries, peerserver.go takes it at the endpoint's machine, and endpointcall.go sends it
-// to the endpoint. The duties that run beside the requests have a type each: renewer, joiner
-// (join.go), configWatch, peerQuerier.
+// to the endpoint. The duties that run beside the requests have a type each: renewer,
+// leaseJoiner, configWatch and peerQuerier.
 package sidecar
 
 import (
@@ -50,7 +50,7 @@
 	Metrics  *metrics.Registry
 
 	clock monotime.Clock
-	// watchedClock counts only time that this process saw go by, see monotime.Watched: budget
+	// watchedClock counts only time that this process saw go by, see monotime.LimitSteps: budget
 	// shares do not move because the process was suspended.
 	watchedClock     monotime.Clock
 	apiClient        *client.Pool   // JSON requests to cores and other sidecars
@@ -64,14 +64,14 @@
 	leaving      atomic.Bool
 
 	renewer     *renewer
-	joining     *joining
+	leaseJoiner *leaseJoiner
 	configWatch *configWatch
 	peerQuerier *peerQuerier
 
 	mu sync.Mutex // guards the fields below
 
 	sendQueue    *priorityqueue.Queue[*queuedRequest]
-	router       *attempt.Planner
+	planner      *attempt.Planner
 	endpoints    *endpoint.Tracker
 	slots        slotQueue
 	outboundLink *bandwidth.Outbound
@@ -104,7 +104,7 @@
 		done:             make(chan struct{}),
 
 		sendQueue:    priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
-		router:       newRouter(cfg, now),
+		planner:      newPlanner(cfg, now),
 		endpoints:    endpoint.New(),
 		slots:        newSlotQueue(),
 		outboundLink: bandwidth.NewOutbound(cfg.LinkBytesPerSecond),
@@ -117,7 +117,7 @@
 		lastCoreContact: now,
 	}
 	s.renewer = newRenewer(s)
-	s.joining = newJoining(s)
+	s.leaseJoiner = newLeaseJoiner(s)
 	s.configWatch = newConfigWatch(s)
 	s.peerQuerier = &peerQuerier{sidecar: s}
 	s.endpoints.WithHeartbeatInterval(cfg.HeartbeatInterval).Fenced = cfg.EndpointsVerifyTarget
@@ -125,14 +125,14 @@
 	return s
 }
 
-// newRouter makes the routing state. Its choices are seeded by the node and by this run of it,
+// newPlanner makes the planner of attempts. Its choices are seeded by the node and by this run of it,
 // so that sidecars do not choose alike.
-func newRouter(cfg settings.Sidecar, now monotime.Time) *attempt.Planner {
+func newPlanner(cfg settings.Sidecar, now monotime.Time) *attempt.Planner {
 	seed := fnv.New64a()
 	_, _ = fmt.Fprint(seed, cfg.Node, ident.NewID())
-	router := attempt.New(now, cfg.Zone, seed.Sum64(), cfg.RetryBudget)
-	router.Balancer.CrossZoneCostPerKB = cfg.CrossZoneCostPerKB
-	return router
+	planner := attempt.New(now, cfg.Zone, seed.Sum64(), cfg.RetryBudget)
+	planner.Balancer.CrossZoneCostPerKB = cfg.CrossZoneCostPerKB
+	return planner
 }
 
 // Start starts the duties, which run until Close.
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -276,8 +276,8 @@
 func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{Node: name, Addr: addr, Zone: "d", Senders: 16, QueueCapacity: 16, MaxInFlight: 64, EndpointsVerifyTarget: true, HeartbeatInterval: time.Hour,
 		Headers: settings.Headers{RequestID: testIDHeader, Deadline: "X-Limit-Left-Ms", CallingService: "X-Calling-Service", SuccessMark: testSealHeader, NotExecuted: "X-Not-Run", FractionalRetryAfter: true}}, zap.NewNop())
-	s.router.RetryBudget.Unlimited = true
-	s.router.Enforce(testConfig)
+	s.planner.RetryBudget.Unlimited = true
+	s.planner.Enforce(testConfig)
 	for n, endpointAddr := range endpoints {
 		_ = s.Heartbeat(endpoint.Heartbeat{Server: ident.Server(fmt.Sprint(name, n)), Service: "s", Addr: endpointAddr, State: endpoint.Alive, Seq: 1})
 	}
@@ -290,7 +290,7 @@
 	for _, id := range servers {
 		records = append(records, record.Address{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: sidecarAddr, Weight: 1, Status: record.Healthy}})
 	}
-	s.router.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
+	s.planner.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
 }
 
 // startPeerServer serves a sidecar's address for peers, on the daemon's own kind of server.
--- a/daemon/sidecar/status.go
+++ b/daemon/sidecar/status.go
@@ -34,11 +34,11 @@
 		Cores:              slices.Clone(s.cores.addrs),
 		Node:               s.Settings.Node,
 		Ready:              s.Ready(),
-		RegistrySets:       len(s.router.Index.Sets()),
+		RegistrySets:       len(s.planner.Index.Sets()),
 		Workloads:          s.endpoints.Workloads(),
 		LeaseEpoch:         s.leaseEpoch,
-		ConfigRevision:     s.router.Revision(),
-		BudgetShare:        s.router.RetryBudget.Share(s.clock()),
+		ConfigRevision:     s.planner.Revision(),
+		BudgetShare:        s.planner.RetryBudget.Share(s.clock()),
 		BudgetShareGranted: s.budgetShare.Usable(),
 	}
 	status.DeprecatedLeaseEpoch = status.LeaseEpoch
