--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -44,9 +44,13 @@
 	return ident.Addr(listener.Addr().String())
 }
 
-// startServers starts servers; stop is their planned stop, and kill ends them at once.
-func startServers(servers ...*server.Server) (stop, kill func()) {
+// startServers starts servers; stop is their planned stop, and kill ends them at once. An address
+// that another process has taken since it was found free ends the test.
+func startServers(t *testing.T, servers ...*server.Server) (stop, kill func()) {
+	t.Helper()
 	for _, one := range servers {
+		_, err := one.Endpoint() // it listens from now on
+		must.NoError(t, err)
 		go func() { _ = one.Start(context.Background()) }()
 	}
 	stop = func() {
@@ -117,7 +121,7 @@
 	}
 	coreDaemon, coreServer, err := daemon.CoreOnFolder(config, zap.NewNop(), c.disks[i])
 	must.NoError(c.t, err)
-	stop, kill := startServers(coreServer)
+	stop, kill := startServers(c.t, coreServer)
 	coreDaemon.Start()
 	c.processes[i] = &process{
 		addr: addr,
--- a/daemon/integration/sidecarprocess_test.go
+++ b/daemon/integration/sidecarprocess_test.go
@@ -33,7 +33,7 @@
 		StopTimeout:   stopTimeout,
 	}
 	s, meshServer, callerServer := daemon.Sidecar(config, zap.NewNop())
-	stopServers, kill := startServers(meshServer, callerServer)
+	stopServers, kill := startServers(t, meshServer, callerServer)
 	s.Start()
 	closeOnce := sync.OnceFunc(s.Close)
 	stop := func() {
