--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -11,11 +11,11 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// A request whose answer has no room on this machine's link is turned away before anything
-// of it is done, with a time to come back; one that ended without an answer takes no room.
+// A request whose response has no room on this machine's outbound link is rejected before anything
+// else, with a Retry-After; one that ended without a response takes no room.
 func TestFullLinkRejects(t *testing.T) {
 	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
-	send := func(bytes int) (result, retryAfter string) {
+	send := func(bytes int) (result peerResult, retryAfter string) {
 		r := httptest.NewRequest("GET", "/x", nil)
 		r.Header.Set(TargetHeader, "gone")
 		r.Header.Set(ServiceHeader, "s.prairie")
@@ -24,7 +24,7 @@
 		recorder := httptest.NewRecorder()
 		must.True(t, s.ServePeer(recorder, r))
 		must.Eq(t, 503, recorder.Code)
-		return recorder.Header().Get(PeerResultHeader), recorder.Header().Get("Retry-After")
+		return peerResult(recorder.Header().Get(PeerResultHeader)), recorder.Header().Get("Retry-After")
 	}
 	for range 20 {
 		result, _ := send(90_000) // there is no such endpoint: nothing was sent
@@ -41,7 +41,7 @@
 
 // What a release that knows six fields of a want wrote is read as before.
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
-	hints := admissionHints{priority: 2, expectedTime: time.Millisecond, earlyTarget: 2 * time.Millisecond, latencyTarget: 3 * time.Millisecond, peerFailureRate: 0.25, lastResort: true, responseBytes: 77}
+	hints := admissionHints{priority: 2, expectedTime: time.Millisecond, earlyRejection: 2 * time.Millisecond, latencyTarget: 3 * time.Millisecond, peerFailureRate: 0.25, lastResort: true, responseBytes: 77}
 	must.Eq(t, hints, parseHints(hints.encode()))
 	hints.responseBytes = 0
 	must.Eq(t, hints, parseHints("2,1000,2000,3000,250,1"))
