--- /dev/null
+++ b/fleet/idlecost/traffic.go
@@ -0,0 +1,74 @@
+package idlecost
+
+import (
+	"fmt"
+	"os/exec"
+	"strconv"
+	"strings"
+
+	"cottonarch.example/cottonarch/base/failure"
+)
+
+// link is one direction between two machines, each named by its IP.
+type link struct{ from, to string }
+
+// readBytesSent reads what was sent on the established connections of this machine, by link.
+func readBytesSent() (map[link]int64, error) {
+	raw, err := exec.Command("ss", "-tinH", "state", "established").Output()
+	if err != nil {
+		return nil, failure.Wrap(err, failure.Internal, "ss")
+	}
+	return parseBytesSent(string(raw)), nil
+}
+
+// parseBytesSent reads the output of ss: a line with the addresses of each connection, then
+// an indented one with its counters.
+func parseBytesSent(output string) map[link]int64 {
+	sent := map[link]int64{}
+	var current link
+	for line := range strings.Lines(output) {
+		fields := strings.Fields(line)
+		if len(fields) >= 4 && !strings.HasPrefix(line, "\t") && !strings.HasPrefix(line, " \t") {
+			current = parseLink(fields)
+			continue
+		}
+		for _, field := range fields {
+			if value, ok := strings.CutPrefix(field, "bytes_sent:"); ok {
+				n, _ := strconv.ParseInt(value, 10, 64)
+				sent[current] += n
+			}
+		}
+	}
+	return sent
+}
+
+// parseLink reads the two queue lengths, the local and the remote address of a connection;
+// further fields may follow.
+func parseLink(fields []string) link {
+	local, remote := fields[2], fields[3]
+	return link{local[:strings.LastIndex(local, ":")], remote[:strings.LastIndex(remote, ":")]}
+}
+
+// ofDeployment tells whether both ends are processes of the deployment.
+func (l link) ofDeployment() bool {
+	return hasOctet(l.from, coreOctet, sidecarOctet) && hasOctet(l.to, coreOctet, sidecarOctet)
+}
+
+// ofSidecar tells whether an end is a sidecar.
+func (l link) ofSidecar() bool {
+	return hasOctet(l.from, sidecarOctet) || hasOctet(l.to, sidecarOctet)
+}
+
+// crossesZones tells whether the ends are in different zones.
+func (l link) crossesZones() bool {
+	return strings.Split(l.from, ".")[2] != strings.Split(l.to, ".")[2]
+}
+
+func hasOctet(ip string, octets ...int) bool {
+	for _, octet := range octets {
+		if strings.HasPrefix(ip, fmt.Sprintf("127.%d.", octet)) {
+			return true
+		}
+	}
+	return false
+}
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -2,128 +2,149 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"slices"
 	"strings"
 	"time"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/sim/invariant"
 	"cottonarch.example/cottonarch/standin/client"
+	"cottonarch.example/cottonarch/standin/endpoint"
 )
 
-// judge fills the checkers from the books and the ledgers.
+// judgedFrom is how long after the start the recovery rules begin to look at the traffic.
+const judgedFrom = 2 * time.Second
+
+// outcomes maps what a client was told to what the checker judges by.
+var outcomes = map[client.Fate]invariant.Outcome{
+	client.Served:  invariant.Served,
+	client.NotRun:  invariant.NotExecuted,
+	client.Unknown: invariant.Unknown,
+	client.Dropped: invariant.Unknown,
+	client.Wrong:   invariant.Unknown,
+}
+
+// judge fills the checker from the logs of the clients and the endpoints, and finishes it.
 func (f *Fleet) judge(startedAt, endedAt monotime.Time) {
-	serviceByID := map[string]ident.Service{}
-	unsafeByID := map[string]bool{}
-	outcomes := map[client.Fate]invariant.Outcome{client.Served: invariant.Served, client.NotRun: invariant.NotExecuted, client.Unknown: invariant.Unknown, client.Dropped: invariant.Unknown, client.Wrong: invariant.Unknown}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, t := range f.clientLog.All() {
-		serviceByID[t.ID], unsafeByID[t.ID] = t.Kind.Service, t.Kind.Method != "GET"
-		f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{ID: t.ID, Service: t.Kind.Service, AtMostOnce: t.Kind.Method != "GET", Began: f.sinceStart(t.Began), Ended: f.sinceStart(t.Began.Add(t.Took)), Outcome: outcomes[t.Fate], Reason: t.Note, Complete: true})
-		f.Counts["calls "+string(t.Fate)]++
-		var why struct {
-			Defect string `json:"defect"`
-		}
-		if (t.Fate == client.NotRun || t.Fate == client.Unknown) && json.Unmarshal([]byte(t.Note), &why) == nil {
-			f.Counts["  "+string(t.Fate)+" "+why.Defect]++
-		}
-		if t.Fate == client.Wrong {
-			f.Checker.Violate(f.sinceStart(t.Began), "wrong-return", "%s got %d %.200s", t.ID, t.Code, t.Note)
-		}
-		f.judgeDropped(t)
+	kinds := map[string]*client.Kind{}
+	for _, call := range f.clientLog.All() {
+		kinds[call.ID] = call.Kind
+		f.judgeCall(call)
 	}
-	firstService := f.Deployment.RequestKinds[0].Service
 	for _, execution := range f.endpointLog.All() {
-		wantService, ok := serviceByID[execution.ID]
-		if !ok && strings.HasSuffix(execution.ID, "-on") {
-			wantService, ok = firstService, true
-			f.Counts["onward calls run"]++
-		}
-		if !ok {
-			continue
-		}
-		var leftAt monotime.Time
-		if t, gone := f.leftAt[execution.Server]; gone {
-			leftAt = f.sinceStart(t)
-		}
-		var lostAt monotime.Time
-		for _, o := range f.endpointOutages[execution.Server] {
-			if execution.At.After(o.from) && (o.to.IsZero() || execution.At.Before(o.to)) {
-				lostAt = f.sinceStart(o.from)
-			}
-		}
-		f.Checker.Executed(invariant.Execution{ID: execution.ID, Server: execution.Server, Service: execution.Service, RequestedService: wantService, ArrivedAt: f.sinceStart(execution.At), LeaveConfirmedAt: leftAt, LossConfirmedAt: lostAt, AtMostOnce: unsafeByID[execution.ID]})
-		f.Counts["runs"]++
+		f.judgeExecution(execution, kinds)
 	}
-	f.Checker.Finish(startedAt.Add(2*time.Second), endedAt)
+	f.Checker.Finish(startedAt.Add(judgedFrom), endedAt)
 }
 
-// judgeDropped judges a request that its own machine's sidecar gave no whole return to. It is
-// excused only while that sidecar was killed, frozen or, for one that came after a
-// planned stop, not there to take it.
-func (f *Fleet) judgeDropped(call client.Told) {
-	const rule = "dropped-in-stop"
-	node, _, _ := strings.Cut(call.ID, "-")
-	if call.Fate != client.Dropped {
-		f.Checker.Observe(rule)
+// atMostOnce tells whether requests of a kind must not be executed twice.
+func atMostOnce(kind *client.Kind) bool { return kind != nil && kind.Method != "GET" }
+
+// judgeCall takes what a client was told of one request. The caller holds mu.
+func (f *Fleet) judgeCall(call client.Told) {
+	began := f.sinceStart(call.Began)
+	f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{
+		ID:         call.ID,
+		Service:    call.Kind.Service,
+		AtMostOnce: atMostOnce(call.Kind),
+		Began:      began,
+		Ended:      f.sinceStart(call.Began.Add(call.Took)),
+		Outcome:    outcomes[call.Fate],
+		Reason:     call.Note,
+		Complete:   true,
+	})
+	f.Counts["calls "+string(call.Fate)]++
+	f.countFailure(call)
+	if call.Fate == client.Wrong {
+		f.Checker.Violate(began, ruleWrongResponse, "%s got %d %.200s", call.ID, call.Code, call.Note)
+	}
+	f.judgeDropped(call)
+}
+
+// countFailure counts a failed call by the kind of failure that its response named. The
+// caller holds mu.
+func (f *Fleet) countFailure(call client.Told) {
+	if call.Fate != client.NotRun && call.Fate != client.Unknown {
 		return
 	}
-	causes := f.outageCauses(node, call.Began, call.Began.Add(call.Took))
+	var cause struct {
+		Kind failure.Kind `json:"defect"`
+	}
+	if json.Unmarshal([]byte(call.Note), &cause) == nil {
+		f.Counts["  "+string(call.Fate)+" "+string(cause.Kind)]++
+	}
+}
+
+// judgeExecution takes one request that an endpoint ran. kinds are those of the clients'
+// requests by id. Calls that endpoints make themselves have an id that ends with "-on" and
+// go to the first kind's service. The caller holds mu.
+func (f *Fleet) judgeExecution(execution endpoint.Ran, kinds map[string]*client.Kind) {
+	var requested ident.Service
+	kind := kinds[execution.ID]
 	switch {
-	case causes[causeKilled]:
-		f.Checker.Excuse(rule, causeKilled)
-	case causes[causeFrozen]:
-		f.Checker.Excuse(rule, causeFrozen)
-	case causes[causeStopped] && strings.Contains(call.Note, ": connect: "): // no connection: nothing was taken
-		f.Checker.Excuse(rule, "coming after a planned stop")
+	case kind != nil:
+		requested = kind.Service
+	case strings.HasSuffix(execution.ID, "-on"):
+		requested = f.Deployment.RequestKinds[0].Service
+		f.Counts["onward calls run"]++
 	default:
-		f.Checker.Observe(rule)
-		f.Checker.Violate(f.sinceStart(call.Began), rule, "%s was dropped: %s", call.ID, call.Note)
+		return
 	}
+	f.Checker.Executed(invariant.Execution{
+		ID:               execution.ID,
+		Server:           execution.Server,
+		Service:          execution.Service,
+		RequestedService: requested,
+		ArrivedAt:        f.sinceStart(execution.At),
+		LeaveConfirmedAt: f.leaveConfirmedAt(execution.Server),
+		LossConfirmedAt:  f.lossConfirmedAt(execution.Server, execution.At),
+		AtMostOnce:       atMostOnce(kind),
+	})
+	f.Counts["runs"]++
 }
 
-// Report is the report.
-func (f *Fleet) Report() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var b strings.Builder
-	var names []string
-	for n := range f.Counts {
-		if !strings.HasPrefix(n, "epoch ") {
-			names = append(names, n)
-		}
-	}
-	slices.Sort(names)
-	for _, n := range names {
-		fmt.Fprintf(&b, "%-24s %d\n", n, f.Counts[n])
+// leaveConfirmedAt is when an endpoint's leave was confirmed, 0 if it was not. The caller
+// holds mu.
+func (f *Fleet) leaveConfirmedAt(server ident.Server) monotime.Time {
+	if leftAt, left := f.leftAt[server]; left {
+		return f.sinceStart(leftAt)
 	}
-	if n := len(f.ApplyDelays); n > 0 {
-		slices.Sort(f.ApplyDelays)
-		fmt.Fprintf(&b, "in force after confirm   median %v, 99%% %v, most %v, of %d node epochs\n", f.ApplyDelays[n/2].Round(time.Millisecond), f.ApplyDelays[n*99/100].Round(time.Millisecond), f.ApplyDelays[n-1].Round(time.Millisecond), n)
-	}
-	took := map[client.Fate][]time.Duration{}
-	for _, t := range f.clientLog.All() {
-		took[t.Fate] = append(took[t.Fate], t.Took)
-	}
-	for _, outcome := range []client.Fate{client.Served, client.NotRun, client.Unknown} {
-		took := took[outcome]
-		n := len(took)
-		if n == 0 {
-			continue
+	return 0
+}
+
+// lossConfirmedAt is from when an endpoint counted as lost at an instant, 0 if it did not.
+// The caller holds mu.
+func (f *Fleet) lossConfirmedAt(server ident.Server, at time.Time) (lostAt monotime.Time) {
+	for _, o := range f.endpointOutages[server] {
+		if o.covers(at) {
+			lostAt = f.sinceStart(o.from)
 		}
-		slices.Sort(took)
-		fmt.Fprintf(&b, "%-8s in              median %v, 99%% %v, most %v\n", outcome, took[n/2].Round(100*time.Microsecond), took[n*99/100].Round(100*time.Microsecond), took[n-1].Round(time.Millisecond))
 	}
-	b.WriteString(f.Checker.Text())
-	b.WriteString(f.Checker.Summary() + "\n")
-	for i, x := range f.Checker.Violations {
-		if i >= 20 {
-			break
-		}
-		fmt.Fprintf(&b, "breach at %.1fs: %s: %s\n", time.Duration(x.At).Seconds(), x.Rule, x.Note)
+	return lostAt
+}
+
+// judgeDropped judges a request that its own machine's sidecar gave no whole response to. It
+// is excused only while that sidecar was killed, frozen or, for one that came after a planned
+// stop, had no listener to take it. The caller holds mu.
+func (f *Fleet) judgeDropped(call client.Told) {
+	if call.Fate != client.Dropped {
+		f.Checker.Observe(ruleDropped)
+		return
+	}
+	sidecar, _, _ := strings.Cut(call.ID, "-")
+	causes := f.outageCauses(sidecar, call.Began, call.Began.Add(call.Took))
+	switch {
+	case causes[causeKilled]:
+		f.Checker.Excuse(ruleDropped, causeKilled)
+	case causes[causeFrozen]:
+		f.Checker.Excuse(ruleDropped, causeFrozen)
+	case causes[causeStopped] && strings.Contains(call.Note, ": connect: "): // no connection: nothing was taken
+		f.Checker.Excuse(ruleDropped, excuseAfterStopping)
+	default:
+		f.Checker.Observe(ruleDropped)
+		f.Checker.Violate(f.sinceStart(call.Began), ruleDropped, "%s was dropped: %s", call.ID, call.Note)
 	}
-	return b.String()
 }
--- a/fleet/run/judge_test.go
+++ b/fleet/run/judge_test.go
@@ -21,7 +21,7 @@
 	"cottonarch.example/cottonarch/standin/endpoint"
 )
 
-func breachesByRule(f *Fleet) map[string]int {
+func violationsByRule(f *Fleet) map[string]int {
 	out := map[string]int{}
 	for _, x := range f.Checker.Violations {
 		out[x.Rule]++
@@ -29,9 +29,9 @@
 	return out
 }
 
-// Each line is one thing that a broken mesh would leave in the books and ledgers: the
-// judge names its rule and no other. The first ones are sound, and nothing is named.
-func TestJudgeCatchesEachBreach(t *testing.T) {
+// Each case is one thing that a faulty mesh would leave in the logs of clients and endpoints:
+// the judge names its rule and no other. The first ones are correct, and nothing is named.
+func TestJudgeCatchesEachViolation(t *testing.T) {
 	get := &client.Kind{Name: "balance", Method: "GET", Service: "accounts.prairie"}
 	post := &client.Kind{Name: "move", Method: "POST", Service: "payments.prairie"}
 	sec := func(f *Fleet, s float64) time.Time { return f.began.Add(time.Duration(s * float64(time.Second))) }
@@ -70,7 +70,7 @@
 			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeStopped}}
 			recordCall(f, post, client.Dropped, 5, "read tcp: read: connection reset by peer")
 		}},
-		{"refused by nothing", "dropped-in-stop", func(f *Fleet) { recordCall(f, post, client.Dropped, 5, "dial tcp: connect: connection refused") }},
+		{"refused without a cause", "dropped-in-stop", func(f *Fleet) { recordCall(f, post, client.Dropped, 5, "dial tcp: connect: connection refused") }},
 		{"just after it left", "", func(f *Fleet) {
 			f.leftAt["e"] = sec(f, 4)
 			recordCall(f, get, client.Served, 5, "")
@@ -99,12 +99,12 @@
 			recordCall(f, get, client.Served, 5, "")
 			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
 		}},
-		{"another's return", "wrong-return", func(f *Fleet) {
+		{"another request's response", "wrong-return", func(f *Fleet) {
 			recordCall(f, get, client.Wrong, 5, "{}")
 			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
 		}},
-		{"a return of no run", "wrong-return", func(f *Fleet) { recordCall(f, get, client.Served, 5, "") }},
-		{"dropped by nothing", "dropped-in-stop", func(f *Fleet) { recordCall(f, get, client.Dropped, 5, "EOF") }},
+		{"a response without an execution", "wrong-return", func(f *Fleet) { recordCall(f, get, client.Served, 5, "") }},
+		{"dropped without a cause", "dropped-in-stop", func(f *Fleet) { recordCall(f, get, client.Dropped, 5, "EOF") }},
 		{"dropped long after a kill", "dropped-in-stop", func(f *Fleet) {
 			f.processOutages["sidecar1"] = []*outage{{sec(f, 1), sec(f, 2), causeKilled}}
 			recordCall(f, get, client.Dropped, 5, "EOF")
@@ -122,18 +122,19 @@
 			if c.rule != "" {
 				want[c.rule] = 1
 			}
-			must.Eq(t, want, breachesByRule(f), must.Sprint(f.Report()))
+			must.Eq(t, want, violationsByRule(f), must.Sprint(f.Report()))
 		})
 	}
 }
 
-// An epoch that is missing two seconds after what kept it away is a breach, and only then.
+// A revision that is missing two seconds after the end of what kept it away is a violation,
+// and only then.
 func TestConfigLateIsCountedFromTheFaultsEnd(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		outs []*outage
-		sent time.Duration // of a look that finds the epoch missing
-		late bool
+		name    string
+		outages []*outage     // in seconds from the confirmation, as Unix times
+		askedAt time.Duration // of a poll that finds the revision missing
+		late    bool
 	}{
 		{"in time", nil, 1900 * time.Millisecond, false},
 		{"late", nil, 2100 * time.Millisecond, true},
@@ -145,7 +146,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(Options{})
 			base := time.Now().Add(-10 * time.Second)
-			for _, o := range c.outs {
+			for _, o := range c.outages {
 				from := base
 				if !o.from.IsZero() {
 					from = base.Add(time.Duration(o.from.Unix()) * time.Second)
@@ -156,13 +157,13 @@
 				}
 				f.processOutages["s"] = append(f.processOutages["s"], &outage{from, to, o.cause})
 			}
-			f.judgeRevision("manifest-late", &process.Process{Name: "s"}, 7, base, base.Add(c.sent), 6, true)
-			must.Eq(t, c.late, breachesByRule(f)["manifest-late"] == 1)
+			f.judgeRevision("s", 7, base, statusPoll{askedAt: base.Add(c.askedAt), answered: true, revision: 6})
+			must.Eq(t, c.late, violationsByRule(f)["manifest-late"] == 1)
 		})
 	}
 }
 
-// Counters that fall back, or show too many further tries over all nodes, are caught.
+// A revision that goes back, or too many retries over all nodes, is caught.
 func TestTallyCatchesCounters(t *testing.T) {
 	for _, retries := range []int64{80, 100} {
 		f := newFleet(Options{})
@@ -174,16 +175,16 @@
 			}
 			ct.judge(at.Add(time.Duration(i) * 500 * time.Millisecond))
 		}
-		must.Eq(t, retries > 90, breachesByRule(f)["further-tries"] > 0, must.Sprint(retries))
-		must.Eq(t, 0, breachesByRule(f)["manifest-back"])
+		must.Eq(t, retries > 90, violationsByRule(f)["further-tries"] > 0, must.Sprint(retries))
+		must.Eq(t, 0, violationsByRule(f)["manifest-back"])
 		ct.add("a", map[string]int64{"manifest_epoch": 2})
-		must.Eq(t, 1, breachesByRule(f)["manifest-back"])
+		must.Eq(t, 1, violationsByRule(f)["manifest-back"])
 	}
 }
 
-// A core that keeps none of its promises: everybody gets every lock, numbers repeat, keys
-// show old revisions, places are forgotten, any manifest is confirmed under one epoch. The
-// fleet's clients catch each.
+// A core that keeps none of its guarantees: everybody gets every lock, numbers repeat, keys
+// show old revisions, positions of watches are forgotten, any configuration is confirmed
+// under one revision. The fleet's clients catch each.
 func TestClientsCatchAFaultyCore(t *testing.T) {
 	var keys atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -219,16 +220,16 @@
 	watching, end := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer end()
 	f.clients.followKeys(watching)
-	f.proposeAndJudge(ctx, f.newConfig("bad"), "PUT", "", "bad", true)
-	f.proposeAndJudge(ctx, f.newConfig("again"), "PUT", "", "again", false)
-	got := breachesByRule(f)
+	f.proposeAndJudge(ctx, proposal{config: f.newConfig("bad"), method: "PUT", marker: "bad", mustFail: true})
+	f.proposeAndJudge(ctx, proposal{config: f.newConfig("again"), method: "PUT", marker: "again"})
+	got := violationsByRule(f)
 	for _, rule := range []string{"lock-shared", "number-repeated", "stale-read", "watch-forgotten", "manifest-turned"} {
 		must.Positive(t, got[rule], must.Sprint(rule, got))
 	}
 }
 
-// A loss after which less than a quarter of normal is served 15 s later is caught; one
-// after which more is, is not.
+// A loss after which less than a quarter of the normal rate is served 15 s later is caught;
+// one after which more is served is not.
 func TestJudgeCatchesASlowRecovery(t *testing.T) {
 	kind := &client.Kind{Name: "balance", Method: "GET", Service: "accounts.prairie"}
 	for _, after := range []int{1, 5} { // calls a second after the loss, of ten before
@@ -249,7 +250,7 @@
 		}
 		f.Checker.Outages = []invariant.Outage{{At: f.sinceStart(f.began.Add(20 * time.Second)), Name: "herd"}, {At: f.sinceStart(f.began.Add(50 * time.Second)), Name: "late"}}
 		f.judge(0, f.sinceStart(f.began.Add(60*time.Second)))
-		must.Eq(t, after == 1, breachesByRule(f)["slow-recovery"] == 1, must.Sprint(f.Report()))
+		must.Eq(t, after == 1, violationsByRule(f)["slow-recovery"] == 1, must.Sprint(f.Report()))
 		must.Eq(t, 1, f.Checker.Excused["slow-recovery"]["the day ended"])
 	}
 }
--- /dev/null
+++ b/fleet/run/revision.go
@@ -0,0 +1,88 @@
+package run
+
+import (
+	"context"
+	"time"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/fleet/process"
+	"cottonarch.example/cottonarch/sim/invariant"
+)
+
+const (
+	revisionPollInterval = 15 * time.Millisecond
+	statusTimeout        = 500 * time.Millisecond
+)
+
+// statusPoll is one question to a sidecar which revision it has in force.
+type statusPoll struct {
+	askedAt  time.Time
+	answered bool
+	revision ident.Epoch // that it answered
+}
+
+// trackRevision follows a confirmed revision to each sidecar. The bound runs from the
+// confirmation, or from the end of what kept everybody from telling that sidecar of it.
+func (f *Fleet) trackRevision(ctx context.Context, revision ident.Epoch, confirmedAt time.Time) {
+	for _, sidecar := range f.Sidecars {
+		f.revisionWaits.Go(func() { f.awaitRevision(ctx, sidecar, revision, confirmedAt) })
+	}
+}
+
+// awaitRevision polls a sidecar until the revision is judged or the run ends.
+func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.Epoch, confirmedAt time.Time) {
+	ticker := time.NewTicker(revisionPollInterval)
+	defer ticker.Stop()
+	for {
+		if f.judgeRevision(sidecar.Name, revision, confirmedAt, pollRevision(sidecar)) {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			f.mu.Lock()
+			f.Checker.Excuse(ruleConfigLate, excuseRunEnded)
+			f.mu.Unlock()
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+func pollRevision(sidecar *process.Process) statusPoll {
+	var status struct {
+		Revision ident.Epoch `json:"manifest"`
+	}
+	askedAt := time.Now()
+	_, err := sidecar.Request(statusTimeout, "GET", "/status", nil, &status)
+	return statusPoll{askedAt: askedAt, answered: err == nil, revision: status.Revision}
+}
+
+// judgeRevision judges one poll of a sidecar, and tells whether the revision needs no more.
+// An answer without the revision proves that it was still missing when the question was
+// sent.
+func (f *Fleet) judgeRevision(sidecar string, revision ident.Epoch, confirmedAt time.Time, poll statusPoll) (done bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	from, cause, ongoing := f.boundStart(sidecar, confirmedAt, time.Now(), invariant.ConfigDeadline)
+	elapsed := poll.askedAt.Sub(from)
+	late := !ongoing && elapsed > invariant.ConfigDeadline
+	switch {
+	case poll.answered && poll.revision >= revision:
+		f.Checker.Observe(ruleConfigLate)
+		if cause != "" {
+			f.Checker.ObserveDelayed(ruleConfigLate, cause)
+		} else {
+			f.ApplyDelays = append(f.ApplyDelays, time.Since(confirmedAt))
+		}
+		return true
+	case late && poll.answered:
+		f.Checker.Observe(ruleConfigLate)
+		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate, "%s has revision %d %v after %d was confirmed, waited for the end of %q", sidecar, poll.revision, poll.askedAt.Sub(confirmedAt), revision, cause)
+		return true
+	case late && elapsed > 2*invariant.ConfigDeadline:
+		f.Checker.Observe(ruleConfigLate)
+		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate, "%s does not answer what is in force %v after %d was confirmed", sidecar, poll.askedAt.Sub(confirmedAt), revision)
+		return true
+	}
+	return false
+}
--- a/fleet/run/run_test.go
+++ b/fleet/run/run_test.go
@@ -66,7 +66,7 @@
 	must.MapNotEmpty(t, f.Checker.Delayed["manifest-late"])
 }
 
-// A bad boot ends the program with 2 and every fault named; a what-if that breaks a
+// Bad settings end the program with 2 and every fault named; a simulation that violates a
 // rule ends with 1.
 func TestExitCodes(t *testing.T) {
 	bin := build(t)
