--- /dev/null
+++ b/capacity/meter/activity_test.go
@@ -0,0 +1,90 @@
+package meter
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+const moduleRoot = "../.."
+
+// functionNames lists the functions of a folder as a profile names them, from the folder's
+// path on: folder.Function, folder.Type.Method, folder.(*Type).Method.
+func functionNames(t *testing.T, folder string) (names []string) {
+	files, err := filepath.Glob(filepath.Join(moduleRoot, folder, "*.go"))
+	must.NoError(t, err)
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+		must.NoError(t, err)
+		for _, declaration := range parsed.Decls {
+			if function, ok := declaration.(*ast.FuncDecl); ok {
+				names = append(names, folder+"."+receiver(function)+function.Name.Name)
+			}
+		}
+	}
+	return names
+}
+
+func receiver(function *ast.FuncDecl) string {
+	if function.Recv == nil {
+		return ""
+	}
+	expression := function.Recv.List[0].Type
+	pointer, isPointer := expression.(*ast.StarExpr)
+	if isPointer {
+		expression = pointer.X
+	}
+	if index, generic := expression.(*ast.IndexExpr); generic {
+		expression = index.X
+	}
+	name, ok := expression.(*ast.Ident)
+	switch {
+	case !ok:
+		return "?."
+	case isPointer:
+		return "(*" + name.Name + ")."
+	}
+	return name.Name + "."
+}
+
+// Each function and package that the tables name exists: a rename elsewhere that leaves the
+// tables behind would silently count its work as another activity's.
+func TestNamedFunctionsExist(t *testing.T) {
+	for _, entry := range activityByFunction {
+		folder, function, named := strings.Cut(entry.prefix, ".")
+		info, err := fs.Stat(os.DirFS(moduleRoot), strings.TrimSuffix(folder, "/"))
+		must.NoError(t, err, must.Sprint(entry.prefix))
+		must.True(t, info.IsDir(), must.Sprint(entry.prefix))
+		if named {
+			must.True(t, slices.Contains(functionNames(t, folder), folder+"."+function), must.Sprint(entry.prefix))
+		}
+	}
+}
+
+func TestNamedPackagesExist(t *testing.T) {
+	activities := []Activity{}
+	for _, activity := range activityByPath {
+		activities = append(activities, activity)
+	}
+	for _, entry := range activityByFunction {
+		activities = append(activities, entry.activity)
+	}
+	for _, activity := range activities {
+		for _, folder := range strings.Split(activity.Package, ", ") {
+			info, err := fs.Stat(os.DirFS(moduleRoot), folder)
+			must.NoError(t, err, must.Sprint(activity))
+			must.True(t, info.IsDir(), must.Sprint(activity))
+		}
+	}
+}
--- a/capacity/meter/meter_test.go
+++ b/capacity/meter/meter_test.go
@@ -15,7 +15,13 @@
 // startServer serves a handler behind a meter on loopback; 127.64 and 127.65 are two regions.
 func startServer(t *testing.T, h http.Handler) (*Meter, string) {
 	m := New(func(ip string) int {
-		return map[bool]int{true: 0, false: -1}[strings.HasPrefix(ip, "127.64.")] + map[bool]int{true: 2}[strings.HasPrefix(ip, "127.65.")]
+		switch {
+		case strings.HasPrefix(ip, "127.64."):
+			return 0
+		case strings.HasPrefix(ip, "127.65."):
+			return 1
+		}
+		return -1
 	})
 	l, err := net.Listen("tcp", "127.64.0.1:0")
 	must.NoError(t, err)
@@ -41,7 +47,7 @@
 		}
 		_, _ = io.WriteString(w, "0123456789")
 	}))
-	c, in, out := dial(t, "127.64.0.9", addr), 0, 0
+	c, in := dial(t, "127.64.0.9", addr), 0
 	r := bufio.NewReader(c)
 	for _, text := range []string{"POST /cottonarch/v1/renew HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello", "GET /keys/yes HTTP/1.1\r\nHost: x\r\n\r\n", "GET /keys/no HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		n, err := io.WriteString(c, text)
@@ -57,7 +63,7 @@
 	must.Eq(t, 2, paths["/keys"].Messages)
 	must.Eq(t, 1, paths["/keys"].Failed)
 	must.Eq(t, int64(in), peers["127.64.0.9"].BytesIn)
-	must.Greater(t, int64(out+30), peers["127.64.0.9"].BytesOut)
+	must.Greater(t, 30, peers["127.64.0.9"].BytesOut)
 	must.Eq(t, map[string]Traffic{}, Subtract(paths, m.Paths()))
 	must.Eq(t, paths, Subtract(Sum(paths, paths), paths))
 }
@@ -102,18 +108,18 @@
 		}
 		return s
 	}
-	got := ShareByActivity(&profile.Profile{Sample: []*profile.Sample{
+	shares := ShareByActivity(&profile.Profile{Sample: []*profile.Sample{
 		stack(10, "/cottonarch/v1/renew", "encoding/json.Unmarshal", "net/http.(*conn).serve"),
 		stack(10, "/cottonarch/v2/unheard", "runtime.mallocgc"),
-		stack(20, "", "sort.x", modulePrefix+"mesh/lease/table.(*Table).Feed", modulePrefix+"adapter/mesh.surface.renew.func1", modulePrefix+"daemon/core.(*Core).loop"),
-		stack(20, "", modulePrefix+"mesh/lease/table.(*Table).Tick", modulePrefix+"control/core/node.(*Node).Tick", modulePrefix+"daemon/core.(*Core).loop"),
+		stack(20, "", "sort.x", modulePrefix+"control/leasetable.(*Table).ChangesSince", modulePrefix+"daemon/api/mesh.handlers.renew.func1", modulePrefix+"daemon/core.(*Core).loop"),
+		stack(20, "", modulePrefix+"control/leasetable.(*Table).Tick", modulePrefix+"control/core/node.(*Node).Tick", modulePrefix+"daemon/core.(*Core).loop"),
 		stack(10, "", "runtime.scanobject", "runtime.gcBgMarkWorker"),
 		stack(10, "", "syscall.read", "net/http.(*conn).serve"),
 		stack(20, "", "runtime.futex", "runtime.mcall"),
 	}})
-	must.Eq(t, map[string]float64{"leases": 0.3, "/v2/unheard": 0.1, "registry": 0.2, "garbage collection": 0.1, "transport": 0.1, "scheduling, timers": 0.2}, got)
-	for d := range got {
-		must.NotEq(t, "", PackageOf(d))
+	must.Eq(t, map[string]float64{"leases": 0.3, "/v2/unheard": 0.1, "registry": 0.2, "garbage collection": 0.1, "transport": 0.1, "scheduling, timers": 0.2}, shares)
+	for name := range shares {
+		must.NotEq(t, "", PackageOf(name))
 	}
 }
 
--- a/capacity/meter/cut.go
+++ b/capacity/meter/partition.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// partition holds up what passes between regions while they are apart. Invariant: a byte
-// between two regions waits while the cut is on, in both directions, and is not lost
-// unless its connection is closed meanwhile.
+// partition is the network between regions, which can be cut. Invariant: while it is cut, a
+// byte between two regions waits, in both directions, and is not lost unless its connection
+// is closed meanwhile.
 type partition struct {
-	regionOf func(string) int
+	regionOf func(ip string) int
 	mu       sync.Mutex
-	active   bool
-	changed  chan struct{}
+	active   bool          // the regions are cut apart
+	changed  chan struct{} // closed and replaced whenever active is set
 }
 
-func newPartition(regionOf func(string) int) *partition {
+func newPartition(regionOf func(ip string) int) *partition {
 	return &partition{regionOf: regionOf, changed: make(chan struct{})}
 }
 
@@ -28,18 +28,27 @@
 	m.partition.changed = make(chan struct{})
 }
 
-func (p *partition) state() (bool, chan struct{}) {
+// state tells whether the regions are cut apart; changed is closed when that is set anew.
+func (p *partition) state() (active bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.active, p.changed
 }
 
+// crosses tells whether two IPs lie in different regions.
+func (p *partition) crosses(a, b string) bool {
+	regionA, regionB := p.regionOf(a), p.regionOf(b)
+	return regionA >= 0 && regionB >= 0 && regionA != regionB
+}
+
+// listener counts what passes through its connections and subjects them to the partition.
 type listener struct {
 	net.Listener
 	meter *Meter
 }
 
-// WrapListener counts what passes through a listener's connections.
+// WrapListener counts what passes through a listener's connections, and lets those between
+// regions wait while the regions are cut apart.
 func (m *Meter) WrapListener(l net.Listener) net.Listener { return listener{l, m} }
 
 // Accept waits for the next connection.
@@ -49,27 +58,35 @@
 		return nil, err
 	}
 	localIP, remoteIP := hostIP(accepted.LocalAddr()), hostIP(accepted.RemoteAddr())
-	localRegion, remoteRegion := l.meter.partition.regionOf(localIP), l.meter.partition.regionOf(remoteIP)
-	return &conn{Conn: accepted, counter: l.meter.peers.counter(remoteIP), partition: l.meter.partition, crossesRegions: localRegion >= 0 && remoteRegion >= 0 && localRegion != remoteRegion, closed: make(chan struct{})}, nil
+	return &conn{
+		Conn:           accepted,
+		counter:        l.meter.peers.counter(remoteIP),
+		partition:      l.meter.partition,
+		crossesRegions: l.meter.partition.crosses(localIP, remoteIP),
+		closed:         make(chan struct{}),
+	}, nil
 }
 
-func hostIP(a net.Addr) string {
-	if t, ok := a.(*net.TCPAddr); ok {
-		return t.IP.String()
+// hostIP is the IP of a TCP address, empty for any other.
+func hostIP(addr net.Addr) string {
+	if tcp, ok := addr.(*net.TCPAddr); ok {
+		return tcp.IP.String()
 	}
 	return ""
 }
 
+// conn is an accepted connection whose bytes are counted.
 type conn struct {
 	net.Conn
 	counter        *trafficCounter
 	partition      *partition
 	crossesRegions bool // its ends are in two regions
-	once           sync.Once
+	closeOnce      sync.Once
 	closed         chan struct{}
 }
 
-// waitUntilJoined waits while the regions are apart.
+// waitUntilJoined waits while the connection's regions are cut apart, or fails when it is
+// closed meanwhile.
 func (c *conn) waitUntilJoined() error {
 	for c.crossesRegions {
 		active, changed := c.partition.state()
@@ -104,6 +121,6 @@
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
