--- a/capacity/fit/fit.go
+++ b/capacity/fit/fit.go
@@ -1,5 +1,5 @@
-// Package fit draws a line through what was measured at a few sizes and says what it
-// gives at another.
+// Package fit fits a curve through what was measured at a few sizes, to extrapolate it to
+// another size: weighted least squares over the forms constant, linear and quadratic.
 package fit
 
 import (
@@ -7,25 +7,25 @@
 	"math"
 )
 
-// Point is one measured figure at a size.
+// Point is a figure Y that was measured at the size X.
 type Point struct{ X, Y float64 }
 
-// Line is Y = A + B·X^Power. Invariants: A and B are not below nought, so that no figure
-// falls with the size; Power is 0 (no growth), 1 or 2.
+// Line is Y = Intercept + Coefficient·X^Exponent. Invariants: neither Intercept nor
+// Coefficient is negative, so that no figure falls as the size grows; Exponent is 0, 1 or 2.
 type Line struct {
 	Exponent         float64 `json:"power"`
 	Intercept        float64 `json:"a"`
 	Coefficient      float64 `json:"b"`
-	MaxRelativeError float64 `json:"off"`  // farthest point from the line, as a part of it
-	MinSize          float64 `json:"from"` // smallest and
+	MaxRelativeError float64 `json:"off"`  // of the farthest point, as a part of the line's value
+	MinSize          float64 `json:"from"` // smallest size measured
 	MaxSize          float64 `json:"to"`   // largest size measured
 	PointCount       int     `json:"n"`
 }
 
-// ValueAt gives the figure at a size.
+// ValueAt is the line's figure at a size.
 func (l Line) ValueAt(x float64) float64 { return l.Intercept + l.Coefficient*math.Pow(x, l.Exponent) }
 
-// Slope is how much one more adds at a size.
+// Slope is the line's derivative at a size: what one more adds.
 func (l Line) Slope(x float64) float64 {
 	if l.Exponent == 0 {
 		return 0
@@ -33,7 +33,7 @@
 	return l.Coefficient * l.Exponent * math.Pow(x, l.Exponent-1)
 }
 
-// Formula shows the form.
+// Formula shows the line as text, with n for the size.
 func (l Line) Formula() string {
 	switch l.Exponent {
 	case 0:
@@ -44,22 +44,24 @@
 	return fmt.Sprintf("%.3g + %.3g·n²", l.Intercept, l.Coefficient)
 }
 
-// MinPoints is how many sizes a line needs.
+// MinPoints is how many sizes a fit needs.
 const MinPoints = 4
 
-// BestLine fits no growth, growth with the size and growth with its square, by least squares
-// of the parts by which the points are off, and keeps the simplest of which no other is
-// nearer by a quarter, or for the square by half. It is false when there are fewer sizes than Enough.
+// forms are the exponents to choose from, the simplest first. A form is taken only if its
+// error is below maxErrorRatio times that of the best simpler one.
+var forms = []struct{ exponent, maxErrorRatio float64 }{{0, 1}, {1, 0.75}, {2, 0.5}}
+
+// BestLine fits every form and chooses the simplest that no more complex one is clearly
+// better than. It is false when there are fewer points than MinPoints.
 func BestLine(points []Point) (Line, bool) {
 	if len(points) < MinPoints {
 		return Line{}, false
 	}
-	var best Line
-	found := false
-	for _, form := range []struct{ power, nearer float64 }{{0, 1}, {1, 0.75}, {2, 0.5}} {
-		l := fitExponent(points, form.power)
-		if !found || l.relativeRMS(points) < form.nearer*best.relativeRMS(points) {
-			best, found = l, true
+	best := fitExponent(points, forms[0].exponent)
+	for _, form := range forms[1:] {
+		line := fitExponent(points, form.exponent)
+		if line.relativeRMS(points) < form.maxErrorRatio*best.relativeRMS(points) {
+			best = line
 		}
 	}
 	best.PointCount, best.MinSize, best.MaxSize = len(points), points[0].X, points[0].X
@@ -72,10 +74,9 @@
 	return best, true
 }
 
-// weights gives each point the weight of a part, not of an amount: of what the line
-// gives there, or of the point itself before there is one. A point far below the highest
-// weighs no more than one of a tenth of it, so that a figure of nought, which is below
-// what can be told, does not draw the line to itself.
+// weights weighs each point by the inverse square of what is expected there, so that relative
+// errors count alike at all sizes. A point far below the highest weighs no more than one of a
+// tenth of it: a figure of zero, which was too small to be measured, must not dominate.
 func weights(points []Point, expected func(Point) float64) []float64 {
 	highest := 0.0
 	for _, p := range points {
@@ -83,18 +84,22 @@
 	}
 	out := make([]float64, len(points))
 	for i, p := range points {
-		y := max(expected(p), highest/10, 1e-9)
+		y := max(expected(p), highest/10, smallestValue)
 		out[i] = 1 / (y * y)
 	}
 	return out
 }
 
+// smallestValue keeps weights finite when all figures are zero.
+const smallestValue = 1e-9
+
 func measuredValue(p Point) float64 { return p.Y }
 
-// reweightingRounds is how often a line is drawn anew with the weights that it gives itself; without
-// that, points that happen to be low would draw it down.
+// reweightingRounds is how often a line is fitted anew with the weights that its own values
+// give; without that, points that happen to be low would draw it down.
 const reweightingRounds = 4
 
+// fitExponent fits a line with the given exponent by iteratively reweighted least squares.
 func fitExponent(points []Point, exponent float64) Line {
 	l := leastSquares(points, exponent, weights(points, measuredValue))
 	for range reweightingRounds {
@@ -103,6 +108,9 @@
 	return l
 }
 
+// leastSquares fits a line with the given exponent by weighted linear least squares. It gives
+// a constant where the figures do not grow, and a line through the origin where the intercept
+// would be negative.
 func leastSquares(points []Point, exponent float64, pointWeights []float64) Line {
 	var w, wx, wy, wxx, wxy float64
 	for i, p := range points {
@@ -127,6 +135,8 @@
 	return l
 }
 
+// relativeRMS is the root of the mean square of the relative errors. A small constant is
+// added, so that of two forms that both fit almost perfectly the simpler is taken.
 func (l Line) relativeRMS(points []Point) (sum float64) {
 	for i, w := range weights(points, measuredValue) {
 		d := l.ValueAt(points[i].X) - points[i].Y
--- /dev/null
+++ b/capacity/plan/config.go
@@ -0,0 +1,70 @@
+package plan
+
+import (
+	"fmt"
+
+	"cottonarch.example/cottonarch/base/ident"
+)
+
+// Timeouts of routes. A serial number is added to them, modulo timeoutSpread.
+const (
+	routeTimeoutMs   = 3000
+	patchedTimeoutMs = 1000
+	timeoutSpread    = 1000
+	drainSeconds     = 2
+)
+
+// Config is a mesh configuration as operators propose it, whole or as a patch, as far as
+// measurements set it.
+type Config struct {
+	Services map[ident.Service]ServiceConfig `json:"services,omitempty"`
+	Routes   map[string]RouteConfig          `json:"ways,omitempty"`
+}
+
+// ServiceConfig is one service of a configuration.
+type ServiceConfig struct {
+	Namespace    string  `json:"namespace"`
+	DrainSeconds float64 `json:"drainS"`
+}
+
+// RouteConfig is one route of a configuration.
+type RouteConfig struct {
+	Host      ident.Service `json:"host"`
+	PathStart string        `json:"pathStart"`
+	Service   ident.Service `json:"service"`
+	TimeoutMs int           `json:"timeoutMs"`
+}
+
+// Service names the service that the i-th node's endpoint belongs to.
+func (t Target) Service(i int) ident.Service {
+	return ident.Service(fmt.Sprintf("svc%03d.capacity", i%t.Services))
+}
+
+// RoutePath is the path prefix of the i-th route.
+func RoutePath(i int) string { return fmt.Sprintf("/part%05d/", i) }
+
+func routeName(i int) string { return fmt.Sprintf("w%05d", i) }
+
+// route is the i-th route; its host has the name of its service.
+func (t Target) route(i, timeoutMs int) RouteConfig {
+	service := t.Service(i)
+	return RouteConfig{Host: service, PathStart: RoutePath(i), Service: service, TimeoutMs: timeoutMs}
+}
+
+// Config is the whole configuration, with all services and routes. Configurations of
+// consecutive serial numbers differ in every route.
+func (t Target) Config(serial int) Config {
+	config := Config{Services: map[ident.Service]ServiceConfig{}, Routes: map[string]RouteConfig{}}
+	for i := range t.Services {
+		config.Services[t.Service(i)] = ServiceConfig{Namespace: "capacity", DrainSeconds: drainSeconds}
+	}
+	for i := range t.Routes {
+		config.Routes[routeName(i)] = t.route(i, routeTimeoutMs+serial%timeoutSpread)
+	}
+	return config
+}
+
+// Patch is a change of the first route alone. Patches of consecutive serial numbers differ.
+func (t Target) Patch(serial int) Config {
+	return Config{Routes: map[string]RouteConfig{routeName(0): t.route(0, patchedTimeoutMs+serial%timeoutSpread)}}
+}
--- a/capacity/plan/plan.go
+++ b/capacity/plan/plan.go
@@ -1,32 +1,29 @@
-// Package plan holds the size that is asked about, its budgets, and which loopback
-// address each machine of a measured mesh has.
+// Package plan describes the mesh whose cost is asked about: its size, the budgets that its
+// cost is held against, its configuration, and the loopback address of each machine when a
+// smaller one is measured.
 package plan
 
 import (
 	"encoding/json"
-	"fmt"
-	"net/netip"
 	"os"
 	"time"
 
 	"cottonarch.example/cottonarch/base/failure"
-	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Budget is what may be spent. Cores are processor cores, times are in the unit that
-// the name ends with.
+// Budget is what a mesh may cost.
 type Budget struct {
-	AddedLatencyMs       float64 `json:"addedMs"`     // that both sidecars add to a call, at AddedPart
+	AddedLatencyMs       float64 `json:"addedMs"`     // that both sidecars add to a call, at AddedLatencyQuantile
 	AddedLatencyQuantile float64 `json:"addedPart"`   // of the calls
-	ApplySeconds         float64 `json:"inForceS"`    // a change of configuration, everywhere
-	NodeCores            float64 `json:"nodeCores"`   // a node's control
-	NodeBytesPerSecond   float64 `json:"nodeBytesS"`  // a node's control, both ways together
-	NodeMemoryBytes      float64 `json:"nodeMemory"`  // bytes
-	CoreMachines         int     `json:"coreMachine"` // machines set aside
+	ApplySeconds         float64 `json:"inForceS"`    // until a change of configuration is in force everywhere
+	NodeCores            float64 `json:"nodeCores"`   // processor cores that a node's control traffic takes
+	NodeBytesPerSecond   float64 `json:"nodeBytesS"`  // of a node's control traffic, sent and received
+	NodeMemoryBytes      float64 `json:"nodeMemory"`  // of a sidecar
+	CoreMachines         int     `json:"coreMachine"` // machines set aside for cores
 }
 
-// Target is the size that is asked about. Invariant: every figure is above nought and
-// Districts is a multiple of Regions.
+// Target is the mesh that is asked about. Invariant: every figure is above zero and Zones is a
+// multiple of Regions.
 type Target struct {
 	Nodes            int     `json:"nodes"`
 	Services         int     `json:"services"`
@@ -35,23 +32,46 @@
 	Regions          int     `json:"regions"`
 	Zones            int     `json:"districts"`
 	CallsPerSecond   float64 `json:"callsS"`
-	CallDepth        int     `json:"deep"`
+	CallDepth        int     `json:"deep"` // calls that one call from outside leads to, one after the other
 	ChangesPerDay    float64 `json:"changesDay"`
 	RestartsPerDay   int     `json:"restartsDay"`
 	LossesPerDay     float64 `json:"lossesDay"`
-	PartitionMinutes float64 `json:"apartMinutes"`
+	PartitionMinutes float64 `json:"apartMinutes"` // that regions may be cut apart
 	Budget           Budget  `json:"budget"`
-	NodesPerProcess  int     `json:"nodesAProcess"`
-	NodesPerWave     int     `json:"nodesAWave"` // that start together when a mesh is brought up
+	NodesPerProcess  int     `json:"nodesAProcess"` // when a mesh is measured
+	NodesPerWave     int     `json:"nodesAWave"`    // that start together when a measured mesh is brought up
 }
 
-// Default is the size of the users' brief.
+// Default is the size that the project's users ask about.
 func Default() Target {
-	return Target{Nodes: 600, Services: 48, Routes: 5000, Cores: 5, Regions: 2, Zones: 8, CallsPerSecond: 71000, CallDepth: 16, ChangesPerDay: 300, RestartsPerDay: 58, LossesPerDay: 2, PartitionMinutes: 5, NodesPerProcess: 50, NodesPerWave: 10,
-		Budget: Budget{AddedLatencyMs: 1, AddedLatencyQuantile: 0.99, ApplySeconds: 14, NodeCores: 0.01, NodeBytesPerSecond: 14 << 10, NodeMemoryBytes: 32 << 20, CoreMachines: 5}}
+	return Target{
+		Nodes:            600,
+		Services:         48,
+		Routes:           5000,
+		Cores:            5,
+		Regions:          2,
+		Zones:            8,
+		CallsPerSecond:   71000,
+		CallDepth:        16,
+		ChangesPerDay:    300,
+		RestartsPerDay:   58,
+		LossesPerDay:     2,
+		PartitionMinutes: 5,
+		NodesPerProcess:  50,
+		NodesPerWave:     10,
+		Budget: Budget{
+			AddedLatencyMs:       1,
+			AddedLatencyQuantile: 0.99,
+			ApplySeconds:         14,
+			NodeCores:            0.01,
+			NodeBytesPerSecond:   14 << 10,
+			NodeMemoryBytes:      32 << 20,
+			CoreMachines:         5,
+		},
+	}
 }
 
-// Read lays a file over the default; "" is the default alone.
+// Read reads a JSON file over the default; an empty name gives the default alone.
 func Read(file string) (Target, error) {
 	t := Default()
 	if file != "" {
@@ -66,18 +86,18 @@
 			return t, failure.New(failure.BadSettings, "%s: %v", file, err)
 		}
 	}
-	if fault := t.Validate(); fault != nil {
-		return t, fault
+	if err := t.Validate(); err != nil {
+		return t, err
 	}
 	return t, nil
 }
 
-// Validate names every fault.
+// Validate returns every fault of the target, or nil.
 func (t Target) Validate() *failure.Error {
-	fault := failure.New(failure.BadSettings, "the size can't be asked about")
+	invalid := failure.New(failure.BadSettings, "the target is invalid")
 	require := func(path string, ok bool, note string) {
 		if !ok {
-			fault.Faults = append(fault.Faults, failure.Fault{Path: path, Note: note})
+			invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: note})
 		}
 	}
 	require("nodes", t.Nodes > 0 && t.Nodes <= 100000, "must be from 1 to 100000")
@@ -89,87 +109,18 @@
 	require("nodesAProcess", t.NodesPerProcess > 0 && t.NodesPerProcess <= 1000, "must be from 1 to 1000")
 	require("nodesAWave", t.NodesPerWave > 0, "must be above 0")
 	require("callsS", t.CallsPerSecond > 0 && t.CallDepth > 0 && t.ChangesPerDay > 0, "callsS, deep and changesDay must be above 0")
-	if len(fault.Faults) > 0 {
-		return fault
+	if len(invalid.Faults) > 0 {
+		return invalid
 	}
 	return nil
 }
 
-const (
-	firstZoneOctet   = 64  // second part of the addresses of district 0
-	machinesPerOctet = 250 // machines in one third part
-)
-
-// Zone names the district of the i-th machine of its kind.
-func (t Target) Zone(i int) ident.Zone {
-	return ident.Zone(fmt.Sprintf("z%d", i%t.Zones))
-}
-
-// NodeIP is the address of a node: 127.(64+district).(1 and up).(1 to 250).
-func (t Target) NodeIP(i int) string {
-	indexInZone := i / t.Zones
-	return fmt.Sprintf("127.%d.%d.%d", firstZoneOctet+i%t.Zones, 1+indexInZone/machinesPerOctet, 1+indexInZone%machinesPerOctet)
-}
-
-// CoreZone is the district of a core: they go by turns to the regions, the first of
-// which has the majority.
-func (t Target) CoreZone(i int) int {
-	zonesPerRegion := t.Zones / t.Regions
-	return (i%t.Regions)*zonesPerRegion + (i/t.Regions)%zonesPerRegion
-}
-
-// CoreIP is the address of a core.
-func (t Target) CoreIP(i int) string {
-	return fmt.Sprintf("127.%d.0.%d", firstZoneOctet+t.CoreZone(i), 1+i)
-}
-
-// Region tells in which region an address lies, -1 when it is no machine's.
-func (t Target) Region(ip string) int {
-	addr, err := netip.ParseAddr(ip)
-	if err != nil || !addr.Is4() {
-		return -1
-	}
-	zone := int(addr.As4()[1]) - firstZoneOctet
-	if addr.As4()[0] != 127 || zone < 0 || zone >= t.Zones {
-		return -1
-	}
-	return zone / (t.Zones / t.Regions)
-}
-
-// Service names the service that a node's endpoint belongs to.
-func (t Target) Service(i int) ident.Service {
-	return ident.Service(fmt.Sprintf("svc%03d.capacity", i%t.Services))
-}
-
-// ChangedRoute is a way whose limit tells the changes of a manifest apart.
-const ChangedRoute = "w00000"
-
-// Config is one of the target's services and ways; serial makes each other than the
-// last.
-func (t Target) Config(serial int) map[string]any {
-	services, routes := map[string]any{}, map[string]any{}
-	for i := range t.Services {
-		services[string(t.Service(i))] = map[string]any{"namespace": "capacity", "drainS": 2}
-	}
-	for i := range t.Routes {
-		service := string(t.Service(i))
-		routes[fmt.Sprintf("w%05d", i)] = map[string]any{"host": service, "pathStart": fmt.Sprintf("/part%05d/", i), "service": service, "timeoutMs": 3000 + serial%1000}
-	}
-	return map[string]any{"services": services, "ways": routes}
-}
-
-// Patch is a part of a manifest that changes one way.
-func (t Target) Patch(serial int) map[string]any {
-	service := string(t.Service(0))
-	return map[string]any{"ways": map[string]any{ChangedRoute: map[string]any{"host": service, "pathStart": "/part00000/", "service": service, "timeoutMs": 1000 + serial%1000}}}
-}
-
-// MaxWait bounds any single wait.
+// MaxWait bounds any single wait of a measurement.
 const MaxWait = 60 * time.Second
 
-// The rings of a measured core: the smallest that a boot file may ask for, which leaves
-// room for manifests.
+// Size of a measured core's disk: the smallest ring files that a core's settings allow, which
+// have room for configurations.
 const (
-	RingBytes = 12 << 20
+	RingBytes = 12 << 20 // of a file
 	RingFiles = 4
 )
--- /dev/null
+++ b/capacity/process/await.go
@@ -0,0 +1,78 @@
+package process
+
+import (
+	"time"
+
+	"cottonarch.example/cottonarch/capacity/meter"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+const (
+	pollInterval   = 5 * time.Millisecond
+	maxAwaitedTime = 2 * time.Minute
+)
+
+// progress is how far a node has got in a condition's lists: the endpoints before healthy and
+// unhealthy have been seen as wanted, and are not looked at again.
+type progress struct{ healthy, unhealthy int }
+
+// await polls this process's nodes until each meets the condition, for the command's duration
+// at most.
+func (w *worker) await(command Command) (Response, error) {
+	waiting := w.waitingNodes()
+	response := Response{}
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	lastPoll := meter.Now()
+	for deadline := lastPoll + int64(min(command.Duration, maxAwaitedTime)); len(waiting) > 0 && meter.Now() < deadline; {
+		now := meter.Now()
+		response.MaxStall, lastPoll = max(response.MaxStall, time.Duration(now-lastPoll)-pollInterval), now
+		for n, p := range waiting {
+			if n.meets(command.Condition, p) {
+				response.KnownAt = append(response.KnownAt, meter.Now())
+				delete(waiting, n)
+			}
+		}
+		select {
+		case <-ticker.C:
+		case <-w.closed:
+			return response, nil
+		}
+	}
+	response.Missing = len(waiting)
+	return response, nil
+}
+
+func (w *worker) waitingNodes() map[*node]*progress {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	waiting := map[*node]*progress{}
+	for _, n := range w.nodes {
+		waiting[n] = &progress{}
+	}
+	return waiting
+}
+
+// meets tells whether a node knows all that the condition asks for.
+func (n *node) meets(condition Condition, p *progress) bool {
+	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
+		return false
+	}
+	for ; p.healthy < len(condition.Healthy); p.healthy++ {
+		if !n.knowsHealthy(condition.Healthy[p.healthy]) {
+			return false
+		}
+	}
+	for ; p.unhealthy < len(condition.Unhealthy); p.unhealthy++ {
+		if n.knowsHealthy(condition.Unhealthy[p.unhealthy]) {
+			return false
+		}
+	}
+	return true
+}
+
+// knowsHealthy tells whether the node's registry has an endpoint as healthy.
+func (n *node) knowsHealthy(e Endpoint) bool {
+	entry, ok := n.sidecar.Lookup(e.Service, e.ID)
+	return ok && !entry.Lapsed && entry.Status == record.Healthy
+}
--- /dev/null
+++ b/capacity/process/worker.go
@@ -0,0 +1,164 @@
+// Package process is one process of a measured mesh: a core, or many nodes. It reads commands
+// as lines of JSON from its input and ends when that ends, so that no process outlives the one
+// that measures.
+package process
+
+import (
+	"bufio"
+	"encoding/json"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/capacity/meter"
+	"cottonarch.example/cottonarch/capacity/plan"
+)
+
+// worker is the state of the process. Invariant: mu guards the fields below it.
+type worker struct {
+	target plan.Target // set by Begin, with meter
+	meter  *meter.Meter
+	closed chan struct{}
+
+	mu             sync.Mutex
+	core           *core
+	nodes          map[int]*node // by number
+	seeds          []ident.Addr
+	fullNodes      bool
+	extraEndpoints int
+}
+
+// handlers is the table of operations.
+var handlers = map[string]func(*worker, Command) (Response, error){
+	Begin:        (*worker).begin,
+	StartCore:    (*worker).startCore,
+	StartNodes:   (*worker).startNodes,
+	StopNodes:    (*worker).stopNodes,
+	SetState:     (*worker).setState,
+	Await:        (*worker).await,
+	ReadUsage:    (*worker).readUsage,
+	Profile:      (*worker).profile,
+	SetPartition: (*worker).setPartition,
+}
+
+// Run executes commands until the input ends, then closes all daemons.
+func Run(in io.Reader, out io.Writer) error {
+	w := &worker{nodes: map[int]*node{}, closed: make(chan struct{})}
+	defer w.close()
+	responses := &responseWriter{encoder: json.NewEncoder(out)}
+	reader := bufio.NewReader(in)
+	for {
+		line, err := reader.ReadBytes('\n')
+		if err != nil {
+			return nil // the one that measures has closed the input, or has ended
+		}
+		var command Command
+		if err := json.Unmarshal(line, &command); err != nil {
+			return failure.Wrap(err, failure.Malformed, "command")
+		}
+		if command.Operation == Begin {
+			responses.write(w.handle(command))
+			continue
+		}
+		go func() { responses.write(w.handle(command)) }()
+	}
+}
+
+// responseWriter writes responses one at a time.
+type responseWriter struct {
+	mu      sync.Mutex
+	encoder *json.Encoder
+}
+
+func (r *responseWriter) write(response Response) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_ = r.encoder.Encode(response)
+}
+
+// handle executes a command and completes its response.
+func (w *worker) handle(command Command) Response {
+	response, err := w.execute(command)
+	response.ID = command.ID
+	if err != nil {
+		response.Error = err.Error()
+	}
+	return response
+}
+
+func (w *worker) execute(command Command) (Response, error) {
+	handler, ok := handlers[command.Operation]
+	if !ok {
+		return Response{}, failure.New(failure.Invalid, "no operation %q; known: %s", command.Operation, strings.Join(slices.Sorted(maps.Keys(handlers)), ", "))
+	}
+	if command.Operation != Begin && w.meter == nil {
+		return Response{}, failure.New(failure.Invalid, "%s comes first", Begin)
+	}
+	return handler(w, command)
+}
+
+func (w *worker) begin(command Command) (Response, error) {
+	if command.Target == nil {
+		return Response{}, failure.New(failure.Invalid, "%s needs a target", Begin)
+	}
+	w.target, w.meter = *command.Target, meter.New(command.Target.Region)
+	return Response{}, nil
+}
+
+func (w *worker) setPartition(command Command) (Response, error) {
+	w.meter.SetPartitioned(command.Partitioned)
+	return Response{StartedAt: meter.Now()}, nil
+}
+
+// readUsage reads what the process has used, and the counters of its daemons.
+func (w *worker) readUsage(Command) (Response, error) {
+	response := Response{Usage: meter.ProcessUsage(), ByPath: w.meter.Paths(), ByPeer: w.meter.Peers()}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.core != nil {
+		response.Counters = w.core.daemon.Metrics.Snapshot()
+	}
+	for _, n := range w.nodes {
+		for name, value := range n.sidecar.Metrics.Snapshot() {
+			if response.Counters == nil {
+				response.Counters = map[string]int64{}
+			}
+			response.Counters[name] += value
+		}
+	}
+	return response, nil
+}
+
+func (w *worker) profile(command Command) (Response, error) {
+	shares, err := meter.Profile(min(command.Duration, plan.MaxWait))
+	return Response{CPUShares: shares}, err
+}
+
+// serve runs a daemon's server on a listener whose traffic is counted.
+func (w *worker) serve(server *http.Server, addr ident.Addr) error {
+	listener, err := net.Listen("tcp", string(addr))
+	if err != nil {
+		return failure.Wrap(err, failure.Internal, "listen")
+	}
+	server.Handler = w.meter.WrapHandler(server.Handler)
+	go func() { _ = server.Serve(w.meter.WrapListener(listener)) }()
+	return nil
+}
+
+func (w *worker) close() {
+	close(w.closed)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, n := range w.nodes {
+		n.stop()
+	}
+	if w.core != nil {
+		w.core.stop()
+	}
+}
--- a/capacity/report/report_test.go
+++ b/capacity/report/report_test.go
@@ -41,7 +41,7 @@
 	must.InDelta(t, 12, got["changes: in force everywhere"].Figure, 0.1)
 	must.InDelta(t, 0.9, got["added to a call, 99 in 100"].Ratio(), 0.001)
 	text := Tables(result)
-	for _, want := range []string{"**over, ×1.6**", "| fits |", "×7.5", "16 × p50", "| leases | mesh/lease | 2400 |"} {
+	for _, want := range []string{"**over, ×1.6**", "| fits |", "×7.5", "16 × p50", "| leases | mesh/lease, control/leasetable | 2400 |"} {
 		must.StrContains(t, text, want)
 	}
 	must.Eq(t, text, Tables(result))
--- a/capacity/run/run_test.go
+++ b/capacity/run/run_test.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/capacity/process"
 )
 
-// TestMain lets this test's own program be the parts of a mesh.
+// TestMain lets this test's own program be the processes of a mesh.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "capacity-part" {
 		if process.Run(os.Stdin, os.Stdout) != nil {
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// A small mesh of real processes goes through every load.
+// A small mesh of real processes goes through every workload.
 func TestSmallMesh(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -55,7 +55,7 @@
 	must.Zero(t, res.CallLatency[0].Failed)
 }
 
-// What does not fit is left out, and named.
+// What does not fit within a bound is left out, and named.
 func TestBounds(t *testing.T) {
 	target := plan.Default()
 	options := Options{ProcessCommand: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: target, Sizes: []int{500, 1000}, Workloads: []string{"steady"}, Window: time.Second, TimeLimit: time.Minute, MemoryLimit: 1e9, MaxProcesses: 10, Logf: t.Logf}
--- a/capacity/testbed/child.go
+++ b/capacity/testbed/child.go
@@ -1,5 +1,3 @@
-// Package testbed runs a mesh of real cores and hollow nodes as processes on loopback, to
-// be measured.
 package testbed
 
 import (
@@ -15,37 +13,49 @@
 	"cottonarch.example/cottonarch/capacity/process"
 )
 
-// child is one process and the orders that are out. Invariant: each order gets exactly
-// one answer, a made-up one when the process ends before.
+const (
+	stopTimeout    = 5 * time.Second // that a process may take to end once its input is closed
+	readBufferSize = 1 << 16
+)
+
+// child is one process and the commands that it has not answered yet. Invariant: each command
+// gets exactly one response, or wait fails for it when the process ends before.
 type child struct {
-	cmd     *exec.Cmd
+	cmd    *exec.Cmd
+	exited chan struct{}
+
+	mu      sync.Mutex // guards the fields below and writes to stdin
 	stdin   io.WriteCloser
-	mu      sync.Mutex
 	lastID  int
 	pending map[int]chan process.Response
-	exited  chan struct{}
 }
 
+// startChild starts a process.
 func startChild(commandLine []string) (*child, error) {
-	c := &child{cmd: exec.Command(commandLine[0], commandLine[1:]...), pending: map[int]chan process.Response{}, exited: make(chan struct{})}
+	c := &child{
+		cmd:     exec.Command(commandLine[0], commandLine[1:]...),
+		exited:  make(chan struct{}),
+		pending: map[int]chan process.Response{},
+	}
 	c.cmd.Stderr = os.Stderr
 	var err error
 	if c.stdin, err = c.cmd.StdinPipe(); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "part")
+		return nil, failure.Wrap(err, failure.Internal, "process")
 	}
 	stdout, err := c.cmd.StdoutPipe()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "part")
+		return nil, failure.Wrap(err, failure.Internal, "process")
 	}
 	if err := c.cmd.Start(); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "part")
+		return nil, failure.Wrap(err, failure.Internal, "process")
 	}
 	go c.readResponses(stdout)
 	return c, nil
 }
 
+// readResponses hands each response to the command that it answers, until the process ends.
 func (c *child) readResponses(stdout io.Reader) {
-	reader := bufio.NewReaderSize(stdout, 1<<16)
+	reader := bufio.NewReaderSize(stdout, readBufferSize)
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
@@ -55,11 +65,7 @@
 		if json.Unmarshal(line, &response) != nil {
 			continue
 		}
-		c.mu.Lock()
-		result := c.pending[response.ID]
-		delete(c.pending, response.ID)
-		c.mu.Unlock()
-		if result != nil {
+		if result := c.takePending(response.ID); result != nil {
 			result <- response
 		}
 	}
@@ -67,7 +73,21 @@
 	close(c.exited)
 }
 
-// send gives an order; the answer comes on the channel.
+// takePending removes a command from those without a response; nil if it is none of them.
+func (c *child) takePending(id int) chan process.Response {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	result := c.pending[id]
+	delete(c.pending, id)
+	return result
+}
+
+// run sends a command and waits for its response.
+func (c *child) run(command process.Command, timeout time.Duration) (process.Response, error) {
+	return c.wait(c.send(command), timeout)
+}
+
+// send sends a command. Its response comes on the channel, to be received by wait.
 func (c *child) send(command process.Command) <-chan process.Response {
 	result := make(chan process.Response, 1)
 	c.mu.Lock()
@@ -86,27 +106,28 @@
 	return result
 }
 
-// wait waits for an answer, at most limit.
+// wait waits for a response. It fails when that bears an error, when the process ends, and
+// after the timeout.
 func (c *child) wait(result <-chan process.Response, timeout time.Duration) (process.Response, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case response := <-result:
 		if response.Error != "" {
-			return response, failure.New(failure.Internal, "part: %s", response.Error)
+			return response, failure.New(failure.Internal, "process: %s", response.Error)
 		}
 		return response, nil
 	case <-c.exited:
-		return process.Response{}, failure.New(failure.LostResponse, "a part ended by itself")
+		return process.Response{}, failure.New(failure.LostResponse, "a process ended by itself")
 	case <-timer.C:
-		return process.Response{}, failure.New(failure.DeadlineExceeded, "a part did not answer in %v", timeout)
+		return process.Response{}, failure.New(failure.DeadlineExceeded, "a process did not answer in %v", timeout)
 	}
 }
 
-// stop closes the part's input, on which it ends, and kills it if it does not.
+// stop closes the process's input, on which it ends, and kills it if it does not.
 func (c *child) stop() {
 	_ = c.stdin.Close()
-	timer := time.NewTimer(5 * time.Second)
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
 	case <-c.exited:
--- /dev/null
+++ b/capacity/testbed/operator.go
@@ -0,0 +1,105 @@
+package testbed
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/capacity/plan"
+	"cottonarch.example/cottonarch/mesh/endpoint"
+)
+
+const (
+	proposalInterval  = 50 * time.Millisecond // between tries
+	heartbeatTimeout  = time.Second
+	idempotencyHeader = "Idempotency-Key"
+)
+
+// Propose sends a configuration to a core of the first region until it is confirmed, within
+// the timeout, and returns its revision. All tries have one idempotency key.
+func (m *Mesh) Propose(method string, config plan.Config, timeout time.Duration) (ident.Epoch, error) {
+	raw, err := json.Marshal(config)
+	if err != nil {
+		return 0, failure.Wrap(err, failure.Malformed, "configuration")
+	}
+	m.proposalCount++
+	key := fmt.Sprintf("capacity-%d", m.proposalCount)
+	ticker := time.NewTicker(proposalInterval)
+	defer ticker.Stop()
+	var lastErr error
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); <-ticker.C {
+		revision, status, err := m.proposeOnce(method, raw, key)
+		if err == nil {
+			return revision, nil
+		}
+		lastErr = err
+		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity || status == http.StatusRequestEntityTooLarge {
+			break // another try would fail alike
+		}
+	}
+	return 0, failure.Wrap(lastErr, failure.DeadlineExceeded, "no core took the configuration")
+}
+
+// proposeOnce sends a configuration once. status is 0 when there was no response.
+func (m *Mesh) proposeOnce(method string, raw []byte, key string) (revision ident.Epoch, status int, err error) {
+	request, err := http.NewRequest(method, "http://"+string(m.coreAddrs[0])+"/manifest", bytes.NewReader(raw))
+	if err != nil {
+		return 0, 0, failure.Wrap(err, failure.Malformed, "configuration")
+	}
+	request.Header.Set(idempotencyHeader, key)
+	response, err := m.httpClient.Do(request)
+	if err != nil {
+		return 0, 0, failure.Wrap(err, failure.Unreachable, "core")
+	}
+	body, _ := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	var confirmed struct {
+		Revision ident.Epoch `json:"epoch"`
+	}
+	if response.StatusCode == http.StatusOK && json.Unmarshal(body, &confirmed) == nil {
+		return confirmed.Revision, response.StatusCode, nil
+	}
+	return 0, response.StatusCode, failure.New(failure.BadResponse, "status %d: %.200s", response.StatusCode, body)
+}
+
+// SendHeartbeats keeps sending heartbeats of one node's endpoints to its sidecar over the
+// wire, from the node's own address, until Close.
+func (m *Mesh) SendHeartbeats(sidecar ident.Addr, heartbeats ...endpoint.Heartbeat) {
+	m.heartbeats.Go(func() {
+		transport := &http.Transport{DialContext: (&net.Dialer{Timeout: heartbeatTimeout, LocalAddr: sidecar.DialSource()}).DialContext}
+		defer transport.CloseIdleConnections()
+		client := &http.Client{Transport: transport, Timeout: heartbeatTimeout}
+		ticker := time.NewTicker(endpoint.HeartbeatInterval)
+		defer ticker.Stop()
+		for {
+			for _, heartbeat := range heartbeats {
+				sendHeartbeat(client, sidecar, heartbeat)
+			}
+			select {
+			case <-ticker.C:
+			case <-m.closed:
+				return
+			}
+		}
+	})
+}
+
+// sendHeartbeat sends one heartbeat; one that is lost is followed by the next.
+func sendHeartbeat(client *http.Client, sidecar ident.Addr, heartbeat endpoint.Heartbeat) {
+	raw, err := json.Marshal(heartbeat)
+	if err != nil {
+		return
+	}
+	response, err := client.Post("http://"+string(sidecar)+"/beat", "application/json", bytes.NewReader(raw))
+	if err != nil {
+		return
+	}
+	_, _ = io.Copy(io.Discard, response.Body)
+	_ = response.Body.Close()
+}
--- /dev/null
+++ b/capacity/workload/steady.go
@@ -0,0 +1,142 @@
+package workload
+
+import (
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/capacity/meter"
+	"cottonarch.example/cottonarch/capacity/process"
+)
+
+const (
+	// steadyAttempts is how often the steady state is measured before the machine counts as
+	// unfit.
+	steadyAttempts = 4
+	// A measurement was held up when it took longer than its window by lateShare of that and
+	// lateSeconds: nothing can be told from it.
+	lateShare   = 0.25
+	lateSeconds = 0.5
+	// coreMessagePath is the path of messages from core to core, which no sidecar sends.
+	coreMessagePath = "/cottonarch/v1/messages"
+	// tinyCPU keeps a share of no processor time finite.
+	tinyCPU = 1e-9
+)
+
+// coreCounters are the counters of the cores whose rates are noted.
+var coreCounters = []string{"sweeps", "deeds", "rounds"}
+
+// steady measures the steady state, again when the machine was held up meanwhile.
+func (r *Run) steady() error {
+	var lastErr error
+	for range steadyAttempts {
+		m, err := r.measureSteady()
+		if err != nil {
+			return err
+		}
+		if window := r.Window.Seconds(); m.seconds-window > window*lateShare+lateSeconds {
+			lastErr = failure.New(failure.DeadlineExceeded, "a measurement of %v took %.1f s: the machine was held up", r.Window, m.seconds)
+			continue
+		}
+		r.baseline = m.rates()
+		r.Points = append(r.Points, Point{Nodes: r.NodeCount, Load: steadyLoad, Values: m.values(), MeshCPU: m.meshCPU, MachineCPU: m.machineCPU})
+		return nil
+	}
+	return lastErr
+}
+
+// steadyMeasurement is the usage of a window, with profiles taken in it.
+type steadyMeasurement struct {
+	usage
+	nodeCount    int
+	coreProfiles []process.Response
+	nodeProfiles []process.Response // by process that holds nodes, that of node 0 first
+	coreMemory   float64            // bytes of the largest core
+	nodeMemory   float64            // bytes of node 0
+}
+
+func (r *Run) measureSteady() (m steadyMeasurement, err error) {
+	before, err := r.Read()
+	if err != nil {
+		return m, err
+	}
+	m.nodeCount = r.NodeCount
+	if m.coreProfiles, m.nodeProfiles, err = r.Profile(r.Window); err != nil {
+		return m, err
+	}
+	after, err := r.Read()
+	if err != nil {
+		return m, err
+	}
+	m.usage = r.usageBetween(before, after)
+	for _, core := range after.Cores {
+		m.coreMemory = max(m.coreMemory, core.Usage.ResidentBytes)
+	}
+	m.nodeMemory = after.FirstNode.Usage.ResidentBytes
+	return m, nil
+}
+
+// values gives the figures: those of cores are means over them unless they say otherwise.
+func (m steadyMeasurement) values() map[string]float64 {
+	rates, coreCount := m.rates(), float64(len(m.coreCPU))
+	values := map[string]float64{
+		"core/all/processor cores":            rates.cores / coreCount,
+		"core/busiest/processor cores":        rates.busiestCore,
+		"core/all/messages a second":          rates.messages / coreCount,
+		"core/all/bytes a second":             rates.coreBytes / coreCount,
+		"core/all/memory":                     m.coreMemory,
+		"sidecar/all/processor cores":         rates.node,
+		"sidecar/all/bytes a second":          rates.nodeBytes,
+		"sidecar/its endpoint/bytes a second": m.heartbeatBytes / m.seconds,
+		"sidecar/all/memory":                  m.nodeMemory,
+	}
+	if m.nodeCount > 1 {
+		values["sidecar/hollow, mean/processor cores"] = rates.sharedNodes / float64(m.nodeCount-1)
+	}
+	for _, counter := range coreCounters {
+		values["core/"+counter+"/a second"] = float64(m.counters[counter]) / m.seconds / coreCount
+	}
+	m.addTraffic(values)
+	m.addCoreActivities(values)
+	m.addNodeActivities(values)
+	return values
+}
+
+// addTraffic adds what the cores were sent, by activity.
+func (m steadyMeasurement) addTraffic(values map[string]float64) {
+	perCore := 1 / m.seconds / float64(len(m.coreCPU))
+	sidecarMessages := 0.0
+	for path, traffic := range m.byPath {
+		prefix := "core/" + meter.ActivityOf(path).Name
+		values[prefix+"/messages a second"] += float64(traffic.Messages) * perCore
+		values[prefix+"/body bytes a second"] += traffic.Bytes() * perCore
+		if traffic.Failed > 0 {
+			values[prefix+"/turned away a second"] += float64(traffic.Failed) * perCore
+		}
+		if path != coreMessagePath {
+			sidecarMessages += float64(traffic.Messages)
+		}
+	}
+	values["sidecar/all/messages a second"] = sidecarMessages / m.seconds / float64(m.nodeCount)
+}
+
+// addCoreActivities divides the cores' processor time by the shares of their profiles.
+func (m steadyMeasurement) addCoreActivities(values map[string]float64) {
+	for i, profile := range m.coreProfiles {
+		for activity, share := range profile.CPUShares {
+			values["core/"+activity+"/processor cores"] += share * m.coreCPU[i] / m.seconds / float64(len(m.coreCPU))
+		}
+	}
+}
+
+// addNodeActivities divides the processor time of node 0. Its samples alone are too few to
+// tell its activities apart, so the shares are those of all nodes.
+func (m steadyMeasurement) addNodeActivities(values map[string]float64) {
+	total, byActivity := 0.0, map[string]float64{}
+	for i, profile := range m.nodeProfiles {
+		for activity, share := range profile.CPUShares {
+			byActivity[activity] += share * m.nodeProcessCPU[i]
+			total += share * m.nodeProcessCPU[i]
+		}
+	}
+	for activity, cpu := range byActivity {
+		values["sidecar/"+activity+"/processor cores"] = cpu / max(total, tinyCPU) * m.nodeCPU() / m.seconds
+	}
+}
