--- a/capacity/meter/activity.go
+++ b/capacity/meter/activity.go
@@ -11,7 +11,7 @@
 	leases        = Activity{"leases", "mesh/lease, control/leasetable"}
 	joins         = Activity{"entry", "daemon/api/mesh, control/coordination"}
 	budgetShares  = Activity{"shares", "control/coordination/quota"}
-	registry      = Activity{"registry", "mesh/registry, control/registry"}
+	registry      = Activity{"registry", "mesh/registry, control/registry, control/leasetable"}
 	configuration = Activity{"manifests", "control/config, daemon/api/mesh"}
 	coreMessages  = Activity{"core to core", "control/core, control/register"}
 	antiEntropy   = Activity{"sweep", "control/register/quorumread"}
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// formatNumber shows a figure with three digits that count.
+// formatNumber shows a figure with three significant digits.
 func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0:
@@ -28,6 +28,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
+// table is Markdown text with tables.
 type table struct{ text strings.Builder }
 
 func (t *table) row(cells ...string) { t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -37,113 +38,50 @@
 	t.row(slices.Repeat([]string{"---"}, len(cells))...)
 }
 
+// printf writes a line outside of a table.
 func (t *table) printf(format string, args ...any) { fmt.Fprintf(&t.text, format+"\n", args...) }
 
-// at tells where a figure at the size asked about comes from.
-func (r Row) reachedBy(n float64) string {
-	if r.Line.MaxSize >= n {
-		return "measured"
-	}
-	return fmt.Sprintf("×%.3g", n/r.Line.MaxSize)
-}
-
 // Tables is the whole text, as it stands on the page.
 func Tables(result *run.Result) string {
 	rows, t := Rows(result), &table{}
 	t.printf("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
-	lowest, highest := 1.0, 0.0
-	for _, p := range result.Points {
-		lowest, highest = min(lowest, p.MachineCPU), max(highest, p.MachineCPU)
-	}
-	if highest > 0 {
-		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
-	}
-	for _, skipped := range result.Skipped {
-		t.printf("- left out: %s", skipped)
-	}
-	for _, p := range result.Points {
-		if p.Missing > 0 {
-			t.printf("- %s at %d nodes: %d did not come to know in time", p.Load, p.Nodes, p.Missing)
-		}
-		if !p.Clean() {
-			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and a process was held up for %.1f s; its times are left out of the fits", p.Load, p.Nodes, 100*p.MeshCPU, p.MaxStall)
-		}
-	}
+	t.machine(result)
+	t.omissions(result)
 	t.budget(result, rows)
-	t.activities(result, rows, "core")
-	t.activities(result, rows, "sidecar")
+	t.activities(result, rows, "core", "Each core")
+	t.activities(result, rows, "sidecar", "The sidecar")
 	t.callLatency(result)
 	t.figures(result, rows)
 	return t.text.String()
 }
 
-// BudgetLine is one line of the budget. Figure is at the size asked about.
-type BudgetLine struct {
-	What, Unit, ReachedBy string
-	Figure, Budget        float64
-}
-
-// Ratio is how many times the budget it is.
-func (l BudgetLine) Ratio() float64 { return l.Figure / l.Budget }
-
-// BudgetLines works out what the budgets are held against: the steady beats, and the day's
-// changes and restarts spread over the day.
-func BudgetLines(result *run.Result, rows []Row) []BudgetLine {
-	var out []BudgetLine
-	budget, targetNodes := result.Target.Budget, float64(result.Target.Nodes)
-	overDay := func(unit, event string) (float64, string, bool) {
-		r, ok := findRow(rows, "steady", "sidecar/all/"+unit)
-		if !ok {
-			return 0, "", false
-		}
-		v := r.AtTarget
-		if e, ok := findRow(rows, "changes", "sidecar/all/"+event); ok {
-			v += e.AtTarget * result.Target.ChangesPerDay / 86400
-		}
-		if e, ok := findRow(rows, "restart", "sidecar/all/"+event); ok {
-			v += e.AtTarget / 86400
-		}
-		return v, r.reachedBy(targetNodes), true
-	}
-	if v, from, ok := overDay("processor cores", "processor seconds"); ok {
-		out = append(out, BudgetLine{"a node's control, processor", "cores", from, v, budget.NodeCores})
-	}
-	if v, from, ok := overDay("bytes a second", "bytes"); ok {
-		out = append(out, BudgetLine{"a node's control, both ways", "bytes a second", from, v, budget.NodeBytesPerSecond})
+// machine tells how busy the machine was.
+func (t *table) machine(result *run.Result) {
+	lowest, highest := 1.0, 0.0
+	for _, point := range result.Points {
+		lowest, highest = min(lowest, point.MachineCPU), max(highest, point.MachineCPU)
 	}
-	highest := Row{}
-	for _, load := range []string{"steady", "changes", "manifest", "restart"} {
-		for _, name := range []string{"sidecar/all/memory", "sidecar/all/memory at its peak"} {
-			if r, ok := findRow(rows, load, name); ok && r.AtTarget > highest.AtTarget {
-				highest = r
-			}
-		}
+	if highest > 0 {
+		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
 	}
-	if highest.Line != nil {
-		out = append(out, BudgetLine{"a node's memory, " + highest.Load, "bytes", highest.reachedBy(targetNodes), highest.AtTarget, budget.NodeMemoryBytes})
+}
+
+// omissions tells what was not measured and which times are left out of the fits.
+func (t *table) omissions(result *run.Result) {
+	for _, skipped := range result.Skipped {
+		t.printf("- left out: %s", skipped)
 	}
-	for _, load := range []string{"changes", "manifest"} {
-		if r, ok := findRow(rows, load, "mesh/known to all/seconds"); ok {
-			out = append(out, BudgetLine{load + ": in force everywhere", "seconds", r.reachedBy(targetNodes), r.AtTarget, budget.ApplySeconds})
-		}
-		if r, ok := findRow(rows, load, "mesh/known to all, less the other nodes' work/seconds"); ok {
-			out = append(out, BudgetLine{load + ": in force everywhere, nodes on machines of their own", "seconds", r.reachedBy(targetNodes), r.AtTarget, budget.ApplySeconds})
-		}
-		if r, ok := findRow(rows, load, "sidecar/all/bytes"); ok {
-			out = append(out, BudgetLine{load + ": bytes to one node, spread over the time to be in force", "bytes a second", r.reachedBy(targetNodes), r.AtTarget / budget.ApplySeconds, budget.NodeBytesPerSecond})
+	for _, point := range result.Points {
+		if point.Missing > 0 {
+			t.printf("- %s at %d nodes: %d did not come to know in time", point.Load, point.Nodes, point.Missing)
 		}
-	}
-	if len(result.CallLatency) > 0 {
-		latency := result.CallLatency[len(result.CallLatency)-1]
-		from := "measured"
-		if latency.Records < result.Target.Nodes {
-			from = fmt.Sprintf("at %d records", latency.Records)
+		if !point.Clean() {
+			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and a process was held up for %.1f s; its times are left out of the fits", point.Load, point.Nodes, 100*point.MeshCPU, point.MaxStall)
 		}
-		out = append(out, BudgetLine{"added to a call, 99 in 100", "ms", from, latency.Added["p99"], budget.AddedLatencyMs})
 	}
-	return out
 }
 
+// budget holds the figures at the target's size against the budgets.
 func (t *table) budget(result *run.Result, rows []Row) {
 	lines := BudgetLines(result, rows)
 	if len(lines) == 0 {
@@ -158,94 +96,133 @@
 		}
 		t.row(line.What, formatNumber(line.Figure)+" "+line.Unit, formatNumber(line.Budget), verdict, line.ReachedBy)
 	}
-	n := float64(result.Target.Nodes)
+	t.cores(result, rows)
+	t.deepCall(result)
+}
+
+// cores adds the cores' figures, whose budget is a number of machines.
+func (t *table) cores(result *run.Result, rows []Row) {
+	targetNodes := float64(result.Target.Nodes)
 	for _, name := range []string{"core/busiest/processor cores", "core/all/memory", "core/all/messages a second", "core/all/bytes a second"} {
-		if r, ok := findRow(rows, "steady", name); ok {
-			what := "each core: "
-			if r.Activity() == "busiest" {
-				what = "the busiest core: "
-			}
-			t.row(what+strings.TrimPrefix(r.Unit(), "processor "), formatNumber(r.AtTarget), fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines), "", r.reachedBy(n))
+		row, ok := findRow(rows, "steady", name)
+		if !ok {
+			continue
 		}
+		what := "each core: "
+		if row.Activity() == "busiest" {
+			what = "the busiest core: "
+		}
+		t.row(what+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines), "", row.reachedBy(targetNodes))
 	}
-	if len(result.CallLatency) > 0 {
-		latency := result.CallLatency[len(result.CallLatency)-1]
-		t.row(fmt.Sprintf("a call %d deep, at the half of calls", result.Target.CallDepth), formatNumber(float64(result.Target.CallDepth)*latency.Added["p50"])+" ms", "", "", fmt.Sprintf("%d × p50", result.Target.CallDepth))
+}
+
+// deepCall adds what a call that leads to others, one after the other, takes longer.
+func (t *table) deepCall(result *run.Result) {
+	if len(result.CallLatency) == 0 {
+		return
 	}
+	depth, latency := result.Target.CallDepth, result.CallLatency[len(result.CallLatency)-1]
+	t.row(fmt.Sprintf("a call %d deep, at the half of calls", depth), formatNumber(float64(depth)*latency.Added["p50"])+" ms", "", "", fmt.Sprintf("%d × p50", depth))
 }
 
-// activities is one role's work by duty at the size asked about.
-func (t *table) activities(result *run.Result, rows []Row, role string) {
-	n, activities := float64(result.Target.Nodes), []string{}
-	units := []string{"messages a second", "body bytes a second", "processor cores"}
+// activityUnits are the units in which activities are shown side by side.
+var activityUnits = []string{"messages a second", "body bytes a second", "processor cores"}
+
+// wholeActivities are names that stand for all activities together.
+var wholeActivities = []string{"all", "busiest", "hollow, mean"}
+
+// activities is one role's work by activity at the target's size.
+func (t *table) activities(result *run.Result, rows []Row, role, title string) {
 	figure := func(activity, unit string) string {
-		if r, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
-			return formatNumber(r.AtTarget)
+		if row, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
+			return formatNumber(row.AtTarget)
 		}
 		return ""
 	}
-	for _, r := range rows {
-		if r.Load == "steady" && r.Role() == role && slices.Contains(units, r.Unit()) && !slices.Contains([]string{"all", "busiest", "hollow, mean"}, r.Activity()) && r.Line != nil && !slices.Contains(activities, r.Activity()) {
-			activities = append(activities, r.Activity())
-		}
-	}
+	activities := activitiesOf(rows, role)
 	if len(activities) == 0 {
 		return
 	}
-	t.printf("\n### %s, steady beats at %.0f nodes, by duty\n", map[string]string{"core": "Each core", "sidecar": "The sidecar"}[role], n)
-	t.header("duty", "package", "messages a second", "body bytes a second", "processor cores")
+	t.printf("\n### %s, steady state at %d nodes, by activity\n", title, result.Target.Nodes)
+	t.header(append([]string{"activity", "package"}, activityUnits...)...)
 	for _, activity := range activities {
-		t.row(activity, meter.PackageOf(activity), figure(activity, units[0]), figure(activity, units[1]), figure(activity, units[2]))
+		cells := []string{activity, meter.PackageOf(activity)}
+		for _, unit := range activityUnits {
+			cells = append(cells, figure(activity, unit))
+		}
+		t.row(cells...)
 	}
-	t.row("all", "", figure("all", units[0]), figure("all", "bytes a second")+" (TCP)", figure("all", units[2]))
+	t.row("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
+}
+
+// activitiesOf lists the activities of a role that have a line in the steady state.
+func activitiesOf(rows []Row, role string) (activities []string) {
+	for _, row := range rows {
+		activity := row.Activity()
+		switch {
+		case row.Load != "steady" || row.Role() != role || row.Line == nil:
+		case !slices.Contains(activityUnits, row.Unit()):
+		case slices.Contains(wholeActivities, activity) || slices.Contains(activities, activity):
+		default:
+			activities = append(activities, activity)
+		}
+	}
+	return activities
 }
 
 func (t *table) callLatency(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
-	t.printf("\n### The walk: what both sidecars add to a call, ms\n")
-	t.header("records", "ways", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
+	t.printf("\n### Call latency: what both sidecars add to a call, ms\n")
+	t.header("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
 	for _, point := range result.CallLatency {
-		t.row(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs), formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
-			formatNumber(point.ThroughMesh["p50"]), formatNumber(point.ThroughMesh["p99"]), formatNumber(point.Direct["p50"]), formatNumber(point.Direct["p99"]))
-	}
-}
-
-func valueAtSize(points []fit.Point, n int) string {
-	for _, p := range points {
-		if p.X == float64(n) {
-			return formatNumber(p.Y)
-		}
+		t.row(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
+			formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
+			formatNumber(point.ThroughMesh["p50"]), formatNumber(point.ThroughMesh["p99"]),
+			formatNumber(point.Direct["p50"]), formatNumber(point.Direct["p99"]))
 	}
-	return ""
 }
 
-// figures is every figure that stands on a line.
+// figures lists every figure of every load with its line.
 func (t *table) figures(result *run.Result, rows []Row) {
 	last := ""
-	for _, r := range rows {
-		if len(r.Points) == 0 {
+	for _, row := range rows {
+		if len(row.Points) == 0 {
 			continue
 		}
-		if r.Load != last {
-			last = r.Load
-			t.printf("\n### Load: %s\n", last)
-			cells := []string{"figure"}
-			for _, n := range result.Sizes {
-				cells = append(cells, fmt.Sprint(n))
-			}
-			t.header(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
+		if row.Load != last {
+			last = row.Load
+			t.figuresHeader(result, last)
 		}
-		cells := []string{strings.ReplaceAll(r.Name, "/", ": ")}
-		for _, n := range result.Sizes {
-			cells = append(cells, valueAtSize(r.Points, n))
+		cells := []string{strings.ReplaceAll(row.Name, "/", ": ")}
+		for _, size := range result.Sizes {
+			cells = append(cells, valueAtSize(row.Points, size))
 		}
-		if r.Line == nil {
-			cells = append(cells, fmt.Sprintf("%d sizes are too few", len(r.Points)), "", "", "")
+		if row.Line == nil {
+			cells = append(cells, fmt.Sprintf("%d sizes are too few", len(row.Points)), "", "", "")
 		} else {
-			cells = append(cells, r.Line.Formula(), fmt.Sprintf("%.0f %%", 100*r.Line.MaxRelativeError), formatNumber(r.AtTarget), r.reachedBy(float64(result.Target.Nodes)))
+			cells = append(cells, row.Line.Formula(), fmt.Sprintf("%.0f %%", 100*row.Line.MaxRelativeError), formatNumber(row.AtTarget), row.reachedBy(float64(result.Target.Nodes)))
 		}
 		t.row(cells...)
 	}
 }
+
+func (t *table) figuresHeader(result *run.Result, load string) {
+	t.printf("\n### Load: %s\n", load)
+	cells := []string{"figure"}
+	for _, size := range result.Sizes {
+		cells = append(cells, fmt.Sprint(size))
+	}
+	t.header(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
+}
+
+// valueAtSize shows the figure that was measured at a size, empty if there is none.
+func valueAtSize(points []fit.Point, size int) string {
+	for _, point := range points {
+		if point.X == float64(size) {
+			return formatNumber(point.Y)
+		}
+	}
+	return ""
+}
