--- a/capacity/fit/fit_test.go
+++ b/capacity/fit/fit_test.go
@@ -8,24 +8,24 @@
 
 func TestLines(t *testing.T) {
 	for name, c := range map[string]struct {
-		list  []Point
-		power float64
-		at    float64 // at 600
-		off   float64
+		points   []Point
+		exponent float64
+		at600    float64 // value expected
+		maxError float64 // relative
 	}{
 		"flat, noisy":           {[]Point{{10, 5}, {20, 5.2}, {40, 4.9}, {80, 5.1}}, 0, 5.05, 0.1},
 		"a line":                {[]Point{{10, 3 + 20}, {20, 3 + 40}, {40, 3 + 80}, {80, 3 + 160}}, 1, 1203, 0.001},
 		"a square":              {[]Point{{10, 1 + 100}, {20, 1 + 400}, {40, 1 + 1600}, {80, 1 + 6400}}, 2, 360001, 0.001},
 		"falling is flat":       {[]Point{{10, 8}, {20, 6}, {40, 5}, {80, 4}}, 0, 4.9, 0.7},
-		"never below nought":    {[]Point{{10, 5}, {20, 17}, {40, 41}, {80, 89}}, 1, 600, 0.25},
+		"never below zero":      {[]Point{{10, 5}, {20, 17}, {40, 41}, {80, 89}}, 1, 600, 0.25},
 		"too small to see once": {[]Point{{10, 0}, {20, 2}, {40, 4}, {80, 8}}, 1, 60, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, ok := BestLine(c.list)
+			l, ok := BestLine(c.points)
 			must.True(t, ok)
-			must.Eq(t, c.power, l.Exponent)
+			must.Eq(t, c.exponent, l.Exponent)
 			must.GreaterEq(t, 0, l.Intercept)
-			must.InDelta(t, 1, l.ValueAt(600)/c.at, max(c.off, 0.02))
+			must.InDelta(t, 1, l.ValueAt(600)/c.at600, max(c.maxError, 0.02))
 			must.Eq(t, 10, l.MinSize)
 			must.Eq(t, 80, l.MaxSize)
 		})
--- a/fleet/linkproxy/network.go
+++ b/fleet/linkproxy/network.go
@@ -53,7 +53,7 @@
 	n.wakeWaiters()
 }
 
-// wakeWaiters lets those that wait on a cut link look again. The caller holds mu.
+// wakeWaiters lets those that wait on a cut link check it again. The caller holds mu.
 func (n *Network) wakeWaiters() {
 	close(n.changed)
 	n.changed = make(chan struct{})
--- a/fleet/run/run_test.go
+++ b/fleet/run/run_test.go
@@ -21,24 +21,31 @@
 	return bin
 }
 
-// Real processes, small: a kill, a disk lost, a cut, planned stops and an address
-// reused, under traffic. Every count is judged as in the full runs.
-func TestRealProcesses(t *testing.T) {
+// runReal runs a deployment as real processes and checks that nothing was violated.
+func runReal(t *testing.T, options Options) *Fleet {
 	if testing.Short() {
 		t.Skip("real processes")
 	}
-	d := scenario.Deployments["prairie"]
-	d.Sidecars, d.Rate, d.CoordinationRate = 4, 80, 20
-	d.Services = []scenario.Service{{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3}, {Name: "payments.prairie", Host: "payments.bank", Endpoints: 3}}
-	f, err := Start(Options{Binary: build(t), Dir: t.TempDir(), Deployment: d, Duration: 45 * time.Second, FaultInterval: 500 * time.Millisecond, Seed: 3, Scale: 1, Logf: t.Logf,
-		Faults: []string{"endpoint-reuse", "core-kill", "side-stop", "core-empty", "side-cut", "core-stop"}})
+	options.Binary, options.Dir, options.Scale, options.Logf = build(t), t.TempDir(), 1, t.Logf
+	f, err := Start(options)
 	if f != nil {
-		defer f.Stop()
+		t.Cleanup(f.Stop)
 	}
 	must.NoError(t, err)
 	f.Run()
 	must.SliceEmpty(t, f.Checker.Violations, must.Sprint(f.Report()))
 	must.Greater(t, 1000, f.Counts["calls served"])
+	return f
+}
+
+// Real processes, small: a kill, a disk lost, a cut, planned stops and an address
+// reused, under traffic. Every count is judged as in the full runs.
+func TestRealProcesses(t *testing.T) {
+	d := scenario.Deployments["prairie"]
+	d.Sidecars, d.Rate, d.CoordinationRate = 4, 80, 20
+	d.Services = []scenario.Service{{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3}, {Name: "payments.prairie", Host: "payments.bank", Endpoints: 3}}
+	f := runReal(t, Options{Deployment: d, Duration: 45 * time.Second, FaultInterval: 500 * time.Millisecond, Seed: 3,
+		Faults: []string{"endpoint-reuse", "core-kill", "side-stop", "core-empty", "side-cut", "core-stop"}})
 	must.Greater(t, 5, f.Counts["manifests confirmed"])
 	must.Positive(t, f.Counts["new disks that vote"])
 }
@@ -47,20 +54,10 @@
 // isolated core with a restart beside it, a split core, a burst, a hung endpoint, an
 // emptied service. Excuses are few and have a cause.
 func TestRealProcessesCutAndEmptied(t *testing.T) {
-	if testing.Short() {
-		t.Skip("real processes")
-	}
 	d := scenario.Deployments["volta"]
 	d.Cores, d.Sidecars, d.Rate, d.CoordinationRate = 3, 4, 80, 30
-	f, err := Start(Options{Binary: build(t), Dir: t.TempDir(), Deployment: d, Duration: 42 * time.Second, FaultInterval: 300 * time.Millisecond, Seed: 4, Scale: 1, Logf: t.Logf,
+	f := runReal(t, Options{Deployment: d, Duration: 42 * time.Second, FaultInterval: 300 * time.Millisecond, Seed: 4,
 		Faults: []string{"core-isolated", "endpoint-hang", "core-split", "burst", "service-empty", "manifest-large"}})
-	if f != nil {
-		defer f.Stop()
-	}
-	must.NoError(t, err)
-	f.Run()
-	must.SliceEmpty(t, f.Checker.Violations, must.Sprint(f.Report()))
-	must.Greater(t, 1000, f.Counts["calls served"])
 	must.Greater(t, 50, f.Checker.Observed["manifest-late"])
 	must.Positive(t, f.Checker.Observed["late-to-leaver"])
 	must.MapNotEmpty(t, f.Checker.Delayed["manifest-late"])
