--- a/fleet/linkproxy/network_test.go
+++ b/fleet/linkproxy/network_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net"
+	"syscall"
 	"testing"
 	"time"
 
@@ -47,9 +48,11 @@
 	return addr
 }
 
+// dialer dials from the client's IP, by which the network knows the link.
+func dialer() *net.Dialer { return &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(clientIP)}} }
+
 func dial(t *testing.T, addr string) net.Conn {
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(clientIP)}}
-	connection, err := dialer.Dial("tcp", addr)
+	connection, err := dialer().Dial("tcp", addr)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
 	return connection
@@ -100,13 +103,15 @@
 	must.Eq(t, "last\n", string(rest))
 }
 
-// The dialler of a process that is down sees a reset, as without a proxy.
+// The dialler of a process that is down sees a reset, as it dials or afterwards.
 func TestProcessDown(t *testing.T) {
 	listener, err := net.Listen("tcp", serverIP+":0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
-	connection := dial(t, openProxy(t, New(), listener.Addr().String()))
-	_, err = connection.Read(make([]byte, 1))
-	must.Error(t, err)
-	must.NotEq(t, io.EOF, err)
+	connection, err := dialer().Dial("tcp", openProxy(t, New(), listener.Addr().String()))
+	if err == nil {
+		defer func() { _ = connection.Close() }()
+		_, err = connection.Read(make([]byte, 1))
+	}
+	must.ErrorIs(t, err, syscall.ECONNRESET)
 }
--- a/fleet/process/process.go
+++ b/fleet/process/process.go
@@ -14,8 +14,13 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// killTimeout is how long Kill waits until the process has ended.
-const killTimeout = 5 * time.Second
+const (
+	// killTimeout is how long Kill waits until the process has ended.
+	killTimeout = 5 * time.Second
+	// settingsFlag names the settings file. It is the flag's oldest form, which every release
+	// reads: a fleet may start an older one.
+	settingsFlag = "--boot"
+)
 
 // Process is one daemon with its settings file, its log file and its data folder. It can be
 // started again after it has ended.
@@ -87,7 +92,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "log of "+p.Name)
 	}
-	cmd := exec.Command(p.binary, p.Role, "--boot", p.settingsFile)
+	cmd := exec.Command(p.binary, p.Role, settingsFlag, p.settingsFile)
 	cmd.Stdout, cmd.Stderr = logFile, logFile
 	p.cmd = cmd
 	if err := cmd.Start(); err != nil {
--- a/fleet/run/endpoints.go
+++ b/fleet/run/endpoints.go
@@ -16,9 +16,9 @@
 	endpointStopTimeout = 3 * time.Second
 )
 
-// normalMood is how endpoints behave unless a fault changes it: now and then one loses or
+// normalBehavior is how endpoints behave unless a fault changes it: now and then one loses or
 // garbles a response, breaks it off or takes long.
-var normalMood = endpoint.Mood{Work: endpointWork, Lose: 0.002, Garbage: 0.001, Cut: 0.001, Odd: 0.001, Long: 0.002}
+var normalBehavior = endpoint.Behavior{WorkTime: endpointWork, LostShare: 0.002, GarbageShare: 0.001, TruncatedShare: 0.001, MalformedShare: 0.001, LongShare: 0.002}
 
 // managedEndpoint is a stand-in endpoint beside its sidecar.
 type managedEndpoint struct {
@@ -52,17 +52,17 @@
 			return nil, err
 		}
 	}
-	onward := f.Deployment.RequestKinds[0]
-	started, err := endpoint.Start(endpoint.Boot{
-		Server:     ident.Server(fmt.Sprintf("srv%d", f.nextSerial())),
-		Service:    spec.Name,
-		Addr:       ident.Addr(addr),
-		Beat:       ident.Addr(sidecar.ListenAddr),
-		Ledger:     f.endpointLog,
-		Mood:       normalMood,
-		Onward:     ident.Addr(sidecar.ClientAddr),
-		OnwardHost: onward.Host,
-		OnwardPath: onward.Path,
+	forwarded := f.Deployment.RequestKinds[0]
+	started, err := endpoint.Start(endpoint.Options{
+		Server:      ident.Server(fmt.Sprintf("srv%d", f.nextSerial())),
+		Service:     spec.Name,
+		Addr:        ident.Addr(addr),
+		SidecarAddr: ident.Addr(sidecar.ListenAddr),
+		Executions:  f.endpointLog,
+		Behavior:    normalBehavior,
+		ForwardAddr: ident.Addr(sidecar.ClientAddr),
+		ForwardHost: forwarded.Host,
+		ForwardPath: forwarded.Path,
 	})
 	if err != nil {
 		return nil, err
--- a/fleet/run/faults_endpoint.go
+++ b/fleet/run/faults_endpoint.go
@@ -11,9 +11,9 @@
 
 // Behaviour of faulty endpoints.
 var (
-	healthyMood    = standin.Mood{Work: endpointWork}
-	badMood        = standin.Mood{Work: endpointWork, Lose: 0.2, Garbage: 0.1, Cut: 0.1, Odd: 0.3}
-	badReleaseMood = standin.Mood{Work: endpointWork, Lose: 0.2, Garbage: 0.2, Cut: 0.2, Odd: 0.2}
+	healthyBehavior    = standin.Behavior{WorkTime: endpointWork}
+	badBehavior        = standin.Behavior{WorkTime: endpointWork, LostShare: 0.2, GarbageShare: 0.1, TruncatedShare: 0.1, MalformedShare: 0.3}
+	badReleaseBehavior = standin.Behavior{WorkTime: endpointWork, LostShare: 0.2, GarbageShare: 0.2, TruncatedShare: 0.2, MalformedShare: 0.2}
 )
 
 func (f *Fleet) randomService() scenario.Service {
@@ -42,7 +42,7 @@
 		return
 	}
 	other := f.randomService()
-	e.Die()
+	e.Kill()
 	f.sleep(ctx, 2*time.Second)
 	f.addEndpoint(e.sidecar, other, string(e.Addr))
 	f.replaceEndpoint(e)
@@ -79,9 +79,9 @@
 		return
 	}
 	e := available[len(available)-1]
-	e.Behave(badMood)
+	e.SetBehavior(badBehavior)
 	f.sleep(ctx, 4*time.Second)
-	e.Behave(healthyMood)
+	e.SetBehavior(healthyBehavior)
 }
 
 // releaseBad makes every endpoint of a service lose, garble or break off most responses, as
@@ -97,11 +97,11 @@
 	}
 	f.mu.Unlock()
 	for _, e := range released {
-		e.Behave(badReleaseMood)
+		e.SetBehavior(badReleaseBehavior)
 	}
 	f.sleep(ctx, 6*time.Second)
 	for _, e := range released {
-		e.Behave(healthyMood)
+		e.SetBehavior(healthyBehavior)
 	}
 }
 
--- a/fleet/run/faults_fleet.go
+++ b/fleet/run/faults_fleet.go
@@ -100,7 +100,7 @@
 	lostSidecars := f.inZone(f.Sidecars, zone)
 	lostEndpoints := f.takeEndpoints(func(e *managedEndpoint) bool { return slices.Contains(lostSidecars, e.sidecar) })
 	for _, e := range lostEndpoints {
-		e.Die()
+		e.Kill()
 	}
 	f.killAndRestart(ctx, append(lostCores, lostSidecars...))
 	for _, e := range lostEndpoints {
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -44,8 +44,8 @@
 	Checker     *invariant.Checker
 	network     *linkproxy.Network
 	clients     *coordinationClients
-	clientLog   *client.Book     // what each client was told
-	endpointLog *endpoint.Ledger // what each endpoint ran
+	clientLog   *client.Log            // what each client was told
+	endpointLog *endpoint.ExecutionLog // what each endpoint ran
 	began       time.Time
 	rng         *rand.Rand
 
@@ -93,8 +93,8 @@
 		Options:         options,
 		network:         linkproxy.New(),
 		Checker:         invariant.New(),
-		clientLog:       &client.Book{},
-		endpointLog:     &endpoint.Ledger{},
+		clientLog:       &client.Log{},
+		endpointLog:     &endpoint.ExecutionLog{},
 		began:           time.Now(),
 		rng:             rand.New(rand.NewPCG(options.Seed, 5)),
 		leftAt:          map[ident.Server]time.Time{},
@@ -153,7 +153,7 @@
 	endpoints := slices.Clone(f.endpoints)
 	f.mu.Unlock()
 	for _, e := range endpoints {
-		e.Die()
+		e.Kill()
 	}
 	for _, proc := range append(slices.Clone(f.Sidecars), f.Cores...) {
 		proc.Thaw()
@@ -200,14 +200,14 @@
 	rate := options.scale * f.Deployment.Rate * f.Scale / float64(len(f.Sidecars))
 	for i, sidecar := range f.Sidecars {
 		running.Go(func() {
-			client.Run(ctx, client.Boot{
-				Name:  sidecar.Name + options.suffix,
-				Addr:  ident.Addr(sidecar.ClientAddr),
-				Kinds: f.requestKinds(),
-				Rate:  rate,
-				Book:  f.clientLog,
-				Seed:  options.seed + uint64(i),
-				Limit: requestTimeout,
+			client.Run(ctx, client.Options{
+				Name:        sidecar.Name + options.suffix,
+				SidecarAddr: ident.Addr(sidecar.ClientAddr),
+				Kinds:       f.requestKinds(),
+				Rate:        rate,
+				Log:         f.clientLog,
+				Seed:        options.seed + uint64(i),
+				Timeout:     requestTimeout,
 			})
 		})
 	}
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -17,12 +17,12 @@
 const judgedFrom = 2 * time.Second
 
 // outcomes maps what a client was told to what the checker judges by.
-var outcomes = map[client.Fate]invariant.Outcome{
-	client.Served:  invariant.Served,
-	client.NotRun:  invariant.NotExecuted,
-	client.Unknown: invariant.Unknown,
-	client.Dropped: invariant.Unknown,
-	client.Wrong:   invariant.Unknown,
+var outcomes = map[client.Outcome]invariant.Outcome{
+	client.Served:      invariant.Served,
+	client.NotExecuted: invariant.NotExecuted,
+	client.Unknown:     invariant.Unknown,
+	client.Dropped:     invariant.Unknown,
+	client.Wrong:       invariant.Unknown,
 }
 
 // judge fills the checker from the logs of the clients and the endpoints, and finishes it.
@@ -44,44 +44,44 @@
 func atMostOnce(kind *client.Kind) bool { return kind != nil && kind.Method != "GET" }
 
 // judgeCall takes what a client was told of one request. The caller holds mu.
-func (f *Fleet) judgeCall(call client.Told) {
-	began := f.sinceStart(call.Began)
+func (f *Fleet) judgeCall(call client.Result) {
+	began := f.sinceStart(call.Start)
 	f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{
 		ID:         call.ID,
 		Service:    call.Kind.Service,
 		AtMostOnce: atMostOnce(call.Kind),
 		Began:      began,
-		Ended:      f.sinceStart(call.Began.Add(call.Took)),
-		Outcome:    outcomes[call.Fate],
+		Ended:      f.sinceStart(call.Start.Add(call.Duration)),
+		Outcome:    outcomes[call.Outcome],
 		Reason:     call.Note,
 		Complete:   true,
 	})
-	f.Counts["calls "+string(call.Fate)]++
+	f.Counts["calls "+string(call.Outcome)]++
 	f.countFailure(call)
-	if call.Fate == client.Wrong {
-		f.Checker.Violate(began, ruleWrongResponse, "%s got %d %.200s", call.ID, call.Code, call.Note)
+	if call.Outcome == client.Wrong {
+		f.Checker.Violate(began, ruleWrongResponse, "%s got %d %.200s", call.ID, call.Status, call.Note)
 	}
 	f.judgeDropped(call)
 }
 
 // countFailure counts a failed call by the kind of failure that its response named. The
 // caller holds mu.
-func (f *Fleet) countFailure(call client.Told) {
-	if call.Fate != client.NotRun && call.Fate != client.Unknown {
+func (f *Fleet) countFailure(call client.Result) {
+	if call.Outcome != client.NotExecuted && call.Outcome != client.Unknown {
 		return
 	}
 	var cause struct {
 		Kind failure.Kind `json:"defect"`
 	}
 	if json.Unmarshal([]byte(call.Note), &cause) == nil {
-		f.Counts["  "+string(call.Fate)+" "+string(cause.Kind)]++
+		f.Counts["  "+string(call.Outcome)+" "+string(cause.Kind)]++
 	}
 }
 
 // judgeExecution takes one request that an endpoint ran. kinds are those of the clients'
 // requests by id. Calls that endpoints make themselves have an id that ends with "-on" and
 // go to the first kind's service. The caller holds mu.
-func (f *Fleet) judgeExecution(execution endpoint.Ran, kinds map[string]*client.Kind) {
+func (f *Fleet) judgeExecution(execution endpoint.Execution, kinds map[string]*client.Kind) {
 	var requested ident.Service
 	kind := kinds[execution.ID]
 	switch {
@@ -98,9 +98,9 @@
 		Server:           execution.Server,
 		Service:          execution.Service,
 		RequestedService: requested,
-		ArrivedAt:        f.sinceStart(execution.At),
+		ArrivedAt:        f.sinceStart(execution.ReceivedAt),
 		LeaveConfirmedAt: f.leaveConfirmedAt(execution.Server),
-		LossConfirmedAt:  f.lossConfirmedAt(execution.Server, execution.At),
+		LossConfirmedAt:  f.lossConfirmedAt(execution.Server, execution.ReceivedAt),
 		AtMostOnce:       atMostOnce(kind),
 	})
 	f.Counts["runs"]++
@@ -129,13 +129,13 @@
 // judgeDropped judges a request that its own machine's sidecar gave no whole response to. It
 // is excused only while that sidecar was killed, frozen or, for one that came after a planned
 // stop, had no listener to take it. The caller holds mu.
-func (f *Fleet) judgeDropped(call client.Told) {
-	if call.Fate != client.Dropped {
+func (f *Fleet) judgeDropped(call client.Result) {
+	if call.Outcome != client.Dropped {
 		f.Checker.Observe(ruleDropped)
 		return
 	}
 	sidecar, _, _ := strings.Cut(call.ID, "-")
-	causes := f.outageCauses(sidecar, call.Began, call.Began.Add(call.Took))
+	causes := f.outageCauses(sidecar, call.Start, call.Start.Add(call.Duration))
 	switch {
 	case causes[causeKilled]:
 		f.Checker.Excuse(ruleDropped, causeKilled)
@@ -145,6 +145,6 @@
 		f.Checker.Excuse(ruleDropped, excuseAfterStopping)
 	default:
 		f.Checker.Observe(ruleDropped)
-		f.Checker.Violate(f.sinceStart(call.Began), ruleDropped, "%s was dropped: %s", call.ID, call.Note)
+		f.Checker.Violate(f.sinceStart(call.Start), ruleDropped, "%s was dropped: %s", call.ID, call.Note)
 	}
 }
--- a/fleet/run/report.go
+++ b/fleet/run/report.go
@@ -36,11 +36,11 @@
 
 // writeResponseTimes writes how long calls took, by what their client was told.
 func (f *Fleet) writeResponseTimes(b *strings.Builder) {
-	took := map[client.Fate][]time.Duration{}
+	took := map[client.Outcome][]time.Duration{}
 	for _, call := range f.clientLog.All() {
-		took[call.Fate] = append(took[call.Fate], call.Took)
+		took[call.Outcome] = append(took[call.Outcome], call.Duration)
 	}
-	for _, outcome := range []client.Fate{client.Served, client.NotRun, client.Unknown} {
+	for _, outcome := range []client.Outcome{client.Served, client.NotExecuted, client.Unknown} {
 		if len(took[outcome]) > 0 {
 			fmt.Fprintf(b, "%-8s in              %s\n", outcome, summarize(took[outcome], 100*time.Microsecond))
 		}
--- /dev/null
+++ b/mesh/endpoint/tracker.go
@@ -0,0 +1,317 @@
+// Package endpoint tracks the endpoints of one machine by their heartbeats. Its Tracker derives
+// their health for the registry and checks, just before a request goes to an endpoint, that the
+// endpoint still is the one that was meant: addresses are reused by other servers and services.
+package endpoint
+
+import (
+	"slices"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/registry/record"
+)
+
+const (
+	// HeartbeatTimeout is how long an endpoint may go without a heartbeat.
+	HeartbeatTimeout = 1100 * time.Millisecond
+	// MaxHeartbeatTimeout is the same for one whose heartbeats come more slowly than it is asked.
+	// Invariant: with the longest dial it stays below the shortest reuseAfterS, the time after
+	// which another server may use the address.
+	MaxHeartbeatTimeout = 1600 * time.Millisecond
+	// HeartbeatInterval is the interval that endpoints are asked to keep.
+	HeartbeatInterval = 300 * time.Millisecond
+	// stallThreshold is how long without a Tick means that this process was suspended.
+	stallThreshold = 400 * time.Millisecond
+	// distrustAfterStall is for how long after a stall heartbeats that say alive are ignored:
+	// they may have lain in a socket since before the endpoint ended.
+	distrustAfterStall = 500 * time.Millisecond
+	// forgetAfter is how long an endpoint without heartbeats is kept as unhealthy.
+	forgetAfter = 4 * time.Second
+	// signOffRetention is for how long a late heartbeat can't bring back a server that has
+	// signed off, or whose address belongs to another.
+	signOffRetention = 3 * time.Second
+	// unhealthyAfterFailure is for how long an endpoint is unhealthy that refused a connection.
+	unhealthyAfterFailure = 700 * time.Millisecond
+)
+
+// Tracker knows the endpoints of one machine. It reads no clock and does no I/O. Invariants: an
+// address belongs to one server at a time, the one with the newest heartbeat; leaving is never
+// taken back; a server that signed off, or whose address has passed on, is not let in again by a
+// late heartbeat.
+type Tracker struct {
+	endpoints     map[ident.Server]*trackedEndpoint
+	serverByAddr  map[ident.Addr]ident.Server
+	signedOffAt   map[ident.Server]monotime.Time
+	lastTick      monotime.Time
+	distrustUntil monotime.Time
+	stopping      bool // the machine stops: an endpoint that comes now leaves with the rest
+	// Fenced says that endpoints reject requests that name another server, so a stale heartbeat
+	// does no harm and a process that was suspended may go on at once.
+	Fenced bool
+	// requestedInterval is the heartbeat interval that endpoints are asked for, 0 for
+	// HeartbeatInterval.
+	requestedInterval time.Duration
+	// SkipChecks, when set, switches the checks off; only tests of the checkers do that.
+	SkipChecks bool
+	// Counters.
+	Accepted, Rejected, Expired, StaleHeartbeats uint64
+}
+
+// Change is the effect of a step.
+type Change struct {
+	// Updated says that what Workloads lists is different now.
+	Updated bool
+	// CloseAddrs lists the addresses whose open connections must be closed.
+	CloseAddrs []ident.Addr
+}
+
+// New makes a tracker without endpoints.
+func New() *Tracker {
+	return &Tracker{
+		endpoints:    map[ident.Server]*trackedEndpoint{},
+		serverByAddr: map[ident.Addr]ident.Server{},
+		signedOffAt:  map[ident.Server]monotime.Time{},
+	}
+}
+
+// WithHeartbeatInterval sets the heartbeat interval that endpoints are asked for, where it is not
+// HeartbeatInterval; it returns the tracker itself.
+func (t *Tracker) WithHeartbeatInterval(interval time.Duration) *Tracker {
+	t.requestedInterval = interval
+	return t
+}
+
+// stalled tells whether this process was suspended just now, so that what it receives may be old.
+// Invariant: a stale heartbeat never makes a server healthy.
+func (t *Tracker) stalled(now monotime.Time) bool {
+	return !t.Fenced && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
+}
+
+// HandleHeartbeat takes a heartbeat of an endpoint of this machine.
+func (t *Tracker) HandleHeartbeat(now monotime.Time, heartbeat Heartbeat) (Change, *failure.Error) {
+	if heartbeat.State == Alive && t.stalled(now) {
+		t.StaleHeartbeats++
+		return Change{}, nil
+	}
+	if err := heartbeat.validate(); err != nil {
+		return Change{}, err
+	}
+	if e := t.endpoints[heartbeat.Server]; e != nil && heartbeat.Seq != 0 && heartbeat.Seq <= e.Seq {
+		return Change{}, nil
+	}
+	switch heartbeat.State {
+	case Leaving:
+		return t.handleLeaving(now, heartbeat), nil
+	case Gone:
+		return t.handleGone(now, heartbeat), nil
+	}
+	return t.handleAlive(now, heartbeat), nil
+}
+
+func (t *Tracker) handleAlive(now monotime.Time, heartbeat Heartbeat) Change {
+	if signedOffAt, signedOff := t.signedOffAt[heartbeat.Server]; signedOff && now.Since(signedOffAt) < signOffRetention {
+		return Change{}
+	}
+	if heartbeat.Weight == 0 {
+		heartbeat.Weight = 1
+	}
+	change := t.evictPreviousServer(now, heartbeat)
+	e := t.endpoints[heartbeat.Server]
+	if e == nil {
+		e = &trackedEndpoint{status: record.Unknown, skipChecks: t.SkipChecks, requestedInterval: t.requestedInterval}
+		t.endpoints[heartbeat.Server] = e
+	} else if e.Addr != heartbeat.Addr {
+		change.CloseAddrs = append(change.CloseAddrs, e.Addr)
+		t.releaseAddr(heartbeat.Server, e.Addr)
+	}
+	t.serverByAddr[heartbeat.Addr] = heartbeat.Server
+	before := *e
+	e.accept(now, heartbeat)
+	e.leaving = e.leaving || t.stopping
+	e.status = e.statusAt(now)
+	change.Updated = change.Updated || e.reportDiffers(&before)
+	return change
+}
+
+// evictPreviousServer removes the server that had a heartbeat's address before. It counts as signed
+// off, so that a late heartbeat of its own does not take the address back.
+func (t *Tracker) evictPreviousServer(now monotime.Time, heartbeat Heartbeat) Change {
+	previous, ok := t.serverByAddr[heartbeat.Addr]
+	if !ok || previous == heartbeat.Server || t.SkipChecks {
+		return Change{}
+	}
+	t.signedOffAt[previous] = now
+	return t.remove(previous)
+}
+
+// handleLeaving marks an endpoint as leaving, also while heartbeats are not trusted.
+func (t *Tracker) handleLeaving(now monotime.Time, heartbeat Heartbeat) Change {
+	var change Change
+	if !t.stalled(now) {
+		change = t.handleAlive(now, heartbeat)
+	}
+	e := t.endpoints[heartbeat.Server]
+	if e == nil {
+		return change
+	}
+	if !e.leaving {
+		e.leaving, change.Updated = true, true
+	}
+	e.status = e.statusAt(now)
+	return change
+}
+
+func (t *Tracker) handleGone(now monotime.Time, heartbeat Heartbeat) Change {
+	t.signedOffAt[heartbeat.Server] = now
+	return t.remove(heartbeat.Server)
+}
+
+// remove forgets an endpoint, if it is known, and has its connections closed.
+func (t *Tracker) remove(server ident.Server) Change {
+	e := t.endpoints[server]
+	if e == nil {
+		return Change{}
+	}
+	delete(t.endpoints, server)
+	t.releaseAddr(server, e.Addr)
+	return Change{Updated: true, CloseAddrs: []ident.Addr{e.Addr}}
+}
+
+// releaseAddr frees an address if it still is the server's.
+func (t *Tracker) releaseAddr(server ident.Server, addr ident.Addr) {
+	if t.serverByAddr[addr] == server {
+		delete(t.serverByAddr, addr)
+	}
+}
+
+// Tick notices stalls of this process and endpoints without heartbeats. It is to be called more
+// often than every stallThreshold.
+func (t *Tracker) Tick(now monotime.Time) Change {
+	if t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold {
+		t.recoverFromStall(now)
+	}
+	t.lastTick = now
+	change := t.refreshStatuses(now)
+	for server, signedOffAt := range t.signedOffAt {
+		if now.Since(signedOffAt) > signOffRetention {
+			delete(t.signedOffAt, server)
+		}
+	}
+	return change
+}
+
+// recoverFromStall begins the time in which heartbeats are not trusted. The time of the stall does
+// not count as retention of sign-offs, for nothing was received in it.
+func (t *Tracker) recoverFromStall(now monotime.Time) {
+	t.distrustUntil = now.Add(distrustAfterStall)
+	for server, signedOffAt := range t.signedOffAt {
+		t.signedOffAt[server] = signedOffAt.Add(now.Since(t.lastTick))
+	}
+}
+
+// refreshStatuses updates the status of every endpoint and forgets those that are long silent.
+func (t *Tracker) refreshStatuses(now monotime.Time) (change Change) {
+	for _, server := range t.sortedServers() {
+		e := t.endpoints[server]
+		if now.Since(e.lastHeartbeat) > max(forgetAfter, 2*e.heartbeatTimeout()) && !t.SkipChecks {
+			removed := t.remove(server)
+			change.CloseAddrs, change.Updated = append(change.CloseAddrs, removed.CloseAddrs...), true
+			t.Expired++
+			continue
+		}
+		if status := e.statusAt(now); status != e.status {
+			if status == record.Unhealthy {
+				change.CloseAddrs = append(change.CloseAddrs, e.Addr)
+			}
+			e.status, change.Updated = status, true
+		}
+	}
+	return change
+}
+
+// sortedServers lists the servers in a fixed order, so that runs can be repeated.
+func (t *Tracker) sortedServers() []ident.Server {
+	servers := make([]ident.Server, 0, len(t.endpoints))
+	for server := range t.endpoints {
+		servers = append(servers, server)
+	}
+	slices.Sort(servers)
+	return servers
+}
+
+// Check is asked just before a request goes to an endpoint, and again just before its first byte.
+// It gives the endpoint's address and until when the first byte may go, or why the request must
+// not go there: then it has not been executed.
+func (t *Tracker) Check(now monotime.Time, server ident.Server, service ident.Service) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
+	e := t.endpoints[server]
+	if t.SkipChecks && e != nil {
+		return e.Addr, now.Add(HeartbeatTimeout), nil
+	}
+	switch {
+	case t.stalled(now):
+		err = failure.New(failure.EndpointRejected, "this machine was held up")
+	case e == nil:
+		err = failure.New(failure.EndpointRejected, "server %q is not here", server)
+	case e.Service != service:
+		err = failure.New(failure.EndpointRejected, "server %q does not serve %q", server, service)
+	case e.statusAt(now) != record.Healthy:
+		err = failure.New(failure.EndpointRejected, "server %q is %s", server, e.statusAt(now))
+	}
+	if err != nil {
+		t.Rejected++
+		return "", 0, err
+	}
+	t.Accepted++
+	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
+}
+
+// ConnectFailed says that an endpoint refused a connection: it is unhealthy for a while.
+func (t *Tracker) ConnectFailed(now monotime.Time, server ident.Server) Change {
+	e := t.endpoints[server]
+	if e == nil {
+		return Change{}
+	}
+	e.unhealthyUntil = now.Add(unhealthyAfterFailure)
+	if status := e.statusAt(now); status != e.status {
+		e.status = status
+		return Change{Updated: true, CloseAddrs: []ident.Addr{e.Addr}}
+	}
+	return Change{}
+}
+
+// DrainAll marks every endpoint as leaving, and those that come later too: the machine stops.
+func (t *Tracker) DrainAll(now monotime.Time) Change {
+	t.stopping = true
+	for _, e := range t.endpoints {
+		e.leaving = true
+		e.status = e.statusAt(now)
+	}
+	return Change{Updated: true}
+}
+
+// AddInFlight adds to the number of requests in flight at an endpoint; delta is negative when one
+// has ended.
+func (t *Tracker) AddInFlight(server ident.Server, delta int) {
+	if e := t.endpoints[server]; e != nil {
+		e.inFlight += delta
+	}
+}
+
+// Workloads lists the endpoints as the sidecar reports them to the registry.
+func (t *Tracker) Workloads() []record.Workload {
+	workloads := []record.Workload{}
+	for _, server := range t.sortedServers() {
+		e := t.endpoints[server]
+		workloads = append(workloads, record.Workload{
+			UID:       server,
+			Service:   e.Service,
+			Addresses: []ident.Addr{e.Addr},
+			Weight:    e.Weight,
+			Status:    e.status,
+			Load:      e.Load,
+		})
+	}
+	return workloads
+}
