--- a/cmd/idlecost/main.go
+++ b/cmd/idlecost/main.go
@@ -11,16 +11,17 @@
 	"cottonarch.example/cottonarch/fleet/idlecost"
 )
 
+// app is the command line. Flags that have an alias were renamed; the alias is the old name.
 var app struct {
 	Binary            string        `name:"bin" required:"" help:"The cottonarch program."`
 	Cores             int           `default:"3" help:"How many cores."`
-	Sidecars          int           `name:"sides" default:"9" help:"How many sidecars."`
-	Zones             int           `name:"districts" default:"3" help:"How many zones they are spread over."`
+	Sidecars          int           `name:"sidecars" aliases:"sides" default:"9" help:"How many sidecars."`
+	Zones             int           `name:"zones" aliases:"districts" default:"3" help:"How many zones they are spread over."`
 	Voters            int           `default:"5" help:"How many cores vote, at most; odd."`
 	Keys              int           `default:"0" help:"How many small keys are written first."`
 	Settle            time.Duration `default:"12s" help:"How long to wait before measuring."`
 	Window            time.Duration `name:"for" default:"20s" help:"How long to measure."`
-	HeartbeatInterval time.Duration `name:"beat" default:"700ms" help:"How often an endpoint sends a heartbeat."`
+	HeartbeatInterval time.Duration `name:"heartbeat" aliases:"beat" default:"700ms" help:"How often an endpoint sends a heartbeat."`
 	VaryLoad          bool          `name:"vary" help:"Let every heartbeat report another load."`
 	Profile           string        `help:"Folder of processor profiles, taken with perf of one core and one sidecar."`
 }
--- a/fleet/idlecost/report.go
+++ b/fleet/idlecost/report.go
@@ -30,7 +30,7 @@
 // Text shows the report.
 func (r Report) Text() string {
 	return r.Cores.line("core") + r.Sidecars.line("sidecar") +
-		fmt.Sprintf("bytes a second: between cores %.0f (%.0f between districts), of sidecars %.0f (%.0f between districts)\n",
+		fmt.Sprintf("bytes a second: between cores %.0f (%.0f between zones), of sidecars %.0f (%.0f between zones)\n",
 			r.CoreTraffic.Bytes, r.CoreTraffic.CrossZoneBytes, r.SidecarTraffic.Bytes, r.SidecarTraffic.CrossZoneBytes)
 }
 
