--- /dev/null
+++ b/daemon/sidecar/attempts.go
@@ -0,0 +1,130 @@
+package sidecar
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/mesh/attempt"
+	"cottonarch.example/cottonarch/wire/exchange"
+)
+
+const (
+	// approxHeaderBytes is about what the headers of a request and its response take between
+	// sidecars.
+	approxHeaderBytes = 800
+	// A peer gives up a request by a tenth of its time sooner than this side, at most by
+	// maxPeerMargin, so that its answer is still heard.
+	peerMarginFraction = 10
+	maxPeerMargin      = 20 * time.Millisecond
+)
+
+// sendWithRetries sends a request to one endpoint after the other until there is a response, or
+// no further attempt is allowed. A response that says that the endpoint failed is given if the
+// attempts after it bring nothing better. Without a response there is a failure.
+func (s *Sidecar) sendWithRetries(request *queuedRequest) (*exchange.Response, *failure.Error) {
+	var failedResponse *exchange.Response
+	for {
+		decision := s.nextAttempt(request.call)
+		if decision.Failure != nil {
+			return failedResponse, decision.Failure
+		}
+		resp, result := s.sendOnce(request, decision)
+		retry, fail := s.finishAttempt(request.call, result)
+		switch {
+		case result.Outcome != attempt.Executed && !retry:
+			return failedResponse, fail
+		case result.Outcome == attempt.Executed && !retry:
+			return resp, nil
+		case result.Outcome == attempt.Executed:
+			failedResponse = resp
+		}
+	}
+}
+
+// nextAttempt chooses the endpoint of the next attempt.
+func (s *Sidecar) nextAttempt(call *attempt.Call) attempt.Decision {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.planner.Next(s.clock(), call)
+}
+
+// finishAttempt takes the result of an attempt, and tells whether to try again. If not, and the
+// attempt brought no response, it gives the failure of the whole call.
+func (s *Sidecar) finishAttempt(call *attempt.Call, result attempt.Result) (retry bool, fail *failure.Error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	retry = s.planner.Finished(s.clock(), call, result)
+	if result.Outcome != attempt.Executed && !retry {
+		fail = s.planner.FinalFailure(call)
+	}
+	return retry, fail
+}
+
+// sendOnce makes one attempt: at an endpoint of this machine, or through the sidecar of the
+// endpoint's machine.
+func (s *Sidecar) sendOnce(queued *queuedRequest, decision attempt.Decision) (*exchange.Response, attempt.Result) {
+	request := endpointRequest{
+		server:        decision.Entry.UID,
+		service:       decision.Entry.Service,
+		call:          queued.outgoing,
+		deadline:      time.Now().Add(decision.Timeout),
+		retryFraction: decision.RepeatChance,
+		hints:         hintsFor(s.clock(), queued.receivedAt, queued.call, decision),
+	}
+	if decision.Entry.SidecarAddr == s.Settings.Addr {
+		return s.sendLocally(request)
+	}
+	return s.sendToPeer(decision, request, queued.call.Route.Urgent)
+}
+
+// sendLocally makes an attempt at an endpoint of this machine.
+func (s *Sidecar) sendLocally(request endpointRequest) (*exchange.Response, attempt.Result) {
+	local := s.sendToEndpoint(request)
+	result := attemptResultFor(local.failure, local.result)
+	result.LoadReport, result.Elapsed = parseLoadReport(local.loadReport), local.duration
+	return withSize(request.call, local.response, result)
+}
+
+// sendToPeer makes an attempt through the sidecar of the endpoint's machine.
+func (s *Sidecar) sendToPeer(decision attempt.Decision, request endpointRequest, urgent bool) (*exchange.Response, attempt.Result) {
+	call := peerCall(request, decision.Timeout, urgent)
+	resp, sent, fail := s.peerExchange.Do(context.Background(), decision.Entry.SidecarAddr, call)
+	switch {
+	case fail != nil && !sent:
+		return nil, attempt.Result{Outcome: attempt.NotExecuted, Failure: fail, Unreachable: true}
+	case fail != nil:
+		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: fail, Unreachable: fail.Kind == failure.LostResponse}
+	}
+	return parsePeerResponse(request.call, resp)
+}
+
+// peerCall makes the call to the sidecar of the endpoint's machine.
+func peerCall(request endpointRequest, limit time.Duration, urgent bool) exchange.Call {
+	call := request.call
+	call.Deadline, call.ExpectContinue = request.deadline, true
+	peerLimit := limit - min(limit/peerMarginFraction, maxPeerMargin)
+	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 8), request.call.HeaderOverrides...)
+	call.HeaderOverrides = append(call.HeaderOverrides,
+		exchange.HeaderField{Name: TargetHeader, Value: string(request.server)},
+		exchange.HeaderField{Name: ServiceHeader, Value: string(request.service)},
+		exchange.HeaderField{Name: LimitHeader, Value: strconv.FormatInt(peerLimit.Milliseconds(), 10)},
+		exchange.HeaderField{Name: AdmissionHintsHeader, Value: request.hints.encode()})
+	if urgent {
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: UrgentHeader, Value: "1"})
+	}
+	if request.retryFraction > 0 {
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: strconv.FormatFloat(request.retryFraction, 'f', 3, 64)})
+	}
+	return call
+}
+
+// withSize adds to the result of an attempt what the response itself tells.
+func withSize(call exchange.Call, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
+	if resp != nil {
+		result.EndpointFailed = resp.Status >= 500
+		result.ResponseBytes = int64(len(call.Body) + len(resp.Body) + approxHeaderBytes)
+	}
+	return resp, result
+}
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -45,7 +45,7 @@
 var catchAllConfig = &validation.Config{Revision: 2, Services: testConfig.Services, Routes: []validation.Route{{Name: "any", Host: "*", PathPrefix: "/", Service: "s", Timeout: time.Minute, MaxAttempts: 1, Repeat: validation.OneShot}}}
 
 // Whatever a caller or another sidecar sends that net/http reads as a request: it is
-// answered and leaves nothing in hand; the endpoint reads at most one request of it, and
+// answered and leaves nothing in flight; the endpoint reads at most one request of it, and
 // that one is the caller's own, with the mesh's own headers and no other's in their place.
 func FuzzIntake(f *testing.F) {
 	for _, seed := range []string{
@@ -76,7 +76,7 @@
 		sentHeader := r.Header.Clone()
 		s := newTestSidecar("a", "127.0.0.1:1", endpointAddr)
 		s.Settings.EndpointService = "own"
-		s.router.Enforce(catchAllConfig)
+		s.planner.Enforce(catchAllConfig)
 		s.addWorkloads("a", "127.0.0.1:1", "a0")
 		defer s.endpointExchange.Drop(endpointAddr)
 		w := httptest.NewRecorder()
@@ -90,7 +90,7 @@
 			s.ServeCaller(w, r)
 		}
 		must.Eq(t, 0, s.inFlight)
-		must.Eq(t, 0, s.bodyBytesInFlight.Load())
+		must.Eq(t, 0, s.bodies.inFlight.Load())
 		must.Eq(t, 0, s.sendQueue.Len())
 		must.NotEq(t, http.StatusBadGateway, w.Code, must.Sprintf("%s", w.Body))
 		select {
--- a/daemon/sidecar/renew_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -19,12 +19,12 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// An answer to a renewal that comes after its time has its news still, and the connection it
-// came by serves the next renewal: over a full link a new one may not come up in time.
+// What a late response to a renewal tells is used, and its connection serves the next renewal: over
+// a full link a new one may not come up in time.
 func TestLateRenewalKeepsItsConnection(t *testing.T) {
 	answerNow := make(chan struct{})
 	var connections, requests atomic.Int64
-	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if requests.Add(1) == 1 {
 			<-answerNow
 		}
@@ -40,7 +40,7 @@
 	core := ident.Addr(strings.TrimPrefix(server.URL, "http://"))
 	s := New(settings.Sidecar{Seeds: []ident.Addr{core}}, zap.NewNop())
 	s.leaseHeld.Store(true)
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 
 	began := time.Now()
 	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(answerNow) })
@@ -49,7 +49,7 @@
 	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
 	must.Eq(t, int64(1), s.Metrics.Counter("renewals_late").Load())
 	s.mu.Lock()
-	must.True(t, s.configCache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
+	must.True(t, s.config.cache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
 	s.mu.Unlock()
 
 	s.renew(core, record.Renewal{})
@@ -60,16 +60,16 @@
 // Of the peers that are asked only one gives its registry, and none while a core does.
 func TestPeersAreAskedBriefly(t *testing.T) {
 	s := New(settings.Sidecar{}, zap.NewNop())
-	s.router.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Seq: 1, Records: []record.Address{{Workload: &record.Workload{UID: "u"}}}}})
-	for query, sets := range map[string]int{"": 1, "have=other": 1, "brief=1": 0, "have=" + registryDigest(s.router.Index.Sets()): 0} {
+	s.planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Seq: 1, Records: []record.Address{{Workload: &record.Workload{UID: "u"}}}}})
+	for query, sets := range map[string]int{"": 1, "have=other": 1, "brief=1": 0, "have=" + registryDigest(s.planner.Index.Sets()): 0} {
 		rec := httptest.NewRecorder()
 		s.handlePeerState(rec, httptest.NewRequest("GET", "/cottonarch/v1/peer?"+query, nil))
 		var p PeerState
 		must.NoError(t, json.Unmarshal(rec.Body.Bytes(), &p))
 		must.Len(t, sets, p.Sets, must.Sprint(query))
 	}
-	s.configCache.MarkJoined()
+	s.config.cache.MarkJoined()
 	now := s.clock()
-	must.False(t, s.configCache.CoresSilent(now, now))
-	must.True(t, s.configCache.CoresSilent(now.Add(time.Second), now))
+	must.False(t, s.config.cache.CoresSilent(now, now))
+	must.True(t, s.config.cache.CoresSilent(now.Add(time.Second), now))
 }
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"path/filepath"
 	"testing"
@@ -20,72 +21,80 @@
 	return out
 }
 
+var errPowerLost = errors.New("power is gone")
+
+// losePowerAfter fails every write and sync of a folder after so many.
+func losePowerAfter(folder *MemoryFolder, writes int) {
+	folder.BeforeWrite = func(string) error {
+		if writes--; writes <= 0 {
+			return errPowerLost
+		}
+		return nil
+	}
+}
+
+// writeLaps appends 200 records, with a sync after one in three, and gives what the last
+// successful sync covered. Values begin with a number that rises.
+func writeLaps(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
+	synced, appended := map[string]string{}, map[string]string{}
+	for i := range 200 {
+		key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, width)
+		appended[key] = data
+		if err := r.Append([]Record{{key, []byte(data)}}); err != nil {
+			return synced, err
+		}
+		if rng.IntN(3) == 0 {
+			if err := r.Sync(); err != nil {
+				return synced, err
+			}
+			maps.Copy(synced, appended)
+		}
+	}
+	return synced, nil
+}
+
+// recoverFromPowerLoss loses power, and again while the ring is opened, twice.
+func recoverFromPowerLoss(t *testing.T, folder *MemoryFolder, options Options, rng *rand.Rand, point int) *Ring {
+	for attempt := range 3 {
+		folder.Crash(func(n int) int { return rng.IntN(n + 1) })
+		if attempt < 2 {
+			losePowerAfter(folder, rng.IntN(12)+1)
+		}
+		r, err := Open(folder, options)
+		if err == nil {
+			folder.BeforeWrite = nil
+			return r
+		}
+		must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
+	}
+	return nil
+}
+
 // Power is lost at every single write point of a long run; what a Sync covered is
-// always there afterwards, and nothing older ever comes back.
+// always there afterwards, and no older value returns.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 2048}
-	errPowerLost := errors.New("power is gone")
 	for point := 1; point < 400; point++ {
-		folder, writesLeft := NewMemoryFolder(), point
+		folder := NewMemoryFolder()
 		rng := rand.New(rand.NewPCG(7, uint64(point)))
-		folder.BeforeWrite = func(string) error {
-			if writesLeft--; writesLeft <= 0 {
-				return errPowerLost
-			}
-			return nil
-		}
-		synced, appended := map[string]string{}, map[string]string{}
-		writeLap := func(r *Ring) error {
-			for i := range 200 {
-				key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, point)
-				appended[key] = data
-				if err := r.Append([]Record{{key, []byte(data)}}); err != nil {
-					return err
-				}
-				if rng.IntN(3) == 0 {
-					if err := r.Sync(); err != nil {
-						return err
-					}
-					for k, v := range appended {
-						synced[k] = v
-					}
-				}
-			}
-			return nil
-		}
+		losePowerAfter(folder, point)
+		var synced map[string]string
 		r, err := Open(folder, options)
 		if err == nil {
-			err = writeLap(r)
+			synced, err = writeLaps(r, rng, point)
 		}
 		if err == nil {
 			continue
 		}
-		for attempt := range 3 { // and again while recovering
-			folder.Crash(func(n int) int { return rng.IntN(n + 1) })
-			if attempt < 2 {
-				writesLeft = rng.IntN(12) + 1
-				folder.BeforeWrite = func(string) error {
-					if writesLeft--; writesLeft <= 0 {
-						return errPowerLost
-					}
-					return nil
-				}
-			}
-			r, err = Open(folder, options)
-			if err == nil {
-				break
-			}
-			must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
-		}
-		folder.BeforeWrite = nil
+		r = recoverFromPowerLoss(t, folder, options, rng, point)
 		got := contents(r)
 		for key, data := range synced {
 			// Only values written later, and never confirmed, may stand instead.
 			var old, now int
 			_, _ = fmt.Sscanf(data, "%d-", &old)
 			_, err := fmt.Sscanf(got[key], "%d-", &now)
-			must.NoError(t, err, must.Sprintf("point %d tag %s lost", point, key))
-			must.LessEq(t, now, old, must.Sprintf("point %d tag %s went back", point, key))
+			must.NoError(t, err, must.Sprintf("point %d key %s lost", point, key))
+			must.LessEq(t, now, old, must.Sprintf("point %d key %s went back", point, key))
 		}
 		must.NoError(t, r.Append([]Record{{"after", []byte("x")}}))
 		must.NoError(t, r.Sync())
@@ -171,7 +180,7 @@
 // A process that is killed leaves writes that no sync covered; the next run reads them as
 // they are. Power that is lost later must not take what that run built on: after each
 // number of unsynced records, however many of them the disk keeps.
-func TestWhatAKilledRunLeftIsMadeToLast(t *testing.T) {
+func TestWritesOfAKilledRunAreMadeDurable(t *testing.T) {
 	for unsynced := range 4 {
 		for keep := range 3 {
 			folder := NewMemoryFolder()
@@ -197,10 +206,10 @@
 	}
 }
 
-// A damaged head of the only file that a young ring has written does not make it a new one:
-// what was synced is never forgotten without a word. A ring that lost power while its first
-// head was written holds nothing yet, and begins anew.
-func TestDamagedFirstHeadIsNoNewRing(t *testing.T) {
+// A damaged header of the only file that a young ring has written does not make it a new one:
+// what was synced is never lost without an error. A ring that lost power while its first
+// header was written holds nothing yet, and begins anew.
+func TestDamagedFirstHeaderIsNoNewRing(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 4096}
 	for offset := range int64(fileHeaderSize) {
 		folder := NewMemoryFolder()
@@ -210,7 +219,7 @@
 		must.NoError(t, r.Sync())
 		folder.CorruptByte("ring-000", offset)
 		_, err = Open(folder, options)
-		must.NotNil(t, err, must.Sprintf("byte %d of the head", offset))
+		must.NotNil(t, err, must.Sprintf("byte %d of the header", offset))
 		var typed *failure.Error
 		must.True(t, failure.As(err, &typed))
 		must.Eq(t, failure.Damaged, typed.Kind)
@@ -227,13 +236,13 @@
 		must.NotNil(t, err)
 		folder.Crash(func(n int) int { return min(n, part) })
 		r, err := Open(folder, options)
-		must.NoError(t, err, must.Sprintf("%d bytes of the first head", part))
+		must.NoError(t, err, must.Sprintf("%d bytes of the first header", part))
 		must.SliceEmpty(t, r.Records())
 	}
 }
 
-// Two damaged heads beside each other do not take a young ring back to the lap before them.
-func TestDamagedHeadsOfAYoungRingAreNoOlderRing(t *testing.T) {
+// Two damaged headers beside each other do not take a young ring back to the lap before them.
+func TestDamagedHeadersOfAYoungRingAreNoOlderRing(t *testing.T) {
 	options := Options{FileCount: 5, FileSize: 1024}
 	folder := NewMemoryFolder()
 	r, err := Open(folder, options)
@@ -242,7 +251,7 @@
 		must.NoError(t, r.Append([]Record{{"promise", fmt.Appendf(nil, "%0100d", n)}}))
 		must.NoError(t, r.Sync())
 	}
-	// The second file is lost whole, and the third's head.
+	// The second file is lost whole, and the third's header.
 	lost := folder.Files["ring-001"]
 	for n := range lost.durable {
 		lost.durable[n], lost.cached[n] = 0x77, 0x77
@@ -253,10 +262,10 @@
 }
 
 // A loss of power may take each file whose name no sync of the folder covered. Before
-// anything counts all names last, also those that a run made which was killed before it
+// anything counts all names are durable, also those that a run made which was killed before it
 // had synced the folder: for each set of files that may be lost and each point of such a
 // kill, what was synced is there.
-func TestNamesOfFilesLast(t *testing.T) {
+func TestFileNamesAreDurable(t *testing.T) {
 	const files, points = 4, 12
 	errKilled := errors.New("killed")
 	for point := range points {
@@ -323,7 +332,7 @@
 	}
 }
 
-// A start from a ring as large as the platform's, with a manifest of 100 KB among its
+// A start from a ring as large as the platform's, with a value of 100 KB among its
 // records, after many laps.
 func BenchmarkOpenAfterManyLaps(b *testing.B) {
 	folder, options := NewMemoryFolder(), Options{FileCount: 4, FileSize: 12 << 20}
