--- /dev/null
+++ b/daemon/sidecar/classify_test.go
@@ -0,0 +1,45 @@
+package sidecar
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"cottonarch.example/cottonarch/mesh/attempt"
+	"cottonarch.example/cottonarch/settings"
+	"cottonarch.example/cottonarch/wire/exchange"
+)
+
+// Only an endpoint's own statement that it did not run a request proves that, in all combinations
+// of status and header.
+func TestClassifyResponse(t *testing.T) {
+	for _, status := range []int{200, 204, 400, 421, 500, 503, 504} {
+		for _, name := range []string{"", "X-Not"} {
+			for _, notRun := range []string{"", "1", "0"} {
+				resp := &exchange.Response{Status: status, Header: http.Header{"X-Not": {notRun}}}
+				got := classifyResponse(settings.Headers{NotExecuted: name}, resp)
+				shed := status == 421 || name != "" && notRun != ""
+				must.Eq(t, map[bool]peerResult{false: resultResponse, true: resultShed}[shed], got.result, must.Sprint(status, name, notRun))
+				must.Eq(t, !shed, got.response != nil && got.failure == nil)
+				must.Eq(t, shed, attemptResults[got.result].Outcome == attempt.NotExecuted)
+			}
+		}
+	}
+}
+
+// Only the results that say so prove that a request did not run; one that is not known proves
+// nothing.
+func TestPeerResults(t *testing.T) {
+	for result, want := range map[peerResult]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
+		must.Eq(t, want, attemptResultFor(nil, result).Outcome, must.Sprint(result))
+	}
+	for _, hints := range []admissionHints{{}, {priority: 2, expectedTime: 31 * time.Millisecond, earlyRejection: -time.Second, latencyTarget: 200 * time.Millisecond, peerFailureRate: 0.25, lastResort: true}} {
+		must.Eq(t, hints, parseHints(hints.encode()))
+	}
+	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
+		hints := parseHints(text)
+		must.True(t, hints.priority >= 0 && hints.expectedTime >= 0 && hints.peerFailureRate >= 0 && hints.peerFailureRate <= 1, must.Sprint(text))
+	}
+}
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -46,9 +46,9 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// A machine whose link is full of what comes in does not ask for another large body: the
-// sender is told so, as not run, before the body leaves; a small one is still taken. Once the
-// link is free the large one is taken too.
+// A machine whose inbound link is full does not ask for another large body: the request is answered
+// as not run before its body leaves; a small one is still taken. Once the link is free, the large
+// one is taken too.
 func TestBodyWaitsForRoomOnTheLink(t *testing.T) {
 	const large, comingIn = 300 << 10, 2_000_000
 	stage := newStage(t)
@@ -62,7 +62,7 @@
 	bodies := &countedBodies{}
 	s := newTestSidecar("a", "127.0.0.1:1")
 	s.addWorkloads("b", bodies.startPeerServer(t, stage.peer.Load), "b0", "b1")
-	s.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
+	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	post := func(id string, size int) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
 		r.Host = "h"
