--- a/explore/cluster/actions.go
+++ b/explore/cluster/actions.go
@@ -18,9 +18,10 @@
 	c.deliverToSelf()
 }
 
+// memberOf is the member that a choice names.
 func (c *Cluster) memberOf(choice search.Choice) *member { return c.members[choice.Member-1] }
 
-// takeMessage takes a message off its way.
+// takeMessage takes a message out of transit.
 func (c *Cluster) takeMessage(choice search.Choice) envelope {
 	e := c.inTransit[choice.Message]
 	delete(c.inTransit, choice.Message)
@@ -62,6 +63,7 @@
 	}
 }
 
+// cutLink cuts the link between two members in one direction or both.
 func (c *Cluster) cutLink(choice search.Choice, both bool) {
 	c.cuts[[2]int{choice.Member, choice.Other}] = true
 	if both {
@@ -69,6 +71,7 @@
 	}
 }
 
+// healLinks ends all cuts, and has everybody heard again.
 func (c *Cluster) healLinks() {
 	clear(c.cuts)
 	for _, m := range c.members {
@@ -82,7 +85,7 @@
 	c.reload(m)
 }
 
-// losePower ends the process, if one runs, and takes unsynced writes.
+// losePower ends the process, if one runs, and takes those unsynced writes whose bit is not set.
 func (c *Cluster) losePower(m *member, mask uint64) {
 	if m.running {
 		c.kill(m)
@@ -102,8 +105,8 @@
 	c.reload(m)
 }
 
-// overlapsLoss tells whether another member is away while this one's disk is lost, or a change of
-// the roster is under way that may have been planned when one was: together that may be
+// overlapsLoss tells whether another member is away while this one loses its disk, or a
+// reconfiguration is in progress that may have been planned when one was: together that may be
 // more than a minority, and the cluster need not be able to serve again.
 func (c *Cluster) overlapsLoss(m *member) bool {
 	for _, other := range c.members {
@@ -115,16 +118,17 @@
 	return false
 }
 
+// forgetAcceptor makes the register acceptor forget all that it accepted.
 func (c *Cluster) forgetAcceptor(m *member) { m.registerAcceptor = acceptor.New(m.diskID) }
 
-// beginStop begins a planned stop: keys that nothing is out for are let go.
+// beginStop begins a planned stop: keys without operations in flight are released.
 func (c *Cluster) beginStop(m *member) {
 	m.leaving = true
 	_, effects := m.proposer.Release()
 	c.applyEffects(m, effects)
 }
 
-// finishStop ends a member that leaves, once nothing is in hand.
+// finishStop ends a member that leaves, once it has no operations in flight.
 func (c *Cluster) finishStop(m *member) {
 	done, effects := m.proposer.Release()
 	c.applyEffects(m, effects)
@@ -137,7 +141,7 @@
 	c.crash(m)
 }
 
-// countedVoters is what must be left of a roster.
+// countedVoters are the disks that count in a membership, and how many of them must be left.
 type countedVoters struct {
 	disks    []ident.Disk
 	majority int
--- /dev/null
+++ b/explore/cluster/auditobject.go
@@ -0,0 +1,47 @@
+package cluster
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+
+	"cottonarch.example/cottonarch/base/ident"
+	"cottonarch.example/cottonarch/control/audit/segment"
+	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/register/proposer"
+	"cottonarch.example/cottonarch/control/register/quorum"
+)
+
+// auditObject is a segment of the audit log.
+type auditObject struct{ revisionedObject }
+
+func newAudit(index int) object { return &auditObject{newRevisionedObject(index)} }
+
+func (a *auditObject) key() ident.Key { return segment.Key(a.Index * segment.MaxEntries) }
+
+func (a *auditObject) operations(*client) []string { return []string{"append"} }
+
+// auditRevisionStep is the distance of the revisions that are appended.
+const auditRevisionStep = 5
+
+func (a *auditObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.Floor = a.Floor
+	op.Base = a.Floor
+	leaf := proposal.AuditEntry{Revision: ident.Epoch(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
+	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: leaf})
+}
+
+func (a *auditObject) succeeded(c *Cluster, op *clientOperation, _ proposer.Outcome) {
+	a.observeValue(c, a.key(), op.Base+1, op.Content)
+}
+
+func (a *auditObject) inspect(c *Cluster, found quorum.Record) {
+	var log segment.State
+	_ = json.Unmarshal(operation.State(found.Value), &log)
+	for _, at := range slices.Sorted(maps.Keys(a.Values)) {
+		if at > uint64(len(log.Entries)) || log.Entries[at-1].SHA256 != a.Values[at] {
+			c.violate(RuleLost, "a majority does not know leaf %d of %s, which was acknowledged", at, a.key())
+		}
+	}
+}
--- a/explore/cluster/choices.go
+++ b/explore/cluster/choices.go
@@ -1,25 +1,22 @@
 package cluster
 
 import (
-	"fmt"
-	"time"
-
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// The kinds of choice beside the faults, which are kinds of the same name.
+// The kinds of choice besides the faults, which are kinds of the same name.
 const (
 	requestKind  search.Kind = "ask"     // a client sends an operation to a member
-	deliverKind  search.Kind = "deliver" // a message arrives; what it wrote is synced and its return arrives
-	syncKind     search.Kind = "sync"    // a member's disk syncs, its returns leave
+	deliverKind  search.Kind = "deliver" // a message arrives, what it wrote is synced and its response arrives
+	syncKind     search.Kind = "sync"    // a member syncs its disk and sends the responses that waited
 	startKind    search.Kind = "restart" // a member that is down starts
 	joinKind     search.Kind = "join"    // a member takes the next step towards being counted
-	announceKind search.Kind = "tell"    // a member hears of another's newer roster
-	stopKind     search.Kind = "stop"    // a member that leaves, and has nothing in hand, ends
-	healKind     search.Kind = "heal"    // all cuts end, and who was silent is heard
+	announceKind search.Kind = "tell"    // a member learns of another's newer membership
+	stopKind     search.Kind = "stop"    // a member that leaves, with nothing in flight, ends
+	healKind     search.Kind = "heal"    // all cuts end, and everybody is heard again
 )
 
-// Choices lists what may happen next.
+// Choices lists what may happen next, in a fixed order.
 func (c *Cluster) Choices() []search.Choice {
 	var out []search.Choice
 	add := func(list ...search.Choice) { out = append(out, list...) }
@@ -55,17 +52,19 @@
 	return out
 }
 
+// clientChoices lists the operations that clients may ask for. Clients that have not asked yet
+// are interchangeable, and so are members: of equivalent choices only the first is listed.
 func (c *Cluster) clientChoices() (out []search.Choice) {
 	for i, cl := range c.clients {
 		if i > 0 && c.clients[i-1].sent == 0 {
-			break // clients are alike until they have asked
+			break
 		}
 		if cl.pending != nil {
 			continue
 		}
 		for _, m := range c.proposingMembers() {
 			if m.number > cl.number {
-				break // so are members
+				break
 			}
 			if cl.sent < c.settings.Operations {
 				out = append(out, c.operationChoices(cl, m)...)
@@ -78,6 +77,7 @@
 	return out
 }
 
+// operationChoices lists what one client may ask one member for.
 func (c *Cluster) operationChoices(requester *client, m *member) (out []search.Choice) {
 	for i, obj := range c.objects {
 		for _, operation := range obj.operations(requester) {
@@ -87,6 +87,7 @@
 	return out
 }
 
+// messageChoices lists what may happen to the messages in transit.
 func (c *Cluster) messageChoices() (out []search.Choice) {
 	for _, e := range c.messagesInTransit() {
 		if !c.deliverable(e) {
@@ -105,6 +106,7 @@
 	return out
 }
 
+// memberChoices lists what may happen to one member.
 func (c *Cluster) memberChoices(m *member) (out []search.Choice) {
 	add := func(kind search.Kind) { out = append(out, search.Choice{Kind: kind, Member: m.number}) }
 	if !m.running {
@@ -138,7 +140,7 @@
 // them are kept or lost together.
 const independentWrites = 3
 
-// powerLossChoices lists each choice of the unsynced writes that a loss of power leaves.
+// powerLossChoices lists a loss of power for each set of unsynced writes that it may leave.
 func powerLossChoices(m *member) (out []search.Choice) {
 	n := m.store.unsynced()
 	low := min(n, independentWrites)
@@ -151,8 +153,8 @@
 	return out
 }
 
-// canLoseDisk tells whether a member's disk may be lost: more than a minority of the disks that
-// count in any roster that is chosen, or may be, never is.
+// canLoseDisk tells whether a member's disk may be lost: of the disks that count in a membership
+// that is chosen, or may be, a majority is never lost.
 func (c *Cluster) canLoseDisk(m *member) bool {
 	memberships := []countedVoters{countedVotersOf(c.newestMembership())}
 	for _, other := range c.members {
@@ -175,6 +177,7 @@
 	return true
 }
 
+// membershipChoices lists the steps of joining and the announcements of newer memberships.
 func (c *Cluster) membershipChoices() (out []search.Choice) {
 	for _, m := range c.members {
 		if !m.running {
@@ -192,6 +195,7 @@
 	return out
 }
 
+// linkChoices lists the links that may be cut, and the end of all cuts.
 func (c *Cluster) linkChoices() (out []search.Choice) {
 	for i := 1; i <= len(c.members); i++ {
 		for j := 1; j <= len(c.members); j++ {
@@ -212,7 +216,7 @@
 	return out
 }
 
-// disturbed tells whether anything is cut or silent.
+// disturbed tells whether a link is cut or a member is not heard.
 func (c *Cluster) disturbed() bool {
 	for _, m := range c.members {
 		if m.unheard {
@@ -221,88 +225,3 @@
 	}
 	return len(c.cuts) > 0
 }
-
-// Describe tells a choice in words, before it is applied.
-func (c *Cluster) Describe(choice search.Choice) string {
-	if describeChoice, ok := descriptions[choice.Kind]; ok {
-		return describeChoice(c, choice)
-	}
-	return string(choice.Kind)
-}
-
-func describeTransit(c *Cluster, choice search.Choice) string {
-	e := c.inTransit[choice.Message]
-	return fmt.Sprintf("m%d -> m%d: %s", e.from, e.to, describeMessage(e.msg))
-}
-
-// descriptions are the words for each kind of choice.
-var descriptions = map[search.Kind]func(*Cluster, search.Choice) string{
-	requestKind: func(c *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("client %d asks m%d: %s of %s", choice.Client, choice.Member, choice.Operation, c.objects[choice.Key].key())
-	},
-	search.Kind(Resend): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("client %d sends its last order again, to m%d", choice.Client, choice.Member)
-	},
-	deliverKind: func(c *Cluster, choice search.Choice) string { return "deliver " + describeTransit(c, choice) },
-	search.Kind(LateSync): func(c *Cluster, choice search.Choice) string {
-		return "deliver, not synced and not answered yet, " + describeTransit(c, choice)
-	},
-	search.Kind(Duplicate): func(c *Cluster, choice search.Choice) string {
-		return "deliver, with a copy still on its way, " + describeTransit(c, choice)
-	},
-	search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) string { return "lose " + describeTransit(c, choice) },
-	syncKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d syncs its disk, its returns leave", choice.Member)
-	},
-	startKind: func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d starts", choice.Member) },
-	joinKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d takes the next step towards being counted", choice.Member)
-	},
-	announceKind: func(c *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d tells m%d of roster %d", choice.Member, choice.Other, c.members[choice.Member-1].membershipAcceptor.Current.Epoch)
-	},
-	stopKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d has left and ends", choice.Member)
-	},
-	search.Kind(Crash):     func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d is killed", choice.Member) },
-	search.Kind(PowerLoss): func(c *Cluster, choice search.Choice) string { return c.describePowerLoss(choice) },
-	search.Kind(DiskLoss):  func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d loses its disk", choice.Member) },
-	search.Kind(PlannedStop): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d begins a planned stop", choice.Member)
-	},
-	search.Kind(Unheard): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("the others hear m%d no more", choice.Member)
-	},
-	search.Kind(ClockJump): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d's clock jumps forward by an hour", choice.Member)
-	},
-	search.Kind(Amnesia): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d's replica forgets all", choice.Member)
-	},
-	search.Kind(LinkCut): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("cut m%d from m%d", choice.Member, choice.Other)
-	},
-	search.Kind(DirectedCut): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("cut the way m%d -> m%d", choice.Member, choice.Other)
-	},
-	search.Kind(TimePasses): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("%v pass", choice.Span.Round(time.Millisecond))
-	},
-}
-
-func (c *Cluster) describePowerLoss(choice search.Choice) string {
-	n := c.members[choice.Member-1].store.unsynced()
-	out := fmt.Sprintf("m%d loses power; of %d unsynced writes it keeps", choice.Member, n)
-	survivors := ""
-	for i := range n {
-		if keepsWrite(choice.Mask, i) {
-			survivors += fmt.Sprintf(" %d", i+1)
-		}
-	}
-	if survivors == "" {
-		survivors = " none"
-	}
-	return out + survivors
-}
-
-func keepsWrite(mask uint64, write int) bool { return mask>>min(write, 63)&1 == 1 }
--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -8,45 +8,11 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/control/register/quorum"
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// KeyKind is the kind of a control key.
-type KeyKind string
-
-// The kinds of key.
-const (
-	ValueKey    KeyKind = "value"
-	SequenceKey KeyKind = "number"
-	EntryKey    KeyKind = "cell"
-	ConfigKey   KeyKind = "manifest"
-	LockKey     KeyKind = "lock"
-	AuditKey    KeyKind = "audit"
-)
-
-// objectFactories make the object of each kind, for the key of an index.
-var objectFactories = map[KeyKind]func(int) object{
-	ValueKey: newValue, SequenceKey: newSequence, EntryKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
-}
-
-// object is one control key with what its clients were told of it.
-type object interface {
-	key() ident.Key
-	// operations lists what a client may ask for.
-	operations(c *client) []string
-	// operation makes the order's kind and arguments; it notes what the asker may count on.
-	prepare(op *clientOperation) (kind string, args json.RawMessage)
-	// succeeded judges the sure end of an order.
-	succeeded(c *Cluster, op *clientOperation, out proposer.Outcome)
-	// rejected notes that an order surely did not take effect.
-	rejected(op *clientOperation)
-	// inspect judges what a majority read would find.
-	inspect(c *Cluster, found quorum.Record)
-}
-
-// clientOperation is one operation of one client. Invariant: floor is what had been acknowledged of the
-// object when it was sent.
+// clientOperation is one operation of one client. Invariant: Floor is the newest revision of the
+// object that had been acknowledged when it was sent.
 type clientOperation struct {
 	Tag     uint64
 	Client  int
@@ -62,7 +28,8 @@
 	Content string
 }
 
-// client asks for one operation at a time. Invariant: last is its last order on a base release.
+// client asks for one operation at a time. Invariant: lastProposal is its last proposal that
+// names the version it is based on.
 type client struct {
 	number       int
 	sent         int
@@ -71,6 +38,7 @@
 	bases        map[int]uint64
 }
 
+// base is the revision of an object that the client builds on.
 func (cl *client) base(object int) uint64 { return cl.bases[object] }
 
 func (cl *client) setBase(object int, base uint64) {
@@ -93,12 +61,12 @@
 	c.submit(m, cl, op)
 }
 
-// resend sends a client's last order once more, as a caller that heard no answer does.
+// resend sends a client's last proposal once more, as a client does that got no response.
 func (c *Cluster) resend(m *member, cl *client) {
 	op := *cl.lastProposal
 	op.Resent, op.SentAt = true, c.now
 	if m, ok := c.objects[op.Object].(*configObject); ok {
-		delete(m.Rejected, op.Content) // it may be taken now
+		delete(m.Rejected, op.Content) // it may be accepted now
 	}
 	c.submit(m, cl, &op)
 }
@@ -113,7 +81,7 @@
 	c.applyEffects(m, m.proposer.Submit(c.clock(m), operation))
 }
 
-// operationEnded takes the end of an operation.
+// operationEnded takes the outcome of an operation.
 func (c *Cluster) operationEnded(m *member, out proposer.Outcome) {
 	op := m.operations[out.Operation.Ticket]
 	if op == nil {
@@ -138,7 +106,7 @@
 	c.closeOperation(op)
 }
 
-// operationRejected takes a sure no.
+// operationRejected takes an outcome that says that the operation did not take effect.
 func (c *Cluster) operationRejected(op *clientOperation, out proposer.Outcome) {
 	obj := c.objects[op.Object]
 	if m, ok := obj.(*configObject); ok && !out.Abandoned {
@@ -149,9 +117,10 @@
 	}
 }
 
-// outcomeUnknown ends an order whose fate nobody can tell.
+// outcomeUnknown ends an operation that may have taken effect.
 func (c *Cluster) outcomeUnknown(op *clientOperation) { c.closeOperation(op) }
 
+// closeOperation lets the client of an operation ask for the next one.
 func (c *Cluster) closeOperation(op *clientOperation) {
 	if cl := c.clients[op.Client-1]; cl.pending != nil && cl.pending.Tag == op.Tag {
 		cl.pending = nil
--- a/explore/cluster/cluster.go
+++ b/explore/cluster/cluster.go
@@ -21,30 +21,30 @@
 
 // The invariants.
 const (
-	RuleLost       Rule = "acknowledged-lost"     // a majority read would not show what was acknowledged
-	RuleStale      Rule = "stale-read"            // a read is older than an acknowledgement
-	RuleRepeated   Rule = "number-repeated"       // a number was given twice, or is not above one acknowledged
-	RuleOrder      Rule = "order"                 // one revision has two values
-	RuleRejected   Rule = "turned-away-and-shown" // what was surely refused took effect
-	RuleBase       Rule = "two-orders-on-one-base"
-	RuleResend     Rule = "resend-refused"
-	RuleLock       Rule = "lock-shared"
-	RuleFence      Rule = "fence-not-above"
-	RuleHistory    Rule = "history-forgotten"
-	RuleMembership Rule = "two-rosters-at-one-epoch"
-	RuleDisk       Rule = "disk"
-	RuleStop       Rule = "dropped-in-stop"
-	RuleRepaired   Rule = "not-mended"
-	RuleStuck      Rule = "stuck"
+	RuleLost       Rule = "acknowledged-lost"        // a majority read would not show what was acknowledged
+	RuleStale      Rule = "stale-read"               // a read is older than an acknowledgement
+	RuleRepeated   Rule = "number-repeated"          // a number was given twice, or is not above one acknowledged
+	RuleOrder      Rule = "order"                    // one revision has two values
+	RuleRejected   Rule = "turned-away-and-shown"    // what was certainly rejected took effect
+	RuleBase       Rule = "two-orders-on-one-base"   // two proposals on one base were accepted
+	RuleResend     Rule = "resend-refused"           // an accepted proposal was rejected, or accepted anew, when resent
+	RuleLock       Rule = "lock-shared"              // a lock has two holders
+	RuleFence      Rule = "fence-not-above"          // a fencing token repeats or does not rise
+	RuleHistory    Rule = "history-forgotten"        // a history or a watch lacks what was acknowledged
+	RuleMembership Rule = "two-rosters-at-one-epoch" // two memberships were chosen for one epoch
+	RuleDisk       Rule = "disk"                     // a member can't read or write its own disk
+	RuleStop       Rule = "dropped-in-stop"          // a planned stop dropped operations in flight
+	RuleRepaired   Rule = "not-mended"               // copies differ after a read with repair
+	RuleStuck      Rule = "stuck"                    // the cluster does not serve after all faults have ended
 )
 
-// startTime is the moment of the first state: long after zero, which means never.
+// startTime is the time of the first state, long after zero, which means never.
 const startTime = monotime.Time(time.Hour)
 
-// historyRetention is how long puts and changes must stay known.
+// historyRetention is how long puts and changes must be retained.
 const historyRetention = 60 * time.Second
 
-// Cluster is one run.
+// Cluster is one run of several cores.
 type Cluster struct {
 	settings          Settings
 	now               monotime.Time
@@ -57,16 +57,16 @@
 	objects           []object
 	clients           []*client
 	lastTag           uint64
-	repairTag         uint64 // the tag of the read that mends, until it is answered
+	repairTag         uint64 // the tag of the read with repair in flight, 0 if there is none
 	diskCount         int
 	chosenMemberships map[ident.Epoch]quorum.Membership
-	// majorityLost says that faults together took more than a minority: what was acknowledged must
-	// still be kept, but the cluster need not be able to serve again.
+	// majorityLost says that faults together took more than a minority: what was acknowledged
+	// must still be kept, but the cluster need not be able to serve again.
 	majorityLost bool
 	violation    *search.Violation
 }
 
-// New makes a cluster whose founders have formed the first roster.
+// New makes a cluster whose founders have formed the first membership.
 func New(settings Settings) *Cluster {
 	return assemble(settings, mutant.Handlers(string(settings.Mutant), historyRetention))
 }
@@ -98,7 +98,8 @@
 	return c
 }
 
-// establish writes what a founder's disk holds once the first roster is chosen, and starts it.
+// establish writes what a founder's disk holds once the first membership is chosen, and starts
+// it.
 func (c *Cluster) establish(m *member, first quorum.Membership) {
 	disk := m.diskID
 	_, err := m.store.open()
@@ -116,7 +117,8 @@
 	}
 }
 
-// Violation looks at all that must hold in every state.
+// Violation checks all that must hold in every state; it returns what is broken, nil if nothing
+// is.
 func (c *Cluster) Violation() *search.Violation {
 	if c.violation == nil {
 		c.inspect()
@@ -124,7 +126,7 @@
 	return c.violation
 }
 
-// membershipChosen notes a roster that a member says was chosen.
+// membershipChosen notes a membership that a member learned to be chosen.
 func (c *Cluster) membershipChosen(m *member, chosen quorum.Membership) {
 	chosen.MajorityOverride = 0
 	old, known := c.chosenMemberships[chosen.Epoch]
@@ -134,11 +136,12 @@
 	c.chosenMemberships[chosen.Epoch] = chosen
 }
 
-// newestMembership is the newest chosen roster.
+// newestMembership is the newest chosen membership.
 func (c *Cluster) newestMembership() quorum.Membership {
 	return c.chosenMemberships[slices.Max(slices.Collect(maps.Keys(c.chosenMemberships)))]
 }
 
+// keys lists the control keys of all objects.
 func (c *Cluster) keys() []ident.Key {
 	var out []ident.Key
 	for _, obj := range c.objects {
@@ -151,8 +154,8 @@
 	return slices.Sorted(maps.Keys(operations))
 }
 
-// passTime lets time go by in steps that a watch counts whole; each member's tick runs at the
-// end of each step.
+// passTime lets time pass in steps that a step limiter counts whole; each member ticks at the end
+// of each step.
 func (c *Cluster) passTime(span time.Duration) {
 	for span > 0 {
 		step := min(span, monotime.MaxStep)
@@ -164,7 +167,7 @@
 	}
 }
 
-// tick is what a node's tick does of what is modelled.
+// tick does the part of a node's tick that is modelled.
 func (c *Cluster) tick(m *member) {
 	if !m.running {
 		return
--- a/explore/cluster/cluster_test.go
+++ b/explore/cluster/cluster_test.go
@@ -11,6 +11,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
+// testSettings allow two faults of each kind.
 func testSettings() cluster.Settings {
 	faults := map[cluster.Fault]int{}
 	for _, f := range cluster.Faults() {
@@ -45,8 +46,8 @@
 	}
 }
 
-// Deliveries to two members that have nothing to do with each other lead to one state in
-// either order, so the search goes on from it once.
+// Deliveries to two members that have nothing to do with each other lead to one state in either
+// order, so the search goes on from it once.
 func TestIndependentChoicesMeet(t *testing.T) {
 	set := testSettings()
 	set.Members, set.Spares, set.Instant = 5, 0, false
@@ -71,7 +72,7 @@
 	must.NotEq(t, hash([]int{3, 4}), hash([]int{3, 5}))
 }
 
-// Without any fault every client is answered in the end, and nothing is broken.
+// Without faults every client gets a response in the end, and nothing is violated.
 func TestSettlesWithoutFaults(t *testing.T) {
 	set := testSettings()
 	set.Faults = nil
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -21,9 +21,10 @@
 	readConfig        = "read"
 )
 
-// configObject is the configuration. Releases are kept equal to epochs, so an order builds on
-// one base whichever way it names it. Invariants: Taken holds the content of the order that
-// was acknowledged, by the epoch that it made; Turned the contents that were refused.
+// configObject is the configuration. Versions are kept equal to revisions, so a proposal is based
+// on the same configuration whichever of the two it names. Invariants: Accepted holds the content
+// of the proposal that was acknowledged, by the revision that it made; Rejected holds the
+// contents that were rejected.
 type configObject struct {
 	Accepted map[uint64]string
 	Floor    uint64
@@ -84,7 +85,7 @@
 	c.clients[op.Client-1].setBase(op.Object, epoch)
 }
 
-// checkRead judges a read.
+// checkRead checks the response to a read.
 func (m *configObject) checkRead(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	var held proposal.State
 	_ = json.Unmarshal(out.Body, &held)
@@ -96,7 +97,7 @@
 	c.clients[op.Client-1].setBase(op.Object, uint64(held.Revision))
 }
 
-// compare compares a configuration with what was acknowledged and refused.
+// compare compares a configuration with what was acknowledged and rejected.
 func (m *configObject) compare(c *Cluster, held proposal.State) {
 	var body struct {
 		By string `json:"by"`
@@ -110,7 +111,7 @@
 	}
 }
 
-// checkResend judges a sure no to an order that was taken before.
+// checkResend checks the rejection of a proposal: it must not have been accepted before.
 func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
 	for _, epoch := range slices.Sorted(maps.Keys(m.Accepted)) {
 		if op.Resent && m.Accepted[epoch] == op.Content {
--- a/explore/cluster/copy_test.go
+++ b/explore/cluster/copy_test.go
@@ -9,13 +9,13 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// script drives a cluster by what its choices say.
+// script drives a cluster by the descriptions of its choices.
 type script struct {
 	t      *testing.T
 	system search.System
 }
 
-// apply makes the first choice of a kind whose words hold all of some.
+// apply makes the first choice of a kind whose description holds all fragments.
 func (s script) apply(kind search.Kind, fragments ...string) {
 	s.t.Helper()
 	var all []string
@@ -35,9 +35,9 @@
 	s.t.Fatalf("no %s of %v among\n%s", kind, fragments, strings.Join(all, "\n"))
 }
 
-// A member that has copied all cells and is then counted must not have its copy yet to sync:
-// a loss of power would leave a disk that counts and knows nothing. Acknowledged by m1 and
-// m2; m2's disk is lost, and the new one takes the slot, copies, counts, and loses power.
+// A member that has copied all records and is then counted must not have its copy still to sync:
+// a loss of power would leave a disk that counts and knows nothing. A write is acknowledged by m1
+// and m2; m2 loses its disk, and the new one takes the slot, copies, counts, and loses power.
 func TestCopyIsSyncedBeforeItsDiskCounts(t *testing.T) {
 	set := testSettings()
 	set.Spares, set.Operations = 0, 1
@@ -59,7 +59,7 @@
 	run.apply("deliver", "m2 -> m1", "scan")
 	run.apply("deliver", "m2 -> m3", "scan")
 	must.Nil(t, run.system.Violation())
-	run.apply("join", "m2") // nothing to do before the sync
+	run.apply("join", "m2") // does nothing before the sync
 	run.apply("power", "m2", "none")
 	must.Nil(t, run.system.Violation())
 	run.system.Settle()
--- a/explore/cluster/hash.go
+++ b/explore/cluster/hash.go
@@ -18,7 +18,7 @@
 	canon.Skip[ring.MemoryFile]("folder"),
 )
 
-// Hash names the state: all that a later step, choice or check may depend on.
+// Hash identifies the state: all that a later step, choice or check may depend on.
 func (c *Cluster) Hash() uint64 {
 	e := stateFilter.Encoder()
 	defer e.Release()
@@ -39,6 +39,7 @@
 	return e.Hash()
 }
 
+// putMember writes one member; times count from its own clock.
 func (c *Cluster) putMember(e *canon.Encoder, m *member) {
 	e.Now = c.now
 	e.Put([]bool{m.running, m.leaving, m.unheard})
--- a/explore/cluster/inspect.go
+++ b/explore/cluster/inspect.go
@@ -10,8 +10,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// inspect reads, for every chosen roster that a majority could still serve, each key from
-// every majority, as a new owner's prepare would: what was acknowledged must be there.
+// inspect reads, for every chosen membership that a majority could still serve, each key from
+// every majority, as the prepare of a new proposer would: what was acknowledged must be there.
 func (c *Cluster) inspect() {
 	newest := c.newestMembership().Epoch
 	for _, epoch := range slices.Sorted(maps.Keys(c.chosenMemberships)) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// serving lists the members whose disks count in a roster and may still serve at it.
+// serving lists the members whose disks count in a membership and may still serve in it.
 func (c *Cluster) serving(r quorum.Membership, newest bool) []*member {
 	var out []*member
 	for _, v := range r.Voters {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// majorities lists every choice of so many members.
+// majorities lists every set of so many members.
 func majorities(members []*member, size int) [][]*member {
 	var out [][]*member
 	for mask := range 1 << len(members) {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// inspectObject looks at what each majority has of an object, at the same cell once.
+// inspectObject checks what each majority has of an object; equal records are checked once.
 func (c *Cluster) inspectObject(obj object, majorities [][]*member) {
 	var inspected []quorum.Record
 	for _, group := range majorities {
--- a/explore/cluster/lockobject.go
+++ b/explore/cluster/lockobject.go
@@ -12,18 +12,18 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// lockTTL is how long a claim holds.
-const lockTTL = 1000 // ms
+// lockTTL is how long a lease lasts, in milliseconds.
+const lockTTL = 1000
 
-// grant is what a client counts on. Invariant: it counts from the sending of its claim, by a
-// clock that runs true, until the claim's time is over or it gives it up.
+// grant is a lease as its client counts on it. Invariant: it counts from the sending of the
+// request, by a true clock, until the lease expires or the client releases it.
 type grant struct {
 	Fence     uint64
 	ExpiresAt monotime.Time
 }
 
-// lockObject is one lock with what its clients hold. Invariant: Given tells to whom each fence
-// was given, Fence is the highest of these.
+// lockObject is one lock with the leases of its clients. Invariant: FenceHolder is the client
+// that was given each fencing token, HighestFence the highest of these.
 type lockObject struct {
 	Index        int
 	Grants       map[int]grant
@@ -55,7 +55,7 @@
 		args.FencingToken = l.Grants[op.Client].Fence
 	case "release":
 		args.FencingToken = l.Grants[op.Client].Fence
-		delete(l.Grants, op.Client) // from here on it does not count on it
+		delete(l.Grants, op.Client) // from here on the client does not count on it
 	}
 	kind := op.Name
 	if kind == "keep" {
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -1,7 +1,7 @@
-// Package cluster runs the step functions of several cores, which the daemons run too,
-// under an adversary that chooses the order of messages, faults and the passing of time.
-// Each member has an owner, a replica, a roster acceptor and maker, and a ring on a disk
-// that loses what was not synced.
+// Package cluster runs the state machines of several cores, the same that the daemons run, under
+// an adversary that chooses the order of messages, faults and the passing of time. Each member
+// has a proposer, an acceptor of the register and one of the membership, a reconfigurer, and a
+// ring on a disk that loses what was not synced.
 package cluster
 
 import (
@@ -17,15 +17,15 @@
 type Fault string
 
 // The kinds of fault. Each is bounded by its number in Settings.Faults. A message that is
-// lost, or late behind any number of others, needs none: delivery is itself a choice, and
-// may never come.
+// delayed behind any number of others needs no fault: its delivery is itself a choice, and may
+// never come.
 const (
-	// LateSync lets a message be taken in whose writes are synced, and whose return is
-	// delivered, later, by choices of their own.
+	// LateSync delivers a message whose writes are synced, and whose response is delivered, later
+	// by choices of their own.
 	LateSync Fault = "late"
-	// Duplicate delivers a message and leaves a copy of it on its way.
+	// Duplicate delivers a message and leaves a copy of it in transit.
 	Duplicate Fault = "double"
-	// MessageLoss takes a message away.
+	// MessageLoss takes a message out of transit.
 	MessageLoss Fault = "lost"
 	// Crash ends a process; what it wrote stays, also unsynced.
 	Crash Fault = "crash"
@@ -33,20 +33,20 @@
 	PowerLoss Fault = "power"
 	// DiskLoss ends a process and takes its disk: it comes back as a new, empty member.
 	DiskLoss Fault = "empty"
-	// PlannedStop is a planned stop.
+	// PlannedStop begins a planned stop.
 	PlannedStop Fault = "leave"
-	// LinkCut and CutOneWay cut a pair of members.
+	// LinkCut and DirectedCut cut the link between two members, in both directions or one.
 	LinkCut     Fault = "cut"
 	DirectedCut Fault = "cut-one-way"
-	// Unheard makes the others hold a live member for dead.
+	// Unheard makes the others take a running member for dead.
 	Unheard Fault = "silent"
 	// ClockJump moves a member's clock forward by an hour.
 	ClockJump Fault = "jump"
-	// Resend sends an order again that was sent before.
+	// Resend sends a proposal again that was sent before.
 	Resend Fault = "again"
-	// TimePasses lets time pass; without messages it is the only way on.
+	// TimePasses lets time pass; without messages nothing else changes the state.
 	TimePasses Fault = "wait"
-	// Amnesia makes a replica forget all, which the break of that name alone may do.
+	// Amnesia makes an acceptor forget all; only MutantAcceptor may do so.
 	Amnesia Fault = "forget"
 )
 
@@ -55,21 +55,21 @@
 	return []Fault{LateSync, Duplicate, MessageLoss, Crash, PowerLoss, DiskLoss, PlannedStop, LinkCut, DirectedCut, Unheard, ClockJump, Resend, TimePasses}
 }
 
-// Mutant names a rule that is broken on purpose, as the simulator knows them.
+// Mutant names a rule that is broken on purpose, as in the simulator.
 type Mutant string
 
-// The breaks that are not handlers of operations; those are in sim/broken.
+// The mutants that are not handlers of operations; those are in sim/mutant.
 const (
-	MutantQuorum     Mutant = "quorum"
-	MutantAcceptor   Mutant = "replica"
-	MutantClock      Mutant = "clock"
-	MutantReadRepair Mutant = "mend"
-	MutantLazySync   Mutant = "soft"
-	MutantStop       Mutant = "stop"
-	MutantOutcome    Mutant = "cell-fate"
+	MutantQuorum     Mutant = "quorum"    // one response passes for a majority
+	MutantAcceptor   Mutant = "replica"   // acceptors forget what they accepted
+	MutantClock      Mutant = "clock"     // leases are measured by a clock that may jump
+	MutantReadRepair Mutant = "mend"      // copies are not repaired
+	MutantLazySync   Mutant = "soft"      // opening a ring does not sync it
+	MutantStop       Mutant = "stop"      // planned stops wait for nothing
+	MutantOutcome    Mutant = "cell-fate" // unknown outcomes pass for rejections
 )
 
-// Settings say what is explored.
+// Settings say what is explored. Traces hold them.
 type Settings struct {
 	// Members is how many founders there are, Spares how many more may join.
 	Members, Spares int
@@ -83,20 +83,20 @@
 	// Waits are the spans by which time may pass.
 	Waits  []time.Duration
 	Faults map[Fault]int
-	// Instant has each member answer itself at once.
+	// Instant delivers what a member sends to itself at once.
 	Instant bool
 	// Ring has members write to the daemon's ring rather than to a plain list of records.
 	Ring   bool
 	Mutant Mutant `json:"Break"`
 }
 
-// Factory makes clusters of these settings.
+// Factory returns a maker of clusters with these settings.
 func (s Settings) Factory() search.Factory {
 	machine := mutant.Handlers(string(s.Mutant), historyRetention)
 	return func() search.System { return assemble(s, machine) }
 }
 
-// Validate finds what is wrong with settings that were read from a file.
+// Validate returns what is wrong with settings that were read from a file, nil if nothing is.
 func (s Settings) Validate() *failure.Error {
 	if s.Members < 1 || s.Members+s.Spares > maxMembers || s.Clients < 1 || s.Clients > maxClients {
 		return failure.New(failure.BadSettings, "a cluster has 1 to %d members and 1 to %d clients", maxMembers, maxClients)
@@ -109,10 +109,10 @@
 	return nil
 }
 
-// maxMembers and clientsMost bound a cluster.
+// maxMembers and maxClients bound a cluster.
 const maxMembers, maxClients = 6, 16
 
-// quorumOverride is the number of returns that stands in for the majority.
+// quorumOverride is the number of responses that stands in for a majority, 0 if none does.
 func (s Settings) quorumOverride() int {
 	if s.Mutant == MutantQuorum {
 		return 1
@@ -120,7 +120,7 @@
 	return 0
 }
 
-// faultLimit is the number of faults of a kind.
+// faultLimit is how many faults of a kind are allowed.
 func (s Settings) faultLimit(f Fault) int {
 	if f == Amnesia && s.Mutant == MutantAcceptor {
 		return 2
@@ -128,5 +128,5 @@
 	return s.Faults[f]
 }
 
-// true majority of a roster, whatever stands in for it.
+// majority is the true majority of a membership, whatever stands in for it.
 func majority(r quorum.Membership) int { return r.Size()/2 + 1 }
--- a/explore/cluster/settle.go
+++ b/explore/cluster/settle.go
@@ -1,28 +1,26 @@
 package cluster
 
 import (
-	"fmt"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/register/proposer"
-	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
 const (
 	// settleRounds is how many rounds of messages and time the end of a run has, and
-	// settlePace how long each is: together longer than any round may be out.
+	// settleInterval how long each is: together longer than any round may be in flight.
 	settleRounds   = 16
 	settleInterval = 200 * time.Millisecond
-	// repairAttempts is how often a read is asked for whose term is lost to what was on its way.
+	// repairAttempts is how often a read is sent whose term is lost to messages that were in
+	// transit.
 	repairAttempts = 3
 	// maxDeliveries bounds the messages of one round.
 	maxDeliveries = 500
 )
 
 // Settle ends the run without further faults: all members start, all messages arrive, time
-// passes. Then every key must be readable, and a read that is asked to mend must leave all
-// copies alike.
+// passes. Then every key must be readable, and a read with repair must leave all copies alike.
 func (c *Cluster) Settle() {
 	if c.violation != nil {
 		return
@@ -40,7 +38,7 @@
 	c.repairAll()
 }
 
-// runRounds runs until done, or long enough.
+// runRounds runs rounds until done says so, or as many as the end of a run has.
 func (c *Cluster) runRounds(done func() bool) {
 	for range settleRounds {
 		c.deliverAll()
@@ -78,7 +76,8 @@
 	}
 }
 
-// spreadMembership tells all of the newest roster in force, and has those that do not count join.
+// spreadMembership announces the newest membership in force to all, and has those join that do
+// not count.
 func (c *Cluster) spreadMembership() {
 	for _, choice := range c.membershipChoices() {
 		if choice.Kind == announceKind && c.members[choice.Member-1].membershipAcceptor.Current.Epoch > c.members[choice.Other-1].membershipAcceptor.Current.Epoch || choice.Kind == joinKind && c.memberOf(choice).reconfigurer.Idle() {
@@ -87,7 +86,8 @@
 	}
 }
 
-// quiescent tells whether nobody waits and every founder's slot counts.
+// quiescent tells whether no client waits and every running member counts in the newest
+// membership.
 func (c *Cluster) quiescent() bool {
 	for _, cl := range c.clients {
 		if cl.pending != nil {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// repairAll reads every key, asking that copies be mended, and compares the copies.
+// repairAll reads every key with repair and compares the copies.
 func (c *Cluster) repairAll() {
 	for _, k := range c.keys() {
 		if c.violation != nil || !c.repair(k) {
@@ -112,7 +112,8 @@
 	}
 }
 
-// repair asks the first member that counts; it tells whether that was answered.
+// repair sends a read with repair to the first member that counts; it tells whether that
+// succeeded.
 func (c *Cluster) repair(k ident.Key) bool {
 	server := c.servingMember()
 	if server == nil {
@@ -141,11 +142,11 @@
 	}
 }
 
-// checkCopies checks that all disks that count hold what the term of the mending read holds as
-// chosen. A key that never was is left out: a change that a lost term left on a minority
-// of a key without any chosen value stays there until the key's first write.
+// checkCopies checks that all disks that count hold what the term of the repairing read holds as
+// chosen. A key without a chosen value is left out: what an abandoned term left of it on a
+// minority stays there until the key's first write.
 func (c *Cluster) checkCopies(k ident.Key) {
-	for range 3 { // a copy behind a stray promise is mended by the term above it
+	for range 3 { // a copy behind a stray promise is repaired by the term above it
 		c.deliverAll()
 		c.passTime(settleInterval)
 	}
@@ -168,8 +169,8 @@
 	}
 }
 
-// servingMember is a member that counts at the newest roster that any is at, nil if none does. A
-// newer one may be chosen without anyone knowing.
+// servingMember is a member that counts in the newest membership that any member is at, nil if
+// none does. A newer one may be chosen without anyone knowing.
 func (c *Cluster) servingMember() *member {
 	var best *member
 	for _, m := range c.members {
@@ -179,7 +180,3 @@
 	}
 	return best
 }
-
-func describeRecord(record quorum.Record) string {
-	return fmt.Sprintf("ballot %d.%s revision %d", record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
-}
--- a/explore/mutants_test.go
+++ b/explore/mutants_test.go
@@ -10,12 +10,13 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// ciOptions is the bound of these tests; it counts states and walks, so it is the same everywhere.
+// ciOptions are the limits of these tests; they count states and walks, so they are the same on
+// every machine.
 func ciOptions(b cluster.Mutant) explore.Options {
 	return explore.Options{Model: explore.Register, Members: 3, Keys: 2, Operators: 2, Depth: 40, States: 1500, Walks: 1600, Steps: 80, Seed: 1, Mutant: b}
 }
 
-// expectedRules names the invariants that show each break.
+// expectedRules are the invariants that detect each mutant.
 var expectedRules = map[cluster.Mutant][]string{
 	"quorum": {cluster.RuleLost}, "replica": {cluster.RuleLost}, "offer": {cluster.RuleBase}, "lock": {cluster.RuleLock}, "clock": {cluster.RuleLock},
 	"cell-keep": {cluster.RuleLock}, "mend": {cluster.RuleRepaired}, "soft": {cluster.RuleDisk}, "stop": {cluster.RuleStop}, "audit": {cluster.RuleLost, cluster.RuleOrder},
@@ -23,7 +24,7 @@
 	"cell-skip": {cluster.RuleHistory}, "cell-history": {cluster.RuleHistory},
 }
 
-// Every rule that can be broken on purpose is seen to be broken within the bound.
+// Every mutant is found within the limits.
 func TestEveryMutantIsFound(t *testing.T) {
 	for _, name := range explore.MutantNames() {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// What is not broken holds, within the very bound in which each break is found.
+// Without a mutant nothing is violated, within the very limits in which each mutant is found.
 func TestNothingIsViolatedWithoutAMutant(t *testing.T) {
 	done := map[string]bool{}
 	for _, name := range explore.MutantNames() {
@@ -51,12 +52,12 @@
 	}
 }
 
-// The models hold with four members, and membership, which no break concerns, with three.
+// The models hold with four members, and membership, which no mutant concerns, with three.
 func TestModelsHold(t *testing.T) {
 	for _, model := range explore.Models() {
 		for members := 3; members <= 4; members++ {
 			if members == 3 && model != explore.Membership {
-				continue // with the breaks
+				continue // as for the mutants
 			}
 			t.Run(fmt.Sprintf("%s of %d", model, members), func(t *testing.T) {
 				o := ciOptions("")
@@ -67,6 +68,7 @@
 	}
 }
 
+// checkHolds checks that the options are valid and that nothing is violated.
 func checkHolds(t *testing.T, o explore.Options) {
 	t.Parallel()
 	must.Nil(t, o.Validate())
@@ -77,7 +79,7 @@
 	t.Log("\n" + explore.Text(runs))
 }
 
-// Bad options are refused with what is wrong with each.
+// Invalid options are reported with all their faults.
 func TestBadOptions(t *testing.T) {
 	o := ciOptions("nope")
 	o.Members, o.Model, o.Faults = 2, "none", map[cluster.Fault]int{"flood": 1}
--- a/explore/run.go
+++ b/explore/run.go
@@ -7,7 +7,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// SearchRun is one search of a run: of a model, under some faults, breadth first or by walks.
+// SearchRun is one search of a run: of a model and some faults, breadth first or by walks.
 type SearchRun struct {
 	Model       Model
 	Faults      map[cluster.Fault]int
@@ -16,8 +16,8 @@
 	settings cluster.Settings
 }
 
-// Run explores, model after model, every mix of faults breadth first and then by walks. It
-// ends with the first breach, which is that of the last part.
+// Run explores, model after model, every mix of faults breadth first and then by walks. It ends
+// with the first violation, which is that of the last search.
 func Run(o Options) []SearchRun {
 	o = o.Focused()
 	models := []Model{o.Model}
@@ -37,7 +37,7 @@
 	return out
 }
 
-// searchRuns lists the searches of a model. The states to remember are shared out evenly.
+// searchRuns lists the searches of a model.
 func (o Options) searchRuns(model Model) []SearchRun {
 	var out []SearchRun
 	for _, mix := range o.faultMixes(model) {
@@ -47,6 +47,8 @@
 	return append(out, SearchRun{Model: model, Faults: maps.Clone(walkFaults), RandomWalks: true, settings: o.settings(model, walkFaults, operationsPerWalk)})
 }
 
+// search makes the search. The breadth-first searches of a model share the remembered states
+// evenly.
 func (r *SearchRun) search(o Options) {
 	limits := search.Limits{Depth: o.Depth, States: o.States / len(o.faultMixes(r.Model)), Walks: o.Walks, Steps: o.Steps, Seed: o.Seed, Stop: o.Stop}
 	if r.RandomWalks {
--- a/explore/search/breadth.go
+++ b/explore/search/breadth.go
@@ -2,6 +2,7 @@
 
 import (
 	"runtime"
+	"slices"
 	"sync"
 )
 
@@ -13,13 +14,19 @@
 	violation *Violation
 }
 
-// node is a remembered state: the choice that led to it and where from.
+// noParent is the parent of the first state.
+const noParent = -1
+
+// defaultWorkers is how many runs are made at a time at most, if the limits do not say.
+const defaultWorkers = 2
+
+// node is a remembered state: the choice that led to it, and the index of the state before.
 type node struct {
 	parent int32
 	choice Choice
 }
 
-// breadthSearch is a breadth-first search under way.
+// breadthSearch is a breadth-first search in progress.
 type breadthSearch struct {
 	limits   Limits
 	report   Report
@@ -29,11 +36,11 @@
 	ended    bool
 }
 
-// BreadthFirst explores layer by layer until a breach, the bound, or the end. States are
-// remembered by hash alone; a path is made again from its choices.
+// BreadthFirst explores layer by layer until a violation, the limits, or the end. States are
+// remembered by hash alone; a path to one is made again from its choices.
 func BreadthFirst(newSystem Factory, limits Limits) Report {
 	first := newSystem()
-	search := &breadthSearch{limits: limits, seen: map[uint64]bool{first.Hash(): true}, nodes: []node{{parent: -1}}, frontier: []int32{0}}
+	search := &breadthSearch{limits: limits, seen: map[uint64]bool{first.Hash(): true}, nodes: []node{{parent: noParent}}, frontier: []int32{0}}
 	search.report = Report{States: 1, ChoiceCounts: map[Kind]int{}, Violation: first.Violation()}
 	for depth := 1; depth <= limits.Depth && len(search.frontier) > 0 && search.report.Violation == nil; depth++ {
 		if search.exploreLayer(newSystem); search.ended {
@@ -45,38 +52,39 @@
 	return search.report
 }
 
-// exploreLayer explores one layer more.
+// exploreLayer explores one more layer.
 func (s *breadthSearch) exploreLayer(newSystem Factory) {
 	expansions := expandLayer(newSystem, s.limits, s.nodes, s.frontier)
 	s.frontier = nil
-	for _, f := range expansions {
-		if f.skipped {
+	for _, expanded := range expansions {
+		if expanded.skipped {
 			s.ended = true
 			return
 		}
-		for _, choice := range f.successors {
-			if s.record(f.parent, choice); s.ended {
+		for _, reached := range expanded.successors {
+			if s.record(expanded.parent, reached); s.ended {
 				return
 			}
 		}
 	}
 }
 
-// record notes one state reached; the search is full after a breach or the last state.
-func (s *breadthSearch) record(parent int32, choice successor) {
+// record notes one state reached; the search ends at a violation or the last state that is
+// remembered.
+func (s *breadthSearch) record(parent int32, reached successor) {
 	s.report.Runs++
-	s.report.ChoiceCounts[choice.choice.Kind]++
-	if choice.violation != nil {
-		s.report.Violation, s.report.Trace = choice.violation, append(pathTo(s.nodes, parent), choice.choice)
+	s.report.ChoiceCounts[reached.choice.Kind]++
+	if reached.violation != nil {
+		s.report.Violation, s.report.Trace = reached.violation, append(pathTo(s.nodes, parent), reached.choice)
 		s.ended = true
 		return
 	}
-	if s.seen[choice.hash] {
+	if s.seen[reached.hash] {
 		return
 	}
-	s.seen[choice.hash] = true
+	s.seen[reached.hash] = true
 	s.report.States++
-	s.nodes = append(s.nodes, node{parent, choice.choice})
+	s.nodes = append(s.nodes, node{parent, reached.choice})
 	s.frontier = append(s.frontier, int32(len(s.nodes)-1))
 	s.ended = s.report.States >= s.limits.States
 }
@@ -84,29 +92,27 @@
 // pathTo lists the choices that lead to a remembered state.
 func pathTo(nodes []node, index int32) []Choice {
 	var choices []Choice
-	for ; nodes[index].parent >= 0; index = nodes[index].parent {
+	for ; nodes[index].parent != noParent; index = nodes[index].parent {
 		choices = append(choices, nodes[index].choice)
 	}
-	for i, j := 0, len(choices)-1; i < j; i, j = i+1, j-1 {
-		choices[i], choices[j] = choices[j], choices[i]
-	}
+	slices.Reverse(choices)
 	return choices
 }
 
-// expansion is what one remembered state leads to.
+// expansion is what one remembered state leads to; it is skipped if the search was stopped.
 type expansion struct {
 	parent     int32
 	successors []successor
 	skipped    bool
 }
 
-// expandLayer tries every choice of every state of a layer. The families are in the order of the
-// layer, whichever worker made them.
+// expandLayer tries every choice of every state of a layer. The expansions are in the order of
+// the layer, whichever worker made them.
 func expandLayer(newSystem Factory, limits Limits, nodes []node, layer []int32) []expansion {
 	out := make([]expansion, len(layer))
 	workers := limits.Workers
 	if workers <= 0 {
-		workers = min(2, runtime.GOMAXPROCS(0))
+		workers = min(defaultWorkers, runtime.GOMAXPROCS(0))
 	}
 	next := 0
 	var mu sync.Mutex
@@ -145,7 +151,7 @@
 	return out
 }
 
-// replay makes a path's choices anew.
+// replay makes the choices of a path again.
 func replay(newSystem Factory, trace []Choice) System {
 	system := newSystem()
 	for _, choice := range trace {
--- a/explore/search/search.go
+++ b/explore/search/search.go
@@ -11,8 +11,8 @@
 // Kind is the kind of a choice.
 type Kind string
 
-// Choice is one thing that may happen next. Invariant: the same choices from the same
-// beginning lead to the same state, so a list of them is a whole run.
+// Choice is one thing that may happen next. Invariant: the same choices from the same first state
+// lead to the same state, so a list of them is a whole run.
 type Choice struct {
 	Kind Kind `json:"kind"`
 	// Fault says that the choice is a fault, of which there is a bounded number.
@@ -25,7 +25,7 @@
 	Key    int `json:"key,omitempty"`
 	// Operation is what a client asks for.
 	Operation string `json:"deed,omitempty"`
-	// Message names a message on its way by the hash of what it says.
+	// Message identifies a message in transit by the hash of its content.
 	Message uint64 `json:"message,omitempty"`
 	// Mask has one bit for each unsynced write that is kept.
 	Mask uint64 `json:"mask,omitempty"`
@@ -39,19 +39,19 @@
 	Note string `json:"note"`
 }
 
-// String tells rule and note.
+// String returns the rule and the note.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Note) }
 
-// System is one run of what is explored. Invariants: Choices lists in a fixed order; two systems of one
-// Factory with the same Hash have the same choices and, after each of them, the same Hash.
+// System is one run of what is explored. Invariants: Choices lists in a fixed order; two systems
+// of one Factory with the same Hash have the same choices and, after each of them, the same Hash.
 type System interface {
 	// Choices lists what may happen next.
 	Choices() []Choice
-	// Describe tells a choice in words, before it is applied.
+	// Describe describes a choice, before it is applied.
 	Describe(Choice) string
 	// Apply makes one of the choices.
 	Apply(Choice)
-	// Hash names the state.
+	// Hash identifies the state.
 	Hash() uint64
 	// Violation is the invariant that the run so far has broken, nil if none.
 	Violation() *Violation
@@ -62,7 +62,7 @@
 // Factory makes a system in its first state.
 type Factory func() System
 
-// Limits says how far the search goes; 0 of States or Walks is none.
+// Limits say how far searches go; 0 States or Walks are none.
 type Limits struct {
 	// Depth is how many choices long a run of the breadth-first search is.
 	Depth int
@@ -81,11 +81,11 @@
 type Report struct {
 	// States counts the different states met breadth first, Runs the runs made for them.
 	States, Runs int
-	// Depth is the number of choices up to which every order was tried; Whole says that no
+	// Depth is the number of choices up to which every order was tried; Complete says that no
 	// state was left unexplored, so more depth would show nothing new.
 	Depth    int
 	Complete bool
-	// Walks and Met count the random walks and the different states they met.
+	// Walks counts the random walks, WalkStates the different states that they met.
 	Walks, WalkStates int
 	// ChoiceCounts counts the choices made, by kind, over all runs.
 	ChoiceCounts map[Kind]int
@@ -94,7 +94,7 @@
 	Violation *Violation
 }
 
-// shortenTrace makes the trace of a breach shorter, if there is one.
+// shortenTrace shortens the trace of a violation, if there is one.
 func (r *Report) shortenTrace(newSystem Factory) {
 	if r.Violation == nil {
 		return
@@ -105,10 +105,11 @@
 	}
 }
 
+// stopRequested tells whether the search is to end early.
 func (b Limits) stopRequested() bool { return b.Stop != nil && b.Stop() }
 
-// Follow makes those choices of a trace that are possible, and settles unless something
-// broke before. It gives the choices made and the breach.
+// Follow makes those choices of a trace that are possible, and settles unless something was
+// violated before. It returns the choices made and the violation.
 func Follow(newSystem Factory, trace []Choice) (followed []Choice, violation *Violation) {
 	system := newSystem()
 	for _, choice := range trace {
@@ -125,7 +126,7 @@
 	return followed, system.Violation()
 }
 
-// Shorten leaves out choices of a trace without which the same rule still breaks, first many
+// Shorten leaves out choices of a trace without which the same rule is still violated, first many
 // at a time, then one by one.
 func Shorten(newSystem Factory, trace []Choice, rule string) []Choice {
 	for span := max(1, len(trace)/2); span > 0; {
@@ -139,7 +140,7 @@
 	return trace
 }
 
-// removeSpans leaves out span choices in a row wherever the rule still breaks without them.
+// removeSpans leaves out span choices in a row wherever the rule is still violated without them.
 func removeSpans(newSystem Factory, trace []Choice, rule string, span int) []Choice {
 	for start := 0; start+span <= len(trace); {
 		candidate := append(append([]Choice{}, trace[:start]...), trace[start+span:]...)
--- a/explore/search/search_test.go
+++ b/explore/search/search_test.go
@@ -8,8 +8,8 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// jugs is a small system: two jugs of 3 and 5 that are filled, emptied and poured; that one
-// holds 4 breaks its rule.
+// jugs is a small system: two jugs of 3 and 5 that are filled, emptied and poured. It violates
+// its rule when the jug of 5 holds 4.
 type jugs struct{ three, five int }
 
 func (j *jugs) Choices() (out []search.Choice) {
@@ -55,7 +55,7 @@
 
 func (j *jugsWithoutRule) Violation() *search.Violation { return nil }
 
-// Breadth first the shortest run is found, whoever makes the runs.
+// Breadth first the shortest run is found, whichever worker makes the runs.
 func TestBreadthFindsTheShortest(t *testing.T) {
 	for workers := 1; workers <= 3; workers++ {
 		r := search.BreadthFirst(func() search.System { return &jugs{} }, search.Limits{Depth: 20, States: 100, Workers: workers})
@@ -74,7 +74,7 @@
 	must.Eq(t, 10, bounded.States)
 }
 
-// A walk finds it too, and its trace is reduced to no longer one than the shortest.
+// A walk finds it too, and its trace is shortened until no choice can be left out.
 func TestWalksFindAndShorten(t *testing.T) {
 	r := search.RandomWalks(func() search.System { return &jugs{} }, search.Limits{Walks: 20000, Steps: 60, Seed: 3})
 	must.NotNil(t, r.Violation)
--- a/explore/search/walk.go
+++ b/explore/search/walk.go
@@ -15,11 +15,12 @@
 	operation     string
 }
 
+// classOf is the class of a choice.
 func classOf(choice Choice) choiceClass {
 	return choiceClass{choice.Kind, choice.Member, choice.Other, choice.Operation}
 }
 
-// RandomWalks makes random walks until a breach. Each step draws two choices and keeps the one
+// RandomWalks makes random walks until a violation. Each step draws two choices and takes the one
 // whose class was taken less often; a walk that meets no new state for long ends early.
 func RandomWalks(newSystem Factory, limits Limits) Report {
 	g := walkGuide{seen: map[uint64]bool{}, classCounts: map[choiceClass]int{}}
@@ -36,6 +37,7 @@
 // maxStaleSteps is how many steps in a row may meet nothing new before a walk ends.
 const maxStaleSteps = 40
 
+// walk makes the walk with a number.
 func (g *walkGuide) walk(newSystem Factory, limits Limits, number uint64, r *Report) (trace []Choice, violation *Violation) {
 	rng := rand.New(rand.NewPCG(limits.Seed, number))
 	system := newSystem()
@@ -62,8 +64,8 @@
 	return trace, system.Violation()
 }
 
-// calmPercent is how many choices in a hundred go to what is no fault, in a walk of a number:
-// some walks are full of faults, others have long spells between them.
+// calmPercent is how many choices in a hundred are no fault, in the walk with a number: some
+// walks are full of faults, others have long spells between them.
 func calmPercent(number uint64) int {
 	return minCalmPercent + int(number%calmPercentLevels)*calmPercentStep
 }
@@ -74,7 +76,7 @@
 	calmPercentStep   = 10
 )
 
-// draw takes a fault or not by the walk's share, and of two choices the one of the class
+// draw draws a fault or not by the walk's percentage, and of two choices the one of the class
 // that was taken less often.
 func (g *walkGuide) draw(rng *rand.Rand, calmPercent int, choices []Choice) Choice {
 	var calmChoices, faults []Choice
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -11,8 +11,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// Trace is a run that can be made again. Invariant: Lines only say in words what Choices
-// are.
+// Trace is a run that can be made again. Invariant: Lines describe Choices.
 type Trace struct {
 	Settings cluster.Settings  `json:"settings"`
 	Breach   *search.Violation `json:"breach"`
@@ -20,23 +19,23 @@
 	Choices  []search.Choice   `json:"choices"`
 }
 
-// settledLine is the line for the end of a run, where no fault is left.
+// settledLine describes the end of a run, without further faults.
 const settledLine = "all members start, all messages arrive, and every key is read"
 
-// Trace is the run that broke an invariant.
+// Trace is the run that violated an invariant.
 func (r SearchRun) Trace() Trace {
 	t := Trace{Settings: r.settings, Breach: r.Violation, Choices: r.Report.Trace}
 	t.Lines, _, _ = t.Replay()
 	return t
 }
 
-// Encode writes the trace as a file holds it.
+// Encode encodes the trace for a file.
 func (t Trace) Encode() []byte {
 	out, _ := json.MarshalIndent(t, "", "  ")
 	return append(out, '\n')
 }
 
-// Decode reads a file.
+// Decode reads the content of a file.
 func Decode(raw []byte) (Trace, *failure.Error) {
 	var t Trace
 	if err := json.Unmarshal(raw, &t); err != nil {
@@ -48,7 +47,7 @@
 	return t, nil
 }
 
-// Replay makes the choices again and says them; the breach is nil when all held.
+// Replay makes the choices again and describes them; the violation is nil if there is none.
 func (t Trace) Replay() (lines []string, violation *search.Violation, invalid *failure.Error) {
 	s := t.Settings.Factory()()
 	for i, c := range t.Choices {
@@ -66,7 +65,7 @@
 	return lines, s.Violation(), nil
 }
 
-// Text tells what a run explored and found.
+// Text reports what a run explored and found.
 func Text(runs []SearchRun) string {
 	var text strings.Builder
 	for _, run := range runs {
@@ -81,7 +80,7 @@
 	return text.String()
 }
 
-// summary tells one search.
+// summary reports one search.
 func (r SearchRun) summary() string {
 	faults := formatFaults(r.Faults)
 	if r.RandomWalks {
@@ -94,6 +93,7 @@
 	return fmt.Sprintf("%s, %s: %d states by %d runs, %s", r.Model, faults, r.States, r.Runs, bound)
 }
 
+// formatFaults lists limits of faults in a fixed order.
 func formatFaults(limits map[cluster.Fault]int) string {
 	var out []string
 	for _, f := range cluster.Faults() {
--- a/explore/trace_test.go
+++ b/explore/trace_test.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// A saved run breaks the same rule in the same way when it is replayed, found breadth first
-// or by a walk.
+// A saved run violates the same rule in the same way when it is replayed, found breadth first or
+// by a walk.
 func TestReplayFindsTheSameViolation(t *testing.T) {
 	for _, name := range []string{"offer", "cell-old"} {
 		t.Run(name, func(t *testing.T) {
@@ -27,13 +27,13 @@
 	}
 }
 
-// The same options find the same run, however the work is shared out.
+// The same options find the same run, however the work is distributed.
 func TestRunsAreTheSame(t *testing.T) {
 	first, second := explore.Run(ciOptions("cell-old")), explore.Run(ciOptions("cell-old"))
 	must.Eq(t, explore.Text(first), explore.Text(second))
 }
 
-// A file that is no trace, or one whose choices are not possible, is bad input.
+// A file that is no trace, or one whose choices are not possible, is refused.
 func TestBadTraces(t *testing.T) {
 	_, invalid := explore.Decode([]byte("no"))
 	must.NotNil(t, invalid)
