--- a/explore/cluster/actions.go
+++ b/explore/cluster/actions.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if len(m.operations) > 0 {
-		c.violate(RuleStop, "m%d stopped with %d deeds in hand", m.number, len(m.operations))
+		c.violate(RuleStop, "m%d stopped with %d operations in flight", m.number, len(m.operations))
 	}
 	c.crash(m)
 }
--- a/explore/cluster/auditobject.go
+++ b/explore/cluster/auditobject.go
@@ -28,8 +28,8 @@
 func (a *auditObject) prepare(op *clientOperation) (string, json.RawMessage) {
 	op.Floor = a.Floor
 	op.Base = a.Floor
-	leaf := proposal.AuditEntry{Revision: ident.Epoch(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
-	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: leaf})
+	entry := proposal.AuditEntry{Revision: ident.Epoch(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
+	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: entry})
 }
 
 func (a *auditObject) succeeded(c *Cluster, op *clientOperation, _ proposer.Outcome) {
@@ -41,7 +41,7 @@
 	_ = json.Unmarshal(operation.State(found.Value), &log)
 	for _, at := range slices.Sorted(maps.Keys(a.Values)) {
 		if at > uint64(len(log.Entries)) || log.Entries[at-1].SHA256 != a.Values[at] {
-			c.violate(RuleLost, "a majority does not know leaf %d of %s, which was acknowledged", at, a.key())
+			c.violate(RuleLost, "a majority does not know entry %d of %s, which was acknowledged", at, a.key())
 		}
 	}
 }
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -64,25 +64,25 @@
 	}
 	var yes proposal.Accepted
 	_ = json.Unmarshal(out.Body, &yes)
-	epoch := uint64(yes.Revision)
-	old, known := m.Accepted[epoch]
+	revision := uint64(yes.Revision)
+	old, known := m.Accepted[revision]
 	switch {
 	case known && old != op.Content:
-		c.violate(RuleBase, "%s and %s were both taken as epoch %d", old, op.Content, epoch)
-	case !known && epoch <= op.Floor && !op.Resent:
-		c.violate(RuleRepeated, "epoch %d was given after %d", epoch, op.Floor)
+		c.violate(RuleBase, "%s and %s were both accepted as revision %d", old, op.Content, revision)
+	case !known && revision <= op.Floor && !op.Resent:
+		c.violate(RuleRepeated, "revision %d was given after %d", revision, op.Floor)
 	}
 	for _, other := range slices.Sorted(maps.Keys(m.Accepted)) {
-		if m.Accepted[other] == op.Content && other != epoch {
-			c.violate(RuleResend, "%s was taken as epoch %d and, sent again, as %d", op.Content, other, epoch)
+		if m.Accepted[other] == op.Content && other != revision {
+			c.violate(RuleResend, "%s was accepted as revision %d and, resent, as %d", op.Content, other, revision)
 		}
 	}
-	if epoch != op.Base+1 {
-		c.violate(RuleBase, "%s built on epoch %d and was taken as epoch %d, after another on that base", op.Content, op.Base, epoch)
+	if revision != op.Base+1 {
+		c.violate(RuleBase, "%s is based on revision %d and was accepted as revision %d, after another on that base", op.Content, op.Base, revision)
 	}
-	m.Accepted[epoch] = op.Content
-	m.Floor = max(m.Floor, epoch)
-	c.clients[op.Client-1].setBase(op.Object, epoch)
+	m.Accepted[revision] = op.Content
+	m.Floor = max(m.Floor, revision)
+	c.clients[op.Client-1].setBase(op.Object, revision)
 }
 
 // checkRead checks the response to a read.
@@ -90,7 +90,7 @@
 	var held proposal.State
 	_ = json.Unmarshal(out.Body, &held)
 	if uint64(held.Revision) < op.Floor {
-		c.violate(RuleStale, "client %d read epoch %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
+		c.violate(RuleStale, "client %d read revision %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
 	}
 	m.compare(c, held)
 	m.Floor = max(m.Floor, uint64(held.Revision))
@@ -104,18 +104,18 @@
 	}
 	_ = json.Unmarshal(held.Document, &body)
 	if old, known := m.Accepted[uint64(held.Revision)]; known && old != body.By {
-		c.violate(RuleLost, "epoch %d has %s, %s was acknowledged", held.Revision, body.By, old)
+		c.violate(RuleLost, "revision %d has %s, %s was acknowledged", held.Revision, body.By, old)
 	}
 	if m.Rejected[body.By] {
-		c.violate(RuleRejected, "%s was refused and is in force as epoch %d", body.By, held.Revision)
+		c.violate(RuleRejected, "%s was rejected and is in force as revision %d", body.By, held.Revision)
 	}
 }
 
 // checkResend checks the rejection of a proposal: it must not have been accepted before.
 func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
-	for _, epoch := range slices.Sorted(maps.Keys(m.Accepted)) {
-		if op.Resent && m.Accepted[epoch] == op.Content {
-			c.violate(RuleResend, "%s was taken as epoch %d and, sent again, is refused: %s", op.Content, epoch, rejection.Note)
+	for _, revision := range slices.Sorted(maps.Keys(m.Accepted)) {
+		if op.Resent && m.Accepted[revision] == op.Content {
+			c.violate(RuleResend, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Note)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	var held proposal.State
 	_ = json.Unmarshal(operation.State(found.Value), &held)
 	if uint64(held.Revision) < m.Floor {
-		c.violate(RuleLost, "a majority knows epoch %d, %d was acknowledged", held.Revision, m.Floor)
+		c.violate(RuleLost, "a majority knows revision %d, %d was acknowledged", held.Revision, m.Floor)
 		return
 	}
 	if uint64(held.Revision) == m.Floor && m.Floor > 0 {
--- a/explore/cluster/copy_test.go
+++ b/explore/cluster/copy_test.go
@@ -50,8 +50,8 @@
 	run.apply("tell", "m1 tells m2")
 	run.apply("join", "m2")
 	for _, step := range []string{"prepare", "accept"} {
-		run.apply("deliver", "m2 -> m1", "roster "+step)
-		run.apply("deliver", "m2 -> m3", "roster "+step)
+		run.apply("deliver", "m2 -> m1", "membership "+step)
+		run.apply("deliver", "m2 -> m3", "membership "+step)
 	}
 	run.apply("tell", "m2 tells m1")
 	run.apply("tell", "m2 tells m3")
--- a/explore/cluster/describe.go
+++ b/explore/cluster/describe.go
@@ -28,25 +28,25 @@
 		return fmt.Sprintf("client %d asks m%d: %s of %s", choice.Client, choice.Member, choice.Operation, c.objects[choice.Key].key())
 	},
 	search.Kind(Resend): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("client %d sends its last order again, to m%d", choice.Client, choice.Member)
+		return fmt.Sprintf("client %d resends its last proposal to m%d", choice.Client, choice.Member)
 	},
 	deliverKind: func(c *Cluster, choice search.Choice) string { return "deliver " + describeTransit(c, choice) },
 	search.Kind(LateSync): func(c *Cluster, choice search.Choice) string {
 		return "deliver, not synced and not answered yet, " + describeTransit(c, choice)
 	},
 	search.Kind(Duplicate): func(c *Cluster, choice search.Choice) string {
-		return "deliver, with a copy still on its way, " + describeTransit(c, choice)
+		return "deliver, with a copy still in transit, " + describeTransit(c, choice)
 	},
 	search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) string { return "lose " + describeTransit(c, choice) },
 	syncKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d syncs its disk, its returns leave", choice.Member)
+		return fmt.Sprintf("m%d syncs its disk and sends its responses", choice.Member)
 	},
 	startKind: func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d starts", choice.Member) },
 	joinKind: func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d takes the next step towards being counted", choice.Member)
 	},
 	announceKind: func(c *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d tells m%d of roster %d", choice.Member, choice.Other, c.members[choice.Member-1].membershipAcceptor.Current.Epoch)
+		return fmt.Sprintf("m%d tells m%d of membership %d", choice.Member, choice.Other, c.members[choice.Member-1].membershipAcceptor.Current.Epoch)
 	},
 	stopKind: func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d has left and ends", choice.Member)
@@ -58,19 +58,19 @@
 		return fmt.Sprintf("m%d begins a planned stop", choice.Member)
 	},
 	search.Kind(Unheard): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("the others hear m%d no more", choice.Member)
+		return fmt.Sprintf("the others no longer hear m%d", choice.Member)
 	},
 	search.Kind(ClockJump): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d's clock jumps forward by an hour", choice.Member)
 	},
 	search.Kind(Amnesia): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d's replica forgets all", choice.Member)
+		return fmt.Sprintf("m%d's acceptor forgets all", choice.Member)
 	},
 	search.Kind(LinkCut): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("cut m%d from m%d", choice.Member, choice.Other)
 	},
 	search.Kind(DirectedCut): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("cut the way m%d -> m%d", choice.Member, choice.Other)
+		return fmt.Sprintf("cut m%d -> m%d", choice.Member, choice.Other)
 	},
 	search.Kind(TimePasses): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("%v pass", choice.Span.Round(time.Millisecond))
@@ -101,21 +101,21 @@
 	switch {
 	case msg.Request != nil:
 		a := msg.Request
-		return fmt.Sprintf("%s of %s, turn %d, ballot %d.%s, revision %d, roster %d", a.Kind, a.Key, a.Round, a.Ballot.Epoch, a.Ballot.Proposer, a.Revision, a.Membership)
+		return fmt.Sprintf("%s of %s, round %d, ballot %d.%s, revision %d, membership %d", a.Kind, a.Key, a.Round, a.Ballot.Epoch, a.Ballot.Proposer, a.Revision, a.Membership)
 	case msg.Response != nil:
 		r := msg.Response
-		return fmt.Sprintf("return of %s to %s of %s, turn %d, ok %v, promised %d.%s, accepted %d.%s revision %d", r.Disk, r.Kind, r.Key, r.Round, r.OK,
+		return fmt.Sprintf("response of %s to %s of %s, round %d, ok %v, promised %d.%s, accepted %d.%s revision %d", r.Disk, r.Kind, r.Key, r.Round, r.OK,
 			r.Record.Promised.Epoch, r.Record.Promised.Proposer, r.Record.Accepted.Epoch, r.Record.Accepted.Proposer, r.Record.Revision)
 	case msg.MembershipRequest != nil:
 		a := msg.MembershipRequest
-		return fmt.Sprintf("roster %s, turn %d, base %d, ballot %d.%s%s", a.Kind, a.Round, a.Base, a.Ballot.Epoch, a.Ballot.Proposer, describeProposal(a.Next))
+		return fmt.Sprintf("membership %s, round %d, base %d, ballot %d.%s%s", a.Kind, a.Round, a.Base, a.Ballot.Epoch, a.Ballot.Proposer, describeProposal(a.Next))
 	case msg.MembershipResponse != nil:
 		r := msg.MembershipResponse
-		return fmt.Sprintf("return of %s to roster %s, turn %d, base %d, ok %v%s", r.Disk, r.Kind, r.Round, r.Base, r.OK, describeProposal(r.Next))
+		return fmt.Sprintf("response of %s to membership %s, round %d, base %d, ok %v%s", r.Disk, r.Kind, r.Round, r.Base, r.OK, describeProposal(r.Next))
 	case msg.Scan != nil:
-		return fmt.Sprintf("scan, turn %d, roster %d", msg.Scan.Round, msg.Scan.Membership)
+		return fmt.Sprintf("scan, round %d, membership %d", msg.Scan.Round, msg.Scan.Membership)
 	case msg.ScanResponse != nil:
-		return fmt.Sprintf("page of %s, turn %d, %d cells", msg.ScanResponse.Disk, msg.ScanResponse.Round, len(msg.ScanResponse.Rows))
+		return fmt.Sprintf("page of %s, round %d, %d records", msg.ScanResponse.Disk, msg.ScanResponse.Round, len(msg.ScanResponse.Rows))
 	}
 	return "message"
 }
@@ -125,7 +125,7 @@
 	if r == nil {
 		return ""
 	}
-	out := fmt.Sprintf(", roster %d of", r.Epoch)
+	out := fmt.Sprintf(", membership %d of", r.Epoch)
 	for _, v := range r.Voters {
 		out += " " + string(v.Disk)
 		if !v.Counted {
--- a/explore/cluster/keyspaceobject.go
+++ b/explore/cluster/keyspaceobject.go
@@ -36,7 +36,7 @@
 
 func (g *keyspaceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	if out.Failure != nil { // compacted, though no run is as long as the retention
-		c.violate(RuleHistory, "a watch of %s is told that it is too old", g.key())
+		c.violate(RuleHistory, "a watch of %s is compacted too early", g.key())
 		return
 	}
 	if op.Name == "since" {
@@ -65,7 +65,7 @@
 	}
 	for _, revision := range slices.Sorted(maps.Keys(g.Values)) {
 		if revision <= uint64(batch.Revision) && delivered[revision] == "" {
-			c.violate(RuleHistory, "a watch of %s up to %d was not told of %d", g.key(), batch.Revision, revision)
+			c.violate(RuleHistory, "a watch of %s up to %d did not get %d", g.key(), batch.Revision, revision)
 		}
 	}
 }
--- a/explore/cluster/revisionedobject.go
+++ b/explore/cluster/revisionedobject.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if r.Rejected[value] {
-		c.violate(RuleRejected, "%s of %s was refused and is shown at revision %d", value, key, revision)
+		c.violate(RuleRejected, "%s of %s was rejected and is shown at revision %d", value, key, revision)
 	}
 	r.Values[revision] = value
 	r.Floor = max(r.Floor, revision)
--- a/explore/cluster/valueobject.go
+++ b/explore/cluster/valueobject.go
@@ -66,7 +66,7 @@
 			c.violate(RuleLost, "a majority has %s for revision %d of %s, %s was acknowledged", decodeString(change.Value), change.Revision, v.key(), old)
 		}
 		if v.Rejected[decodeString(change.Value)] && uint64(change.Revision) <= v.Floor {
-			c.violate(RuleRejected, "%s of %s was refused and took effect", decodeString(change.Value), v.key())
+			c.violate(RuleRejected, "%s of %s was rejected and took effect", decodeString(change.Value), v.key())
 		}
 	}
 	v.checkHistory(c, k.History, uint64(found.Revision))
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -72,7 +72,7 @@
 		text.WriteString(run.summary() + "\n")
 	}
 	if last := runs[len(runs)-1]; last.Violation != nil {
-		fmt.Fprintf(&text, "breach of %s\n", last.Violation)
+		fmt.Fprintf(&text, "violation of %s\n", last.Violation)
 		for _, line := range last.Trace().Lines {
 			text.WriteString(line + "\n")
 		}
--- a/sim/invariant/call.go
+++ b/sim/invariant/call.go
@@ -87,16 +87,16 @@
 	}
 	rejected := call.Reason == string(failure.Busy)
 	if rejected && call.UrgentInFlight >= call.UrgentCapacity {
-		c.Excuse(UrgentRejected, "urgent calls alone filling its line")
+		c.Excuse(UrgentRejected, "urgent calls alone filling its queue")
 		return
 	}
 	if rejected && call.RejectedAtEndpoint {
-		c.Excuse(UrgentRejected, "no room at its endpoint, which is not its line")
+		c.Excuse(UrgentRejected, "no room at its endpoint, which is not its queue")
 		return
 	}
 	c.Observe(UrgentRejected)
 	if rejected {
-		c.Violate(call.Ended, UrgentRejected, "%s was turned away as busy", call.ID)
+		c.Violate(call.Ended, UrgentRejected, "%s was rejected as busy", call.ID)
 	}
 }
 
@@ -107,6 +107,6 @@
 	}
 	c.Observe(HeldBack)
 	if late := call.Ended.Since(call.LastAttemptEnded); late > maxHoldBack {
-		c.Violate(call.Ended, HeldBack, "%s was told %s %v after it was given up", call.ID, call.Outcome, late)
+		c.Violate(call.Ended, HeldBack, "%s was answered %s %v after it was given up", call.ID, call.Outcome, late)
 	}
 }
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -118,13 +118,13 @@
 func (c *Checker) ConfigShown(at monotime.Time, node string, config *validation.Config, last *ident.Epoch) {
 	c.Observe(ConfigBack)
 	if config.Revision < *last {
-		c.Violate(at, ConfigBack, "%s showed epoch %d after %d", node, config.Revision, *last)
+		c.Violate(at, ConfigBack, "%s showed revision %d after %d", node, config.Revision, *last)
 	}
 	*last = max(*last, config.Revision)
 	c.Observe(ConfigRejected)
 	for _, service := range config.Services {
 		if reason, rejected := c.rejectedProposals[service.Namespace]; rejected {
-			c.Violate(at, ConfigRejected, "%s has epoch %d in force with %s, which was told %s", node, config.Revision, service.Namespace, reason)
+			c.Violate(at, ConfigRejected, "%s has revision %d in force with %s, which was rejected as %s", node, config.Revision, service.Namespace, reason)
 		}
 	}
 }
--- a/sim/invariant/finish.go
+++ b/sim/invariant/finish.go
@@ -51,7 +51,7 @@
 	if call.Outcome == NotExecuted {
 		c.Observe(FalseNotExecuted)
 		if ran.count > 0 {
-			c.Violate(ran.firstArrival, FalseNotExecuted, "%s was told not run (%s) and ran", call.ID, call.Reason)
+			c.Violate(ran.firstArrival, FalseNotExecuted, "%s was reported not executed (%s) and ran", call.ID, call.Reason)
 		}
 	}
 	c.checkUrgent(call)
@@ -59,7 +59,7 @@
 	if call.Outcome == Served {
 		c.Observe(WrongResponse)
 		if ran.count == 0 || !call.Complete {
-			c.Violate(call.Ended, WrongResponse, "%s was served and no endpoint gave a whole return", call.ID)
+			c.Violate(call.Ended, WrongResponse, "%s was served and no endpoint gave a complete response", call.ID)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		retries := i + 1 - countBefore(retriedAt[:i+1], windowStart)
 		calls := countBefore(calledAt, at+1) - countBefore(calledAt, windowStart)
 		if float64(retries) > retryPart*float64(calls)+retriesBeyond {
-			c.Violate(at, RetryBudget, "%d further tries at %s beside %d calls in ten seconds", retries, service, calls)
+			c.Violate(at, RetryBudget, "%d retries of %s beside %d calls in ten seconds", retries, service, calls)
 			return
 		}
 	}
--- a/sim/invariant/keyspace.go
+++ b/sim/invariant/keyspace.go
@@ -134,7 +134,7 @@
 	last := after
 	for _, e := range events {
 		if e.Revision <= last || e.Revision > newest {
-			k.checker.Violate(at, EntryWatch, "a watch of %s after %d up to %d is told %d after %d", keyspace, after, newest, e.Revision, last)
+			k.checker.Violate(at, EntryWatch, "a watch of %s after %d up to %d got %d after %d", keyspace, after, newest, e.Revision, last)
 		}
 		last, watched.delivered[e.Revision] = e.Revision, true
 		k.observeValue(at, entryValue{keyspace, e.Name, e.Value}, e.Revision)
@@ -147,7 +147,7 @@
 func (k *KeyspaceChecker) WatchCompacted(at monotime.Time, keyspace string, after ident.Revision, age, retention time.Duration) {
 	k.checker.Observe(EntryWatch)
 	if age < retention {
-		k.checker.Violate(at, EntryWatch, "a watch of %s after %d is told that it is too old, %v after it was given that", keyspace, after, age)
+		k.checker.Violate(at, EntryWatch, "a watch of %s after %d is compacted %v after it got that revision", keyspace, after, age)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (k *KeyspaceChecker) checkDelivered(watched watchedRange, acknowledged []ident.Revision) {
 	for _, r := range acknowledged {
 		if r > watched.after && r <= watched.newest && !watched.delivered[r] {
-			k.checker.Violate(watched.seenAt, EntryWatch, "a watch of %s after %d up to %d was not told %d", watched.keyspace, watched.after, watched.newest, r)
+			k.checker.Violate(watched.seenAt, EntryWatch, "a watch of %s after %d up to %d did not get %d", watched.keyspace, watched.after, watched.newest, r)
 			return
 		}
 	}
@@ -199,7 +199,7 @@
 		}
 		k.checker.Observe(EntryRejected)
 		if at, ok := k.shownAt[v]; ok {
-			k.checker.Violate(at, EntryRejected, "%s%s=%s is shown, and its put was turned away", v.keyspace, v.name, v.value)
+			k.checker.Violate(at, EntryRejected, "%s%s=%s is shown, and its put was rejected", v.keyspace, v.name, v.value)
 		}
 	}
 }
--- a/sim/scenario/corefaults.go
+++ b/sim/scenario/corefaults.go
@@ -145,7 +145,7 @@
 	if !r.allCoresHealthy() {
 		return 0
 	}
-	r.Tracef("cores are rolled")
+	r.Tracef("cores are restarted one by one")
 	for i, c := range r.Cores {
 		r.After(time.Duration(i)*3*time.Second, func() {
 			if !r.allCoresHealthy() {
--- a/sim/scenario/endpointfaults.go
+++ b/sim/scenario/endpointfaults.go
@@ -106,7 +106,7 @@
 	}
 	duration := r.randomDuration(time.Second, 5*time.Second)
 	old := e.Behavior
-	r.Tracef("endpoint %s loses and garbles returns for %v", e.Server, duration)
+	r.Tracef("endpoint %s loses and garbles responses for %v", e.Server, duration)
 	e.Behavior.NoResponseRate, e.Behavior.GarbageRate = 0.3, 0.3
 	r.After(duration, func() { e.Behavior = old })
 	return duration
@@ -116,7 +116,7 @@
 func (r *Run) badRelease() time.Duration {
 	duration := r.randomDuration(2*time.Second, 8*time.Second)
 	service := r.deployment.Services[r.Rng.IntN(len(r.deployment.Services))].Name
-	r.Tracef("every endpoint of %s loses and garbles returns for %v", service, duration)
+	r.Tracef("every endpoint of %s loses and garbles responses for %v", service, duration)
 	for _, s := range r.Sidecars {
 		for _, e := range s.Endpoints {
 			if e.Service == service {
--- a/sim/scenario/loadfaults.go
+++ b/sim/scenario/loadfaults.go
@@ -9,7 +9,7 @@
 // trafficSurge multiplies the rate of requests.
 func (r *Run) trafficSurge() time.Duration {
 	duration := r.randomDuration(2*time.Second, 5*time.Second)
-	r.Tracef("a crowd for %v", duration)
+	r.Tracef("a surge of requests for %v", duration)
 	r.requestRate *= 3
 	r.After(duration, func() { r.requestRate /= 3 })
 	return duration
@@ -17,7 +17,7 @@
 
 // herd kills many sidecars and one core at once.
 func (r *Run) herd() time.Duration {
-	r.Tracef("a herd of sidecars is killed")
+	r.Tracef("half of the sidecars are killed")
 	r.recordOutage("herd")
 	for i, s := range r.Sidecars {
 		if i%2 == 0 {
@@ -59,7 +59,7 @@
 
 // burst proposes many configurations in a short time.
 func (r *Run) burst() time.Duration {
-	r.Tracef("a burst of manifests")
+	r.Tracef("a burst of proposals")
 	for i := range 12 {
 		r.After(time.Duration(i)*20*time.Millisecond, r.operators.Propose)
 	}
@@ -68,7 +68,7 @@
 
 // configLarge proposes a very large configuration.
 func (r *Run) configLarge() time.Duration {
-	r.Tracef("a very large manifest")
+	r.Tracef("a very large configuration")
 	r.largeConfig = true
 	r.operators.Propose()
 	r.largeConfig = false
@@ -79,7 +79,7 @@
 func (r *Run) overload() time.Duration {
 	duration := r.randomDuration(2*time.Second, 5*time.Second)
 	service := r.deployment.RequestKinds[0].Service
-	r.Tracef("a crowd of five times the rate for %v, and every endpoint of %s is slow", duration, service)
+	r.Tracef("requests at five times the rate for %v, and every endpoint of %s is slow", duration, service)
 	r.requestRate *= 5
 	for _, s := range r.Sidecars {
 		for _, e := range s.Endpoints {
--- a/sim/scenario/machinefaults.go
+++ b/sim/scenario/machinefaults.go
@@ -17,7 +17,7 @@
 func (r *Run) machineSuspend() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(300*time.Millisecond, 20*time.Second)
 	clockStops := r.Rng.IntN(2) == 0
-	r.Tracef("machine %s suspended for %v, clock stands %v", s.Node, duration, clockStops)
+	r.Tracef("machine %s suspended for %v, clock stops %v", s.Node, duration, clockStops)
 	for _, e := range s.Endpoints {
 		e.Hang(duration)
 	}
--- a/sim/scenario/sidecarfaults.go
+++ b/sim/scenario/sidecarfaults.go
@@ -18,7 +18,7 @@
 
 // sidecarRoll restarts a few sidecars one by one, each by a planned stop.
 func (r *Run) sidecarRoll() time.Duration {
-	r.Tracef("sidecars are rolled")
+	r.Tracef("sidecars are restarted one by one")
 	for i := range 3 {
 		s := r.Sidecars[(i+r.Rng.IntN(len(r.Sidecars)))%len(r.Sidecars)]
 		r.After(time.Duration(i)*2500*time.Millisecond, func() {
@@ -56,8 +56,8 @@
 // zoneCut cuts a zone off for a while, as an outage.
 func (r *Run) zoneCut() time.Duration {
 	duration := r.randomDuration(time.Second, 5*time.Second)
-	r.Tracef("a district is cut off for %v", duration)
-	r.recordOutage("district")
+	r.Tracef("a zone is cut off for %v", duration)
+	r.recordOutage("zone")
 	r.cutZone(duration)
 	return duration
 }
--- a/sim/world/admission.go
+++ b/sim/world/admission.go
@@ -72,14 +72,14 @@
 	w.Checker.Observe(invariant.AdmissionDecision)
 	waiting := s.waiters[verdict.ID]
 	if waiting == nil {
-		w.Violate(invariant.AdmissionDecision, "the admission queue of %s told %d of %d, who has a word or waits no more", s.Node, verdict.Decision, verdict.ID)
+		w.Violate(invariant.AdmissionDecision, "the admission queue of %s decided %d about %d, which has a decision or waits no more", s.Node, verdict.Decision, verdict.ID)
 		return
 	}
 	delete(s.waiters, verdict.ID)
 	if verdict.Decision == admission.Reject {
 		w.Checker.Observe(invariant.AdmissionRejected)
 		if waiting.attempt.rejected = true; waiting.attempt.executed {
-			w.Violate(invariant.AdmissionRejected, "%s was turned away by the admission queue of %s and had run", waiting.attempt.queued.record.ID, s.Node)
+			w.Violate(invariant.AdmissionRejected, "%s was rejected by the admission queue of %s and had run", waiting.attempt.queued.record.ID, s.Node)
 		}
 	}
 	generation := s.generation
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -203,7 +203,7 @@
 	}
 	c.world.Checker.Observe(invariant.DroppedInStop)
 	if n := len(c.onEnd); n > 0 {
-		c.world.Violate(invariant.DroppedInStop, "core %s stopped with %d deeds and watches in hand", c.Addr, n)
+		c.world.Violate(invariant.DroppedInStop, "core %s stopped with %d operations and watches in flight", c.Addr, n)
 	}
 	c.Kill(false)
 	then()
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -49,7 +49,7 @@
 func (c *Core) installConfig(raw json.RawMessage) {
 	var state proposal.State
 	if json.Unmarshal(raw, &state) != nil {
-		c.world.Violate(invariant.ResponseDamaged, "core %s read a manifest it can't decode", c.Addr)
+		c.world.Violate(invariant.ResponseDamaged, "core %s read a configuration that it can't decode", c.Addr)
 	}
 	c.world.Checker.Observe(invariant.ResponseDamaged)
 	if state.Revision <= c.configRevision() {
@@ -58,7 +58,7 @@
 	c.world.Checker.Observe(invariant.ConfigInvalid)
 	config, invalid := parseConfig(state.Document)
 	if invalid != nil {
-		c.world.Violate(invariant.ConfigInvalid, "epoch %d in force is invalid: %v", state.Revision, invalid)
+		c.world.Violate(invariant.ConfigInvalid, "revision %d in force is invalid: %v", state.Revision, invalid)
 		return
 	}
 	config.Revision = state.Revision
--- a/sim/world/endpointserve.go
+++ b/sim/world/endpointserve.go
@@ -47,7 +47,7 @@
 func (e *Endpoint) execute(a *admissionAttempt, done func(attempt.Result)) {
 	w := e.world
 	if a.executed = true; a.rejected {
-		w.Violate(invariant.AdmissionRejected, "%s was turned away by the admission queue beside %s and ran", a.queued.record.ID, e.Server)
+		w.Violate(invariant.AdmissionRejected, "%s was rejected by the admission queue beside %s and ran", a.queued.record.ID, e.Server)
 	}
 	e.serve(a.execution, a.queued.record, func(result attempt.Result) {
 		if result.Outcome == attempt.Executed && w.Rng.Float64() < e.Behavior.FailureRate {
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -139,19 +139,19 @@
 	w := o.world
 	var accepted proposal.Accepted
 	if json.Unmarshal(result.Body, &accepted) != nil || accepted.Revision == 0 {
-		w.Violate(invariant.ResponseDamaged, "a yes without epoch")
+		w.Violate(invariant.ResponseDamaged, "a confirmation without revision")
 		return
 	}
 	revision := accepted.Revision
 	w.counters.configsConfirmed++
 	if p.mustFail {
-		w.Violate(invariant.ConfigRejected, "a bad or stale manifest (%s) was confirmed as epoch %d", p.marker, revision)
+		w.Violate(invariant.ConfigRejected, "an invalid or stale proposal (%s) was confirmed as revision %d", p.marker, revision)
 	}
 	if old, ok := o.markerOf[revision]; ok {
-		w.Violate(invariant.SequenceRepeated, "epoch %d was given to %s and %s", revision, old, p.marker)
+		w.Violate(invariant.SequenceRepeated, "revision %d was given to %s and %s", revision, old, p.marker)
 	}
 	if revision <= p.newestBefore {
-		w.Violate(invariant.SequenceRepeated, "epoch %d was given after %d was confirmed", revision, p.newestBefore)
+		w.Violate(invariant.SequenceRepeated, "revision %d was given after %d was confirmed", revision, p.newestBefore)
 	}
 	o.markerOf[revision] = p.marker
 	o.newestConfirmed = max(o.newestConfirmed, revision)
@@ -191,7 +191,7 @@
 		w.Checker.ObserveDelayed(invariant.ConfigLate, cause)
 	}
 	if late {
-		w.Violate(invariant.ConfigLate, "%s has epoch %d more than two seconds after %d was confirmed, waited for the end of %q; %s", s.Node, shown, revision, cause, s.configCache.Describe())
+		w.Violate(invariant.ConfigLate, "%s has revision %d more than two seconds after %d was confirmed, waited for the end of %q; %s", s.Node, shown, revision, cause, s.configCache.Describe())
 	}
 }
 
@@ -223,14 +223,14 @@
 	last := ident.Epoch(0)
 	for _, entry := range entries {
 		if entry.Revision <= last || len(entry.SHA256) != auditHashLength {
-			w.Violate(invariant.AuditLog, "epoch %d stands after %d", entry.Revision, last)
+			w.Violate(invariant.AuditLog, "revision %d stands after %d", entry.Revision, last)
 		}
 		last, logged[entry.Revision] = entry.Revision, true
 	}
 	for _, revision := range slices.Sorted(maps.Keys(o.markerOf)) {
 		w.Checker.Observe(invariant.AuditLog)
 		if !logged[revision] {
-			w.Violate(invariant.AuditLog, "epoch %d was confirmed and is not in the log", revision)
+			w.Violate(invariant.AuditLog, "revision %d was confirmed and is not in the log", revision)
 		}
 	}
 }
@@ -246,12 +246,12 @@
 		c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, finalReadBudget, func(result node.Result) {
 			var state proposal.State
 			if !succeeded(&result, &state) {
-				w.Violate(invariant.SlowRecovery, "core %s can't read the manifest at day's end: %v", c.Addr, result.Failure)
+				w.Violate(invariant.SlowRecovery, "core %s can't read the configuration at day's end: %v", c.Addr, result.Failure)
 				return
 			}
 			w.Checker.Observe(invariant.ConfigRejected)
 			if state.Revision < newest {
-				w.Violate(invariant.ConfigRejected, "core %s reads epoch %d at day's end, %d was confirmed", c.Addr, state.Revision, newest)
+				w.Violate(invariant.ConfigRejected, "core %s reads revision %d at day's end, %d was confirmed", c.Addr, state.Revision, newest)
 			}
 		})
 	}
--- a/sim/world/report.go
+++ b/sim/world/report.go
@@ -27,10 +27,10 @@
 	for _, call := range w.Checker.Calls {
 		outcomes[call.Outcome]++
 	}
-	fmt.Fprintf(b, "calls %d: served %d, not run %d, unknown %d, own node down %d, open %d; runs %d\n", len(w.Checker.Calls), outcomes[invariant.Served],
+	fmt.Fprintf(b, "calls %d: served %d, not executed %d, unknown %d, sidecar down %d, pending %d; executions %d\n", len(w.Checker.Calls), outcomes[invariant.Served],
 		outcomes[invariant.NotExecuted], outcomes[invariant.Unknown], outcomes[invariant.SidecarDown], outcomes[invariant.Pending], len(w.Checker.Executions))
 	n := w.counters
-	fmt.Fprintf(b, "messages %d, lost %d; manifests %d confirmed, %d refused, %d unknown; deeds %d ok, %d no, %d unknown; watches told %d\n",
+	fmt.Fprintf(b, "messages %d, lost %d; configurations %d confirmed, %d rejected, %d unknown; operations %d succeeded, %d rejected, %d unknown; %d watch events\n",
 		w.Links.SentMessages, w.Links.LostMessages, n.configsConfirmed, n.configsRejected, n.configsUnknown,
 		n.operationsSucceeded, n.operationsRejected, n.operationsUnknown, n.watchEvents)
 }
@@ -42,7 +42,7 @@
 	}
 	slices.Sort(w.OperationTimes)
 	at := func(i int) time.Duration { return w.OperationTimes[i].Round(time.Microsecond) }
-	fmt.Fprintf(b, "deeds took: median %v, 99%% %v, 99.9%% %v, most %v\n", at(n/2), at(n*99/100), at(n*999/1000), at(n-1))
+	fmt.Fprintf(b, "operations took: median %v, 99%% %v, 99.9%% %v, most %v\n", at(n/2), at(n*99/100), at(n*999/1000), at(n-1))
 }
 
 // writeFirstViolation shows the earliest violation with the trace before it.
@@ -57,7 +57,7 @@
 		}
 	}
 	seconds := time.Duration(first.At).Seconds()
-	fmt.Fprintf(b, "first breach at %.3fs: %s: %s\n", seconds, first.Rule, first.Note)
+	fmt.Fprintf(b, "first violation at %.3fs: %s: %s\n", seconds, first.Rule, first.Note)
 	for _, line := range w.Trace {
 		var at float64
 		if _, err := fmt.Sscanf(strings.TrimSpace(line), "%fs", &at); err == nil && at < seconds+0.001 && at > seconds-traceBefore {
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -172,7 +172,7 @@
 	}
 	s.world.Checker.Observe(invariant.DroppedInStop)
 	if s.inFlight > 0 {
-		s.world.Violate(invariant.DroppedInStop, "%s stopped with %d requests in hand", s.Node, s.inFlight)
+		s.world.Violate(invariant.DroppedInStop, "%s stopped with %d requests in flight", s.Node, s.inFlight)
 	}
 	s.Kill()
 	then()
--- a/sim/world/watcher.go
+++ b/sim/world/watcher.go
@@ -121,7 +121,7 @@
 	for i, event := range events {
 		w.counters.watchEvents++
 		if want := since + ident.Revision(i) + 1; since != 0 && event.Revision != want {
-			w.Violate(invariant.WatchForgotten, "%s: told revision %d, wanted %d", key, event.Revision, want)
+			w.Violate(invariant.WatchForgotten, "%s: got revision %d, wanted %d", key, event.Revision, want)
 		}
 	}
 }
