--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -94,19 +94,19 @@
 	must.Less(t, len(source.source.Raw)/2, wholeBytes) // compressed
 	change(2, 600)
 	must.Less(t, 400, fetch())
-	must.Eq(t, int64(1), s.Metrics.Counter("deltas_applied").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasApplied).Load())
 
 	change(3, 700)
 	corrupted := *history.Since(2)
 	corrupted.Digest = strings.Repeat("0", 64)
 	source.source.DeltaFrom = func(ident.Epoch) *delta.Delta { return &corrupted }
 	must.Greater(t, wholeBytes/2, fetch())
-	must.Eq(t, int64(1), s.Metrics.Counter("deltas_refused").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasRejected).Load())
 
 	source.old = true
 	change(4, 800)
 	must.Greater(t, len(source.source.Raw), fetch())
-	must.Eq(t, int64(1), s.Metrics.Counter("deltas_applied").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasApplied).Load())
 
 	source.old, source.queries = false, nil
 	must.NoError(t, s.fetchConfig(from))
--- a/daemon/sidecar/configwatch_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -78,7 +78,7 @@
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
 	s := startRenewingSidecar(t, a.serve(t), b.serve(t))
-	for s.Metrics.Counter("renewals_failed").Load() < renewalsFailed {
+	for s.Metrics.Counter(counterRenewalsFailed).Load() < renewalsFailed {
 		time.Sleep(10 * time.Millisecond)
 	}
 	must.Eq(t, 1, a.polls.Load()+b.polls.Load())
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -34,7 +34,7 @@
 	result, retryAfter := send(90_000)
 	must.Eq(t, resultNoCapacity, result)
 	must.NotEq(t, "", retryAfter)
-	must.Eq(t, int64(1), s.Metrics.Counter("link_turned_away").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterOutboundLinkFull).Load())
 	result, _ = send(0)
 	must.Eq(t, resultRejected, result)
 }
--- a/daemon/sidecar/renewal_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -46,14 +46,14 @@
 	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(answerNow) })
 	s.renew(core, record.Renewal{})
 	must.Greater(t, holder.RenewTimeout, time.Since(began))
-	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
-	must.Eq(t, int64(1), s.Metrics.Counter("renewals_late").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterRenewalsFailed).Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterRenewalsLate).Load())
 	s.mu.Lock()
 	must.True(t, s.config.cache.ShouldAskPeers(s.clock().Add(time.Second), s.clock().Add(time.Second), 6))
 	s.mu.Unlock()
 
 	s.renew(core, record.Renewal{})
-	must.Eq(t, int64(1), s.Metrics.Counter("renewals_failed").Load())
+	must.Eq(t, int64(1), s.Metrics.Counter(counterRenewalsFailed).Load())
 	must.Eq(t, int64(1), connections.Load())
 }
 
