--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -1,5 +1,5 @@
 // Package ident holds the small types that identify things in the mesh, so that a disk is not
-// taken for a node, nor an epoch for a revision.
+// taken for a node, nor a lease's epoch for a configuration's revision.
 package ident
 
 import (
@@ -42,9 +42,19 @@
 // Zone is a failure zone.
 type Zone string
 
-// Epoch counts the terms of proposers, memberships, leases, and the revisions of the
-// configuration. Invariant: each series only rises.
-type Epoch uint64
+// LeaseEpoch counts the leases of the sidecars. Invariant: it only rises.
+type LeaseEpoch uint64
+
+// MembershipEpoch numbers the memberships, the lists of the disks that vote. Invariant: it rises
+// by one from a membership to the next.
+type MembershipEpoch uint64
+
+// BallotEpoch counts the terms of proposers. Invariant: it only rises.
+type BallotEpoch uint64
+
+// ConfigRevision is a revision of the configuration: the Revision of the control key that holds
+// it. Invariant: it only rises.
+type ConfigRevision uint64
 
 // Revision counts the changes of one control key. Invariant: it rises by one with each change
 // and never restarts, not even when the key is deleted.
@@ -62,8 +72,8 @@
 // Ballot orders the terms of one key, as in Paxos. Invariant: Proposer holds the process's own
 // instance ID, so that a restarted proposer never reuses a ballot.
 type Ballot struct {
-	Epoch    Epoch  `json:"e"`
-	Proposer string `json:"o,omitempty"`
+	Epoch    BallotEpoch `json:"e"`
+	Proposer string      `json:"o,omitempty"`
 }
 
 // Zero tells whether it is the ballot before every term. It is not named IsZero: encoding/json
--- a/capacity/process/message.go
+++ b/capacity/process/message.go
@@ -50,10 +50,10 @@
 
 // Condition is what nodes are waited for to know. What is left empty is not asked for.
 type Condition struct {
-	Revision  ident.Epoch `json:"epoch,omitempty"`   // in force, or a newer one
-	Ready     bool        `json:"ready,omitempty"`   // the node itself
-	Healthy   []Endpoint  `json:"servers,omitempty"` // endpoints known as healthy
-	Unhealthy []Endpoint  `json:"gone,omitempty"`    // endpoints not known as healthy any more
+	Revision  ident.ConfigRevision `json:"epoch,omitempty"`   // in force, or a newer one
+	Ready     bool                 `json:"ready,omitempty"`   // the node itself
+	Healthy   []Endpoint           `json:"servers,omitempty"` // endpoints known as healthy
+	Unhealthy []Endpoint           `json:"gone,omitempty"`    // endpoints not known as healthy any more
 }
 
 // Endpoint names one endpoint of the mesh.
--- a/capacity/testbed/operator.go
+++ b/capacity/testbed/operator.go
@@ -23,7 +23,7 @@
 
 // Propose sends a configuration to a core of the first region until it is confirmed, within
 // the timeout, and returns its revision. All tries have one idempotency key.
-func (m *Mesh) Propose(method string, config plan.Config, timeout time.Duration) (ident.Epoch, error) {
+func (m *Mesh) Propose(method string, config plan.Config, timeout time.Duration) (ident.ConfigRevision, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Malformed, "configuration")
@@ -47,7 +47,7 @@
 }
 
 // proposeOnce sends a configuration once. status is 0 when there was no response.
-func (m *Mesh) proposeOnce(method string, raw []byte, key string) (revision ident.Epoch, status int, err error) {
+func (m *Mesh) proposeOnce(method string, raw []byte, key string) (revision ident.ConfigRevision, status int, err error) {
 	request, err := http.NewRequest(method, "http://"+string(m.coreAddrs[0])+"/manifest", bytes.NewReader(raw))
 	if err != nil {
 		return 0, 0, failure.Wrap(err, failure.Malformed, "configuration")
@@ -60,7 +60,7 @@
 	body, _ := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	var confirmed struct {
-		Revision ident.Epoch `json:"epoch"`
+		Revision ident.ConfigRevision `json:"epoch"`
 	}
 	if response.StatusCode == http.StatusOK && json.Unmarshal(body, &confirmed) == nil {
 		return confirmed.Revision, response.StatusCode, nil
--- a/control/audit/segment/segment_test.go
+++ b/control/audit/segment/segment_test.go
@@ -20,7 +20,7 @@
 	var value json.RawMessage
 	for i, step := range []struct {
 		index    int
-		revision ident.Epoch
+		revision ident.ConfigRevision
 		want     failure.Kind
 	}{
 		{1, 1, failure.Conflict}, // an entry is missing before it
--- a/control/audit/tree/log_test.go
+++ b/control/audit/tree/log_test.go
@@ -13,7 +13,7 @@
 func makeLeaves(n int) []proposal.AuditEntry {
 	var out []proposal.AuditEntry
 	for i := range n {
-		out = append(out, proposal.AuditEntry{Revision: ident.Epoch(i*2 + 1), SHA256: fmt.Sprintf("%064x", i)})
+		out = append(out, proposal.AuditEntry{Revision: ident.ConfigRevision(i*2 + 1), SHA256: fmt.Sprintf("%064x", i)})
 	}
 	return out
 }
--- a/control/config/delta/delta.go
+++ b/control/config/delta/delta.go
@@ -19,15 +19,15 @@
 // a JSON merge patch (RFC 7396), applied to the configuration of From gives one whose
 // encoding has the SHA-256 sum Digest; Apply rejects any other result.
 type Delta struct {
-	From   ident.Epoch     `json:"from"`
-	To     ident.Epoch     `json:"to"`
-	Digest string          `json:"digest"`
-	Patch  json.RawMessage `json:"patch"`
+	From   ident.ConfigRevision `json:"from"`
+	To     ident.ConfigRevision `json:"to"`
+	Digest string               `json:"digest"`
+	Patch  json.RawMessage      `json:"patch"`
 }
 
 // Snapshot is one configuration with its revision, in parsed and in stored form.
 type Snapshot struct {
-	Revision ident.Epoch
+	Revision ident.ConfigRevision
 	Tree     map[string]any
 	Raw      json.RawMessage
 }
--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -15,7 +15,7 @@
 )
 
 // newSnapshot returns a snapshot in the form that a core stores.
-func newSnapshot(t testing.TB, revision ident.Epoch, raw string) Snapshot {
+func newSnapshot(t testing.TB, revision ident.ConfigRevision, raw string) Snapshot {
 	t.Helper()
 	tree, err := decode.Parse([]byte(raw))
 	must.Nil(t, err)
@@ -23,7 +23,7 @@
 }
 
 // manyRoutes returns a configuration of routes, the first with a timeout of its own.
-func manyRoutes(t testing.TB, revision ident.Epoch, routes, timeout int) Snapshot {
+func manyRoutes(t testing.TB, revision ident.ConfigRevision, routes, timeout int) Snapshot {
 	routeObjects := map[string]any{}
 	for i := range routes {
 		routeObjects[fmt.Sprintf("route-%d", i)] = map[string]any{"host": "a.example", "pathStart": fmt.Sprintf("/p%d/", i), "service": "s", "timeoutMs": 500}
@@ -52,7 +52,7 @@
 			got, err := delta.Apply(from.Raw)
 			must.Nil(t, err, must.Sprint(before, after))
 			must.Eq(t, string(to.Raw), string(got.Raw))
-			must.Eq(t, ident.Epoch(7), got.Revision)
+			must.Eq(t, ident.ConfigRevision(7), got.Revision)
 		}
 	}
 	must.Greater(t, 100, made)
@@ -109,10 +109,10 @@
 // and stays within its bounds; the snapshot before the newest is always retained.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
-	for revision := ident.Epoch(1); revision <= 3*maxHistorySnapshots; revision++ {
+	for revision := ident.ConfigRevision(1); revision <= 3*maxHistorySnapshots; revision++ {
 		h.Add(manyRoutes(t, revision, 30, int(revision)))
 		h.Add(manyRoutes(t, revision, 30, 77)) // the same revision again is ignored
-		for from := ident.Epoch(0); from <= revision+1; from++ {
+		for from := ident.ConfigRevision(0); from <= revision+1; from++ {
 			delta := h.Since(from)
 			must.Eq(t, delta != nil, from > 0 && from < revision && from+maxHistorySnapshots > revision, must.Sprint(from, revision))
 			if delta != nil {
--- a/control/config/delta/history.go
+++ b/control/config/delta/history.go
@@ -18,7 +18,7 @@
 // the newest snapshot only, with nil for those that are not worth sending.
 type History struct {
 	snapshots []Snapshot
-	deltas    map[ident.Epoch]*Delta
+	deltas    map[ident.ConfigRevision]*Delta
 }
 
 // Add appends a snapshot; one that is not newer than the newest is ignored.
@@ -27,7 +27,7 @@
 		return
 	}
 	h.snapshots = append(h.snapshots, snapshot)
-	h.deltas = map[ident.Epoch]*Delta{}
+	h.deltas = map[ident.ConfigRevision]*Delta{}
 	for len(h.snapshots) > 2 && (len(h.snapshots) > maxHistorySnapshots || h.bytes() > maxHistoryBytes) {
 		h.snapshots = slices.Delete(h.snapshots, 0, 1)
 	}
@@ -43,7 +43,7 @@
 
 // Since returns the delta from a revision to the newest one. It is nil if the revision is not
 // retained, is the newest, or is too different.
-func (h *History) Since(from ident.Epoch) *Delta {
+func (h *History) Since(from ident.ConfigRevision) *Delta {
 	if d, known := h.deltas[from]; known {
 		return d
 	}
--- a/control/config/history/log.go
+++ b/control/config/history/log.go
@@ -20,7 +20,7 @@
 
 // Change is one accepted proposal with the revision and the version that it made.
 type Change struct {
-	Revision    ident.Epoch
+	Revision    ident.ConfigRevision
 	Version     uint64
 	Fingerprint Fingerprint
 }
@@ -30,22 +30,22 @@
 // fall; a proposal that names a base version is accepted only while that version is the
 // newest, and raises it.
 type Log struct {
-	BaseRevision ident.Epoch `json:"e"`
-	BaseVersion  uint64      `json:"r"`
+	BaseRevision ident.ConfigRevision `json:"e"`
+	BaseVersion  uint64               `json:"r"`
 	// Encoded holds for each change the increment of the version, incrementEnd, and the
 	// fingerprint.
 	Encoded string `json:"c"`
 }
 
 // New returns a log that remembers nothing up to a revision and its version.
-func New(revision ident.Epoch, version uint64) Log {
+func New(revision ident.ConfigRevision, version uint64) Log {
 	return Log{BaseRevision: revision, BaseVersion: version}
 }
 
 // ContinueAt returns the log if it reaches the given revision and version, else a new one
 // that starts there. Processes of a release without logs drop the log when they accept a
 // change, so a log may be missing or too short.
-func (l *Log) ContinueAt(revision ident.Epoch, version uint64) Log {
+func (l *Log) ContinueAt(revision ident.ConfigRevision, version uint64) Log {
 	if l != nil {
 		if last := l.last(); last.Revision == revision && last.Version == version {
 			return *l
@@ -87,7 +87,7 @@
 
 // StatusOnRevision returns the status of a proposal that builds on a revision. It can only
 // have made the next revision.
-func (l Log) StatusOnRevision(base ident.Epoch, fingerprint Fingerprint) (Status, Change) {
+func (l Log) StatusOnRevision(base ident.ConfigRevision, fingerprint Fingerprint) (Status, Change) {
 	if base < l.BaseRevision {
 		return Forgotten, Change{}
 	}
@@ -95,7 +95,7 @@
 	if index := uint64(base - l.BaseRevision); index < uint64(len(changes)) {
 		return compareFingerprint(changes[index], fingerprint)
 	}
-	if base == l.BaseRevision+ident.Epoch(len(changes)) {
+	if base == l.BaseRevision+ident.ConfigRevision(len(changes)) {
 		return Undecided, Change{}
 	}
 	return NotAccepted, Change{}
--- a/control/config/history/log_test.go
+++ b/control/config/history/log_test.go
@@ -34,14 +34,14 @@
 			version += []uint64{0, 1, 1, 1, 7, 1 << 40}[rng.IntN(6)]
 			fingerprint := history.FingerprintOf(fmt.Sprint(seed, i))
 			log = log.Append(version, fingerprint)
-			all = append(all, recordedChange{history.Change{Revision: ident.Epoch(i + 1), Version: version, Fingerprint: fingerprint}, previous, version > previous})
+			all = append(all, recordedChange{history.Change{Revision: ident.ConfigRevision(i + 1), Version: version, Fingerprint: fingerprint}, previous, version > previous})
 			if i%37 != 36 && i != changes-1 {
 				continue
 			}
 			raw, err := json.Marshal(log)
 			must.NoError(t, err)
 			must.NoError(t, json.Unmarshal(raw, &log))
-			must.Eq(t, log, (&log).ContinueAt(ident.Epoch(i+1), version))
+			must.Eq(t, log, (&log).ContinueAt(ident.ConfigRevision(i+1), version))
 			for index, past := range all {
 				remembered := len(all)-index <= history.MaxEntries
 				checkStatus(t, log.StatusOnRevision, past.Revision-1, past, remembered)
@@ -57,9 +57,9 @@
 			must.Eq(t, history.Undecided, status)
 			status, _ = log.StatusOnVersion(version+1, history.FingerprintOf("new"))
 			must.Eq(t, history.NotAccepted, status)
-			status, _ = log.StatusOnRevision(ident.Epoch(i+1), history.FingerprintOf("new"))
+			status, _ = log.StatusOnRevision(ident.ConfigRevision(i+1), history.FingerprintOf("new"))
 			must.Eq(t, history.Undecided, status)
-			status, _ = log.StatusOnRevision(ident.Epoch(i+2), history.FingerprintOf("new"))
+			status, _ = log.StatusOnRevision(ident.ConfigRevision(i+2), history.FingerprintOf("new"))
 			must.Eq(t, history.NotAccepted, status)
 		}
 	}
--- a/control/config/proposal/audit.go
+++ b/control/config/proposal/audit.go
@@ -14,7 +14,7 @@
 
 // AuditEntry records the configuration of one revision for the audit log.
 type AuditEntry struct {
-	Revision ident.Epoch `json:"epoch"`
+	Revision ident.ConfigRevision `json:"epoch"`
 	// SHA256 is the sum of the whole document as it is stored and read back.
 	SHA256  string `json:"sha256"`
 	Partial bool   `json:"partial,omitempty"`
@@ -23,18 +23,18 @@
 // AuditArgs are the arguments of a read of the audit entries. Invariant: the audit log holds
 // every entry up to the revision After.
 type AuditArgs struct {
-	After ident.Epoch `json:"after,omitempty"`
+	After ident.ConfigRevision `json:"after,omitempty"`
 }
 
 // auditedThrough is the revision up to which the audit log holds every entry, as far as the
 // proposer knows in its term. A new proposer knows nothing and drops no entry until a read of
 // the entries names the revision.
-type auditedThrough ident.Epoch
+type auditedThrough ident.ConfigRevision
 
 // pendingAuditEntries returns the entries that the audit log is not known to hold.
 func (s *State) pendingAuditEntries(context proposer.Context) []AuditEntry {
 	audited, _ := context.Decoded.(auditedThrough)
-	return slices.DeleteFunc(s.AuditEntries, func(entry AuditEntry) bool { return entry.Revision <= ident.Epoch(audited) })
+	return slices.DeleteFunc(s.AuditEntries, func(entry AuditEntry) bool { return entry.Revision <= ident.ConfigRevision(audited) })
 }
 
 // newestEntries returns the last maxAuditEntries entries.
--- a/control/config/proposal/proposal.go
+++ b/control/config/proposal/proposal.go
@@ -35,7 +35,7 @@
 	Partial bool `json:"partial,omitempty"`
 	Kind    Kind `json:"kind,omitempty"`
 	// BaseRevision, when given, is the revision that the proposal builds on.
-	BaseRevision *ident.Epoch `json:"baseEpoch,omitempty"`
+	BaseRevision *ident.ConfigRevision `json:"baseEpoch,omitempty"`
 	// BaseVersion, when given, is the version that the proposal builds on, 0 for none yet; the
 	// proposal must then have a higher version.
 	BaseVersion *uint64 `json:"baseRelease,omitempty"`
@@ -49,8 +49,8 @@
 
 // Accepted is the response to an accepted proposal.
 type Accepted struct {
-	Revision ident.Epoch `json:"epoch"`
-	Version  uint64      `json:"release,omitempty"`
+	Revision ident.ConfigRevision `json:"epoch"`
+	Version  uint64               `json:"release,omitempty"`
 }
 
 func (a Args) kind() Kind {
--- a/control/config/proposal/proposal_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -24,7 +24,7 @@
 	revision ident.Revision
 }
 
-func (f *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.Epoch) proposer.Result {
+func (f *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.ConfigRevision) proposer.Result {
 	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer",
 		Args: operation.Encode(proposal.Args{Partial: isPatch, BaseRevision: base, Body: json.RawMessage(body)})})
 	if result.Changed {
@@ -87,7 +87,7 @@
 		result := f.proposeOnRevision("1", body, false, nil)
 		must.NotNil(t, result.Failure, must.Sprint(body))
 		must.StrContains(t, result.Failure.Error(), want)
-		must.Eq(t, ident.Epoch(1), f.read().Revision)
+		must.Eq(t, ident.ConfigRevision(1), f.read().Revision)
 	}
 	f := &fixture{}
 	many := `{"ways":{` + strings.Repeat("", 0)
@@ -114,5 +114,5 @@
 	must.StrContains(t, result.Failure.Error(), "ways.v.service")
 	must.Nil(t, f.proposeOnRevision("3", `{"services":{"b.x":null},"ways":{"v":null}}`, true, nil).Failure)
 	must.StrNotContains(t, string(f.read().Document), "b.x")
-	must.Eq(t, ident.Epoch(3), f.read().Revision)
+	must.Eq(t, ident.ConfigRevision(3), f.read().Revision)
 }
--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -94,7 +94,7 @@
 		return next, failure.New(failure.Oversize, "a configuration has at most %d bytes", validation.MaxBytes)
 	}
 	next = State{
-		Revision:     ident.Epoch(context.Revision) + 1,
+		Revision:     ident.ConfigRevision(context.Revision) + 1,
 		Version:      max(s.Version, config.Version),
 		AllowUnknown: allowUnknown,
 		Document:     encoded,
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -30,7 +30,7 @@
 	return proposal.Args{Kind: kind, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(body)}
 }
 
-func argsOnRevision(base ident.Epoch, body string) proposal.Args {
+func argsOnRevision(base ident.ConfigRevision, body string) proposal.Args {
 	return proposal.Args{Kind: proposal.MergePatch, BaseRevision: &base, Body: json.RawMessage(body)}
 }
 
--- a/control/config/proposal/size_test.go
+++ b/control/config/proposal/size_test.go
@@ -50,7 +50,7 @@
 	for _, changes := range []uint64{0, 300, 1000} {
 		for ; version < 1+changes; version++ {
 			if version%auditInterval == 0 {
-				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.Epoch(current.revision)}).Failure)
+				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.ConfigRevision(current.revision)}).Failure)
 			}
 			must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, fmt.Sprintf(`{"release":%d}`, version+1))).Failure)
 		}
@@ -69,7 +69,7 @@
 		version := current.read().Version
 		must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, fmt.Sprintf(`{"release":%d}`, version+1))).Failure)
 	}
-	revisions := func(after ident.Epoch) (out []ident.Epoch) {
+	revisions := func(after ident.ConfigRevision) (out []ident.ConfigRevision) {
 		result := current.apply("manifest/lines", proposal.AuditArgs{After: after})
 		must.False(t, result.Changed)
 		var all []proposal.AuditEntry
@@ -82,18 +82,18 @@
 	for range 4 {
 		change()
 	}
-	must.Eq(t, []ident.Epoch{1, 2, 3, 4, 5}, revisions(0))
+	must.Eq(t, []ident.ConfigRevision{1, 2, 3, 4, 5}, revisions(0))
 	revisions(3)
 	revisions(2) // from a reader that lags behind another
 	change()
-	must.Eq(t, []ident.Epoch{4, 5, 6}, revisions(0))
+	must.Eq(t, []ident.ConfigRevision{4, 5, 6}, revisions(0))
 	revisions(6)
 	current.decoded = nil // a new proposer
 	change()
-	must.Eq(t, []ident.Epoch{4, 5, 6, 7}, revisions(7))
+	must.Eq(t, []ident.ConfigRevision{4, 5, 6, 7}, revisions(7))
 	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, string(current.read().Document))).Failure)
 	change()
-	must.Eq(t, []ident.Epoch{8}, revisions(0))
+	must.Eq(t, []ident.ConfigRevision{8}, revisions(0))
 }
 
 // routeList returns the routes of a large configuration.
@@ -117,7 +117,7 @@
 		sent := 0
 		for ; version < 1+changes; version++ {
 			if version%3 == 0 {
-				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.Epoch(current.revision)}).Failure)
+				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.ConfigRevision(current.revision)}).Failure)
 			}
 			base := quorum.Record{Accepted: ballot, Revision: current.revision, Value: current.value}
 			change := fmt.Sprintf(`{"release":%d,"upsert":{"ways":{"r-%07x":{"host":"new%d.example","timeoutMs":500,"service":"a"}}}}`, version+1, version%500*7919, version)
--- a/control/config/proposal/state.go
+++ b/control/config/proposal/state.go
@@ -16,7 +16,7 @@
 // version, each change raises it.
 type State struct {
 	// Revision is the revision of the control key at which Document came into force.
-	Revision ident.Epoch `json:"epoch"`
+	Revision ident.ConfigRevision `json:"epoch"`
 	// Version is the number that the operators gave the document.
 	Version uint64 `json:"release,omitempty"`
 	// AllowUnknown says that Document may have unknown fields and free names.
@@ -57,5 +57,5 @@
 
 // readRevision responds with the newest revision, which is that of the control key.
 func readRevision(context proposer.Context, _, _ json.RawMessage) operation.Result {
-	return operation.Result{Body: operation.Encode(Accepted{Revision: ident.Epoch(context.Revision)})}
+	return operation.Result{Body: operation.Encode(Accepted{Revision: ident.ConfigRevision(context.Revision)})}
 }
--- a/control/config/proposal/version_test.go
+++ b/control/config/proposal/version_test.go
@@ -203,7 +203,7 @@
 	must.NotNil(t, f.proposeOnRevision("3", fullConfig(8, `,"x":1`), false, nil).Failure)
 	must.Nil(t, f.proposeOnRevision("4", validConfig, false, nil).Failure)
 	must.Eq(t, 7, f.read().Version)
-	must.Eq(t, ident.Epoch(3), f.read().Revision)
+	must.Eq(t, ident.ConfigRevision(3), f.read().Revision)
 	must.Eq(t, failure.Invalid, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(7, "")).Failure.Kind)
 	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(8, "")).Failure)
 }
@@ -212,7 +212,7 @@
 // rejected proposal.
 func TestRevisionIsThatOfTheNewest(t *testing.T) {
 	f := &fixture{}
-	readRevision := func() ident.Epoch {
+	readRevision := func() ident.ConfigRevision {
 		result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
 		must.False(t, result.Changed)
 		var accepted proposal.Accepted
--- a/control/config/validation/config.go
+++ b/control/config/validation/config.go
@@ -13,7 +13,7 @@
 // path prefix.
 type Config struct {
 	// Revision is that of the control key that stores the configuration.
-	Revision ident.Epoch
+	Revision ident.ConfigRevision
 	// Version is the author's own rising number, 0 if none is given.
 	Version  uint64
 	Limits   Limits
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -18,9 +18,9 @@
 	MaxRunIDBytes = 32
 	// firstBatchEpoch is where the lease epochs of batches start: above any epoch of a release
 	// that counted them for each node.
-	firstBatchEpoch ident.Epoch = 1 << 20
+	firstBatchEpoch ident.LeaseEpoch = 1 << 20
 	// maxReportedEpoch bounds the epochs that a core may report, so that epochs never run out.
-	maxReportedEpoch ident.Epoch = 1 << 62
+	maxReportedEpoch ident.LeaseEpoch = 1 << 62
 )
 
 // Joiner is one node of a batch. A node that joins again with the same run gets the same
@@ -32,7 +32,7 @@
 	// Total is as in Args.
 	Total int `json:"total,omitempty"`
 	// KnownEpoch is a lease epoch of this node that the core knows of; the new one is higher.
-	KnownEpoch ident.Epoch `json:"above,omitempty"`
+	KnownEpoch ident.LeaseEpoch `json:"above,omitempty"`
 }
 
 // JoinArgs are the arguments of a join.
@@ -42,8 +42,8 @@
 
 // Joined is the response for one node; the response to a batch holds them in its order.
 type Joined struct {
-	LeaseEpoch ident.Epoch `json:"claim"`
-	Share      Share       `json:"share"`
+	LeaseEpoch ident.LeaseEpoch `json:"claim"`
+	Share      Share            `json:"share"`
 }
 
 // join gives each node of a batch a lease epoch above every earlier one, and its share. All
@@ -96,7 +96,7 @@
 
 // highestEpoch returns an epoch that no earlier one is above. A release that does not know
 // HighestEpoch may have dropped it, so the epochs of the nodes count too.
-func (s State) highestEpoch() ident.Epoch {
+func (s State) highestEpoch() ident.LeaseEpoch {
 	highest := max(s.HighestEpoch, firstBatchEpoch)
 	for _, grant := range s.Nodes {
 		highest = max(highest, grant.LeaseEpoch)
@@ -112,7 +112,7 @@
 }
 
 // knownEpoch returns KnownEpoch, 0 if it is higher than any epoch can be.
-func (j Joiner) knownEpoch() ident.Epoch {
+func (j Joiner) knownEpoch() ident.LeaseEpoch {
 	if j.KnownEpoch > maxReportedEpoch {
 		return 0
 	}
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -80,7 +80,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := &fixture{t: t}
-		lastEpoch := map[ident.Node]ident.Epoch{}
+		lastEpoch := map[ident.Node]ident.LeaseEpoch{}
 		totals := []int{60, 178, 208}
 		for range 40 {
 			before, sumBefore := State{}, 0
--- a/control/coordination/quota/quota.go
+++ b/control/coordination/quota/quota.go
@@ -24,8 +24,8 @@
 
 // Args are the arguments of the operations on one node.
 type Args struct {
-	Node       ident.Node  `json:"node"`
-	LeaseEpoch ident.Epoch `json:"claim"`
+	Node       ident.Node       `json:"node"`
+	LeaseEpoch ident.LeaseEpoch `json:"claim"`
 	// Used, when given, promises that the node spent at most that much of its share in the
 	// last window, and will spend no more until it is granted more.
 	Used *int   `json:"using,omitempty"`
--- a/control/coordination/quota/quota_test.go
+++ b/control/coordination/quota/quota_test.go
@@ -59,7 +59,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := &fixture{t: t}
 		totals := []int{208, 50}
-		seq, epochs := map[int]uint64{}, map[int]ident.Epoch{}
+		seq, epochs := map[int]uint64{}, map[int]ident.LeaseEpoch{}
 		node := func(i int) ident.Node { return ident.Node(fmt.Sprint(i)) }
 		for range 400 {
 			i := rng.IntN(20)
--- a/control/coordination/quota/state.go
+++ b/control/coordination/quota/state.go
@@ -27,10 +27,10 @@
 // of the newest request, and older requests have no effect; SmallestTotal is the smallest
 // total that any request of this lease epoch was made under, so it only falls.
 type Grant struct {
-	LeaseEpoch    ident.Epoch `json:"claim"`
-	Share         int         `json:"n"`
-	Seq           uint64      `json:"seq,omitempty"`
-	SmallestTotal int         `json:"of,omitempty"`
+	LeaseEpoch    ident.LeaseEpoch `json:"claim"`
+	Share         int              `json:"n"`
+	Seq           uint64           `json:"seq,omitempty"`
+	SmallestTotal int              `json:"of,omitempty"`
 	// Run identifies the run of the sidecar that LeaseEpoch was given to; empty if it gave none.
 	Run string `json:"run,omitempty"`
 }
@@ -53,7 +53,7 @@
 type State struct {
 	Nodes map[ident.Node]Grant `json:"nodes"`
 	// HighestEpoch is the highest lease epoch that a batch of joins was given; it only rises.
-	HighestEpoch ident.Epoch `json:"claims,omitempty"`
+	HighestEpoch ident.LeaseEpoch `json:"claims,omitempty"`
 }
 
 // smallestTotal returns the smallest total of any grant, 0 if there is none.
--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -54,9 +54,9 @@
 	// ReceivedSeq is the newest heartbeat that was received at all; 0 if that is AckSeq.
 	ReceivedSeq uint64 `json:"heard,omitempty"`
 	// LeaseChecksum is that of the leases that are registered at the sender.
-	LeaseChecksum   uint64      `json:"sum,omitempty"`
-	MembershipEpoch ident.Epoch `json:"at,omitempty"`
-	ConfigRevision  ident.Epoch `json:"manifest"`
+	LeaseChecksum   uint64                `json:"sum,omitempty"`
+	MembershipEpoch ident.MembershipEpoch `json:"at,omitempty"`
+	ConfigRevision  ident.ConfigRevision  `json:"manifest"`
 	// ConfigAgeMs is how many milliseconds ago, plus one, the sender knew that nothing newer than
 	// ConfigRevision was confirmed; 0 if it never did.
 	ConfigAgeMs int64 `json:"ageMs,omitempty"`
--- a/control/core/node/audit.go
+++ b/control/core/node/audit.go
@@ -15,7 +15,7 @@
 // auditState is the end of the audit log as this core last read or wrote it. Both revision,
 // the newest in the log, and length, the number of its entries, only rise.
 type auditState struct {
-	revision ident.Epoch
+	revision ident.ConfigRevision
 	length   int
 	readAt   monotime.Time
 }
@@ -70,7 +70,7 @@
 }
 
 // appendAudit appends the entries after a revision to the audit log, one after the other.
-func (n *Node) appendAudit(now monotime.Time, index int, audited ident.Epoch, entries []proposal.AuditEntry, fx *Effects) {
+func (n *Node) appendAudit(now monotime.Time, index int, audited ident.ConfigRevision, entries []proposal.AuditEntry, fx *Effects) {
 	for len(entries) > 0 && entries[0].Revision <= audited {
 		entries = entries[1:]
 	}
--- a/control/core/node/audit_test.go
+++ b/control/core/node/audit_test.go
@@ -81,6 +81,6 @@
 	entries := cluster.auditLog(t)
 	must.Eq(t, int(release), len(entries))
 	for i, l := range entries {
-		must.Eq(t, ident.Epoch(i+1), l.Revision)
+		must.Eq(t, ident.ConfigRevision(i+1), l.Revision)
 	}
 }
--- a/control/core/node/freshness.go
+++ b/control/core/node/freshness.go
@@ -97,7 +97,7 @@
 }
 
 // heldRevision returns the revision of the configuration that this core serves, 0 if it has none.
-func (n *Node) heldRevision() ident.Epoch {
+func (n *Node) heldRevision() ident.ConfigRevision {
 	if held := n.Leases.Config(); held != nil {
 		return held.Revision
 	}
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -33,9 +33,9 @@
 // Joined is the body of the Result of a join. No configuration newer than ConfigRevision was
 // confirmed before the join came in.
 type Joined struct {
-	LeaseEpoch     ident.Epoch `json:"claim"`
-	Share          quota.Share `json:"share"`
-	ConfigRevision ident.Epoch `json:"manifest"`
+	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
+	Share          quota.Share          `json:"share"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
 }
 
 // joinBatch is the batch in progress. Its operations run concurrently, and it ends with the
@@ -45,7 +45,7 @@
 	size           int
 	remaining      int
 	entered        []quota.Joined
-	configRevision ident.Epoch
+	configRevision ident.ConfigRevision
 	failure        *failure.Error
 }
 
--- a/control/core/node/join_test.go
+++ b/control/core/node/join_test.go
@@ -53,7 +53,7 @@
 		idle := newThreeCores(t)
 		idleRounds := idle.quorumRounds()
 		idle.advance(500 * time.Millisecond)
-		leaseEpochs := map[ident.Epoch]bool{}
+		leaseEpochs := map[ident.LeaseEpoch]bool{}
 		for n := range c.joins {
 			leaseEpochs[cluster.joinResult(t, uint64(n+1)).LeaseEpoch] = true
 		}
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -41,7 +41,7 @@
 	// Leases holds the sidecars that are registered here and at other cores.
 	Leases *leasetable.Table
 	// ConfigRevision is the newest configuration revision that is known to be confirmed.
-	ConfigRevision ident.Epoch
+	ConfigRevision ident.ConfigRevision
 	// AntiEntropyPasses counts the passes that were begun here, Repaired the keys whose copies
 	// they found to differ.
 	AntiEntropyPasses uint64
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -271,7 +271,7 @@
 	if learned.Key != proposal.Key {
 		return
 	}
-	n.ConfigRevision = max(n.ConfigRevision, ident.Epoch(learned.Revision))
+	n.ConfigRevision = max(n.ConfigRevision, ident.ConfigRevision(learned.Revision))
 	// If this disk took part in the round, it holds the value already.
 	held := n.acceptor.Peek(learned.Key)
 	if !learned.Ballot.Zero() && held.Accepted == learned.Ballot && held.Revision == learned.Revision {
--- a/control/core/node/operations_test.go
+++ b/control/core/node/operations_test.go
@@ -33,7 +33,7 @@
 	must.NotNil(t, cluster.ticketResult(2))
 	must.Less(t, 400*time.Millisecond, cluster.now.Since(began))
 	must.Eq(t, `{"number":1}`, string(cluster.ticketResult(2).Body))
-	must.Eq(t, ident.Epoch(1), cluster.nodes[survivor].Membership().Epoch)
+	must.Eq(t, ident.MembershipEpoch(1), cluster.nodes[survivor].Membership().Epoch)
 }
 
 // A forward that is duplicated or repeated takes effect once, and a lost result is sent again.
--- a/control/core/node/partition_test.go
+++ b/control/core/node/partition_test.go
@@ -199,7 +199,7 @@
 }
 
 // holdConfig has a core hold the configuration of a revision, as the daemon does once it has read it.
-func (cluster *threeCores) holdConfig(core ident.Addr, revision ident.Epoch) {
+func (cluster *threeCores) holdConfig(core ident.Addr, revision ident.ConfigRevision) {
 	cluster.nodes[core].Leases.SetConfig(&validation.Config{Revision: revision})
 }
 
--- a/control/core/node/restart_test.go
+++ b/control/core/node/restart_test.go
@@ -62,6 +62,6 @@
 		must.SliceNotEmpty(t, cluster.confirmed[a], must.Sprint(a))
 		var held proposal.State
 		must.NoError(t, json.Unmarshal([]byte(cluster.confirmed[a][0]), &held))
-		must.Eq(t, ident.Epoch(1), held.Revision)
+		must.Eq(t, ident.ConfigRevision(1), held.Revision)
 	}
 }
--- a/control/core/node/silence.go
+++ b/control/core/node/silence.go
@@ -18,7 +18,7 @@
 type silenceRound struct {
 	round uint64
 	// leaseEpochs are those of the shares when the round began.
-	leaseEpochs map[ident.Node]ident.Epoch
+	leaseEpochs map[ident.Node]ident.LeaseEpoch
 	// confirmedBy holds, for each node, the voters that have not heard it either.
 	confirmedBy map[ident.Node]map[ident.Disk]bool
 }
@@ -42,7 +42,7 @@
 func (n *Node) beginSilenceRound(shares quota.State, silent []ident.Node, fx *Effects) {
 	round := silenceRound{
 		round:       n.nextNumber(),
-		leaseEpochs: map[ident.Node]ident.Epoch{},
+		leaseEpochs: map[ident.Node]ident.LeaseEpoch{},
 		confirmedBy: map[ident.Node]map[ident.Disk]bool{},
 	}
 	for _, node := range silent {
--- a/control/core/node/votercopy.go
+++ b/control/core/node/votercopy.go
@@ -21,7 +21,7 @@
 type voterCopy struct {
 	inProgress bool
 	// epoch is that of the membership whose records were copied and synced.
-	epoch ident.Epoch
+	epoch ident.MembershipEpoch
 	// syncRound numbers the notice that the copy is synced, 0 if none is awaited.
 	syncRound uint64
 	writtenAt monotime.Time
@@ -34,7 +34,7 @@
 }
 
 // beginCopy reads every record from a majority of the counted voters.
-func (n *Node) beginCopy(now monotime.Time, epoch ident.Epoch, fx *Effects) {
+func (n *Node) beginCopy(now monotime.Time, epoch ident.MembershipEpoch, fx *Effects) {
 	n.voterCopy.inProgress = true
 	n.startRead(now, &pendingRead{deadline: now.Add(copyBudget), onDone: n.storeCopies(epoch)}, "", true, n.Disk, fx)
 }
@@ -43,7 +43,7 @@
 // The copy is complete only once it is synced: this core sends itself a notice of that, which
 // SplitDurable holds back until then. A disk that counted sooner and then lost power would
 // count without the values that it is counted for.
-func (n *Node) storeCopies(epoch ident.Epoch) readFunc {
+func (n *Node) storeCopies(epoch ident.MembershipEpoch) readFunc {
 	return func(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 		if reader == nil || n.membership.Current.Epoch != epoch {
 			n.voterCopy.inProgress = false
--- a/control/leasetable/feed.go
+++ b/control/leasetable/feed.go
@@ -11,7 +11,7 @@
 // Config is the newest configuration that this core knows, nil if none.
 func (t *Table) Config() *validation.Config { return t.config }
 
-func (t *Table) configRevision() ident.Epoch {
+func (t *Table) configRevision() ident.ConfigRevision {
 	if t.config == nil {
 		return 0
 	}
--- a/control/leasetable/members.go
+++ b/control/leasetable/members.go
@@ -7,16 +7,16 @@
 
 // Member is one sidecar as this core sees it.
 type Member struct {
-	Node       ident.Node  `json:"node"`
-	Addr       ident.Addr  `json:"addr"`
-	Zone       ident.Zone  `json:"district"`
-	LeaseEpoch ident.Epoch `json:"claim"`
+	Node       ident.Node       `json:"node"`
+	Addr       ident.Addr       `json:"addr"`
+	Zone       ident.Zone       `json:"district"`
+	LeaseEpoch ident.LeaseEpoch `json:"claim"`
 	// ConfigRevision is that of the sidecar's last renewal here, or of the last change that its
 	// registrar passed on.
-	ConfigRevision ident.Epoch `json:"manifest"`
-	Ready          bool        `json:"ready"`
-	Lapsed         bool        `json:"lapsed"`
-	Servers        int         `json:"servers"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
+	Ready          bool                 `json:"ready"`
+	Lapsed         bool                 `json:"lapsed"`
+	Servers        int                  `json:"servers"`
 }
 
 // Members lists the sidecars by name.
@@ -39,7 +39,7 @@
 }
 
 // LeaseEpoch is the epoch of the newest lease of a sidecar that is known here, 0 if none.
-func (t *Table) LeaseEpoch(node ident.Node) ident.Epoch {
+func (t *Table) LeaseEpoch(node ident.Node) ident.LeaseEpoch {
 	if e := t.entries[node]; e != nil {
 		return e.report.LeaseEpoch
 	}
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -10,7 +10,7 @@
 
 // leaseVersion is the newest that a registrar has of one sidecar.
 type leaseVersion struct {
-	epoch ident.Epoch
+	epoch ident.LeaseEpoch
 	seq   uint64
 }
 
@@ -56,7 +56,7 @@
 }
 
 // keepsAlive tells whether the registrar was heard lately and lists a sidecar under that lease.
-func (r *registrar) keepsAlive(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) bool {
+func (r *registrar) keepsAlive(now monotime.Time, node ident.Node, leaseEpoch ident.LeaseEpoch) bool {
 	version, ok := r.leases[node]
 	return ok && version.epoch == leaseEpoch && now.Since(r.lastHeard) <= LeaseTTL
 }
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -60,12 +60,12 @@
 }
 
 // hasVersion tells whether the report is that of a lease and a Seq.
-func (e *entry) hasVersion(leaseEpoch ident.Epoch, seq uint64) bool {
+func (e *entry) hasVersion(leaseEpoch ident.LeaseEpoch, seq uint64) bool {
 	return e.report.LeaseEpoch == leaseEpoch && e.report.Seq == seq
 }
 
 // knowsNewer tells whether the report is newer than one of that lease and Seq.
-func (e *entry) knowsNewer(leaseEpoch ident.Epoch, seq uint64) bool {
+func (e *entry) knowsNewer(leaseEpoch ident.LeaseEpoch, seq uint64) bool {
 	return leaseEpoch < e.report.LeaseEpoch || leaseEpoch == e.report.LeaseEpoch && seq < e.report.Seq
 }
 
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -14,7 +14,7 @@
 
 func timeAt(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-func newRenewal(node ident.Node, leaseEpoch ident.Epoch, seq, number uint64) record.Renewal {
+func newRenewal(node ident.Node, leaseEpoch ident.LeaseEpoch, seq, number uint64) record.Renewal {
 	return record.Renewal{Node: node, LeaseEpoch: leaseEpoch, Seq: seq, Number: number, Report: &record.Report{Node: node, LeaseEpoch: leaseEpoch, Seq: seq}}
 }
 
@@ -146,7 +146,7 @@
 	_, _ = registrar.Renew(timeAt(0), newRenewal("a", 2, 3, 1))
 	update, _ := registrar.PendingUpdate()
 	for _, c := range []struct {
-		leaseEpoch   ident.Epoch
+		leaseEpoch   ident.LeaseEpoch
 		seq          uint64
 		knowsReport  bool
 		reportWanted bool
--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -41,25 +41,25 @@
 
 // Request asks a disk for its vote. Base is the epoch of the membership that the change is based on.
 type Request struct {
-	Kind   Kind               `json:"kind"`
-	Round  uint64             `json:"turn"`
-	Base   ident.Epoch        `json:"base"`
-	Ballot ident.Ballot       `json:"ballot"`
-	Disk   ident.Disk         `json:"disk,omitempty"`
-	Next   *quorum.Membership `json:"next,omitempty"`
+	Kind   Kind                  `json:"kind"`
+	Round  uint64                `json:"turn"`
+	Base   ident.MembershipEpoch `json:"base"`
+	Ballot ident.Ballot          `json:"ballot"`
+	Disk   ident.Disk            `json:"disk,omitempty"`
+	Next   *quorum.Membership    `json:"next,omitempty"`
 }
 
 // Response answers a Request. Heard lists the disks that the voter has heard lately.
 type Response struct {
-	Kind     Kind               `json:"kind"`
-	Round    uint64             `json:"turn"`
-	Base     ident.Epoch        `json:"base"`
-	Disk     ident.Disk         `json:"disk"`
-	OK       bool               `json:"ok"`
-	Promised ident.Ballot       `json:"promised"`
-	Accepted ident.Ballot       `json:"taken"`
-	Next     *quorum.Membership `json:"next,omitempty"`
-	Heard    []ident.Disk       `json:"alive,omitempty"`
+	Kind     Kind                  `json:"kind"`
+	Round    uint64                `json:"turn"`
+	Base     ident.MembershipEpoch `json:"base"`
+	Disk     ident.Disk            `json:"disk"`
+	OK       bool                  `json:"ok"`
+	Promised ident.Ballot          `json:"promised"`
+	Accepted ident.Ballot          `json:"taken"`
+	Next     *quorum.Membership    `json:"next,omitempty"`
+	Heard    []ident.Disk          `json:"alive,omitempty"`
 }
 
 // Acceptor is the acceptor of one disk.
--- a/control/membership/reconfiguration/reconfiguration_test.go
+++ b/control/membership/reconfiguration/reconfiguration_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-func membershipOf(epoch ident.Epoch, voters ...quorum.Voter) quorum.Membership {
+func membershipOf(epoch ident.MembershipEpoch, voters ...quorum.Voter) quorum.Membership {
 	return quorum.Membership{Epoch: epoch, Voters: voters}
 }
 
@@ -89,7 +89,7 @@
 			if next == nil {
 				continue
 			}
-			must.Eq(t, ident.Epoch(2), next.Epoch)
+			must.Eq(t, ident.MembershipEpoch(2), next.Epoch)
 			if chosenNext != nil {
 				must.Eq(t, chosenNext.Voters, next.Voters, must.Sprintf("seed %d: two memberships at one epoch", seed))
 			}
--- a/control/membership/reconfiguration/reconfigurer.go
+++ b/control/membership/reconfiguration/reconfigurer.go
@@ -50,7 +50,7 @@
 	roundBegan   monotime.Time
 	lastSent     monotime.Time
 	pausedUntil  monotime.Time
-	highestEpoch ident.Epoch
+	highestEpoch ident.BallotEpoch
 	change       Change
 }
 
--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -101,7 +101,7 @@
 // Step serves one request at the given membership epoch. The last result is false when no
 // response is to be sent. The response may be sent only once the records, and those of all
 // earlier steps, are synced.
-func (a *Acceptor) Step(membership ident.Epoch, request quorum.Request) (quorum.Response, []ring.Record, bool) {
+func (a *Acceptor) Step(membership ident.MembershipEpoch, request quorum.Request) (quorum.Response, []ring.Record, bool) {
 	serve, known := a.handlers[request.Kind]
 	if !known || request.Membership != membership || membership == 0 {
 		return quorum.Response{}, nil, false
--- a/control/register/acceptor/scan.go
+++ b/control/register/acceptor/scan.go
@@ -17,7 +17,7 @@
 
 // Scan serves one page of records, or the digests of all buckets. It returns false when the scan
 // is not to be responded to.
-func (a *Acceptor) Scan(membership ident.Epoch, scan quorum.Scan) (quorum.ScanResponse, bool) {
+func (a *Acceptor) Scan(membership ident.MembershipEpoch, scan quorum.Scan) (quorum.ScanResponse, bool) {
 	response := quorum.ScanResponse{Round: scan.Round, Disk: a.Disk, Membership: membership, After: scan.After}
 	if scan.Membership != membership || membership == 0 || scan.Buckets < 0 || scan.Buckets > maxBuckets {
 		return response, false
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -26,17 +26,17 @@
 	key            ident.Key
 	stage          stage
 	ballot         ident.Ballot
-	membership     ident.Epoch
+	membership     ident.MembershipEpoch
 	round          uint64
 	request        quorum.Request
 	responses      map[ident.Disk]quorum.Response
 	roundBegan     monotime.Time
-	lastSent       monotime.Time // when the round was sent last
-	began          monotime.Time // when the term became established
-	pausedUntil    monotime.Time // no prepare before, after one that was rejected
-	tries          int           // prepares in a row that were rejected
-	highestEpoch   ident.Epoch   // of all ballots that were seen
-	acceptedBallot ident.Ballot  // under which revision and value were accepted
+	lastSent       monotime.Time     // when the round was sent last
+	began          monotime.Time     // when the term became established
+	pausedUntil    monotime.Time     // no prepare before, after one that was rejected
+	tries          int               // prepares in a row that were rejected
+	highestEpoch   ident.BallotEpoch // of all ballots that were seen
+	acceptedBallot ident.Ballot      // under which revision and value were accepted
 	revision       ident.Revision
 	value          json.RawMessage
 	decoded        any // of value, or of proposed while a round is out
--- a/control/register/quorum/membership.go
+++ b/control/register/quorum/membership.go
@@ -16,8 +16,8 @@
 
 // Membership is the voters of one epoch.
 type Membership struct {
-	Epoch  ident.Epoch `json:"epoch"`
-	Voters []Voter     `json:"voters"`
+	Epoch  ident.MembershipEpoch `json:"epoch"`
+	Voters []Voter               `json:"voters"`
 	// MajorityOverride, when set, replaces the majority; only the simulator sets it, to check
 	// that its invariants find a quorum that is too small.
 	MajorityOverride int `json:"-"`
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -23,13 +23,13 @@
 // proposer process; a request that is resent keeps its round. Read repair has round 0 and is not
 // responded to.
 type Request struct {
-	Kind       Kind            `json:"kind"`
-	Round      uint64          `json:"turn"`
-	Membership ident.Epoch     `json:"roster"`
-	Key        ident.Key       `json:"key"`
-	Ballot     ident.Ballot    `json:"ballot"`
-	Revision   ident.Revision  `json:"rev,omitempty"`
-	Value      json.RawMessage `json:"value,omitempty"`
+	Kind       Kind                  `json:"kind"`
+	Round      uint64                `json:"turn"`
+	Membership ident.MembershipEpoch `json:"roster"`
+	Key        ident.Key             `json:"key"`
+	Ballot     ident.Ballot          `json:"ballot"`
+	Revision   ident.Revision        `json:"rev,omitempty"`
+	Value      json.RawMessage       `json:"value,omitempty"`
 	// Patch stands for Value in a PatchAccept.
 	Patch *Patch `json:"patch,omitempty"`
 	// Held names, in a prepare, an accepted state whose value the proposer holds, so that the
@@ -54,11 +54,11 @@
 // synced. Record is empty when a patch was accepted; Record.Value is set for a prepare alone, and
 // not for the state that the request named as held.
 type Response struct {
-	Kind       Kind        `json:"kind"`
-	Round      uint64      `json:"turn"`
-	Disk       ident.Disk  `json:"disk"`
-	Membership ident.Epoch `json:"roster"`
-	Key        ident.Key   `json:"key"`
-	OK         bool        `json:"ok"`
-	Record     Record      `json:"cell"`
+	Kind       Kind                  `json:"kind"`
+	Round      uint64                `json:"turn"`
+	Disk       ident.Disk            `json:"disk"`
+	Membership ident.MembershipEpoch `json:"roster"`
+	Key        ident.Key             `json:"key"`
+	OK         bool                  `json:"ok"`
+	Record     Record                `json:"cell"`
 }
--- a/control/register/quorum/scan.go
+++ b/control/register/quorum/scan.go
@@ -12,11 +12,11 @@
 // Scan asks an acceptor for its records below a prefix, a page at a time. With Buckets it asks
 // for a digest of each bucket of keys instead or, with OnlyBuckets, for the records of those.
 type Scan struct {
-	Round      uint64      `json:"turn"`
-	Membership ident.Epoch `json:"roster"`
-	Prefix     string      `json:"prefix"`
-	After      ident.Key   `json:"after,omitempty"`
-	Values     bool        `json:"values,omitempty"`
+	Round      uint64                `json:"turn"`
+	Membership ident.MembershipEpoch `json:"roster"`
+	Prefix     string                `json:"prefix"`
+	After      ident.Key             `json:"after,omitempty"`
+	Values     bool                  `json:"values,omitempty"`
 
 	Buckets     int   `json:"buckets,omitempty"`
 	OnlyBuckets []int `json:"only,omitempty"`
@@ -49,11 +49,11 @@
 
 // ScanResponse answers a Scan with one page.
 type ScanResponse struct {
-	Round      uint64      `json:"turn"`
-	Disk       ident.Disk  `json:"disk"`
-	Membership ident.Epoch `json:"roster"`
-	After      ident.Key   `json:"after,omitempty"`
-	Rows       []Row       `json:"rows,omitempty"`
-	More       bool        `json:"more,omitempty"`
-	Digest     []byte      `json:"digest,omitempty"` // of all buckets, when that was asked for
+	Round      uint64                `json:"turn"`
+	Disk       ident.Disk            `json:"disk"`
+	Membership ident.MembershipEpoch `json:"roster"`
+	After      ident.Key             `json:"after,omitempty"`
+	Rows       []Row                 `json:"rows,omitempty"`
+	More       bool                  `json:"more,omitempty"`
+	Digest     []byte                `json:"digest,omitempty"` // of all buckets, when that was asked for
 }
--- a/control/registry/record/build.go
+++ b/control/registry/record/build.go
@@ -39,7 +39,7 @@
 	if config == nil {
 		return set
 	}
-	set.LeaseEpoch = config.Revision
+	set.LeaseEpoch = ident.LeaseEpoch(config.Revision) // it orders the versions of this set
 	hosts := hostsByService(config)
 	for _, service := range config.Services {
 		set.Records = append(set.Records, Address{Service: &Service{
--- a/control/registry/record/record.go
+++ b/control/registry/record/record.go
@@ -71,11 +71,11 @@
 // LeaseEpoch is its revision. Invariants: only the author changes its records; its versions are
 // ordered by (LeaseEpoch, Seq, ConfigRevision), which only rises.
 type Set struct {
-	Author     ident.Node  `json:"author"`
-	LeaseEpoch ident.Epoch `json:"claim"`
-	Seq        uint64      `json:"seq"`
+	Author     ident.Node       `json:"author"`
+	LeaseEpoch ident.LeaseEpoch `json:"claim"`
+	Seq        uint64           `json:"seq"`
 	// ConfigRevision is that of the configuration with which the records were built.
-	ConfigRevision ident.Epoch `json:"built"`
+	ConfigRevision ident.ConfigRevision `json:"built"`
 	// Lapsed tells whether the author's lease has lapsed, in the view of the core that gives the
 	// set.
 	Lapsed  bool      `json:"lapsed,omitempty"`
@@ -95,15 +95,15 @@
 
 // Report is what a sidecar reports of its machine.
 type Report struct {
-	Node           ident.Node  `json:"node"`
-	Addr           ident.Addr  `json:"addr"`
-	Zone           ident.Zone  `json:"district"`
-	LeaseEpoch     ident.Epoch `json:"claim"`
-	Seq            uint64      `json:"seq"`
-	ConfigRevision ident.Epoch `json:"manifest"`
-	Ready          bool        `json:"ready"`
-	Leaving        bool        `json:"leaving,omitempty"`
-	Workloads      []Workload  `json:"workloads"`
+	Node           ident.Node           `json:"node"`
+	Addr           ident.Addr           `json:"addr"`
+	Zone           ident.Zone           `json:"district"`
+	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
+	Seq            uint64               `json:"seq"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
+	Ready          bool                 `json:"ready"`
+	Leaving        bool                 `json:"leaving,omitempty"`
+	Workloads      []Workload           `json:"workloads"`
 }
 
 // SameExceptLoad tells whether two reports are the same but for the workloads' load, which travels
--- a/control/registry/record/renewal.go
+++ b/control/registry/record/renewal.go
@@ -9,11 +9,11 @@
 // Seq) still holds; a renewal without AttemptCounts that they have not changed. Invariant: Number
 // rises with every renewal of one run of a sidecar.
 type Renewal struct {
-	Node           ident.Node  `json:"node"`
-	LeaseEpoch     ident.Epoch `json:"claim"`
-	Seq            uint64      `json:"seq"`
-	Number         uint64      `json:"beat"`
-	ConfigRevision ident.Epoch `json:"manifest"`
+	Node           ident.Node           `json:"node"`
+	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
+	Seq            uint64               `json:"seq"`
+	Number         uint64               `json:"beat"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	// CoresVersion is that of the list of cores that the sidecar has.
 	CoresVersion  string                                 `json:"view,omitempty"`
 	Report        *Report                                `json:"report,omitempty"`
@@ -28,8 +28,8 @@
 	// voters has heard of.
 	AcknowledgedRenewal uint64 `json:"took,omitempty"`
 	// Members is how many sidecars the core sees.
-	Members        int         `json:"members"`
-	ConfigRevision ident.Epoch `json:"manifest"`
+	Members        int                  `json:"members"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	// Stale says that the core can't tell whether it knows the newest configuration.
 	Stale        bool           `json:"stale,omitempty"`
 	Leaving      bool           `json:"leaving,omitempty"`
--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -17,21 +17,21 @@
 // ConfigPart is a bounded part of a configuration, or a delta to it in place of all its parts.
 // Size, Offset and Data are of the compressed form if Compressed is set.
 type ConfigPart struct {
-	Revision   ident.Epoch  `json:"epoch"`
-	Size       int          `json:"size"`
-	Offset     int          `json:"at"`
-	Data       []byte       `json:"data"`
-	Compressed bool         `json:"packed,omitempty"`
-	Delta      *delta.Delta `json:"delta,omitempty"`
+	Revision   ident.ConfigRevision `json:"epoch"`
+	Size       int                  `json:"size"`
+	Offset     int                  `json:"at"`
+	Data       []byte               `json:"data"`
+	Compressed bool                 `json:"packed,omitempty"`
+	Delta      *delta.Delta         `json:"delta,omitempty"`
 }
 
 // ConfigSource is a configuration that is served. DeltaFrom, if set, gives the delta from an older
 // revision, nil if there is none.
 type ConfigSource struct {
-	Revision   ident.Epoch
+	Revision   ident.ConfigRevision
 	Raw        json.RawMessage
 	Compressed *delta.Compressed
-	DeltaFrom  func(from ident.Epoch) *delta.Delta
+	DeltaFrom  func(from ident.ConfigRevision) *delta.Delta
 }
 
 // configPart serves the newest configuration that this core holds.
@@ -79,7 +79,7 @@
 	if err != nil || s.DeltaFrom == nil {
 		return nil
 	}
-	change := s.DeltaFrom(ident.Epoch(revision))
+	change := s.DeltaFrom(ident.ConfigRevision(revision))
 	if change == nil || change.To != s.Revision {
 		return nil
 	}
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -40,11 +40,11 @@
 
 // JoinResponse grants a lease.
 type JoinResponse struct {
-	LeaseEpoch     ident.Epoch           `json:"claim"`
+	LeaseEpoch     ident.LeaseEpoch      `json:"claim"`
 	BudgetShare    quota.Share           `json:"share"`
 	Cores          []record.CoreLocation `json:"cores"`
 	CoresVersion   string                `json:"view"` // of Cores
-	ConfigRevision ident.Epoch           `json:"manifest"`
+	ConfigRevision ident.ConfigRevision  `json:"manifest"`
 }
 
 // join grants a lease. Joins that come at the same time go together: the lease's epoch, the share
--- a/daemon/api/mesh/watch.go
+++ b/daemon/api/mesh/watch.go
@@ -30,11 +30,11 @@
 // WatchResponse tells a sidecar what changed. FeedVersion is the position in the feed of the run
 // of a core that InstanceID names.
 type WatchResponse struct {
-	InstanceID     string       `json:"mark"`
-	FeedVersion    uint64       `json:"place"`
-	Sets           []record.Set `json:"sets"`
-	ConfigRevision ident.Epoch  `json:"manifest"`
-	Leaving        bool         `json:"leaving,omitempty"`
+	InstanceID     string               `json:"mark"`
+	FeedVersion    uint64               `json:"place"`
+	Sets           []record.Set         `json:"sets"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
+	Leaving        bool                 `json:"leaving,omitempty"`
 	// Stale says that this core has just lost sight of the newest configuration.
 	Stale bool `json:"stale,omitempty"`
 	// Delta turns the configuration that the sidecar has into the newest one. It is left out where
@@ -46,7 +46,7 @@
 // newer than the one that the sidecar has.
 type watchRequest struct {
 	feedVersion  uint64
-	haveRevision ident.Epoch
+	haveRevision ident.ConfigRevision
 	wait         time.Duration
 }
 
@@ -62,7 +62,7 @@
 	if waitMs, err := strconv.Atoi(query.Get("waitMs")); err == nil && waitMs >= 0 {
 		wait = min(time.Duration(waitMs)*time.Millisecond, maxPollWait)
 	}
-	return watchRequest{feedVersion: feedVersion, haveRevision: ident.Epoch(haveRevision), wait: wait}
+	return watchRequest{feedVersion: feedVersion, haveRevision: ident.ConfigRevision(haveRevision), wait: wait}
 }
 
 // answeredBy tells whether an update brings anything for the sidecar.
@@ -129,7 +129,7 @@
 }
 
 // holdsNewer tells whether this core holds a configuration newer than a revision.
-func (h handlers) holdsNewer(revision ident.Epoch) bool {
+func (h handlers) holdsNewer(revision ident.ConfigRevision) bool {
 	held := h.core.Config()
 	return held != nil && held.Revision > revision
 }
--- a/daemon/api/operator/config.go
+++ b/daemon/api/operator/config.go
@@ -75,7 +75,7 @@
 }
 
 // baseRevision returns the revision that a proposal builds on, nil if it names none.
-func baseRevision(r *http.Request) (*ident.Epoch, *failure.Error) {
+func baseRevision(r *http.Request) (*ident.ConfigRevision, *failure.Error) {
 	text := r.URL.Query().Get("baseEpoch")
 	if text == "" {
 		return nil, nil
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, failure.New(failure.Malformed, "baseEpoch is no whole number")
 	}
-	revision := ident.Epoch(number)
+	revision := ident.ConfigRevision(number)
 	return &revision, nil
 }
 
--- a/daemon/core/config.go
+++ b/daemon/core/config.go
@@ -45,7 +45,7 @@
 
 // ConfigDelta gives the delta from a revision to the newest configuration here, nil if there is
 // none.
-func (c *Core) ConfigDelta(from ident.Epoch) *delta.Delta {
+func (c *Core) ConfigDelta(from ident.ConfigRevision) *delta.Delta {
 	c.configVersions.mu.Lock()
 	defer c.configVersions.mu.Unlock()
 	return c.configVersions.Since(from)
--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -28,7 +28,7 @@
 	Cores           []ident.Addr          `json:"cores"`
 	Places          []record.CoreLocation `json:"-"`
 	PlacesDigest    string                `json:"-"` // equal for equal Places
-	ConfigRevision  ident.Epoch           `json:"epoch,omitempty"`
+	ConfigRevision  ident.ConfigRevision  `json:"epoch,omitempty"`
 	Members         []leasetable.Member   `json:"members"`
 	AntiEntropy     *AntiEntropyPass      `json:"sweep,omitempty"` // set while this core holds the anti-entropy duty
 }
--- a/daemon/integration/sidecarstop_test.go
+++ b/daemon/integration/sidecarstop_test.go
@@ -142,9 +142,9 @@
 }
 
 // putConfig puts a configuration and gives its revision.
-func (m *smallMesh) putConfig(config string) ident.Epoch {
+func (m *smallMesh) putConfig(config string) ident.ConfigRevision {
 	var accepted struct {
-		Revision ident.Epoch `json:"epoch"`
+		Revision ident.ConfigRevision `json:"epoch"`
 	}
 	status, _ := request(http.MethodPut, m.addrs[0], "", "/manifest", []byte(config), &accepted)
 	must.Eq(m.t, http.StatusOK, status)
@@ -152,11 +152,11 @@
 }
 
 // awaitConfig waits until a configuration is active at a sidecar.
-func (m *smallMesh) awaitConfig(side *sidecarProcess, revision ident.Epoch) {
+func (m *smallMesh) awaitConfig(side *sidecarProcess, revision ident.ConfigRevision) {
 	m.t.Helper()
 	eventually(m.t, "the active configuration", func() bool {
 		var got struct {
-			Revision ident.Epoch `json:"manifest"`
+			Revision ident.ConfigRevision `json:"manifest"`
 		}
 		status, _ := request(http.MethodGet, side.addr, "", "/status", nil, &got)
 		return status == http.StatusOK && got.Revision >= revision
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -41,7 +41,7 @@
 
 // deltaFrom gives the delta that this configuration came by, to those who have the revision
 // before it.
-func (c storedConfig) deltaFrom(revision ident.Epoch) *delta.Delta {
+func (c storedConfig) deltaFrom(revision ident.ConfigRevision) *delta.Delta {
 	if c.delta == nil || c.delta.From != revision {
 		return nil
 	}
@@ -94,7 +94,7 @@
 
 // fetchPart fetches one part. haveRevision names the configuration that a delta may start from, 0
 // if no delta is wanted.
-func (s *Sidecar) fetchPart(from ident.Addr, offset int, haveRevision ident.Epoch) (part mesh.ConfigPart, err error) {
+func (s *Sidecar) fetchPart(from ident.Addr, offset int, haveRevision ident.ConfigRevision) (part mesh.ConfigPart, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
 	path := fmt.Sprintf("%s?at=%d&packed=1", mesh.ConfigPartPath, offset)
@@ -126,7 +126,7 @@
 }
 
 // acceptWhole accepts a configuration that came whole.
-func (s *Sidecar) acceptWhole(revision ident.Epoch, raw []byte) error {
+func (s *Sidecar) acceptWhole(revision ident.ConfigRevision, raw []byte) error {
 	tree, fail := decode.Parse(raw)
 	if fail != nil {
 		return fail
@@ -181,7 +181,7 @@
 }
 
 // newestRevision is the revision of the newest configuration that is held here.
-func (s *Sidecar) newestRevision() ident.Epoch {
+func (s *Sidecar) newestRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	revision, _ := s.newestConfig()
@@ -189,7 +189,7 @@
 }
 
 // newestConfig is the newest configuration that is held here, active or pending; mu is held.
-func (s *Sidecar) newestConfig() (ident.Epoch, storedConfig) {
+func (s *Sidecar) newestConfig() (ident.ConfigRevision, storedConfig) {
 	if config := s.config.cache.Pending(); config != nil && s.config.pending.raw != nil {
 		return config.Revision, s.config.pending
 	}
@@ -197,7 +197,7 @@
 }
 
 // minRevision is the revision below which no configuration may become active here.
-func (s *Sidecar) minRevision() ident.Epoch {
+func (s *Sidecar) minRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.planner.MinRevision
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -44,7 +44,7 @@
 }
 
 // setConfig makes a configuration with that many routes, of which one has its own timeout.
-func (s *configSource) setConfig(t *testing.T, revision ident.Epoch, routeCount, timeout int) delta.Snapshot {
+func (s *configSource) setConfig(t *testing.T, revision ident.ConfigRevision, routeCount, timeout int) delta.Snapshot {
 	t.Helper()
 	routes := map[string]any{}
 	for i := range routeCount {
@@ -59,7 +59,7 @@
 }
 
 // activeConfigOf is the active configuration of a sidecar.
-func activeConfigOf(s *Sidecar) (ident.Epoch, json.RawMessage) {
+func activeConfigOf(s *Sidecar) (ident.ConfigRevision, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.planner.Revision(), s.config.active.raw
@@ -76,7 +76,7 @@
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.config.cache.MarkJoined()
 	var history delta.History
-	change := func(revision ident.Epoch, timeout int) {
+	change := func(revision ident.ConfigRevision, timeout int) {
 		history.Add(source.setConfig(t, revision, 400, timeout))
 		source.source.DeltaFrom = history.Since
 	}
@@ -99,7 +99,7 @@
 	change(3, 700)
 	corrupted := *history.Since(2)
 	corrupted.Digest = strings.Repeat("0", 64)
-	source.source.DeltaFrom = func(ident.Epoch) *delta.Delta { return &corrupted }
+	source.source.DeltaFrom = func(ident.ConfigRevision) *delta.Delta { return &corrupted }
 	must.Greater(t, wholeBytes/2, fetch())
 	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasRejected).Load())
 
@@ -112,7 +112,7 @@
 	must.NoError(t, s.fetchConfig(from))
 	must.SliceLen(t, 1, source.queries)
 	revision, _ := activeConfigOf(s)
-	must.Eq(t, ident.Epoch(4), revision)
+	must.Eq(t, ident.ConfigRevision(4), revision)
 }
 
 // A sidecar serves its peers the delta by which its configuration came, if they have the revision
@@ -132,6 +132,6 @@
 		var p mesh.ConfigPart
 		must.NoError(t, json.Unmarshal(rec.Body.Bytes(), &p))
 		must.Eq(t, wantDelta, p.Delta != nil, must.Sprint(haveRevision))
-		must.Eq(t, ident.Epoch(6), p.Revision)
+		must.Eq(t, ident.ConfigRevision(6), p.Revision)
 	}
 }
--- a/daemon/sidecar/configassembly.go
+++ b/daemon/sidecar/configassembly.go
@@ -16,7 +16,7 @@
 // configAssembly puts the parts of a configuration together. Invariant: data is the beginning of
 // one form, compressed or not, of one revision.
 type configAssembly struct {
-	revision   ident.Epoch
+	revision   ident.ConfigRevision
 	compressed bool
 	size       int
 	data       []byte
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -56,7 +56,7 @@
 
 // followRegistrar takes the answer of a core to a renewal: the duty turns to a new registrar, and
 // a newer configuration is obtained. Sidecar.mu is held.
-func (d *configWatch) followRegistrar(answered ident.Addr, revision ident.Epoch) {
+func (d *configWatch) followRegistrar(answered ident.Addr, revision ident.ConfigRevision) {
 	s := d.sidecar
 	registrar := s.lease.Followed()
 	switch {
@@ -98,7 +98,7 @@
 }
 
 // next gives the core to poll now, and the revision of the newest configuration that is held.
-func (d *configWatch) next() (core ident.Addr, haveRevision ident.Epoch) {
+func (d *configWatch) next() (core ident.Addr, haveRevision ident.ConfigRevision) {
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 
 // poll asks a core for what changed after a position. redirected tells that it was broken off to
 // poll anew.
-func (d *configWatch) poll(position watchPosition, haveRevision ident.Epoch) (update mesh.WatchResponse, redirected bool, err error) {
+func (d *configWatch) poll(position watchPosition, haveRevision ident.ConfigRevision) (update mesh.WatchResponse, redirected bool, err error) {
 	s := d.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+watchMargin)
 	defer cancel()
@@ -131,7 +131,7 @@
 	return update, redirected, err
 }
 
-func watchPath(position watchPosition, haveRevision ident.Epoch) string {
+func watchPath(position watchPosition, haveRevision ident.ConfigRevision) string {
 	query := url.Values{
 		"mark":     {position.instanceID},
 		"place":    {fmt.Sprint(position.feedVersion)},
@@ -142,7 +142,7 @@
 }
 
 // apply takes what a poll brought.
-func (d *configWatch) apply(core ident.Addr, update mesh.WatchResponse, haveRevision ident.Epoch) {
+func (d *configWatch) apply(core ident.Addr, update mesh.WatchResponse, haveRevision ident.ConfigRevision) {
 	s := d.sidecar
 	s.mu.Lock()
 	s.lastCoreContact = s.clock()
@@ -182,7 +182,7 @@
 
 // pauseIfBehind keeps a core that is behind from being polled without a pause: its configuration
 // is below what may become active here.
-func (d *configWatch) pauseIfBehind(revision ident.Epoch) {
+func (d *configWatch) pauseIfBehind(revision ident.ConfigRevision) {
 	if revision < d.sidecar.minRevision() {
 		d.sidecar.sleep(watchRetryPause)
 	}
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -27,8 +27,8 @@
 
 // activeConfig is the active configuration, as operators read it.
 type activeConfig struct {
-	Revision ident.Epoch     `json:"epoch"`
-	Config   json.RawMessage `json:"manifest"`
+	Revision ident.ConfigRevision `json:"epoch"`
+	Config   json.RawMessage      `json:"manifest"`
 }
 
 // Paths is what endpoints, peers and operators may ask a sidecar.
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -143,7 +143,7 @@
 
 // takeLease takes what came with a lease, and gives the revision of the newest configuration
 // that is held here.
-func (s *Sidecar) takeLease(granted mesh.JoinResponse) (haveRevision ident.Epoch) {
+func (s *Sidecar) takeLease(granted mesh.JoinResponse) (haveRevision ident.ConfigRevision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
--- a/daemon/sidecar/lookup.go
+++ b/daemon/sidecar/lookup.go
@@ -19,7 +19,7 @@
 }
 
 // ConfigRevision is the revision of the active configuration, 0 if there is none.
-func (s *Sidecar) ConfigRevision() ident.Epoch {
+func (s *Sidecar) ConfigRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.planner.Revision()
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -23,8 +23,8 @@
 
 // RevisionNotice tells a peer that a sidecar holds a revision and is about to make it active.
 type RevisionNotice struct {
-	Revision ident.Epoch `json:"epoch"`
-	From     ident.Addr  `json:"from"`
+	Revision ident.ConfigRevision `json:"epoch"`
+	From     ident.Addr           `json:"from"`
 }
 
 // RevisionAck is the answer: whether the peer holds that revision too, or a newer one.
@@ -33,7 +33,7 @@
 }
 
 // notifyPeer sends a notice to one peer.
-func (s *Sidecar) notifyPeer(peer ident.Addr, revision ident.Epoch) {
+func (s *Sidecar) notifyPeer(peer ident.Addr, revision ident.ConfigRevision) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
 	var ack RevisionAck
@@ -69,7 +69,7 @@
 }
 
 // noteRevision notes that a peer holds a revision; it is false if that may not become active here.
-func (s *Sidecar) noteRevision(revision ident.Epoch) bool {
+func (s *Sidecar) noteRevision(revision ident.ConfigRevision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.planner.MinRevision {
@@ -80,7 +80,7 @@
 }
 
 // holdsRevision tells whether that revision or a newer one is held here.
-func (s *Sidecar) holdsRevision(revision ident.Epoch) bool {
+func (s *Sidecar) holdsRevision(revision ident.ConfigRevision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config.cache.NewestHeld(s.planner.Revision()) >= revision
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -30,11 +30,11 @@
 // the same, or does not want them.
 type PeerState struct {
 	// ConfigRevision is the newest revision that it holds.
-	ConfigRevision ident.Epoch `json:"manifest"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	// NewestKnownRevision is the newest that it knows some sidecar to hold.
-	NewestKnownRevision ident.Epoch  `json:"heard"`
-	Joined              bool         `json:"entered"`
-	Sets                []record.Set `json:"sets,omitempty"`
+	NewestKnownRevision ident.ConfigRevision `json:"heard"`
+	Joined              bool                 `json:"entered"`
+	Sets                []record.Set         `json:"sets,omitempty"`
 }
 
 // peerQuerier is the duty that asks peers for a newer configuration, and for their copy of the
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -235,7 +235,7 @@
 
 // handleSuperseded gives up a lease that a core knows a newer one than: this sidecar joins anew.
 // The newer one may be that of a join of an earlier run that came late.
-func (s *Sidecar) handleSuperseded(leaseEpoch ident.Epoch, err error) {
+func (s *Sidecar) handleSuperseded(leaseEpoch ident.LeaseEpoch, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.endLease(leaseEpoch, err) {
@@ -244,7 +244,7 @@
 }
 
 // endLease gives up the lease if it is still the one of that epoch; mu is held.
-func (s *Sidecar) endLease(leaseEpoch ident.Epoch, err error) bool {
+func (s *Sidecar) endLease(leaseEpoch ident.LeaseEpoch, err error) bool {
 	if leaseEpoch != s.leaseEpoch {
 		return false
 	}
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -81,7 +81,7 @@
 	config          configState
 	cores           coreList
 	lease           *holder.Holder
-	leaseEpoch      ident.Epoch
+	leaseEpoch      ident.LeaseEpoch
 	reportSeq       uint64
 	reportChanged   bool
 	budgetShare     holder.BudgetShare
--- a/daemon/sidecar/status.go
+++ b/daemon/sidecar/status.go
@@ -10,20 +10,20 @@
 // Status is what the status page shows. The keys of earlier releases stand first, in their order;
 // those whose field is named Deprecated are published for one release beside the new ones.
 type Status struct {
-	DeprecatedLeaseEpoch         ident.Epoch       `json:"claim"`
-	Cores                        []ident.Addr      `json:"cores"`
-	DeprecatedConfigRevision     ident.Epoch       `json:"manifest"`
-	Node                         ident.Node        `json:"node"`
-	Ready                        bool              `json:"ready"`
-	RegistrySets                 int               `json:"sets"`
-	DeprecatedBudgetShare        int               `json:"share"`
-	DeprecatedBudgetShareGranted int               `json:"shareGranted"`
-	Workloads                    []record.Workload `json:"workloads"`
+	DeprecatedLeaseEpoch         ident.LeaseEpoch     `json:"claim"`
+	Cores                        []ident.Addr         `json:"cores"`
+	DeprecatedConfigRevision     ident.ConfigRevision `json:"manifest"`
+	Node                         ident.Node           `json:"node"`
+	Ready                        bool                 `json:"ready"`
+	RegistrySets                 int                  `json:"sets"`
+	DeprecatedBudgetShare        int                  `json:"share"`
+	DeprecatedBudgetShareGranted int                  `json:"shareGranted"`
+	Workloads                    []record.Workload    `json:"workloads"`
 
-	LeaseEpoch         ident.Epoch `json:"leaseEpoch"`
-	ConfigRevision     ident.Epoch `json:"configRevision"`
-	BudgetShare        int         `json:"budgetShare"`        // that may be spent now
-	BudgetShareGranted int         `json:"budgetShareGranted"` // that may be spent while the lease is renewed
+	LeaseEpoch         ident.LeaseEpoch     `json:"leaseEpoch"`
+	ConfigRevision     ident.ConfigRevision `json:"configRevision"`
+	BudgetShare        int                  `json:"budgetShare"`        // that may be spent now
+	BudgetShareGranted int                  `json:"budgetShareGranted"` // that may be spent while the lease is renewed
 }
 
 // Status gives the Status.
--- a/explore/cluster/auditobject.go
+++ b/explore/cluster/auditobject.go
@@ -28,7 +28,7 @@
 func (a *auditObject) prepare(op *clientOperation) (string, json.RawMessage) {
 	op.Floor = a.Floor
 	op.Base = a.Floor
-	entry := proposal.AuditEntry{Revision: ident.Epoch(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
+	entry := proposal.AuditEntry{Revision: ident.ConfigRevision(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
 	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: entry})
 }
 
--- a/explore/cluster/cluster.go
+++ b/explore/cluster/cluster.go
@@ -59,7 +59,7 @@
 	lastTag           uint64
 	repairTag         uint64 // the tag of the read with repair in flight, 0 if there is none
 	diskCount         int
-	chosenMemberships map[ident.Epoch]quorum.Membership
+	chosenMemberships map[ident.MembershipEpoch]quorum.Membership
 	// majorityLost says that faults together took more than a minority: what was acknowledged
 	// must still be kept, but the cluster need not be able to serve again.
 	majorityLost bool
@@ -72,7 +72,7 @@
 }
 
 func assemble(settings Settings, stateMachine proposer.StateMachine) *Cluster {
-	c := &Cluster{settings: settings, stateMachine: stateMachine, now: startTime, inTransit: map[uint64]envelope{}, cuts: map[[2]int]bool{}, faultsUsed: map[Fault]int{}, chosenMemberships: map[ident.Epoch]quorum.Membership{}}
+	c := &Cluster{settings: settings, stateMachine: stateMachine, now: startTime, inTransit: map[uint64]envelope{}, cuts: map[[2]int]bool{}, faultsUsed: map[Fault]int{}, chosenMemberships: map[ident.MembershipEpoch]quorum.Membership{}}
 	for i, kind := range settings.Keys {
 		c.objects = append(c.objects, objectFactories[kind](i))
 	}
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -51,7 +51,7 @@
 	if op.Name == proposeOnVersion {
 		args.BaseVersion = &op.Base
 	} else {
-		base := ident.Epoch(op.Base)
+		base := ident.ConfigRevision(op.Base)
 		args.BaseRevision = &base
 	}
 	return proposeKind, operation.Encode(args)
--- a/explore/cluster/hash.go
+++ b/explore/cluster/hash.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/membership/reconfiguration"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/explore/canon"
@@ -57,7 +56,7 @@
 	e.Put(m.proposer)
 	e.Put(m.reconfigurer)
 	e.Put(m.copyReader)
-	e.Put([]ident.Epoch{m.copiedAt, ident.Epoch(m.lastRound), ident.Epoch(m.awaitedRound)})
+	e.Put([]uint64{uint64(m.copiedAt), m.lastRound, m.awaitedRound})
 	for _, envelope := range m.unsyncedResponses {
 		e.Put(envelope.id)
 	}
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -32,7 +32,7 @@
 	proposer           *proposer.Proposer
 	reconfigurer       *reconfiguration.Reconfigurer
 	copyReader         *quorumread.Reader
-	copiedAt           ident.Epoch
+	copiedAt           ident.MembershipEpoch
 	lastRound          uint64
 	awaitedRound       uint64 // the round of the message that a copy is synced, 0 if none is awaited
 	unsyncedResponses  []envelope
--- a/fleet/run/config.go
+++ b/fleet/run/config.go
@@ -84,15 +84,15 @@
 
 // propose sends a configuration to some core and returns the revision that the core
 // confirmed. errRejected is a proved rejection; after any other error the outcome is unknown.
-func (f *Fleet) propose(config meshConfig, method, query string) (ident.Epoch, error) {
+func (f *Fleet) propose(config meshConfig, method, query string) (ident.ConfigRevision, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
 		return 0, err
 	}
 	var answer struct {
-		Revision ident.Epoch     `json:"epoch"`
-		Failure  failure.Kind    `json:"defect"`
-		Outcome  failure.Outcome `json:"fate"`
+		Revision ident.ConfigRevision `json:"epoch"`
+		Failure  failure.Kind         `json:"defect"`
+		Outcome  failure.Outcome      `json:"fate"`
 	}
 	code, err := f.clients.anyCore().Request(proposalTimeout, method, "/manifest"+query, bytes.NewReader(raw), &answer)
 	switch {
@@ -129,7 +129,7 @@
 
 // judgeConfirmed judges that a confirmed proposal could succeed and has a revision of its
 // own. The caller holds mu.
-func (f *Fleet) judgeConfirmed(p proposal, revision ident.Epoch, confirmedAt time.Time) {
+func (f *Fleet) judgeConfirmed(p proposal, revision ident.ConfigRevision, confirmedAt time.Time) {
 	if p.mustFail {
 		f.Checker.Violate(f.sinceStart(confirmedAt), ruleConfigRejected, "%s was confirmed as revision %d", p.marker, revision)
 	}
@@ -191,4 +191,6 @@
 	return []proposal{p}
 }
 
-func baseRevisionQuery(revision ident.Epoch) string { return fmt.Sprintf("?baseEpoch=%d", revision) }
+func baseRevisionQuery(revision ident.ConfigRevision) string {
+	return fmt.Sprintf("?baseEpoch=%d", revision)
+}
--- a/fleet/run/counters.go
+++ b/fleet/run/counters.go
@@ -45,8 +45,8 @@
 // goroutine uses it.
 type counterTotals struct {
 	fleet          *Fleet
-	newestRevision map[string]ident.Epoch      // by sidecar
-	lastCounters   map[string]map[string]int64 // by sidecar
+	newestRevision map[string]ident.ConfigRevision // by sidecar
+	lastCounters   map[string]map[string]int64     // by sidecar
 	totals         map[ident.Service]callTotals
 	history        []totalsAt
 }
@@ -54,7 +54,7 @@
 func (f *Fleet) newCounterTotals() *counterTotals {
 	return &counterTotals{
 		fleet:          f,
-		newestRevision: map[string]ident.Epoch{},
+		newestRevision: map[string]ident.ConfigRevision{},
 		lastCounters:   map[string]map[string]int64{},
 		totals:         map[ident.Service]callTotals{},
 	}
@@ -62,7 +62,7 @@
 
 // add takes one sidecar's counters: the revision in force must not go back.
 func (ct *counterTotals) add(sidecar string, counters map[string]int64) {
-	ct.judgeRevision(sidecar, ident.Epoch(counters[revisionCounter]))
+	ct.judgeRevision(sidecar, ident.ConfigRevision(counters[revisionCounter]))
 	for name, value := range counters {
 		kind, service, ok := strings.Cut(name, ".")
 		if !ok {
@@ -94,7 +94,7 @@
 }
 
 // judgeRevision judges that the revision a sidecar has in force does not go back; 0 is none.
-func (ct *counterTotals) judgeRevision(sidecar string, revision ident.Epoch) {
+func (ct *counterTotals) judgeRevision(sidecar string, revision ident.ConfigRevision) {
 	if revision == 0 {
 		return
 	}
--- a/fleet/run/faults_core.go
+++ b/fleet/run/faults_core.go
@@ -118,7 +118,7 @@
 // judgeServing judges whether a sidecar that joined no core has a configuration in force.
 func (f *Fleet) judgeServing(sidecar *process.Process) {
 	var status struct {
-		Revision ident.Epoch `json:"manifest"`
+		Revision ident.ConfigRevision `json:"manifest"`
 	}
 	_, err := sidecar.Request(time.Second, "GET", "/status", nil, &status)
 	f.observe(ruleConfigLate)
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -53,14 +53,14 @@
 
 	mu              sync.Mutex
 	endpoints       []*managedEndpoint
-	serial          int                        // last number given to an endpoint or a replacement core
-	leftAt          map[ident.Server]time.Time // when an endpoint's leave was confirmed
-	endpointOutages map[ident.Server][]*outage // from when a loss must be known to all
-	processOutages  map[string][]*outage       // by process name, or coreMajority
-	newestRevision  ident.Epoch                // that was confirmed
-	confirmed       map[ident.Epoch]bool       // revisions that were confirmed
-	ApplyDelays     []time.Duration            // from confirmation until a sidecar showed the revision
-	Counts          map[string]int             // what happened, by the report's labels
+	serial          int                           // last number given to an endpoint or a replacement core
+	leftAt          map[ident.Server]time.Time    // when an endpoint's leave was confirmed
+	endpointOutages map[ident.Server][]*outage    // from when a loss must be known to all
+	processOutages  map[string][]*outage          // by process name, or coreMajority
+	newestRevision  ident.ConfigRevision          // that was confirmed
+	confirmed       map[ident.ConfigRevision]bool // revisions that were confirmed
+	ApplyDelays     []time.Duration               // from confirmation until a sidecar showed the revision
+	Counts          map[string]int                // what happened, by the report's labels
 }
 
 func (f *Fleet) sinceStart(t time.Time) monotime.Time { return monotime.Time(t.Sub(f.began)) }
@@ -100,7 +100,7 @@
 		leftAt:          map[ident.Server]time.Time{},
 		endpointOutages: map[ident.Server][]*outage{},
 		processOutages:  map[string][]*outage{},
-		confirmed:       map[ident.Epoch]bool{},
+		confirmed:       map[ident.ConfigRevision]bool{},
 		Counts:          map[string]int{},
 	}
 }
--- a/fleet/run/revision.go
+++ b/fleet/run/revision.go
@@ -18,19 +18,19 @@
 type statusPoll struct {
 	askedAt  time.Time
 	answered bool
-	revision ident.Epoch // that it answered
+	revision ident.ConfigRevision // that it answered
 }
 
 // trackRevision follows a confirmed revision to each sidecar. The bound runs from the
 // confirmation, or from the end of what kept everybody from telling that sidecar of it.
-func (f *Fleet) trackRevision(ctx context.Context, revision ident.Epoch, confirmedAt time.Time) {
+func (f *Fleet) trackRevision(ctx context.Context, revision ident.ConfigRevision, confirmedAt time.Time) {
 	for _, sidecar := range f.Sidecars {
 		f.revisionWaits.Go(func() { f.awaitRevision(ctx, sidecar, revision, confirmedAt) })
 	}
 }
 
 // awaitRevision polls a sidecar until the revision is judged or the run ends.
-func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.Epoch, confirmedAt time.Time) {
+func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.ConfigRevision, confirmedAt time.Time) {
 	ticker := time.NewTicker(revisionPollInterval)
 	defer ticker.Stop()
 	for {
@@ -50,7 +50,7 @@
 
 func pollRevision(sidecar *process.Process) statusPoll {
 	var status struct {
-		Revision ident.Epoch `json:"manifest"`
+		Revision ident.ConfigRevision `json:"manifest"`
 	}
 	askedAt := time.Now()
 	_, err := sidecar.Request(statusTimeout, "GET", "/status", nil, &status)
@@ -60,7 +60,7 @@
 // judgeRevision judges one poll of a sidecar, and tells whether the revision needs no more.
 // An answer without the revision proves that it was still missing when the question was
 // sent.
-func (f *Fleet) judgeRevision(sidecar string, revision ident.Epoch, confirmedAt time.Time, poll statusPoll) (done bool) {
+func (f *Fleet) judgeRevision(sidecar string, revision ident.ConfigRevision, confirmedAt time.Time, poll statusPoll) (done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	from, cause, ongoing := f.boundStart(sidecar, confirmedAt, time.Now(), invariant.ConfigDeadline)
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -33,7 +33,7 @@
 type Planner struct {
 	// MinRevision is the newest revision that was confirmed when this sidecar joined: an earlier run
 	// of it may have enforced that one.
-	MinRevision ident.Epoch
+	MinRevision ident.ConfigRevision
 	Index       *registry.Index
 	Balancer    *loadbalancer.Balancer
 	RetryBudget *retrybudget.Budget
@@ -58,7 +58,7 @@
 }
 
 // Revision is the revision of the configuration in force, 0 for none.
-func (p *Planner) Revision() ident.Epoch {
+func (p *Planner) Revision() ident.ConfigRevision {
 	if p.config == nil {
 		return 0
 	}
--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -41,9 +41,9 @@
 // answered or failed, or ackTimeout is over; while this sidecar has not joined, it enforces
 // nothing older than what any peer that answered knows of.
 type Cache struct {
-	newestKnown       ident.Epoch // the newest revision that some sidecar is known to hold
+	newestKnown       ident.ConfigRevision // the newest revision that some sidecar is known to hold
 	newestKnownAt     monotime.Time
-	newestConfirmed   ident.Epoch // the newest revision that a core said to be confirmed
+	newestConfirmed   ident.ConfigRevision // the newest revision that a core said to be confirmed
 	newestConfirmedAt monotime.Time
 	pending           *validation.Config // held and not enforced yet
 	pendingSince      monotime.Time
@@ -62,10 +62,10 @@
 func New(now monotime.Time) *Cache { return &Cache{startedAt: now} }
 
 // NewestKnown is the newest revision that some sidecar holds, as far as this one knows.
-func (c *Cache) NewestKnown() ident.Epoch { return c.newestKnown }
+func (c *Cache) NewestKnown() ident.ConfigRevision { return c.newestKnown }
 
 // ObservePeer notes that a peer holds the configuration of a revision, and may enforce it soon.
-func (c *Cache) ObservePeer(now monotime.Time, revision ident.Epoch) {
+func (c *Cache) ObservePeer(now monotime.Time, revision ident.ConfigRevision) {
 	if revision > c.newestKnown {
 		c.newestKnown, c.newestKnownAt = revision, now
 	}
@@ -74,7 +74,7 @@
 // ObserveCore notes that a core said a revision to be confirmed. This does not keep older ones from
 // being enforced; if the configuration does not come from that core in time, peers are asked for
 // it.
-func (c *Cache) ObserveCore(now monotime.Time, revision ident.Epoch) {
+func (c *Cache) ObserveCore(now monotime.Time, revision ident.ConfigRevision) {
 	if revision > c.newestConfirmed {
 		c.newestConfirmed, c.newestConfirmedAt = revision, now
 	}
@@ -86,7 +86,7 @@
 
 // HandlePeerAnswer takes a peer's answer while this sidecar has not joined. Only a peer that has
 // joined itself can know what was enforced before.
-func (c *Cache) HandlePeerAnswer(now monotime.Time, newestKnown ident.Epoch, joined bool) {
+func (c *Cache) HandlePeerAnswer(now monotime.Time, newestKnown ident.ConfigRevision, joined bool) {
 	c.ObservePeer(now, newestKnown)
 	if joined {
 		c.joinedPeers++
@@ -101,7 +101,7 @@
 // ShouldAskPeers tells whether peers are to be asked for a configuration: no core could be reached
 // for a while, or a newer revision than the active one is known and its configuration does not
 // come.
-func (c *Cache) ShouldAskPeers(now, lastCoreContact monotime.Time, active ident.Epoch) bool {
+func (c *Cache) ShouldAskPeers(now, lastCoreContact monotime.Time, active ident.ConfigRevision) bool {
 	if c.newestKnown > active && now.Since(c.newestKnownAt) >= fetchDelay {
 		return true
 	}
@@ -121,7 +121,7 @@
 }
 
 // NewestHeld is the newest revision whose configuration is here, active or pending.
-func (c *Cache) NewestHeld(active ident.Epoch) ident.Epoch {
+func (c *Cache) NewestHeld(active ident.ConfigRevision) ident.ConfigRevision {
 	if c.pending != nil {
 		return max(active, c.pending.Revision)
 	}
@@ -133,7 +133,7 @@
 
 // Add takes a confirmed configuration. It tells whether peers are to be notified of it now; peers is
 // how many there are, of whom at most MaxNotified will be.
-func (c *Cache) Add(now monotime.Time, config *validation.Config, active ident.Epoch, peers int) bool {
+func (c *Cache) Add(now monotime.Time, config *validation.Config, active ident.ConfigRevision, peers int) bool {
 	if config.Revision <= active || c.pending != nil && config.Revision <= c.pending.Revision {
 		return false
 	}
@@ -144,7 +144,7 @@
 
 // HandleAck takes the end of notifying one peer of a revision: it holds the configuration, or it
 // could not be reached.
-func (c *Cache) HandleAck(revision ident.Epoch, ok bool) {
+func (c *Cache) HandleAck(revision ident.ConfigRevision, ok bool) {
 	if c.pending == nil || c.pending.Revision != revision {
 		return
 	}
@@ -175,7 +175,7 @@
 
 // Describe gives the state as text, for traces.
 func (c *Cache) Describe() string {
-	pending := ident.Epoch(0)
+	pending := ident.ConfigRevision(0)
 	if c.pending != nil {
 		pending = c.pending.Revision
 	}
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -29,7 +29,7 @@
 // sidecar is a sidecar of the model: its cache and the revision that it enforces.
 type sidecar struct {
 	*Cache
-	active ident.Epoch
+	active ident.ConfigRevision
 }
 
 func newSidecar(now monotime.Time, disabled bool) *sidecar {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s *sidecar) receive(now monotime.Time, revision ident.Epoch, peers int) {
+func (s *sidecar) receive(now monotime.Time, revision ident.ConfigRevision, peers int) {
 	s.Add(now, &validation.Config{Revision: revision}, s.active, peers)
 	s.activate(now)
 }
@@ -68,7 +68,7 @@
 	peers           [restartPeers]*sidecar
 	notified, acked [restartPeers]bool
 	restarted       bool
-	activeBefore    ident.Epoch // what it enforced when it ended
+	activeBefore    ident.ConfigRevision // what it enforced when it ended
 }
 
 func newRestart(disabled bool) *restart {
@@ -118,7 +118,7 @@
 
 // runRestart takes the messages in an order and gives what the sidecar enforced before and after its
 // restart.
-func runRestart(order []int, disabled bool) (before, after ident.Epoch) {
+func runRestart(order []int, disabled bool) (before, after ident.ConfigRevision) {
 	m := newRestart(disabled)
 	for _, step := range order {
 		m.step(step)
@@ -177,7 +177,7 @@
 	cache.ObserveCore(coreContact, 4)
 	must.False(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay-1), coreContact, 3))
 	must.True(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay), coreContact, 3))
-	must.Eq(t, ident.Epoch(0), cache.NewestKnown())
+	must.Eq(t, ident.ConfigRevision(0), cache.NewestKnown())
 	cache.ObserveCore(coreContact.Add(fetchDelay), 4) // repeated: the time of the first counts
 	must.True(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay), coreContact, 3))
 	cache.Add(coreContact.Add(fetchDelay), &validation.Config{Revision: 4}, 3, 5)
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -54,7 +54,7 @@
 
 	// What was sent last; reportHeldBy is the core that has it, "" if none is known to.
 	reportHeldBy  ident.Addr
-	leaseEpoch    ident.Epoch
+	leaseEpoch    ident.LeaseEpoch
 	reportSeq     uint64
 	lastReport    record.Report
 	attemptCounts map[ident.Service]reconcile.CallCounts
@@ -92,7 +92,7 @@
 func (h *Holder) Suspect() { h.renewNow = true }
 
 // ReportChanged tells whether a report differs from the one that was sent last.
-func (h *Holder) ReportChanged(leaseEpoch ident.Epoch, report record.Report) bool {
+func (h *Holder) ReportChanged(leaseEpoch ident.LeaseEpoch, report record.Report) bool {
 	return leaseEpoch != h.leaseEpoch || !report.SameExceptLoad(h.lastReport)
 }
 
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-func newSet(author string, leaseEpoch ident.Epoch, seq uint64, configRevision ident.Epoch, lapsed bool, status record.Status) record.Set {
+func newSet(author string, leaseEpoch ident.LeaseEpoch, seq uint64, configRevision ident.ConfigRevision, lapsed bool, status record.Status) record.Set {
 	workload := &record.Workload{UID: ident.Server(author + "-e"), Service: "a.x", Network: record.Network, Addresses: []ident.Addr{"ip:1"}, Status: status, Identity: fmt.Sprint(leaseEpoch, seq, configRevision), Weight: 1}
 	return record.Set{Author: ident.Node(author), LeaseEpoch: leaseEpoch, Seq: seq, ConfigRevision: configRevision, Lapsed: lapsed, Records: []record.Address{{Workload: workload}}}
 }
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -115,7 +115,7 @@
 
 // ConfigShown takes a configuration that a node has put in force or shows; last is the newest
 // revision that the node has shown, which is updated.
-func (c *Checker) ConfigShown(at monotime.Time, node string, config *validation.Config, last *ident.Epoch) {
+func (c *Checker) ConfigShown(at monotime.Time, node string, config *validation.Config, last *ident.ConfigRevision) {
 	c.Observe(ConfigBack)
 	if config.Revision < *last {
 		c.Violate(at, ConfigBack, "%s showed revision %d after %d", node, config.Revision, *last)
--- a/sim/world/corecluster_test.go
+++ b/sim/world/corecluster_test.go
@@ -34,7 +34,7 @@
 	*testing.T
 	world              *World
 	version            uint64 // of the newest change
-	newestAcknowledged ident.Epoch
+	newestAcknowledged ident.ConfigRevision
 	acknowledgements   []acknowledgement
 	ballots            map[ident.Ballot]bool // of the terms that were checked
 }
@@ -42,7 +42,7 @@
 // acknowledgement is the newest acknowledged revision from a time on.
 type acknowledgement struct {
 	at       monotime.Time
-	revision ident.Epoch
+	revision ident.ConfigRevision
 }
 
 // newCoreCluster starts a number of cores with empty disks.
@@ -63,7 +63,7 @@
 }
 
 // newestAt is the newest revision that was acknowledged at a time.
-func (cluster *coreCluster) newestAt(at monotime.Time) (newest ident.Epoch) {
+func (cluster *coreCluster) newestAt(at monotime.Time) (newest ident.ConfigRevision) {
 	for i := len(cluster.acknowledgements) - 1; i >= 0; i-- {
 		if cluster.acknowledgements[i].at <= at {
 			return cluster.acknowledgements[i].revision
@@ -84,7 +84,7 @@
 			continue
 		}
 		cluster.ballots[held.Accepted] = true
-		must.GreaterEq(cluster, cluster.newestAt(cluster.world.now-monotime.Time(maxElectionTime)), ident.Epoch(held.Revision), must.Sprintf("core %s began a term on an old state", c.Addr))
+		must.GreaterEq(cluster, cluster.newestAt(cluster.world.now-monotime.Time(maxElectionTime)), ident.ConfigRevision(held.Revision), must.Sprintf("core %s began a term on an old state", c.Addr))
 	}
 	cluster.world.After(coreTickInterval, cluster.checkTerms)
 }
@@ -156,7 +156,7 @@
 func (cluster *coreCluster) awaitCopy(c *Core) time.Duration {
 	began := cluster.world.now
 	for range 2000 {
-		if ident.Epoch(c.node.Copies()[proposal.Key].Revision) >= cluster.newestAcknowledged {
+		if ident.ConfigRevision(c.node.Copies()[proposal.Key].Revision) >= cluster.newestAcknowledged {
 			return cluster.world.now.Since(began)
 		}
 		cluster.world.RunFor(coreTickInterval)
@@ -178,6 +178,6 @@
 	must.True(cluster, ok)
 	must.Eq(cluster, int(cluster.newestAcknowledged), len(entries))
 	for i, entry := range entries {
-		must.Eq(cluster, ident.Epoch(i+1), entry.Revision)
+		must.Eq(cluster, ident.ConfigRevision(i+1), entry.Revision)
 	}
 }
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -38,7 +38,7 @@
 
 // configRevision is the revision of the newest configuration that the core knows to be
 // confirmed, 0 if none.
-func (c *Core) configRevision() ident.Epoch {
+func (c *Core) configRevision() ident.ConfigRevision {
 	if c.config == nil {
 		return 0
 	}
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -35,8 +35,8 @@
 	document        func(marker string) Document
 	proposalCount   int
 	awaitedSidecars int // configurations that sidecars are still awaited to show, over all sidecars
-	newestConfirmed ident.Epoch
-	markerOf        map[ident.Epoch]string // of the confirmed proposals
+	newestConfirmed ident.ConfigRevision
+	markerOf        map[ident.ConfigRevision]string // of the confirmed proposals
 }
 
 // Document is the JSON object of a configuration.
@@ -46,14 +46,14 @@
 type configProposal struct {
 	marker       string
 	args         proposal.Args
-	mustFail     bool        // it is invalid or on an old base
-	newestBefore ident.Epoch // the newest confirmed revision when it was sent
+	mustFail     bool                 // it is invalid or on an old base
+	newestBefore ident.ConfigRevision // the newest confirmed revision when it was sent
 }
 
 // StartOperators starts operators that propose about once an interval. document makes a whole
 // configuration that bears a marker as the namespace of one service.
 func (w *World) StartOperators(interval time.Duration, document func(marker string) Document) *Operators {
-	o := &Operators{world: w, interval: interval, document: document, markerOf: map[ident.Epoch]string{}}
+	o := &Operators{world: w, interval: interval, document: document, markerOf: map[ident.ConfigRevision]string{}}
 	o.operate()
 	return o
 }
@@ -160,7 +160,7 @@
 
 // awaitSidecars follows a confirmed configuration to every sidecar. The bound runs from the
 // confirmation, or from the end of what kept everybody from making that sidecar know it.
-func (o *Operators) awaitSidecars(revision ident.Epoch, confirmedAt monotime.Time) {
+func (o *Operators) awaitSidecars(revision ident.ConfigRevision, confirmedAt monotime.Time) {
 	for _, s := range o.world.Sidecars {
 		o.awaitedSidecars++
 		o.awaitSidecar(s, revision, confirmedAt, "")
@@ -169,9 +169,9 @@
 
 // awaitSidecar follows a confirmed configuration to one sidecar. The bound runs from a time
 // that was the end of a cause, if one is given.
-func (o *Operators) awaitSidecar(s *Sidecar, revision ident.Epoch, from monotime.Time, cause string) {
+func (o *Operators) awaitSidecar(s *Sidecar, revision ident.ConfigRevision, from monotime.Time, cause string) {
 	w := o.world
-	shown := ident.Epoch(0)
+	shown := ident.ConfigRevision(0)
 	if s.running {
 		shown = s.router.Revision()
 	}
@@ -219,8 +219,8 @@
 		w.Violate(invariant.AuditLog, "the audit log can't be read at day's end: %v", result.Failure)
 		return
 	}
-	logged := map[ident.Epoch]bool{}
-	last := ident.Epoch(0)
+	logged := map[ident.ConfigRevision]bool{}
+	last := ident.ConfigRevision(0)
 	for _, entry := range entries {
 		if entry.Revision <= last || len(entry.SHA256) != auditHashLength {
 			w.Violate(invariant.AuditLog, "revision %d stands after %d", entry.Revision, last)
--- a/sim/world/proposals_test.go
+++ b/sim/world/proposals_test.go
@@ -161,5 +161,5 @@
 	t.Logf("%d proposals, %d accepted, %d rejected, %d sent again after their answer; revision %d", len(p.sent), accepted, rejected, p.resent, state.Revision)
 	must.Greater(t, wanted, accepted)
 	must.Positive(t, rejected)
-	must.Eq(t, ident.Epoch(accepted+1), state.Revision)
+	must.Eq(t, ident.ConfigRevision(accepted+1), state.Revision)
 }
--- a/sim/world/reachability.go
+++ b/sim/world/reachability.go
@@ -15,7 +15,7 @@
 // unreachableCause tells why nobody can make the sidecar know the revision now, "" if somebody
 // can: the sidecar runs and is connected, over running processes and links open both ways, to
 // a process that has the revision or to a majority of healthy cores, which can read it.
-func (w *World) unreachableCause(sidecar *Sidecar, revision ident.Epoch) string {
+func (w *World) unreachableCause(sidecar *Sidecar, revision ident.ConfigRevision) string {
 	switch {
 	case !sidecar.running:
 		return causeDown
@@ -43,7 +43,7 @@
 }
 
 // find tells whether a source of the revision is reached.
-func (r *reachability) find(revision ident.Epoch) bool {
+func (r *reachability) find(revision ident.ConfigRevision) bool {
 	for next := 0; next < len(r.reached); next++ {
 		from := r.reached[next]
 		for _, c := range r.world.Cores {
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -54,12 +54,12 @@
 	joinPending    bool
 	joinTurn       int // which core is next with MutantJoinSingly
 	joinCount      int // joins that succeeded; it identifies the next request
-	leaseEpoch     ident.Epoch
+	leaseEpoch     ident.LeaseEpoch
 	reportSequence uint64
 
 	feed          registryFeed
 	coreHeardAt   monotime.Time // when a core was last heard
-	shownRevision ident.Epoch
+	shownRevision ident.ConfigRevision
 	leaving       bool
 
 	inFlight       int
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -81,7 +81,7 @@
 type peerResponse struct {
 	sets        []record.Set
 	config      *validation.Config
-	newestKnown ident.Epoch
+	newestKnown ident.ConfigRevision
 	hasLease    bool
 }
 
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -108,7 +108,7 @@
 			fail()
 			return
 		}
-		leaseEpoch := ident.Epoch(numbers.Last)
+		leaseEpoch := ident.LeaseEpoch(numbers.Last)
 		args := operation.Encode(quota.Args{Node: sidecar, LeaseEpoch: leaseEpoch})
 		c.Submit(proposer.Operation{Key: quota.Key, Kind: "share/take", Args: args}, joinSinglyBudget, func(result node.Result) {
 			var share quota.Share
