--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -6,6 +6,7 @@
 	"hash/fnv"
 
 	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/leasetable"
 	"cottonarch.example/cottonarch/control/membership/acceptor"
@@ -81,15 +82,12 @@
 	ReportsReceived bool `json:"echo,omitempty"`
 }
 
-// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, finished by a round of
-// the mixer of MurmurHash3.
+// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, mixed by
+// hashing.Mix.
 func InstanceHash(instanceID string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instanceID))
-	mixed := hash.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	return mixed ^ mixed>>33
+	return hashing.Mix(hash.Sum64())
 }
 
 // MergedWith returns a later heartbeat of the same run, completed by this one if it is brief.
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"hash/fnv"
 
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 )
@@ -16,13 +17,9 @@
 
 // hash is the hash of an entry of a registrar's list.
 func (v leaseVersion) hash(node ident.Node) uint64 {
-	text := fnv.New64a()
-	_, _ = fmt.Fprintf(text, "%s\x00%d\x00%d", node, v.epoch, v.seq)
-	// Part of the finalizer of MurmurHash3, as FNV hardly changes the high bits.
-	hash := text.Sum64()
-	hash ^= hash >> 33
-	hash *= 0xff51afd7ed558ccd
-	return hash ^ hash>>33
+	hash := fnv.New64a()
+	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%d", node, v.epoch, v.seq)
+	return hashing.Mix(hash.Sum64())
 }
 
 // registrar is one core with the list of the sidecars that renew at it. Invariants: sum is the
--- a/mesh/lease/holder/choice.go
+++ b/mesh/lease/holder/choice.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/registry/record"
@@ -59,15 +60,7 @@
 	_, _ = hash.Write([]byte(core))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(node))
-	return mix(hash.Sum64())
-}
-
-// mix is part of the finalizer of MurmurHash3: FNV alone hardly changes the high bits when the
-// end of the text changes.
-func mix(hash uint64) uint64 {
-	hash ^= hash >> 33
-	hash *= 0xff51afd7ed558ccd
-	return hash ^ hash>>33
+	return hashing.Mix(hash.Sum64())
 }
 
 // avoidance is how long a core is avoided.
--- a/mesh/lease/joiner/joiner.go
+++ b/mesh/lease/joiner/joiner.go
@@ -10,6 +10,7 @@
 	"slices"
 	"time"
 
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/registry/record"
@@ -26,6 +27,8 @@
 	maxBackoff = 400 * time.Millisecond
 	// rejectionJitter is the part of a core's Retry-After by which joins are spread beyond it.
 	rejectionJitter = 0.25
+	// jitterBits is how many bits of a hash make a jitter.
+	jitterBits = 24
 )
 
 // Joiner chooses the core that the next join goes to. Invariants: no join begins before the
@@ -93,9 +96,5 @@
 func (j *Joiner) jitter() float64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s %d", j.Node, j.attempts)
-	// The middle of the finalizer of MurmurHash3, as FNV hardly changes the high bits.
-	bits := hash.Sum64()
-	bits ^= bits >> 33
-	bits *= 0xff51afd7ed558ccd
-	return float64(bits>>40) / (1 << 24)
+	return float64(hashing.Mix(hash.Sum64())>>(64-jitterBits)) / (1 << jitterBits)
 }
