--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -14,33 +14,34 @@
 // clientOperation is one operation of one client. Invariant: Floor is the newest revision of the
 // object that had been acknowledged when it was sent.
 type clientOperation struct {
-	Tag     uint64
-	Client  int
-	Number  int
-	Object  int
-	Name    string
+	Tag     uint64 // unique in the run
+	Client  int    // by number, from 1
+	Number  int    // counts the operations of the client, from 1
+	Object  int    // by index
+	Name    string // among the operations of the object
 	SentAt  monotime.Time
 	Floor   uint64
-	Kind    string
+	Kind    string // of the control plane's operation
 	Args    json.RawMessage
 	Resent  bool
-	Base    uint64
-	Content string
+	Base    uint64 // the revision that the client builds on
+	Content string // unique in the run
 }
 
 // client asks for one operation at a time. Invariant: lastProposal is its last proposal that
 // names the version it is based on.
 type client struct {
-	number       int
-	sent         int
+	number       int // from 1
+	sent         int // counts its operations
 	pending      *clientOperation
 	lastProposal *clientOperation
-	bases        map[int]uint64
+	bases        map[int]uint64 // by index of the object
 }
 
 // base is the revision of an object that the client builds on.
 func (cl *client) base(object int) uint64 { return cl.bases[object] }
 
+// setBase notes the newest revision of an object that the client knows.
 func (cl *client) setBase(object int, base uint64) {
 	if cl.bases == nil {
 		cl.bases = map[int]uint64{}
@@ -71,6 +72,7 @@
 	c.submit(m, cl, &op)
 }
 
+// submit gives an operation to the proposer of a member.
 func (c *Cluster) submit(m *member, cl *client, op *clientOperation) {
 	c.lastTag++
 	op.Tag = c.lastTag
@@ -81,7 +83,8 @@
 	c.applyEffects(m, m.proposer.Submit(c.clock(m), operation))
 }
 
-// operationEnded takes the outcome of an operation.
+// operationEnded takes the outcome of an operation. Its client learns nothing if the operation
+// may or may not have taken effect.
 func (c *Cluster) operationEnded(m *member, out proposer.Outcome) {
 	op := m.operations[out.Operation.Ticket]
 	if op == nil {
@@ -92,20 +95,23 @@
 	}
 	delete(m.operations, op.Tag)
 	switch {
-	case out.Abandoned && out.MayHaveTakenEffect && c.settings.Mutant != MutantOutcome:
-		c.outcomeUnknown(op)
-		return
-	case out.Abandoned, out.Failure != nil && out.Failure.Outcome == failure.NotExecuted && out.Failure.Kind != failure.Compacted:
+	case c.outcomeUnknown(out):
+	case out.Abandoned, out.Failure != nil && out.Failure.Kind != failure.Compacted:
 		c.operationRejected(op, out)
-	case out.Failure != nil && out.Failure.Outcome != failure.NotExecuted:
-		c.outcomeUnknown(op)
-		return
 	default:
 		c.objects[op.Object].succeeded(c, op, out)
 	}
 	c.closeOperation(op)
 }
 
+// outcomeUnknown tells whether an operation may or may not have taken effect.
+func (c *Cluster) outcomeUnknown(out proposer.Outcome) bool {
+	if out.Abandoned {
+		return out.MayHaveTakenEffect && c.settings.Mutant != MutantOutcome
+	}
+	return out.Failure != nil && out.Failure.Outcome != failure.NotExecuted
+}
+
 // operationRejected takes an outcome that says that the operation did not take effect.
 func (c *Cluster) operationRejected(op *clientOperation, out proposer.Outcome) {
 	obj := c.objects[op.Object]
@@ -117,9 +123,6 @@
 	}
 }
 
-// outcomeUnknown ends an operation that may have taken effect.
-func (c *Cluster) outcomeUnknown(op *clientOperation) { c.closeOperation(op) }
-
 // closeOperation lets the client of an operation ask for the next one.
 func (c *Cluster) closeOperation(op *clientOperation) {
 	if cl := c.clients[op.Client-1]; cl.pending != nil && cl.pending.Tag == op.Tag {
--- a/explore/cluster/join.go
+++ b/explore/cluster/join.go
@@ -32,7 +32,7 @@
 		records = append(records, ring.Record{Key: tag})
 	}
 	for _, tag := range sortedTags(m.operations) {
-		c.outcomeUnknown(m.operations[tag])
+		c.closeOperation(m.operations[tag])
 	}
 	m.operations = map[uint64]*clientOperation{}
 	c.assignDisk(m)
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -14,32 +14,35 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
+// diskTag is the ring key of a disk's identifier.
 const diskTag = "disk"
 
 // member is one core. Invariants: registerAcceptor and membershipAcceptor hold, while the process
 // is down, what its disk would give back; unsyncedResponses hold the responses that wait for a
 // sync.
 type member struct {
-	number             int
-	generation         int
-	running            bool
-	leaving            bool
-	unheard            bool
+	number     int // from 1
+	generation int // counts the starts of its process
+	running    bool
+	leaving    bool // a planned stop has begun
+	unheard    bool // the others take it for dead
+
 	store              disk
-	diskID             ident.Disk
+	diskID             ident.Disk // empty before the first start
 	membershipAcceptor *membership.Acceptor
 	registerAcceptor   *acceptor.Acceptor
-	proposer           *proposer.Proposer
-	reconfigurer       *reconfiguration.Reconfigurer
-	copyReader         *quorumread.Reader
-	copiedAt           ident.Epoch
-	lastRound          uint64
-	awaitedRound       uint64 // the round of the message that a copy is synced, 0 if none is awaited
 	unsyncedResponses  []envelope
-	clockOffset        monotime.Duration
-	clockWatch         monotime.StepLimiter
-	// operations are the operations in flight, by tag.
-	operations map[uint64]*clientOperation
+
+	proposer     *proposer.Proposer
+	operations   map[uint64]*clientOperation // in flight, by tag
+	reconfigurer *reconfiguration.Reconfigurer
+	copyReader   *quorumread.Reader // nil if no copy is in progress
+	copiedAt     ident.Epoch        // the membership at which the copy was complete, 0 if it is not
+	lastRound    uint64
+	awaitedRound uint64 // the round of the message that a copy is synced, 0 if none is awaited
+
+	clockOffset monotime.Duration
+	clockWatch  monotime.StepLimiter
 }
 
 func (m *member) addr() ident.Addr { return ident.Addr(fmt.Sprintf("m%d", m.number)) }
@@ -161,9 +164,11 @@
 // kill ends the process; its operations in flight end with an unknown outcome.
 func (c *Cluster) kill(m *member) {
 	for _, tag := range sortedTags(m.operations) {
-		c.outcomeUnknown(m.operations[tag])
+		c.closeOperation(m.operations[tag])
 	}
-	m.running, m.leaving, m.unsyncedResponses, m.operations, m.proposer, m.reconfigurer, m.copyReader = false, false, nil, nil, nil, nil, nil
+	m.running, m.leaving = false, false
+	m.unsyncedResponses, m.operations = nil, nil
+	m.proposer, m.reconfigurer, m.copyReader = nil, nil, nil
 }
 
 // aliveDisks lists the disks that a voter has lately heard.
--- a/sim/scenario/deployment.go
+++ b/sim/scenario/deployment.go
@@ -19,7 +19,7 @@
 	RequestKinds     []world.RequestKind
 	Rate             float64 // requests a second, over all machines
 	Locks            int
-	Keys             int
+	Keys             int     // that clients of real processes use; simulated ones use fewer
 	CoordinationRate float64 // coordination operations a second
 	ConfigInterval   time.Duration
 }
--- a/sim/scenario/run.go
+++ b/sim/scenario/run.go
@@ -37,6 +37,22 @@
 	delayRate     = 0.01
 )
 
+// What the clients of the control plane use, and the intervals at which they do.
+const (
+	sequenceCount     = 4
+	keyCount          = 12
+	keyspaceCount     = 3
+	entryCount        = 12
+	platformLockCount = 4
+
+	lockInterval         = 700 * time.Millisecond
+	sequenceInterval     = 500 * time.Millisecond
+	keyInterval          = 400 * time.Millisecond
+	watchInterval        = 500 * time.Millisecond
+	keyspaceInterval     = 300 * time.Millisecond
+	platformLockInterval = 500 * time.Millisecond
+)
+
 // Run is one simulated day.
 type Run struct {
 	*world.World
@@ -121,13 +137,13 @@
 func (r *Run) startClients() {
 	d := r.deployment
 	r.operators = r.StartOperators(d.ConfigInterval, r.configDocument)
-	r.StartLockers(d.clients(8, 2), d.Locks, 700*time.Millisecond)
-	r.StartSequenceUsers(d.clients(12, 2), 4, 500*time.Millisecond)
-	r.keyUsers = r.StartKeyUsers(d.clients(4, 3), 12, 400*time.Millisecond)
-	r.StartWatcher(500 * time.Millisecond)
+	r.StartLockers(d.clients(8, 2), d.Locks, lockInterval)
+	r.StartSequenceUsers(d.clients(12, 2), sequenceCount, sequenceInterval)
+	r.keyUsers = r.StartKeyUsers(d.clients(4, 3), keyCount, keyInterval)
+	r.StartWatcher(watchInterval)
 	if r.options.Keyspaces {
-		r.keyspaceUsers = r.StartKeyspaceUsers(d.clients(8, 3), 3, 12, 300*time.Millisecond)
-		r.StartPlatformLockers(d.clients(8, 3), 4, 500*time.Millisecond)
+		r.keyspaceUsers = r.StartKeyspaceUsers(d.clients(8, 3), keyspaceCount, entryCount, keyspaceInterval)
+		r.StartPlatformLockers(d.clients(8, 3), platformLockCount, platformLockInterval)
 	}
 }
 
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -153,50 +153,55 @@
 	return options
 }
 
+// mutantFaults are the faults that show a mutant, where not all faults do.
+var mutantFaults = map[world.Mutant][]string{
+	world.MutantSkipChecks:       {"endpoint-freeze", "endpoint-reuse"},
+	world.MutantIgnoreLeave:      {"endpoint-replace"},
+	world.MutantUnlimitedRetries: {"release-bad"},
+	world.MutantAbruptStop:       {"side-roll"},
+	world.MutantIgnoreSilence:    {"endpoint-hang"},
+	world.MutantUnwatchedClock:   {"clock-jump"},
+	world.MutantIgnoreUrgency:    {"overload"},
+	world.MutantExecuteRejected:  {"crowd", "endpoint-slow"},
+	world.MutantDecideTwice:      {"crowd", "endpoint-slow"},
+	world.MutantIgnoreFence:      {"endpoint-reuse", "endpoint-freeze"},
+	world.MutantExecuteShed:      {"endpoint-slow", "overload"},
+	world.MutantRetryFailed:      {"endpoint-fails"},
+	world.MutantLazySync:         {"core-kill-power"},
+	world.MutantUnsyncedFolder:   {"core-kill-power"},
+}
+
+// mutantDay is a day that shows a mutant, on some seed.
+func mutantDay(mutant world.Mutant, seed uint64) (Deployment, Options) {
+	options := faultDay(seed, 1, mutantFaults[mutant]...)
+	switch mutant {
+	case world.MutantNoPeerCache:
+		options = isolatedCoreDay(seed)
+	case world.MutantStay:
+		options = partitionDay(seed, "core-apart-alone", 0)
+	case world.MutantQueueInStop:
+		options = plannedStopsDay(seed)
+	}
+	options.Mutant, options.Platform = mutant, mutant.NeedsPlatform()
+	options.Keyspaces = strings.HasPrefix(string(mutant), "cell-")
+	if mutant == world.MutantJoinSingly {
+		options = herdDay(seed, "herd-power")
+		options.Mutant = mutant
+		return herd84, options
+	}
+	return Deployments["prairie"], options
+}
+
 // Every mutant is seen to break its rules: no checker is blind.
 func TestEveryCheckerCanFail(t *testing.T) {
-	faults := map[world.Mutant][]string{
-		world.MutantSkipChecks:       {"endpoint-freeze", "endpoint-reuse"},
-		world.MutantIgnoreLeave:      {"endpoint-replace"},
-		world.MutantUnlimitedRetries: {"release-bad"},
-		world.MutantAbruptStop:       {"side-roll"},
-		world.MutantIgnoreSilence:    {"endpoint-hang"},
-		world.MutantUnwatchedClock:   {"clock-jump"},
-		world.MutantIgnoreUrgency:    {"overload"},
-		world.MutantExecuteRejected:  {"crowd", "endpoint-slow"},
-		world.MutantDecideTwice:      {"crowd", "endpoint-slow"},
-		world.MutantIgnoreFence:      {"endpoint-reuse", "endpoint-freeze"},
-		world.MutantExecuteShed:      {"endpoint-slow", "overload"},
-		world.MutantRetryFailed:      {"endpoint-fails"},
-		world.MutantLazySync:         {"core-kill-power"},
-		world.MutantUnsyncedFolder:   {"core-kill-power"},
-	}
 	for mutant, rules := range world.Mutants {
 		t.Run(string(mutant), func(t *testing.T) {
 			t.Parallel()
 			seen := map[string]bool{}
 			for seed := uint64(1); seed < 20 && len(seen) < len(rules); seed++ {
-				options := faultDay(seed, 1, faults[mutant]...)
-				switch mutant {
-				case world.MutantNoPeerCache:
-					options = isolatedCoreDay(seed)
-				case world.MutantStay:
-					options = partitionDay(seed, "core-apart-alone", 0)
-				case world.MutantQueueInStop:
-					options = plannedStopsDay(seed)
-				}
-				options.Mutant, options.Platform = mutant, mutant.NeedsPlatform()
-				options.Keyspaces = strings.HasPrefix(string(mutant), "cell-")
-				deployment := Deployments["prairie"]
-				if mutant == world.MutantJoinSingly {
-					deployment, options = herd84, herdDay(seed, "herd-power")
-					options.Mutant = mutant
-				}
-				for _, violation := range Simulate(deployment, options).Checker.Violations {
-					for _, rule := range rules {
-						if rule == violation.Rule {
-							seen[rule] = true
-						}
+				for _, violation := range Simulate(mutantDay(mutant, seed)).Checker.Violations {
+					if slices.Contains(rules, violation.Rule) {
+						seen[violation.Rule] = true
 					}
 				}
 			}
--- a/sim/world/coredisk.go
+++ b/sim/world/coredisk.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/core/node"
 	"cottonarch.example/cottonarch/sim/invariant"
@@ -16,6 +17,9 @@
 	writeSpread   = 1500 * time.Microsecond
 )
 
+// errDiskFailed is the error of every write to a failed disk.
+var errDiskFailed = failure.New(failure.DiskFailed, "the disk failed")
+
 // unsyncedFolder is a folder that is never synced.
 type unsyncedFolder struct{ ring.Folder }
 
--- a/sim/world/rpc.go
+++ b/sim/world/rpc.go
@@ -1,9 +1,11 @@
 package world
 
 import (
+	"encoding/json"
 	"time"
 
 	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/control/core/node"
 )
 
 // reply is what comes of a request to another process: a value, a failure that the server
@@ -53,3 +55,15 @@
 		})
 	})
 }
+
+// respondResult responds with the result of an operation, as far as it can be decoded.
+func respondResult[T any](respond func(T, *failure.Error)) func(node.Result) {
+	return func(result node.Result) {
+		var value T
+		if result.Failure != nil {
+			respond(value, result.Failure)
+		} else if json.Unmarshal(result.Body, &value) == nil {
+			respond(value, nil)
+		}
+	}
+}
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -1,7 +1,6 @@
 package world
 
 import (
-	"encoding/json"
 	"fmt"
 	"time"
 
@@ -42,15 +41,7 @@
 	s.joinPending = true
 	request := joinqueue.Request{Node: s.Node, Run: fmt.Sprintf("%d.%d", s.generation, s.joinCount)}
 	rpc(s, &c.process, joiner.JoinTimeout, func(respond func(node.Joined, *failure.Error)) {
-		c.Join(request, func(result node.Result) {
-			var joined node.Joined
-			switch {
-			case result.Failure != nil:
-				respond(joined, result.Failure)
-			case json.Unmarshal(result.Body, &joined) == nil:
-				respond(joined, nil)
-			}
-		})
+		c.Join(request, respondResult(respond))
 	}, func(r reply[node.Joined]) {
 		s.joinPending = false
 		s.joinEnded(c.Addr, r)
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -1,7 +1,6 @@
 package world
 
 import (
-	"encoding/json"
 	"time"
 
 	"cottonarch.example/cottonarch/base/failure"
@@ -9,7 +8,6 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 	"cottonarch.example/cottonarch/control/coordination/operation"
 	"cottonarch.example/cottonarch/control/coordination/quota"
-	"cottonarch.example/cottonarch/control/core/node"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/control/registry/record"
 	"cottonarch.example/cottonarch/mesh/lease/holder"
@@ -126,15 +124,7 @@
 	c := s.world.Cores[s.world.Rng.IntN(len(s.world.Cores))]
 	rpc(s, &c.process, shareTimeout, func(respond func(quota.Share, *failure.Error)) {
 		op := proposer.Operation{Key: quota.Key, Kind: "share/take", Args: operation.Encode(args)}
-		c.Submit(op, shareBudget, func(result node.Result) {
-			var granted quota.Share
-			switch {
-			case result.Failure != nil:
-				respond(granted, result.Failure)
-			case json.Unmarshal(result.Body, &granted) == nil:
-				respond(granted, nil)
-			}
-		})
+		c.Submit(op, shareBudget, respondResult(respond))
 	}, func(r reply[quota.Share]) {
 		if r.lost || args.LeaseEpoch != s.leaseEpoch {
 			return
