--- a/sim/world/admittedrun.go
+++ b/sim/world/admittedrun.go
@@ -53,7 +53,7 @@
 	addr, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service)
 	if rejection == nil {
 		if r.begun = s.router.RetryBudget.BeginRun(s.localTime(), r.attempt.decision.RepeatChance); !r.begun {
-			rejection = failure.New(failure.Busy, "a repeat has no room below")
+			rejection = failure.New(failure.Busy, "no room for the calls of a repeat")
 		}
 	}
 	if rejection != nil {
@@ -79,7 +79,7 @@
 	began := s.localTime()
 	remaining := r.deadline.Since(began)
 	w.After(remaining, func() {
-		noResponse := failure.NewUnknown(failure.DeadlineExceeded, "the endpoint gave no return")
+		noResponse := failure.NewUnknown(failure.DeadlineExceeded, "the endpoint gave no response")
 		r.end(attempt.Result{Outcome: attempt.Unknown, Failure: noResponse}, admission.GivenUp, s.localTime().Since(began))
 	})
 	w.countArrival(r.attempt.queued)
--- a/sim/world/call.go
+++ b/sim/world/call.go
@@ -83,7 +83,7 @@
 	record.UrgentInFlight, record.UrgentCapacity = s.urgentInFlight, w.MaxSenders
 	queued := &queuedCall{call: call, record: record, startedAt: now}
 	if !s.queue.Enqueue(now, queued, call.Route.Urgent, call.Deadline) {
-		w.endCall(record, failure.New(failure.Busy, "too many requests are in hand").WithRetryAfter(1))
+		w.endCall(record, failure.New(failure.Busy, "too many requests are in flight").WithRetryAfter(1))
 		return
 	}
 	s.dispatch(s.generation)
--- a/sim/world/callattempt.go
+++ b/sim/world/callattempt.go
@@ -74,7 +74,7 @@
 	if a.sidecar.world.Mutant == MutantWrongResponse {
 		return attempt.Result{Outcome: attempt.Executed}
 	}
-	return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "no return"), Unreachable: kind == failure.LostResponse}
+	return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "no response"), Unreachable: kind == failure.LostResponse}
 }
 
 // unreachable is the result of an attempt that never left the sidecar.
--- a/sim/world/forward.go
+++ b/sim/world/forward.go
@@ -67,7 +67,7 @@
 	}
 	execution := w.executionBy(e, queued)
 	w.After(decision.Timeout, func() {
-		end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint gave no return"), Unreachable: true})
+		end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint gave no response"), Unreachable: true})
 	})
 	w.countArrival(queued)
 	if e.hung {
