--- a/capacity/meter/activity.go
+++ b/capacity/meter/activity.go
@@ -86,6 +86,7 @@
 	{"mesh/configcache", peerCache},
 	{"mesh/endpoint", heartbeats},
 	{"daemon/sidecar.(*renewer)", leases},
+	{"daemon/sidecar.(*leaseJoiner)", leases},
 	{"daemon/sidecar.(*Sidecar).renew", leases},
 	{"daemon/sidecar.(*Sidecar).handleRenewal", leases},
 	{"daemon/sidecar.(*Sidecar).handleFailedRenewal", leases},
