--- a/control/coordination/operation/table.go
+++ b/control/coordination/operation/table.go
@@ -28,7 +28,8 @@
 // Table maps the kinds of operations to their handlers.
 type Table map[string]Handler
 
-// The kinds of operations that Apply treats specially.
+// The kinds of operations that Apply treats specially, in full, as the packages that own them
+// import this one.
 var (
 	// executedAgain lists the kinds whose response says for how long from now on something
 	// holds. A repeat is executed again, since its caller counts from the repeat.
--- a/control/core/node/audit.go
+++ b/control/core/node/audit.go
@@ -37,7 +37,7 @@
 		return
 	}
 	args := operation.Encode(proposal.AuditArgs{After: n.audit.revision})
-	op := proposer.Operation{Key: proposal.Key, Kind: "manifest/lines", Args: args}
+	op := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadAuditEntriesKind, Args: args}
 	n.submitInternal(now, op, fx, func(now monotime.Time, result Result, fx *Effects) {
 		var entries []proposal.AuditEntry
 		if result.Failure != nil || json.Unmarshal(result.Body, &entries) != nil {
@@ -78,7 +78,7 @@
 		return
 	}
 	args := operation.Encode(segment.AppendArgs{Index: index, Entry: entries[0]})
-	op := proposer.Operation{Key: segment.Key(index), Kind: "audit/append", Args: args}
+	op := proposer.Operation{Key: segment.Key(index), Kind: segment.AppendKind, Args: args}
 	n.submitInternal(now, op, fx, func(now monotime.Time, result Result, fx *Effects) {
 		if result.Failure != nil {
 			return
--- a/control/core/node/duty.go
+++ b/control/core/node/duty.go
@@ -72,9 +72,9 @@
 // tries to acquire it otherwise.
 func (n *Node) renewDuty(now monotime.Time, fx *Effects) {
 	n.duty.renewedAt = now
-	op := proposer.Operation{Key: dutyKey, Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: string(n.Disk), TTL: dutyLeaseTTLMs})}
+	op := proposer.Operation{Key: dutyKey, Kind: lock.AcquireKind, Args: operation.Encode(lock.Args{Holder: string(n.Disk), TTL: dutyLeaseTTLMs})}
 	if n.duty.held {
-		op.Kind, op.Args = "lock/renew", operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.duty.token})
+		op.Kind, op.Args = lock.RenewKind, operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.duty.token})
 	}
 	n.submitInternal(now, op, fx, func(_ monotime.Time, result Result, _ *Effects) {
 		var grant lock.Grant
@@ -90,7 +90,7 @@
 	}
 	if next, _ := placement.Proposer(dutyKey, disks); next != "" {
 		args := operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.duty.token, Successor: string(next)})
-		n.submitInternal(now, proposer.Operation{Key: dutyKey, Kind: "lock/pass", Args: args}, fx, ignoreResult)
+		n.submitInternal(now, proposer.Operation{Key: dutyKey, Kind: lock.TransferKind, Args: args}, fx, ignoreResult)
 	}
 	n.duty.held = false
 }
--- a/control/core/node/freshness.go
+++ b/control/core/node/freshness.go
@@ -49,7 +49,7 @@
 		return
 	}
 	n.freshness.refreshStarted = now
-	read := proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}
+	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
 	n.begin(now, &pending{operation: read, deadline: now.Add(refreshBudget), onDone: n.takeConfigRevision}, fx)
 }
 
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -101,7 +101,7 @@
 		batch.collect(result, &batch.entered)
 		n.finishJoinOperation(now, batch, fx)
 	}}, fx)
-	read := proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}
+	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
 	n.begin(now, &pending{operation: read, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
 		var newest proposal.Accepted
 		batch.collect(result, &newest)
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -10,7 +10,12 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/config/proposal"
+	"cottonarch.example/cottonarch/control/coordination/keyspace"
+	"cottonarch.example/cottonarch/control/coordination/keyvalue"
+	"cottonarch.example/cottonarch/control/coordination/lock"
 	"cottonarch.example/cottonarch/control/coordination/operation"
+	"cottonarch.example/cottonarch/control/coordination/quota"
+	"cottonarch.example/cottonarch/control/coordination/sequence"
 	"cottonarch.example/cottonarch/control/core/message"
 	"cottonarch.example/cottonarch/control/register/placement"
 	"cottonarch.example/cottonarch/control/register/proposer"
@@ -30,27 +35,27 @@
 
 // readOnly lists the operations that change nothing: it does no harm to run one twice.
 var readOnly = map[string]bool{
-	"lock/read":      true,
-	"number/read":    true,
-	"key/read":       true,
-	"share/read":     true,
-	"manifest/read":  true,
-	"manifest/epoch": true,
-	"manifest/lines": true,
-	"rollout/read":   true,
-	"group/read":     true,
-	"group/since":    true,
-	proposer.Repair:  true,
+	lock.ReadKind:                 true,
+	sequence.ReadKind:             true,
+	keyvalue.ReadKind:             true,
+	quota.ReadKind:                true,
+	proposal.ReadKind:             true,
+	proposal.ReadRevisionKind:     true,
+	proposal.ReadAuditEntriesKind: true,
+	rollout.ReadKind:              true,
+	keyspace.ReadKind:             true,
+	keyspace.SinceKind:            true,
+	proposer.Repair:               true,
 }
 
 // needsDiskSpace lists the operations that may need more room on the disks.
 var needsDiskSpace = map[string]bool{
-	"key/write":      true,
-	"manifest/offer": true,
-	"lock/claim":     true,
-	"number/next":    true,
-	"rollout/begin":  true,
-	"group/put":      true,
+	keyvalue.WriteKind:   true,
+	proposal.ProposeKind: true,
+	lock.AcquireKind:     true,
+	sequence.NextKind:    true,
+	rollout.StartKind:    true,
+	keyspace.PutKind:     true,
 }
 
 // resultFunc receives the result of an operation of the core's own.
--- a/control/core/node/silence.go
+++ b/control/core/node/silence.go
@@ -26,7 +26,7 @@
 // reclaimShares reclaims the retry budget shares of nodes that a majority has not heard for
 // leasetable.SilentAfter. The voters are asked only about nodes that this core has not heard.
 func (n *Node) reclaimShares(now monotime.Time, fx *Effects) {
-	n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: "share/read"}, fx, func(now monotime.Time, result Result, fx *Effects) {
+	n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: quota.ReadKind}, fx, func(now monotime.Time, result Result, fx *Effects) {
 		var shares quota.State
 		if result.Failure != nil || operation.Decode(nil, result.Body, nil, &shares) != nil {
 			return
@@ -78,7 +78,7 @@
 		voters[check.Responder] = true
 		if len(voters) == n.membership.Current.Majority() {
 			args := operation.Encode(quota.Args{Node: node, LeaseEpoch: n.silence.leaseEpochs[node]})
-			n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: "share/free", Args: args}, fx, ignoreResult)
+			n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: quota.ReleaseKind, Args: args}, fx, ignoreResult)
 		}
 	}
 	return true
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -87,7 +87,7 @@
 		response.WriteError(w, fail)
 		return
 	}
-	take := proposer.Operation{Key: quota.Key, Kind: "share/take", Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
+	take := proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
 	answer := h.core.Execute(r.Context(), take, budgetShareTimeout)
 	if answer.Failure != nil {
 		response.WriteError(w, answer.Failure)
--- a/daemon/core/config.go
+++ b/daemon/core/config.go
@@ -24,12 +24,6 @@
 	configReadBudget    = time.Second
 )
 
-// The kinds of the operations that read the configuration.
-const (
-	readRevisionKind = "manifest/epoch"
-	readConfigKind   = "manifest/read"
-)
-
 // Config is a confirmed configuration, with its parsed form and its compressed one.
 type Config struct {
 	proposal.State
@@ -73,7 +67,7 @@
 // NewestConfig reads the configuration through its proposer, so it is not older than any that
 // was confirmed before the call. Its revision is 0 when there is none yet.
 func (c *Core) NewestConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: readRevisionKind}, budget)
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}, budget)
 	if end.Failure != nil {
 		return nil, end.Failure
 	}
@@ -92,7 +86,7 @@
 
 // readConfig reads the newest configuration whole, through its proposer, and installs it.
 func (c *Core) readConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: readConfigKind}, budget)
+	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, budget)
 	if end.Failure != nil {
 		return nil, end.Failure
 	}
--- a/explore/cluster/auditobject.go
+++ b/explore/cluster/auditobject.go
@@ -29,7 +29,7 @@
 	op.Floor = a.Floor
 	op.Base = a.Floor
 	entry := proposal.AuditEntry{Revision: ident.ConfigRevision(auditRevisionStep * (a.Floor + 1)), SHA256: op.Content}
-	return "audit/append", operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: entry})
+	return segment.AppendKind, operation.Encode(segment.AppendArgs{Index: a.Index*segment.MaxEntries + int(a.Floor), Entry: entry})
 }
 
 func (a *auditObject) succeeded(c *Cluster, op *clientOperation, _ proposer.Outcome) {
--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -7,6 +7,7 @@
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/register/proposer"
 	"cottonarch.example/cottonarch/explore/search"
 )
@@ -56,7 +57,7 @@
 	op := &clientOperation{Client: cl.number, Number: cl.sent, Object: choice.Key, Name: choice.Operation, SentAt: c.now, Base: cl.base(choice.Key)}
 	op.Content = fmt.Sprintf("%d-%d", op.Client, op.Number)
 	op.Kind, op.Args = c.objects[op.Object].prepare(op)
-	if op.Kind == proposeKind && op.Name == proposeOnVersion {
+	if op.Kind == proposal.ProposeKind && op.Name == proposeOnVersion {
 		cl.lastProposal = op
 	}
 	c.submit(m, cl, op)
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -15,7 +15,6 @@
 )
 
 const (
-	proposeKind       = "manifest/offer"
 	proposeOnRevision = "order on its epoch"
 	proposeOnVersion  = "order on its release"
 	readConfig        = "read"
@@ -44,7 +43,7 @@
 func (m *configObject) prepare(op *clientOperation) (string, json.RawMessage) {
 	op.Floor = m.Floor
 	if op.Name == readConfig {
-		return "manifest/read", nil
+		return proposal.ReadKind, nil
 	}
 	body := fmt.Sprintf(`{"release":%d,"by":%q}`, op.Base+1, op.Content)
 	args := proposal.Args{AllowUnknown: true, Body: json.RawMessage(body)}
@@ -54,7 +53,7 @@
 		base := ident.ConfigRevision(op.Base)
 		args.BaseRevision = &base
 	}
-	return proposeKind, operation.Encode(args)
+	return proposal.ProposeKind, operation.Encode(args)
 }
 
 func (m *configObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
--- a/explore/cluster/keyspaceobject.go
+++ b/explore/cluster/keyspaceobject.go
@@ -13,6 +13,9 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+// keyspaceKinds holds the kinds of the operations on a keyspace by their names in traces.
+var keyspaceKinds = map[string]string{"put": keyspace.PutKind, "read": keyspace.ReadKind, "since": keyspace.SinceKind}
+
 // keyspaceObject is a keyspace with one entry, which is also watched.
 type keyspaceObject struct{ revisionedObject }
 
@@ -31,7 +34,7 @@
 	case "since":
 		args.After = new(ident.Revision)
 	}
-	return "group/" + op.Name, operation.Encode(args)
+	return keyspaceKinds[op.Name], operation.Encode(args)
 }
 
 func (g *keyspaceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
--- a/explore/cluster/lockobject.go
+++ b/explore/cluster/lockobject.go
@@ -15,6 +15,14 @@
 // lockTTL is how long a lease lasts, in milliseconds.
 const lockTTL = 1000
 
+// lockKinds holds the kinds of the operations on a lock by their names in traces.
+var lockKinds = map[string]string{
+	"claim":   lock.AcquireKind,
+	"keep":    lock.AcquireKind,
+	"renew":   lock.RenewKind,
+	"release": lock.ReleaseKind,
+}
+
 // grant is a lease as its client counts on it. Invariant: it counts from the sending of the
 // request, by a true clock, until the lease expires or the client releases it.
 type grant struct {
@@ -57,11 +65,7 @@
 		args.FencingToken = l.Grants[op.Client].Fence
 		delete(l.Grants, op.Client) // from here on the client does not count on it
 	}
-	kind := op.Name
-	if kind == "keep" {
-		kind = "claim"
-	}
-	return "lock/" + kind, operation.Encode(args)
+	return lockKinds[op.Name], operation.Encode(args)
 }
 
 func (l *lockObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
--- a/explore/cluster/sequenceobject.go
+++ b/explore/cluster/sequenceobject.go
@@ -22,7 +22,7 @@
 
 func (n *sequenceObject) prepare(op *clientOperation) (string, json.RawMessage) {
 	op.Floor = n.Floor
-	return "number/next", nil
+	return sequence.NextKind, nil
 }
 
 func (n *sequenceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
--- a/explore/cluster/valueobject.go
+++ b/explore/cluster/valueobject.go
@@ -25,9 +25,9 @@
 func (v *valueObject) prepare(op *clientOperation) (string, json.RawMessage) {
 	op.Floor = v.Floor
 	if op.Name == "read" {
-		return "key/read", operation.Encode(keyvalue.Args{Since: new(ident.Revision)})
+		return keyvalue.ReadKind, operation.Encode(keyvalue.Args{Since: new(ident.Revision)})
 	}
-	return "key/write", operation.Encode(keyvalue.Args{Value: operation.Encode(op.Content)})
+	return keyvalue.WriteKind, operation.Encode(keyvalue.Args{Value: operation.Encode(op.Content)})
 }
 
 func (v *valueObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
--- a/sim/mutant/handlers.go
+++ b/sim/mutant/handlers.go
@@ -27,15 +27,15 @@
 
 // mutations are the faulty handlers by the name of their mutant.
 var mutations = map[string]mutation{
-	"lock":         {"lock/claim", expireLeasesAtOnce},
-	"offer":        {"manifest/offer", ignoreBaseRevision},
-	"audit":        {"audit/append", omitAuditEntries},
-	"cell-twice":   {"group/put", repeatRevisions},
-	"cell-old":     {"group/read", readOldest},
-	"cell-skip":    {"group/since", skipFirstEvent},
-	"cell-history": {"group/put", retainNextToNothing},
-	"cell-keep":    {"lock/claim", shareToken},
-	"history":      {"key/write", forgetHistory},
+	"lock":         {lock.AcquireKind, expireLeasesAtOnce},
+	"offer":        {proposal.ProposeKind, ignoreBaseRevision},
+	"audit":        {segment.AppendKind, omitAuditEntries},
+	"cell-twice":   {keyspace.PutKind, repeatRevisions},
+	"cell-old":     {keyspace.ReadKind, readOldest},
+	"cell-skip":    {keyspace.SinceKind, skipFirstEvent},
+	"cell-history": {keyspace.PutKind, retainNextToNothing},
+	"cell-keep":    {lock.AcquireKind, shareToken},
+	"history":      {keyvalue.WriteKind, forgetHistory},
 }
 
 // faultyRevision is the distance of the revisions at which some mutants are faulty.
@@ -99,7 +99,7 @@
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		var decoded keyspace.Args
 		_ = json.Unmarshal(args, &decoded)
-		result := all["group/since"](ctx, state, operation.Encode(keyspace.Args{After: new(ident.Revision)}))
+		result := all[keyspace.SinceKind](ctx, state, operation.Encode(keyspace.Args{After: new(ident.Revision)}))
 		var changes keyspace.Changes
 		_ = json.Unmarshal(result.Body, &changes)
 		for _, put := range changes.Events {
@@ -126,7 +126,7 @@
 
 // retainNextToNothing retains the puts of a keyspace for a nanosecond.
 func retainNextToNothing(operation.Handler, operation.Table) operation.Handler {
-	return keyspace.Handlers(1)["group/put"]
+	return keyspace.Handlers(1)[keyspace.PutKind]
 }
 
 // shareToken grants a held lock, with the holder's fencing token, to whoever asks for it.
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -26,7 +26,7 @@
 // ReadConfig reads the configuration by an operation and takes it in; done learns whether
 // that succeeded.
 func (c *Core) ReadConfig(done func(ok bool)) {
-	c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, time.Second, func(result node.Result) {
+	c.Submit(proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, time.Second, func(result node.Result) {
 		if result.Failure != nil {
 			done(false)
 			return
--- a/sim/world/keyspaceusers.go
+++ b/sim/world/keyspaceusers.go
@@ -79,7 +79,7 @@
 
 // read reads an entry, whose newest acknowledged revision is the floor.
 func (u *KeyspaceUsers) read(space, name string, floor ident.Revision) {
-	u.request(space, "group/read", keyspace.Args{Name: name}, func(result *node.Result) {
+	u.request(space, keyspace.ReadKind, keyspace.Args{Name: name}, func(result *node.Result) {
 		var entry keyspace.Put
 		switch {
 		case failedWith(result, failure.NotFound):
@@ -106,7 +106,7 @@
 }
 
 func (p *entryPut) send(attempts int) {
-	p.request(p.space, "group/put", p.args, func(result *node.Result) {
+	p.request(p.space, keyspace.PutKind, p.args, func(result *node.Result) {
 		w, name, value := p.world, p.args.Name, string(p.args.Value)
 		var done keyspace.Put
 		if succeeded(result, &done) {
@@ -141,7 +141,7 @@
 		if after > 0 {
 			args.After = &after
 		}
-		u.request(space, "group/since", args, func(result *node.Result) {
+		u.request(space, keyspace.SinceKind, args, func(result *node.Result) {
 			var changes keyspace.Changes
 			switch {
 			case failedWith(result, failure.Compacted):
--- a/sim/world/keyusers.go
+++ b/sim/world/keyusers.go
@@ -120,7 +120,7 @@
 
 // operation is the operation that the control plane is asked for.
 func (in keyInput) operation(name string) proposer.Operation {
-	op := proposer.Operation{Key: ident.Key("key/" + name), Kind: "key/write"}
+	op := proposer.Operation{Key: ident.Key("key/" + name), Kind: keyvalue.WriteKind}
 	value, _ := json.Marshal(in.value)
 	switch in.kind {
 	case writeKey:
@@ -128,7 +128,7 @@
 	case compareAndSetKey:
 		op.Args = operation.Encode(keyvalue.Args{Value: value, IfRevision: &in.base})
 	default:
-		op.Kind, op.Args = "key/read", operation.Encode(keyvalue.Args{})
+		op.Kind, op.Args = keyvalue.ReadKind, operation.Encode(keyvalue.Args{})
 	}
 	return op
 }
--- a/sim/world/lockers.go
+++ b/sim/world/lockers.go
@@ -110,7 +110,7 @@
 	ttl := time.Duration(500+w.Rng.IntN(2000)) * time.Millisecond
 	sentAt := w.now
 	args := operation.Encode(lock.Args{Holder: l.name, TTL: ttl.Milliseconds()})
-	w.request(proposer.Operation{Key: lockKey(name), Kind: "lock/claim", Args: args}, func(result *node.Result) {
+	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.AcquireKind, Args: args}, func(result *node.Result) {
 		var given lock.Grant
 		if !succeeded(result, &given) || w.now >= sentAt.Add(ttl) {
 			l.pause()
@@ -139,7 +139,7 @@
 func (l *locker) renew(name string, held *grant, ttl time.Duration, renewals int) {
 	w, sentAt := l.world, l.world.now
 	args := operation.Encode(lock.Args{Holder: l.name, FencingToken: held.fencingToken})
-	w.request(proposer.Operation{Key: lockKey(name), Kind: "lock/renew", Args: args}, func(result *node.Result) {
+	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.RenewKind, Args: args}, func(result *node.Result) {
 		if result != nil && result.Failure == nil && w.now < held.expiresAt {
 			held.expiresAt = max(held.expiresAt, sentAt.Add(ttl))
 			l.granted(name, held)
@@ -156,5 +156,5 @@
 	}
 	held.expiresAt = w.now // from here on the client does not count on it
 	args := operation.Encode(lock.Args{Holder: l.name, FencingToken: held.fencingToken})
-	w.request(proposer.Operation{Key: lockKey(name), Kind: "lock/release", Args: args}, func(*node.Result) { l.pause() })
+	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.ReleaseKind, Args: args}, func(*node.Result) { l.pause() })
 }
--- a/sim/world/operatorchecks.go
+++ b/sim/world/operatorchecks.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		newest := o.newestConfirmed
-		c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, finalReadBudget, func(result node.Result) {
+		c.Submit(proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, finalReadBudget, func(result node.Result) {
 			var state proposal.State
 			if !succeeded(&result, &state) {
 				w.Violate(invariant.SlowRecovery, "core %s can't read the configuration at day's end: %v", c.Addr, result.Failure)
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -64,7 +64,7 @@
 func (o *Operators) Propose() {
 	w := o.world
 	p := o.newProposal()
-	w.request(proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(p.args)}, func(result *node.Result) {
+	w.request(proposer.Operation{Key: proposal.Key, Kind: proposal.ProposeKind, Args: operation.Encode(p.args)}, func(result *node.Result) {
 		w.Checker.Observe(invariant.ConfigRejected)
 		switch {
 		case notExecuted(result):
--- a/sim/world/platformlocker.go
+++ b/sim/world/platformlocker.go
@@ -63,7 +63,7 @@
 func (l *platformLocker) acquire(h heldLock) {
 	w, sentAt := l.world, l.world.now
 	args := operation.Encode(lock.Args{Holder: l.name, TTL: h.ttl.Milliseconds(), KeepToken: true})
-	w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: "lock/claim", Args: args}, clientBudget, clientTimeout, func(result *node.Result) {
+	w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: lock.AcquireKind, Args: args}, clientBudget, clientTimeout, func(result *node.Result) {
 		var given lock.Grant
 		if !succeeded(result, &given) || w.now >= sentAt.Add(h.ttl) {
 			l.pause()
@@ -98,7 +98,7 @@
 	w := l.world
 	l.abandon(h.name, l.name)
 	deadline := w.now.Add(clientTimeout)
-	w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: "lock/read"}, clientBudget, clientTimeout, func(result *node.Result) {
+	w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: lock.ReadKind}, clientBudget, clientTimeout, func(result *node.Result) {
 		var seen lock.Grant
 		if !succeeded(result, &seen) || w.now >= deadline {
 			l.again(h)
@@ -106,6 +106,6 @@
 		}
 		left := deadline.Since(w.now)
 		args := operation.Encode(lock.Args{Holder: l.name, FencingToken: fencingToken, GrantNumber: seen.Number})
-		w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: "lock/release", Args: args}, max(1, left), left, func(*node.Result) { l.again(h) })
+		w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: lock.ReleaseKind, Args: args}, max(1, left), left, func(*node.Result) { l.again(h) })
 	})
 }
--- a/sim/world/sequenceusers.go
+++ b/sim/world/sequenceusers.go
@@ -37,7 +37,7 @@
 	}
 	name := fmt.Sprintf("n%d", w.Rng.IntN(u.sequenceCount))
 	highestBefore := u.highest[name]
-	w.request(proposer.Operation{Key: ident.Key("number/" + name), Kind: "number/next"}, func(result *node.Result) {
+	w.request(proposer.Operation{Key: ident.Key("number/" + name), Kind: sequence.NextKind}, func(result *node.Result) {
 		var state sequence.State
 		if succeeded(result, &state) {
 			u.check(name, state.Last, highestBefore)
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -92,7 +92,7 @@
 // joinSingly makes the operations by which one sidecar joins.
 func (c *Core) joinSingly(sidecar ident.Node, respond func(node.Joined, *failure.Error)) {
 	fail := func() { respond(node.Joined{}, failure.New(failure.Unreachable, "the join failed")) }
-	number := proposer.Operation{Key: ident.Key("claim/" + string(sidecar)), Kind: "number/next"}
+	number := proposer.Operation{Key: ident.Key("claim/" + string(sidecar)), Kind: sequence.NextKind}
 	c.Submit(number, joinSinglyBudget, func(result node.Result) {
 		var numbers sequence.State
 		if !succeeded(&result, &numbers) {
@@ -101,7 +101,7 @@
 		}
 		leaseEpoch := ident.LeaseEpoch(numbers.Last)
 		args := operation.Encode(quota.Args{Node: sidecar, LeaseEpoch: leaseEpoch})
-		c.Submit(proposer.Operation{Key: quota.Key, Kind: "share/take", Args: args}, joinSinglyBudget, func(result node.Result) {
+		c.Submit(proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: args}, joinSinglyBudget, func(result node.Result) {
 			var share quota.Share
 			if !succeeded(&result, &share) {
 				fail()
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -123,7 +123,7 @@
 	}
 	c := s.world.Cores[s.world.Rng.IntN(len(s.world.Cores))]
 	rpc(s, &c.process, shareTimeout, func(respond func(quota.Share, *failure.Error)) {
-		op := proposer.Operation{Key: quota.Key, Kind: "share/take", Args: operation.Encode(args)}
+		op := proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: operation.Encode(args)}
 		c.Submit(op, shareBudget, respondResult(respond))
 	}, func(r reply[quota.Share]) {
 		if r.lost || args.LeaseEpoch != s.leaseEpoch {
--- a/sim/world/watcher.go
+++ b/sim/world/watcher.go
@@ -92,7 +92,7 @@
 	}
 	key := keys[0]
 	since := r.cursor[key]
-	op := proposer.Operation{Key: key, Kind: "key/read", Args: operation.Encode(keyvalue.Args{Since: &since})}
+	op := proposer.Operation{Key: key, Kind: keyvalue.ReadKind, Args: operation.Encode(keyvalue.Args{Since: &since})}
 	r.core.Submit(op, watchBudget, func(result node.Result) {
 		if result.Failure != nil {
 			r.end()
