--- a/control/membership/reconfiguration/reconfigurer.go
+++ b/control/membership/reconfiguration/reconfigurer.go
@@ -25,6 +25,10 @@
 	// changePause: otherwise a proposer without a change to make, which asks again after each
 	// changePause with a higher ballot, would always be ahead of one that has a change.
 	outbidRetry = 20 * time.Millisecond
+	// Pauses are spread by up to pauseSpreadMs milliseconds; roundStride has no factor in common
+	// with it, so that the pauses of successive rounds differ.
+	pauseSpreadMs = 100
+	roundStride   = 37
 )
 
 // stage is the phase that a change is in.
@@ -100,14 +104,14 @@
 
 // stop gives up the change and pauses.
 func (r *Reconfigurer) stop(now monotime.Time) {
-	r.stage, r.pausedUntil = idle, now.Add(changePause+time.Duration(r.round*37%100)*time.Millisecond)
+	r.stage, r.pausedUntil = idle, now.Add(changePause+time.Duration(r.round*roundStride%pauseSpreadMs)*time.Millisecond)
 }
 
 // pauseOutbid pauses for a time that differs between proposers and from one try to the next.
 func (r *Reconfigurer) pauseOutbid(now monotime.Time) {
 	hash := fnv.New32a()
 	_, _ = fmt.Fprint(hash, r.disk, r.round)
-	r.stage, r.pausedUntil = idle, now.Add(outbidRetry+time.Duration(hash.Sum32()%100)*time.Millisecond)
+	r.stage, r.pausedUntil = idle, now.Add(outbidRetry+time.Duration(hash.Sum32()%pauseSpreadMs)*time.Millisecond)
 }
 
 // Adopted drops a change that is based on an older membership.
--- a/mesh/loadbalancer/stats.go
+++ b/mesh/loadbalancer/stats.go
@@ -9,8 +9,18 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// maxReportedLoad bounds the load of one report in the mean of its service.
-const maxReportedLoad = 4
+const (
+	// maxReportedLoad bounds the load of one report in the mean of its service.
+	maxReportedLoad = 4
+	// A mean moves by one part of so many towards each sample.
+	loadSmoothing        = 16
+	failureRateSmoothing = 32
+	routeSmoothing       = 32
+	// A run counts in the mean of its route as no more than maxWorkFactor times the mean and
+	// workMargin together.
+	maxWorkFactor = 8
+	workMargin    = time.Millisecond
+)
 
 // endpointStats is what is known of one workload. Invariant: inFlight counts requests of this sidecar;
 // inFlightAtReport of them were in flight when the report was taken, and are counted in it.
@@ -47,8 +57,8 @@
 	if !s.reported {
 		s.reported, s.meanLoad = true, load
 	}
-	s.meanLoad += (load - s.meanLoad) / 16
-	s.meanFailureRate += (report.FailureRate - s.meanFailureRate) / 32
+	s.meanLoad += (load - s.meanLoad) / loadSmoothing
+	s.meanFailureRate += (report.FailureRate - s.meanFailureRate) / failureRateSmoothing
 }
 
 // routeStats is what was learnt from the responses of one route.
@@ -60,8 +70,8 @@
 
 // update takes a run into the means. How much a single run that took very long counts is bounded.
 func (r *routeStats) update(elapsed time.Duration, size int64) {
-	r.meanWork += (min(float64(elapsed), 8*r.meanWork+float64(time.Millisecond)) - r.meanWork) / 32
-	r.meanBytes += (float64(size) - r.meanBytes) / 32
+	r.meanWork += (min(float64(elapsed), maxWorkFactor*r.meanWork+float64(workMargin)) - r.meanWork) / routeSmoothing
+	r.meanBytes += (float64(size) - r.meanBytes) / routeSmoothing
 }
 
 // decay is the weight of a report at an age: half at the half-life, and less and less slowly after.
