--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -15,6 +15,7 @@
 	"cottonarch.example/cottonarch/sim/scenario"
 )
 
+// app is the command line.
 var app struct {
 	Bin        string        `default:"bin/cottonarch" help:"The cottonarch program."`
 	Old        string        `help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
@@ -34,11 +35,11 @@
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
 	}
 	if _, ok := scenario.Deployments[app.Deployment]; !ok {
-		add("deployment", "there is no deployment %q; there are prairie, volta", app.Deployment)
+		add("deployment", "there is no deployment %q; known: prairie, volta", app.Deployment)
 	}
 	for _, name := range faults {
 		if run.Faults[name] == nil {
-			add("faults", "there is no fault %q; there are all, %s", name, strings.Join(run.FaultNames(), ", "))
+			add("faults", "there is no fault %q; known: all, %s", name, strings.Join(run.FaultNames(), ", "))
 		}
 	}
 	if app.For < 20*time.Second || app.For > time.Hour {
@@ -69,10 +70,12 @@
 )
 
 func main() {
-	parser := kong.Parse(&app, kong.Name("fleet"), kong.Description("Runs a deployment as real processes and checks it against the invariants."),
+	parser := kong.Parse(&app,
+		kong.Name("fleet"),
+		kong.Description("Runs a deployment as real processes and checks it against the invariants."),
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = exitBadInput // all that ends here is a wrong command line
+				code = exitBadInput // kong itself ends the program only for a wrong command line
 			}
 			os.Exit(code)
 		}))
--- a/fleet/idlecost/deployment.go
+++ b/fleet/idlecost/deployment.go
@@ -24,11 +24,11 @@
 
 const (
 	seedCount      = 3
-	configTimeout  = 20 * time.Second // until a core takes the configuration
-	configInterval = 200 * time.Millisecond
+	configTimeout  = 20 * time.Second       // until a core takes the configuration
+	configInterval = 200 * time.Millisecond // between tries
 	service        = "accounts"
-	steadyLoad     = 0.1
-	loadSteps      = 5 // different loads that varying heartbeats report
+	steadyLoad     = 0.1 // that heartbeats report unless it varies
+	loadSteps      = 5   // different loads that varying heartbeats report
 )
 
 // deployment is the running processes.
@@ -64,36 +64,40 @@
 	return d, nil
 }
 
+// prepareCores writes the cores' settings files. The founders are an odd number of cores.
 func (d *deployment) prepareCores(seeds []string) error {
 	founders := d.coreAddrs(min(d.options.Voters, d.options.Cores-1+d.options.Cores%2))
 	for i := range d.options.Cores {
 		core := process.New(d.options.Binary, d.dir, fmt.Sprintf("core%d", i), "core", d.ip(coreOctet, i))
 		d.cores = append(d.cores, core)
-		if err := core.WriteSettings(process.CoreSettings{
+		settings := process.CoreSettings{
 			Address:  core.IP + meshPort,
 			Zone:     d.zone(i),
 			Seeds:    seeds,
 			Founders: founders,
 			Voters:   d.options.Voters,
 			DataDir:  core.DataDir,
-		}); err != nil {
+		}
+		if err := core.WriteSettings(settings); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// prepareSidecars writes the sidecars' settings files.
 func (d *deployment) prepareSidecars(seeds []string) error {
 	for i := range d.options.Sidecars {
 		sidecar := process.New(d.options.Binary, d.dir, fmt.Sprintf("side%d", i), "sidecar", d.ip(sidecarOctet, i))
 		d.sidecars = append(d.sidecars, sidecar)
-		if err := sidecar.WriteSettings(process.SidecarSettings{
+		settings := process.SidecarSettings{
 			Node:       fmt.Sprintf("sidecar-somewhere-%d", i),
 			Address:    sidecar.IP + meshPort,
 			ClientAddr: sidecar.IP + clientPort,
 			Zone:       d.zone(i),
 			Seeds:      seeds,
-		}); err != nil {
+		}
+		if err := sidecar.WriteSettings(settings); err != nil {
 			return err
 		}
 	}
@@ -171,7 +175,7 @@
 	Load    float64 `json:"burden"`
 }
 
-// startHeartbeats lets one endpoint at each sidecar send heartbeats until stop.
+// startHeartbeats starts sending the heartbeats of one endpoint at each sidecar, until stop.
 func (d *deployment) startHeartbeats() {
 	for i, sidecar := range d.sidecars {
 		d.heartbeats.Go(func() { d.sendHeartbeats(i, sidecar) })
@@ -182,7 +186,13 @@
 	ticker := time.NewTicker(d.options.HeartbeatInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		h := heartbeat{Server: fmt.Sprintf("i-%08x", i), Service: service, Addr: sidecar.IP + endpointPort, State: "alive", Load: steadyLoad}
+		h := heartbeat{
+			Server:  fmt.Sprintf("i-%08x", i),
+			Service: service,
+			Addr:    sidecar.IP + endpointPort,
+			State:   "alive",
+			Load:    steadyLoad,
+		}
 		if d.options.VaryLoad {
 			h.Load = float64((n+i)%loadSteps) / loadSteps
 		}
@@ -195,7 +205,7 @@
 	}
 }
 
-// send sends a JSON body and takes any status but success for an error.
+// send sends a JSON body. Any status but success is an error.
 func send(method, url string, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/fleet/idlecost/report.go
+++ b/fleet/idlecost/report.go
@@ -34,11 +34,13 @@
 			r.CoreTraffic.Bytes, r.CoreTraffic.CrossZoneBytes, r.SidecarTraffic.Bytes, r.SidecarTraffic.CrossZoneBytes)
 }
 
+// line shows the usage of one role as a line of the report.
 func (u RoleUsage) line(role string) string {
-	return fmt.Sprintf("%s: %.2f %% of a processor each, %.2f at most; %.0f wake-ups and %.0f reads and writes a second\n", role, u.CPUPercent, u.MaxCPUPercent, u.Wakeups, u.SystemCalls)
+	return fmt.Sprintf("%s: %.2f %% of a processor each, %.2f at most; %.0f wake-ups and %.0f reads and writes a second\n",
+		role, u.CPUPercent, u.MaxCPUPercent, u.Wakeups, u.SystemCalls)
 }
 
-// summarizeUsage is the mean rate over processes that were read before and after.
+// summarizeUsage gives the mean rates over processes that were read before and after.
 func summarizeUsage(before, after []processUsage, elapsed time.Duration) (mean RoleUsage) {
 	count, seconds := float64(len(before)), elapsed.Seconds()
 	for i := range before {
@@ -51,8 +53,8 @@
 	return mean
 }
 
-// summarizeTraffic is the rate of what was sent between two readings. Connections that were
-// closed in between are left out.
+// summarizeTraffic gives the rates of the bytes that were sent between two readings. Connections
+// that were closed in between are left out.
 func summarizeTraffic(before, after map[link]int64, elapsed time.Duration) (cores, sidecars Traffic) {
 	for l, sent := range after {
 		if !l.ofDeployment() {
--- a/fleet/linkproxy/network.go
+++ b/fleet/linkproxy/network.go
@@ -30,11 +30,20 @@
 	changed     chan struct{} // closed and replaced whenever cutLinks changes
 	listeners   []net.Listener
 	connections map[net.Conn]bool
+	closed      bool
+
+	done    chan struct{}  // closed by Close
+	running sync.WaitGroup // accept loops and the connections that they forward
 }
 
 // New makes a network without proxies, whose links are all whole.
 func New() *Network {
-	return &Network{cutLinks: map[link]bool{}, changed: make(chan struct{}), connections: map[net.Conn]bool{}}
+	return &Network{
+		cutLinks:    map[link]bool{},
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]bool{},
+		done:        make(chan struct{}),
+	}
 }
 
 // SetCut cuts or heals one direction between two IPs.
@@ -68,29 +77,36 @@
 
 // Listen opens a proxy at addr for the process that listens at processAddr.
 func (n *Network) Listen(addr, processAddr string) error {
-	listener, err := net.Listen("tcp", addr)
+	to, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "link proxy")
 	}
-	n.mu.Lock()
-	n.listeners = append(n.listeners, listener)
-	n.mu.Unlock()
-	to, _, err := net.SplitHostPort(addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "link proxy")
 	}
-	go func() {
-		for {
-			connection, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go n.forward(connection, to, processAddr)
-		}
-	}()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed {
+		_ = listener.Close()
+		return failure.Wrap(net.ErrClosed, failure.Internal, "link proxy")
+	}
+	n.listeners = append(n.listeners, listener)
+	n.running.Go(func() { n.acceptLoop(listener, to, processAddr) })
 	return nil
 }
 
+// acceptLoop forwards each connection of a listener until that is closed.
+func (n *Network) acceptLoop(listener net.Listener, to, processAddr string) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		n.running.Go(func() { n.forward(connection, to, processAddr) })
+	}
+}
+
 // forward carries one connection to the process at processAddr until both directions have
 // ended. to is the IP of the process's machine.
 func (n *Network) forward(inbound net.Conn, to, processAddr string) {
@@ -104,7 +120,11 @@
 		reset(inbound) // as if the process that is down had been dialled itself
 		return
 	}
-	n.track(inbound, outbound)
+	if !n.track(inbound, outbound) {
+		reset(inbound)
+		reset(outbound)
+		return
+	}
 	var pipes sync.WaitGroup
 	pipes.Go(func() { n.pipe(inbound, outbound, link{from, to}) })
 	pipes.Go(func() { n.pipe(outbound, inbound, link{to, from}) })
@@ -113,12 +133,17 @@
 	n.untrack(inbound, outbound)
 }
 
-func (n *Network) track(connections ...net.Conn) {
+// track notes connections that Close is to close, and tells whether the network is still open.
+func (n *Network) track(connections ...net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	if n.closed {
+		return false
+	}
 	for _, connection := range connections {
 		n.connections[connection] = true
 	}
+	return true
 }
 
 func (n *Network) untrack(connections ...net.Conn) {
@@ -152,7 +177,7 @@
 		size, err := source.Read(buffer)
 		if size > 0 {
 			if !n.waitHealed(l) {
-				return errCutTooLong
+				return errStayedCut
 			}
 			if _, err := target.Write(buffer[:size]); err != nil {
 				return err
@@ -164,9 +189,11 @@
 	}
 }
 
-var errCutTooLong = failure.New(failure.DeadlineExceeded, "the link stayed cut for %v", cutTimeout)
+// errStayedCut ends a connection whose link was not healed within cutTimeout, or before Close.
+var errStayedCut = failure.New(failure.DeadlineExceeded, "the link stayed cut for %v", cutTimeout)
 
-// waitHealed waits while the link is cut, and tells whether it was healed within cutTimeout.
+// waitHealed waits while the link is cut, and tells whether it was healed: false after cutTimeout,
+// and when the network is closed meanwhile.
 func (n *Network) waitHealed(l link) bool {
 	timeout := time.NewTimer(cutTimeout)
 	defer timeout.Stop()
@@ -179,6 +206,8 @@
 		case <-changed:
 		case <-timeout.C:
 			return false
+		case <-n.done:
+			return false
 		}
 	}
 }
@@ -191,10 +220,21 @@
 	_ = connection.Close()
 }
 
-// Close ends every proxy and its connections.
+// Close ends every proxy and its connections, and waits until their goroutines have ended.
 func (n *Network) Close() {
+	n.closeAll()
+	n.running.Wait()
+}
+
+// closeAll closes the listeners and the connections, once.
+func (n *Network) closeAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	if n.closed {
+		return
+	}
+	n.closed = true
+	close(n.done)
 	for _, listener := range n.listeners {
 		_ = listener.Close()
 	}
--- a/fleet/run/clients_key.go
+++ b/fleet/run/clients_key.go
@@ -37,7 +37,7 @@
 	if write {
 		code, err = c.writeKey(key, confirmed, &answer)
 	} else {
-		code, err = c.request("GET", "/keys/"+key, nil, &answer)
+		code, err = c.request(http.MethodGet, "/keys/"+key, nil, &answer)
 	}
 	switch {
 	case err != nil:
@@ -56,7 +56,7 @@
 	if c.randomInt(2) == 0 {
 		query = fmt.Sprintf("?ifRevision=%d", confirmed)
 	}
-	return c.request("PUT", "/keys/"+key+query, value, answer)
+	return c.request(http.MethodPut, "/keys/"+key+query, value, answer)
 }
 
 func (c *coordinationClients) judgeMissingKey(key string, confirmed ident.Revision) {
@@ -102,14 +102,14 @@
 			Events   []keyEvent `json:"events"`
 		}
 		path := fmt.Sprintf("/watch?waitMs=%d&prefix=&place=%s", watchWait.Milliseconds(), url.QueryEscape(position))
-		code, err := c.anyCore().Request(watchTimeout, "GET", path, nil, &answer)
+		code, err := c.anyCore().Request(watchTimeout, http.MethodGet, path, nil, &answer)
 		if err == nil && code == http.StatusOK {
 			position, lastAnswer = answer.Position, time.Now()
 			c.judgeEvents(seen, answer.Events)
 			continue
 		}
 		if age := time.Since(lastAnswer); code == http.StatusGone && age < watchRetention {
-			c.fleet.violate(ruleWatchCompacted, "a position %v old is forgotten", age)
+			c.fleet.violate(ruleWatchCompacted, "a position that is %v old was compacted", age)
 			position = ""
 		}
 		c.fleet.sleep(ctx, watchPause)
--- a/fleet/run/clients_lock.go
+++ b/fleet/run/clients_lock.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	lockTTL   = 1500 * time.Millisecond
-	mostLocks = 12 // that the clients contend for
+	lockTTL  = 1500 * time.Millisecond
+	maxLocks = 12 // that the clients contend for
 	// Every fourth lease on average is not released and runs out by itself.
 	unreleasedOneIn = 4
 	sequenceCount   = 4
@@ -24,12 +24,12 @@
 // useLock asks for a lock and, when it is given, holds it for a while. No two leases of a
 // lock may be valid at the same time, and fences must not fall.
 func (c *coordinationClients) useLock(ctx context.Context, holder string) {
-	name := fmt.Sprintf("l%d", c.randomInt(min(c.fleet.Deployment.Locks, mostLocks)))
+	name := fmt.Sprintf("l%d", c.randomInt(min(c.fleet.Deployment.Locks, maxLocks)))
 	var granted struct {
 		Fence uint64 `json:"fence"`
 	}
 	askedAt := time.Now()
-	code, err := c.request("POST", "/locks/"+name+"/claim", lockRequest{Holder: holder, TTLMs: lockTTL.Milliseconds()}, &granted)
+	code, err := c.request(http.MethodPost, "/locks/"+name+"/claim", lockRequest{Holder: holder, TTLMs: lockTTL.Milliseconds()}, &granted)
 	if err != nil || code != http.StatusOK {
 		return
 	}
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	lease.expires = time.Now()
 	c.mu.Unlock()
-	_, _ = c.request("POST", "/locks/"+name+"/release", lockRequest{Holder: holder, Fence: lease.fence}, nil)
+	_, _ = c.request(http.MethodPost, "/locks/"+name+"/release", lockRequest{Holder: holder, Fence: lease.fence}, nil)
 }
 
 // judgeLease judges a new lease against the one before.
@@ -57,7 +57,8 @@
 		return
 	}
 	if previous.holder != lease.holder && previous.expires.After(now) && lease.expires.After(now) {
-		c.fleet.violate(ruleLockShared, "%s held by %s (fence %d) and %s (fence %d)", name, previous.holder, previous.fence, lease.holder, lease.fence)
+		c.fleet.violate(ruleLockShared, "%s held by %s (fence %d) and %s (fence %d)",
+			name, previous.holder, previous.fence, lease.holder, lease.fence)
 	}
 	if lease.fence < previous.fence {
 		c.fleet.violate(ruleLockShared, "%s: fence %d after %d", name, lease.fence, previous.fence)
@@ -74,7 +75,7 @@
 	var answer struct {
 		Number uint64 `json:"number"`
 	}
-	code, err := c.request("POST", "/numbers/"+name+"/next", nil, &answer)
+	code, err := c.request(http.MethodPost, "/numbers/"+name+"/next", nil, &answer)
 	if err != nil || code != http.StatusOK {
 		return
 	}
--- a/fleet/run/config.go
+++ b/fleet/run/config.go
@@ -18,6 +18,7 @@
 	proposalTimeout    = 6 * time.Second
 	routeTimeoutMs     = 3000
 	urgentTimeoutMs    = 1500
+	urgentKind         = "card" // kind of request whose route is urgent
 	bulkRoutes         = 3000
 	manyRoutes         = 33000 // a configuration of some 3.6 MB
 	unchangedNamespace = "steady"
@@ -41,13 +42,13 @@
 	TimeoutMs int    `json:"timeoutMs,omitempty"`
 }
 
-// proposal is one configuration on its way to a core.
+// proposal is one configuration that is sent to a core.
 type proposal struct {
 	config meshConfig
 	method string // PUT for a whole configuration, PATCH for a change
 	query  string
 	marker string // makes the configuration differ from all others
-	// mustFail proposals are invalid or have an outdated base revision.
+	// mustFail is set when the configuration is invalid or its base revision outdated.
 	mustFail bool
 }
 
@@ -61,11 +62,22 @@
 			namespace = marker
 		}
 		config.Services[string(service.Name)] = serviceConfig{Namespace: namespace}
-		config.Routes["w-"+string(service.Name)] = routeConfig{Host: service.Host, PathStart: "/", Service: string(service.Name), TimeoutMs: routeTimeoutMs}
+		config.Routes["w-"+string(service.Name)] = routeConfig{
+			Host:      service.Host,
+			PathStart: "/",
+			Service:   string(service.Name),
+			TimeoutMs: routeTimeoutMs,
+		}
 	}
 	for _, kind := range f.Deployment.RequestKinds {
-		if kind.Name == "card" {
-			config.Routes["card"] = routeConfig{Host: kind.Host, PathStart: kind.Path, Service: string(kind.Service), Urgent: true, TimeoutMs: urgentTimeoutMs}
+		if kind.Name == urgentKind {
+			config.Routes[kind.Name] = routeConfig{
+				Host:      kind.Host,
+				PathStart: kind.Path,
+				Service:   string(kind.Service),
+				Urgent:    true,
+				TimeoutMs: urgentTimeoutMs,
+			}
 		}
 	}
 	return config
@@ -82,8 +94,9 @@
 // errRejected tells that a proposal certainly did not take effect.
 var errRejected = errors.New("the core rejected the proposal")
 
-// propose sends a configuration to some core and returns the revision that the core
-// confirmed. errRejected is a proved rejection; after any other error the outcome is unknown.
+// propose sends a configuration to any core and returns the revision that the core confirmed.
+// errRejected means that it certainly did not take effect; after any other error the outcome is
+// unknown.
 func (f *Fleet) propose(config meshConfig, method, query string) (ident.Epoch, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
@@ -140,8 +153,8 @@
 	f.newestRevision = max(f.newestRevision, revision)
 }
 
-// proposeConfigs is the operators: it proposes a configuration every so often, sometimes two
-// at once, sometimes one that must fail.
+// proposeConfigs does the operators' part: it proposes a configuration at each interval, sometimes
+// two at once, sometimes one that must fail.
 func (f *Fleet) proposeConfigs(ctx context.Context) {
 	ticker := time.NewTicker(f.Deployment.ConfigInterval)
 	defer ticker.Stop()
--- a/fleet/run/counters.go
+++ b/fleet/run/counters.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"maps"
+	"net/http"
 	"strings"
 	"time"
 
@@ -141,7 +142,7 @@
 		}
 		for _, sidecar := range f.Sidecars {
 			var counters map[string]int64
-			if _, err := sidecar.Request(counterTimeout, "GET", "/counters", nil, &counters); err == nil {
+			if _, err := sidecar.Request(counterTimeout, http.MethodGet, "/counters", nil, &counters); err == nil {
 				totals.add(sidecar.Name, counters)
 			}
 		}
--- a/fleet/run/endpoints.go
+++ b/fleet/run/endpoints.go
@@ -16,9 +16,16 @@
 	endpointStopTimeout = 3 * time.Second
 )
 
-// normalBehavior is how endpoints behave unless a fault changes it: now and then one loses or
-// garbles a response, breaks it off or takes long.
-var normalBehavior = endpoint.Behavior{WorkTime: endpointWork, LostShare: 0.002, GarbageShare: 0.001, TruncatedShare: 0.001, MalformedShare: 0.001, LongShare: 0.002}
+// normalBehavior is how endpoints behave unless a fault changes it: now and then a response is
+// lost, garbled or truncated, or takes long.
+var normalBehavior = endpoint.Behavior{
+	WorkTime:       endpointWork,
+	LostShare:      0.002,
+	GarbageShare:   0.001,
+	TruncatedShare: 0.001,
+	MalformedShare: 0.001,
+	LongShare:      0.002,
+}
 
 // managedEndpoint is a stand-in endpoint beside its sidecar.
 type managedEndpoint struct {
@@ -90,7 +97,7 @@
 // addEndpoint starts an endpoint in the course of a fault; a failure is only logged.
 func (f *Fleet) addEndpoint(sidecar *process.Process, spec scenario.Service, addr string) {
 	if _, err := f.startEndpoint(sidecar, spec, addr); err != nil {
-		f.Logf("an endpoint of %s does not start: %v", spec.Name, err)
+		f.Logf("an endpoint of %s can't be started: %v", spec.Name, err)
 	}
 }
 
@@ -132,7 +139,7 @@
 	return slices.DeleteFunc(slices.Clone(f.endpoints), func(e *managedEndpoint) bool { return e.unavailable })
 }
 
-// leaveEndpoint is an endpoint's own planned end.
+// leaveEndpoint ends an endpoint as planned: it announces that it leaves, drains and stops.
 func (f *Fleet) leaveEndpoint(e *managedEndpoint) {
 	if e.Leave() {
 		f.mu.Lock()
--- a/fleet/run/faults_core.go
+++ b/fleet/run/faults_core.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
@@ -18,6 +19,10 @@
 // voteTimeout, for its address has to become known first.
 const replacementVoteTimeout = 25 * time.Second
 
+// isolatedStartTimeout is the time within which a sidecar that starts without any core must have a
+// configuration in force from its peers.
+const isolatedStartTimeout = 4 * time.Second
+
 // coreKill kills a core and starts it again on its disk.
 func (f *Fleet) coreKill(ctx context.Context) {
 	core := f.randomProcess(f.Cores)
@@ -31,7 +36,7 @@
 	core := f.randomProcess(f.Cores)
 	core.Kill()
 	if err := core.RemoveData(); err != nil {
-		f.Logf("the data of %s stay: %v", core.Name, err)
+		f.Logf("the data of %s can't be deleted: %v", core.Name, err)
 	}
 	f.sleep(ctx, time.Second)
 	f.restart(core)
@@ -51,7 +56,7 @@
 		err = startWith(replacement, f.coreSettings(replacement, slot, seeds))
 	}
 	if err != nil {
-		f.Logf("no core replaces %s: %v", cores[slot].Name, err)
+		f.Logf("the replacement of %s can't be started: %v", cores[slot].Name, err)
 		return
 	}
 	f.awaitVote(replacement, replacementVoteTimeout)
@@ -77,7 +82,7 @@
 	f.setIsolated(core, false)
 }
 
-// coreStop is a planned stop and start of a core.
+// coreStop stops a core as planned work does and starts it again.
 func (f *Fleet) coreStop(context.Context) { f.restartCore(f.randomProcess(f.Cores)) }
 
 // coreSplit cuts the cores into two groups; every sidecar reaches both.
@@ -106,7 +111,7 @@
 	f.sleep(ctx, 500*time.Millisecond)
 	f.startProcess(restarted)
 	endOutage()
-	f.sleep(ctx, 4*time.Second)
+	f.sleep(ctx, isolatedStartTimeout)
 	f.judgeServing(restarted)
 	f.setPartition(cores, f.Sidecars, false)
 	for _, end := range endOutages {
@@ -120,10 +125,11 @@
 	var status struct {
 		Revision ident.Epoch `json:"manifest"`
 	}
-	_, err := sidecar.Request(time.Second, "GET", "/status", nil, &status)
+	_, err := sidecar.Request(time.Second, http.MethodGet, "/status", nil, &status)
 	f.observe(ruleConfigLate)
 	if err != nil || status.Revision == 0 {
-		f.violate(ruleConfigLate, "%s has nothing in force four seconds after it started beside an isolated core: %v", sidecar.Name, err)
+		f.violate(ruleConfigLate, "%s has nothing in force %v after it started cut off from all cores: %v",
+			sidecar.Name, isolatedStartTimeout, err)
 	}
 }
 
@@ -137,9 +143,9 @@
 }
 
 // setPartition cuts or heals all links between two groups.
-func (f *Fleet) setPartition(one, two []*process.Process, cut bool) {
-	for _, a := range one {
-		for _, b := range two {
+func (f *Fleet) setPartition(groupA, groupB []*process.Process, cut bool) {
+	for _, a := range groupA {
+		for _, b := range groupB {
 			f.setCut(a, b, cut)
 		}
 	}
--- a/fleet/run/faults_endpoint.go
+++ b/fleet/run/faults_endpoint.go
@@ -11,9 +11,21 @@
 
 // Behaviour of faulty endpoints.
 var (
-	healthyBehavior    = standin.Behavior{WorkTime: endpointWork}
-	badBehavior        = standin.Behavior{WorkTime: endpointWork, LostShare: 0.2, GarbageShare: 0.1, TruncatedShare: 0.1, MalformedShare: 0.3}
-	badReleaseBehavior = standin.Behavior{WorkTime: endpointWork, LostShare: 0.2, GarbageShare: 0.2, TruncatedShare: 0.2, MalformedShare: 0.2}
+	healthyBehavior = standin.Behavior{WorkTime: endpointWork}
+	badBehavior     = standin.Behavior{
+		WorkTime:       endpointWork,
+		LostShare:      0.2,
+		GarbageShare:   0.1,
+		TruncatedShare: 0.1,
+		MalformedShare: 0.3,
+	}
+	badReleaseBehavior = standin.Behavior{
+		WorkTime:       endpointWork,
+		LostShare:      0.2,
+		GarbageShare:   0.2,
+		TruncatedShare: 0.2,
+		MalformedShare: 0.2,
+	}
 )
 
 func (f *Fleet) randomService() scenario.Service {
@@ -56,7 +68,7 @@
 		return
 	}
 	e.Hang(true)
-	// Its last heartbeat may have come just now: then its loss shows this much later.
+	// Its last heartbeat may have been sent just before: then its loss shows only after the timeout.
 	f.sleep(ctx, endpoint.MaxHeartbeatTimeout)
 	f.mu.Lock()
 	hang := &outage{from: time.Now(), cause: causeHung}
@@ -70,7 +82,7 @@
 	e.Hang(false)
 }
 
-// endpointBad makes the newest endpoint lose, garble or break off most responses.
+// endpointBad makes the newest endpoint lose, garble or truncate most responses.
 func (f *Fleet) endpointBad(ctx context.Context) {
 	f.mu.Lock()
 	available := f.availableEndpoints()
@@ -84,7 +96,7 @@
 	e.SetBehavior(healthyBehavior)
 }
 
-// releaseBad makes every endpoint of a service lose, garble or break off most responses, as
+// releaseBad makes every endpoint of a service lose, garble or truncate most responses, as
 // a bad release would.
 func (f *Fleet) releaseBad(ctx context.Context) {
 	service := f.randomService().Name
--- a/fleet/run/faults_fleet.go
+++ b/fleet/run/faults_fleet.go
@@ -14,15 +14,22 @@
 const (
 	surgeScale    = 3               // of a traffic surge, times the run's rate
 	surgeDuration = 5 * time.Second // of a traffic surge
-	downtime      = 1500 * time.Millisecond
+	// surgeSeedOffset keeps the random choices of a surge's clients apart from the others'.
+	surgeSeedOffset = 100
+	// downtime is how long processes stay down that a fault kills together.
+	downtime = 1500 * time.Millisecond
 )
 
-// trafficSurge is many further users who arrive at once, on every machine.
+// trafficSurge adds clients at every sidecar, all at once, for surgeDuration.
 func (f *Fleet) trafficSurge(ctx context.Context) {
 	surge, cancel := context.WithTimeout(ctx, surgeDuration)
 	defer cancel()
 	var running sync.WaitGroup
-	f.startTraffic(surge, &running, trafficOptions{scale: surgeScale, seed: f.Seed + 100, suffix: fmt.Sprintf("-crowd%d", time.Now().UnixNano())})
+	f.startTraffic(surge, &running, trafficOptions{
+		scale:  surgeScale,
+		seed:   f.Seed + surgeSeedOffset,
+		suffix: fmt.Sprintf("-crowd%d", time.Now().UnixNano()),
+	})
 	running.Wait()
 }
 
--- a/fleet/run/faults_sidecar.go
+++ b/fleet/run/faults_sidecar.go
@@ -39,16 +39,16 @@
 }
 
 // sidecarCutFromCores cuts a sidecar from the cores alone. Configurations must still reach it
-// by its peers, so it has no excuse.
+// by its peers, so no outage is recorded: the bound on being late holds meanwhile.
 func (f *Fleet) sidecarCutFromCores(ctx context.Context) {
-	alone := []*process.Process{f.randomProcess(f.Sidecars)}
+	isolated := []*process.Process{f.randomProcess(f.Sidecars)}
 	cores := f.currentCores()
-	f.setPartition(alone, cores, true)
+	f.setPartition(isolated, cores, true)
 	f.sleep(ctx, 6*time.Second)
-	f.setPartition(alone, cores, false)
+	f.setPartition(isolated, cores, false)
 }
 
-// sidecarStop is a planned stop of a sidecar under traffic: the requests that it has taken
-// must end well. A platform would stop sending requests once the sidecar is not ready; here
-// clients go on, so those that find no listener are excused, and those taken are not.
+// sidecarStop stops a sidecar under traffic as planned work does, and starts it again. The requests
+// that it accepted must get their responses. A platform would stop sending requests once the
+// sidecar is not ready; here clients go on, so a request that finds no listener is excused.
 func (f *Fleet) sidecarStop(context.Context) { f.restartSidecar(f.randomProcess(f.Sidecars)) }
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -44,18 +45,18 @@
 	Checker     *invariant.Checker
 	network     *linkproxy.Network
 	clients     *coordinationClients
-	clientLog   *client.Log            // what each client was told
-	endpointLog *endpoint.ExecutionLog // what each endpoint ran
+	clientLog   *client.Log            // results of the clients' requests
+	endpointLog *endpoint.ExecutionLog // requests that the endpoints executed
 	began       time.Time
-	rng         *rand.Rand
+	rng         *rand.Rand // of the faults; only the goroutine that injects them uses it
 
-	revisionWaits sync.WaitGroup // sidecars that are awaited to show a revision
+	revisionWaits sync.WaitGroup // goroutines that poll a sidecar for a confirmed revision
 
 	mu              sync.Mutex
 	endpoints       []*managedEndpoint
 	serial          int                        // last number given to an endpoint or a replacement core
 	leftAt          map[ident.Server]time.Time // when an endpoint's leave was confirmed
-	endpointOutages map[ident.Server][]*outage // from when a loss must be known to all
+	endpointOutages map[ident.Server][]*outage // each begins when every sidecar must know of the loss
 	processOutages  map[string][]*outage       // by process name, or coreMajority
 	newestRevision  ident.Epoch                // that was confirmed
 	confirmed       map[ident.Epoch]bool       // revisions that were confirmed
@@ -63,8 +64,10 @@
 	Counts          map[string]int             // what happened, by the report's labels
 }
 
+// sinceStart is an instant as the checker counts it: the time since the fleet was made.
 func (f *Fleet) sinceStart(t time.Time) monotime.Time { return monotime.Time(t.Sub(f.began)) }
-func (f *Fleet) now() monotime.Time                   { return f.sinceStart(time.Now()) }
+
+func (f *Fleet) now() monotime.Time { return f.sinceStart(time.Now()) }
 
 // increment counts an event for the report.
 func (f *Fleet) increment(name string) {
@@ -111,21 +114,21 @@
 )
 
 // Start brings up cores, sidecars, the first configuration and the endpoints. On an error it
-// returns the fleet as far as it got, for the caller to Stop, or nil.
+// returns the fleet as far as it got, for the caller to Stop.
 func Start(options Options) (*Fleet, error) {
 	f := newFleet(options)
 	seeds, err := f.startCores()
 	if err != nil {
-		return nil, err
+		return f, err
 	}
 	if err := f.startSidecars(seeds); err != nil {
-		return nil, err
+		return f, err
 	}
 	if err := waitAllReady(f.Cores); err != nil {
 		return f, err
 	}
 	f.clients = newCoordinationClients(f)
-	if _, err := f.propose(f.newConfig("mark-0"), "PUT", ""); err != nil {
+	if _, err := f.propose(f.newConfig("mark-0"), http.MethodPut, ""); err != nil {
 		return f, err
 	}
 	if err := waitAllReady(f.Sidecars); err != nil {
@@ -138,6 +141,7 @@
 	return f, nil
 }
 
+// waitAllReady waits until each process is ready, within startTimeout for each.
 func waitAllReady(processes []*process.Process) error {
 	for _, proc := range processes {
 		if !proc.WaitReady(startTimeout) {
@@ -213,10 +217,18 @@
 	}
 }
 
+// requestKinds are the deployment's kinds of request, as the stand-in clients take them.
 func (f *Fleet) requestKinds() []client.Kind {
 	var kinds []client.Kind
 	for _, kind := range f.Deployment.RequestKinds {
-		kinds = append(kinds, client.Kind{Name: kind.Name, Method: kind.Method, Host: kind.Host, Path: kind.Path, Service: kind.Service, Weight: kind.Weight})
+		kinds = append(kinds, client.Kind{
+			Name:    kind.Name,
+			Method:  kind.Method,
+			Host:    kind.Host,
+			Path:    kind.Path,
+			Service: kind.Service,
+			Weight:  kind.Weight,
+		})
 	}
 	return kinds
 }
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 	"time"
 
@@ -16,7 +17,7 @@
 // judgedFrom is how long after the start the recovery rules begin to look at the traffic.
 const judgedFrom = 2 * time.Second
 
-// outcomes maps what a client was told to what the checker judges by.
+// outcomes maps a client's outcome of a request to the one that the checker judges by.
 var outcomes = map[client.Outcome]invariant.Outcome{
 	client.Served:      invariant.Served,
 	client.NotExecuted: invariant.NotExecuted,
@@ -41,9 +42,9 @@
 }
 
 // atMostOnce tells whether requests of a kind must not be executed twice.
-func atMostOnce(kind *client.Kind) bool { return kind != nil && kind.Method != "GET" }
+func atMostOnce(kind *client.Kind) bool { return kind != nil && kind.Method != http.MethodGet }
 
-// judgeCall takes what a client was told of one request. The caller holds mu.
+// judgeCall gives the checker the result of one client's request. The caller holds mu.
 func (f *Fleet) judgeCall(call client.Result) {
 	began := f.sinceStart(call.Start)
 	f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{
@@ -78,7 +79,7 @@
 	}
 }
 
-// judgeExecution takes one request that an endpoint ran. kinds are those of the clients'
+// judgeExecution gives the checker one request that an endpoint executed. kinds are those of the clients'
 // requests by id. Calls that endpoints make themselves have an id that ends with "-on" and
 // go to the first kind's service. The caller holds mu.
 func (f *Fleet) judgeExecution(execution endpoint.Execution, kinds map[string]*client.Kind) {
--- a/fleet/run/judge_test.go
+++ b/fleet/run/judge_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -29,95 +30,133 @@
 	return out
 }
 
+// judgeCase is what clients and endpoints logged, and the one rule that it violates; none if empty.
+type judgeCase struct {
+	name, rule string
+	record     func(f *Fleet)
+}
+
+var (
+	readKind  = &client.Kind{Name: "balance", Method: http.MethodGet, Service: "accounts.prairie"}
+	writeKind = &client.Kind{Name: "move", Method: http.MethodPost, Service: "payments.prairie"}
+)
+
+// instant is that many seconds after the fleet began.
+func instant(f *Fleet, seconds float64) time.Time {
+	return f.began.Add(time.Duration(seconds * float64(time.Second)))
+}
+
+// recordExecution logs that endpoint e executed a request.
+func recordExecution(f *Fleet, id string, service ident.Service, seconds float64) {
+	f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: service, ReceivedAt: instant(f, seconds)})
+}
+
+// recordCall logs the result of the request sidecar1-1.
+func recordCall(f *Fleet, kind *client.Kind, outcome client.Outcome, seconds float64, note string) {
+	f.clientLog.Add(client.Result{
+		ID:       "sidecar1-1",
+		Kind:     kind,
+		Outcome:  outcome,
+		Start:    instant(f, seconds),
+		Duration: 20 * time.Millisecond,
+		Note:     note,
+	})
+}
+
+// correctCases violate no rule.
+var correctCases = []judgeCase{
+	{"served once", "", func(f *Fleet) {
+		recordCall(f, writeKind, client.Served, 5, "")
+		recordExecution(f, "sidecar1-1", "payments.prairie", 5)
+	}},
+	{"a safe one twice", "", func(f *Fleet) {
+		recordCall(f, readKind, client.Served, 5, "")
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 6)
+	}},
+	{"dropped by a kill", "", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 4), instant(f, 6), causeKilled}}
+		recordCall(f, writeKind, client.Dropped, 5, "EOF")
+	}},
+	{"came after a stop", "", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 4), instant(f, 6), causeStopped}}
+		recordCall(f, writeKind, client.Dropped, 5, "dial tcp: connect: connection refused")
+	}},
+	{"found the listener closing", "", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 4), instant(f, 6), causeStopped}}
+		recordCall(f, writeKind, client.Dropped, 5, "dial tcp: connect: connection reset by peer")
+	}},
+	{"just after it left", "", func(f *Fleet) {
+		f.leftAt["e"] = instant(f, 4)
+		recordCall(f, readKind, client.Served, 5, "")
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
+	}},
+}
+
+// droppedCases are requests that their own sidecar dropped without an excuse.
+var droppedCases = []judgeCase{
+	{"reset once it was taken", "dropped-in-stop", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 4), instant(f, 6), causeStopped}}
+		recordCall(f, writeKind, client.Dropped, 5, "read tcp: read: connection reset by peer")
+	}},
+	{"refused without a cause", "dropped-in-stop", func(f *Fleet) {
+		recordCall(f, writeKind, client.Dropped, 5, "dial tcp: connect: connection refused")
+	}},
+	{"dropped without a cause", "dropped-in-stop", func(f *Fleet) {
+		recordCall(f, readKind, client.Dropped, 5, "EOF")
+	}},
+	{"dropped long after a kill", "dropped-in-stop", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 1), instant(f, 2), causeKilled}}
+		recordCall(f, readKind, client.Dropped, 5, "EOF")
+	}},
+	{"taken, and dropped in a stop", "dropped-in-stop", func(f *Fleet) {
+		f.processOutages["sidecar1"] = []*outage{{instant(f, 4), instant(f, 6), causeStopped}}
+		recordCall(f, readKind, client.Dropped, 5, "unexpected EOF")
+	}},
+}
+
+// misrunCases are requests that were executed or answered as they must not be.
+var misrunCases = []judgeCase{
+	{"an unsafe one twice", "double-run", func(f *Fleet) {
+		recordCall(f, writeKind, client.Unknown, 5, "")
+		recordExecution(f, "sidecar1-1", "payments.prairie", 5)
+		recordExecution(f, "sidecar1-1", "payments.prairie", 6)
+	}},
+	{"not run, and ran", "false-not-run", func(f *Fleet) {
+		recordCall(f, writeKind, client.NotExecuted, 5, "")
+		recordExecution(f, "sidecar1-1", "payments.prairie", 9)
+	}},
+	{"run by another service", "wrong-service", func(f *Fleet) {
+		recordCall(f, readKind, client.Unknown, 5, "")
+		recordExecution(f, "sidecar1-1", "payments.prairie", 5)
+	}},
+	{"long after it left", "late-to-leaver", func(f *Fleet) {
+		f.leftAt["e"] = instant(f, 2)
+		recordCall(f, readKind, client.Served, 5, "")
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
+	}},
+	{"long after it was lost", "late-to-leaver", func(f *Fleet) {
+		f.endpointOutages["e"] = []*outage{{instant(f, 2), time.Time{}, "hung"}}
+		recordCall(f, readKind, client.Served, 5, "")
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
+	}},
+	{"another request's response", "wrong-return", func(f *Fleet) {
+		recordCall(f, readKind, client.Wrong, 5, "{}")
+		recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
+	}},
+	{"a response without an execution", "wrong-return", func(f *Fleet) {
+		recordCall(f, readKind, client.Served, 5, "")
+	}},
+}
+
 // Each case is one thing that a faulty mesh would leave in the logs of clients and endpoints:
-// the judge names its rule and no other. The first ones are correct, and nothing is named.
+// the judge names its rule and no other. The correct ones violate none.
 func TestJudgeCatchesEachViolation(t *testing.T) {
-	get := &client.Kind{Name: "balance", Method: "GET", Service: "accounts.prairie"}
-	post := &client.Kind{Name: "move", Method: "POST", Service: "payments.prairie"}
-	sec := func(f *Fleet, s float64) time.Time { return f.began.Add(time.Duration(s * float64(time.Second))) }
-	recordExecution := func(f *Fleet, id string, service ident.Service, s float64) {
-		f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: service, ReceivedAt: sec(f, s)})
-	}
-	recordCall := func(f *Fleet, k *client.Kind, outcome client.Outcome, s float64, note string) {
-		f.clientLog.Add(client.Result{ID: "sidecar1-1", Kind: k, Outcome: outcome, Start: sec(f, s), Duration: 20 * time.Millisecond, Note: note})
-	}
-	for _, c := range []struct {
-		name, rule string
-		do         func(f *Fleet)
-	}{
-		{"served once", "", func(f *Fleet) {
-			recordCall(f, post, client.Served, 5, "")
-			recordExecution(f, "sidecar1-1", "payments.prairie", 5)
-		}},
-		{"a safe one twice", "", func(f *Fleet) {
-			recordCall(f, get, client.Served, 5, "")
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 6)
-		}},
-		{"dropped by a kill", "", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeKilled}}
-			recordCall(f, post, client.Dropped, 5, "EOF")
-		}},
-		{"came after a stop", "", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeStopped}}
-			recordCall(f, post, client.Dropped, 5, "dial tcp: connect: connection refused")
-		}},
-		{"found the listener closing", "", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeStopped}}
-			recordCall(f, post, client.Dropped, 5, "dial tcp: connect: connection reset by peer")
-		}},
-		{"reset once it was taken", "dropped-in-stop", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeStopped}}
-			recordCall(f, post, client.Dropped, 5, "read tcp: read: connection reset by peer")
-		}},
-		{"refused without a cause", "dropped-in-stop", func(f *Fleet) { recordCall(f, post, client.Dropped, 5, "dial tcp: connect: connection refused") }},
-		{"just after it left", "", func(f *Fleet) {
-			f.leftAt["e"] = sec(f, 4)
-			recordCall(f, get, client.Served, 5, "")
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
-		}},
-		{"an unsafe one twice", "double-run", func(f *Fleet) {
-			recordCall(f, post, client.Unknown, 5, "")
-			recordExecution(f, "sidecar1-1", "payments.prairie", 5)
-			recordExecution(f, "sidecar1-1", "payments.prairie", 6)
-		}},
-		{"not run, and ran", "false-not-run", func(f *Fleet) {
-			recordCall(f, post, client.NotExecuted, 5, "")
-			recordExecution(f, "sidecar1-1", "payments.prairie", 9)
-		}},
-		{"run by another service", "wrong-service", func(f *Fleet) {
-			recordCall(f, get, client.Unknown, 5, "")
-			recordExecution(f, "sidecar1-1", "payments.prairie", 5)
-		}},
-		{"long after it left", "late-to-leaver", func(f *Fleet) {
-			f.leftAt["e"] = sec(f, 2)
-			recordCall(f, get, client.Served, 5, "")
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
-		}},
-		{"long after it was lost", "late-to-leaver", func(f *Fleet) {
-			f.endpointOutages["e"] = []*outage{{sec(f, 2), time.Time{}, "hung"}}
-			recordCall(f, get, client.Served, 5, "")
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
-		}},
-		{"another request's response", "wrong-return", func(f *Fleet) {
-			recordCall(f, get, client.Wrong, 5, "{}")
-			recordExecution(f, "sidecar1-1", "accounts.prairie", 5)
-		}},
-		{"a response without an execution", "wrong-return", func(f *Fleet) { recordCall(f, get, client.Served, 5, "") }},
-		{"dropped without a cause", "dropped-in-stop", func(f *Fleet) { recordCall(f, get, client.Dropped, 5, "EOF") }},
-		{"dropped long after a kill", "dropped-in-stop", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 1), sec(f, 2), causeKilled}}
-			recordCall(f, get, client.Dropped, 5, "EOF")
-		}},
-		{"taken, and dropped in a stop", "dropped-in-stop", func(f *Fleet) {
-			f.processOutages["sidecar1"] = []*outage{{sec(f, 4), sec(f, 6), causeStopped}}
-			recordCall(f, get, client.Dropped, 5, "unexpected EOF")
-		}},
-	} {
+	for _, c := range slices.Concat(correctCases, droppedCases, misrunCases) {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(Options{Deployment: scenario.Deployments["prairie"]})
-			c.do(f)
-			f.judge(0, f.sinceStart(sec(f, 20)))
+			c.record(f)
+			f.judge(0, f.sinceStart(instant(f, 20)))
 			want := map[string]int{}
 			if c.rule != "" {
 				want[c.rule] = 1
@@ -164,7 +203,7 @@
 }
 
 // A revision that goes back, or too many retries over all nodes, is caught.
-func TestTallyCatchesCounters(t *testing.T) {
+func TestCounterTotalsCatchViolations(t *testing.T) {
 	for _, retries := range []int64{80, 100} {
 		f := newFleet(Options{})
 		ct := f.newCounterTotals()
@@ -188,7 +227,10 @@
 func TestClientsCatchAFaultyCore(t *testing.T) {
 	var keys atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		respond := func(code int, v any) { w.WriteHeader(code); _ = json.NewEncoder(w).Encode(v) }
+		respond := func(code int, v any) {
+			w.WriteHeader(code)
+			_ = json.NewEncoder(w).Encode(v)
+		}
 		switch {
 		case strings.HasSuffix(r.URL.Path, "/claim"):
 			respond(200, map[string]any{"fence": 1})
@@ -248,8 +290,11 @@
 				f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: "accounts.prairie", ReceivedAt: at})
 			}
 		}
-		f.Checker.Outages = []invariant.Outage{{At: f.sinceStart(f.began.Add(20 * time.Second)), Name: "herd"}, {At: f.sinceStart(f.began.Add(50 * time.Second)), Name: "late"}}
-		f.judge(0, f.sinceStart(f.began.Add(60*time.Second)))
+		f.Checker.Outages = []invariant.Outage{
+			{At: f.sinceStart(instant(f, 20)), Name: "herd"},
+			{At: f.sinceStart(instant(f, 50)), Name: "late"},
+		}
+		f.judge(0, f.sinceStart(instant(f, 60)))
 		must.Eq(t, after == 1, violationsByRule(f)["slow-recovery"] == 1, must.Sprint(f.Report()))
 		must.Eq(t, 1, f.Checker.Excused["slow-recovery"]["the day ended"])
 	}
--- a/fleet/run/processes.go
+++ b/fleet/run/processes.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -81,7 +82,11 @@
 		f.Sidecars = append(f.Sidecars, sidecar)
 	}
 	for i, sidecar := range f.Sidecars {
-		seeds := []string{coreSeeds[i%len(coreSeeds)], coreSeeds[(i+1)%len(coreSeeds)], f.Sidecars[(i+1)%len(f.Sidecars)].Addr}
+		seeds := []string{
+			coreSeeds[i%len(coreSeeds)],
+			coreSeeds[(i+1)%len(coreSeeds)],
+			f.Sidecars[(i+1)%len(f.Sidecars)].Addr,
+		}
 		settings := process.SidecarSettings{
 			Node:        sidecar.Name,
 			Address:     sidecar.Addr,
@@ -112,7 +117,8 @@
 	if f.OldBinary != "" {
 		binary = f.OldBinary
 	}
-	proc := process.New(binary, f.Dir, fmt.Sprintf("%s%d", role, i+1), role, fmt.Sprintf("127.0.%d.%d", subnet, i+1))
+	name, ip := fmt.Sprintf("%s%d", role, i+1), fmt.Sprintf("127.0.%d.%d", subnet, i+1)
+	proc := process.New(binary, f.Dir, name, role, ip)
 	for _, addr := range []*string{&proc.Addr, &proc.ListenAddr, &proc.ClientAddr} {
 		var err error
 		if *addr, err = process.FreeAddr(proc.IP); err != nil {
@@ -134,6 +140,7 @@
 	return append(f.currentCores(), f.Sidecars...)
 }
 
+// randomProcess draws one of the processes. Only the goroutine that injects faults draws from rng.
 func (f *Fleet) randomProcess(processes []*process.Process) *process.Process {
 	return processes[f.rng.IntN(len(processes))]
 }
@@ -141,7 +148,7 @@
 // startProcess starts a process and waits until it listens, which ends its outage.
 func (f *Fleet) startProcess(proc *process.Process) {
 	if err := proc.Start(); err != nil {
-		f.Logf("%s does not start: %v", proc.Name, err)
+		f.Logf("%s can't be started: %v", proc.Name, err)
 	}
 	proc.WaitLive(liveTimeout)
 }
@@ -155,7 +162,7 @@
 // awaitReady judges whether a process becomes ready in time.
 func (f *Fleet) awaitReady(proc *process.Process) {
 	if !proc.WaitReady(readyTimeout) {
-		f.violate("slow-recovery", "%s was not ready %v after its start", proc.Name, readyTimeout)
+		f.violate(ruleSlowRecovery, "%s was not ready %v after its start", proc.Name, readyTimeout)
 	}
 }
 
@@ -167,11 +174,11 @@
 		var status struct {
 			Votes bool `json:"votes"`
 		}
-		if _, err := core.Request(500*time.Millisecond, "GET", "/status", nil, &status); err == nil && status.Votes {
+		if _, err := core.Request(500*time.Millisecond, http.MethodGet, "/status", nil, &status); err == nil && status.Votes {
 			return
 		}
 	}
-	f.violate("slow-recovery", "%s does not vote %v after it came back empty", core.Name, timeout)
+	f.violate(ruleSlowRecovery, "%s does not vote %v after it came back empty", core.Name, timeout)
 }
 
 // stopOrKill stops a process as planned work does; one that does not end within the timeout
@@ -184,13 +191,13 @@
 	proc.Kill()
 }
 
-// restartCore is a planned stop and start of a core.
+// restartCore stops a core as planned work does and starts it again.
 func (f *Fleet) restartCore(core *process.Process) {
 	f.stopOrKill(core, coreStopTimeout)
 	f.restart(core)
 }
 
-// restartSidecar is a planned stop and start of a sidecar.
+// restartSidecar stops a sidecar as planned work does and starts it again.
 func (f *Fleet) restartSidecar(sidecar *process.Process) {
 	endOutage := f.beginOutage(sidecar.Name, causeStopped)
 	f.stopOrKill(sidecar, sidecarStopTimeout)
@@ -200,6 +207,7 @@
 	f.awaitReady(sidecar)
 }
 
+// judgeExitCode judges that a sidecar that was stopped as planned ended with success.
 func (f *Fleet) judgeExitCode(sidecar *process.Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/run/report.go
+++ b/fleet/run/report.go
@@ -28,13 +28,13 @@
 	f.writeResponseTimes(&b)
 	b.WriteString(f.Checker.Text())
 	b.WriteString(f.Checker.Summary() + "\n")
-	for _, x := range f.Checker.Violations[:min(maxViolationsShown, len(f.Checker.Violations))] {
-		fmt.Fprintf(&b, "breach at %.1fs: %s: %s\n", time.Duration(x.At).Seconds(), x.Rule, x.Note)
+	for _, violation := range f.Checker.Violations[:min(maxViolationsShown, len(f.Checker.Violations))] {
+		fmt.Fprintf(&b, "breach at %.1fs: %s: %s\n", time.Duration(violation.At).Seconds(), violation.Rule, violation.Note)
 	}
 	return b.String()
 }
 
-// writeResponseTimes writes how long calls took, by what their client was told.
+// writeResponseTimes writes how long calls took, by their outcome at the client.
 func (f *Fleet) writeResponseTimes(b *strings.Builder) {
 	took := map[client.Outcome][]time.Duration{}
 	for _, call := range f.clientLog.All() {
@@ -52,5 +52,7 @@
 func summarize(durations []time.Duration, precision time.Duration) string {
 	slices.Sort(durations)
 	n := len(durations)
-	return fmt.Sprintf("median %v, 99%% %v, most %v", durations[n/2].Round(precision), durations[n*99/100].Round(precision), durations[n-1].Round(time.Millisecond))
+	median, p99, maximum := durations[n/2], durations[n*99/100], durations[n-1]
+	return fmt.Sprintf("median %v, 99%% %v, most %v",
+		median.Round(precision), p99.Round(precision), maximum.Round(time.Millisecond))
 }
--- a/fleet/run/revision.go
+++ b/fleet/run/revision.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
@@ -14,15 +15,15 @@
 	statusTimeout        = 500 * time.Millisecond
 )
 
-// statusPoll is one question to a sidecar which revision it has in force.
+// statusPoll is the result of one request for the revision that a sidecar has in force.
 type statusPoll struct {
-	askedAt  time.Time
+	askedAt  time.Time // when the request was sent
 	answered bool
-	revision ident.Epoch // that it answered
+	revision ident.Epoch // in the response; 0 is none
 }
 
-// trackRevision follows a confirmed revision to each sidecar. The bound runs from the
-// confirmation, or from the end of what kept everybody from telling that sidecar of it.
+// trackRevision judges for each sidecar when it has a confirmed revision in force. The bound runs
+// from the confirmation, or from the end of an outage that kept the revision from that sidecar.
 func (f *Fleet) trackRevision(ctx context.Context, revision ident.Epoch, confirmedAt time.Time) {
 	for _, sidecar := range f.Sidecars {
 		f.revisionWaits.Go(func() { f.awaitRevision(ctx, sidecar, revision, confirmedAt) })
@@ -53,13 +54,13 @@
 		Revision ident.Epoch `json:"manifest"`
 	}
 	askedAt := time.Now()
-	_, err := sidecar.Request(statusTimeout, "GET", "/status", nil, &status)
+	_, err := sidecar.Request(statusTimeout, http.MethodGet, "/status", nil, &status)
 	return statusPoll{askedAt: askedAt, answered: err == nil, revision: status.Revision}
 }
 
-// judgeRevision judges one poll of a sidecar, and tells whether the revision needs no more.
-// An answer without the revision proves that it was still missing when the question was
-// sent.
+// judgeRevision judges one poll of a sidecar, and tells whether no further one is needed. A
+// response with an older revision proves that the new one was not in force yet when the request
+// was sent.
 func (f *Fleet) judgeRevision(sidecar string, revision ident.Epoch, confirmedAt time.Time, poll statusPoll) (done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,11 +78,15 @@
 		return true
 	case late && poll.answered:
 		f.Checker.Observe(ruleConfigLate)
-		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate, "%s has revision %d %v after %d was confirmed, waited for the end of %q", sidecar, poll.revision, poll.askedAt.Sub(confirmedAt), revision, cause)
+		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate,
+			"%s has revision %d %v after %d was confirmed, waited for the end of %q",
+			sidecar, poll.revision, poll.askedAt.Sub(confirmedAt), revision, cause)
 		return true
 	case late && elapsed > 2*invariant.ConfigDeadline:
 		f.Checker.Observe(ruleConfigLate)
-		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate, "%s does not answer what is in force %v after %d was confirmed", sidecar, poll.askedAt.Sub(confirmedAt), revision)
+		f.Checker.Violate(f.sinceStart(poll.askedAt), ruleConfigLate,
+			"%s does not answer which revision is in force, %v after %d was confirmed",
+			sidecar, poll.askedAt.Sub(confirmedAt), revision)
 		return true
 	}
 	return false
--- a/fleet/run/run_test.go
+++ b/fleet/run/run_test.go
@@ -43,7 +43,10 @@
 func TestRealProcesses(t *testing.T) {
 	d := scenario.Deployments["prairie"]
 	d.Sidecars, d.Rate, d.CoordinationRate = 4, 80, 20
-	d.Services = []scenario.Service{{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3}, {Name: "payments.prairie", Host: "payments.bank", Endpoints: 3}}
+	d.Services = []scenario.Service{
+		{Name: "accounts.prairie", Host: "accounts.bank", Endpoints: 3},
+		{Name: "payments.prairie", Host: "payments.bank", Endpoints: 3},
+	}
 	f := runReal(t, Options{Deployment: d, Duration: 45 * time.Second, FaultInterval: 500 * time.Millisecond, Seed: 3,
 		Faults: []string{"endpoint-reuse", "core-kill", "side-stop", "core-empty", "side-cut", "core-stop"}})
 	must.Greater(t, 5, f.Counts["manifests confirmed"])
@@ -79,7 +82,8 @@
 		{[]string{"core", "--boot", "/does/not/exist.json"}, 2, []string{"exist.json"}},
 		{[]string{"simulate", "--faults", "nope", "--for", "1s"}, 2, []string{"faults", "for"}},
 		{[]string{"simulate", "--break", "retry", "--for", "20s"}, 1, []string{"double-run"}},
-		{[]string{"simulate", "--deployment", "../../samples/what-if.json", "--for", "10s"}, 0, []string{"every rule that was looked at held", "seldom to judge"}},
+		{[]string{"simulate", "--deployment", "../../samples/what-if.json", "--for", "10s"}, 0,
+			[]string{"every rule that was looked at held", "seldom to judge"}},
 	} {
 		out, err := exec.Command(bin, c.args...).CombinedOutput()
 		code := 0
