--- a/capacity/calllatency/measure.go
+++ b/capacity/calllatency/measure.go
@@ -111,8 +111,11 @@
 	}
 	mesh.SendHeartbeats(mesh.FullNodes[1].Addr, heartbeats...)
 	result, err := mesh.Await(process.Condition{Ready: true, Healthy: wanted}, readyTimeout).Result()
-	if err != nil || result.Missing > 0 {
-		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not come to know the called endpoints: %v", result.Missing, err)
+	if err != nil {
+		return e, failure.Wrap(err, failure.DeadlineExceeded, "wait for nodes to know the called endpoints")
+	}
+	if result.Missing > 0 {
+		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not come to know the called endpoints in %v", result.Missing, readyTimeout)
 	}
 	return e, nil
 }
@@ -164,9 +167,10 @@
 		recordDuration(through, throughMesh)
 		recordDuration(direct, directly)
 	}
-	point.Pairs, point.Added, point.ThroughMesh, point.Direct = added.TotalCount(), quantiles(added), quantiles(through), quantiles(direct)
+	point.Pairs = added.TotalCount()
+	point.Added, point.ThroughMesh, point.Direct = quantiles(added), quantiles(through), quantiles(direct)
 	if point.Pairs == 0 {
-		return failure.New(failure.BadResponse, "none of %d calls came through", point.Failed)
+		return failure.New(failure.BadResponse, "all %d pairs of calls failed", point.Failed)
 	}
 	return nil
 }
--- a/capacity/meter/meter_test.go
+++ b/capacity/meter/meter_test.go
@@ -49,7 +49,11 @@
 	}))
 	c, in := dial(t, "127.64.0.9", addr), 0
 	r := bufio.NewReader(c)
-	for _, text := range []string{"POST /cottonarch/v1/renew HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello", "GET /keys/yes HTTP/1.1\r\nHost: x\r\n\r\n", "GET /keys/no HTTP/1.1\r\nHost: x\r\n\r\n"} {
+	for _, text := range []string{
+		"POST /cottonarch/v1/renew HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello",
+		"GET /keys/yes HTTP/1.1\r\nHost: x\r\n\r\n",
+		"GET /keys/no HTTP/1.1\r\nHost: x\r\n\r\n",
+	} {
 		n, err := io.WriteString(c, text)
 		must.NoError(t, err)
 		in += n
@@ -111,13 +115,22 @@
 	shares := ShareByActivity(&profile.Profile{Sample: []*profile.Sample{
 		stack(10, "/cottonarch/v1/renew", "encoding/json.Unmarshal", "net/http.(*conn).serve"),
 		stack(10, "/cottonarch/v2/unheard", "runtime.mallocgc"),
-		stack(20, "", "sort.x", modulePrefix+"control/leasetable.(*Table).ChangesSince", modulePrefix+"daemon/api/mesh.handlers.renew.func1", modulePrefix+"daemon/core.(*Core).loop"),
-		stack(20, "", modulePrefix+"control/leasetable.(*Table).Tick", modulePrefix+"control/core/node.(*Node).Tick", modulePrefix+"daemon/core.(*Core).loop"),
+		stack(20, "", "sort.x", modulePrefix+"control/leasetable.(*Table).ChangesSince",
+			modulePrefix+"daemon/api/mesh.handlers.renew.func1", modulePrefix+"daemon/core.(*Core).loop"),
+		stack(20, "", modulePrefix+"control/leasetable.(*Table).Tick",
+			modulePrefix+"control/core/node.(*Node).Tick", modulePrefix+"daemon/core.(*Core).loop"),
 		stack(10, "", "runtime.scanobject", "runtime.gcBgMarkWorker"),
 		stack(10, "", "syscall.read", "net/http.(*conn).serve"),
 		stack(20, "", "runtime.futex", "runtime.mcall"),
 	}})
-	must.Eq(t, map[string]float64{"leases": 0.3, "/v2/unheard": 0.1, "registry": 0.2, "garbage collection": 0.1, "transport": 0.1, "scheduling, timers": 0.2}, shares)
+	must.Eq(t, map[string]float64{
+		"leases":             0.3,
+		"/v2/unheard":        0.1,
+		"registry":           0.2,
+		"garbage collection": 0.1,
+		"transport":          0.1,
+		"scheduling, timers": 0.2,
+	}, shares)
 	for name := range shares {
 		must.NotEq(t, "", PackageOf(name))
 	}
--- a/capacity/plan/plan.go
+++ b/capacity/plan/plan.go
@@ -105,7 +105,8 @@
 	require("ways", t.Routes >= t.Services && t.Routes <= 20000, "must be from the number of services to 20000")
 	require("cores", t.Cores > 0 && t.Cores <= 9 && t.Cores%2 == 1, "must be odd and at most 9")
 	require("regions", t.Regions > 0 && t.Regions <= t.Zones, "must be from 1 to the districts")
-	require("districts", t.Zones > 0 && t.Zones <= 60 && t.Regions > 0 && t.Zones%t.Regions == 0, "must be from 1 to 60 and a multiple of the regions")
+	require("districts", t.Zones > 0 && t.Zones <= 60 && t.Regions > 0 && t.Zones%t.Regions == 0,
+		"must be from 1 to 60 and a multiple of the regions")
 	require("nodesAProcess", t.NodesPerProcess > 0 && t.NodesPerProcess <= 1000, "must be from 1 to 1000")
 	require("nodesAWave", t.NodesPerWave > 0, "must be above 0")
 	require("callsS", t.CallsPerSecond > 0 && t.CallDepth > 0 && t.ChangesPerDay > 0, "callsS, deep and changesDay must be above 0")
--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -80,8 +80,12 @@
 	own := n.endpoint.AliveHeartbeat(SilentAddr(ip))
 	n.heartbeat.Store(&own)
 	for k := range w.extraEndpoints {
-		extra := Endpoint{ID: ident.Server(fmt.Sprintf("fill%05d-%05d", i, k)), Service: w.target.Service((i + k) % max(1, w.target.Services-1))}
-		n.extraHeartbeats = append(n.extraHeartbeats, extra.AliveHeartbeat(ident.Addr(fmt.Sprintf("%s:%d", ip, firstExtraPort+k))))
+		extra := Endpoint{
+			ID:      ident.Server(fmt.Sprintf("fill%05d-%05d", i, k)),
+			Service: w.target.Service((i + k) % max(1, w.target.Services-1)),
+		}
+		addr := ident.Addr(fmt.Sprintf("%s:%d", ip, firstExtraPort+k))
+		n.extraHeartbeats = append(n.extraHeartbeats, extra.AliveHeartbeat(addr))
 	}
 	return n, nil
 }
@@ -100,6 +104,7 @@
 	n.servers = append(n.servers, meshServer.Server)
 	if w.fullNodes {
 		if err := w.serve(clientServer.Server, n.clientAddr); err != nil {
+			_ = meshServer.Close()
 			return nil, err
 		}
 		n.servers = append(n.servers, clientServer.Server)
@@ -173,7 +178,7 @@
 	response := Response{StartedAt: meter.Now()}
 	for _, i := range command.Nodes {
 		if w.nodes[i] != nil {
-			return response, failure.New(failure.Conflict, "node %d runs", i)
+			return response, failure.New(failure.Conflict, "node %d runs already", i)
 		}
 		n, err := w.launchNode(i, ident.NewID()[:incarnationLength])
 		if err != nil {
@@ -187,47 +192,43 @@
 	return response, nil
 }
 
-// runningNode finds a node by number. The caller holds mu.
-func (w *worker) runningNode(i int) (*node, error) {
-	if n := w.nodes[i]; n != nil {
-		return n, nil
-	}
-	return nil, failure.New(failure.NotFound, "node %d does not run", i)
-}
-
-func (w *worker) stopNodes(command Command) (Response, error) {
+// forEachNode acts on each node that a command names and responds with the nodes' endpoints. The
+// first node that does not run, or whose action fails, ends it.
+func (w *worker) forEachNode(command Command, action func(i int, n *node) error) (Response, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	response := Response{StartedAt: meter.Now()}
 	for _, i := range command.Nodes {
-		n, err := w.runningNode(i)
-		if err != nil {
+		n := w.nodes[i]
+		if n == nil {
+			return response, failure.New(failure.NotFound, "node %d does not run", i)
+		}
+		if err := action(i, n); err != nil {
 			return response, err
 		}
-		delete(w.nodes, i)
 		response.Endpoints = append(response.Endpoints, n.endpoint)
-		go n.stop()
 	}
 	return response, nil
 }
 
+// stopNodes ends nodes. It does not wait until their daemons have closed: worker.close does.
+func (w *worker) stopNodes(command Command) (Response, error) {
+	return w.forEachNode(command, func(i int, n *node) error {
+		delete(w.nodes, i)
+		w.stopping.Go(n.stop)
+		return nil
+	})
+}
+
 // setState changes the state that endpoints report, and reports it at once.
 func (w *worker) setState(command Command) (Response, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	response := Response{StartedAt: meter.Now()}
-	for _, i := range command.Nodes {
-		n, err := w.runningNode(i)
-		if err != nil {
-			return response, err
-		}
+	return w.forEachNode(command, func(_ int, n *node) error {
 		heartbeat := *n.heartbeat.Load()
 		heartbeat.State = command.State
 		n.heartbeat.Store(&heartbeat)
-		if err := n.sidecar.Heartbeat(heartbeat); err != nil {
-			return response, err
+		if fail := n.sidecar.Heartbeat(heartbeat); fail != nil {
+			return fail
 		}
-		response.Endpoints = append(response.Endpoints, n.endpoint)
-	}
-	return response, nil
+		return nil
+	})
 }
--- a/capacity/process/worker.go
+++ b/capacity/process/worker.go
@@ -26,6 +26,8 @@
 	meter  *meter.Meter
 	closed chan struct{}
 
+	stopping sync.WaitGroup // nodes that are being stopped
+
 	mu             sync.Mutex
 	core           *core
 	nodes          map[int]*node // by number
@@ -47,7 +49,8 @@
 	SetPartition: (*worker).setPartition,
 }
 
-// Run executes commands until the input ends, then closes all daemons.
+// Run executes commands until the input ends, then closes all daemons. Commands that still run then
+// end with the process.
 func Run(in io.Reader, out io.Writer) error {
 	w := &worker{nodes: map[int]*node{}, closed: make(chan struct{})}
 	defer w.close()
@@ -56,7 +59,7 @@
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return nil // the one that measures has closed the input, or has ended
+			return nil // the measuring process has closed the input, or has ended
 		}
 		var command Command
 		if err := json.Unmarshal(line, &command); err != nil {
@@ -95,10 +98,11 @@
 func (w *worker) execute(command Command) (Response, error) {
 	handler, ok := handlers[command.Operation]
 	if !ok {
-		return Response{}, failure.New(failure.Invalid, "no operation %q; known: %s", command.Operation, strings.Join(slices.Sorted(maps.Keys(handlers)), ", "))
+		known := strings.Join(slices.Sorted(maps.Keys(handlers)), ", ")
+		return Response{}, failure.New(failure.Invalid, "no operation %q; known: %s", command.Operation, known)
 	}
 	if command.Operation != Begin && w.meter == nil {
-		return Response{}, failure.New(failure.Invalid, "%s comes first", Begin)
+		return Response{}, failure.New(failure.Invalid, "%s must be the first command", Begin)
 	}
 	return handler(w, command)
 }
@@ -151,10 +155,12 @@
 	return nil
 }
 
+// close ends the waits of commands, all nodes and the core.
 func (w *worker) close() {
 	close(w.closed)
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	defer w.stopping.Wait()
 	for _, n := range w.nodes {
 		n.stop()
 	}
--- a/capacity/report/budget.go
+++ b/capacity/report/budget.go
@@ -49,8 +49,15 @@
 	return sheet.lines
 }
 
+// add adds a line whose figure follows from a row.
 func (s *budgetSheet) add(what, unit string, row Row, figure, budget float64) {
-	s.lines = append(s.lines, BudgetLine{What: what, Unit: unit, ReachedBy: row.reachedBy(float64(s.target.Nodes)), Figure: figure, Budget: budget})
+	s.lines = append(s.lines, BudgetLine{
+		What:      what,
+		Unit:      unit,
+		ReachedBy: row.reachedBy(float64(s.target.Nodes)),
+		Figure:    figure,
+		Budget:    budget,
+	})
 }
 
 // addOverDay adds what a sidecar uses in the steady state, with the day's changes and restarts
@@ -95,7 +102,8 @@
 		s.add(load+": in force everywhere, nodes on machines of their own", "seconds", row, row.AtTarget, budget.ApplySeconds)
 	}
 	if row, ok := findRow(s.rows, load, "sidecar/all/bytes"); ok {
-		s.add(load+": bytes to one node, spread over the time to be in force", "bytes a second", row, row.AtTarget/budget.ApplySeconds, budget.NodeBytesPerSecond)
+		s.add(load+": bytes to one node, spread over the time to be in force", "bytes a second",
+			row, row.AtTarget/budget.ApplySeconds, budget.NodeBytesPerSecond)
 	}
 }
 
@@ -109,5 +117,11 @@
 	if latency.Records < s.target.Nodes {
 		reachedBy = fmt.Sprintf("at %d records", latency.Records)
 	}
-	s.lines = append(s.lines, BudgetLine{What: "added to a call, 99 in 100", Unit: "ms", ReachedBy: reachedBy, Figure: latency.Added["p99"], Budget: s.target.Budget.AddedLatencyMs})
+	s.lines = append(s.lines, BudgetLine{
+		What:      "added to a call, 99 in 100",
+		Unit:      "ms",
+		ReachedBy: reachedBy,
+		Figure:    latency.Added["p99"],
+		Budget:    s.target.Budget.AddedLatencyMs,
+	})
 }
--- a/capacity/report/plot.go
+++ b/capacity/report/plot.go
@@ -105,7 +105,12 @@
 // chartSeries gives what was measured as dots and the fit as a line up to the target's size.
 func (r Row) chartSeries(label string, colorIndex int, targetNodes float64) (dots, line chart.ContinuousSeries) {
 	color := chart.GetDefaultColor(colorIndex)
-	dots = chart.ContinuousSeries{Name: label, Style: chart.Style{StrokeWidth: chart.Disabled, DotWidth: dotWidth, DotColor: color, StrokeColor: color}}
+	dots = chart.ContinuousSeries{Name: label, Style: chart.Style{
+		StrokeWidth: chart.Disabled,
+		DotWidth:    dotWidth,
+		DotColor:    color,
+		StrokeColor: color,
+	}}
 	for _, point := range r.Points {
 		dots.XValues, dots.YValues = append(dots.XValues, point.X), append(dots.YValues, point.Y)
 	}
--- a/capacity/report/report_test.go
+++ b/capacity/report/report_test.go
@@ -19,9 +19,19 @@
 	r := &run.Result{Commit: "c", Target: plan.Default(), Sizes: []int{10, 20, 40, 80}}
 	for _, n := range r.Sizes {
 		x := float64(n)
-		r.Points = append(r.Points, workload.Point{Nodes: n, Load: "steady", Values: map[string]float64{"sidecar/all/processor cores": cores * x, "core/leases/messages a second": 4 * x, "core/busiest/processor cores": x / 1000,
-			"sidecar/all/memory": 30e6 + x*1000, "sidecar/all/bytes a second": 5000}},
-			workload.Point{Nodes: n, Load: "changes", MeshCPU: meshCPU, Values: map[string]float64{"mesh/known to all/seconds": x / 50, "sidecar/all/processor seconds": 2.88, "sidecar/all/bytes": 288000}})
+		steady := workload.Point{Nodes: n, Load: "steady", Values: map[string]float64{
+			"sidecar/all/processor cores":   cores * x,
+			"core/leases/messages a second": 4 * x,
+			"core/busiest/processor cores":  x / 1000,
+			"sidecar/all/memory":            30e6 + x*1000,
+			"sidecar/all/bytes a second":    5000,
+		}}
+		changes := workload.Point{Nodes: n, Load: "changes", MeshCPU: meshCPU, Values: map[string]float64{
+			"mesh/known to all/seconds":     x / 50,
+			"sidecar/all/processor seconds": 2.88,
+			"sidecar/all/bytes":             288000,
+		}}
+		r.Points = append(r.Points, steady, changes)
 	}
 	r.CallLatency = []calllatency.Point{{Records: 600, Routes: 5000, Pairs: 9, Added: map[string]float64{"p50": 0.25, "p99": 0.9}}}
 	return r
@@ -63,14 +73,14 @@
 	must.NoError(t, err)
 	must.True(t, strings.HasPrefix(string(svg), "<svg"))
 	page := filepath.Join(dir, "page.md")
-	must.NoError(t, os.WriteFile(page, []byte("before\n"+BeginMark+"\nold\n"+EndMark+"\nafter\n"), 0o600))
+	must.NoError(t, os.WriteFile(page, []byte("before\n"+BeginMarker+"\nold\n"+EndMarker+"\nafter\n"), 0o600))
 	for range 2 {
 		must.NoError(t, UpdatePage(page, text))
 		raw, err := os.ReadFile(page)
 		must.NoError(t, err)
-		must.Eq(t, "before\n"+BeginMark+"\n"+text+EndMark+"\nafter\n", string(raw))
+		must.Eq(t, "before\n"+BeginMarker+"\n"+text+EndMarker+"\nafter\n", string(raw))
 	}
-	must.NoError(t, os.WriteFile(page, []byte("no marks"), 0o600))
+	must.NoError(t, os.WriteFile(page, []byte("no markers"), 0o600))
 	must.Error(t, UpdatePage(page, text))
 	_, err = ReadResult(filepath.Join(dir, "none"))
 	must.Error(t, err)
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -62,7 +62,8 @@
 		lowest, highest = min(lowest, point.MachineCPU), max(highest, point.MachineCPU)
 	}
 	if highest > 0 {
-		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
+		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; "+
+			"times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
 	}
 }
 
@@ -76,7 +77,9 @@
 			t.printf("- %s at %d nodes: %d did not come to know in time", point.Load, point.Nodes, point.Missing)
 		}
 		if !point.Clean() {
-			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and a process was held up for %.1f s; its times are left out of the fits", point.Load, point.Nodes, 100*point.MeshCPU, point.MaxStall)
+			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and "+
+				"a process was held up for %.1f s; its times are left out of the fits",
+				point.Load, point.Nodes, 100*point.MeshCPU, point.MaxStall)
 		}
 	}
 }
@@ -112,7 +115,8 @@
 		if row.Activity() == "busiest" {
 			what = "the busiest core: "
 		}
-		t.row(what+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines), "", row.reachedBy(targetNodes))
+		machines := fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines)
+		t.row(what+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), machines, "", row.reachedBy(targetNodes))
 	}
 }
 
@@ -122,7 +126,9 @@
 		return
 	}
 	depth, latency := result.Target.CallDepth, result.CallLatency[len(result.CallLatency)-1]
-	t.row(fmt.Sprintf("a call %d deep, at the half of calls", depth), formatNumber(float64(depth)*latency.Added["p50"])+" ms", "", "", fmt.Sprintf("%d × p50", depth))
+	t.row(fmt.Sprintf("a call %d deep, at the half of calls", depth),
+		formatNumber(float64(depth)*latency.Added["p50"])+" ms", "", "",
+		fmt.Sprintf("%d × p50", depth))
 }
 
 // activityUnits are the units in which activities are shown side by side.
@@ -202,7 +208,11 @@
 		if row.Line == nil {
 			cells = append(cells, fmt.Sprintf("%d sizes are too few", len(row.Points)), "", "", "")
 		} else {
-			cells = append(cells, row.Line.Formula(), fmt.Sprintf("%.0f %%", 100*row.Line.MaxRelativeError), formatNumber(row.AtTarget), row.reachedBy(float64(result.Target.Nodes)))
+			cells = append(cells,
+				row.Line.Formula(),
+				fmt.Sprintf("%.0f %%", 100*row.Line.MaxRelativeError),
+				formatNumber(row.AtTarget),
+				row.reachedBy(float64(result.Target.Nodes)))
 		}
 		t.row(cells...)
 	}
--- a/capacity/report/write.go
+++ b/capacity/report/write.go
@@ -58,24 +58,24 @@
 	return text, nil
 }
 
-// Lines of a page between which its tables stand.
+// Markers in a page; its tables stand between them.
 const (
-	BeginMark = "<!-- capacity: begin -->"
-	EndMark   = "<!-- capacity: end -->"
+	BeginMarker = "<!-- capacity: begin -->"
+	EndMarker   = "<!-- capacity: end -->"
 )
 
-// UpdatePage replaces the tables between the marks of a page.
+// UpdatePage replaces the tables between the markers of a page.
 func UpdatePage(file, text string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return failure.New(failure.BadSettings, "%v", err)
 	}
-	head, rest, hasBegin := strings.Cut(string(raw), BeginMark)
-	_, tail, hasEnd := strings.Cut(rest, EndMark)
+	head, rest, hasBegin := strings.Cut(string(raw), BeginMarker)
+	_, tail, hasEnd := strings.Cut(rest, EndMarker)
 	if !hasBegin || !hasEnd {
-		return failure.New(failure.BadSettings, "%s has no marks %s and %s", file, BeginMark, EndMark)
+		return failure.New(failure.BadSettings, "%s has no markers %s and %s", file, BeginMarker, EndMarker)
 	}
-	if err := os.WriteFile(file, []byte(head+BeginMark+"\n"+text+EndMark+tail), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(head+BeginMarker+"\n"+text+EndMarker+tail), 0o644); err != nil {
 		return failure.Wrap(err, failure.Internal, "page")
 	}
 	return nil
--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -41,7 +41,7 @@
 	gigabyte        = 1e9
 )
 
-// measurement is a run on its way.
+// measurement is a run in progress.
 type measurement struct {
 	Options
 	deadline time.Time
@@ -123,11 +123,11 @@
 func (m *measurement) exceedsBounds(i int, lastPeak float64, share time.Duration) (reason string) {
 	size := m.Sizes[i]
 	if processes := m.Target.Cores + 1 + size/m.Target.NodesPerProcess; processes > m.MaxProcesses {
-		return fmt.Sprintf("would need %d processes, %d may be", processes, m.MaxProcesses)
+		return fmt.Sprintf("would need %d processes, at most %d may run", processes, m.MaxProcesses)
 	}
 	if lastPeak > 0 {
 		if need := lastPeak * float64(size) / float64(m.Sizes[i-1]); need > m.MemoryLimit {
-			return fmt.Sprintf("would need about %.1f GB, %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
+			return fmt.Sprintf("would need about %.1f GB, at most %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
 		}
 	}
 	if share < minSizeTime {
@@ -183,7 +183,8 @@
 			m.skipLatency(i, err.Error())
 			return
 		}
-		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms", point.Records, point.Routes, point.Pairs, point.Added["p50"], point.Added["p99"])
+		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms",
+			point.Records, point.Routes, point.Pairs, point.Added["p50"], point.Added["p99"])
 		m.result.CallLatency = append(m.result.CallLatency, point)
 	}
 }
--- a/capacity/run/run_test.go
+++ b/capacity/run/run_test.go
@@ -29,8 +29,18 @@
 	}
 	target := plan.Default()
 	target.Cores, target.Routes, target.Services, target.NodesPerProcess = 1, 60, 12, 3
-	res, err := Measure(Options{ProcessCommand: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: target, Sizes: []int{6}, Workloads: WorkloadNames(), Window: 1200 * time.Millisecond,
-		TimeLimit: 2 * time.Minute, MemoryLimit: 4e9, MaxProcesses: 20, Logf: t.Logf})
+	res, err := Measure(Options{
+		ProcessCommand: []string{os.Args[0], "capacity-part"},
+		Dir:            t.TempDir(),
+		Target:         target,
+		Sizes:          []int{6},
+		Workloads:      WorkloadNames(),
+		Window:         1200 * time.Millisecond,
+		TimeLimit:      2 * time.Minute,
+		MemoryLimit:    4e9,
+		MaxProcesses:   20,
+		Logf:           t.Logf,
+	})
 	must.NoError(t, err)
 	must.SliceEmpty(t, res.Skipped)
 	seen := map[string]bool{}
@@ -58,13 +68,27 @@
 // What does not fit within a bound is left out, and named.
 func TestBounds(t *testing.T) {
 	target := plan.Default()
-	options := Options{ProcessCommand: []string{os.Args[0], "capacity-part"}, Dir: t.TempDir(), Target: target, Sizes: []int{500, 1000}, Workloads: []string{"steady"}, Window: time.Second, TimeLimit: time.Minute, MemoryLimit: 1e9, MaxProcesses: 10, Logf: t.Logf}
+	options := Options{
+		ProcessCommand: []string{os.Args[0], "capacity-part"},
+		Dir:            t.TempDir(),
+		Target:         target,
+		Sizes:          []int{500, 1000},
+		Workloads:      []string{"steady"},
+		Window:         time.Second,
+		TimeLimit:      time.Minute,
+		MemoryLimit:    1e9,
+		MaxProcesses:   10,
+		Logf:           t.Logf,
+	}
 	res, err := Measure(options)
 	must.Error(t, err)
 	must.SliceLen(t, 2, res.Skipped)
 	for _, bad := range []func(*Options){
-		func(options *Options) { options.Sizes = []int{10, 15} }, func(options *Options) { options.Sizes = nil }, func(options *Options) { options.Sizes = []int{1} },
-		func(options *Options) { options.Workloads = []string{"no such"} }, func(options *Options) { options.Window = time.Hour },
+		func(options *Options) { options.Sizes = []int{10, 15} },
+		func(options *Options) { options.Sizes = nil },
+		func(options *Options) { options.Sizes = []int{1} },
+		func(options *Options) { options.Workloads = []string{"no such"} },
+		func(options *Options) { options.Window = time.Hour },
 	} {
 		c := options
 		bad(&c)
--- a/capacity/testbed/child.go
+++ b/capacity/testbed/child.go
@@ -18,8 +18,8 @@
 	readBufferSize = 1 << 16
 )
 
-// child is one process and the commands that it has not answered yet. Invariant: each command
-// gets exactly one response, or wait fails for it when the process ends before.
+// child is one process and the commands that it has not responded to yet. Invariant: each command
+// gets exactly one response, or wait fails for it when the process ends first.
 type child struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
@@ -49,7 +49,7 @@
 	if err := c.cmd.Start(); err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "process")
 	}
-	go c.readResponses(stdout)
+	go c.readResponses(stdout) // ends with the process, which stop awaits
 	return c, nil
 }
 
@@ -73,7 +73,8 @@
 	close(c.exited)
 }
 
-// takePending removes a command from those without a response; nil if it is none of them.
+// takePending removes a command from those without a response and returns its channel; nil if the
+// command is not among them.
 func (c *child) takePending(id int) chan process.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,9 +119,9 @@
 		}
 		return response, nil
 	case <-c.exited:
-		return process.Response{}, failure.New(failure.LostResponse, "a process ended by itself")
+		return process.Response{}, failure.New(failure.LostResponse, "the process ended before it responded")
 	case <-timer.C:
-		return process.Response{}, failure.New(failure.DeadlineExceeded, "a process did not answer in %v", timeout)
+		return process.Response{}, failure.New(failure.DeadlineExceeded, "the process did not respond within %v", timeout)
 	}
 }
 
--- a/capacity/testbed/mesh.go
+++ b/capacity/testbed/mesh.go
@@ -195,9 +195,12 @@
 	}
 	ready := process.Command{Operation: process.Await, Condition: process.Condition{Ready: true}, Duration: m.options.ReadyTimeout}
 	waited, err := c.run(ready, m.options.ReadyTimeout+commandTimeout)
-	if err != nil || waited.Missing > 0 {
-		return failure.New(failure.DeadlineExceeded, "%d of %d nodes, which come %d at a time, were not ready in %v (%v)",
-			waited.Missing, nodes[len(nodes)-1]+1, m.Target.NodesPerWave, m.options.ReadyTimeout, err)
+	if err != nil {
+		return failure.Wrap(err, failure.DeadlineExceeded, "wait for nodes to be ready")
+	}
+	if waited.Missing > 0 {
+		return failure.New(failure.DeadlineExceeded, "%d of %d nodes, which start %d at a time, were not ready in %v",
+			waited.Missing, nodes[len(nodes)-1]+1, m.Target.NodesPerWave, m.options.ReadyTimeout)
 	}
 	return nil
 }
--- a/capacity/testbed/operator.go
+++ b/capacity/testbed/operator.go
@@ -32,7 +32,7 @@
 	key := fmt.Sprintf("capacity-%d", m.proposalCount)
 	ticker := time.NewTicker(proposalInterval)
 	defer ticker.Stop()
-	var lastErr error
+	var lastErr error = failure.New(failure.DeadlineExceeded, "no time was left to send it")
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); <-ticker.C {
 		revision, status, err := m.proposeOnce(method, raw, key)
 		if err == nil {
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -116,12 +116,13 @@
 	timeout := r.waitTimeout()
 	result, err := r.Await(process.Condition{Ready: true, Healthy: r.Endpoints()}, timeout).Result()
 	if err == nil && result.Missing > 0 {
-		err = failure.New(failure.DeadlineExceeded, "%d of %d nodes did not come to know every endpoint in %v; their counters: %s", result.Missing, r.NodeCount, timeout, r.failureCounters())
+		err = failure.New(failure.DeadlineExceeded, "%d of %d nodes did not come to know every endpoint in %v; their counters: %s",
+			result.Missing, r.NodeCount, timeout, r.failureCounters())
 	}
 	return err
 }
 
-// failureCounters shows what nodes and cores counted as failed, summed.
+// failureCounters shows the counters of failures, summed over nodes and cores.
 func (r *Run) failureCounters() string {
 	reading, err := r.Read()
 	if err != nil {
@@ -142,6 +143,8 @@
 	return strings.Join(lines, ", ")
 }
 
+// countsFailures tells whether a counter rises when something fails; "claims" counts joins, which
+// repeat when they fail.
 func countsFailures(counter string) bool {
 	return counter == "claims" || strings.HasSuffix(counter, "_failed") || strings.HasSuffix(counter, "turned_away")
 }
--- a/fleet/run/counters.go
+++ b/fleet/run/counters.go
@@ -132,14 +132,7 @@
 // sampleCounters reads every sidecar's counters at an interval until ctx ends.
 func (f *Fleet) sampleCounters(ctx context.Context) {
 	totals := f.newCounterTotals()
-	ticker := time.NewTicker(counterInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
+	every(ctx, counterInterval, func() {
 		for _, sidecar := range f.Sidecars {
 			var counters map[string]int64
 			if _, err := sidecar.Request(counterTimeout, http.MethodGet, "/counters", nil, &counters); err == nil {
@@ -147,5 +140,5 @@
 			}
 		}
 		totals.judge(time.Now())
-	}
+	})
 }
