--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -53,6 +53,7 @@
 	return c.write(result)
 }
 
+// options reads the target and gives the flags as a measurement takes them.
 func (c capacityCmd) options() (run.Options, error) {
 	target, err := plan.Read(c.Target)
 	if err != nil {
--- a/cmd/cottonarch/coordination.go
+++ b/cmd/cottonarch/coordination.go
@@ -99,7 +99,8 @@
 func (c watchCmd) Run() error {
 	position := c.Position
 	for n := 0; c.Count == 0 || n < c.Count; n++ {
-		data, err := c.request(http.MethodGet, "/watch?prefix="+url.QueryEscape(c.Prefix)+"&place="+url.QueryEscape(position), nil)
+		path := "/watch?prefix=" + url.QueryEscape(c.Prefix) + "&place=" + url.QueryEscape(position)
+		data, err := c.request(http.MethodGet, path, nil)
 		if err != nil {
 			return err
 		}
--- a/cmd/cottonarch/daemon.go
+++ b/cmd/cottonarch/daemon.go
@@ -18,7 +18,7 @@
 // stopTimeout bounds the stop of each server of a daemon.
 const stopTimeout = 30 * time.Second
 
-// settingsFlags are the flags of a daemon; -b is the short form of the file's old flag.
+// settingsFlags are the flags of a daemon; -b is short for --boot, the old name of --settings.
 type settingsFlags struct {
 	Settings       string `name:"settings" aliases:"boot" short:"b" help:"Settings file (JSON)." type:"path"`
 	settings.Flags `embed:""`
@@ -32,8 +32,13 @@
 	return c.Build()
 }
 
-// startDaemon reads and checks the settings, makes the logger and runs the daemon.
-func startDaemon[T any](f settingsFlags, read func(map[string]any) (T, *failure.Error), runDaemon func(T, *zap.Logger) error) error {
+// startDaemon reads and checks the settings, makes the logger and runs the daemon. The settings are
+// read from the JSON object of the file, overridden by the flags.
+func startDaemon[T any](
+	f settingsFlags,
+	read func(map[string]any) (T, *failure.Error),
+	runDaemon func(T, *zap.Logger) error,
+) error {
 	tree, fail := f.Load(f.Settings)
 	if fail != nil {
 		return fail
@@ -42,7 +47,13 @@
 	if fail != nil {
 		return fail
 	}
-	if f.Check {
+	return runUnlessCheck(f.Check, func(log *zap.Logger) error { return runDaemon(config, log) })
+}
+
+// runUnlessCheck runs a daemon whose settings are valid with a new logger, or only reports that
+// they are if checkOnly is set.
+func runUnlessCheck(checkOnly bool, runDaemon func(*zap.Logger) error) error {
+	if checkOnly {
 		fmt.Println("the settings are valid")
 		return nil
 	}
@@ -51,7 +62,7 @@
 		return failure.Wrap(err, failure.Internal, "log")
 	}
 	defer func() { _ = log.Sync() }()
-	return runDaemon(config, log)
+	return runDaemon(log)
 }
 
 // serve runs the servers until the process gets SIGTERM or SIGINT. It calls leave before it stops
--- a/cmd/cottonarch/deployment.go
+++ b/cmd/cottonarch/deployment.go
@@ -84,6 +84,7 @@
 	return old
 }
 
+// decodeServices reads the services, by name.
 func decodeServices(node decode.Object) (services []scenario.Service) {
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
@@ -97,6 +98,7 @@
 	return services
 }
 
+// decodeRequestKinds reads the kinds of request, each of which goes to one of the services.
 func decodeRequestKinds(node decode.Object, services []scenario.Service) (kinds []world.RequestKind) {
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
--- a/cmd/cottonarch/deprecated_test.go
+++ b/cmd/cottonarch/deprecated_test.go
@@ -24,18 +24,38 @@
 		old, current []string
 		want         deprecatedName
 	}{
-		"settings":   {[]string{"core", "--boot", "f"}, []string{"core", "--settings", "f"}, deprecatedName{"--boot", "--settings"}},
-		"zone":       {[]string{"sidecar", "--district=z"}, []string{"sidecar", "--zone=z"}, deprecatedName{"--district", "--zone"}},
-		"lose zone":  {[]string{"simulate", "--lose-district"}, []string{"simulate", "--lose-zone"}, deprecatedName{"--lose-district", "--lose-zone"}},
-		"load":       {[]string{"simulate", "--burden=2"}, []string{"simulate", "--load=2"}, deprecatedName{"--burden", "--load"}},
-		"lost":       {append(endpoint, "--lose=0.1"), append(endpoint, "--lost=0.1"), deprecatedName{"--lose", "--lost"}},
-		"truncated":  {append(endpoint, "--cut=0.1"), append(endpoint, "--truncated=0.1"), deprecatedName{"--cut", "--truncated"}},
-		"client":     {append([]string{"caller"}, client...), append([]string{"client"}, client...), deprecatedName{"caller", "client"}},
-		"processes":  {[]string{"capacity", "--most=9"}, []string{"capacity", "--max-processes=9"}, deprecatedName{"--most", "--max-processes"}},
-		"patch":      {[]string{"apply", "-c", "a", "--part", "f"}, []string{"apply", "-c", "a", "--patch", "f"}, deprecatedName{"--part", "--patch"}},
-		"max share":  {[]string{"rollout", "begin", "-c", "a", "--most=0.1", "r"}, []string{"rollout", "begin", "-c", "a", "--max-failure-share=0.1", "r"}, deprecatedName{"--most", "--max-failure-share"}},
-		"position":   {[]string{"watch", "-c", "a", "--place=p"}, []string{"watch", "-c", "a", "--position=p"}, deprecatedName{"--place", "--position"}},
-		"count":      {[]string{"watch", "-c", "a", "--rounds=3"}, []string{"watch", "-c", "a", "--count=3"}, deprecatedName{"--rounds", "--count"}},
+		"settings": {[]string{"core", "--boot", "f"}, []string{"core", "--settings", "f"}, deprecatedName{"--boot", "--settings"}},
+		"zone":     {[]string{"sidecar", "--district=z"}, []string{"sidecar", "--zone=z"}, deprecatedName{"--district", "--zone"}},
+		"lose zone": {
+			[]string{"simulate", "--lose-district"},
+			[]string{"simulate", "--lose-zone"},
+			deprecatedName{"--lose-district", "--lose-zone"},
+		},
+		"load":      {[]string{"simulate", "--burden=2"}, []string{"simulate", "--load=2"}, deprecatedName{"--burden", "--load"}},
+		"lost":      {append(endpoint, "--lose=0.1"), append(endpoint, "--lost=0.1"), deprecatedName{"--lose", "--lost"}},
+		"truncated": {append(endpoint, "--cut=0.1"), append(endpoint, "--truncated=0.1"), deprecatedName{"--cut", "--truncated"}},
+		"client":    {append([]string{"caller"}, client...), append([]string{"client"}, client...), deprecatedName{"caller", "client"}},
+		"processes": {[]string{"capacity", "--most=9"}, []string{"capacity", "--max-processes=9"}, deprecatedName{"--most", "--max-processes"}},
+		"patch": {
+			[]string{"apply", "-c", "a", "--part", "f"},
+			[]string{"apply", "-c", "a", "--patch", "f"},
+			deprecatedName{"--part", "--patch"},
+		},
+		"max share": {
+			[]string{"rollout", "begin", "-c", "a", "--most=0.1", "r"},
+			[]string{"rollout", "begin", "-c", "a", "--max-failure-share=0.1", "r"},
+			deprecatedName{"--most", "--max-failure-share"},
+		},
+		"position": {
+			[]string{"watch", "-c", "a", "--place=p"},
+			[]string{"watch", "-c", "a", "--position=p"},
+			deprecatedName{"--place", "--position"},
+		},
+		"count": {
+			[]string{"watch", "-c", "a", "--rounds=3"},
+			[]string{"watch", "-c", "a", "--count=3"},
+			deprecatedName{"--rounds", "--count"},
+		},
 		"short flag": {nil, []string{"core", "-b", "f"}, deprecatedName{}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -67,9 +67,22 @@
 	return failure.New(failure.Conflict, "%s", last.Violation)
 }
 
+// options are the flags as the model checker takes them.
 func (c exploreCmd) options() explore.Options {
-	options := explore.Options{Model: explore.Model(c.Model), Members: c.Members, Keys: c.Keys, Operators: c.Operators, Depth: c.Depth, States: c.States,
-		Walks: c.Walks, Steps: c.Steps, Seed: c.Seed, Ring: c.Ring, Mutant: cluster.Mutant(c.Break), Faults: map[cluster.Fault]int{}}
+	options := explore.Options{
+		Model:     explore.Model(c.Model),
+		Members:   c.Members,
+		Keys:      c.Keys,
+		Operators: c.Operators,
+		Depth:     c.Depth,
+		States:    c.States,
+		Walks:     c.Walks,
+		Steps:     c.Steps,
+		Seed:      c.Seed,
+		Ring:      c.Ring,
+		Mutant:    cluster.Mutant(c.Break),
+		Faults:    map[cluster.Fault]int{},
+	}
 	for name, n := range c.Faults {
 		options.Faults[cluster.Fault(name)] = n
 	}
--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -30,7 +30,7 @@
 	Endpoint endpointCmd        `cmd:"" help:"Run a stand-in endpoint."`
 	Client   clientCmd          `cmd:"" aliases:"caller" help:"Run stand-in clients and print the outcomes of their requests."`
 	Capacity capacityCmd        `cmd:"" help:"Measure what a mesh costs as it grows, and what that says of a larger one."`
-	Process  capacityProcessCmd `cmd:"" hidden:"" name:"capacity-part" help:"One process of a measured mesh; takes orders on its input."`
+	Process  capacityProcessCmd `cmd:"" hidden:"" name:"capacity-part" help:"One process of a measured mesh; reads commands from its input."`
 	operatorCmds
 }
 
@@ -49,8 +49,16 @@
 
 // newParser makes the parser of a command line.
 func newParser(into *commandLine) (*kong.Kong, error) {
-	return kong.New(into, kong.Name("cottonarch"), kong.Description("A service mesh: cores hold the control state, sidecars carry the traffic."), kong.UsageOnError(),
-		exploreVars(), kong.Vars{"faults": strings.Join(scenario.FaultNames(), ", "), "breaks": strings.Join(scenario.MutantNames(), ", "), "loads": strings.Join(run.WorkloadNames(), ", ")},
+	return kong.New(into,
+		kong.Name("cottonarch"),
+		kong.Description("A service mesh: cores hold the control state, sidecars carry the traffic."),
+		kong.UsageOnError(),
+		exploreVars(),
+		kong.Vars{
+			"faults": strings.Join(scenario.FaultNames(), ", "),
+			"breaks": strings.Join(scenario.MutantNames(), ", "),
+			"loads":  strings.Join(run.WorkloadNames(), ", "),
+		},
 		kong.Exit(func(code int) {
 			if code != 0 && code != exitFailure {
 				code = exitBadInput // a wrong command line is bad input too
@@ -75,6 +83,7 @@
 	}
 }
 
+// exitCode is the code that the program ends with after a failure.
 func exitCode(fail *failure.Error) int {
 	if fail.Kind == failure.BadSettings {
 		return exitBadInput
--- a/cmd/cottonarch/platform.go
+++ b/cmd/cottonarch/platform.go
@@ -1,9 +1,8 @@
 package main
 
 import (
-	"fmt"
+	"go.uber.org/zap"
 
-	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/platform"
 )
 
@@ -17,14 +16,5 @@
 	if fail != nil {
 		return fail
 	}
-	if c.Check {
-		fmt.Println("the settings are valid")
-		return nil
-	}
-	log, err := newLogger()
-	if err != nil {
-		return failure.Wrap(err, failure.Internal, "log")
-	}
-	defer func() { _ = log.Sync() }()
-	return platform.Run(loaded, log, serve)
+	return runUnlessCheck(c.Check, func(log *zap.Logger) error { return platform.Run(loaded, log, serve) })
 }
--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -39,7 +39,12 @@
 		Service:     ident.Service(c.Service),
 		Addr:        ident.Addr(c.Address),
 		SidecarAddr: ident.Addr(c.Sidecar),
-		Behavior:    endpoint.Behavior{WorkTime: c.Work, LostShare: c.Lost, GarbageShare: c.Garbage, TruncatedShare: c.Truncated},
+		Behavior: endpoint.Behavior{
+			WorkTime:       c.Work,
+			LostShare:      c.Lost,
+			GarbageShare:   c.Garbage,
+			TruncatedShare: c.Truncated,
+		},
 	})
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "endpoint")
@@ -73,7 +78,14 @@
 		Log:         results,
 		Seed:        1,
 		Timeout:     clientTimeout,
-		Kinds:       []client.Kind{{Name: "one", Method: c.Method, Host: c.Host, Path: c.Path, Service: ident.Service(c.Service), Weight: 1}},
+		Kinds: []client.Kind{{
+			Name:    "one",
+			Method:  c.Method,
+			Host:    c.Host,
+			Path:    c.Path,
+			Service: ident.Service(c.Service),
+			Weight:  1,
+		}},
 	})
 	counts := map[client.Outcome]int{}
 	for _, result := range results.All() {
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -80,15 +80,15 @@
 }
 
 // judgeExecution gives the checker one request that an endpoint executed. kinds are those of the clients'
-// requests by id. Calls that endpoints make themselves have an id that ends with "-on" and
-// go to the first kind's service. The caller holds mu.
+// requests by id. Calls that endpoints make themselves have an id that ends with
+// endpoint.ForwardedIDSuffix and go to the first kind's service. The caller holds mu.
 func (f *Fleet) judgeExecution(execution endpoint.Execution, kinds map[string]*client.Kind) {
 	var requested ident.Service
 	kind := kinds[execution.ID]
 	switch {
 	case kind != nil:
 		requested = kind.Service
-	case strings.HasSuffix(execution.ID, "-on"):
+	case strings.HasSuffix(execution.ID, endpoint.ForwardedIDSuffix):
 		requested = f.Deployment.RequestKinds[0].Service
 		f.Counts["onward calls run"]++
 	default:
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -50,8 +50,14 @@
 
 // Run sends requests at the rate until ctx ends, then waits for those in flight.
 func Run(ctx context.Context, options Options) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, MaxConnsPerHost: maxConns, IdleConnTimeout: idleTimeout},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	client := &http.Client{
+		Transport: &http.Transport{
+			MaxIdleConnsPerHost: maxIdleConns,
+			MaxConnsPerHost:     maxConns,
+			IdleConnTimeout:     idleTimeout,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 	defer client.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(options.Seed, randomStream))
 	var pending sync.WaitGroup
@@ -86,7 +92,7 @@
 	return &kinds[0]
 }
 
-// Send sends one request and checks its response.
+// Send sends one request, whose timeout is that of the options, and checks its response.
 func Send(client *http.Client, options Options, kind *Kind, id string) Result {
 	result := Result{ID: id, Kind: kind, Start: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), options.Timeout)
@@ -107,7 +113,7 @@
 	result.Duration = time.Since(result.Start)
 	result.Status = httpResponse.StatusCode
 	if err != nil {
-		result.Outcome, result.Note = Dropped, "cut off: "+err.Error()
+		result.Outcome, result.Note = Dropped, "truncated: "+err.Error()
 		return result
 	}
 	result.Outcome = outcome(httpResponse.Header.Get(response.OutcomeHeader), data, kind, id)
@@ -117,6 +123,7 @@
 	return result
 }
 
+// newRequest makes a request of a kind, whose id is in its header and, if it has one, its body.
 func newRequest(ctx context.Context, options Options, kind *Kind, id string) (*http.Request, error) {
 	var body io.Reader
 	if kind.Method != http.MethodGet {
@@ -126,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // net/http must not send it again
+	request.GetBody = nil // so that net/http does not send the request again by itself
 	request.Host = kind.Host
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Caller", options.Name)
--- a/standin/endpoint/behavior.go
+++ b/standin/endpoint/behavior.go
@@ -39,16 +39,22 @@
 	malformed
 )
 
-// corruption chooses by a number drawn from 0 to 1.
+// corruption chooses how a response is corrupted, by a number drawn from [0, 1).
 func (b *Behavior) corruption(draw float64) corruption {
-	for _, one := range []struct {
+	candidates := []struct {
 		share float64
 		corruption
-	}{{b.LostShare, lost}, {b.GarbageShare, garbage}, {b.TruncatedShare, truncated}, {b.MalformedShare, malformed}} {
-		if draw < one.share {
-			return one.corruption
+	}{
+		{b.LostShare, lost},
+		{b.GarbageShare, garbage},
+		{b.TruncatedShare, truncated},
+		{b.MalformedShare, malformed},
+	}
+	for _, candidate := range candidates {
+		if draw < candidate.share {
+			return candidate.corruption
 		}
-		draw -= one.share
+		draw -= candidate.share
 	}
 	return intact
 }
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -18,8 +18,8 @@
 const (
 	// clientTimeout bounds the requests that the endpoint makes itself.
 	clientTimeout = time.Second
-	// drainInterval is how often the requests in flight are looked at in a stop, and drainTicks
-	// how many times in a row none must be.
+	// drainInterval is how often a stop checks whether requests are in flight; it ends after
+	// drainTicks checks in a row that found none.
 	drainInterval = 20 * time.Millisecond
 	drainTicks    = 5
 )
@@ -33,8 +33,8 @@
 	SidecarAddr ident.Addr
 	Executions  *ExecutionLog
 	Behavior    Behavior
-	// ForwardAddr, when set, is the sidecar's client address, where each third request makes a
-	// request of its own, to ForwardHost and ForwardPath.
+	// ForwardAddr, when set, is the sidecar's address for clients. One in forwardEvery requests sends
+	// a request of its own there, to ForwardHost and ForwardPath.
 	ForwardAddr ident.Addr
 	ForwardHost string
 	ForwardPath string
@@ -57,9 +57,13 @@
 	awake    chan struct{} // closed when the endpoint wakes; nil while it does not hang
 }
 
-// Start listens and sends heartbeats.
+// Start listens and sends heartbeats, until Stop or Kill.
 func Start(options Options) (*Endpoint, error) {
-	e := &Endpoint{Options: options, stop: make(chan struct{}), client: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{}}}
+	e := &Endpoint{
+		Options: options,
+		stop:    make(chan struct{}),
+		client:  &http.Client{Timeout: clientTimeout, Transport: &http.Transport{}},
+	}
 	e.state.Store(endpoint.Alive)
 	e.behavior.Store(&options.Behavior)
 	listener, err := net.Listen("tcp", string(options.Addr))
@@ -67,8 +71,10 @@
 		return nil, failure.Wrap(err, failure.Internal, "listen")
 	}
 	e.server = &http.Server{
-		Handler:     http.HandlerFunc(e.serve),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+		Handler: http.HandlerFunc(e.serve),
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
 	}
 	go func() { _ = e.server.Serve(hangListener{listener, e}) }()
 	go e.sendHeartbeats()
--- a/standin/endpoint/heartbeat.go
+++ b/standin/endpoint/heartbeat.go
@@ -20,10 +20,20 @@
 
 // sendHeartbeat reports a state to the sidecar, and tells whether the sidecar confirmed it.
 func (e *Endpoint) sendHeartbeat(state endpoint.State) bool {
-	body, _ := json.Marshal(endpoint.Heartbeat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: state, Load: float64(e.inFlight.Load()) / fullLoad})
+	body, err := json.Marshal(endpoint.Heartbeat{
+		Server:  e.Server,
+		Service: e.Service,
+		Addr:    e.Addr,
+		State:   state,
+		Load:    float64(e.inFlight.Load()) / fullLoad,
+	})
+	if err != nil {
+		return false
+	}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(e.SidecarAddr)+"/beat", bytes.NewReader(body))
+	url := "http://" + string(e.SidecarAddr) + "/beat"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -6,13 +6,30 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"strings"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// forwardEvery is that each so many-th request makes a request of its own.
-const forwardEvery = 3
+const (
+	// forwardEvery is one request in how many that makes a request of its own.
+	forwardEvery = 3
+	// Sizes of the padding in a response, in bytes; it grows with the request's body.
+	minPadding    = 200
+	paddingSpread = 100
+)
+
+// Headers of requests. forwardedHeader marks one that an endpoint makes itself.
+const (
+	requestIDHeader = "X-Request-Id"
+	callerHeader    = "X-Caller"
+	forwardedHeader = "X-Onward"
+)
+
+// ForwardedIDSuffix ends the id of a request that an endpoint makes while it works on another; what
+// stands before it is the other's id.
+const ForwardedIDSuffix = "-on"
 
 // Echo is the body of every response; the client checks it.
 type Echo struct {
@@ -23,6 +40,7 @@
 	Pad     string        `json:"pad"`
 }
 
+// serve executes a request, logs the execution and responds as the behavior says.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -30,23 +48,38 @@
 	if err != nil {
 		return
 	}
-	id := r.Header.Get("X-Request-Id")
+	id := r.Header.Get(requestIDHeader)
 	if e.Executions != nil {
 		e.Executions.Add(Execution{ID: id, Server: e.Server, Service: e.Service, ReceivedAt: receivedAt(r)})
 	}
 	number := e.requests.Add(1)
 	behavior := e.behavior.Load()
 	behavior.work()
-	if e.ForwardAddr != "" && number%forwardEvery == 0 && r.Header.Get("X-Onward") == "" {
+	if e.ForwardAddr != "" && number%forwardEvery == 0 && r.Header.Get(forwardedHeader) == "" {
 		e.forward(id)
 	}
 	draw := rand.Float64()
-	echo, _ := json.Marshal(Echo{ID: id, Server: e.Server, Service: e.Service, Path: r.URL.Path, Pad: fmt.Sprintf("%0*d", 200+len(body)%100, 0)})
-	switch behavior.corruption(draw) {
+	echo, err := json.Marshal(Echo{
+		ID:      id,
+		Server:  e.Server,
+		Service: e.Service,
+		Path:    r.URL.Path,
+		Pad:     strings.Repeat("0", minPadding+len(body)%paddingSpread),
+	})
+	if err != nil {
+		panic(http.ErrAbortHandler)
+	}
+	respond(w, echo, behavior.corruption(draw), number)
+}
+
+// respond sends a response, corrupted as asked. number is that of the request; it chooses among the
+// malformed responses. http.ErrAbortHandler makes net/http close the connection.
+func respond(w http.ResponseWriter, echo []byte, how corruption, number int64) {
+	switch how {
 	case lost:
 		panic(http.ErrAbortHandler)
 	case garbage:
-		writeRaw(w, "\x00\x17garbage that is no return\r\n\r\n")
+		writeRaw(w, "\x00\x17garbage that is not HTTP\r\n\r\n")
 	case truncated:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", fmt.Sprint(len(echo)))
@@ -97,9 +130,9 @@
 		return
 	}
 	request.Host = e.ForwardHost
-	request.Header.Set("X-Request-Id", id+"-on")
-	request.Header.Set("X-Onward", "1")
-	request.Header.Set("X-Caller", string(e.Service))
+	request.Header.Set(requestIDHeader, id+ForwardedIDSuffix)
+	request.Header.Set(forwardedHeader, "1")
+	request.Header.Set(callerHeader, string(e.Service))
 	if response, err := e.client.Do(request); err == nil {
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
