--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -41,7 +41,7 @@
 		if _, is := values["ways"]; is {
 			continue
 		}
-		if _, is := values["caller"]; is {
+		if _, is := values[keyClientAddress]; is {
 			_, fail = ReadSidecar(values)
 		} else {
 			_, fail = ReadCore(values)
