--- a/fleet/idlecost/deployment.go
+++ b/fleet/idlecost/deployment.go
@@ -26,6 +26,7 @@
 	seedCount      = 3
 	configTimeout  = 20 * time.Second       // until a core takes the configuration
 	configInterval = 200 * time.Millisecond // between tries
+	requestTimeout = 30 * time.Second       // of one request to a daemon
 	service        = "accounts"
 	steadyLoad     = 0.1 // that heartbeats report unless it varies
 	loadSteps      = 5   // different loads that varying heartbeats report
@@ -205,6 +206,10 @@
 	}
 }
 
+// httpClient is that of all requests to the daemons; its timeout keeps a daemon that hangs from
+// holding up the measurement for good.
+var httpClient = &http.Client{Timeout: requestTimeout}
+
 // send sends a JSON body. Any status but success is an error.
 func send(method, url string, body any) error {
 	raw, err := json.Marshal(body)
@@ -215,7 +220,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "request")
 	}
-	response, err := http.DefaultClient.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return failure.Wrap(err, failure.Unreachable, url)
 	}
--- a/fleet/run/config.go
+++ b/fleet/run/config.go
@@ -176,7 +176,7 @@
 
 // nextProposals gives the proposals of the operators' n-th turn, which are sent at once.
 func (f *Fleet) nextProposals(n int) []proposal {
-	marker := fmt.Sprintf("mark-%d", n)
+	marker := fmt.Sprintf("proposal-%d", n)
 	p := proposal{config: f.newConfig(marker), method: http.MethodPut, marker: marker}
 	f.mu.Lock()
 	newest := f.newestRevision
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -128,7 +128,7 @@
 		return f, err
 	}
 	f.clients = newCoordinationClients(f)
-	if _, err := f.propose(f.newConfig("mark-0"), http.MethodPut, ""); err != nil {
+	if _, err := f.propose(f.newConfig("proposal-0"), http.MethodPut, ""); err != nil {
 		return f, err
 	}
 	if err := waitAllReady(f.Sidecars); err != nil {
