--- a/capacity/calllatency/measure.go
+++ b/capacity/calllatency/measure.go
@@ -23,7 +23,7 @@
 	Records     int                `json:"records"` // endpoints in the registry
 	Routes      int                `json:"ways"`
 	Pairs       int64              `json:"pairs"`
-	Failed      int                `json:"failed,omitempty"` // pairs of which a call failed
+	Failed      int                `json:"failed,omitempty"` // pairs in which a call failed
 	Added       map[string]float64 `json:"added"`
 	ThroughMesh map[string]float64 `json:"through"`
 	Direct      map[string]float64 `json:"direct"`
--- a/capacity/meter/meter.go
+++ b/capacity/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter counts what a process is sent and sends back, by HTTP path and by the address
-// of the other side, reads what processor time and memory it uses and on which activity, and
-// can cut the network between two regions.
+// Package meter counts the messages and bytes that a process receives and sends, by HTTP path and by
+// the address of the other side; reads its processor time, by activity, and its memory; and can cut
+// the network between regions.
 package meter
 
 import (
--- a/capacity/meter/traffic.go
+++ b/capacity/meter/traffic.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Traffic is what came and went on one path or with one address. Bytes of a path are those of
-// bodies and of heads as text; bytes of an address are all that TCP carried.
+// Traffic is the messages and bytes that one path or one address received and sent. Bytes of a path
+// are those of bodies and of heads as text; bytes of an address are all that TCP carried.
 type Traffic struct {
 	Messages int64 `json:"messages,omitempty"`
 	Failed   int64 `json:"failed,omitempty"`
@@ -15,17 +15,27 @@
 	BytesOut int64 `json:"out"`
 }
 
-// Sub is what was added since an older reading.
+// Sub is the increase since an older reading.
 func (t Traffic) Sub(older Traffic) Traffic {
-	return Traffic{t.Messages - older.Messages, t.Failed - older.Failed, t.BytesIn - older.BytesIn, t.BytesOut - older.BytesOut}
+	return Traffic{
+		Messages: t.Messages - older.Messages,
+		Failed:   t.Failed - older.Failed,
+		BytesIn:  t.BytesIn - older.BytesIn,
+		BytesOut: t.BytesOut - older.BytesOut,
+	}
 }
 
-// Add sums.
+// Add is the sum of both.
 func (t Traffic) Add(other Traffic) Traffic {
-	return Traffic{t.Messages + other.Messages, t.Failed + other.Failed, t.BytesIn + other.BytesIn, t.BytesOut + other.BytesOut}
+	return Traffic{
+		Messages: t.Messages + other.Messages,
+		Failed:   t.Failed + other.Failed,
+		BytesIn:  t.BytesIn + other.BytesIn,
+		BytesOut: t.BytesOut + other.BytesOut,
+	}
 }
 
-// Bytes is what came and went together.
+// Bytes is the bytes in both directions.
 func (t Traffic) Bytes() float64 { return float64(t.BytesIn + t.BytesOut) }
 
 // Subtract takes an older reading off a newer one, and leaves out what did not change.
--- a/capacity/process/await.go
+++ b/capacity/process/await.go
@@ -13,7 +13,7 @@
 )
 
 // progress is how far a node has got in a condition's lists: the endpoints before healthy and
-// unhealthy have been seen as wanted, and are not looked at again.
+// unhealthy were found as the condition asks, and are not checked again.
 type progress struct{ healthy, unhealthy int }
 
 // await polls this process's nodes until each meets the condition, for the command's duration
@@ -53,7 +53,7 @@
 	return waiting
 }
 
-// meets tells whether a node knows all that the condition asks for.
+// meets tells whether a node meets the whole condition.
 func (n *node) meets(condition Condition, p *progress) bool {
 	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
 		return false
--- a/capacity/process/message.go
+++ b/capacity/process/message.go
@@ -48,7 +48,7 @@
 	DataDir  string       `json:"data"`
 }
 
-// Condition is what nodes are waited for to know. What is left empty is not asked for.
+// Condition is what a node must know for a wait to end. A field that is empty is not checked.
 type Condition struct {
 	Revision  ident.Epoch `json:"epoch,omitempty"`   // in force, or a newer one
 	Ready     bool        `json:"ready,omitempty"`   // the node itself
@@ -82,7 +82,7 @@
 	CPUShares   map[string]float64       `json:"duties,omitempty"` // of the processor time, by activity
 	KnownAt     []int64                  `json:"times,omitempty"`  // when each node met the condition
 	Missing     int                      `json:"missing,omitempty"`
-	MaxStall    time.Duration            `json:"held,omitempty"` // longest that the waiting itself did not run
+	MaxStall    time.Duration            `json:"held,omitempty"` // longest time by which a poll of the wait came late
 	Addrs       []ident.Addr             `json:"addrs,omitempty"`
 	ClientAddrs []ident.Addr             `json:"callers,omitempty"`
 	Endpoints   []Endpoint               `json:"servers,omitempty"`
--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -35,7 +35,8 @@
 // node is a real sidecar daemon with its listener towards the mesh and one endpoint that sends
 // heartbeats and takes no calls. A hollow node shares its process with others, has a single
 // sender and no listener for clients; its endpoints' heartbeats are handed to the sidecar
-// without a connection. A full node has all that, and its endpoint sends over the wire.
+// without a connection. A full node has many senders and that listener, and its endpoint sends over
+// the wire.
 type node struct {
 	sidecar         *sidecar.Sidecar
 	servers         []*http.Server
@@ -140,8 +141,8 @@
 	return s
 }
 
-// sendHeartbeats is the endpoints of a hollow node: they send at the interval that endpoints
-// are asked to keep, until the node stops.
+// sendHeartbeats sends the heartbeats of a hollow node's endpoints, at the interval that endpoints
+// must keep, until the node stops.
 func (n *node) sendHeartbeats() {
 	ticker := time.NewTicker(endpoint.HeartbeatInterval)
 	defer ticker.Stop()
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// omissions tells what was not measured and which times are left out of the fits.
+// omissions lists the sizes that were not measured and the times that are left out of the fits.
 func (t *table) omissions(result *run.Result) {
 	for _, skipped := range result.Skipped {
 		t.printf("- left out: %s", skipped)
@@ -120,7 +120,7 @@
 	}
 }
 
-// deepCall adds what a call that leads to others, one after the other, takes longer.
+// deepCall adds the added latency of a call that leads to a chain of others.
 func (t *table) deepCall(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -16,7 +16,7 @@
 	"cottonarch.example/cottonarch/capacity/workload"
 )
 
-// Result is all that was measured, with what is needed to repeat it.
+// Result is the figures of a run, with the options and the build that they were measured with.
 type Result struct {
 	Commit      string              `json:"commit"`
 	Command     string              `json:"command"` // as it was given, without the program's folder
@@ -98,7 +98,7 @@
 func (m *measurement) measureSizes(deadline time.Time) {
 	lastPeak := 0.0 // memory of the last size that was measured
 	for i, size := range m.Sizes {
-		// What the smaller sizes leave goes to the larger.
+		// The remaining time is divided anew, so that time a smaller size did not use goes to the larger.
 		share := time.Until(deadline) / time.Duration(len(m.Sizes)-i)
 		if reason := m.exceedsBounds(i, lastPeak, share); reason != "" {
 			m.skipSize(size, reason)
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -12,7 +12,7 @@
 // waitMargin is how much longer than the nodes' own wait a response may take.
 const waitMargin = 10 * time.Second
 
-// pendingCommand is a command that is out to several processes.
+// pendingCommand is a command that was sent to several processes, whose responses are awaited.
 type pendingCommand struct {
 	children  []*child
 	responses []<-chan process.Response
@@ -61,7 +61,7 @@
 type WaitResult struct {
 	KnownAt  []int64       // when each node did, in order, as readings of meter.Now
 	Missing  int           // nodes that did not in time
-	MaxStall time.Duration // longest that a waiting process did not run
+	MaxStall time.Duration // longest time by which a poll of a waiting process came late
 }
 
 // Await begins to wait until every node that runs now meets a condition.
--- a/capacity/workload/event.go
+++ b/capacity/workload/event.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// aftermath is how long what still follows an event counts as its cost.
+	// aftermath is how long after all nodes know of an event the usage still counts as its cost.
 	aftermath = 500 * time.Millisecond
 	// meshRole begins the names of figures that are times of the mesh as a whole.
 	meshRole = "mesh/"
 )
 
-// knownQuantiles are the parts of the nodes whose time to know of an event is noted.
+// knownQuantiles are the shares of the nodes for which the time is noted until they know of an event.
 var knownQuantiles = map[string]float64{"half": 0.5, "99 in 100": 0.99, "all": 1}
 
 // triggerFunc brings an event about. It returns the instant from which time counts, as a reading
 // of meter.Now, and the wait until all nodes know of the event.
 type triggerFunc func() (startedAt int64, wait *testbed.ConditionWait, err error)
 
-// measureEvent measures an event, as a mean over so many times.
+// measureEvent brings an event about as many times as asked and notes the mean of its costs.
 func (r *Run) measureEvent(name string, times int, trigger triggerFunc) error {
 	point := Point{Nodes: r.NodeCount, Load: name, Values: map[string]float64{}}
 	for range times {
@@ -65,7 +65,7 @@
 	add := func(name string, value float64) { point.Values[name] += max(0, value) / times }
 	r.addCost(u, add)
 	if result.Missing > 0 || len(result.KnownAt) == 0 {
-		return nil // it has no time
+		return nil // the time until all nodes know is not known
 	}
 	r.addTimes(u, startedAt, result.KnownAt, add)
 	addPeakMemory(after, point.Values)
@@ -90,8 +90,8 @@
 		i := max(0, int(math.Ceil(quantile*float64(len(knownAt))))-1)
 		add(meshRole+"known to "+name+"/seconds", secondsUntil(knownAt[i]))
 	}
-	// All nodes share a few processors here, which a deployment's do not: the work that they
-	// did above the steady state is taken off, but for one node's.
+	// All nodes share a few processors here, which those of a deployment do not. So the processor time
+	// above the steady state is subtracted, except for one node's.
 	work := max(0, u.sharedNodeCPU()+u.nodeCPU()-(r.baseline.sharedNodes+r.baseline.node)*u.seconds)
 	otherNodes := float64(r.NodeCount-1) / float64(r.NodeCount)
 	add(meshRole+"known to all, less the other nodes' work/seconds",
--- a/capacity/workload/events.go
+++ b/capacity/workload/events.go
@@ -34,7 +34,7 @@
 	return r.renewEndpoints(left)
 }
 
-// renewEndpoints restarts nodes whose endpoints a workload has used up.
+// renewEndpoints restarts nodes whose endpoints have left, so that they get new ones.
 func (r *Run) renewEndpoints(nodes []int) error {
 	if _, _, err := r.StopNodes(nodes); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return sentAt, r.Await(process.Condition{Revision: revision}, r.waitTimeout()), nil
 }
 
-// restart restarts as many nodes at once as the target restarts in a day, in proportion to the
+// restart restarts nodes together: as many as the target restarts in a day, in proportion to the
 // size.
 func (r *Run) restart() error {
 	count := int(math.Round(float64(r.Target.RestartsPerDay) * float64(r.NodeCount) / float64(r.Target.Nodes)))
@@ -142,7 +142,7 @@
 }
 
 // joinRegions cuts the regions apart for a while, changes the configuration meanwhile on the
-// side of the majority and joins them; time counts from then.
+// side of the majority, and joins the regions; time counts from the join.
 func (r *Run) joinRegions() error {
 	if r.Target.Regions < 2 {
 		return nil
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -1,5 +1,5 @@
-// Package workload puts a running mesh under one kind of load after the other and notes what
-// each costs.
+// Package workload puts a running mesh under one kind of load after the other and measures the cost
+// of each.
 package workload
 
 import (
@@ -50,16 +50,15 @@
 	Nodes  int                `json:"nodes"`
 	Load   string             `json:"load"`
 	Values map[string]float64 `json:"values"`
-	// Missing counts nodes that did not come to know of the event in time.
+	// Missing is how many nodes did not learn of the event in time.
 	Missing int `json:"missing,omitempty"`
 	// MeshCPU is the part of this machine's processors that the mesh used meanwhile; above
 	// MaxCleanCPU, times are the machine's rather than the mesh's.
 	MeshCPU float64 `json:"busy"`
-	// MachineCPU is the part of all this machine's processors that anything used meanwhile:
-	// high where MeshCPU is low means that others worked here too.
+	// MachineCPU is the part of all this machine's processors that any process used meanwhile. If it
+	// is high while MeshCPU is low, other programs loaded the machine.
 	MachineCPU float64 `json:"machine"`
-	// MaxStall is the longest time in seconds that a process of the mesh did not run, though
-	// it should have.
+	// MaxStall is the longest time in seconds by which a process of the mesh was scheduled late.
 	MaxStall float64 `json:"held,omitempty"`
 }
 
@@ -84,7 +83,7 @@
 	serial   int // of the last configuration proposed
 }
 
-// minWait is how long a wait may always take, so that what has begun can end.
+// minWait is how long a wait may take even after the deadline, so that an event that has begun can end.
 const minWait = 5 * time.Second
 
 func (r *Run) waitTimeout() time.Duration {
--- a/capacity/workload/steady.go
+++ b/capacity/workload/steady.go
@@ -10,13 +10,13 @@
 	// steadyAttempts is how often the steady state is measured before the machine counts as
 	// unfit.
 	steadyAttempts = 4
-	// A measurement was held up when it took longer than its window by lateShare of that and
-	// lateSeconds: nothing can be told from it.
+	// A measurement is discarded, since the machine was too busy, when it took longer than its window
+	// by more than lateShare of the window plus lateSeconds.
 	lateShare   = 0.25
 	lateSeconds = 0.5
 	// coreMessagePath is the path of messages from core to core, which no sidecar sends.
 	coreMessagePath = "/cottonarch/v1/messages"
-	// tinyCPU keeps a share of no processor time finite.
+	// tinyCPU avoids a division by 0 where no processor time was used.
 	tinyCPU = 1e-9
 )
 
@@ -99,7 +99,7 @@
 	return values
 }
 
-// addTraffic adds what the cores were sent, by activity.
+// addTraffic adds the messages and bytes of the cores' paths, by activity.
 func (m steadyMeasurement) addTraffic(values map[string]float64) {
 	perCore := 1 / m.seconds / float64(len(m.coreCPU))
 	sidecarMessages := 0.0
@@ -117,7 +117,7 @@
 	values["sidecar/all/messages a second"] = sidecarMessages / m.seconds / float64(m.nodeCount)
 }
 
-// addCoreActivities divides the cores' processor time by the shares of their profiles.
+// addCoreActivities divides the cores' processor time by activity, with the shares of their profiles.
 func (m steadyMeasurement) addCoreActivities(values map[string]float64) {
 	for i, profile := range m.coreProfiles {
 		for activity, share := range profile.CPUShares {
@@ -126,8 +126,8 @@
 	}
 }
 
-// addNodeActivities divides the processor time of node 0. Its samples alone are too few to
-// tell its activities apart, so the shares are those of all nodes.
+// addNodeActivities divides the processor time of node 0 by activity. The profile of that node alone
+// has too few samples for that, so the shares are those of all nodes.
 func (m steadyMeasurement) addNodeActivities(values map[string]float64) {
 	total, byActivity := 0.0, map[string]float64{}
 	for i, profile := range m.nodeProfiles {
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -31,7 +31,7 @@
 	Duration      time.Duration // of the traffic
 	Faults        []string      // names of Faults, injected in turn
 	FaultInterval time.Duration // pause after each fault
-	Seed          uint64        // of all that is drawn at random
+	Seed          uint64        // of the random choices
 	Scale         float64       // factor on the deployment's request rates
 	Logf          func(format string, args ...any)
 }
--- a/fleet/run/report.go
+++ b/fleet/run/report.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// summarize gives median, 99th percentile and maximum of durations, of which there is at
-// least one. It sorts them; the maximum is always rounded to milliseconds.
+// summarize gives median, 99th percentile and maximum of at least one duration. It sorts the
+// durations; the maximum is always rounded to milliseconds.
 func summarize(durations []time.Duration, precision time.Duration) string {
 	slices.Sort(durations)
 	n := len(durations)
