--- a/capacity/meter/activity.go
+++ b/capacity/meter/activity.go
@@ -89,6 +89,7 @@
 	{"daemon/sidecar.(*leaseJoiner)", leases},
 	{"daemon/sidecar.(*Sidecar).renew", leases},
 	{"daemon/sidecar.(*Sidecar).handleRenewal", leases},
+	{"daemon/sidecar.(*Sidecar).handleFailedRenewal", leases},
 	{"daemon/sidecar.(*Sidecar).handleLateRenewal", leases},
 	{"daemon/sidecar.(*Sidecar).requestBudgetShare", budgetShares},
 	{"daemon/sidecar.(*configWatch)", registry},
