--- a/fleet/linkproxy/network_test.go
+++ b/fleet/linkproxy/network_test.go
@@ -92,6 +92,31 @@
 	}
 }
 
+// Close ends a connection whose bytes wait on a cut link, and does not wait until the link is healed.
+func TestCloseEndsWhatWaits(t *testing.T) {
+	n := New()
+	connection := dial(t, startEcho(t, n))
+	_, err := io.WriteString(connection, "first\n")
+	must.NoError(t, err)
+	must.Eq(t, "first\n", <-nextLine(connection))
+	n.SetCut(clientIP, serverIP, true)
+	_, err = io.WriteString(connection, "second\n")
+	must.NoError(t, err)
+	closed := make(chan struct{})
+	go func() {
+		n.Close()
+		close(closed)
+	}()
+	select {
+	case <-closed:
+	case <-time.After(cutTimeout / 2):
+		t.Fatal("Close waits for the cut link")
+	}
+	_, err = connection.Read(make([]byte, 1))
+	must.Error(t, err)
+	must.ErrorIs(t, n.Listen(serverIP+":0", serverIP+":1"), net.ErrClosed)
+}
+
 // The end of a connection is passed on in both directions.
 func TestOrderlyEnd(t *testing.T) {
 	connection := dial(t, startEcho(t, New()))
