--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -63,7 +63,7 @@
 	return result
 }
 
-// checkEndpoint gives the address of the endpoint that is meant, or why it may not be sent to.
+// checkEndpoint returns the address of the endpoint that is meant, or why it may not be sent to.
 func (s *Sidecar) checkEndpoint(request endpointRequest) (ident.Addr, *failure.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,6 @@
 	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
 		return "", 0, failure.New(failure.Busy, "the retry budget of the services below is used up").WithRetryAfter(retryAfterSeconds)
 	}
-	s.endpoints.AddInFlight(request.server, 1)
 	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
 	}
@@ -114,7 +113,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.planner.RetryBudget.EndRun(request.retryFraction)
-	s.endpoints.AddInFlight(request.server, -1)
 }
 
 // checkNotMoved is the last check before the first byte: while the connection came up, the
@@ -128,7 +126,9 @@
 }
 
 // endpointFailed is the result of a call that brought no response.
-func (s *Sidecar) endpointFailed(server ident.Server, fail *failure.Error, sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+func (s *Sidecar) endpointFailed(
+	server ident.Server, fail *failure.Error, sent bool, sentAt monotime.Time,
+) (endpointResult, admission.Outcome) {
 	if fail.Kind == failure.Unreachable {
 		s.mu.Lock()
 		s.applyEndpointChange(s.endpoints.ConnectFailed(s.clock(), server))
@@ -165,7 +165,8 @@
 // run it. That the response is whole and belongs to this request, the exchange has checked.
 func classifyResponse(headers settings.Headers, resp *exchange.Response) endpointResult {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
-		return endpointResult{result: resultShed, failure: failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)}
+		fail := failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)
+		return endpointResult{result: resultShed, failure: fail}
 	}
 	return endpointResult{result: resultResponse, response: resp}
 }
--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -144,8 +144,8 @@
 	e.waiting = slices.Insert(e.waiting, e.position(request), request)
 }
 
-// rejection gives why a request that comes now is to be rejected and after how long it may be tried
-// again; no reason if it is not.
+// rejection returns why a request that comes now is to be rejected and after how long it may be
+// tried again; no reason if it is not.
 func (e *endpointQueue) rejection(now monotime.Time, request Request) (Reason, time.Duration) {
 	if e.slots == 0 {
 		return "", 0
@@ -179,15 +179,15 @@
 	return "", 0
 }
 
-// missesTarget tells whether a request misses its target after such a delay.
+// missesTarget reports whether a request misses its target after such a delay.
 func (e *endpointQueue) missesTarget(now monotime.Time, request *Request, delay time.Duration) bool {
 	return now.Add(delay).After(request.target())
 }
 
-// rejectWaiting gives why a request is not to wait any longer that has others before it, which take so
-// long at one slot; no reason if it may wait. While a rejection costs nothing, it is rejected once it
-// is expected to miss its target, by a margin; later only if it would miss it without running at all,
-// or its deadline.
+// rejectWaiting returns why a request is not to wait any longer that has others before it, which
+// take so long at one slot; no reason if it may wait. While a rejection costs nothing, it is
+// rejected once it is expected to miss its target, by a margin; later only if it would miss it
+// without running at all, or its deadline.
 func (e *endpointQueue) rejectWaiting(now monotime.Time, request *Request, ahead time.Duration) Reason {
 	wait, run := e.expectedWait(now, ahead), e.expectedRun(now, request.Work)
 	switch {
@@ -259,8 +259,8 @@
 	return first, tightest
 }
 
-// canGoFirst tells whether all waiting requests of a higher rank are still in time if the one at an
-// index goes first.
+// canGoFirst reports whether all waiting requests of a higher rank are still in time if the one at
+// an index goes first.
 func (e *endpointQueue) canGoFirst(now monotime.Time, index int, expectedRun func(*Request) time.Duration) bool {
 	ahead := expectedRun(&e.waiting[index])
 	for i := range e.waiting[:index] {
@@ -293,7 +293,7 @@
 	e.estimate.record(outcome, float64(elapsed)/e.startFactor(now), work)
 }
 
-// failsTooOften tells whether the endpoint fails more than its peers do.
+// failsTooOften reports whether the endpoint fails more than its peers do.
 func (e *endpointQueue) failsTooOften(peers float64) bool {
 	return e.estimate.failureRate > e.settings.MaxFailureRate+1.5*peers
 }
--- a/mesh/admission/queue.go
+++ b/mesh/admission/queue.go
@@ -8,6 +8,7 @@
 package admission
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -33,7 +34,7 @@
 	return &Queue{settings: settings, endpoints: map[ident.Server]*endpointQueue{}, Rejected: map[Reason]uint64{}}
 }
 
-// endpoint gives the queue of an endpoint, a new one if it is not known yet.
+// endpoint returns the queue of an endpoint, a new one if it is not known yet.
 func (q *Queue) endpoint(server ident.Server) *endpointQueue {
 	endpoint := q.endpoints[server]
 	if endpoint == nil {
@@ -148,14 +149,7 @@
 }
 
 // sortedServers lists the servers in a fixed order, so that runs can be repeated.
-func (q *Queue) sortedServers() []ident.Server {
-	servers := make([]ident.Server, 0, len(q.endpoints))
-	for server := range q.endpoints {
-		servers = append(servers, server)
-	}
-	slices.Sort(servers)
-	return servers
-}
+func (q *Queue) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(q.endpoints)) }
 
 // advance rejects what can't be in time in an endpoint's queue, and admits to its free slots.
 func (q *Queue) advance(now monotime.Time, endpoint *endpointQueue) []Verdict {
--- a/mesh/admission/request.go
+++ b/mesh/admission/request.go
@@ -35,7 +35,7 @@
 	return r.Target
 }
 
-// before tells whether a request stands before another in a queue.
+// before reports whether a request stands before another in a queue.
 func before(a, b Request) bool {
 	if a.Rank != b.Rank {
 		return a.Rank < b.Rank
--- a/mesh/admission/scenario_test.go
+++ b/mesh/admission/scenario_test.go
@@ -27,7 +27,7 @@
 	failureRate float64 // part of their runs that fails
 }
 
-// hits tells whether a fault has an endpoint at a time since the start.
+// hits reports whether a fault has an endpoint at a time since the start.
 func (f fault) hits(server int, elapsed time.Duration) bool {
 	return server < f.servers && elapsed >= f.from && elapsed < f.to
 }
@@ -58,7 +58,7 @@
 
 func modified(scenario scenario, change func(*scenario)) scenario { change(&scenario); return scenario }
 
-// scenarios gives all scenarios, each for a small and a large mesh.
+// scenarios returns all scenarios, each for a small and a large mesh.
 func scenarios() (names []string, all []scenario) {
 	add := func(name string, change func(*scenario)) {
 		for i, base := range []scenario{smallMesh, largeMesh} {
--- a/mesh/admission/settings.go
+++ b/mesh/admission/settings.go
@@ -27,7 +27,7 @@
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// DefaultSettings gives the settings that the model in model_test.go was run with.
+// DefaultSettings returns the settings that the model in model_test.go was run with.
 func DefaultSettings() Settings {
 	return Settings{
 		Extra:           1,
--- a/mesh/attempt/call.go
+++ b/mesh/attempt/call.go
@@ -48,7 +48,7 @@
 	current       registry.Entry
 }
 
-// Repeatable tells whether the call may be executed twice: its route says so, or else its method.
+// Repeatable reports whether the call may be executed twice: its route says so, or else its method.
 func (c *Call) Repeatable() bool { return c.Route.Repeat.Allows(c.Method) }
 
 // Attempts counts the attempts so far.
--- a/mesh/bandwidth/bandwidth.go
+++ b/mesh/bandwidth/bandwidth.go
@@ -25,8 +25,8 @@
 	return time.Duration(bytes / float64(r) * float64(time.Second))
 }
 
-// fits tells whether a body may be added where another size waits already: it is small, or nothing
-// waits, or both together are carried within the limit.
+// fits reports whether a body may be added where another size waits already: it is small, or
+// nothing waits, or both together are carried within the limit.
 func (r rate) fits(waiting, bytes float64, limit time.Duration) bool {
 	wait := r.transferTime(waiting)
 	return bytes <= smallBytes || wait <= 0 || wait+r.transferTime(bytes) <= limit
--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -93,14 +93,14 @@
 	}
 }
 
-// TrustsPeers tells whether a configuration may be taken from peers.
+// TrustsPeers reports whether a configuration may be taken from peers.
 func (c *Cache) TrustsPeers(now monotime.Time) bool {
 	return c.joined || c.Disabled || c.joinedPeers > 0 && now.Since(c.startedAt) >= listenBeforeTrust
 }
 
-// ShouldAskPeers tells whether peers are to be asked for a configuration: no core could be reached
-// for a while, or a newer revision than the active one is known and its configuration does not
-// come.
+// ShouldAskPeers reports whether peers are to be asked for a configuration: no core could be
+// reached for a while, or a newer revision than the active one is known and its configuration does
+// not come.
 func (c *Cache) ShouldAskPeers(now, lastCoreContact monotime.Time, active ident.Epoch) bool {
 	if c.newestKnown > active && now.Since(c.newestKnownAt) >= fetchDelay {
 		return true
@@ -114,7 +114,7 @@
 	return c.CoresSilent(now, lastCoreContact)
 }
 
-// CoresSilent tells whether no core could be reached for a while, or this sidecar has not joined:
+// CoresSilent reports whether no core could be reached for a while, or this sidecar has not joined:
 // peers are then asked for their registry too.
 func (c *Cache) CoresSilent(now, lastCoreContact monotime.Time) bool {
 	return !c.joined || now.Since(lastCoreContact) >= coreSilenceTimeout
@@ -131,8 +131,8 @@
 // Pending is the configuration that is held and not enforced yet, nil if there is none.
 func (c *Cache) Pending() *validation.Config { return c.pending }
 
-// Add takes a confirmed configuration. It tells whether peers are to be notified of it now; peers is
-// how many there are, of whom at most MaxNotified will be.
+// Add takes a confirmed configuration. It reports whether peers are to be notified of it now; peers
+// is how many there are, of whom at most MaxNotified will be.
 func (c *Cache) Add(now monotime.Time, config *validation.Config, active ident.Epoch, peers int) bool {
 	if config.Revision <= active || c.pending != nil && config.Revision <= c.pending.Revision {
 		return false
@@ -154,8 +154,8 @@
 	}
 }
 
-// TakeReady gives the configuration that may be enforced now, nil if there is none. It is no longer
-// pending then.
+// TakeReady returns the configuration that may be enforced now, nil if there is none. It is no
+// longer pending then.
 func (c *Cache) TakeReady(now monotime.Time) *validation.Config {
 	config := c.pending
 	switch {
@@ -173,7 +173,7 @@
 	return config
 }
 
-// Describe gives the state as text, for traces.
+// Describe returns the state as text, for traces.
 func (c *Cache) Describe() string {
 	pending := ident.Epoch(0)
 	if c.pending != nil {
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -12,7 +12,7 @@
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// permutations gives every order of the numbers below n.
+// permutations returns every order of the numbers below n.
 func permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{{}}
--- a/mesh/endpoint/tracked.go
+++ b/mesh/endpoint/tracked.go
@@ -16,7 +16,6 @@
 	unhealthyUntil monotime.Time
 	status         record.Status
 	leaving        bool
-	inFlight       int
 	skipChecks     bool
 	// requestedInterval is the heartbeat interval that it was asked to keep, 0 for HeartbeatInterval.
 	requestedInterval time.Duration
@@ -50,7 +49,7 @@
 	return record.Healthy
 }
 
-// reportDiffers tells whether what the registry shows of this endpoint differs from before, but
+// reportDiffers reports whether what the registry shows of this endpoint differs from before, but
 // for changes of its load that are too small to be worth a report.
 func (e *trackedEndpoint) reportDiffers(before *trackedEndpoint) bool {
 	return before.status != e.status || before.Service != e.Service || before.Addr != e.Addr ||
--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -4,6 +4,7 @@
 package endpoint
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -83,7 +84,7 @@
 	return t
 }
 
-// stalled tells whether this process was suspended just now, so that what it receives may be old.
+// stalled reports whether this process was suspended just now, so that what it receives may be old.
 // Invariant: a stale heartbeat never makes a server healthy.
 func (t *Tracker) stalled(now monotime.Time) bool {
 	return !t.Fenced && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
@@ -232,19 +233,14 @@
 }
 
 // sortedServers lists the servers in a fixed order, so that runs can be repeated.
-func (t *Tracker) sortedServers() []ident.Server {
-	servers := make([]ident.Server, 0, len(t.endpoints))
-	for server := range t.endpoints {
-		servers = append(servers, server)
-	}
-	slices.Sort(servers)
-	return servers
-}
+func (t *Tracker) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(t.endpoints)) }
 
 // Check is asked just before a request goes to an endpoint, and again just before its first byte.
 // It gives the endpoint's address and until when the first byte may go, or why the request must
 // not go there: then it has not been executed.
-func (t *Tracker) Check(now monotime.Time, server ident.Server, service ident.Service) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
+func (t *Tracker) Check(
+	now monotime.Time, server ident.Server, service ident.Service,
+) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
 	e := t.endpoints[server]
 	if t.SkipChecks && e != nil {
 		return e.Addr, now.Add(HeartbeatTimeout), nil
@@ -291,14 +287,6 @@
 	return Change{Updated: true}
 }
 
-// AddInFlight adds to the number of requests in flight at an endpoint; delta is negative when one
-// has ended.
-func (t *Tracker) AddInFlight(server ident.Server, delta int) {
-	if e := t.endpoints[server]; e != nil {
-		e.inFlight += delta
-	}
-}
-
 // Workloads lists the endpoints as the sidecar reports them to the registry.
 func (t *Tracker) Workloads() []record.Workload {
 	workloads := []record.Workload{}
--- a/mesh/endpoint/tracker_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -17,7 +17,7 @@
 	return Heartbeat{Server: server, Service: service, Addr: addr, State: state}
 }
 
-// permutations gives every order of the numbers below n.
+// permutations returns every order of the numbers below n.
 func permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{{}}
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// NextRequest gives the request to send to a core now, if one is due: to lower the grant to what
+// NextRequest returns the request to send to a core now, if one is due: to lower the grant to what
 // is used, once no retry from before can be in flight, or to raise it.
 func (s *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (quota.Args, bool) {
 	if s.outstanding && now.Since(s.requestedAt) < requestTimeout {
--- a/mesh/lease/holder/choice.go
+++ b/mesh/lease/holder/choice.go
@@ -34,7 +34,7 @@
 	Unlisted
 )
 
-// Distances gives the distance of a core, by the list that a core has given.
+// Distances returns the distance of a core, by the list that a core has given.
 func Distances(ownZone ident.Zone, cores []record.CoreLocation) func(ident.Addr) Distance {
 	zones := map[ident.Addr]ident.Zone{}
 	for _, core := range cores {
@@ -138,14 +138,14 @@
 	distance := Distances(ownZone, c.cores)
 	candidates := make([]candidate, 0, len(cores))
 	for _, addr := range cores {
-		one := candidate{addr: addr, distance: distance(addr), weight: RendezvousWeight(node, addr)}
+		core := candidate{addr: addr, distance: distance(addr), weight: RendezvousWeight(node, addr)}
 		if avoidance := c.avoidances[addr]; avoidance.until.After(now) {
-			one.rank = rankAvoided
+			core.rank = rankAvoided
 			if avoidance.silent {
-				one.rank, one.lastTried = rankSilent, c.lastTried[addr]
+				core.rank, core.lastTried = rankSilent, c.lastTried[addr]
 			}
 		}
-		candidates = append(candidates, one)
+		candidates = append(candidates, core)
 	}
 	return candidates
 }
@@ -156,22 +156,22 @@
 	slices.SortStableFunc(others, func(a, b candidate) int {
 		return cmp.Compare(c.lastTried[a.addr], c.lastTried[b.addr])
 	})
-	nearest := slices.IndexFunc(others, func(one candidate) bool { return one.distance == SameZone })
+	nearest := slices.IndexFunc(others, func(core candidate) bool { return core.distance == SameZone })
 	if nearest > 0 {
 		moveToFront(others, nearest)
 	}
 	var fallbacks []ident.Addr
-	for _, one := range others[:min(len(others), maxFallbacks)] {
-		fallbacks = append(fallbacks, one.addr)
+	for _, core := range others[:min(len(others), maxFallbacks)] {
+		fallbacks = append(fallbacks, core.addr)
 	}
 	return fallbacks
 }
 
-// moveToFront keeps the order of the others.
+// moveToFront moves the candidate at an index to the front and keeps the order of the others.
 func moveToFront(candidates []candidate, index int) {
-	one := candidates[index]
+	moved := candidates[index]
 	copy(candidates[1:index+1], candidates[:index])
-	candidates[0] = one
+	candidates[0] = moved
 }
 
 // Registrar is the registrar that was chosen last.
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// The time of renewals. Invariant: both together, and one more renewal at another core, take
-// less than leasetable.LeaseTTL.
+// The timing of renewals. Invariant: RenewInterval, RenewTimeout and one more renewal at another
+// core together take less than leasetable.LeaseTTL.
 const (
 	// RenewInterval is how often a lease is renewed while nothing changes.
 	RenewInterval = 400 * time.Millisecond
@@ -41,10 +41,10 @@
 	choice
 
 	followed  ident.Addr          // see Followed
-	answering map[ident.Addr]bool // cores that answered since one last did not
+	answering map[ident.Addr]bool // cores that answered a renewal since one last failed to
 
-	renewNow     bool // the last renewal did not do
-	outstanding  int  // cores whose answer to the last renewal is due
+	renewNow     bool // the last renewal failed, or did not suffice
+	outstanding  int  // cores that have not answered the last renewal yet
 	lastSent     monotime.Time
 	lastNumber   uint64
 	sentRenewals []sentRenewal
@@ -91,12 +91,12 @@
 // Suspect makes the next renewal due at once: the registrar may be gone.
 func (h *Holder) Suspect() { h.renewNow = true }
 
-// ReportChanged tells whether a report differs from the one that was sent last.
+// ReportChanged reports whether a report differs from the one that was sent last.
 func (h *Holder) ReportChanged(leaseEpoch ident.Epoch, report record.Report) bool {
 	return leaseEpoch != h.leaseEpoch || !report.SameExceptLoad(h.lastReport)
 }
 
-// RenewalDue tells whether a renewal is to be sent now.
+// RenewalDue reports whether a renewal is to be sent now.
 func (h *Holder) RenewalDue(now monotime.Time, reportChanged bool) bool {
 	if h.outstanding != 0 {
 		return false
@@ -172,9 +172,9 @@
 	h.lastFailed = true
 }
 
-// HandleLateResponse takes a response that came after its renewal had failed. The core is not
-// silent, so it goes before those that are while all cores are avoided. The majority that it
-// tells of has heard of the renewal all the same.
+// HandleLateResponse takes a response that came after its renewal had timed out. The core is not
+// silent, so while all cores are avoided it is preferred to those that are. The renewal that the
+// response says a majority has heard of counts all the same.
 func (h *Holder) HandleLateResponse(core ident.Addr, response record.RenewalResponse) {
 	h.SetCores(response.CoresVersion, response.Cores)
 	h.acknowledged(response.AcknowledgedRenewal)
--- a/mesh/loadbalancer/balancer.go
+++ b/mesh/loadbalancer/balancer.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// endpoint gives what is known of a workload, new if it is nothing.
+// endpoint returns what is known of a workload, new if it is nothing.
 func (b *Balancer) endpoint(server ident.Server) *endpointStats {
 	if b.endpoints[server] == nil {
 		b.endpoints[server] = &endpointStats{server: server}
@@ -62,8 +62,8 @@
 	return b.endpoints[server]
 }
 
-// service gives what is known of the workloads of a service, in the order of entries. It is made anew
-// only for another slice: the registry never changes one in place.
+// service returns what is known of the workloads of a service, in the order of entries. It is made
+// anew only for another slice: the registry never changes one in place.
 func (b *Balancer) service(now monotime.Time, entries []registry.Entry) *serviceStats {
 	stats := b.services[entries[0].Service]
 	if stats == nil {
@@ -99,7 +99,9 @@
 // whose response is expected to cost least. The healthy workloads are tried by class: first those
 // that nothing speaks against; then the suspects, and those whose lease has lapsed at the core; then
 // the outliers. Outliers that are too many to be ejected count as the first class.
-func (b *Balancer) ChooseForRoute(now monotime.Time, route string, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool) {
+func (b *Balancer) ChooseForRoute(
+	now monotime.Time, route string, entries []registry.Entry, tried map[ident.Server]bool,
+) (registry.Entry, bool) {
 	if len(entries) == 0 {
 		return registry.Entry{}, false
 	}
@@ -136,28 +138,28 @@
 	b.preferred, b.suspects, b.outliers = preferred, suspects, outliers
 }
 
-// isSuspect tells whether a workload is avoided: its lease has lapsed, or it or its machine gave no
-// response to this sidecar a short while ago.
+// isSuspect reports whether a workload is avoided: its lease has lapsed, or it or its machine gave
+// no response to this sidecar a short while ago.
 func (b *Balancer) isSuspect(now monotime.Time, entry *registry.Entry, endpoint *endpointStats) bool {
 	return entry.Lapsed || endpoint.suspectUntil.After(now) ||
 		len(b.unreachableUntil) > 0 && b.unreachableUntil[entry.SidecarAddr].After(now)
 }
 
-// LastResort tells whether a workload that was chosen is an outlier: it was chosen since there is no
-// better one, so the request is to be run there even though it may fail.
+// LastResort reports whether a workload that was chosen is an outlier: it was chosen since there is
+// no better one, so the request is to be run there even though it may fail.
 func (b *Balancer) LastResort(now monotime.Time, server ident.Server) bool {
 	endpoint := b.endpoints[server]
 	return endpoint != nil && outlierEjection{&b.Settings}.isOutlier(now, endpoint)
 }
 
-// IntN gives a random number from 0 up to n, exclusive.
+// IntN returns a random number from 0 up to n, exclusive.
 func (b *Balancer) IntN(n int) int { return int(b.rng.Uint64() % uint64(n)) }
 
-// uniform gives a random number from 0 up to 1, exclusive.
+// uniform returns a random number from 0 up to 1, exclusive.
 func (b *Balancer) uniform() float64 { return float64(b.rng.Uint64()>>11) / (1 << 53) }
 
-// cheapest gives the candidate with the least cost, of a random sample if SampleSize says so. It may
-// reorder the candidates.
+// cheapest returns the candidate with the least cost, of a random sample if SampleSize says so. It
+// may reorder the candidates.
 func (b *Balancer) cheapest(now monotime.Time, route *routeStats, service *serviceStats, candidates []int) int {
 	routeCost := b.routeCost(route)
 	lowestCost, best := 0.0, -1
@@ -170,8 +172,8 @@
 	return best
 }
 
-// sample gives SampleSize random candidates, all of them if there are no more: the first ones of a
-// shuffle.
+// sample returns SampleSize random candidates, all of them if there are no more: the first ones of
+// a shuffle.
 func (b *Balancer) sample(candidates []int) []int {
 	if b.SampleSize <= 0 || b.SampleSize >= len(candidates) {
 		return candidates
--- a/mesh/loadbalancer/outlier.go
+++ b/mesh/loadbalancer/outlier.go
@@ -10,7 +10,7 @@
 // of a service: where many fail, the fault is not theirs.
 type outlierEjection struct{ *Settings }
 
-// isOutlier tells whether a workload fails more often than its peers.
+// isOutlier reports whether a workload fails more often than its peers.
 func (o outlierEjection) isOutlier(now monotime.Time, endpoint *endpointStats) bool {
 	if endpoint.reportedAt == 0 || endpoint.service == nil || endpoint.report.FailureRate <= o.MaxFailureRate {
 		return false
@@ -19,7 +19,7 @@
 	return failureRate > o.MaxFailureRate+peerFailureFactor*endpoint.service.meanFailureRate
 }
 
-// mayEject tells whether so many outliers of so many candidates may be ejected.
+// mayEject reports whether so many outliers of so many candidates may be ejected.
 func (o outlierEjection) mayEject(outliers, candidates int) bool {
 	return float64(outliers) <= o.MaxEjectedShare*float64(candidates)
 }
--- a/mesh/loadbalancer/settings.go
+++ b/mesh/loadbalancer/settings.go
@@ -28,7 +28,7 @@
 	UnknownWork time.Duration
 }
 
-// DefaultSettings gives the settings that the model in mesh/admission was run with.
+// DefaultSettings returns the settings that the model in mesh/admission was run with.
 func DefaultSettings() Settings {
 	return Settings{
 		SampleSize:      0,
--- a/mesh/loadreport/loadreport.go
+++ b/mesh/loadreport/loadreport.go
@@ -31,7 +31,7 @@
 // fieldCount is how many fields the header form has.
 const fieldCount = 6
 
-// Text gives the header form: running, waiting, slots, relative time and failure rate in
+// Text returns the header form: running, waiting, slots, relative time and failure rate in
 // thousandths, queue delay in milliseconds.
 func (r Report) Text() string {
 	buf := make([]byte, 0, 40)
--- a/mesh/priorityqueue/priorityqueue.go
+++ b/mesh/priorityqueue/priorityqueue.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Dequeue gives the request that a free sender is to send next, if there is one. Done must be called
-// with the same urgency when the request is over.
+// Dequeue returns the request that a free sender is to send next, if there is one. Done must be
+// called with the same urgency when the request is over.
 func (q *Queue[T]) Dequeue() (item T, urgent, ok bool) {
 	switch {
 	case q.inFlight >= q.senders:
@@ -66,7 +66,7 @@
 	return item, urgent, true
 }
 
-// Remove removes the first waiting request that matches, and tells whether there was one.
+// Remove removes the first waiting request that matches, and reports whether there was one.
 func (q *Queue[T]) Remove(matches func(T) bool) bool {
 	for _, list := range []*[]T{&q.urgent, &q.ordinary} {
 		if i := slices.IndexFunc(*list, matches); i >= 0 {
--- a/mesh/registry/index.go
+++ b/mesh/registry/index.go
@@ -30,7 +30,7 @@
 	return x
 }
 
-// Merge takes sets, and tells whether any changed the copy.
+// Merge takes sets, and reports whether any changed the copy.
 func (x *Index) Merge(sets []record.Set) bool {
 	changed := false
 	for _, set := range sets {
@@ -46,7 +46,7 @@
 	return changed
 }
 
-// replaces tells whether a set is to stand in place of the one that is held: it is a newer
+// replaces reports whether a set is to stand in place of the one that is held: it is a newer
 // version, or the same one in another core's view.
 func replaces(set, old record.Set) bool {
 	if set.Older(old) {
--- a/mesh/retrybudget/bucket.go
+++ b/mesh/retrybudget/bucket.go
@@ -130,5 +130,5 @@
 	b.spentTotal += n
 }
 
-// idle tells whether there is nothing to remember of this window.
+// idle reports whether there is nothing to remember of this window.
 func (b *bucket) idle() bool { return b.spentTotal == 0 && b.recentTotal == 0 }
--- a/mesh/retrybudget/runs.go
+++ b/mesh/retrybudget/runs.go
@@ -83,8 +83,8 @@
 
 func clampChance(chance float64) float64 { return min(1, max(0, chance)) }
 
-// affordsRepeat tells whether the services that the endpoint calls have room for the calls of one more
-// repeat and of those in flight.
+// affordsRepeat reports whether the services that the endpoint calls have room for the calls of one
+// more repeat and of those in flight.
 func (b *Budget) affordsRepeat(now monotime.Time) bool {
 	runs := &b.runs
 	watched, share := b.watch.Observe(now), float64(b.Share(now))
--- a/mesh/retrybudget/runs_test.go
+++ b/mesh/retrybudget/runs_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// worstExcess gives by how much the repeats of a service exceed the limits in the worst window, and
-// where that window ends. Its requests may lag behind by up to a window.
+// worstExcess returns by how much the repeats of a service exceed the limits in the worst window,
+// and where that window ends. Its requests may lag behind by up to a window.
 func (m *model) worstExcess(service int) (worst float64, at monotime.Time) {
 	count := func(list []monotime.Time, from, to monotime.Time) int {
 		return sort.Search(len(list), func(i int) bool { return list[i] > to }) - sort.Search(len(list), func(i int) bool { return list[i] > from })
@@ -159,12 +159,12 @@
 	return 1
 }
 
-// fixedRate gives all endpoints a failure rate.
+// fixedRate returns all endpoints a failure rate.
 func fixedRate(rate float64) func(*rand.Rand) float64 {
 	return func(*rand.Rand) float64 { return rate }
 }
 
-// randomRate gives an endpoint a failure rate of 5 to 100 hundredths.
+// randomRate returns an endpoint a failure rate of 5 to 100 hundredths.
 func randomRate(rng *rand.Rand) float64 { return 0.05 + 0.95*rng.Float64() }
 
 var scenarios = []scenario{
--- a/mesh/retrybudget/service.go
+++ b/mesh/retrybudget/service.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// singleCaller tells whether at most one caller was active in this half window and the one before.
+// singleCaller reports whether at most one caller was active in this half window and the one
+// before.
 func (s *serviceBudget) singleCaller() bool { return max(s.activeCallers[0], s.activeCallers[1]) <= 1 }
 
 // callerShare is a caller's part of the share: by weight if the configuration names the caller; else
