--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -34,7 +34,9 @@
 
 // Put sets the value of an entry. It fails with Conflict, which has the entry's revision, with
 // Invalid, Oversize or Busy, and as core.Execute does.
-func Put(ctx context.Context, c *core.Core, key string, value json.RawMessage, ifRevision *ident.Revision, budget time.Duration) (Entry, *failure.Error) {
+func Put(
+	ctx context.Context, c *core.Core, key string, value json.RawMessage, ifRevision *ident.Revision, budget time.Duration,
+) (Entry, *failure.Error) {
 	return executeOnEntry(ctx, c, key, keyspace.PutKind, keyspace.Args{Value: value, IfRevision: ifRevision}, budget)
 }
 
@@ -93,7 +95,11 @@
 	if after > 0 {
 		args.After = &after
 	}
-	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(name), Kind: keyspace.SinceKind, Args: operation.Encode(args)}, budget)
+	result := c.Execute(ctx, proposer.Operation{
+		Key:  keyspace.ControlKey(name),
+		Kind: keyspace.SinceKind,
+		Args: operation.Encode(args),
+	}, budget)
 	if result.Failure != nil {
 		return Changes{}, result.Failure
 	}
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -96,7 +96,9 @@
 }
 
 // readThroughProposer reads a key, with its changes after a revision if one is given.
-func (h handlers) readThroughProposer(ctx context.Context, controlKey ident.Key, since *ident.Revision) (keyvalue.Response, *failure.Error) {
+func (h handlers) readThroughProposer(
+	ctx context.Context, controlKey ident.Key, since *ident.Revision,
+) (keyvalue.Response, *failure.Error) {
 	args := operation.Encode(keyvalue.Args{Since: since})
 	result := h.core.Execute(ctx, proposer.Operation{Key: controlKey, Kind: keyvalue.ReadKind, Args: args}, requestTimeout)
 	if result.Failure != nil {
--- a/daemon/api/health/health.go
+++ b/daemon/api/health/health.go
@@ -21,7 +21,7 @@
 	Live bool `json:"live"`
 }
 
-// Paths gives the handlers of a daemon's health paths.
+// Paths returns the handlers of a daemon's health paths.
 func Paths(ready func() bool, counters *metrics.Registry, status func() any) server.Paths {
 	return server.Paths{
 		"/ready": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -73,7 +73,7 @@
 	response.WriteJSON(w, http.StatusOK, part)
 }
 
-// delta gives the delta from a revision to the one that is served, nil if there is none.
+// delta returns the delta from a revision to the one that is served, nil if there is none.
 func (s ConfigSource) delta(from string) *delta.Delta {
 	revision, err := strconv.ParseUint(from, 10, 64)
 	if err != nil || s.DeltaFrom == nil {
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -16,9 +16,9 @@
 // The paths of the API. Sidecars serve CoresPath and ConfigPartPath too.
 const (
 	// MessagesPath takes the messages of other cores.
-	MessagesPath = "/cottonarch/v1/messages"
+	MessagesPath = core.MessagesPath
 	// CoresPath lists the cores.
-	CoresPath = "/cottonarch/v1/cores"
+	CoresPath = core.CoresPath
 	// JoinPath grants a lease.
 	JoinPath = "/cottonarch/v1/claim"
 	// RenewPath renews one.
--- a/daemon/api/mesh/watch.go
+++ b/daemon/api/mesh/watch.go
@@ -65,7 +65,7 @@
 	return watchRequest{feedVersion: feedVersion, haveRevision: ident.Epoch(haveRevision), wait: wait}
 }
 
-// answeredBy tells whether an update brings anything for the sidecar.
+// answeredBy reports whether an update brings anything for the sidecar.
 func (r watchRequest) answeredBy(update WatchResponse) bool {
 	return update.Leaving || update.Stale || len(update.Sets) > 0 || update.ConfigRevision > r.haveRevision
 }
@@ -128,7 +128,7 @@
 	return update, nil
 }
 
-// holdsNewer tells whether this core holds a configuration newer than a revision.
+// holdsNewer reports whether this core holds a configuration newer than a revision.
 func (h handlers) holdsNewer(revision ident.Epoch) bool {
 	held := h.core.Config()
 	return held != nil && held.Revision > revision
--- a/daemon/core/config.go
+++ b/daemon/core/config.go
@@ -20,6 +20,8 @@
 )
 
 const (
+	// configRetryInterval is how often a configuration that is missing here is read again, and
+	// configReadBudget bounds one read.
 	configRetryInterval = 250 * time.Millisecond
 	configReadBudget    = time.Second
 )
@@ -43,7 +45,7 @@
 	delta.History
 }
 
-// ConfigDelta gives the delta from a revision to the newest configuration here, nil if there is
+// ConfigDelta returns the delta from a revision to the newest configuration here, nil if there is
 // none.
 func (c *Core) ConfigDelta(from ident.Epoch) *delta.Delta {
 	c.configVersions.mu.Lock()
@@ -124,7 +126,10 @@
 	if newer := c.replaceConfig(config); newer != nil {
 		return newer, nil
 	}
-	c.Log.Info("configuration installed", zap.Uint64("revision", uint64(config.Revision)), zap.Int("routes", len(parsed.Routes)), zap.Int("services", len(parsed.Services)))
+	c.Log.Info("configuration installed",
+		zap.Uint64("revision", uint64(config.Revision)),
+		zap.Int("routes", len(parsed.Routes)),
+		zap.Int("services", len(parsed.Services)))
 	c.Metrics.Set("manifest_epoch", int64(config.Revision))
 	c.RunStep(func(monotime.Time) node.Effects {
 		return node.Effects{SidecarViewChanged: c.node.Leases.SetConfig(parsed)}
@@ -176,7 +181,7 @@
 	}
 }
 
-// configIsBehind tells whether the node knows of a newer configuration than the one here.
+// configIsBehind reports whether the node knows of a newer configuration than the one here.
 func (c *Core) configIsBehind() bool {
 	known, have := c.knownConfigRevision.Load(), c.config.Load()
 	return known != 0 && (have == nil || uint64(have.Revision) < known)
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -27,7 +27,9 @@
 )
 
 const (
-	tickInterval     = 25 * time.Millisecond
+	// tickInterval is how often the node is told the time.
+	tickInterval = 25 * time.Millisecond
+	// The queues hold this many steps, batches of effects for the journal, and messages for a peer.
 	stepQueueSize    = 8192
 	journalQueueSize = 4096
 	peerQueueSize    = 4096
@@ -115,7 +117,8 @@
 // disk begins with.
 func (c *Core) recover() error {
 	var err error
-	if c.ring, err = ring.Open(c.folder, ring.Options{FileCount: c.Settings.RingFiles, FileSize: c.Settings.RingFileBytes}); err != nil {
+	options := ring.Options{FileCount: c.Settings.RingFiles, FileSize: c.Settings.RingFileBytes}
+	if c.ring, err = ring.Open(c.folder, options); err != nil {
 		return err
 	}
 	records := c.ring.Records()
--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -10,7 +10,11 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
+// CoresPath answers with KnownCores; cores and sidecars serve it.
+const CoresPath = "/cottonarch/v1/cores"
+
 const (
+	// discoveryInterval is how often the seeds are asked, and discoveryTimeout bounds one answer.
 	discoveryInterval = 500 * time.Millisecond
 	discoveryTimeout  = 500 * time.Millisecond
 )
@@ -49,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), discoveryTimeout)
 	defer cancel()
 	var known KnownCores
-	if c.pool.Call(ctx, seed, http.MethodGet, "/cottonarch/v1/cores", nil, &known) != nil {
+	if c.pool.Call(ctx, seed, http.MethodGet, CoresPath, nil, &known) != nil {
 		return // it is asked again at the next tick
 	}
 	c.RunStep(func(now monotime.Time) node.Effects {
--- a/daemon/core/loop.go
+++ b/daemon/core/loop.go
@@ -11,6 +11,7 @@
 )
 
 const (
+	// viewInterval is how often the View is refreshed.
 	viewInterval = 200 * time.Millisecond
 	// stallTimeout is how long a batch may take before the disk counts as stalled.
 	stallTimeout = 1500 * time.Millisecond
@@ -62,7 +63,7 @@
 	return effects
 }
 
-// diskStalled tells whether the journal's batch takes too long. Such a disk is not used until
+// diskStalled reports whether the journal's batch takes too long. Such a disk is not used until
 // the batch ends; one that failed is not used again.
 func (c *Core) diskStalled(now monotime.Time) bool {
 	since := c.diskBusySince.Load()
@@ -85,7 +86,7 @@
 	return c.journalQueue.Put(durable, c.done)
 }
 
-// allSynced tells whether the disk holds all that the steps wrote so far; only the loop may
+// allSynced reports whether the disk holds all that the steps wrote so far; only the loop may
 // ask.
 func (c *Core) allSynced() bool { return c.pendingEffects.Load() == 0 && !c.diskFailed.Load() }
 
@@ -121,7 +122,7 @@
 	}
 }
 
-// passConfig gives a confirmed configuration to followConfig, or wakes it when it has to read
+// passConfig hands a confirmed configuration to followConfig, or wakes it when it has to read
 // the configuration itself.
 func (c *Core) passConfig(effects node.Effects) {
 	if effects.ConfirmedConfig == nil {
--- a/daemon/core/messages.go
+++ b/daemon/core/messages.go
@@ -13,6 +13,9 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
+// MessagesPath takes a Batch of another core.
+const MessagesPath = "/cottonarch/v1/messages"
+
 // sendTimeout bounds one request that carries a batch.
 const sendTimeout = 1500 * time.Millisecond
 
@@ -71,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	var reply Batch
-	if err := c.pool.Call(ctx, addr, http.MethodPost, "/cottonarch/v1/messages", Batch{c.Settings.Addr, messages}, &reply); err != nil {
+	if err := c.pool.Call(ctx, addr, http.MethodPost, MessagesPath, Batch{c.Settings.Addr, messages}, &reply); err != nil {
 		c.Metrics.Add("posts_failed", 1)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.RunStep(func(now monotime.Time) node.Effects { return c.node.MarkUnreachable(now, addr) })
--- a/daemon/core/peer_queue.go
+++ b/daemon/core/peer_queue.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// queueTo gives the queue of a peer, and starts its sender when the peer is new.
+// queueTo returns the queue of a peer, and starts its sender when the peer is new.
 func (c *Core) queueTo(addr ident.Addr) *peerQueue {
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -27,7 +27,7 @@
 	return resultWaiters{byTicket: map[uint64]chan node.Result{}}
 }
 
-// add gives a new ticket, and the channel that its result comes on.
+// add returns a new ticket, and the channel that its result comes on.
 func (w *resultWaiters) add() (uint64, <-chan node.Result) {
 	result := make(chan node.Result, 1)
 	w.mu.Lock()
@@ -44,7 +44,7 @@
 	delete(w.byTicket, ticket)
 }
 
-// resolve gives a result to its waiter, if there is one still.
+// resolve hands a result to its waiter, if there is one still.
 func (w *resultWaiters) resolve(result node.Result) {
 	w.mu.Lock()
 	waiter := w.byTicket[result.Ticket]
--- a/daemon/core/stop.go
+++ b/daemon/core/stop.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// continueLeave carries the planned stop on, and tells whether it is done.
+// continueLeave carries the planned stop on, and reports whether it is done.
 func (c *Core) continueLeave() bool {
 	finished := make(chan bool, 1)
 	queued := c.RunStep(func(now monotime.Time) node.Effects {
@@ -41,13 +41,13 @@
 	return queued && <-finished
 }
 
-// Leaving tells whether a planned stop has begun.
+// Leaving reports whether a planned stop has begun.
 func (c *Core) Leaving() bool { return c.leaving.Load() }
 
 // Stopping is closed when a planned stop begins: long polls end then.
 func (c *Core) Stopping() <-chan struct{} { return c.stopping }
 
-// Ready tells whether the core serves.
+// Ready reports whether the core serves.
 func (c *Core) Ready() bool {
 	view := c.View()
 	return view != nil && view.Majority && !c.leaving.Load()
--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -54,12 +54,22 @@
 	}
 	old := c.view.Swap(view)
 	c.reportNode(view)
-	if old != nil && (old.Votes != view.Votes || old.Majority != view.Majority || old.AntiEntropyDuty != view.AntiEntropyDuty || old.Disk != view.Disk) {
-		c.Log.Info("state changed", zap.String("disk", string(view.Disk)), zap.Bool("votes", view.Votes), zap.Bool("majority", view.Majority),
-			zap.Bool("anti_entropy_duty", view.AntiEntropyDuty), membershipEpoch(c.node))
+	if old != nil && old.roleDiffers(view) {
+		c.Log.Info("state changed",
+			zap.String("disk", string(view.Disk)),
+			zap.Bool("votes", view.Votes),
+			zap.Bool("majority", view.Majority),
+			zap.Bool("anti_entropy_duty", view.AntiEntropyDuty),
+			membershipEpoch(c.node))
 	}
 }
 
+// roleDiffers reports whether what this core does for the others differs between two views.
+func (v *View) roleDiffers(other *View) bool {
+	return v.Votes != other.Votes || v.Majority != other.Majority ||
+		v.AntiEntropyDuty != other.AntiEntropyDuty || v.Disk != other.Disk
+}
+
 func newView(n *node.Node, now monotime.Time) *View {
 	membership, places := n.Membership(), n.CoreZones(now)
 	return &View{
@@ -114,7 +124,7 @@
 	}
 }
 
-// placesDigest gives equal digests for equal lists of places.
+// placesDigest returns equal digests for equal lists of places.
 func placesDigest(places []record.CoreLocation) string {
 	hash := fnv.New64a()
 	for _, place := range places {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -45,7 +45,12 @@
 	}
 	srv := server.New(options.Listen, nil)
 	status := func() any { return c.View() }
-	for _, paths := range []server.Paths{operator.Paths(c), coordination.Paths(c), mesh.Paths(c, ident.NewID()), health.Paths(c.Ready, c.Metrics, status)} {
+	for _, paths := range []server.Paths{
+		operator.Paths(c),
+		coordination.Paths(c),
+		mesh.Paths(c, ident.NewID()),
+		health.Paths(c.Ready, c.Metrics, status),
+	} {
 		paths.Register(srv)
 	}
 	return c, srv, nil
--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -50,7 +50,7 @@
 	return s.planner.Next(s.clock(), call)
 }
 
-// finishAttempt takes the result of an attempt, and tells whether to try again. If not, and the
+// finishAttempt takes the result of an attempt, and reports whether to try again. If not, and the
 // attempt brought no response, it gives the failure of the whole call.
 func (s *Sidecar) finishAttempt(call *attempt.Call, result attempt.Result) (retry bool, fail *failure.Error) {
 	s.mu.Lock()
@@ -115,7 +115,8 @@
 		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: UrgentHeader, Value: "1"})
 	}
 	if request.retryFraction > 0 {
-		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: strconv.FormatFloat(request.retryFraction, 'f', 3, 64)})
+		fraction := strconv.FormatFloat(request.retryFraction, 'f', 3, 64)
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: fraction})
 	}
 	return call
 }
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -39,7 +39,7 @@
 	delta      *delta.Delta
 }
 
-// deltaFrom gives the delta that this configuration came by, to those who have the revision
+// deltaFrom returns the delta that this configuration came by, to those who have the revision
 // before it.
 func (c storedConfig) deltaFrom(revision ident.Epoch) *delta.Delta {
 	if c.delta == nil || c.delta.From != revision {
@@ -49,7 +49,7 @@
 }
 
 // fetchConfigOrCount fetches the configuration from another process; it counts a failure, and
-// tells whether there was none.
+// reports whether there was none.
 func (s *Sidecar) fetchConfigOrCount(from ident.Addr) bool {
 	if err := s.fetchConfig(from); err != nil {
 		s.count(counterConfigFetchesFailed)
--- a/daemon/sidecar/configassembly.go
+++ b/daemon/sidecar/configassembly.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// bytes gives the configuration as it is stored.
+// bytes returns the configuration as it is stored.
 func (a *configAssembly) bytes() (json.RawMessage, *failure.Error) {
 	if !a.compressed {
 		return a.data, nil
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// next gives the core to poll now, and the revision of the newest configuration that is held.
+// next returns the core to poll now, and the revision of the newest configuration that is held.
 func (d *configWatch) next() (core ident.Addr, haveRevision ident.Epoch) {
 	s := d.sidecar
 	s.mu.Lock()
--- a/daemon/sidecar/cores.go
+++ b/daemon/sidecar/cores.go
@@ -80,7 +80,7 @@
 	l.notPeerBefore[addr] = now.Add(coreSeedInterval)
 }
 
-// mayQuerySeed tells whether a seed may be asked as a peer now. Until a seed has answered as a
+// mayQuerySeed reports whether a seed may be asked as a peer now. Until a seed has answered as a
 // sidecar it is asked seldom, as all sidecars that start together ask the same seeds.
 func (l *coreList) mayQuerySeed(now monotime.Time, seed ident.Addr) bool {
 	if !l.isSidecar[seed] && l.notPeerBefore[seed].After(now) {
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -139,7 +139,7 @@
 
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
-// movesNamed gives the endpoint moves of these names.
+// movesNamed returns the endpoint moves of these names.
 func movesNamed(names ...string) (list []endpointMove) {
 	for _, m := range endpointMoves {
 		if slices.Contains(names, m.name) {
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -54,7 +54,10 @@
 		response.WriteError(w, fail)
 		return
 	}
-	response.WriteJSON(w, http.StatusOK, heartbeatAck{IntervalMs: endpoint.HeartbeatInterval.Milliseconds(), SilentAfterMs: endpoint.HeartbeatTimeout.Milliseconds()})
+	response.WriteJSON(w, http.StatusOK, heartbeatAck{
+		IntervalMs:    endpoint.HeartbeatInterval.Milliseconds(),
+		SilentAfterMs: endpoint.HeartbeatTimeout.Milliseconds(),
+	})
 }
 
 // handleConfig shows the active configuration.
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -36,7 +36,7 @@
 	responseBytes   int           // the mean size of such responses
 }
 
-// hintsFor gives the hints of a call for the endpoint that was chosen.
+// hintsFor returns the hints of a call for the endpoint that was chosen.
 func hintsFor(now, receivedAt monotime.Time, call *attempt.Call, decision attempt.Decision) admissionHints {
 	target := call.Route.TargetLatency
 	if target <= 0 {
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -41,7 +41,7 @@
 // backoff is how long the next try has to wait.
 func (j *leaseJoiner) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
 
-// try asks one core for a lease, and tells whether it granted one. Before any process has listed
+// try asks one core for a lease, and reports whether it granted one. Before any process has listed
 // the cores one of the seeds is asked for them, so that sidecars that start together do not all
 // join at the seeds.
 func (j *leaseJoiner) try() bool {
@@ -100,7 +100,7 @@
 	}
 }
 
-// listCores asks a core, or a seed that is a sidecar, for the cores that it knows. It tells
+// listCores asks a core, or a seed that is a sidecar, for the cores that it knows. It reports
 // whether there was an answer.
 func (j *leaseJoiner) listCores(addr ident.Addr) bool {
 	s := j.sidecar
--- a/daemon/sidecar/lookup.go
+++ b/daemon/sidecar/lookup.go
@@ -5,7 +5,7 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// Lookup gives what this sidecar's copy of the registry holds of an endpoint of a service; it is
+// Lookup returns what this sidecar's copy of the registry holds of an endpoint of a service; it is
 // false when the copy does not hold it.
 func (s *Sidecar) Lookup(service ident.Service, server ident.Server) (registry.Entry, bool) {
 	s.mu.Lock()
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -78,7 +78,7 @@
 // deprecatedPrefixes lists the prefixes in deprecatedNames.
 var deprecatedPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
 
-// deprecatedName gives the deprecated name of a counter or gauge; it is false when it has none.
+// deprecatedName returns the deprecated name of a counter or gauge; it is false when it has none.
 func deprecatedName(name string) (string, bool) {
 	if deprecated, ok := deprecatedNames[name]; ok {
 		return deprecated, true
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -79,7 +79,7 @@
 	return true
 }
 
-// holdsRevision tells whether that revision or a newer one is held here.
+// holdsRevision reports whether that revision or a newer one is held here.
 func (s *Sidecar) holdsRevision(revision ident.Epoch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// due tells whether peers are to be asked now, which ones are known, and whether their registry
+// due reports whether peers are to be asked now, which ones are known, and whether their registry
 // is wanted.
 func (d *peerQuerier) due() (peers []ident.Addr, wantRegistry, due bool) {
 	s := d.sidecar
@@ -153,7 +153,7 @@
 	return PeerStatePath + "?have=" + registryDigest(s.planner.Index.Sets())
 }
 
-// take takes a peer's state, and tells whether its configuration is newer and may be taken.
+// take takes a peer's state, and reports whether its configuration is newer and may be taken.
 func (d *peerQuerier) take(state PeerState) (newer bool) {
 	s := d.sidecar
 	s.mu.Lock()
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -38,7 +38,7 @@
 	resultUnknown:    {Outcome: attempt.Unknown},
 }
 
-// attemptResultFor gives the result of an attempt; a peerResult that is not known proves nothing.
+// attemptResultFor returns the result of an attempt; a peerResult that is not known proves nothing.
 func attemptResultFor(fail *failure.Error, peer peerResult) attempt.Result {
 	result, known := attemptResults[peer]
 	if !known {
@@ -60,7 +60,8 @@
 	}
 	fail, ok := peerFailure(call, resp, peer)
 	if !ok {
-		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar can't be read")}
+		unreadable := failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar can't be read")
+		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: unreadable}
 	}
 	result := attemptResultFor(fail, peer)
 	result.LoadReport = report
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -64,7 +64,7 @@
 	return path, path != "" && !known && !s.leaving.Load()
 }
 
-// probe asks the endpoint once, and tells whether its answer was taken as a heartbeat.
+// probe asks the endpoint once, and reports whether its answer was taken as a heartbeat.
 func (s *Sidecar) probe(path string) bool {
 	call := exchange.Call{
 		Method:    http.MethodGet,
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -151,12 +151,12 @@
 	s.apiClient.Close()
 }
 
-// Ready tells whether callers may send requests.
+// Ready reports whether callers may send requests.
 func (s *Sidecar) Ready() bool {
 	return s.leaseHeld.Load() && !s.leaving.Load() && s.configActive.Load()
 }
 
-// closing tells whether the duties end.
+// closing reports whether the duties end.
 func (s *Sidecar) closing() bool {
 	select {
 	case <-s.done:
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -44,7 +44,9 @@
 }
 
 // enqueue puts a request into an endpoint's queue; its verdict comes on the channel.
-func (q *slotQueue) enqueue(now monotime.Time, server ident.Server, hints admissionHints, deadline monotime.Time) (id uint64, verdicts chan admission.Verdict) {
+func (q *slotQueue) enqueue(
+	now monotime.Time, server ident.Server, hints admissionHints, deadline monotime.Time,
+) (id uint64, verdicts chan admission.Verdict) {
 	verdicts = make(chan admission.Verdict, 1)
 	q.lastID++
 	id = q.lastID
@@ -133,7 +135,7 @@
 	return verdict, false
 }
 
-// releaseSlot gives back the slot of a request that was admitted.
+// releaseSlot returns back the slot of a request that was admitted.
 func (s *Sidecar) releaseSlot(server ident.Server, id uint64, outcome admission.Outcome, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -139,7 +139,7 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// endConnection ends a connection as a move asks, and tells whether it stays open.
+// endConnection ends a connection as a move asks, and reports whether it stays open.
 func endConnection(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
 	switch end {
 	case stays:
--- a/daemon/sidecar/status.go
+++ b/daemon/sidecar/status.go
@@ -26,7 +26,7 @@
 	BudgetShareGranted int         `json:"budgetShareGranted"` // that may be spent while the lease is renewed
 }
 
-// Status gives the Status.
+// Status returns the Status.
 func (s *Sidecar) Status() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
