--- a/settings/flags.go
+++ b/settings/flags.go
@@ -25,7 +25,14 @@
 	if fail != nil {
 		return nil, fail
 	}
-	for key, value := range map[string]string{keyAddress: f.Address, keyListen: f.Listen, keyClientAddress: f.ClientAddress, keyNode: f.Node, keyZone: f.Zone, keyData: f.Data} {
+	for key, value := range map[string]string{
+		keyAddress:       f.Address,
+		keyListen:        f.Listen,
+		keyClientAddress: f.ClientAddress,
+		keyNode:          f.Node,
+		keyZone:          f.Zone,
+		keyData:          f.Data,
+	} {
 		if value != "" {
 			override(values, key, value)
 		}
--- a/settings/read.go
+++ b/settings/read.go
@@ -20,7 +20,8 @@
 // ReadCore reads a core's settings. The failure is a BadSettings that lists every fault.
 func ReadCore(values map[string]any) (Core, *failure.Error) {
 	faults := &decode.Faults{}
-	s := newSource(values, faults, keyAddress, keyListen, keyZone, keySeeds, keyFounders, keyData, keyVoters, keyRingFileMiB, keyRingFiles, keyHistoryS, keyRetryExtra)
+	s := newSource(values, faults, keyAddress, keyListen, keyZone, keySeeds, keyFounders, keyData, keyVoters,
+		keyRingFileMiB, keyRingFiles, keyHistoryS, keyRetryExtra)
 	core := Core{
 		Addr:           s.requiredAddr(keyAddress),
 		Listen:         s.addr(keyListen),
@@ -53,8 +54,8 @@
 // ReadSidecar reads a sidecar's settings. The failure is a BadSettings that lists every fault.
 func ReadSidecar(values map[string]any) (Sidecar, *failure.Error) {
 	faults := &decode.Faults{}
-	s := newSource(values, faults, keyNode, keyAddress, keyListen, keyClientAddress, keyZone, keySeeds, keySenders, keyQueue, keyMaxInFlight, keyStopS,
-		keyRetryExtra, keyRetryWindowS, keyRetryRatio, keyRetryNested, keyCrossZoneMsPerKB, keyBodyMiB, keyLinkMbps)
+	s := newSource(values, faults, keyNode, keyAddress, keyListen, keyClientAddress, keyZone, keySeeds,
+		keySenders, keyQueue, keyMaxInFlight, keyStopS, keyRetryExtra, keyRetryWindowS, keyRetryRatio, keyRetryNested, keyCrossZoneMsPerKB, keyBodyMiB, keyLinkMbps)
 	sidecar := Sidecar{
 		Node:               ident.Node(s.text(keyNode)),
 		Addr:               s.requiredAddr(keyAddress),
--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -41,6 +41,11 @@
 	// ackTimeout is how long sent bytes may stay unacknowledged: a machine that is partitioned
 	// or without power would otherwise hold a connection for minutes.
 	ackTimeout = 3 * time.Second
+	// maxIdleConnsPerHost and idleConnTimeout bound the unused connections that are kept.
+	maxIdleConnsPerHost = 16
+	idleConnTimeout     = 30 * time.Second
+	// maxErrorBytes bounds the error response that is read.
+	maxErrorBytes = 1 << 20
 )
 
 // keepAlive detects that a machine is unreachable while nothing is sent to it.
@@ -64,10 +69,19 @@
 // NewWithDialTimeout is New with another dial timeout. A connection that is established after
 // its call has ended serves the next call.
 func NewWithDialTimeout(localAddr ident.Addr, timeout time.Duration) *Pool {
-	return &Pool{clients: map[ident.Addr]*khttp.Client{}, transport: minimalTransport{&http.Transport{
-		DialContext:         (&net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout, LocalAddr: localAddr.DialSource()}).DialContext,
-		MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
-	}}}
+	dialer := net.Dialer{
+		Timeout:         timeout,
+		KeepAliveConfig: keepAlive,
+		Control:         setUserTimeout,
+		LocalAddr:       localAddr.DialSource(),
+	}
+	transport := http.Transport{
+		DialContext:         dialer.DialContext,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+	}
+	return &Pool{clients: map[ident.Addr]*khttp.Client{}, transport: minimalTransport{&transport}}
 }
 
 func (p *Pool) client(addr ident.Addr) (*khttp.Client, error) {
@@ -76,7 +90,10 @@
 	if c, ok := p.clients[addr]; ok {
 		return c, nil
 	}
-	c, err := khttp.NewClient(context.Background(), khttp.WithEndpoint(string(addr)), khttp.WithTimeout(0), khttp.WithTransport(p.transport),
+	c, err := khttp.NewClient(context.Background(),
+		khttp.WithEndpoint(string(addr)),
+		khttp.WithTimeout(0),
+		khttp.WithTransport(p.transport),
 		khttp.WithErrorDecoder(decodeError))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "client")
@@ -91,7 +108,7 @@
 		return nil
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
 		return failure.Wrap(err, failure.LostResponse, "read response")
 	}
--- a/wire/exchange/body.go
+++ b/wire/exchange/body.go
@@ -125,5 +125,8 @@
 	contentType, _, _ = strings.Cut(contentType, ";")
 	contentType = textproto.TrimString(contentType)
 	const plain, suffix = "application/json", "+json"
-	return strings.EqualFold(contentType, plain) || len(contentType) > len(suffix) && strings.EqualFold(contentType[len(contentType)-len(suffix):], suffix)
+	if strings.EqualFold(contentType, plain) {
+		return true
+	}
+	return len(contentType) > len(suffix) && strings.EqualFold(contentType[len(contentType)-len(suffix):], suffix)
 }
--- a/wire/exchange/call.go
+++ b/wire/exchange/call.go
@@ -51,7 +51,7 @@
 	BeforeSend func() *failure.Error
 }
 
-// overrides tells whether the call itself sets a header.
+// overrides reports whether the call itself sets a header.
 func (c *Call) overrides(name string) bool {
 	if c.IDHeader != "" && equalNames(c.IDHeader, name) {
 		return true
@@ -64,7 +64,7 @@
 	return false
 }
 
-// holdsBackLastByte tells whether the last byte of the body waits until the connection is
+// holdsBackLastByte reports whether the last byte of the body waits until the connection is
 // seen to be quiet: a response that comes before the request is complete belongs to no
 // request, and without an id nothing else reveals that.
 func (c *Call) holdsBackLastByte(body []byte) bool {
--- a/wire/exchange/conn.go
+++ b/wire/exchange/conn.go
@@ -48,7 +48,7 @@
 	return c, nil
 }
 
-// isOpenAndQuiet tells whether the connection is open with nothing to read.
+// isOpenAndQuiet reports whether the connection is open with nothing to read.
 func (c *conn) isOpenAndQuiet() bool {
 	return c.rawConn.Read(c.peekVisit) == nil && c.visit.nothingWaits()
 }
@@ -110,7 +110,7 @@
 	return sent, failure.NewUnknown(failure.LostResponse, "the request was interrupted"), false
 }
 
-// nothingSent tells whether a connection broke before it took anything.
+// nothingSent reports whether a connection broke before it took anything.
 func nothingSent(sent int, fail *failure.Error) bool {
 	return sent == 0 && fail != nil && fail.Kind == failure.LostResponse
 }
--- a/wire/exchange/head.go
+++ b/wire/exchange/head.go
@@ -63,14 +63,14 @@
 	return h.status >= http.StatusContinue
 }
 
-// beginsResponse tells whether the bytes may be the beginning of a response.
+// beginsResponse reports whether the bytes may be the beginning of a response.
 func beginsResponse(b []byte) bool {
 	n := min(len(b), len(versionPrefix))
 	return bytes.Equal(b[:n], versionPrefix[:n])
 }
 
 // peekHead waits for an empty line and returns the bytes up to it, if they are well-formed. It
-// consumes nothing. begins tells whether the bytes so far may begin a head.
+// consumes nothing. begins reports whether the bytes so far may begin a head.
 func (r *responseReader) peekHead(begins func([]byte) bool) ([]byte, error) {
 	for seen := 0; ; {
 		_, err := r.Peek(seen + 1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// isWellFormed tells whether a head, which ends with CR LF CR LF, has no control bytes, no bare
+// isWellFormed reports whether a head, which ends with CR LF CR LF, has no control bytes, no bare
 // line ends and no folded lines.
 func isWellFormed(raw []byte) bool {
 	for n := 0; n < len(raw); n++ {
@@ -113,13 +113,13 @@
 	return true
 }
 
-// hasSingle tells whether the response has a header once, with that value.
+// hasSingle reports whether the response has a header once, with that value.
 func (h *responseHead) hasSingle(name, value string) bool {
 	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
 	return len(values) == 1 && values[0] == value
 }
 
-// namesOneRequest tells whether the response has one request id, as a stray response does.
+// namesOneRequest reports whether the response has one request id, as a stray response does.
 func (h *responseHead) namesOneRequest(name string) bool {
 	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
 	return len(values) == 1 && values[0] != ""
@@ -131,7 +131,10 @@
 	for _, field := range h.Header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(field, ",") {
 			name, value, _ := strings.Cut(textproto.TrimString(parameter), "=")
-			if seconds, err := strconv.Atoi(textproto.TrimString(value)); err == nil && seconds >= 0 && strings.EqualFold(textproto.TrimString(name), "timeout") {
+			if !strings.EqualFold(textproto.TrimString(name), "timeout") {
+				continue
+			}
+			if seconds, err := strconv.Atoi(textproto.TrimString(value)); err == nil && seconds >= 0 {
 				return time.Duration(seconds) * time.Second, true
 			}
 		}
--- a/wire/exchange/header.go
+++ b/wire/exchange/header.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// IsHopByHop tells whether a header, by its canonical name, belongs to one connection only.
+// IsHopByHop reports whether a header, by its canonical name, belongs to one connection only.
 // Content-Length counts among them: each hop writes its own.
 func IsHopByHop(name string) bool {
 	switch name {
@@ -18,7 +18,7 @@
 
 func equalNames(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
 
-// listContains tells whether a name is among the comma-separated items of some fields.
+// listContains reports whether a name is among the comma-separated items of some fields.
 func listContains(fields []string, name string) bool {
 	for _, field := range fields {
 		for item := range strings.SplitSeq(field, ",") {
@@ -47,7 +47,7 @@
 	return s != ""
 }
 
-// isVisible tells whether a text is not empty and holds neither spaces nor control bytes.
+// isVisible reports whether a text is not empty and holds neither spaces nor control bytes.
 func isVisible(s string) bool {
 	for n := range len(s) {
 		if s[n] <= ' ' || s[n] == 0x7f {
@@ -57,7 +57,7 @@
 	return s != ""
 }
 
-// isFieldValue tells whether a text holds no control bytes except tabs.
+// isFieldValue reports whether a text holds no control bytes except tabs.
 func isFieldValue(s string) bool {
 	for n := range len(s) {
 		if s[n] < ' ' && s[n] != '\t' || s[n] == 0x7f {
--- a/wire/exchange/hostpool.go
+++ b/wire/exchange/hostpool.go
@@ -98,7 +98,7 @@
 	h.openCount--
 }
 
-// removeWaiter tells whether the waiter was still in the queue.
+// removeWaiter reports whether the waiter was still in the queue.
 func (h *hostPool) removeWaiter(waiter chan *conn) bool {
 	n := slices.Index(h.waiters, waiter)
 	if n < 0 {
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -32,8 +32,12 @@
 	}
 	pool.settings = pool.settings.withDefaults()
 	timeout := pool.settings.DeadPeerTimeout
-	pool.dialer = net.Dialer{Timeout: pool.settings.DialTimeout, LocalAddr: localAddr.DialSource(), KeepAlive: -1,
-		Control: func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, timeout) }}
+	pool.dialer = net.Dialer{
+		Timeout:   pool.settings.DialTimeout,
+		LocalAddr: localAddr.DialSource(),
+		KeepAlive: -1, // idletimeout sets its own probes
+		Control:   func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, timeout) },
+	}
 	return pool
 }
 
@@ -183,7 +187,7 @@
 	return pool.dialConn(ctx, host, call)
 }
 
-// returnHandover gives back what a call was handed as it stopped waiting.
+// returnHandover returns back what a call was handed as it stopped waiting.
 func (pool *Pool) returnHandover(host *hostPool, waiter chan *conn) {
 	c, ok := <-waiter
 	switch {
--- a/wire/exchange/request.go
+++ b/wire/exchange/request.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// appendHeader appends the call's header fields, and tells whether all of them are valid.
+// appendHeader appends the call's header fields, and reports whether all of them are valid.
 func appendHeader(b []byte, call *Call) (out []byte, valid bool) {
 	valid = true
 	appendField := func(name, value string) {
@@ -78,7 +78,8 @@
 	}
 	connectionFields := call.Header["Connection"]
 	for name, values := range call.Header {
-		if IsHopByHop(textproto.CanonicalMIMEHeaderKey(name)) || equalNames(name, "Host") || call.overrides(name) || connectionFields != nil && listContains(connectionFields, name) {
+		if IsHopByHop(textproto.CanonicalMIMEHeaderKey(name)) || equalNames(name, "Host") ||
+			call.overrides(name) || connectionFields != nil && listContains(connectionFields, name) {
 			continue
 		}
 		for _, value := range values {
--- a/wire/exchange/response.go
+++ b/wire/exchange/response.go
@@ -41,7 +41,9 @@
 
 // readResponse reads the call's own response. reusable says whether the connection may carry
 // another call; setKeepAlive gets the keep-alive timeout if the peer sent one.
-func (r *responseReader) readResponse(call *Call, limit int, setKeepAlive func(time.Duration)) (response *Response, reusable bool, fail *failure.Error) {
+func (r *responseReader) readResponse(
+	call *Call, limit int, setKeepAlive func(time.Duration),
+) (response *Response, reusable bool, fail *failure.Error) {
 	for informational, strayCount := 0, 0; ; strayCount++ {
 		h, fail := r.readFinalHead(&informational, strayCount > 0)
 		if fail != nil {
@@ -52,7 +54,7 @@
 			return nil, false, failure.NewUnknown(failure.BadResponse, "the response's length is ambiguous")
 		}
 		isOwn := call.IDHeader == "" || h.hasSingle(call.IDHeader, call.ID)
-		if !isOwn && (framing.untilClose || !h.namesOneRequest(call.IDHeader) || call.Method == http.MethodHead || strayCount == maxStrayResponses) {
+		if !isOwn && (strayCount == maxStrayResponses || !h.isSkippable(call, framing)) {
 			return nil, false, failure.NewUnknown(failure.BadResponse, "the response is not to this request")
 		}
 		body, err := r.readBody(framing, limit)
@@ -65,7 +67,7 @@
 		if fail := h.validate(call, framing, body); fail != nil {
 			return nil, false, fail
 		}
-		reusable := strayCount == 0 && !h.http10 && !framing.untilClose && call.Method != http.MethodHead && !listContains(h.Header["Connection"], "close")
+		reusable := strayCount == 0 && h.leavesReusable(call, framing)
 		if keepAlive, ok := h.keepAlive(); ok && reusable {
 			setKeepAlive(keepAlive)
 		}
@@ -74,6 +76,17 @@
 	}
 }
 
+// isSkippable reports whether a response with another id may be skipped: it is certain where it ends
+// and that it belongs to another request.
+func (h *responseHead) isSkippable(call *Call, framing bodyFraming) bool {
+	return !framing.untilClose && h.namesOneRequest(call.IDHeader) && call.Method != http.MethodHead
+}
+
+// leavesReusable reports whether the connection may carry another call after this response.
+func (h *responseHead) leavesReusable(call *Call, framing bodyFraming) bool {
+	return !h.http10 && !framing.untilClose && call.Method != http.MethodHead && !listContains(h.Header["Connection"], "close")
+}
+
 // readFinalHead reads the head of the next final response. It skips informational ones and
 // counts them over the whole call.
 func (r *responseReader) readFinalHead(informational *int, sawStray bool) (responseHead, *failure.Error) {
@@ -100,7 +113,7 @@
 		return failure.NewUnknown(failure.DeadlineExceeded, "no response in time")
 	case sawStray:
 		return failure.NewUnknown(failure.BadResponse, "the last response is not to this request")
-	case err == io.EOF || err == io.ErrUnexpectedEOF || errors.Is(err, syscall.ECONNRESET):
+	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
 		return failure.NewUnknown(failure.LostResponse, "the connection ended before the response")
 	}
 	return failure.NewUnknown(failure.BadResponse, "the response can't be read")
@@ -109,7 +122,7 @@
 // bodyFailure is the failure of a response whose body did not arrive complete.
 func bodyFailure(err error, limit int) *failure.Error {
 	switch {
-	case err == errBodyTooLarge:
+	case errors.Is(err, errBodyTooLarge):
 		return failure.NewUnknown(failure.BadResponse, "the response is over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return failure.NewUnknown(failure.DeadlineExceeded, "the response was not complete in time")
--- a/wire/exchange/socketvisit.go
+++ b/wire/exchange/socketvisit.go
@@ -19,17 +19,19 @@
 func (v *socketVisit) peek(fd uintptr) {
 	var buffer [1]byte
 	for {
-		n, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&buffer[0])), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
+		n, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd,
+			uintptr(unsafe.Pointer(&buffer[0])), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 		if v.waiting, v.errno = int(n), errno; errno != syscall.EINTR {
 			return
 		}
 	}
 }
 
-// write writes what the socket takes at once, and tells whether that was all.
+// write writes what the socket takes at once, and reports whether that was all.
 func (v *socketVisit) write(fd uintptr) bool {
 	for {
-		n, _, errno := syscall.RawSyscall6(syscall.SYS_SENDTO, fd, uintptr(unsafe.Pointer(&v.request[0])), uintptr(len(v.request)), syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, 0, 0)
+		n, _, errno := syscall.RawSyscall6(syscall.SYS_SENDTO, fd,
+			uintptr(unsafe.Pointer(&v.request[0])), uintptr(len(v.request)), syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, 0, 0)
 		if errno == 0 {
 			v.sent = int(n)
 		}
--- a/wire/server/conn.go
+++ b/wire/server/conn.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// consumeWake tells whether the connection was woken, and forgets it.
+// consumeWake reports whether the connection was woken, and forgets it.
 func (c *conn) consumeWake() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/wire/server/listener.go
+++ b/wire/server/listener.go
@@ -50,7 +50,7 @@
 	return l.err
 }
 
-// stop makes Accept take the connections that wait and then end, and tells whether the listener
+// stop makes Accept take the connections that wait and then end, and reports whether the listener
 // was opened. One that was not never will be.
 func (l *listener) stop() bool {
 	l.once.Do(func() { l.err = http.ErrServerClosed })
@@ -99,14 +99,14 @@
 	return c, nil
 }
 
-// stopped tells whether the listener was stopped; acceptUntil is fixed from then on.
+// stopped reports whether the listener was stopped; acceptUntil is fixed from then on.
 func (l *listener) stopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.acceptUntil.IsZero()
 }
 
-// pending tells whether a connection waits to be accepted.
+// pending reports whether a connection waits to be accepted.
 func (l *listener) pending() bool {
 	_ = l.SetDeadline(l.acceptUntil.Add(acceptGrace))
 	raw, err := l.SyscallConn()
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -34,7 +34,7 @@
 	return err
 }
 
-// awaitStart tells whether Start was called. Connections can be made from Endpoint on, so a
+// awaitStart reports whether Start was called. Connections can be made from Endpoint on, so a
 // concurrent Start is waited for.
 func (s *Server) awaitStart(ctx context.Context) bool {
 	timeout := time.NewTimer(startGrace)
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -71,7 +71,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// readResponse reads one response and tells whether it closes its connection.
+// readResponse reads one response and reports whether it closes its connection.
 func readResponse(t *testing.T, from *bufio.Reader) bool {
 	response, err := http.ReadResponse(from, nil)
 	must.NoError(t, err, must.Sprint("the connection ended without a response"))
