--- a/daemon/api/coordination/api_test.go
+++ b/daemon/api/coordination/api_test.go
@@ -13,64 +13,71 @@
 	"cottonarch.example/cottonarch/daemon/api/coordination"
 )
 
+// apiCall is one request and the expected response.
+type apiCall struct {
+	method, path, body string
+	code               int
+	want               string // the body without the cursor; of a failure, what it contains
+}
+
+// operationCalls go over every path of the API, one after the other. CURSOR stands for the cursor of
+// the last watch.
+var operationCalls = []apiCall{
+	{"POST", "/locks/l/claim", `{"holder":"a","ttlMs":600000}`, 200, `{"fence":1,"held":true,"holder":"a","revision":1,"ttlMs":600000}`},
+	{"POST", "/locks/l/claim", `{"holder":"b","ttlMs":600000}`, 409, `"defect":"held"`},
+	{"POST", "/locks/l/claim", `{`, 400, `"defect":"malformed"`},
+	{"POST", "/locks/cottonarch.x/claim", `{"holder":"a","ttlMs":600000}`, 422, `"defect":"invalid"`},
+	{"POST", "/locks/l/renew", `{"holder":"a","fence":1}`, 200, `{"fence":1,"held":true,"holder":"a","revision":1,"ttlMs":600000}`},
+	{"POST", "/locks/l/pass", `{"holder":"a","fence":1,"to":"b"}`, 200, `{"fence":2,"held":true,"holder":"b","revision":2,"ttlMs":600000}`},
+	{"GET", "/locks/l", ``, 200, `{"fence":2,"grant":2,"held":true,"holder":"b","revision":2,"ttlMs":600000}`},
+	{"POST", "/locks/l/release", `{"holder":"b","fence":2}`, 200, `{"fence":2,"held":false,"holder":"","revision":3,"ttlMs":600000}`},
+	{"POST", "/numbers/n/next", ``, 200, `{"number":1,"revision":1}`},
+	{"POST", "/numbers/n/next", `{"by":5}`, 200, `{"number":6,"revision":2}`},
+	{"GET", "/numbers/n", ``, 200, `{"number":6,"revision":2}`},
+	{"GET", "/keys", ``, 200, `{"keys":[]}`},
+	{"GET", "/watch?waitMs=50", ``, 200, `{"events":[]`},
+	{"GET", "/watch?waitMs=x", ``, 400, `"defect":"malformed"`},
+	{"GET", "/watch?place=*", ``, 400, `"defect":"malformed"`},
+	{"PUT", "/keys/a/1", `{"x": 1}`, 200, `{"revision":1,"value":{"x":1}}`},
+	{"PUT", "/keys/a/1?ifRevision=7", `2`, 409, `"defect":"conflict"`},
+	{"PUT", "/keys/a/1?ifRevision=x", `2`, 400, `"defect":"malformed"`},
+	{"PUT", "/keys/a/1", ``, 400, `"defect":"malformed"`},
+	{"PUT", "/keys/a/1", `2`, 200, `{"revision":2,"value":2}`},
+	{"PUT", "/keys/b", `3`, 200, `{"revision":1,"value":3}`},
+	{"GET", "/keys/a/1", ``, 200, `{"revision":2,"value":2}`},
+	{"DELETE", "/keys/b?ifRevision=9", ``, 409, `"defect":"conflict"`},
+	{"GET", "/keys?prefix=", ``, 200, `{"keys":[{"key":"a/1","revision":2,"value":2},{"key":"b","revision":1,"value":3}]}`},
+	{"GET", "/keys?prefix=a/", ``, 200, `{"keys":[{"key":"a/1","revision":2,"value":2}]}`},
+	{"GET", "/watch?prefix=a/&waitMs=50", ``, 200, `{"events":[{"key":"a/1","revision":2,"value":2}]`},
+	{"GET", "/watch?prefix=&waitMs=50", ``, 200, `{"events":[{"key":"a/1","revision":2,"value":2},{"key":"b","revision":1,"value":3}]`},
+	{"PUT", "/keys/a/1", `4`, 200, `{"revision":3,"value":4}`},
+	{"PUT", "/keys/a/2", `5`, 200, `{"revision":1,"value":5}`},
+	{"DELETE", "/keys/b", ``, 200, `{"deleted":true,"revision":2}`},
+	{"GET", "/keys/b", ``, 404, `"defect":"missing"`},
+	{"GET", "/keys?prefix=", ``, 200, `{"keys":[{"key":"a/1","revision":3,"value":4},{"key":"a/2","revision":1,"value":5}]}`},
+	{"GET", "/watch?prefix=&waitMs=50&place=CURSOR", ``, 200, `{"events":[{"key":"a/1","revision":3,"value":4},{"key":"a/2","revision":1,"value":5},{"key":"b","revision":2,"deleted":true}]`},
+	{"GET", "/watch?prefix=&waitMs=50&place=CURSOR", ``, 200, `{"events":[]`},
+	{"PUT", "/cells/g.a", `"x"`, 200, `{"name":"g.a","value":"x","revision":1}`},
+	{"PUT", "/cells/g.a", `x`, 400, `"defect":"malformed"`},
+	{"PUT", "/cells/g.a?ifRevision=70", `"y"`, 409, `"defect":"conflict"`},
+	{"PUT", "/cells/g.a?ifRevision=y", `"y"`, 400, `"defect":"malformed"`},
+	{"PUT", "/cells/g.b", `{"y": 2}`, 200, `{"name":"g.b","value":{"y":2},"revision":2}`},
+	{"GET", "/cells/g.a", ``, 200, `{"name":"g.a","value":"x","revision":1}`},
+	{"GET", "/cells/g.none", ``, 404, `"defect":"missing"`},
+	{"GET", "/cells/cottonarch.x", ``, 422, `"defect":"invalid"`},
+	{"GET", "/groups/g.?waitMs=50", ``, 200, `{"events":[],"revision":2}`},
+	{"GET", "/groups/g.?after=1&waitMs=50", ``, 200, `{"events":[{"name":"g.b","value":{"y":2},"revision":2}],"revision":2}`},
+	{"GET", "/groups/g.?after=2&waitMs=50", ``, 200, `{"events":[],"revision":2}`},
+	{"GET", "/groups/g.?after=x&waitMs=50", ``, 400, `"defect":"malformed"`},
+	{"GET", "/groups/g.?after=2&waitMs=x", ``, 400, `"defect":"malformed"`},
+}
+
 // The operations of the API, one after the other: the whole body of an accepted one, the kind
-// of failure of a rejected one. CURSOR stands for the cursor of the last watch.
+// of failure of a rejected one.
 func TestOperations(t *testing.T) {
 	api := apitest.Start(t, coordination.Paths, "/keys/none")
 	cursor := ""
-	for _, call := range []struct {
-		method, path, body string
-		code               int
-		want               string // the body without the cursor; of a failure, what it contains
-	}{
-		{"POST", "/locks/l/claim", `{"holder":"a","ttlMs":600000}`, 200, `{"fence":1,"held":true,"holder":"a","revision":1,"ttlMs":600000}`},
-		{"POST", "/locks/l/claim", `{"holder":"b","ttlMs":600000}`, 409, `"defect":"held"`},
-		{"POST", "/locks/l/claim", `{`, 400, `"defect":"malformed"`},
-		{"POST", "/locks/cottonarch.x/claim", `{"holder":"a","ttlMs":600000}`, 422, `"defect":"invalid"`},
-		{"POST", "/locks/l/renew", `{"holder":"a","fence":1}`, 200, `{"fence":1,"held":true,"holder":"a","revision":1,"ttlMs":600000}`},
-		{"POST", "/locks/l/pass", `{"holder":"a","fence":1,"to":"b"}`, 200, `{"fence":2,"held":true,"holder":"b","revision":2,"ttlMs":600000}`},
-		{"GET", "/locks/l", ``, 200, `{"fence":2,"grant":2,"held":true,"holder":"b","revision":2,"ttlMs":600000}`},
-		{"POST", "/locks/l/release", `{"holder":"b","fence":2}`, 200, `{"fence":2,"held":false,"holder":"","revision":3,"ttlMs":600000}`},
-		{"POST", "/numbers/n/next", ``, 200, `{"number":1,"revision":1}`},
-		{"POST", "/numbers/n/next", `{"by":5}`, 200, `{"number":6,"revision":2}`},
-		{"GET", "/numbers/n", ``, 200, `{"number":6,"revision":2}`},
-		{"GET", "/keys", ``, 200, `{"keys":[]}`},
-		{"GET", "/watch?waitMs=50", ``, 200, `{"events":[]`},
-		{"GET", "/watch?waitMs=x", ``, 400, `"defect":"malformed"`},
-		{"GET", "/watch?place=*", ``, 400, `"defect":"malformed"`},
-		{"PUT", "/keys/a/1", `{"x": 1}`, 200, `{"revision":1,"value":{"x":1}}`},
-		{"PUT", "/keys/a/1?ifRevision=7", `2`, 409, `"defect":"conflict"`},
-		{"PUT", "/keys/a/1?ifRevision=x", `2`, 400, `"defect":"malformed"`},
-		{"PUT", "/keys/a/1", ``, 400, `"defect":"malformed"`},
-		{"PUT", "/keys/a/1", `2`, 200, `{"revision":2,"value":2}`},
-		{"PUT", "/keys/b", `3`, 200, `{"revision":1,"value":3}`},
-		{"GET", "/keys/a/1", ``, 200, `{"revision":2,"value":2}`},
-		{"DELETE", "/keys/b?ifRevision=9", ``, 409, `"defect":"conflict"`},
-		{"GET", "/keys?prefix=", ``, 200, `{"keys":[{"key":"a/1","revision":2,"value":2},{"key":"b","revision":1,"value":3}]}`},
-		{"GET", "/keys?prefix=a/", ``, 200, `{"keys":[{"key":"a/1","revision":2,"value":2}]}`},
-		{"GET", "/watch?prefix=a/&waitMs=50", ``, 200, `{"events":[{"key":"a/1","revision":2,"value":2}]`},
-		{"GET", "/watch?prefix=&waitMs=50", ``, 200, `{"events":[{"key":"a/1","revision":2,"value":2},{"key":"b","revision":1,"value":3}]`},
-		{"PUT", "/keys/a/1", `4`, 200, `{"revision":3,"value":4}`},
-		{"PUT", "/keys/a/2", `5`, 200, `{"revision":1,"value":5}`},
-		{"DELETE", "/keys/b", ``, 200, `{"deleted":true,"revision":2}`},
-		{"GET", "/keys/b", ``, 404, `"defect":"missing"`},
-		{"GET", "/keys?prefix=", ``, 200, `{"keys":[{"key":"a/1","revision":3,"value":4},{"key":"a/2","revision":1,"value":5}]}`},
-		{"GET", "/watch?prefix=&waitMs=50&place=CURSOR", ``, 200, `{"events":[{"key":"a/1","revision":3,"value":4},{"key":"a/2","revision":1,"value":5},{"key":"b","revision":2,"deleted":true}]`},
-		{"GET", "/watch?prefix=&waitMs=50&place=CURSOR", ``, 200, `{"events":[]`},
-		{"PUT", "/cells/g.a", `"x"`, 200, `{"name":"g.a","value":"x","revision":1}`},
-		{"PUT", "/cells/g.a", `x`, 400, `"defect":"malformed"`},
-		{"PUT", "/cells/g.a?ifRevision=70", `"y"`, 409, `"defect":"conflict"`},
-		{"PUT", "/cells/g.a?ifRevision=y", `"y"`, 400, `"defect":"malformed"`},
-		{"PUT", "/cells/g.b", `{"y": 2}`, 200, `{"name":"g.b","value":{"y":2},"revision":2}`},
-		{"GET", "/cells/g.a", ``, 200, `{"name":"g.a","value":"x","revision":1}`},
-		{"GET", "/cells/g.none", ``, 404, `"defect":"missing"`},
-		{"GET", "/cells/cottonarch.x", ``, 422, `"defect":"invalid"`},
-		{"GET", "/groups/g.?waitMs=50", ``, 200, `{"events":[],"revision":2}`},
-		{"GET", "/groups/g.?after=1&waitMs=50", ``, 200, `{"events":[{"name":"g.b","value":{"y":2},"revision":2}],"revision":2}`},
-		{"GET", "/groups/g.?after=2&waitMs=50", ``, 200, `{"events":[],"revision":2}`},
-		{"GET", "/groups/g.?after=x&waitMs=50", ``, 400, `"defect":"malformed"`},
-		{"GET", "/groups/g.?after=2&waitMs=x", ``, 400, `"defect":"malformed"`},
-	} {
+	for _, call := range operationCalls {
 		path := strings.ReplaceAll(call.path, "CURSOR", cursor)
 		code, body := api.Request(call.method, path, call.body)
 		must.Eq(t, call.code, code, must.Sprint(call, body))
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -59,7 +59,11 @@
 		response.WriteError(w, fail)
 		return
 	}
-	answer := h.core.Join(r.Context(), joinqueue.Request{Node: request.Node, Run: request.AttemptID, RetryTotal: h.core.Settings.RetryLimit})
+	answer := h.core.Join(r.Context(), joinqueue.Request{
+		Node:       request.Node,
+		Run:        request.AttemptID,
+		RetryTotal: h.core.Settings.RetryLimit,
+	})
 	if answer.Failure != nil {
 		response.WriteError(w, answer.Failure)
 		return
--- a/daemon/api/mesh/watch_test.go
+++ b/daemon/api/mesh/watch_test.go
@@ -9,7 +9,7 @@
 
 // A lone change goes out soon; changes that follow one another closely are batched for longer,
 // but never a configuration.
-func TestChangesInQuickSuccessionAreGathered(t *testing.T) {
+func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	must.Eq(t, batchDelay, batchDelayFor(time.Second, false))
 	must.Eq(t, batchDelay, batchDelayFor(recentPollAge, false))
 	must.Eq(t, burstBatchDelay, batchDelayFor(0, false))
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -65,20 +65,24 @@
 // smuggled is a request in the place of a body: no endpoint may run it.
 var smuggled = rawRequest("POST", "/once/smuggled", "smuggled", "s")
 
-// A caller's connection, whatever bytes come on it and however early it is answered: the endpoint
-// runs just the requests that come whole, each once and as it was sent; the answers come in their
-// order; and bytes that can't be parsed end the connection.
-func TestWhatACallerSendsOnOneConnection(t *testing.T) {
+// connectionCase is what a caller sends on one connection and what comes of it.
+type connectionCase struct {
+	sends     string
+	answers   []string // "status id", in order; then the connection ends or is silent
+	runs      []receivedRequest
+	staysOpen bool // the connection takes another request
+	configure func(*Sidecar)
+}
+
+// connectionCases are the cases of TestWhatACallerSendsOnOneConnection by name.
+func connectionCases() map[string]connectionCase {
 	one, two := rawRequest("POST", "/once/x", "r1", "one"), rawRequest("POST", "/again/y", "r2", "two")
 	first, second := receivedRequest{"POST", "/once/x", "r1", "one"}, receivedRequest{"POST", "/again/y", "r2", "two"}
 	large := smuggled + strings.Repeat("b", 1<<20)
-	for name, c := range map[string]struct {
-		sends     string
-		answers   []string // "status id", in order; then the connection ends or is silent
-		runs      []receivedRequest
-		staysOpen bool // the connection takes another request
-		configure func(*Sidecar)
-	}{
+	smallBodies := func(s *Sidecar) {
+		s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10})
+	}
+	return map[string]connectionCase{
 		"one":                       {one, []string{"200 r1"}, []receivedRequest{first}, true, nil},
 		"two in one piece":          {one + two, []string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
 		"the same twice":            {one + one, []string{"200 r1", "200 r1"}, []receivedRequest{first, first}, true, nil},
@@ -94,51 +98,63 @@
 		"two lengths":    {"POST /once/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n" + smuggled, []string{"400 "}, nil, false, nil},
 		"another coding": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + smuggled, []string{"501 "}, nil, false, nil},
 		"too large, small enough to be read past": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"413 ", "200 r2"}, []receivedRequest{second}, true,
-			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			smallBodies},
 		"too large by far": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"413 "}, nil, false,
-			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			smallBodies},
 		"no room for the body": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"503 ", "200 r2"}, []receivedRequest{second}, true,
 			func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
 		"no room for a large body": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"503 "}, nil, false, func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
 		"no route":                 {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
 		"rejected before it sends its body": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
-			func(s *Sidecar) { s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10}) }},
+			smallBodies},
 		"it asks to close": {strings.Replace(one, "Host", "Connection: close\r\nHost", 1) + two, []string{"200 r1"}, []receivedRequest{first}, false, nil},
-	} {
+	}
+}
+
+// A caller's connection, whatever bytes come on it and however early it is answered: the endpoint
+// runs just the requests that come whole, each once and as it was sent; the answers come in their
+// order; and bytes that can't be parsed end the connection.
+func TestWhatACallerSendsOnOneConnection(t *testing.T) {
+	for name, c := range connectionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, received, frontAddr := startCallerServer(t)
-			if c.configure != nil {
-				c.configure(s)
-			}
-			conn, err := net.Dial("tcp", frontAddr)
-			must.NoError(t, err)
-			defer func() { _ = conn.Close() }()
-			must.NoError(t, conn.SetDeadline(time.Now().Add(time.Minute)))
-			go func() {
-				_, _ = io.WriteString(conn, c.sends)
-				if !c.staysOpen {
-					_ = conn.(*net.TCPConn).CloseWrite()
-				}
-			}()
-			r := bufio.NewReader(conn)
-			for _, want := range c.answers {
-				must.Eq(t, want, nextAnswer(t, r))
-			}
-			if c.staysOpen {
-				_, err := io.WriteString(conn, rawRequest("POST", "/once/last", "last", ""))
-				must.NoError(t, err)
-				must.Eq(t, "200 last", nextAnswer(t, r))
-				c.runs = append(c.runs, receivedRequest{"POST", "/once/last", "last", ""})
-			} else if _, err := r.Peek(1); err == nil {
-				t.Fatal("more answers than requests")
-			}
-			must.Eq(t, c.runs, received.list())
-			must.Eq(t, 0, s.bodies.inFlight.Load())
+			c.play(t)
 		})
 	}
 }
 
+// play sends the bytes to a new sidecar and checks the answers and what the endpoint read.
+func (c connectionCase) play(t *testing.T) {
+	s, received, frontAddr := startCallerServer(t)
+	if c.configure != nil {
+		c.configure(s)
+	}
+	conn, err := net.Dial("tcp", frontAddr)
+	must.NoError(t, err)
+	defer func() { _ = conn.Close() }()
+	must.NoError(t, conn.SetDeadline(time.Now().Add(time.Minute)))
+	go func() {
+		_, _ = io.WriteString(conn, c.sends)
+		if !c.staysOpen {
+			_ = conn.(*net.TCPConn).CloseWrite()
+		}
+	}()
+	r := bufio.NewReader(conn)
+	for _, want := range c.answers {
+		must.Eq(t, want, nextAnswer(t, r))
+	}
+	if c.staysOpen {
+		_, err := io.WriteString(conn, rawRequest("POST", "/once/last", "last", ""))
+		must.NoError(t, err)
+		must.Eq(t, "200 last", nextAnswer(t, r))
+		c.runs = append(c.runs, receivedRequest{"POST", "/once/last", "last", ""})
+	} else if _, err := r.Peek(1); err == nil {
+		t.Fatal("more answers than requests")
+	}
+	must.Eq(t, c.runs, received.list())
+	must.Eq(t, 0, s.bodies.inFlight.Load())
+}
+
 // nextAnswer reads an answer whole and gives its status and its id; the body of a success
 // must be the one of that id.
 func nextAnswer(t *testing.T, r *bufio.Reader) string {
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -117,7 +117,7 @@
 
 // A sidecar serves its peers the delta by which its configuration came, if they have the revision
 // before.
-func TestPeersHandOnTheDelta(t *testing.T) {
+func TestPeersServeTheDelta(t *testing.T) {
 	source := &configSource{}
 	before, after := source.setConfig(t, 5, 40, 1), source.setConfig(t, 6, 40, 2)
 	change, ok := delta.Between(before, after)
--- a/daemon/sidecar/endpointcall_test.go
+++ b/daemon/sidecar/endpointcall_test.go
@@ -51,7 +51,7 @@
 
 // Every call of an endpoint either has a connection of its own, or has an id and asks for a
 // connection that was used within idleTrust, never for any that is open.
-func TestHowAnEndpointIsCalled(t *testing.T) {
+func TestEndpointCallsAreIdentifiedOrSingleUse(t *testing.T) {
 	for _, name := range []string{"", testIDHeader} {
 		for _, id := range []string{"", "r"} {
 			headers := settings.Headers{RequestID: name, SuccessMark: testSealHeader, Deadline: "X-Limit-Left-Ms"}
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-// startPeerServer is gated, with the bodies counted that the sidecar reads.
+// startPeerServer is the stage's startPeerServer, with the bodies counted that the sidecar reads.
 func (c *countedBodies) startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
 	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool {
 		counted := *r // the server must go on to see its own body
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -112,7 +112,7 @@
 
 // A busy core's Retry-After is kept to, and the repeat has the same attempt id; after a lease was
 // granted the next join has another.
-func TestRepeatedJoinKeepsItsMarkAndTheWait(t *testing.T) {
+func TestRepeatedJoinKeepsAttemptIDAndRetryAfter(t *testing.T) {
 	f := newFakeCore(t)
 	f.answerJoin = rejectJoin
 	s := newUnjoinedSidecar(f.addr)
@@ -130,7 +130,7 @@
 }
 
 // After a core that refuses connections, or a seed that is a sidecar, the next one is asked soon.
-func TestJoinPassesByWhoIsNoCore(t *testing.T) {
+func TestJoinSkipsProcessesThatAreNotCores(t *testing.T) {
 	f, sidecarSeed := newFakeCore(t), newFakeCore(t)
 	f.answerJoin = grantJoin
 	sidecarSeed.cores = []ident.Addr{f.addr}
@@ -187,7 +187,7 @@
 }
 
 // The list of a core says who else is one; the list of a sidecar does not.
-func TestACoresListSaysWhoIsACore(t *testing.T) {
+func TestCoreListMarksCores(t *testing.T) {
 	for _, isCore := range []bool{false, true} {
 		f := newFakeCore(t)
 		f.cores, f.core = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, resultRejected, result)
 }
 
-// What a release that knows six fields of a want wrote is read as before.
+// The hints of a release that wrote six fields are read as before.
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
 	hints := admissionHints{priority: 2, expectedTime: time.Millisecond, earlyRejection: 2 * time.Millisecond, latencyTarget: 3 * time.Millisecond, peerFailureRate: 0.25, lastResort: true, responseBytes: 77}
 	must.Eq(t, hints, parseHints(hints.encode()))
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -233,7 +233,7 @@
 	}
 }
 
-// handleSuperseded returns up a lease that a core knows a newer one than: this sidecar joins anew.
+// handleSuperseded gives up a lease that a core knows a newer one than: this sidecar joins anew.
 // The newer one may be that of a join of an earlier run that came late.
 func (s *Sidecar) handleSuperseded(leaseEpoch ident.Epoch, err error) {
 	s.mu.Lock()
@@ -243,7 +243,7 @@
 	}
 }
 
-// endLease returns up the lease if it is still the one of that epoch; mu is held.
+// endLease gives up the lease if it is still the one of that epoch; mu is held.
 func (s *Sidecar) endLease(leaseEpoch ident.Epoch, err error) bool {
 	if leaseEpoch != s.leaseEpoch {
 		return false
--- a/daemon/sidecar/sendqueue_test.go
+++ b/daemon/sidecar/sendqueue_test.go
@@ -18,7 +18,7 @@
 
 // A request whose time ends while it is queued is rejected then, not run, and not held until one
 // before it is over; those behind it move up.
-func TestTimeEndsInQueue(t *testing.T) {
+func TestDeadlinePassesInQueue(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
 	endpointAddr := listen(t, func(c *net.TCPConn) {
 		eachRequest(c, func(_ *bufio.Reader, req *http.Request, _ []byte) bool {
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -135,7 +135,7 @@
 	return verdict, false
 }
 
-// releaseSlot returns back the slot of a request that was admitted.
+// releaseSlot gives back the slot of a request that was admitted.
 func (s *Sidecar) releaseSlot(server ident.Server, id uint64, outcome admission.Outcome, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/mesh/admission/compare_test.go
+++ b/mesh/admission/compare_test.go
@@ -79,7 +79,7 @@
 
 // With a cost for bytes between zones most large responses stay in their zone, and no worth is lost
 // for it.
-func TestPricedBytesStayInTheZone(t *testing.T) {
+func TestCrossZoneCostKeepsResponsesInTheZone(t *testing.T) {
 	scenario, priced := largeMesh, currentPolicy
 	scenario.length = 8 * time.Second
 	priced.tuneBalancer = func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond }
--- a/mesh/admission/model_test.go
+++ b/mesh/admission/model_test.go
@@ -310,7 +310,7 @@
 	})
 }
 
-// executeQueued returns the free slots of an endpoint to its own queue.
+// executeQueued gives the free slots of an endpoint to its own queue.
 func (m *model) executeQueued(s *server) {
 	for s.busy < slots && len(s.queue) > 0 {
 		next := s.queue[0]
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -86,7 +86,7 @@
 }
 
 // Parts of a weighted route may be finer than a hundredth.
-func TestFineSplitsHold(t *testing.T) {
+func TestSplitsFinerThanAHundredth(t *testing.T) {
 	planner, n := newPlanner(validation.WeightedService{Service: "b", Percent: 33, ExtraMillionths: 3333}), 0
 	for range 30000 {
 		call := &Call{Host: "h", Path: "/", Method: "GET"}
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -54,7 +54,7 @@
 	return own
 }
 
-// Usable is how many retries may be in flight.
+// Usable is how many retries this sidecar may spend within a window of Terms.
 func (s *BudgetShare) Usable() int { return s.usable }
 
 // SetMembers takes how many sidecars a core sees. When there are more, less is used at once.
--- a/mesh/lease/joiner/joiner_test.go
+++ b/mesh/lease/joiner/joiner_test.go
@@ -54,7 +54,7 @@
 
 // A core's Retry-After is kept to, and sidecars that were rejected together come back at
 // different times.
-func TestRefusedOnesComeBackSpread(t *testing.T) {
+func TestRejectedJoinsReturnSpreadOut(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 100 {
 		j := New(ident.Node(fmt.Sprint("node-", n)), "")
@@ -69,7 +69,7 @@
 
 // Failures without a Retry-After are followed by a backoff that grows to a bound, and that is
 // forgotten with a join.
-func TestPausesGrowToABound(t *testing.T) {
+func TestBackoffGrowsToABound(t *testing.T) {
 	j := New("node-1", "")
 	j.HandleFailure(startTime, "core")
 	must.LessEq(t, 3*minBackoff/2, j.Backoff(startTime))
--- a/mesh/loadbalancer/balancer_test.go
+++ b/mesh/loadbalancer/balancer_test.go
@@ -21,7 +21,7 @@
 // Every mix of status, lapsed lease and earlier attempt of three workloads: only a healthy one that was
 // not tried is ever chosen, one with a lease in force before one whose lease has lapsed, and there is a
 // choice whenever there is one to choose.
-func TestAllMixesOfThree(t *testing.T) {
+func TestAllMixesOfThreeWorkloads(t *testing.T) {
 	statuses := []record.Status{record.Healthy, record.Draining, record.Unhealthy, record.Unknown}
 	for n := range 16 * 16 * 16 {
 		balancer := New("d", uint64(n))
--- a/mesh/loadreport/loadreport_test.go
+++ b/mesh/loadreport/loadreport_test.go
@@ -9,7 +9,7 @@
 )
 
 // A report survives its header form; values out of range are bounded, and other texts malformed.
-func TestTextAndBack(t *testing.T) {
+func TestTextRoundTrip(t *testing.T) {
 	for _, report := range []Report{{}, {Running: 7, Waiting: 3, Slots: 6, RelativeTime: 1.25, FailureRate: 0.5, QueueDelay: 40 * time.Millisecond}} {
 		got, err := Parse(report.Text())
 		must.Nil(t, err)
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -39,7 +39,7 @@
 }
 
 // Lapsed is the view of the core that gives the set: the same version may lapse and come back.
-func TestLapsedFollowsTheGiver(t *testing.T) {
+func TestLapsedIsTheReportingCoresView(t *testing.T) {
 	index := New()
 	for _, lapsed := range []bool{false, true, false, true} {
 		must.True(t, index.Merge([]record.Set{newSet("n", 1, 1, 1, lapsed, record.Healthy)}))
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -193,7 +193,7 @@
 }
 
 // The bound holds with other limits as well.
-func TestLimitsHold(t *testing.T) {
+func TestBoundHoldsWithOtherLimits(t *testing.T) {
 	for _, limits := range []Limits{{Window: 4 * time.Second, Ratio: 0.1, Extra: 4}, {Window: 20 * time.Second, Extra: 4}, {Ratio: -1, Extra: 4}, {Extra: -1}} {
 		effective := limits.WithDefaults()
 		budget := New(0, limits)
--- a/mesh/retrybudget/runs_test.go
+++ b/mesh/retrybudget/runs_test.go
@@ -159,12 +159,12 @@
 	return 1
 }
 
-// fixedRate returns all endpoints a failure rate.
+// fixedRate gives all endpoints one failure rate.
 func fixedRate(rate float64) func(*rand.Rand) float64 {
 	return func(*rand.Rand) float64 { return rate }
 }
 
-// randomRate returns an endpoint a failure rate of 5 to 100 hundredths.
+// randomRate gives each endpoint a failure rate of 5 to 100 hundredths.
 func randomRate(rng *rand.Rand) float64 { return 0.05 + 0.95*rng.Float64() }
 
 var scenarios = []scenario{
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,11 +27,11 @@
 	}
 	_, fail = ReadSidecar(map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:1", "data": "x"})
 	must.NotNil(t, fail)
-	must.Eq(t, 4, len(fail.Faults), must.Sprint(fail.Faults)) // caller, data, district, seeds
+	must.Eq(t, 4, len(fail.Faults), must.Sprint(fail.Faults)) // caller, data, zone, seeds
 }
 
-// The sample settings files of both deployments are good.
-func TestSamplesAreGood(t *testing.T) {
+// The sample settings files of both deployments are valid.
+func TestSampleSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../samples/*/*.json")
 	must.NoError(t, err)
 	must.Greater(t, 4, len(files))
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -121,7 +121,7 @@
 
 // A connection on which a body was asked for, and sent, is reused; one on which it was refused
 // is not, since the peer may still wait for the body.
-func TestConnectionAfterAnAskedBody(t *testing.T) {
+func TestConnectionReuseAfterContinue(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *continueServer
 		conns  int64
@@ -141,7 +141,7 @@
 
 // A body that was asked for and is broken off has an unknown outcome; a small body is not
 // asked for at all.
-func TestWhatIsNotAskedForFirst(t *testing.T) {
+func TestExpectContinueOfInterruptedAndSmallBodies(t *testing.T) {
 	pool := exchange.New("")
 	interrupted := &continueServer{early: continueResponse}
 	_, sent, fail := doCall(t, pool, interrupted.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 16<<20), ExpectContinue: true})
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -187,7 +187,7 @@
 	return pool.dialConn(ctx, host, call)
 }
 
-// returnHandover returns back what a call was handed as it stopped waiting.
+// returnHandover gives back what a call was handed as it stopped waiting.
 func (pool *Pool) returnHandover(host *hostPool, waiter chan *conn) {
 	c, ok := <-waiter
 	switch {
--- a/wire/exchange/reuse_test.go
+++ b/wire/exchange/reuse_test.go
@@ -160,7 +160,7 @@
 }
 
 // A connection is not reused after a response whose end is not certain.
-func TestWhatIsNotReused(t *testing.T) {
+func TestConnectionIsNotReusedAfterAnUncertainEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		say    string
 		method string
@@ -246,81 +246,95 @@
 // The connection limit of an address holds; a call that finds it reached is rejected, not sent,
 // or waits for a connection, for a slot, for its deadline, or for the address to be dropped.
 func TestBoundOfAnAddress(t *testing.T) {
-	t.Run("rejected", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, okResponse)
-		sent, fail := r.do()
-		must.False(t, sent)
-		must.Eq(t, failure.Busy, fail.Kind)
-		must.Eq(t, failure.NotExecuted, fail.Outcome)
-		close(goOn)
-		must.Nil(t, <-first)
-		must.Eq(t, 1, r.requestsRead.Load())
-	})
-	t.Run("gets the connection", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, okResponse)
-		next := r.startWaiting()
-		close(goOn)
-		must.Nil(t, <-first)
-		must.Nil(t, <-next)
-		must.Eq(t, 1, r.pool.Dials())
-		must.Eq(t, 1, r.pool.OpenConns(r.addr))
-	})
-	t.Run("gets the slot", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
-		next := r.startWaiting()
-		close(goOn)
-		must.Nil(t, <-first)
-		must.Nil(t, <-next)
-		must.Eq(t, 2, r.pool.Dials())
-		must.Eq(t, 0, r.pool.OpenConns(r.addr))
-	})
-	t.Run("a single-use call gets the slot", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, okResponse)
-		next := r.startWaiting(func(call *Call) { call.SingleUse = true })
-		close(goOn)
-		must.Nil(t, <-first)
-		must.Nil(t, <-next)
-		must.Eq(t, 2, r.pool.Dials())
-		must.Eq(t, 0, r.pool.OpenConns(r.addr))
-	})
-	t.Run("until its deadline", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, okResponse)
-		sent, fail := r.do(waitForConn, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
+	t.Run("rejected", testBusyAddressRejects)
+	t.Run("gets the connection", testWaiterGetsTheConnection)
+	t.Run("gets the slot", testWaiterGetsTheSlot)
+	t.Run("a single-use call gets the slot", testSingleUseWaiterGetsTheSlot)
+	t.Run("until its deadline", testWaiterGivesUpAtItsDeadline)
+	t.Run("dropped", testWaiterOfADroppedAddressFails)
+	t.Run("no listener", testFailedDialFreesItsSlot)
+}
+
+func testBusyAddressRejects(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, okResponse)
+	sent, fail := r.do()
+	must.False(t, sent)
+	must.Eq(t, failure.Busy, fail.Kind)
+	must.Eq(t, failure.NotExecuted, fail.Outcome)
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Eq(t, 1, r.requestsRead.Load())
+}
+
+func testWaiterGetsTheConnection(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, okResponse)
+	next := r.startWaiting()
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Nil(t, <-next)
+	must.Eq(t, 1, r.pool.Dials())
+	must.Eq(t, 1, r.pool.OpenConns(r.addr))
+}
+
+func testWaiterGetsTheSlot(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
+	next := r.startWaiting()
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Nil(t, <-next)
+	must.Eq(t, 2, r.pool.Dials())
+	must.Eq(t, 0, r.pool.OpenConns(r.addr))
+}
+
+func testSingleUseWaiterGetsTheSlot(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, okResponse)
+	next := r.startWaiting(func(call *Call) { call.SingleUse = true })
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Nil(t, <-next)
+	must.Eq(t, 2, r.pool.Dials())
+	must.Eq(t, 0, r.pool.OpenConns(r.addr))
+}
+
+func testWaiterGivesUpAtItsDeadline(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, okResponse)
+	sent, fail := r.do(waitForConn, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
+	must.False(t, sent)
+	must.Eq(t, failure.DeadlineExceeded, fail.Kind)
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Eq(t, 1, r.pool.OpenConns(r.addr))
+	must.SliceLen(t, 1, r.idle())
+	r.mustSucceed()
+}
+
+func testWaiterOfADroppedAddressFails(t *testing.T) {
+	r, goOn, first := newBusyHarness(t, okResponse)
+	next := r.startWaiting()
+	r.pool.mu.Lock()
+	old := r.pool.hosts[r.addr]
+	r.pool.mu.Unlock()
+	r.pool.Drop(r.addr)
+	must.Eq(t, failure.Unreachable, (<-next).Kind)
+	close(goOn)
+	must.Nil(t, <-first)
+	must.Eq(t, 0, r.pool.OpenConns(r.addr))
+	must.Eq(t, 0, old.openCount)
+	must.SliceEmpty(t, old.idle)
+	must.Eq(t, 1, r.requestsRead.Load())
+}
+
+func testFailedDialFreesItsSlot(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	must.NoError(t, l.Close())
+	r := &harness{T: t, addr: ident.Addr(l.Addr().String()), pool: New("", oneConn)}
+	for range 3 {
+		sent, fail := r.do(waitForConn)
 		must.False(t, sent)
-		must.Eq(t, failure.DeadlineExceeded, fail.Kind)
-		close(goOn)
-		must.Nil(t, <-first)
-		must.Eq(t, 1, r.pool.OpenConns(r.addr))
-		must.SliceLen(t, 1, r.idle())
-		r.mustSucceed()
-	})
-	t.Run("dropped", func(t *testing.T) {
-		r, goOn, first := newBusyHarness(t, okResponse)
-		next := r.startWaiting()
-		r.pool.mu.Lock()
-		old := r.pool.hosts[r.addr]
-		r.pool.mu.Unlock()
-		r.pool.Drop(r.addr)
-		must.Eq(t, failure.Unreachable, (<-next).Kind)
-		close(goOn)
-		must.Nil(t, <-first)
+		must.Eq(t, failure.Unreachable, fail.Kind)
 		must.Eq(t, 0, r.pool.OpenConns(r.addr))
-		must.Eq(t, 0, old.openCount)
-		must.SliceEmpty(t, old.idle)
-		must.Eq(t, 1, r.requestsRead.Load())
-	})
-	t.Run("no listener", func(t *testing.T) {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		must.NoError(t, err)
-		must.NoError(t, l.Close())
-		r := &harness{T: t, addr: ident.Addr(l.Addr().String()), pool: New("", oneConn)}
-		for range 3 {
-			sent, fail := r.do(waitForConn)
-			must.False(t, sent)
-			must.Eq(t, failure.Unreachable, fail.Kind)
-			must.Eq(t, 0, r.pool.OpenConns(r.addr))
-		}
-	})
+	}
 }
 
 // A rejection by BeforeSend leaves the connection to others; a deadline that has passed is
--- a/wire/exchange/unsolicited_test.go
+++ b/wire/exchange/unsolicited_test.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"strings"
@@ -82,18 +83,27 @@
 	}
 }
 
-// Whatever an endpoint sends unsolicited, twice, too early or with a wrong end, a caller gets
-// the response to its own request or none, and so does the next one. Each case runs over
-// single-use connections and over pooled ones.
-func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
-	const all, none, some = "all", "none", "some"
+// The parts of a case's calls that succeed.
+const (
+	allSucceed  = "all"
+	noneSucceed = "none"
+	someSucceed = "some" // how many is up to timing
+)
+
+// unsolicitedCase is how an endpoint answers, which calls succeed for all that, and the size of the
+// calls' bodies, in bytes, 0 for none.
+type unsolicitedCase struct {
+	play  func(net.Conn, *bufio.Reader, func() (string, bool))
+	good  string
+	large int
+}
+
+// unsolicitedCases are the cases of TestOnlyTheOwnResponseReachesACaller by name.
+func unsolicitedCases() map[string]unsolicitedCase {
+	const all, none, some = allSucceed, noneSucceed, someSucceed
 	bare := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
 	nothing := func(string) string { return "" }
-	for name, c := range map[string]struct {
-		play  func(net.Conn, *bufio.Reader, func() (string, bool))
-		good  string
-		large int
-	}{
+	return map[string]unsolicitedCase{
 		"valid":                             {respondEach(responseTo), all, 0},
 		"a second response with the first":  {respondEach(func(id string) string { return responseTo(id) + responseTo("other") }), all, 0},
 		"a doubled response":                {respondEach(func(id string) string { return responseTo(id) + responseTo(id) }), all, 0},
@@ -130,6 +140,13 @@
 		"a response before the request is complete":               {respondEarly(responseTo("other"), nothing), none, 1 << 20},
 		"a response before the request is complete, then its own": {respondEarly(responseTo("other"), responseTo), all, 1 << 20},
 		"no id before the request is complete, then its own":      {respondEarly(bare("other"), responseTo), none, 1 << 20},
+	}
+}
+
+// badEndCases are further ones, of responses whose head or end is wrong, by name.
+func badEndCases() map[string]unsolicitedCase {
+	const all, none = allSucceed, noneSucceed
+	return map[string]unsolicitedCase{
 		"a length below the body's": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), all, 0},
@@ -150,32 +167,45 @@
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + requestIDHeader + ": " + id + "\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\n"))
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}, none, 0},
-	} {
+	}
+}
+
+// Whatever an endpoint sends unsolicited, twice, too early or with a wrong end, a caller gets
+// the response to its own request or none, and so does the next one. Each case runs over
+// single-use connections and over pooled ones.
+func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
+	cases := unsolicitedCases()
+	maps.Copy(cases, badEndCases())
+	for name, c := range cases {
 		for _, fresh := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, "/fresh ", fresh), func(t *testing.T) {
-				good := 0
-				pool := exchange.New("", patientSettings)
-				addr := serveConns(t, c.play)
-				for n := range 30 {
-					id := fmt.Sprintf("r%d", n)
-					call := identifiedCall([]string{"GET", "POST"}[n%2], id)
-					call.SingleUse = fresh
-					if c.large > 0 {
-						call.Body = bytes.Repeat([]byte("x"), c.large)
-					}
-					response, sent, fail := doCall(t, pool, addr, call)
-					if fail == nil {
-						good++
-						must.Eq(t, jsonBody(id), string(response.Body))
-						continue
-					}
-					must.Nil(t, response)
-					must.Eq(t, sent, fail.Outcome == failure.OutcomeUnknown)
-				}
-				must.True(t, c.good == some || c.good == all && good == 30 || c.good == none && good == 0, must.Sprintf("%d of 30 came through", good))
-			})
+			t.Run(fmt.Sprint(name, "/fresh ", fresh), func(t *testing.T) { c.check(t, fresh) })
+		}
+	}
+}
+
+// check makes the calls of a case, each over a connection of its own if fresh.
+func (c unsolicitedCase) check(t *testing.T, fresh bool) {
+	good := 0
+	pool := exchange.New("", patientSettings)
+	addr := serveConns(t, c.play)
+	for n := range 30 {
+		id := fmt.Sprintf("r%d", n)
+		call := identifiedCall([]string{"GET", "POST"}[n%2], id)
+		call.SingleUse = fresh
+		if c.large > 0 {
+			call.Body = bytes.Repeat([]byte("x"), c.large)
+		}
+		response, sent, fail := doCall(t, pool, addr, call)
+		if fail == nil {
+			good++
+			must.Eq(t, jsonBody(id), string(response.Body))
+			continue
 		}
+		must.Nil(t, response)
+		must.Eq(t, sent, fail.Outcome == failure.OutcomeUnknown)
 	}
+	must.True(t, c.good == someSucceed || c.good == allSucceed && good == 30 || c.good == noneSucceed && good == 0,
+		must.Sprintf("%d of 30 came through", good))
 }
 
 // Without an id only the connection tells to which request a response belongs: bytes that follow
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -43,13 +43,20 @@
 // their own. intercept, when given, sees every request before it is routed and before its path
 // is cleaned, and returns true when it has served it.
 func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
-	s := &Server{listener: &listener{addr: addr}, conns: newConnTracker(), started: make(chan struct{}), served: make(chan struct{})}
+	s := &Server{
+		listener: &listener{addr: addr},
+		conns:    newConnTracker(),
+		started:  make(chan struct{}),
+		served:   make(chan struct{}),
+	}
 	for _, option := range options {
 		option(s.listener)
 	}
 	kratosOptions := []khttp.ServerOption{
 		khttp.Listener(s.listener),
-		khttp.Address(string(addr)), khttp.Timeout(0), khttp.StrictSlash(false),
+		khttp.Address(string(addr)),
+		khttp.Timeout(0),
+		khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
