--- a/daemon/api/mesh/mesh_test.go
+++ b/daemon/api/mesh/mesh_test.go
@@ -25,7 +25,15 @@
 // startCore starts a core that looks for the other founders, and gives its API.
 func startCore(t *testing.T, founders ...ident.Addr) (*core.Core, http.Handler) {
 	addr := ident.Addr("127.0.0.1:9")
-	config := settings.Core{Addr: addr, Listen: addr, Zone: "d", Founders: append(founders, addr), Voters: 5, RingFileBytes: 1 << 20, RingFiles: 4}
+	config := settings.Core{
+		Addr:          addr,
+		Listen:        addr,
+		Zone:          "d",
+		Founders:      append(founders, addr),
+		Voters:        5,
+		RingFileBytes: 1 << 20,
+		RingFiles:     4,
+	}
 	c, err := core.Open(config, zap.NewNop(), memFolder{ring.NewMemoryFolder()})
 	must.NoError(t, err)
 	r := mux.NewRouter()
--- a/daemon/integration/sidecarstop_test.go
+++ b/daemon/integration/sidecarstop_test.go
@@ -47,7 +47,13 @@
 		status, _ := request(http.MethodPut, cluster.addrs[0], "", "/manifest", []byte(minimalConfig), nil)
 		return status == http.StatusOK
 	})
-	app, err := endpoint.Start(endpoint.Options{Server: testApp, Service: "a.x", Addr: freeAddr(t), SidecarAddr: m.endpointSide.addr, Behavior: endpoint.Behavior{WorkTime: workTime}})
+	app, err := endpoint.Start(endpoint.Options{
+		Server:      testApp,
+		Service:     "a.x",
+		Addr:        freeAddr(t),
+		SidecarAddr: m.endpointSide.addr,
+		Behavior:    endpoint.Behavior{WorkTime: workTime},
+	})
 	must.NoError(t, err)
 	m.app = app
 	t.Cleanup(app.Kill)
--- a/daemon/sidecar/bodies_test.go
+++ b/daemon/sidecar/bodies_test.go
@@ -21,7 +21,15 @@
 		for _, c := range []struct {
 			body, head, held int
 			kind             failure.Kind
-		}{{0, 0, 0, ""}, {800, 0, 0, ""}, {801, 0, 0, failure.Oversize}, {0, 9000, 0, failure.Oversize}, {500, 0, 500, ""}, {501, 0, 500, failure.Busy}, {0, 0, 1000, ""}} {
+		}{
+			{0, 0, 0, ""},
+			{800, 0, 0, ""},
+			{801, 0, 0, failure.Oversize},
+			{0, 9000, 0, failure.Oversize},
+			{500, 0, 500, ""},
+			{501, 0, 500, failure.Busy},
+			{0, 0, 1000, ""},
+		} {
 			s.bodies.inFlight.Store(int64(c.held))
 			r := httptest.NewRequest("POST", "/x", strings.NewReader(strings.Repeat("b", c.body)))
 			if pieces {
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -32,14 +32,33 @@
 // Only the results that say so prove that a request did not run; one that is not known proves
 // nothing.
 func TestPeerResults(t *testing.T) {
-	for result, want := range map[peerResult]attempt.Outcome{resultResponse: attempt.Executed, resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown} {
+	for result, want := range map[peerResult]attempt.Outcome{
+		resultResponse:   attempt.Executed,
+		resultRejected:   attempt.NotExecuted,
+		resultNoCapacity: attempt.NotExecuted,
+		resultShed:       attempt.NotExecuted,
+		resultUnknown:    attempt.Unknown,
+		"":               attempt.Unknown,
+		"news":           attempt.Unknown,
+	} {
 		must.Eq(t, want, attemptResultFor(nil, result).Outcome, must.Sprint(result))
 	}
-	for _, hints := range []admissionHints{{}, {priority: 2, expectedTime: 31 * time.Millisecond, earlyRejection: -time.Second, latencyTarget: 200 * time.Millisecond, peerFailureRate: 0.25, lastResort: true}} {
+	for _, hints := range []admissionHints{
+		{},
+		{
+			priority:        2,
+			expectedTime:    31 * time.Millisecond,
+			earlyRejection:  -time.Second,
+			latencyTarget:   200 * time.Millisecond,
+			peerFailureRate: 0.25,
+			lastResort:      true,
+		},
+	} {
 		must.Eq(t, hints, parseHints(hints.encode()))
 	}
 	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
 		hints := parseHints(text)
-		must.True(t, hints.priority >= 0 && hints.expectedTime >= 0 && hints.peerFailureRate >= 0 && hints.peerFailureRate <= 1, must.Sprint(text))
+		must.True(t, hints.priority >= 0 && hints.expectedTime >= 0 && hints.peerFailureRate >= 0 && hints.peerFailureRate <= 1,
+			must.Sprint(text))
 	}
 }
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -48,7 +48,12 @@
 	t.Helper()
 	routes := map[string]any{}
 	for i := range routeCount {
-		routes[fmt.Sprintf("route-%d", i)] = map[string]any{"host": "a.example", "pathStart": fmt.Sprintf("/%d/", i), "service": "s.prairie", "timeoutMs": 500}
+		routes[fmt.Sprintf("route-%d", i)] = map[string]any{
+			"host":      "a.example",
+			"pathStart": fmt.Sprintf("/%d/", i),
+			"service":   "s.prairie",
+			"timeoutMs": 500,
+		}
 	}
 	routes["route-0"].(map[string]any)["timeoutMs"] = timeout
 	raw := operation.Encode(map[string]any{"services": map[string]any{"s.prairie": map[string]any{}}, "ways": routes})
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -105,7 +105,8 @@
 			must.Eq(t, refused, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", order, id))
 		}
 	}
-	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", order, id, ran, got.Code, got.Header().Get(response.OutcomeHeader), got.Body)
+	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", order, id, ran, got.Code,
+		got.Header().Get(response.OutcomeHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
 		must.LessEq(t, 1, ran, message)
 	}
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -41,7 +41,15 @@
 
 // The hints of a release that wrote six fields are read as before.
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
-	hints := admissionHints{priority: 2, expectedTime: time.Millisecond, earlyRejection: 2 * time.Millisecond, latencyTarget: 3 * time.Millisecond, peerFailureRate: 0.25, lastResort: true, responseBytes: 77}
+	hints := admissionHints{
+		priority:        2,
+		expectedTime:    time.Millisecond,
+		earlyRejection:  2 * time.Millisecond,
+		latencyTarget:   3 * time.Millisecond,
+		peerFailureRate: 0.25,
+		lastResort:      true,
+		responseBytes:   77,
+	}
 	must.Eq(t, hints, parseHints(hints.encode()))
 	hints.responseBytes = 0
 	must.Eq(t, hints, parseHints("2,1000,2000,3000,250,1"))
--- a/daemon/sidecar/metrics_test.go
+++ b/daemon/sidecar/metrics_test.go
@@ -44,7 +44,17 @@
 	must.NoError(t, err)
 	var got map[string]any
 	must.NoError(t, json.Unmarshal(raw, &got))
-	for key, want := range map[string]any{"node": "n", "claim": 7.0, "leaseEpoch": 7.0, "manifest": 0.0, "configRevision": 0.0, "ready": false, "sets": 0.0, "share": 0.0, "shareGranted": 0.0} {
+	for key, want := range map[string]any{
+		"node":           "n",
+		"claim":          7.0,
+		"leaseEpoch":     7.0,
+		"manifest":       0.0,
+		"configRevision": 0.0,
+		"ready":          false,
+		"sets":           0.0,
+		"share":          0.0,
+		"shareGranted":   0.0,
+	} {
 		must.Eq(t, want, got[key], must.Sprint(key))
 	}
 	for _, key := range []string{"cores", "workloads"} {
--- a/daemon/sidecar/peerresult_test.go
+++ b/daemon/sidecar/peerresult_test.go
@@ -18,8 +18,20 @@
 // without a body that can be read proves nothing.
 func TestPeerResultWithoutABody(t *testing.T) {
 	for method, wantByResult := range map[string]map[peerResult]attempt.Outcome{
-		http.MethodHead: {resultRejected: attempt.NotExecuted, resultNoCapacity: attempt.NotExecuted, resultShed: attempt.NotExecuted, resultUnknown: attempt.Unknown, "": attempt.Unknown, "news": attempt.Unknown},
-		http.MethodPost: {resultRejected: attempt.Unknown, resultNoCapacity: attempt.Unknown, resultShed: attempt.Unknown, resultUnknown: attempt.Unknown},
+		http.MethodHead: {
+			resultRejected:   attempt.NotExecuted,
+			resultNoCapacity: attempt.NotExecuted,
+			resultShed:       attempt.NotExecuted,
+			resultUnknown:    attempt.Unknown,
+			"":               attempt.Unknown,
+			"news":           attempt.Unknown,
+		},
+		http.MethodPost: {
+			resultRejected:   attempt.Unknown,
+			resultNoCapacity: attempt.Unknown,
+			resultShed:       attempt.Unknown,
+			resultUnknown:    attempt.Unknown,
+		},
 	} {
 		for result, want := range wantByResult {
 			call := exchange.Call{Method: method}
--- a/daemon/sidecar/probe_test.go
+++ b/daemon/sidecar/probe_test.go
@@ -14,11 +14,24 @@
 // Only an endpoint whose answer says that it is healthy, and which one it is, counts as healthy when
 // a sidecar starts.
 func TestHeartbeatFromProbe(t *testing.T) {
-	s := New(settings.Sidecar{EndpointAddr: "127.0.0.1:9", EndpointService: "svc", Headers: settings.Headers{ServerID: "X-Who", LoadReport: "X-Room"}}, nil)
+	s := New(settings.Sidecar{
+		EndpointAddr:    "127.0.0.1:9",
+		EndpointService: "svc",
+		Headers:         settings.Headers{ServerID: "X-Who", LoadReport: "X-Room"},
+	}, nil)
 	for _, status := range []int{200, 204, 404, 503} {
 		for _, serverID := range []string{"", "i-1"} {
-			for loadHeader, slots := range map[string]int{"": defaultSlots, "1,0,9": 9, "1,0": defaultSlots, "1,0,x": defaultSlots, "0,0,-3": defaultSlots} {
-				heartbeat, ok := s.heartbeatFromProbe(&exchange.Response{Status: status, Header: http.Header{"X-Who": {serverID}, "X-Room": {loadHeader}}})
+			for loadHeader, slots := range map[string]int{
+				"":       defaultSlots,
+				"1,0,9":  9,
+				"1,0":    defaultSlots,
+				"1,0,x":  defaultSlots,
+				"0,0,-3": defaultSlots,
+			} {
+				heartbeat, ok := s.heartbeatFromProbe(&exchange.Response{
+					Status: status,
+					Header: http.Header{"X-Who": {serverID}, "X-Room": {loadHeader}},
+				})
 				must.Eq(t, status == 200 && serverID != "", ok, must.Sprint(status, serverID))
 				if ok {
 					must.Eq(t, endpoint.Heartbeat{Server: "i-1", Service: "svc", Addr: "127.0.0.1:9", State: endpoint.Alive, Slots: slots}, heartbeat)
--- a/daemon/sidecar/renewal_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -60,7 +60,12 @@
 // Of the peers that are asked only one gives its registry, and none while a core does.
 func TestPeersAreAskedBriefly(t *testing.T) {
 	s := New(settings.Sidecar{}, zap.NewNop())
-	s.planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Seq: 1, Records: []record.Address{{Workload: &record.Workload{UID: "u"}}}}})
+	s.planner.Index.Merge([]record.Set{{
+		Author:     "n",
+		LeaseEpoch: 1,
+		Seq:        1,
+		Records:    []record.Address{{Workload: &record.Workload{UID: "u"}}},
+	}})
 	for query, sets := range map[string]int{"": 1, "have=other": 1, "brief=1": 0, "have=" + registryDigest(s.planner.Index.Sets()): 0} {
 		rec := httptest.NewRecorder()
 		s.handlePeerState(rec, httptest.NewRequest("GET", "/cottonarch/v1/peer?"+query, nil))
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -64,7 +64,8 @@
 func ownBody(id string) string { return `{"ran":"` + id + `"}` }
 
 func answerTo(status int, id, extra string) string {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, testIDHeader, id, extra, len(ownBody(id)), ownBody(id))
+	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
+		testIDHeader, id, extra, len(ownBody(id)), ownBody(id))
 }
 
 func sealedAnswer(id string, _ []string) string { return answerTo(200, id, testSealHeader+": s\r\n") }
@@ -274,12 +275,34 @@
 
 // newTestSidecar makes a sidecar whose duties do not run, with endpoints of its own machine.
 func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
-	s := New(settings.Sidecar{Node: name, Addr: addr, Zone: "d", Senders: 16, QueueCapacity: 16, MaxInFlight: 64, EndpointsVerifyTarget: true, HeartbeatInterval: time.Hour,
-		Headers: settings.Headers{RequestID: testIDHeader, Deadline: "X-Limit-Left-Ms", CallingService: "X-Calling-Service", SuccessMark: testSealHeader, NotExecuted: "X-Not-Run", FractionalRetryAfter: true}}, zap.NewNop())
+	s := New(settings.Sidecar{
+		Node:                  name,
+		Addr:                  addr,
+		Zone:                  "d",
+		Senders:               16,
+		QueueCapacity:         16,
+		MaxInFlight:           64,
+		EndpointsVerifyTarget: true,
+		HeartbeatInterval:     time.Hour,
+		Headers: settings.Headers{
+			RequestID:            testIDHeader,
+			Deadline:             "X-Limit-Left-Ms",
+			CallingService:       "X-Calling-Service",
+			SuccessMark:          testSealHeader,
+			NotExecuted:          "X-Not-Run",
+			FractionalRetryAfter: true,
+		},
+	}, zap.NewNop())
 	s.planner.RetryBudget.Unlimited = true
 	s.planner.Enforce(testConfig)
 	for n, endpointAddr := range endpoints {
-		_ = s.Heartbeat(endpoint.Heartbeat{Server: ident.Server(fmt.Sprint(name, n)), Service: "s", Addr: endpointAddr, State: endpoint.Alive, Seq: 1})
+		_ = s.Heartbeat(endpoint.Heartbeat{
+			Server:  ident.Server(fmt.Sprint(name, n)),
+			Service: "s",
+			Addr:    endpointAddr,
+			State:   endpoint.Alive,
+			Seq:     1,
+		})
 	}
 	return s
 }
@@ -288,7 +311,13 @@
 func (s *Sidecar) addWorkloads(author ident.Node, sidecarAddr ident.Addr, servers ...ident.Server) {
 	var records []record.Address
 	for _, id := range servers {
-		records = append(records, record.Address{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: sidecarAddr, Weight: 1, Status: record.Healthy}})
+		records = append(records, record.Address{Workload: &record.Workload{
+			UID:         id,
+			Service:     "s",
+			SidecarAddr: sidecarAddr,
+			Weight:      1,
+			Status:      record.Healthy,
+		}})
 	}
 	s.planner.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
 }
--- a/mesh/admission/compare_test.go
+++ b/mesh/admission/compare_test.go
@@ -68,8 +68,10 @@
 			scenario.length = 13 * time.Second
 			legacy, current := simulate(scenario, legacyPolicy, 11), simulate(scenario, currentPolicy, 11)
 			must.Eq(t, legacy.calls, current.calls)
-			t.Logf("in time %d, were %d of %d; score %.3f, was %.3f; rank 1 %.3f, was %.3f", current.onTime, legacy.onTime, current.calls, current.score(), legacy.score(), current.rank(1), legacy.rank(1))
-			must.Greater(t, testCase.gain*float64(legacy.onTime), float64(current.onTime), must.Sprintf("%d of %d in time, were %d", current.onTime, current.calls, legacy.onTime))
+			t.Logf("in time %d, were %d of %d; score %.3f, was %.3f; rank 1 %.3f, was %.3f", current.onTime, legacy.onTime,
+				current.calls, current.score(), legacy.score(), current.rank(1), legacy.rank(1))
+			must.Greater(t, testCase.gain*float64(legacy.onTime), float64(current.onTime),
+				must.Sprintf("%d of %d in time, were %d", current.onTime, current.calls, legacy.onTime))
 			must.Greater(t, testCase.rank1, current.rank(1))
 			must.Greater(t, testCase.score, current.score())
 			must.LessEq(t, current.calls/20, current.rejectedLate)
@@ -134,7 +136,8 @@
 	for i, average := range results {
 		policy := policies[i%len(policies)]
 		sums[policy.name] += (average.score + average.worstWindows) / 2 / float64(len(all))
-		fmt.Printf("%-14s %-12s %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.2f\n", names[i/len(policies)], policy.name, average.score, average.earned, average.firstRank, average.worstWindows, average.crossZone, average.rejectedLate, average.hops)
+		fmt.Printf("%-14s %-12s %6.3f %6.3f %6.3f %6.3f %6.3f %6.3f %6.2f\n", names[i/len(policies)], policy.name, average.score,
+			average.earned, average.firstRank, average.worstWindows, average.crossZone, average.rejectedLate, average.hops)
 	}
 	for _, policy := range policies {
 		fmt.Printf("%-12s %.4f\n", policy.name, sums[policy.name])
@@ -144,7 +147,12 @@
 var tunedPolicies = []policy{
 	{name: "default", balancer: "current", admission: true},
 	{name: "sample3", balancer: "current", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.SampleSize = 3 }},
-	{name: "cross1", balancer: "current", admission: true, tuneBalancer: func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond }},
+	{
+		name:         "cross1",
+		balancer:     "current",
+		admission:    true,
+		tuneBalancer: func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond },
+	},
 	{name: "margin1", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Margin = 1 }},
 	{name: "extra0", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 0 }},
 	{name: "extra2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 2 }},
--- a/mesh/admission/model_test.go
+++ b/mesh/admission/model_test.go
@@ -108,9 +108,21 @@
 
 // newServer makes an endpoint; the last one enters later if the scenario has a slow start.
 func (m *model) newServer(i int) {
-	s := &server{index: i, speed: m.scenario.speeds[i%len(m.scenario.speeds)], waiting: map[uint64]*call{}, admittedAt: map[uint64]monotime.Time{}}
+	s := &server{
+		index:      i,
+		speed:      m.scenario.speeds[i%len(m.scenario.speeds)],
+		waiting:    map[uint64]*call{},
+		admittedAt: map[uint64]monotime.Time{},
+	}
 	id := ident.Server(fmt.Sprintf("e%02d", i))
-	s.entry = registry.Entry{Workload: &record.Workload{UID: id, Service: "s", SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: m.zone(i), Weight: 1, Status: record.Healthy}}
+	s.entry = registry.Entry{Workload: &record.Workload{
+		UID:         id,
+		Service:     "s",
+		SidecarAddr: ident.Addr(fmt.Sprint("g", i)),
+		Zone:        m.zone(i),
+		Weight:      1,
+		Status:      record.Healthy,
+	}}
 	if m.policy.admission {
 		settings := admission.DefaultSettings()
 		if m.policy.tuneAdmission != nil {
@@ -219,7 +231,14 @@
 	c.tried[e.UID] = true
 	m.tally.hops++
 	balancer.Started(e.UID)
-	request := admission.Request{ID: c.id, Rank: c.kind.rank, FreeRejectUntil: c.arrivedAt.Add(c.kind.target/4 - 5*ms), Target: c.arrivedAt.Add(c.kind.target), Deadline: c.deadline(), LastResort: c.shed}
+	request := admission.Request{
+		ID:              c.id,
+		Rank:            c.kind.rank,
+		FreeRejectUntil: c.arrivedAt.Add(c.kind.target/4 - 5*ms),
+		Target:          c.arrivedAt.Add(c.kind.target),
+		Deadline:        c.deadline(),
+		LastResort:      c.shed,
+	}
 	if p, ok := balancer.(*loadbalancer.Balancer); ok {
 		request.Work, request.PeerFailureRate = p.MeanWork(c.kind.name), p.MeanFailureRate("s")
 		request.LastResort = request.LastResort || p.LastResort(m.now, e.UID)
@@ -335,7 +354,13 @@
 	shed                // the admission queue rejected it
 )
 
-var outcomeByEnding = map[ending]admission.Outcome{served: admission.Served, failed: admission.Failed, lost: admission.GivenUp, endpointFull: admission.GivenUp, late: admission.GivenUp}
+var outcomeByEnding = map[ending]admission.Outcome{
+	served:       admission.Served,
+	failed:       admission.Failed,
+	lost:         admission.GivenUp,
+	endpointFull: admission.GivenUp,
+	late:         admission.GivenUp,
+}
 
 // finish ends an attempt at its endpoint.
 func (m *model) finish(s *server, c *call, end ending, elapsed time.Duration) {
--- a/mesh/attempt/loadreport_test.go
+++ b/mesh/attempt/loadreport_test.go
@@ -17,11 +17,21 @@
 	first := planner.Next(start, call)
 	must.False(t, first.LastResort)
 	must.Eq(t, 0, first.MeanWork)
-	must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Shed: true, LoadReport: &loadreport.Report{Running: 7, Waiting: 20, Slots: 6, RelativeTime: 1}}))
+	must.True(t, planner.Finished(start, call, Result{
+		Outcome:    NotExecuted,
+		Rejected:   true,
+		Shed:       true,
+		LoadReport: &loadreport.Report{Running: 7, Waiting: 20, Slots: 6, RelativeTime: 1},
+	}))
 	next := planner.Next(start, call)
 	must.True(t, next.LastResort)
 	must.NotEq(t, first.Entry.UID, next.Entry.UID)
-	must.False(t, planner.Finished(start, call, Result{Outcome: Executed, Elapsed: 80 * time.Millisecond, ResponseBytes: 100, LoadReport: &loadreport.Report{Running: 1, Slots: 6, RelativeTime: 1}}))
+	must.False(t, planner.Finished(start, call, Result{
+		Outcome:       Executed,
+		Elapsed:       80 * time.Millisecond,
+		ResponseBytes: 100,
+		LoadReport:    &loadreport.Report{Running: 1, Slots: 6, RelativeTime: 1},
+	}))
 	for range 50 {
 		entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 		must.NotEq(t, first.Entry.UID, entry.UID)
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -17,15 +17,42 @@
 
 const start = monotime.Time(time.Second)
 
+// healthyWorkload is the record of an endpoint that may be chosen.
+func healthyWorkload(server string, service ident.Service, sidecar string) record.Address {
+	return record.Address{Workload: &record.Workload{
+		UID:         ident.Server(server),
+		Service:     service,
+		SidecarAddr: ident.Addr(sidecar),
+		Weight:      1,
+		Status:      record.Healthy,
+	}}
+}
+
+// newPlanner makes a planner with a route to service a, or with a split, and three endpoints each of
+// a and b.
 func newPlanner(split ...validation.WeightedService) *Planner {
 	planner := New(start, "d", 1, retrybudget.Limits{})
 	planner.RetryBudget.Unlimited = true
-	planner.Enforce(&validation.Config{Revision: 1, Services: map[ident.Service]validation.Service{"a": {Hostname: "a", RetryRatio: 0.2}, "b": {Hostname: "b", RetryRatio: 0.2}},
-		Routes: []validation.Route{{Name: "w", Host: "h", PathPrefix: "/", Service: "a", Timeout: 4 * time.Second, MaxAttempts: 3, Split: split}}})
+	planner.Enforce(&validation.Config{
+		Revision: 1,
+		Services: map[ident.Service]validation.Service{
+			"a": {Hostname: "a", RetryRatio: 0.2},
+			"b": {Hostname: "b", RetryRatio: 0.2},
+		},
+		Routes: []validation.Route{{
+			Name:        "w",
+			Host:        "h",
+			PathPrefix:  "/",
+			Service:     "a",
+			Timeout:     4 * time.Second,
+			MaxAttempts: 3,
+			Split:       split,
+		}},
+	})
 	var records []record.Address
 	for _, service := range []ident.Service{"a", "b"} {
 		for i := range 3 {
-			records = append(records, record.Address{Workload: &record.Workload{UID: ident.Server(fmt.Sprint(service, i)), Service: service, SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Weight: 1, Status: record.Healthy}})
+			records = append(records, healthyWorkload(fmt.Sprint(service, i), service, fmt.Sprint("g", i)))
 		}
 	}
 	planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 1, Records: records}})
@@ -45,7 +72,8 @@
 			for i := 0; ; i++ {
 				decision := planner.Next(start.Add(time.Duration(i)*time.Millisecond), call)
 				if decision.Failure != nil {
-					must.Eq(t, unknown, decision.Failure.Outcome == failure.OutcomeUnknown, must.Sprintf("%s %d: outcome %s", method, n, decision.Failure.Outcome))
+					must.Eq(t, unknown, decision.Failure.Outcome == failure.OutcomeUnknown,
+						must.Sprintf("%s %d: outcome %s", method, n, decision.Failure.Outcome))
 					break
 				}
 				must.False(t, unknown && method == "POST", must.Sprintf("%d: a POST with unknown outcome was tried again", n))
@@ -53,7 +81,10 @@
 				seen[decision.Entry.UID] = true
 				outcome := outcomes[n/[]int{1, 3, 9}[i]%3]
 				unknown = unknown || outcome == Unknown
-				again := planner.Finished(start.Add(time.Duration(i)*time.Millisecond), call, Result{Outcome: outcome, Failure: &failure.Error{Kind: failure.LostResponse, Outcome: failure.OutcomeUnknown}})
+				again := planner.Finished(start.Add(time.Duration(i)*time.Millisecond), call, Result{
+					Outcome: outcome,
+					Failure: &failure.Error{Kind: failure.LostResponse, Outcome: failure.OutcomeUnknown},
+				})
 				if outcome == Executed {
 					must.False(t, again)
 					break
@@ -80,7 +111,10 @@
 			must.Nil(t, planner.Route(start, call, 0))
 			must.Eq(t, want, call.Repeatable())
 			must.Nil(t, planner.Next(start, call).Failure)
-			must.Eq(t, want, planner.Finished(start, call, Result{Outcome: Unknown, Failure: failure.NewUnknown(failure.LostResponse, "x")}), must.Sprint(repeat, method))
+			must.Eq(t, want, planner.Finished(start, call, Result{
+				Outcome: Unknown,
+				Failure: failure.NewUnknown(failure.LostResponse, "x"),
+			}), must.Sprint(repeat, method))
 		}
 	}
 }
@@ -148,12 +182,17 @@
 // charged, once, and counts against the route's attempts; rejections by the destination's checks and
 // refused connections cost nothing, but are bounded by maxUncharged.
 func TestOnlyArrivalsAreCharged(t *testing.T) {
-	results := []Result{{Outcome: NotExecuted, Rejected: true}, {Outcome: NotExecuted, Unreachable: true}, {Outcome: NotExecuted, ReachedEndpoint: true}, {Outcome: Unknown}}
+	results := []Result{
+		{Outcome: NotExecuted, Rejected: true},
+		{Outcome: NotExecuted, Unreachable: true},
+		{Outcome: NotExecuted, ReachedEndpoint: true},
+		{Outcome: Unknown},
+	}
 	for n := range 256 {
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
 		more := []record.Address{}
 		for i := range 12 {
-			more = append(more, record.Address{Workload: &record.Workload{UID: ident.Server(fmt.Sprint("more", i)), Service: "a", SidecarAddr: ident.Addr(fmt.Sprint("m", i)), Weight: 1, Status: record.Healthy}})
+			more = append(more, healthyWorkload(fmt.Sprint("more", i), "a", fmt.Sprint("m", i)))
 		}
 		planner.Index.Merge([]record.Set{{Author: "m", LeaseEpoch: 1, Records: more}})
 		must.Nil(t, planner.Route(start, call, 0))
@@ -217,7 +256,11 @@
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
 		must.Nil(t, planner.Route(start, call, 0))
 		must.Nil(t, planner.Next(start, call).Failure)
-		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, ReachedEndpoint: true, Failure: &failure.Error{Kind: failure.Busy}}))
+		must.True(t, planner.Finished(start, call, Result{
+			Outcome:         NotExecuted,
+			ReachedEndpoint: true,
+			Failure:         &failure.Error{Kind: failure.Busy},
+		}))
 		retry := planner.Next(start, call)
 		must.True(t, retry.Retry)
 		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Failure: &failure.Error{Kind: kind}}))
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -148,7 +148,8 @@
 	must.Eq(t, 5040, orders)
 	must.Positive(t, newerActive, must.Sprint("no order in which revision 2 is enforced before the restart"))
 	must.Positive(t, regressions, must.Sprint("no order in which the revision falls without the rule"))
-	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the revision falls without the rule", orders, newerActive, regressions)
+	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the revision falls without the rule", orders,
+		newerActive, regressions)
 }
 
 // Peers that are out of reach delay nothing for longer than ackTimeout; a sidecar that no joined peer
--- a/mesh/endpoint/tracker_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -147,7 +147,8 @@
 			rejections++
 		}
 		if elapsed > 15*time.Second {
-			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout, must.Sprintf("passed %v after the last heartbeat", elapsed-lastHeartbeat))
+			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout,
+				must.Sprintf("passed %v after the last heartbeat", elapsed-lastHeartbeat))
 		}
 	}
 	must.Eq(t, 0, rejections)
--- a/mesh/lease/holder/holder_test.go
+++ b/mesh/lease/holder/holder_test.go
@@ -39,30 +39,40 @@
 	pending      []delivery
 }
 
-// delivery is the end of a renewal, which the holder is told when its time has come.
+// delivery is the result of a renewal, which the holder gets at a time.
 type delivery struct {
 	at      monotime.Time
 	deliver func()
 }
 
 func newHarness() *harness {
-	h := &harness{holder: New(), now: monotime.Time(time.Second), cores: []ident.Addr{"a:1", "b:1", "c:1", "d:1"}, behaviour: map[ident.Addr]behaviour{}}
+	h := &harness{
+		holder:    New(),
+		now:       monotime.Time(time.Second),
+		cores:     []ident.Addr{"a:1", "b:1", "c:1", "d:1"},
+		behaviour: map[ident.Addr]behaviour{},
+	}
 	h.lastAccepted = h.now
 	return h
 }
 
-var testCores = []record.CoreLocation{{Addr: "a:1", Zone: "x"}, {Addr: "b:1", Zone: "x"}, {Addr: "c:1", Zone: "y"}, {Addr: "d:1", Zone: "y"}}
+var testCores = []record.CoreLocation{
+	{Addr: "a:1", Zone: "x"},
+	{Addr: "b:1", Zone: "x"},
+	{Addr: "c:1", Zone: "y"},
+	{Addr: "d:1", Zone: "y"},
+}
 
 func (h *harness) run(span time.Duration) {
 	for end := h.now.Add(span); h.now < end; h.now = h.now.Add(10 * time.Millisecond) {
 		due := h.pending
 		h.pending = nil
-		for _, one := range due {
-			if one.at > h.now {
-				h.pending = append(h.pending, one)
+		for _, result := range due {
+			if result.at > h.now {
+				h.pending = append(h.pending, result)
 				continue
 			}
-			one.deliver()
+			result.deliver()
 		}
 		h.holder.ChooseRegistrar(h.now, "n", "y", h.cores)
 		h.holder.Followed()
--- a/mesh/loadbalancer/balancer_test.go
+++ b/mesh/loadbalancer/balancer_test.go
@@ -15,7 +15,13 @@
 const now = monotime.Time(time.Second)
 
 func newEntry(i int, status record.Status) registry.Entry {
-	return registry.Entry{Workload: &record.Workload{UID: ident.Server(fmt.Sprint("e", i)), SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: "d", Weight: 1, Status: status}}
+	return registry.Entry{Workload: &record.Workload{
+		UID:         ident.Server(fmt.Sprint("e", i)),
+		SidecarAddr: ident.Addr(fmt.Sprint("g", i)),
+		Zone:        "d",
+		Weight:      1,
+		Status:      status,
+	}}
 }
 
 // Every mix of status, lapsed lease and earlier attempt of three workloads: only a healthy one that was
--- a/mesh/loadreport/loadreport_test.go
+++ b/mesh/loadreport/loadreport_test.go
@@ -10,7 +10,10 @@
 
 // A report survives its header form; values out of range are bounded, and other texts malformed.
 func TestTextRoundTrip(t *testing.T) {
-	for _, report := range []Report{{}, {Running: 7, Waiting: 3, Slots: 6, RelativeTime: 1.25, FailureRate: 0.5, QueueDelay: 40 * time.Millisecond}} {
+	for _, report := range []Report{
+		{},
+		{Running: 7, Waiting: 3, Slots: 6, RelativeTime: 1.25, FailureRate: 0.5, QueueDelay: 40 * time.Millisecond},
+	} {
 		got, err := Parse(report.Text())
 		must.Nil(t, err)
 		must.Eq(t, report, got)
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -11,8 +11,23 @@
 )
 
 func newSet(author string, leaseEpoch ident.Epoch, seq uint64, configRevision ident.Epoch, lapsed bool, status record.Status) record.Set {
-	workload := &record.Workload{UID: ident.Server(author + "-e"), Service: "a.x", Network: record.Network, Addresses: []ident.Addr{"ip:1"}, Status: status, Identity: fmt.Sprint(leaseEpoch, seq, configRevision), Weight: 1}
-	return record.Set{Author: ident.Node(author), LeaseEpoch: leaseEpoch, Seq: seq, ConfigRevision: configRevision, Lapsed: lapsed, Records: []record.Address{{Workload: workload}}}
+	workload := &record.Workload{
+		UID:       ident.Server(author + "-e"),
+		Service:   "a.x",
+		Network:   record.Network,
+		Addresses: []ident.Addr{"ip:1"},
+		Status:    status,
+		Identity:  fmt.Sprint(leaseEpoch, seq, configRevision),
+		Weight:    1,
+	}
+	return record.Set{
+		Author:         ident.Node(author),
+		LeaseEpoch:     leaseEpoch,
+		Seq:            seq,
+		ConfigRevision: configRevision,
+		Lapsed:         lapsed,
+		Records:        []record.Address{{Workload: workload}},
+	}
 }
 
 // Four versions of one author's records, merged in every order and twice: the copy only goes
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -65,7 +65,8 @@
 					requestsInWindow++
 				}
 			}
-			must.LessEq(t, 0.2*float64(requestsInWindow)+60, float64(retriesInWindow), must.Sprintf("seed %d: %d retries beside %d requests before %v", seed, retriesInWindow, requestsInWindow, time.Duration(end)))
+			must.LessEq(t, 0.2*float64(requestsInWindow)+60, float64(retriesInWindow),
+				must.Sprintf("seed %d: %d retries beside %d requests before %v", seed, retriesInWindow, requestsInWindow, time.Duration(end)))
 		}
 	}
 }
@@ -194,7 +195,12 @@
 
 // The bound holds with other limits as well.
 func TestBoundHoldsWithOtherLimits(t *testing.T) {
-	for _, limits := range []Limits{{Window: 4 * time.Second, Ratio: 0.1, Extra: 4}, {Window: 20 * time.Second, Extra: 4}, {Ratio: -1, Extra: 4}, {Extra: -1}} {
+	for _, limits := range []Limits{
+		{Window: 4 * time.Second, Ratio: 0.1, Extra: 4},
+		{Window: 20 * time.Second, Extra: 4},
+		{Ratio: -1, Extra: 4},
+		{Extra: -1},
+	} {
 		effective := limits.WithDefaults()
 		budget := New(0, limits)
 		budget.SetShare(quota.FairShare(effective.Extra, 1))
--- a/mesh/retrybudget/runs_test.go
+++ b/mesh/retrybudget/runs_test.go
@@ -253,7 +253,8 @@
 				m := simulate(scenario, uint64(i)*10+seed, unguarded, countNested)
 				for service := range m.endpointNodes {
 					excess, at := m.worstExcess(service)
-					t.Logf("%-22s seed %d unguarded %5v nested %5v service %d: %6d requests %6d repeats, excess %7.1f at %v", scenario.name, seed, unguarded, countNested, service, len(m.requests[service]), len(m.repeats[service]), excess, time.Duration(at))
+					t.Logf("%-22s seed %d unguarded %5v nested %5v service %d: %6d requests %6d repeats, excess %7.1f at %v", scenario.name,
+						seed, unguarded, countNested, service, len(m.requests[service]), len(m.repeats[service]), excess, time.Duration(at))
 					if excess > 0 && unguarded {
 						exceeded++
 					}
--- a/mesh/routetable/table_test.go
+++ b/mesh/routetable/table_test.go
@@ -17,7 +17,8 @@
 	for _, name := range []string{host, "*"} {
 		best := -1
 		for i, route := range config.Routes {
-			if route.Host == name && strings.HasPrefix(path, route.PathPrefix) && (best < 0 || len(route.PathPrefix) > len(config.Routes[best].PathPrefix)) {
+			if route.Host == name && strings.HasPrefix(path, route.PathPrefix) &&
+				(best < 0 || len(route.PathPrefix) > len(config.Routes[best].PathPrefix)) {
 				best = i
 			}
 		}
@@ -68,7 +69,11 @@
 func manyRoutes(n int) *validation.Config {
 	config := &validation.Config{}
 	for i := range n {
-		config.Routes = append(config.Routes, validation.Route{Name: fmt.Sprint("r", i), Host: "jepu9.example", PathPrefix: fmt.Sprintf("/lepu%d/%x/", i, i*7919)})
+		config.Routes = append(config.Routes, validation.Route{
+			Name:       fmt.Sprint("r", i),
+			Host:       "jepu9.example",
+			PathPrefix: fmt.Sprintf("/lepu%d/%x/", i, i*7919),
+		})
 	}
 	return config
 }
--- a/settings/read.go
+++ b/settings/read.go
@@ -55,7 +55,8 @@
 func ReadSidecar(values map[string]any) (Sidecar, *failure.Error) {
 	faults := &decode.Faults{}
 	s := newSource(values, faults, keyNode, keyAddress, keyListen, keyClientAddress, keyZone, keySeeds,
-		keySenders, keyQueue, keyMaxInFlight, keyStopS, keyRetryExtra, keyRetryWindowS, keyRetryRatio, keyRetryNested, keyCrossZoneMsPerKB, keyBodyMiB, keyLinkMbps)
+		keySenders, keyQueue, keyMaxInFlight, keyStopS, keyRetryExtra, keyRetryWindowS, keyRetryRatio,
+		keyRetryNested, keyCrossZoneMsPerKB, keyBodyMiB, keyLinkMbps)
 	sidecar := Sidecar{
 		Node:               ident.Node(s.text(keyNode)),
 		Addr:               s.requiredAddr(keyAddress),
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,7 +15,13 @@
 
 // Bad settings name every fault with its path, all at once.
 func TestEveryFaultIsNamed(t *testing.T) {
-	_, fail := ReadCore(map[string]any{"address": "host:1", "district": "", "seeds": []any{"1.2.3.4:5", "1.2.3.4:5", "x"}, "surprise": true, "voters": "two"})
+	_, fail := ReadCore(map[string]any{
+		"address":  "host:1",
+		"district": "",
+		"seeds":    []any{"1.2.3.4:5", "1.2.3.4:5", "x"},
+		"surprise": true,
+		"voters":   "two",
+	})
 	must.NotNil(t, fail)
 	must.Eq(t, failure.BadSettings, fail.Kind)
 	for _, path := range []string{"address", "district", "seeds", "surprise", "voters", "data"} {
@@ -82,12 +88,27 @@
 	sidecar, fail := ReadSidecar(base(nil))
 	must.Nil(t, fail)
 	must.Eq(t, retrybudget.Limits{Extra: 60, Window: 10 * time.Second, Ratio: 0.2}, sidecar.RetryBudget)
-	sidecar, fail = ReadSidecar(base(map[string]any{"allowanceExtra": json.Number("208"), "allowanceWindowS": json.Number("4.5"), "allowanceRatio": json.Number("0"), "allowanceInner": true}))
+	sidecar, fail = ReadSidecar(base(map[string]any{
+		"allowanceExtra":   json.Number("208"),
+		"allowanceWindowS": json.Number("4.5"),
+		"allowanceRatio":   json.Number("0"),
+		"allowanceInner":   true,
+	}))
 	must.Nil(t, fail)
 	must.Eq(t, retrybudget.Limits{Extra: 208, Window: 4500 * time.Millisecond, Ratio: -1, CountNested: true}, sidecar.RetryBudget)
-	_, fail = ReadSidecar(base(map[string]any{"allowanceWindowS": json.Number("0"), "allowanceRatio": json.Number("2"), "allowanceExtra": json.Number("-1")}))
+	_, fail = ReadSidecar(base(map[string]any{
+		"allowanceWindowS": json.Number("0"),
+		"allowanceRatio":   json.Number("2"),
+		"allowanceExtra":   json.Number("-1"),
+	}))
 	must.Eq(t, 3, len(fail.Faults))
-	core, fail := ReadCore(map[string]any{"address": "127.0.0.1:1", "district": "d", "seeds": []any{"127.0.0.1:3"}, "data": "x", "allowanceExtra": json.Number("0")})
+	core, fail := ReadCore(map[string]any{
+		"address":        "127.0.0.1:1",
+		"district":       "d",
+		"seeds":          []any{"127.0.0.1:3"},
+		"data":           "x",
+		"allowanceExtra": json.Number("0"),
+	})
 	must.Nil(t, fail)
 	must.Eq(t, -1, core.RetryLimit)
 }
--- a/wire/exchange/actions_test.go
+++ b/wire/exchange/actions_test.go
@@ -297,7 +297,17 @@
 	})
 	call := identifiedCall("GET", "r")
 	call.Target, call.Body = "//x//y/../z?q=%2F&a=;b", nil
-	call.Header = map[string][]string{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Content-Length": {"9"}, "Transfer-Encoding": {"chunked"}, requestIDHeader: {"forged"}, "X-Calling": {"forged"}, "Host": {"forged"}, "X-Gone": {"1"}}
+	call.Header = map[string][]string{
+		"Connection":        {"close, X-Hop"},
+		"X-Hop":             {"1"},
+		"Te":                {"trailers"},
+		"Content-Length":    {"9"},
+		"Transfer-Encoding": {"chunked"},
+		requestIDHeader:     {"forged"},
+		"X-Calling":         {"forged"},
+		"Host":              {"forged"},
+		"X-Gone":            {"1"},
+	}
 	call.HeaderOverrides = []exchange.HeaderField{{Name: "X-Calling", Value: "real"}, {Name: "X-Gone"}}
 	pool := exchange.New("", patientSettings)
 	_, _, fail := doCall(t, pool, addr, call)
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -75,6 +75,17 @@
 	}
 }
 
+// expectingCall is a call with a body of so many bytes, which asks for 100 Continue if they are many.
+func expectingCall(bodyBytes int) exchange.Call {
+	return exchange.Call{
+		Method:         http.MethodPost,
+		Target:         "/x",
+		Host:           "h",
+		Body:           make([]byte, bodyBytes),
+		ExpectContinue: true,
+	}
+}
+
 // A body is sent only after 100 Continue. Whatever ends the call before that is known not to have
 // been executed, and a rejection is passed on as it came.
 func TestBodyLeavesOnlyWhenWanted(t *testing.T) {
@@ -84,19 +95,24 @@
 		sent   bool
 		body   int64
 	}{
-		"wanted":                 {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
-		"wanted after other 1xx": {&continueServer{early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
-		"refused":                {&continueServer{early: refusedResponse}, 503, true, 0},
-		"refused in one breath":  {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
-		"silent":                 {&continueServer{}, 0, false, 0},
-		"garbled":                {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
-		"half a refusal":         {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
-		"endless 1xx":            {&continueServer{early: manyProcessing()}, 0, false, 0},
+		"wanted": {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"wanted after other 1xx": {&continueServer{
+			early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse,
+			late:  acceptedResponse,
+			reads: true,
+		}, 200, true, largeBody},
+		"refused":               {&continueServer{early: refusedResponse}, 503, true, 0},
+		"refused in one breath": {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
+		"silent":                {&continueServer{}, 0, false, 0},
+		"garbled":               {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
+		"half a refusal":        {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
+		"endless 1xx":           {&continueServer{early: manyProcessing()}, 0, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := c.server.serve(t)
 			pool := exchange.New("")
-			req := exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), ExpectContinue: true, Deadline: time.Now().Add(bodyTimeout)}
+			req := expectingCall(largeBody)
+			req.Deadline = time.Now().Add(bodyTimeout)
 			response, sent, fail := doCall(t, pool, addr, req)
 			must.Eq(t, c.sent, sent)
 			must.Eq(t, 1, c.server.expected.Load())
@@ -132,7 +148,7 @@
 		addr := c.server.serve(t)
 		pool := exchange.New("")
 		for range 3 {
-			_, _, fail := doCall(t, pool, addr, exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, largeBody), ExpectContinue: true})
+			_, _, fail := doCall(t, pool, addr, expectingCall(largeBody))
 			must.Nil(t, fail)
 		}
 		must.Eq(t, c.conns, c.server.conns.Load(), must.Sprint(name))
@@ -144,12 +160,12 @@
 func TestExpectContinueOfInterruptedAndSmallBodies(t *testing.T) {
 	pool := exchange.New("")
 	interrupted := &continueServer{early: continueResponse}
-	_, sent, fail := doCall(t, pool, interrupted.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 16<<20), ExpectContinue: true})
+	_, sent, fail := doCall(t, pool, interrupted.serve(t), expectingCall(16<<20))
 	must.True(t, sent)
 	must.NotNil(t, fail)
 	must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
 	small := &continueServer{late: acceptedResponse, reads: true}
-	_, _, fail = doCall(t, pool, small.serve(t), exchange.Call{Method: http.MethodPost, Target: "/x", Host: "h", Body: make([]byte, 100), ExpectContinue: true})
+	_, _, fail = doCall(t, pool, small.serve(t), expectingCall(100))
 	must.Nil(t, fail)
 	must.Eq(t, 0, small.expected.Load())
 }
--- a/wire/response/response_test.go
+++ b/wire/response/response_test.go
@@ -11,7 +11,12 @@
 )
 
 // notExecutedStatuses are those that a client takes as proof that its request was not executed.
-var notExecutedStatuses = map[int]bool{http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
+var notExecutedStatuses = map[int]bool{
+	http.StatusRequestTimeout:     true,
+	http.StatusMisdirectedRequest: true,
+	http.StatusTooManyRequests:    true,
+	http.StatusServiceUnavailable: true,
+}
 
 // Whatever the kind of a failure: one that is proved not to have been executed has such a
 // status, and no other has.
--- a/wire/server/listener_test.go
+++ b/wire/server/listener_test.go
@@ -40,7 +40,8 @@
 		must.Eq(t, fmt.Sprint(pad, " ", size, " ", error(nil)), string(text))
 	}
 	request := func(pad, size int) string {
-		return fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nX-Pad: %s\r\nContent-Length: %d\r\n\r\n%s", strings.Repeat("p", pad), size, strings.Repeat("b", size))
+		return fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nX-Pad: %s\r\nContent-Length: %d\r\n\r\n%s", strings.Repeat("p", pad), size,
+			strings.Repeat("b", size))
 	}
 	head := len(request(0, 0))
 	for _, edge := range []int{4096, 8192} {
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -83,7 +83,10 @@
 // Each kind of connection that is open as the server stops: a request that was begun is answered,
 // and its connection ends with the response; an unused one ends without a wait.
 func TestStopEndsEachConnectionInOrder(t *testing.T) {
-	for name, with := range map[string][]server.Option{"plain": nil, "without close detection": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}} {
+	for name, with := range map[string][]server.Option{
+		"plain":                   nil,
+		"without close detection": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)},
+	} {
 		t.Run(name, func(t *testing.T) {
 			s, addr := startNoContentServer(t, with...)
 			fresh, fromFresh := dial(t, addr)
