--- a/daemon/api/coordination/paths.go
+++ b/daemon/api/coordination/paths.go
@@ -61,7 +61,8 @@
 func PathName(r *http.Request) (string, *failure.Error) {
 	name := mux.Vars(r)["name"]
 	if !validName.MatchString(name) || strings.HasPrefix(name, reservedPrefix) {
-		return "", failure.New(failure.Invalid, "%q is no name: letters, digits and ._:/- up to 256, not beginning with cottonarch.", name)
+		return "", failure.New(failure.Invalid,
+			"%q is not a valid name: letters, digits and ._:/- up to 256, not beginning with cottonarch.", name)
 	}
 	return name, nil
 }
--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -87,5 +87,5 @@
 }
 
 func badOffset() *failure.Error {
-	return failure.New(failure.Malformed, "at is no offset in the configuration")
+	return failure.New(failure.Malformed, "at is not an offset in the configuration")
 }
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -91,7 +91,7 @@
 		return effects
 	})
 	if !taken {
-		return result, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(retryAfterSeconds)
+		return result, failure.New(failure.Busy, "the core's step queue is full").WithRetryAfter(retryAfterSeconds)
 	}
 	select {
 	case result = <-done:
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -160,7 +160,8 @@
 }
 
 // Close ends the daemon at once and releases its data folder. Leave comes before it in a
-// planned stop.
+// planned stop. Close does not wait for the goroutines, which end as soon as they see done: the
+// journal may be within a sync of a disk that has stalled, and a sender within a request.
 func (c *Core) Close() {
 	close(c.done)
 	c.pool.Close()
--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -19,7 +19,7 @@
 	discoveryTimeout  = 500 * time.Millisecond
 )
 
-// KnownCores is what any process tells of the cores that it knows.
+// KnownCores is the response at CoresPath: the cores that a process knows.
 type KnownCores struct {
 	Cores []ident.Addr `json:"cores"`
 	// FromCore says that the answer is a core's own, so all of Cores are cores; a sidecar may
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -85,7 +85,7 @@
 	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
 		left := budget - clock().Since(start)
 		if left <= 0 {
-			tooLate := failure.New(failure.Busy, "its time was over before it was begun").WithRetryAfter(1)
+			tooLate := failure.New(failure.Busy, "the time for the operation ended in the step queue").WithRetryAfter(1)
 			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: tooLate}}}
 		}
 		return c.node.Submit(now, ticket, operation, left)
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -121,7 +121,7 @@
 	}
 	if !s.dispatchedInTime(request) {
 		s.count(counterLateInQueue)
-		return failure.New(failure.DeadlineExceeded, "its time was over while it was queued").WithRetryAfter(retryAfterSeconds)
+		return failure.New(failure.DeadlineExceeded, "the deadline passed while the request was queued").WithRetryAfter(retryAfterSeconds)
 	}
 	return nil
 }
--- a/daemon/sidecar/configassembly.go
+++ b/daemon/sidecar/configassembly.go
@@ -32,7 +32,7 @@
 			return nil
 		}
 		if part.Revision == 0 || part.Size <= 0 || part.Size > maxConfigBytes {
-			return failure.New(failure.BadResponse, "a configuration of %d bytes", part.Size)
+			return failure.New(failure.BadResponse, "a configuration can't have %d bytes", part.Size)
 		}
 		*a = configAssembly{revision: part.Revision, compressed: part.Compressed, size: part.Size, data: make([]byte, 0, part.Size)}
 	}
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -100,7 +100,7 @@
 		return "", 0, fail
 	}
 	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
-		return "", 0, failure.New(failure.Busy, "the retry budget of the services below is used up").WithRetryAfter(retryAfterSeconds)
+		return "", 0, failure.New(failure.Busy, "the retry budget of the services called is used up").WithRetryAfter(retryAfterSeconds)
 	}
 	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -145,7 +145,8 @@
 	go s.probeEndpoint()
 }
 
-// Close ends the duties.
+// Close ends the duties and does not wait for them: one that is within a request ends when that is
+// answered or its time is over.
 func (s *Sidecar) Close() {
 	close(s.done)
 	s.apiClient.Close()
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -94,7 +94,7 @@
 	verdict, ok := awaitVerdict(verdicts, request.deadline)
 	if !ok {
 		if verdict, ok = s.abandonSlot(request.server, id, verdicts); !ok {
-			return 0, failure.New(failure.DeadlineExceeded, "no slot in time")
+			return 0, failure.New(failure.DeadlineExceeded, "the deadline passed in the admission queue")
 		}
 	}
 	if verdict.Decision == admission.Admit {
--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -179,7 +179,7 @@
 	return "", 0
 }
 
-// missesTarget reports whether a request misses its target after such a delay.
+// missesTarget reports whether a request misses its target if its response comes after a delay.
 func (e *endpointQueue) missesTarget(now monotime.Time, request *Request, delay time.Duration) bool {
 	return now.Add(delay).After(request.target())
 }
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -136,7 +136,7 @@
 func (p *Planner) Next(now monotime.Time, call *Call) Decision {
 	remaining := call.Deadline.Since(now)
 	if remaining < minAttemptTime {
-		return p.giveUp(call, failure.New(failure.DeadlineExceeded, "the time for the request is over"))
+		return p.giveUp(call, failure.New(failure.DeadlineExceeded, "the deadline of the request has passed"))
 	}
 	if call.charged >= call.Route.MaxAttempts || call.uncharged > maxUncharged {
 		return p.giveUp(call, call.lastFailure)
--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -30,8 +30,8 @@
 	// and joinTimeout the same for one that has not joined.
 	coreSilenceTimeout = 700 * time.Millisecond
 	joinTimeout        = 200 * time.Millisecond
-	// fetchDelay is how long a configuration may take to arrive, after a peer or core told of its
-	// revision, before peers are asked for it.
+	// fetchDelay is how long after a peer or core has announced a revision its configuration may
+	// take to arrive before peers are asked for it.
 	fetchDelay = 250 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 type Cache struct {
 	newestKnown       ident.Epoch // the newest revision that some sidecar is known to hold
 	newestKnownAt     monotime.Time
-	newestConfirmed   ident.Epoch // the newest revision that a core said to be confirmed
+	newestConfirmed   ident.Epoch // the newest revision that a core reported as confirmed
 	newestConfirmedAt monotime.Time
 	pending           *validation.Config // held and not enforced yet
 	pendingSince      monotime.Time
@@ -71,7 +71,7 @@
 	}
 }
 
-// ObserveCore notes that a core said a revision to be confirmed. This does not keep older ones from
+// ObserveCore notes that a core reported a revision as confirmed. This does not keep older ones from
 // being enforced; if the configuration does not come from that core in time, peers are asked for
 // it.
 func (c *Cache) ObserveCore(now monotime.Time, revision ident.Epoch) {
@@ -142,8 +142,8 @@
 	return !c.Disabled
 }
 
-// HandleAck takes the end of notifying one peer of a revision: it holds the configuration, or it
-// could not be reached.
+// HandleAck takes the result of notifying one peer of a revision; ok says that the peer holds the
+// configuration.
 func (c *Cache) HandleAck(revision ident.Epoch, ok bool) {
 	if c.pending == nil || c.pending.Revision != revision {
 		return
--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -17,7 +17,8 @@
 const (
 	// HeartbeatTimeout is how long an endpoint may go without a heartbeat.
 	HeartbeatTimeout = 1100 * time.Millisecond
-	// MaxHeartbeatTimeout is the same for one whose heartbeats come more slowly than it is asked.
+	// MaxHeartbeatTimeout is the same for an endpoint whose heartbeats come at a longer interval
+	// than the one that it is asked to keep.
 	// Invariant: with the longest dial it stays below the shortest reuseAfterS, the time after
 	// which another server may use the address.
 	MaxHeartbeatTimeout = 1600 * time.Millisecond
@@ -247,7 +248,7 @@
 	}
 	switch {
 	case t.stalled(now):
-		err = failure.New(failure.EndpointRejected, "this machine was held up")
+		err = failure.New(failure.EndpointRejected, "this process was suspended and awaits new heartbeats")
 	case e == nil:
 		err = failure.New(failure.EndpointRejected, "server %q is not here", server)
 	case e.Service != service:
@@ -263,7 +264,7 @@
 	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
 }
 
-// ConnectFailed says that an endpoint refused a connection: it is unhealthy for a while.
+// ConnectFailed notes that an endpoint refused a connection: it is unhealthy for a while.
 func (t *Tracker) ConnectFailed(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
--- a/mesh/loadbalancer/balancer.go
+++ b/mesh/loadbalancer/balancer.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// endpoint returns what is known of a workload, new if it is nothing.
+// endpoint returns the statistics of a workload, empty ones if it is new.
 func (b *Balancer) endpoint(server ident.Server) *endpointStats {
 	if b.endpoints[server] == nil {
 		b.endpoints[server] = &endpointStats{server: server}
@@ -152,10 +152,10 @@
 	return endpoint != nil && outlierEjection{&b.Settings}.isOutlier(now, endpoint)
 }
 
-// IntN returns a random number from 0 up to n, exclusive.
+// IntN returns a random number in [0, n).
 func (b *Balancer) IntN(n int) int { return int(b.rng.Uint64() % uint64(n)) }
 
-// uniform returns a random number from 0 up to 1, exclusive.
+// uniform returns a random number in [0, 1).
 func (b *Balancer) uniform() float64 { return float64(b.rng.Uint64()>>11) / (1 << 53) }
 
 // cheapest returns the candidate with the least cost, of a random sample if SampleSize says so. It
--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -114,7 +114,7 @@
 	}
 	fail := &failure.Error{}
 	if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
-		return failure.NewUnknown(failure.BadResponse, "status %d", response.StatusCode)
+		return failure.NewUnknown(failure.BadResponse, "the response has status %d and no failure", response.StatusCode)
 	}
 	return fail
 }
--- a/wire/exchange/conn.go
+++ b/wire/exchange/conn.go
@@ -155,7 +155,7 @@
 
 // closedResult is the result of a call on a connection that took nothing.
 func (c *conn) closedResult() result {
-	return result{connClosed: true, fail: failure.New(failure.Busy, "%s closes or sends before it gets a request", c.host.addr)}
+	return result{connClosed: true, fail: failure.New(failure.Busy, "%s closed the connection or sent data before the request", c.host.addr)}
 }
 
 // checkNothingFollows fails if anything follows a response that is to be the last: then
@@ -164,7 +164,7 @@
 func (c *conn) checkNothingFollows() *failure.Error {
 	_ = c.SetReadDeadline(time.Now().Add(closeTimeout))
 	if _, err := c.reader.Peek(1); err == nil {
-		return failure.NewUnknown(failure.BadResponse, "more came than the response")
+		return failure.NewUnknown(failure.BadResponse, "unexpected data follows the response")
 	}
 	return nil
 }
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -139,7 +139,7 @@
 	if !call.WaitForConn {
 		pool.mu.Unlock()
 		abortAll(evicted)
-		return nil, false, failure.New(failure.Busy, "%s has all the connections it may have", addr)
+		return nil, false, failure.New(failure.Busy, "the connection limit of %s is reached", addr)
 	}
 	waiter := make(chan *conn, 1)
 	host.waiters = append(host.waiters, waiter)
@@ -212,13 +212,13 @@
 		if ctx.Err() != nil || !call.Deadline.IsZero() && !time.Now().Before(call.Deadline) {
 			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
 		}
-		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", host.addr)
+		return nil, false, failure.New(failure.Unreachable, "can't connect to %s", host.addr)
 	}
 	c, err := newConn(raw.(*net.TCPConn), host)
 	if err != nil {
 		pool.releaseSlot(host)
 		_ = raw.Close()
-		return nil, false, failure.New(failure.Unreachable, "%s takes no connection", host.addr)
+		return nil, false, failure.New(failure.Unreachable, "can't connect to %s", host.addr)
 	}
 	_ = c.SetDeadline(call.Deadline)
 	return c, false, nil
--- a/wire/server/log.go
+++ b/wire/server/log.go
@@ -11,7 +11,7 @@
 // Log implements kratos' log.Logger.
 func (w warningLogger) Log(level log.Level, keyValues ...any) error {
 	if level >= log.LevelWarn {
-		w.logger.Warn("kratos reports a problem", zap.Any("fields", keyValues))
+		w.logger.Warn("warning of the HTTP library", zap.Any("fields", keyValues))
 	}
 	return nil
 }
--- a/wire/server/paths.go
+++ b/wire/server/paths.go
@@ -27,10 +27,15 @@
 		s.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 			handler, ok := methods[r.Method]
 			if !ok {
-				response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
+				writeMethodNotAllowed(w, r)
 				return
 			}
 			handler(w, r)
 		})
 	}
 }
+
+// writeMethodNotAllowed answers a request whose path has no handler for its method.
+func writeMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
+	response.WriteError(w, failure.New(failure.NotPermitted, "method %s is not allowed for %s", r.Method, r.URL.Path))
+}
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -60,9 +60,7 @@
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
 		})),
-		khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.WriteError(w, failure.New(failure.NotPermitted, "%s is not for %s", r.Method, r.URL.Path))
-		})),
+		khttp.MethodNotAllowedHandler(http.HandlerFunc(writeMethodNotAllowed)),
 	}
 	filters := []khttp.FilterFunc{s.closeWhileStopping}
 	if intercept != nil {
