--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -48,30 +48,30 @@
 // that another process has taken since it was found free ends the test.
 func startServers(t *testing.T, servers ...*server.Server) (stop, kill func()) {
 	t.Helper()
-	for _, one := range servers {
-		_, err := one.Endpoint() // it listens from now on
+	for _, srv := range servers {
+		_, err := srv.Endpoint() // it listens from now on
 		must.NoError(t, err)
-		go func() { _ = one.Start(context.Background()) }()
+		go func() { _ = srv.Start(context.Background()) }()
 	}
 	stop = func() {
 		var stopping sync.WaitGroup
-		for _, one := range servers {
-			stopping.Go(func() { stopServer(one) })
+		for _, srv := range servers {
+			stopping.Go(func() { stopServer(srv) })
 		}
 		stopping.Wait()
 	}
 	kill = func() {
-		for _, one := range servers {
-			_ = one.Close()
+		for _, srv := range servers {
+			_ = srv.Close()
 		}
 	}
 	return stop, kill
 }
 
-func stopServer(one *server.Server) {
+func stopServer(srv *server.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_ = one.Stop(ctx)
+	_ = srv.Stop(ctx)
 }
 
 // coreCluster is the cores of one test, each on its own disk. A process is nil while it is down.
--- a/mesh/admission/queue_test.go
+++ b/mesh/admission/queue_test.go
@@ -9,6 +9,7 @@
 
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/mesh/loadreport"
+	"cottonarch.example/cottonarch/mesh/meshtest"
 )
 
 const ms = time.Millisecond
@@ -41,7 +42,7 @@
 // abandoned or rejected, and a higher rank in the queue always goes before a lower one.
 func TestAllOrdersOfSubmitAbandonAndDone(t *testing.T) {
 	ranks := []int{2, 0, 1, 2, 0}
-	for _, order := range permutations(7) {
+	for _, order := range meshtest.Permutations(7) {
 		queue, decisions, running, abandoned := newQueue(1), map[uint64]Decision{}, map[uint64]bool{}, map[uint64]bool{}
 		waitingRank := map[uint64]int{}
 		apply := func(verdicts []Verdict) {
@@ -96,19 +97,6 @@
 	}
 }
 
-func permutations(n int) [][]int {
-	if n == 0 {
-		return [][]int{{}}
-	}
-	var all [][]int
-	for _, shorter := range permutations(n - 1) {
-		for i := range n {
-			all = append(all, slices.Insert(slices.Clone(shorter), i, n-1))
-		}
-	}
-	return all
-}
-
 // Unknown slots are no bound.
 func TestUnknownSlotsAdmitAll(t *testing.T) {
 	queue := New(DefaultSettings())
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -7,25 +7,12 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/mesh/meshtest"
 	"github.com/shoenig/test/must"
 )
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// permutations returns every order of the numbers below n.
-func permutations(n int) [][]int {
-	if n == 0 {
-		return [][]int{{}}
-	}
-	var all [][]int
-	for _, shorter := range permutations(n - 1) {
-		for i := range n {
-			all = append(all, append(append(append([]int{}, shorter[:i]...), n-1), shorter[i:]...))
-		}
-	}
-	return all
-}
-
 // sidecar is a sidecar of the model: its cache and the revision that it enforces.
 type sidecar struct {
 	*Cache
@@ -133,7 +120,7 @@
 // enforces something.
 func TestAllOrdersOfARestartBesideAnIsolatedCore(t *testing.T) {
 	regressions, orders, newerActive := 0, 0, 0
-	for _, order := range permutations(2*restartPeers + 1) {
+	for _, order := range meshtest.Permutations(2*restartPeers + 1) {
 		before, after := runRestart(order, false)
 		orders++
 		must.GreaterEq(t, before, after, must.Sprintf("order %v: enforced %d, then %d", order, before, after))
--- a/mesh/endpoint/tracker_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -9,6 +9,7 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/registry/record"
+	"cottonarch.example/cottonarch/mesh/meshtest"
 )
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
@@ -17,21 +18,6 @@
 	return Heartbeat{Server: server, Service: service, Addr: addr, State: state}
 }
 
-// permutations returns every order of the numbers below n.
-func permutations(n int) [][]int {
-	if n == 0 {
-		return [][]int{{}}
-	}
-	var all [][]int
-	for _, shorter := range permutations(n - 1) {
-		for i := range n {
-			permutation := append(append(append([]int{}, shorter[:i]...), n-1), shorter[i:]...)
-			all = append(all, permutation)
-		}
-	}
-	return all
-}
-
 // Leaving, signing off, late heartbeats and reuse of the address by another service, in every
 // order: once a server has left or signed off, or another server's heartbeat has come from its
 // address, no request is let through to it.
@@ -43,7 +29,7 @@
 		newHeartbeat("b", "two", "ip:1", Alive),
 		newHeartbeat("a", "one", "ip:1", Alive),
 	}
-	for _, order := range permutations(len(heartbeats)) {
+	for _, order := range meshtest.Permutations(len(heartbeats)) {
 		tracker := New()
 		now := at(0)
 		left := false
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -110,42 +110,58 @@
 // acquire finds a connection for the call, or dials one within the limit. reused says that
 // it was in use before.
 func (pool *Pool) acquire(ctx context.Context, addr ident.Addr, call *Call) (c *conn, reused bool, fail *failure.Error) {
-	limit := call.MaxConns
-	if limit <= 0 {
-		limit = pool.settings.MaxConns
-	}
 	now := time.Now()
 	if ctx.Err() != nil || !call.Deadline.IsZero() && !now.Before(call.Deadline) {
 		return nil, false, failure.New(failure.DeadlineExceeded, "no time is left")
 	}
-	var evicted []*conn
+	reserved := pool.reserve(now, addr, call)
+	abortAll(reserved.evicted)
+	switch {
+	case reserved.idle != nil:
+		_ = reserved.idle.SetDeadline(call.Deadline)
+		return reserved.idle, true, nil
+	case reserved.mayDial:
+		return pool.dialConn(ctx, reserved.host, call)
+	case reserved.waiter != nil:
+		return pool.waitForConn(ctx, reserved.host, call, reserved.waiter)
+	}
+	return nil, false, failure.New(failure.Busy, "the connection limit of %s is reached", addr)
+}
+
+// reservation is what a call gets of the connections of an address: an idle one, the slot to
+// dial one, a place in the queue for one, or, at the limit, nothing.
+type reservation struct {
+	host    *hostPool
+	idle    *conn
+	mayDial bool
+	waiter  chan *conn
+	evicted []*conn // connections that gave way; they are to be closed
+}
+
+// reserve finds what a call gets. Invariant: a slot that it may dial in is counted in openCount.
+func (pool *Pool) reserve(now time.Time, addr ident.Addr, call *Call) (r reservation) {
+	limit := call.MaxConns
+	if limit <= 0 {
+		limit = pool.settings.MaxConns
+	}
 	pool.mu.Lock()
-	host := pool.host(addr)
+	defer pool.mu.Unlock()
+	r.host = pool.host(addr)
 	if !call.SingleUse {
-		if c := host.popIdle(now, call, &evicted); c != nil {
-			pool.mu.Unlock()
-			abortAll(evicted)
-			_ = c.SetDeadline(call.Deadline)
-			return c, true, nil
+		if r.idle = r.host.popIdle(now, call, &r.evicted); r.idle != nil {
+			return r
 		}
 	}
-	evicted = append(evicted, host.evictIdle(limit)...)
-	if limit <= 0 || host.openCount < limit {
-		host.openCount++
-		pool.mu.Unlock()
-		abortAll(evicted)
-		return pool.dialConn(ctx, host, call)
-	}
-	if !call.WaitForConn {
-		pool.mu.Unlock()
-		abortAll(evicted)
-		return nil, false, failure.New(failure.Busy, "the connection limit of %s is reached", addr)
+	r.evicted = append(r.evicted, r.host.evictIdle(limit)...)
+	switch {
+	case limit <= 0 || r.host.openCount < limit:
+		r.host.openCount++
+		r.mayDial = true
+	case call.WaitForConn:
+		r.waiter = make(chan *conn, 1)
+		r.host.waiters = append(r.host.waiters, r.waiter)
 	}
-	waiter := make(chan *conn, 1)
-	host.waiters = append(host.waiters, waiter)
-	pool.mu.Unlock()
-	abortAll(evicted)
-	return pool.waitForConn(ctx, host, call, waiter)
+	return r
 }
 
 // waitForConn waits in the host's queue for a connection, or for a free slot to dial one.
