--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -42,7 +42,19 @@
 }
 
 // catchAllConfig sends every request to the service s.
-var catchAllConfig = &validation.Config{Revision: 2, Services: testConfig.Services, Routes: []validation.Route{{Name: "any", Host: "*", PathPrefix: "/", Service: "s", Timeout: time.Minute, MaxAttempts: 1, Repeat: validation.OneShot}}}
+var catchAllConfig = &validation.Config{
+	Revision: 2,
+	Services: testConfig.Services,
+	Routes: []validation.Route{{
+		Name:        "any",
+		Host:        "*",
+		PathPrefix:  "/",
+		Service:     "s",
+		Timeout:     time.Minute,
+		MaxAttempts: 1,
+		Repeat:      validation.OneShot,
+	}},
+}
 
 // Whatever a caller or another sidecar sends that net/http reads as a request: it is
 // answered and leaves nothing in flight; the endpoint reads at most one request of it, and
@@ -128,7 +140,11 @@
 	connectionTokens := strings.ToLower(strings.Join(sentHeader["Connection"], ","))
 	for name, values := range sentHeader {
 		switch {
-		case exchange.IsHopByHop(name), strings.Contains(connectionTokens, strings.ToLower(name)), name == testIDHeader, name == "X-Calling-Service" && !fromPeer, strings.HasPrefix(name, "X-Cottonarch-"), name == TargetHeader:
+		case exchange.IsHopByHop(name), strings.Contains(connectionTokens, strings.ToLower(name)):
+			continue
+		case strings.HasPrefix(name, "X-Cottonarch-"), name == TargetHeader, name == testIDHeader:
+			continue
+		case name == "X-Calling-Service" && !fromPeer:
 			continue
 		}
 		trimmed := make([]string, len(values))
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -268,10 +268,14 @@
 	return raw
 }
 
-var testConfig = &validation.Config{Revision: 1, Services: map[ident.Service]validation.Service{"s": {Hostname: "s", RetryRatio: 0.2}}, Routes: []validation.Route{
-	{Name: "again", Host: "h", PathPrefix: "/again/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.Repeatable},
-	{Name: "once", Host: "h", PathPrefix: "/once/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.OneShot},
-}}
+var testConfig = &validation.Config{
+	Revision: 1,
+	Services: map[ident.Service]validation.Service{"s": {Hostname: "s", RetryRatio: 0.2}},
+	Routes: []validation.Route{
+		{Name: "again", Host: "h", PathPrefix: "/again/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.Repeatable},
+		{Name: "once", Host: "h", PathPrefix: "/once/", Service: "s", Timeout: time.Minute, MaxAttempts: 3, Repeat: validation.OneShot},
+	},
+}
 
 // newTestSidecar makes a sidecar whose duties do not run, with endpoints of its own machine.
 func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
--- a/mesh/admission/queue_test.go
+++ b/mesh/admission/queue_test.go
@@ -37,63 +37,100 @@
 	return ids
 }
 
+// orderRun is one order of submissions, an abandonment and ends of runs at a queue with one slot, and
+// what became of the requests by their IDs.
+type orderRun struct {
+	t           *testing.T
+	order       []int
+	queue       *Queue
+	decisions   map[uint64]Decision
+	running     map[uint64]bool
+	abandoned   map[uint64]bool
+	waitingRank map[uint64]int
+}
+
+func newOrderRun(t *testing.T, order []int) *orderRun {
+	return &orderRun{
+		t:           t,
+		order:       order,
+		queue:       newQueue(1),
+		decisions:   map[uint64]Decision{},
+		running:     map[uint64]bool{},
+		abandoned:   map[uint64]bool{},
+		waitingRank: map[uint64]int{},
+	}
+}
+
+// apply takes the verdicts of a step and checks each of them.
+func (r *orderRun) apply(verdicts []Verdict) {
+	for _, verdict := range slices.Clone(verdicts) {
+		_, decided := r.decisions[verdict.ID]
+		must.False(r.t, decided, must.Sprintf("%v: two verdicts for %d", r.order, verdict.ID))
+		must.False(r.t, r.abandoned[verdict.ID], must.Sprintf("%v: a verdict for the abandoned %d", r.order, verdict.ID))
+		r.decisions[verdict.ID] = verdict.Decision
+		rank, waited := r.waitingRank[verdict.ID]
+		delete(r.waitingRank, verdict.ID)
+		if verdict.Decision == Admit {
+			r.running[verdict.ID] = true
+			for _, other := range r.waitingRank {
+				must.True(r.t, !waited || rank <= other, must.Sprintf("%v: %d overtook", r.order, verdict.ID))
+			}
+		}
+	}
+	must.LessEq(r.t, 2, len(r.running))
+}
+
+// submit brings a request unless it was abandoned.
+func (r *orderRun) submit(n int, id uint64, rank int) {
+	if r.abandoned[id] {
+		return
+	}
+	r.waitingRank[id] = rank
+	r.apply(r.queue.Submit(at(n), "e", newRequest(id, rank, n)))
+}
+
+// abandon abandons a request that waits, or that has not come yet.
+func (r *orderRun) abandon(n int, id uint64) {
+	if _, waits := r.waitingRank[id]; waits || r.decisions[id] == 0 && !r.running[id] {
+		r.abandoned[id] = true
+		delete(r.waitingRank, id)
+		r.apply(r.queue.Abandon(at(n), "e", id))
+	}
+}
+
+// done ends the run with the lowest ID, if there is one.
+func (r *orderRun) done(n int) {
+	for id := range uint64(6) {
+		if r.running[id] {
+			delete(r.running, id)
+			r.apply(r.queue.Done(at(n), "e", id, Served, 40*ms))
+			return
+		}
+	}
+}
+
 // Five requests of three ranks come, one is abandoned, runs end, in every order: no more than the
 // slots and one are at the endpoint, each request gets one verdict at most, none is admitted that was
 // abandoned or rejected, and a higher rank in the queue always goes before a lower one.
 func TestAllOrdersOfSubmitAbandonAndDone(t *testing.T) {
 	ranks := []int{2, 0, 1, 2, 0}
+	const abandonStep = 5 // smaller ones submit, the one above ends a run
 	for _, order := range meshtest.Permutations(7) {
-		queue, decisions, running, abandoned := newQueue(1), map[uint64]Decision{}, map[uint64]bool{}, map[uint64]bool{}
-		waitingRank := map[uint64]int{}
-		apply := func(verdicts []Verdict) {
-			for _, verdict := range verdicts {
-				_, decided := decisions[verdict.ID]
-				must.False(t, decided, must.Sprintf("%v: two verdicts for %d", order, verdict.ID))
-				must.False(t, abandoned[verdict.ID], must.Sprintf("%v: a verdict for the abandoned %d", order, verdict.ID))
-				decisions[verdict.ID] = verdict.Decision
-				rank, waited := waitingRank[verdict.ID]
-				delete(waitingRank, verdict.ID)
-				if verdict.Decision == Admit {
-					running[verdict.ID] = true
-					for _, r := range waitingRank {
-						must.True(t, !waited || rank <= r, must.Sprintf("%v: %d overtook", order, verdict.ID))
-					}
-				}
-			}
-			must.LessEq(t, 2, len(running))
-		}
-		done := func(n int) {
-			for id := range uint64(6) {
-				if running[id] {
-					delete(running, id)
-					apply(slices.Clone(queue.Done(at(n), "e", id, Served, 40*ms)))
-					return
-				}
-			}
-		}
-		for n, x := range order {
+		run := newOrderRun(t, order)
+		for n, step := range order {
 			switch {
-			case x < 5:
-				id := uint64(x + 1)
-				if abandoned[id] {
-					continue
-				}
-				waitingRank[id] = ranks[x]
-				apply(slices.Clone(queue.Submit(at(n), "e", newRequest(id, ranks[x], n))))
-			case x == 5:
-				if _, w := waitingRank[4]; w || decisions[4] == 0 && !running[4] {
-					abandoned[4] = true
-					delete(waitingRank, 4)
-					apply(slices.Clone(queue.Abandon(at(n), "e", 4)))
-				}
+			case step < abandonStep:
+				run.submit(n, uint64(step+1), ranks[step])
+			case step == abandonStep:
+				run.abandon(n, 4)
 			default:
-				done(n)
+				run.done(n)
 			}
 		}
 		for n := range 8 {
-			done(10 + n)
+			run.done(10 + n)
 		}
-		must.MapEmpty(t, waitingRank, must.Sprintf("%v: somebody was forgotten", order))
+		must.MapEmpty(t, run.waitingRank, must.Sprintf("%v: somebody was forgotten", order))
 	}
 }
 
--- a/mesh/admission/scenario_test.go
+++ b/mesh/admission/scenario_test.go
@@ -48,12 +48,71 @@
 
 var (
 	mixedKinds = []requestKind{
-		{name: "lookup", share: 0.55, rank: 1, work: 59 * ms, spread: 0.8, tailFactor: 3, target: 300 * ms, deadline: 1200 * ms, worth: 2, lateWorth: 0.6, bytes: 1500},
-		{name: "booking", share: 0.15, rank: 1, work: 140 * ms, spread: 0.5, tailFactor: 5, target: 600 * ms, deadline: 1500 * ms, worth: 2, lateWorth: 0.2, unsafe: true, bytes: 5000},
-		{name: "pull", share: 0.3, rank: 2, work: 120 * ms, spread: 0.3, tailFactor: 5, target: 500 * ms, deadline: 2000 * ms, worth: 1, lateWorth: 0.3, bytes: 90000},
+		{
+			name:       "lookup",
+			share:      0.55,
+			rank:       1,
+			work:       59 * ms,
+			spread:     0.8,
+			tailFactor: 3,
+			target:     300 * ms,
+			deadline:   1200 * ms,
+			worth:      2,
+			lateWorth:  0.6,
+			bytes:      1500,
+		},
+		{
+			name:       "booking",
+			share:      0.15,
+			rank:       1,
+			work:       140 * ms,
+			spread:     0.5,
+			tailFactor: 5,
+			target:     600 * ms,
+			deadline:   1500 * ms,
+			worth:      2,
+			lateWorth:  0.2,
+			unsafe:     true,
+			bytes:      5000,
+		},
+		{
+			name:       "pull",
+			share:      0.3,
+			rank:       2,
+			work:       120 * ms,
+			spread:     0.3,
+			tailFactor: 5,
+			target:     500 * ms,
+			deadline:   2000 * ms,
+			worth:      1,
+			lateWorth:  0.3,
+			bytes:      90000,
+		},
+	}
+	smallMesh = scenario{
+		clients: 9,
+		servers: 6,
+		zones:   3,
+		kinds:   mixedKinds,
+		speeds:  []float64{0.5, 1, 1, 1.5},
+		load:    0.75,
+		wave:    0.2,
+		burst:   1,
+		batch:   2,
+		length:  20 * time.Second,
+	}
+	largeMesh = scenario{
+		clients: 69,
+		servers: 53,
+		zones:   4,
+		kinds:   mixedKinds,
+		speeds:  []float64{0.7, 0.7, 1.6},
+		load:    0.75,
+		wave:    0.2,
+		burst:   1,
+		batch:   2,
+		length:  20 * time.Second,
 	}
-	smallMesh = scenario{clients: 9, servers: 6, zones: 3, kinds: mixedKinds, speeds: []float64{0.5, 1, 1, 1.5}, load: 0.75, wave: 0.2, burst: 1, batch: 2, length: 20 * time.Second}
-	largeMesh = scenario{clients: 69, servers: 53, zones: 4, kinds: mixedKinds, speeds: []float64{0.7, 0.7, 1.6}, load: 0.75, wave: 0.2, burst: 1, batch: 2, length: 20 * time.Second}
 )
 
 func modified(scenario scenario, change func(*scenario)) scenario { change(&scenario); return scenario }
