--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -10,12 +10,16 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
+// CoresPath answers with KnownCores; cores and sidecars serve it.
+const CoresPath = "/cottonarch/v1/cores"
+
 const (
+	// discoveryInterval is how often the seeds are asked, and discoveryTimeout bounds one answer.
 	discoveryInterval = 500 * time.Millisecond
 	discoveryTimeout  = 500 * time.Millisecond
 )
 
-// KnownCores is what any process tells of the cores that it knows.
+// KnownCores is the response at CoresPath: the cores that a process knows.
 type KnownCores struct {
 	Cores []ident.Addr `json:"cores"`
 	// FromCore says that the answer is a core's own, so all of Cores are cores; a sidecar may
@@ -49,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), discoveryTimeout)
 	defer cancel()
 	var known KnownCores
-	if c.pool.Call(ctx, seed, http.MethodGet, "/cottonarch/v1/cores", nil, &known) != nil {
+	if c.pool.Call(ctx, seed, http.MethodGet, CoresPath, nil, &known) != nil {
 		return // it is asked again at the next tick
 	}
 	c.RunStep(func(now monotime.Time) node.Effects {
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -27,7 +27,7 @@
 	return resultWaiters{byTicket: map[uint64]chan node.Result{}}
 }
 
-// add gives a new ticket, and the channel that its result comes on.
+// add returns a new ticket, and the channel that its result comes on.
 func (w *resultWaiters) add() (uint64, <-chan node.Result) {
 	result := make(chan node.Result, 1)
 	w.mu.Lock()
@@ -44,7 +44,7 @@
 	delete(w.byTicket, ticket)
 }
 
-// resolve gives a result to its waiter, if there is one still.
+// resolve hands a result to its waiter, if there is one still.
 func (w *resultWaiters) resolve(result node.Result) {
 	w.mu.Lock()
 	waiter := w.byTicket[result.Ticket]
@@ -85,7 +85,7 @@
 	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
 		left := budget - clock().Since(start)
 		if left <= 0 {
-			tooLate := failure.New(failure.Busy, "its time was over before it was begun").WithRetryAfter(1)
+			tooLate := failure.New(failure.Busy, "the time for the operation ended in the step queue").WithRetryAfter(1)
 			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: tooLate}}}
 		}
 		return c.node.Submit(now, ticket, operation, left)
--- a/daemon/sidecar/configassembly.go
+++ b/daemon/sidecar/configassembly.go
@@ -32,7 +32,7 @@
 			return nil
 		}
 		if part.Revision == 0 || part.Size <= 0 || part.Size > maxConfigBytes {
-			return failure.New(failure.BadResponse, "a configuration of %d bytes", part.Size)
+			return failure.New(failure.BadResponse, "a configuration can't have %d bytes", part.Size)
 		}
 		*a = configAssembly{revision: part.Revision, compressed: part.Compressed, size: part.Size, data: make([]byte, 0, part.Size)}
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// bytes gives the configuration as it is stored.
+// bytes returns the configuration as it is stored.
 func (a *configAssembly) bytes() (json.RawMessage, *failure.Error) {
 	if !a.compressed {
 		return a.data, nil
--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -30,8 +30,8 @@
 	// and joinTimeout the same for one that has not joined.
 	coreSilenceTimeout = 700 * time.Millisecond
 	joinTimeout        = 200 * time.Millisecond
-	// fetchDelay is how long a configuration may take to arrive, after a peer or core told of its
-	// revision, before peers are asked for it.
+	// fetchDelay is how long after a peer or core has announced a revision its configuration may
+	// take to arrive before peers are asked for it.
 	fetchDelay = 250 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 type Cache struct {
 	newestKnown       ident.Epoch // the newest revision that some sidecar is known to hold
 	newestKnownAt     monotime.Time
-	newestConfirmed   ident.Epoch // the newest revision that a core said to be confirmed
+	newestConfirmed   ident.Epoch // the newest revision that a core reported as confirmed
 	newestConfirmedAt monotime.Time
 	pending           *validation.Config // held and not enforced yet
 	pendingSince      monotime.Time
@@ -71,7 +71,7 @@
 	}
 }
 
-// ObserveCore notes that a core said a revision to be confirmed. This does not keep older ones from
+// ObserveCore notes that a core reported a revision as confirmed. This does not keep older ones from
 // being enforced; if the configuration does not come from that core in time, peers are asked for
 // it.
 func (c *Cache) ObserveCore(now monotime.Time, revision ident.Epoch) {
@@ -93,14 +93,14 @@
 	}
 }
 
-// TrustsPeers tells whether a configuration may be taken from peers.
+// TrustsPeers reports whether a configuration may be taken from peers.
 func (c *Cache) TrustsPeers(now monotime.Time) bool {
 	return c.joined || c.Disabled || c.joinedPeers > 0 && now.Since(c.startedAt) >= listenBeforeTrust
 }
 
-// ShouldAskPeers tells whether peers are to be asked for a configuration: no core could be reached
-// for a while, or a newer revision than the active one is known and its configuration does not
-// come.
+// ShouldAskPeers reports whether peers are to be asked for a configuration: no core could be
+// reached for a while, or a newer revision than the active one is known and its configuration does
+// not come.
 func (c *Cache) ShouldAskPeers(now, lastCoreContact monotime.Time, active ident.Epoch) bool {
 	if c.newestKnown > active && now.Since(c.newestKnownAt) >= fetchDelay {
 		return true
@@ -114,7 +114,7 @@
 	return c.CoresSilent(now, lastCoreContact)
 }
 
-// CoresSilent tells whether no core could be reached for a while, or this sidecar has not joined:
+// CoresSilent reports whether no core could be reached for a while, or this sidecar has not joined:
 // peers are then asked for their registry too.
 func (c *Cache) CoresSilent(now, lastCoreContact monotime.Time) bool {
 	return !c.joined || now.Since(lastCoreContact) >= coreSilenceTimeout
@@ -131,8 +131,8 @@
 // Pending is the configuration that is held and not enforced yet, nil if there is none.
 func (c *Cache) Pending() *validation.Config { return c.pending }
 
-// Add takes a confirmed configuration. It tells whether peers are to be notified of it now; peers is
-// how many there are, of whom at most MaxNotified will be.
+// Add takes a confirmed configuration. It reports whether peers are to be notified of it now; peers
+// is how many there are, of whom at most MaxNotified will be.
 func (c *Cache) Add(now monotime.Time, config *validation.Config, active ident.Epoch, peers int) bool {
 	if config.Revision <= active || c.pending != nil && config.Revision <= c.pending.Revision {
 		return false
@@ -142,8 +142,8 @@
 	return !c.Disabled
 }
 
-// HandleAck takes the end of notifying one peer of a revision: it holds the configuration, or it
-// could not be reached.
+// HandleAck takes the result of notifying one peer of a revision; ok says that the peer holds the
+// configuration.
 func (c *Cache) HandleAck(revision ident.Epoch, ok bool) {
 	if c.pending == nil || c.pending.Revision != revision {
 		return
@@ -154,8 +154,8 @@
 	}
 }
 
-// TakeReady gives the configuration that may be enforced now, nil if there is none. It is no longer
-// pending then.
+// TakeReady returns the configuration that may be enforced now, nil if there is none. It is no
+// longer pending then.
 func (c *Cache) TakeReady(now monotime.Time) *validation.Config {
 	config := c.pending
 	switch {
@@ -173,7 +173,7 @@
 	return config
 }
 
-// Describe gives the state as text, for traces.
+// Describe returns the state as text, for traces.
 func (c *Cache) Describe() string {
 	pending := ident.Epoch(0)
 	if c.pending != nil {
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -7,25 +7,12 @@
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
 	"cottonarch.example/cottonarch/control/config/validation"
+	"cottonarch.example/cottonarch/mesh/meshtest"
 	"github.com/shoenig/test/must"
 )
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// permutations gives every order of the numbers below n.
-func permutations(n int) [][]int {
-	if n == 0 {
-		return [][]int{{}}
-	}
-	var all [][]int
-	for _, shorter := range permutations(n - 1) {
-		for i := range n {
-			all = append(all, append(append(append([]int{}, shorter[:i]...), n-1), shorter[i:]...))
-		}
-	}
-	return all
-}
-
 // sidecar is a sidecar of the model: its cache and the revision that it enforces.
 type sidecar struct {
 	*Cache
@@ -133,7 +120,7 @@
 // enforces something.
 func TestAllOrdersOfARestartBesideAnIsolatedCore(t *testing.T) {
 	regressions, orders, newerActive := 0, 0, 0
-	for _, order := range permutations(2*restartPeers + 1) {
+	for _, order := range meshtest.Permutations(2*restartPeers + 1) {
 		before, after := runRestart(order, false)
 		orders++
 		must.GreaterEq(t, before, after, must.Sprintf("order %v: enforced %d, then %d", order, before, after))
@@ -148,7 +135,8 @@
 	must.Eq(t, 5040, orders)
 	must.Positive(t, newerActive, must.Sprint("no order in which revision 2 is enforced before the restart"))
 	must.Positive(t, regressions, must.Sprint("no order in which the revision falls without the rule"))
-	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the revision falls without the rule", orders, newerActive, regressions)
+	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the revision falls without the rule", orders,
+		newerActive, regressions)
 }
 
 // Peers that are out of reach delay nothing for longer than ackTimeout; a sidecar that no joined peer
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -54,7 +54,7 @@
 	return own
 }
 
-// Usable is how many retries may be in flight.
+// Usable is how many retries this sidecar may spend within a window of Terms.
 func (s *BudgetShare) Usable() int { return s.usable }
 
 // SetMembers takes how many sidecars a core sees. When there are more, less is used at once.
@@ -70,7 +70,7 @@
 	}
 }
 
-// NextRequest gives the request to send to a core now, if one is due: to lower the grant to what
+// NextRequest returns the request to send to a core now, if one is due: to lower the grant to what
 // is used, once no retry from before can be in flight, or to raise it.
 func (s *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) (quota.Args, bool) {
 	if s.outstanding && now.Since(s.requestedAt) < requestTimeout {
--- a/mesh/retrybudget/runs_test.go
+++ b/mesh/retrybudget/runs_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// worstExcess gives by how much the repeats of a service exceed the limits in the worst window, and
-// where that window ends. Its requests may lag behind by up to a window.
+// worstExcess returns by how much the repeats of a service exceed the limits in the worst window,
+// and where that window ends. Its requests may lag behind by up to a window.
 func (m *model) worstExcess(service int) (worst float64, at monotime.Time) {
 	count := func(list []monotime.Time, from, to monotime.Time) int {
 		return sort.Search(len(list), func(i int) bool { return list[i] > to }) - sort.Search(len(list), func(i int) bool { return list[i] > from })
@@ -159,12 +159,12 @@
 	return 1
 }
 
-// fixedRate gives all endpoints a failure rate.
+// fixedRate gives all endpoints one failure rate.
 func fixedRate(rate float64) func(*rand.Rand) float64 {
 	return func(*rand.Rand) float64 { return rate }
 }
 
-// randomRate gives an endpoint a failure rate of 5 to 100 hundredths.
+// randomRate gives each endpoint a failure rate of 5 to 100 hundredths.
 func randomRate(rng *rand.Rand) float64 { return 0.05 + 0.95*rng.Float64() }
 
 var scenarios = []scenario{
@@ -253,7 +253,8 @@
 				m := simulate(scenario, uint64(i)*10+seed, unguarded, countNested)
 				for service := range m.endpointNodes {
 					excess, at := m.worstExcess(service)
-					t.Logf("%-22s seed %d unguarded %5v nested %5v service %d: %6d requests %6d repeats, excess %7.1f at %v", scenario.name, seed, unguarded, countNested, service, len(m.requests[service]), len(m.repeats[service]), excess, time.Duration(at))
+					t.Logf("%-22s seed %d unguarded %5v nested %5v service %d: %6d requests %6d repeats, excess %7.1f at %v", scenario.name,
+						seed, unguarded, countNested, service, len(m.requests[service]), len(m.repeats[service]), excess, time.Duration(at))
 					if excess > 0 && unguarded {
 						exceeded++
 					}
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -71,7 +71,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// readResponse reads one response and tells whether it closes its connection.
+// readResponse reads one response and reports whether it closes its connection.
 func readResponse(t *testing.T, from *bufio.Reader) bool {
 	response, err := http.ReadResponse(from, nil)
 	must.NoError(t, err, must.Sprint("the connection ended without a response"))
@@ -83,7 +83,10 @@
 // Each kind of connection that is open as the server stops: a request that was begun is answered,
 // and its connection ends with the response; an unused one ends without a wait.
 func TestStopEndsEachConnectionInOrder(t *testing.T) {
-	for name, with := range map[string][]server.Option{"plain": nil, "without close detection": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)}} {
+	for name, with := range map[string][]server.Option{
+		"plain":                   nil,
+		"without close detection": {server.WithoutCloseDetection(), server.DeadPeerTimeout(3 * time.Second)},
+	} {
 		t.Run(name, func(t *testing.T) {
 			s, addr := startNoContentServer(t, with...)
 			fresh, fromFresh := dial(t, addr)
