--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -39,13 +39,13 @@
 	Compacted Kind = "forgotten" // the changes that were asked for are no longer kept
 	Exhausted Kind = "full"      // no room or no number is left
 
-	// The way of a request to an endpoint and back.
+	// The path of a request to an endpoint and back.
 	NoRoute          Kind = "no-way"
 	NoWorkload       Kind = "no-workload" // no endpoint of the service may be chosen
 	EndpointRejected Kind = "gate"        // the destination's sidecar rejected it before its endpoint
-	Unreachable      Kind = "unreached"
-	BadResponse      Kind = "bad-return"
-	LostResponse     Kind = "lost-return" // the connection broke before the response was whole
+	Unreachable      Kind = "unreached"   // no connection could be made
+	BadResponse      Kind = "bad-return"  // malformed, or not one to the request
+	LostResponse     Kind = "lost-return" // the connection broke before the response was complete
 
 	// Time and load.
 	Busy             Kind = "busy"
@@ -61,7 +61,7 @@
 	Internal       Kind = "internal"
 )
 
-// statusByKind gives the HTTP status of each kind.
+// statusByKind holds the HTTP status of each kind.
 var statusByKind = map[Kind]int{
 	Malformed:    http.StatusBadRequest,
 	Invalid:      http.StatusUnprocessableEntity,
@@ -114,7 +114,7 @@
 	Note string `json:"note"`
 }
 
-// Error gives the kind, the note and all faults.
+// Error returns the kind, the note and all faults.
 func (e *Error) Error() string {
 	text := string(e.Kind)
 	if e.Note != "" {
@@ -159,11 +159,11 @@
 	return NewUnknown(Internal, "%s", err.Error())
 }
 
-// Unwrap gives the cause, nil if there is none.
+// Unwrap returns the cause, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Wrap gives an error of another library a kind and a trace; its outcome is unknown. It is nil
-// for a nil error.
+// Wrap returns an error of another library as a typed one, with a kind and a trace; the outcome is
+// unknown. It returns nil for a nil error.
 func Wrap(err error, kind Kind, note string) error {
 	if err == nil {
 		return nil
--- a/base/ident/ident.go
+++ b/base/ident/ident.go
@@ -20,8 +20,8 @@
 // Addr is the address of a process, "ip:port". Invariant: it is never resolved by name.
 type Addr string
 
-// DialSource is the address that a process at a dials from: the same IP, any port. It is nil
-// when a is no ip:port.
+// DialSource returns the address that a process at a dials from: the same IP, any port. It returns
+// nil if a is not of the form ip:port.
 func (a Addr) DialSource() net.Addr {
 	addrPort, err := netip.ParseAddrPort(string(a))
 	if err != nil {
@@ -56,7 +56,7 @@
 // Key is a control key.
 type Key string
 
-// HasPrefix tells whether the key lies below a prefix.
+// HasPrefix reports whether the key lies below a prefix.
 func (k Key) HasPrefix(prefix string) bool { return strings.HasPrefix(string(k), prefix) }
 
 // Ballot orders the terms of one key, as in Paxos. Invariant: Proposer holds the process's own
@@ -66,7 +66,7 @@
 	Proposer string `json:"o,omitempty"`
 }
 
-// Zero tells whether it is the ballot before every term. It is not named IsZero: encoding/json
+// Zero reports whether it is the ballot before every term. It is not named IsZero: encoding/json
 // would then leave it out by another rule.
 func (b Ballot) Zero() bool { return b.Epoch == 0 }
 
@@ -90,9 +90,9 @@
 // with every request, and enough that the numbers of two runs do not meet.
 const firstNumberBits = 40
 
-// FirstRequestNumber is where a run of a process begins to number its requests to others;
-// instance is its instance ID, or a name that holds it. Invariant: the numbers of two runs lie apart, so
-// that a late answer to an earlier run is never taken for an answer to this one.
+// FirstRequestNumber returns where a run of a process begins to number its requests to others;
+// instance is the run's instance ID, or a name that contains it. Invariant: the numbers of two runs
+// lie apart, so that a late answer to an earlier run is never taken for an answer to this one.
 func FirstRequestNumber(instance string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instance))
--- a/base/metrics/metrics.go
+++ b/base/metrics/metrics.go
@@ -19,7 +19,7 @@
 // New makes an empty registry.
 func New() *Registry { return &Registry{counters: map[string]*atomic.Int64{}} }
 
-// Counter gives the counter of a name, and makes it when it is new.
+// Counter returns the counter of a name, and makes it when it is new.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.RLock()
 	counter := r.counters[name]
--- a/base/monotime/monotime.go
+++ b/base/monotime/monotime.go
@@ -15,19 +15,19 @@
 // Duration is a length of monotonic time.
 type Duration = time.Duration
 
-// Add gives the time that is d later.
+// Add returns the time that is d later.
 func (t Time) Add(d Duration) Time { return t + Time(d) }
 
 // Since is the time that passed from earlier to t.
 func (t Time) Since(earlier Time) Duration { return Duration(t - earlier) }
 
-// After tells whether t is later than other.
+// After reports whether t is later than other.
 func (t Time) After(other Time) bool { return t > other }
 
 // Clock reads the monotonic time of one process.
 type Clock func() Time
 
-// ProcessClock gives a clock of this process; it starts at one second so that the zero Time
+// ProcessClock returns a clock of this process; it starts at one second so that the zero Time
 // always means "never". Unlike the monotonic clock of package time it goes on while the machine
 // is suspended: to the process that looks like any other pause.
 func ProcessClock() Clock {
@@ -46,17 +46,17 @@
 
 // StepLimiter follows a clock by bounded steps. Invariant: between two readings it advances by
 // MaxStep at most, however far the clock moved; so a clock that jumps forward, or a pause of the
-// process, never makes a wait look longer than it was by more.
+// process, makes a wait look longer than it was by MaxStep at most.
 type StepLimiter struct {
 	lastReading Time
-	observed    Time // by the bounded steps
+	observed    Time // the limited time as last returned
 }
 
-// MaxStep is the most that one reading adds. It is far below every margin that a lease leaves,
+// MaxStep is the most that the limited time advances between two readings. It is far below every margin that a lease leaves,
 // and far above the time between two ticks of a loop.
 const MaxStep = 100 * time.Millisecond
 
-// Observe takes in a reading of the clock and gives the limited time.
+// Observe takes a reading of the clock and returns the limited time.
 func (l *StepLimiter) Observe(now Time) Time {
 	switch {
 	case l.lastReading == 0:
@@ -68,7 +68,7 @@
 	return l.observed
 }
 
-// LimitSteps gives a clock that follows another by bounded steps; any goroutine may read it.
+// LimitSteps returns a clock that follows another by bounded steps; any goroutine may read it.
 func LimitSteps(clock Clock) Clock {
 	var mu sync.Mutex
 	var limiter StepLimiter
--- a/base/queue/queue.go
+++ b/base/queue/queue.go
@@ -1,7 +1,7 @@
 // Package queue is a bounded queue between goroutines.
 package queue
 
-// Queue passes items from goroutines to others. Invariant: it never holds more than its size; a
+// Queue passes items between goroutines. Invariant: it never holds more than its size; a
 // full queue rejects items instead of growing.
 type Queue[T any] struct{ items chan T }
 
--- a/storage/ring/disk_folder.go
+++ b/storage/ring/disk_folder.go
@@ -37,7 +37,7 @@
 }
 
 // Close releases the lock on the folder. Files that were opened stay open.
-func (d *Dir) Close() error { return failure.Wrap(d.lock.Close(), failure.DiskFailed, "close") }
+func (d *Dir) Close() error { return failure.Wrap(d.lock.Close(), failure.DiskFailed, "close lock") }
 
 // Open opens one file, filling it with zeros up to its size.
 func (d *Dir) Open(name string, size int64) (File, error) {
@@ -45,19 +45,26 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.DiskFailed, "open "+name)
 	}
+	if err := extend(f, name, size); err != nil {
+		_ = f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// extend fills a file with zeros up to its size; a file that is longer is Damaged.
+func extend(f *os.File, name string, size int64) error {
 	stat, err := f.Stat()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.DiskFailed, "stat "+name)
+		return failure.Wrap(err, failure.DiskFailed, "stat "+name)
 	}
 	if stat.Size() > size {
-		return nil, failure.New(failure.Damaged, "%s is longer than the ring's file size", name)
+		return failure.New(failure.Damaged, "%s is longer than the ring's file size", name)
 	}
-	if stat.Size() < size {
-		if err := preallocate(f, stat.Size(), size); err != nil {
-			return nil, failure.Wrap(err, failure.DiskFailed, "preallocate "+name)
-		}
+	if stat.Size() == size {
+		return nil
 	}
-	return f, nil
+	return failure.Wrap(preallocate(f, stat.Size(), size), failure.DiskFailed, "preallocate "+name)
 }
 
 // preallocate writes zeros from an offset up to the size, and syncs them.
--- a/storage/ring/format.go
+++ b/storage/ring/format.go
@@ -34,8 +34,8 @@
 	recordSyncedOffset    = 22
 )
 
-// movedKey is the key of the mark that a file ends the moved records with. It begins with a
-// zero byte so that it is no key of a caller's record.
+// movedKey is the key of the moved mark, the record that follows the last moved record of a file. It
+// begins with a zero byte so that it is no key of a caller's record.
 const movedKey = "\x00moved"
 
 // maxCount is beyond what any ring counts to, and far from where a count would wrap.
@@ -47,11 +47,11 @@
 type fileHeader struct {
 	valid bool
 	blank bool   // never written
-	lap   uint64 // how many files were begun before this one, and this one
+	lap   uint64 // how many files had been begun, this one included
 	first uint64 // sequence number of the file's first record
 }
 
-// encodeFileHeader gives the bytes of a header.
+// encodeFileHeader returns the bytes of a header.
 func encodeFileHeader(lap, first uint64) []byte {
 	raw := make([]byte, fileHeaderSize)
 	binary.LittleEndian.PutUint32(raw, fileMagic)
@@ -64,7 +64,8 @@
 // parseFileHeader reads a header from the first fileHeaderSize bytes of a file.
 func parseFileHeader(raw []byte) fileHeader {
 	header := fileHeader{blank: allZero(raw)}
-	if binary.LittleEndian.Uint32(raw) != fileMagic || crc32.Checksum(raw[:fileSumOffset], castagnoli) != binary.LittleEndian.Uint32(raw[fileSumOffset:]) {
+	sum := crc32.Checksum(raw[:fileSumOffset], castagnoli)
+	if binary.LittleEndian.Uint32(raw) != fileMagic || sum != binary.LittleEndian.Uint32(raw[fileSumOffset:]) {
 		return header
 	}
 	lap, first := binary.LittleEndian.Uint64(raw[fileLapOffset:]), binary.LittleEndian.Uint64(raw[fileFirstOffset:])
@@ -74,7 +75,7 @@
 	return header
 }
 
-// validCount tells whether a number of a header may be a count: laps and records count from 1.
+// validCount reports whether a number of a header may be a count: laps and records count from 1.
 func validCount(n uint64) bool { return n > 0 && n < maxCount }
 
 func allZero(raw []byte) bool {
@@ -95,14 +96,14 @@
 	syncedSequence uint64 // newest sequence number known synced when it was written
 }
 
-// size is how many bytes of its file the record takes.
+// size returns how many bytes of its file the record takes.
 func (s storedRecord) size() int64 { return recordSize(s.key, s.data) }
 
 func recordSize(key string, data []byte) int64 {
 	return int64(recordHeaderSize + len(key) + len(data))
 }
 
-// encodeRecord gives the bytes of a record in a file of the given lap.
+// encodeRecord returns the bytes of a record in a file of the given lap.
 func encodeRecord(record storedRecord, lap uint64) []byte {
 	raw := make([]byte, recordHeaderSize, record.size())
 	binary.LittleEndian.PutUint32(raw, recordMagic)
--- a/storage/ring/memory_folder.go
+++ b/storage/ring/memory_folder.go
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// Crash simulates a loss of power. Of every unsynced write of n bytes, keep(n) tells how many
-// stay; of every file whose name no Sync of the folder covered, keep(1) tells whether it stays.
-// The files are asked about in the order of their names. BeforeWrite is reset.
+// Crash simulates a loss of power. Of every unsynced write of n bytes the first keep(n) survive; a
+// file whose name no Sync of the folder covered survives unless keep(1) is 0. Files are visited in
+// the order of their names. BeforeWrite is reset.
 func (m *MemoryFolder) Crash(keep func(n int) int) {
 	for _, name := range slices.Sorted(maps.Keys(m.Files)) {
 		f := m.Files[name]
--- a/storage/ring/open.go
+++ b/storage/ring/open.go
@@ -36,9 +36,8 @@
 	return r, r.nextFile()
 }
 
-// openFiles opens all files and makes their names last. The folder is synced also where all
-// files were there: a run that was killed may have made them and not synced it. Nothing is
-// written before.
+// openFiles opens all files and makes their names durable, before anything is written. The folder is
+// synced even if all files existed: a run that was killed may have made them without syncing it.
 func (r *Ring) openFiles(folder Folder) error {
 	for i := range r.options.FileCount {
 		file, err := folder.Open(fmt.Sprintf("ring-%03d", i), r.options.FileSize)
@@ -62,7 +61,7 @@
 	return headers, nil
 }
 
-// newestFile gives the file with the highest lap, -1 when no header is valid.
+// newestFile returns the file with the highest lap, -1 when no header is valid.
 func newestFile(headers []fileHeader) int {
 	newest := -1
 	for i, header := range headers {
@@ -85,8 +84,8 @@
 	return r.checkNothingLost(0, 1, fileHeaderSize)
 }
 
-// recover reads the files from the oldest to the newest, makes what it read last, and
-// completes the move of live records that a stop may have cut short.
+// recover reads the files from the oldest to the newest, makes what it read durable, and completes
+// the move of live records, which a crash may have interrupted.
 func (r *Ring) recover(headers []fileHeader, newest int) error {
 	next := (newest + 1) % r.options.FileCount
 	r.lap = headers[newest].lap
@@ -121,18 +120,18 @@
 	return r.moveLiveRecords()
 }
 
-// isOldest tells whether a file that was begun so many files before the newest is the next to
-// be overwritten.
+// isOldest reports whether a file that was begun age files before the newest is the next to be
+// overwritten.
 func (r *Ring) isOldest(age int) bool { return age == r.options.FileCount-1 }
 
-// oldestIsLost tells whether the header of the next file to be overwritten, which was
+// oldestIsLost reports whether the header of the next file to be overwritten, which was
 // written a lap ago, is no longer there.
 func (r *Ring) oldestIsLost(header fileHeader) bool {
 	files := uint64(r.options.FileCount)
 	return r.lap >= files && (!header.valid || header.lap != r.lap-files+1)
 }
 
-// recoverFile reads the records of the file that was begun so many files before the newest.
+// recoverFile reads the records of the file that was begun age files before the newest.
 func (r *Ring) recoverFile(headers []fileHeader, newest, age int) error {
 	file := (newest - age + r.options.FileCount) % r.options.FileCount
 	header := headers[file]
@@ -151,7 +150,7 @@
 		return errHeaderDamaged(file)
 	}
 	if r.sequence != 0 && header.first != r.sequence+1 {
-		return failure.New(failure.Damaged, "ring-%03d: begins at %d, wanted %d", file, header.first, r.sequence+1)
+		return failure.New(failure.Damaged, "ring-%03d: begins at record %d, want %d", file, header.first, r.sequence+1)
 	}
 	r.sequence = header.first - 1
 	if age == 0 {
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// hasMovedMark tells whether the newest file holds the mark that ends the moved records.
+// hasMovedMark reports whether the newest file holds the mark that ends the moved records.
 func (r *Ring) hasMovedMark(file int, first uint64) (bool, error) {
 	reader := r.reader(file)
 	offset := int64(fileHeaderSize)
@@ -213,8 +212,9 @@
 	return nil
 }
 
-// checkNothingLost looks behind the last record read for one that knew a lost record as
-// synced: that proves damage, where a torn tail leaves none.
+// checkNothingLost searches a file, from an offset after the last record that was read, for a record
+// that was written when a lost one was known synced. Such a record proves damage: a torn tail leaves
+// none.
 func (r *Ring) checkNothingLost(file int, lap uint64, from int64) error {
 	reader := r.reader(file)
 	if err := reader.fillPastGaps(from); err != nil {
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// syncAll syncs every file. A run that was killed may have left writes that no sync covered;
-// they were read, so they must last before anything is built on them.
+// syncAll syncs every file. A run that was killed may have left writes that no sync covered; they
+// were read, so they must be durable before anything builds on them.
 func (r *Ring) syncAll() error {
 	for i := range r.files {
 		r.dirtyFiles[i] = true
--- a/storage/ring/reader.go
+++ b/storage/ring/reader.go
@@ -78,7 +78,7 @@
 	return record, ok, nil
 }
 
-// nextMagic gives the offset of the next record magic number from an offset on, -1 if none is
+// nextMagic returns the offset of the next record magic number from an offset on, -1 if none is
 // loaded.
 func (r *fileReader) nextMagic(from int64) int64 {
 	magic := binary.LittleEndian.AppendUint32(nil, recordMagic)
--- a/storage/ring/recycle.go
+++ b/storage/ring/recycle.go
@@ -6,8 +6,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// nextFile goes to the next file, which holds nothing live, and prepares the file after it for
-// being overwritten in turn.
+// nextFile begins the next file, which holds no live record, and moves the live records of the file
+// after that one into it, so that this file can be overwritten next.
 func (r *Ring) nextFile() error {
 	if err := r.Sync(); err != nil {
 		return err
--- a/storage/ring/ring.go
+++ b/storage/ring/ring.go
@@ -1,8 +1,8 @@
 // Package ring stores records under keys in a ring of preallocated files, and keeps the newest
 // record of each key. It is a log that is written round and round: before a file is
 // overwritten, its live records are moved forward, so the space never grows and no index is
-// stored. Opening a ring tells a torn tail, which a loss of power leaves, from damage to what
-// was synced, which is reported and never read over.
+// stored. Opening a ring distinguishes a torn tail, which a loss of power leaves, from damage to
+// what was synced, which is reported and never skipped.
 package ring
 
 import (
@@ -37,7 +37,7 @@
 //   - the file after the current one holds no live record once the current file
 //     holds its moved mark, and only then is it overwritten;
 //   - every record names the newest sequence number known synced when it was written, so
-//     that damage is told from a torn tail.
+//     that damage can be distinguished from a torn tail.
 //
 // A Ring is used by one goroutine at a time.
 type Ring struct {
@@ -53,7 +53,7 @@
 	live           map[string]liveRecord
 	liveBytes      int64
 	fatalErr       error // of the first write or sync that failed
-	scanEnd        int64 // behind the last record of the file read last, while opening
+	scanEnd        int64 // while opening: the end of the last record of the file read last
 
 	// Appends, Syncs, Moves and BytesWritten count what was done since the ring was opened;
 	// Moves are records moved forward.
@@ -79,17 +79,17 @@
 	return nil
 }
 
-// makeRoom goes on to the next file until the current one has room for so many bytes.
+// makeRoom begins next files until the current one has room for need bytes.
 func (r *Ring) makeRoom(need int64) error {
 	if need > r.MaxRecordSize() {
-		return failure.New(failure.Oversize, "record of %d bytes", need)
+		return failure.New(failure.Oversize, "a record of %d bytes is too large for the ring", need)
 	}
 	if r.liveBytes+need > r.maxLiveBytes() {
 		return failure.New(failure.DiskFailed, "the ring is full of live records")
 	}
 	for tries := 0; r.offset+need > r.options.FileSize; tries++ {
 		if tries > r.options.FileCount {
-			return failure.New(failure.DiskFailed, "no room after a whole lap")
+			return failure.New(failure.DiskFailed, "no file of the ring has room for the record")
 		}
 		if err := r.nextFile(); err != nil {
 			return err
@@ -124,7 +124,7 @@
 }
 
 // Sync makes all that was appended durable. After a failed write or sync nothing counts any
-// more: the ring returns that error until it is opened anew.
+// more: the ring returns that error until it is opened again.
 func (r *Ring) Sync() error {
 	if r.fatalErr != nil {
 		return r.fatalErr
@@ -154,12 +154,12 @@
 	return records
 }
 
-// FreeFraction is the part of the space for live records that is still free, 0 to 1.
+// FreeFraction returns the part of the space for live records that is still free, 0 to 1.
 func (r *Ring) FreeFraction() float64 { return 1 - float64(r.liveBytes)/float64(r.maxLiveBytes()) }
 
-// MaxRecordSize is the size in bytes, key and header included, of the largest record that fits.
+// MaxRecordSize returns the size in bytes, key and header included, of the largest record that fits.
 func (r *Ring) MaxRecordSize() int64 { return r.options.FileSize / 2 }
 
-// maxLiveBytes leaves room for the current file, for the one being cleared, and for as many
-// dead records as live ones.
+// maxLiveBytes bounds the live records: it leaves room for the current file, for the one being
+// cleared, and for as many dead records as live ones.
 func (r *Ring) maxLiveBytes() int64 { return r.options.FileSize * int64(r.options.FileCount-2) / 2 }
