--- a/control/audit/tree/log.go
+++ b/control/audit/tree/log.go
@@ -50,14 +50,14 @@
 	for i, leaf := range leaves {
 		raw, err := json.Marshal(leaf)
 		if err != nil {
-			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "leaf")
+			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "encode audit leaf")
 		}
 		stored, err := tlog.StoredHashes(int64(i), raw, reader)
 		if err != nil {
-			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "hashes")
+			return tlog.Hash{}, failure.Wrap(err, failure.Internal, "hash audit leaf")
 		}
 		hashes = append(hashes, stored...)
 	}
 	root, err := tlog.TreeHash(int64(len(leaves)), reader)
-	return root, failure.Wrap(err, failure.Internal, "tree")
+	return root, failure.Wrap(err, failure.Internal, "compute the root of the audit tree")
 }
--- a/control/audit/tree/verify.go
+++ b/control/audit/tree/verify.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	if size > len(log.Leaves) {
-		return failure.New(failure.Damaged, "the log has %d leaves, it had %d", len(log.Leaves), size)
+		return failure.New(failure.Damaged, "the log has %d leaves, the older checkpoint covers %d", len(log.Leaves), size)
 	}
 	prefix, err := Build(log.Leaves[:size])
 	if err != nil {
--- a/control/config/delta/compressed.go
+++ b/control/config/delta/compressed.go
@@ -44,10 +44,10 @@
 func Decompress(data []byte, maxBytes int) (json.RawMessage, *failure.Error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), int64(maxBytes)+1))
 	if err != nil {
-		return nil, failure.New(failure.BadResponse, "a compressed configuration: %v", err)
+		return nil, failure.New(failure.BadResponse, "decompress configuration: %v", err)
 	}
 	if len(raw) > maxBytes {
-		return nil, failure.New(failure.BadResponse, "a compressed configuration of more than %d bytes", maxBytes)
+		return nil, failure.New(failure.BadResponse, "the decompressed configuration has more than %d bytes", maxBytes)
 	}
 	return raw, nil
 }
--- a/control/config/delta/delta.go
+++ b/control/config/delta/delta.go
@@ -99,7 +99,8 @@
 	snapshot := Snapshot{Revision: d.To, Tree: merge.Merge(tree, patch)}
 	snapshot.Raw = operation.Encode(snapshot.Tree)
 	if Digest(snapshot.Raw) != d.Digest {
-		return Snapshot{}, failure.New(failure.BadResponse, "the result of the delta from revision %d to %d does not match its digest", d.From, d.To)
+		return Snapshot{}, failure.New(failure.BadResponse,
+			"the result of the delta from revision %d to %d does not match its digest", d.From, d.To)
 	}
 	return snapshot, nil
 }
--- a/control/config/proposal/proposal.go
+++ b/control/config/proposal/proposal.go
@@ -62,7 +62,7 @@
 
 // fingerprint identifies the proposal by its kind, its base, its identifier and its body,
 // re-encoded with sorted fields. Stored logs hold fingerprints: what is hashed must not change.
-func (a Args) fingerprint(sent json.RawMessage) history.Fingerprint {
+func (a Args) fingerprint(encodedBody json.RawMessage) history.Fingerprint {
 	base := ""
 	switch {
 	case a.BaseVersion != nil:
@@ -70,7 +70,7 @@
 	case a.BaseRevision != nil:
 		base = fmt.Sprint("epoch ", *a.BaseRevision)
 	}
-	return history.FingerprintOf(string(a.kind()), base, a.OperationID, string(sent))
+	return history.FingerprintOf(string(a.kind()), base, a.OperationID, string(encodedBody))
 }
 
 // status returns what the log knows of the proposal. One that has neither a base nor an
--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
@@ -24,10 +23,10 @@
 	if err != nil {
 		return operation.Rejected(err)
 	}
-	sent := operation.Encode(body)
+	encodedBody := operation.Encode(body)
 	log := current.Log.ContinueAt(current.Revision, current.Version)
-	fingerprint := args.fingerprint(sent)
-	if result, ok := current.answerWithoutEvaluation(args, log, fingerprint, sent); ok {
+	fingerprint := args.fingerprint(encodedBody)
+	if result, ok := current.answerWithoutEvaluation(args, log, fingerprint, encodedBody); ok {
 		return result
 	}
 	next, err := current.evaluate(context, args, body)
@@ -48,12 +47,14 @@
 // response again, and so does the whole configuration in force. Conflict is the answer only
 // if the log proves that the proposal was not accepted; if the log has forgotten, the outcome
 // is unknown.
-func (s *State) answerWithoutEvaluation(args Args, log history.Log, fingerprint history.Fingerprint, sent json.RawMessage) (operation.Result, bool) {
+func (s *State) answerWithoutEvaluation(
+	args Args, log history.Log, fingerprint history.Fingerprint, encodedBody json.RawMessage,
+) (operation.Result, bool) {
 	status, change := args.status(log, fingerprint)
 	if status == history.Accepted {
 		return operation.Result{Body: operation.Encode(Accepted{change.Revision, change.Version})}, true
 	}
-	if args.BaseVersion != nil && s.isCurrent(args, sent) {
+	if args.BaseVersion != nil && s.isCurrent(args, encodedBody) {
 		return operation.Result{Body: operation.Encode(Accepted{s.Revision, s.Version})}, true
 	}
 	switch {
@@ -64,9 +65,11 @@
 			"the configuration is at revision %d and version %d; whether this proposal was accepted before is no longer known",
 			s.Revision, s.Version)), true
 	case args.BaseVersion != nil:
-		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at version %d, not %d", s.Version, *args.BaseVersion)), true
+		return operation.Rejected(failure.New(failure.Conflict,
+			"the configuration is at version %d, not %d", s.Version, *args.BaseVersion)), true
 	default:
-		return operation.Rejected(failure.New(failure.Conflict, "the configuration is at revision %d, not %d", s.Revision, *args.BaseRevision)), true
+		return operation.Rejected(failure.New(failure.Conflict,
+			"the configuration is at revision %d, not %d", s.Revision, *args.BaseRevision)), true
 	}
 }
 
@@ -108,7 +111,7 @@
 func (s *State) compose(args Args, body map[string]any) (map[string]any, *failure.Error) {
 	composeDocument, ok := composers[args.kind()]
 	if !ok {
-		return nil, failure.New(failure.Malformed, "no kind of proposal %q", args.Kind)
+		return nil, failure.New(failure.Malformed, "unknown kind of proposal %q", args.Kind)
 	}
 	base := map[string]any{}
 	if args.kind() != FullConfig && len(s.Document) > 0 {
@@ -125,9 +128,9 @@
 func (s *State) checkVersion(args Args, body map[string]any, version uint64) *failure.Error {
 	_, given := body["release"]
 	if args.BaseVersion != nil && (!given || version <= s.Version) || given && version < s.Version {
-		err := failure.New(failure.Invalid, "1 faults")
-		err.Faults = []failure.Fault{{Path: "release", Note: fmt.Sprintf("must be above %d", s.Version)}}
-		return err
+		faults := &decode.Faults{}
+		faults.Add("release", "must be above %d", s.Version)
+		return faults.Err(failure.Invalid)
 	}
 	return nil
 }
--- a/control/config/proposal/state.go
+++ b/control/config/proposal/state.go
@@ -30,12 +30,12 @@
 }
 
 // isCurrent reports whether the proposal is the whole configuration in force.
-func (s *State) isCurrent(args Args, sent json.RawMessage) bool {
+func (s *State) isCurrent(args Args, encodedBody json.RawMessage) bool {
 	if args.kind() != FullConfig || len(s.AuditEntries) == 0 {
 		return false
 	}
 	last := s.AuditEntries[len(s.AuditEntries)-1]
-	return last.Revision == s.Revision && last.SHA256 == digest(sent)
+	return last.Revision == s.Revision && last.SHA256 == digest(encodedBody)
 }
 
 // digest returns the SHA-256 sum of an encoded document, in hexadecimal.
--- a/control/config/validation/config.go
+++ b/control/config/validation/config.go
@@ -51,4 +51,9 @@
 }
 
 // DefaultLimits are the limits that apply where a configuration gives none.
-var DefaultLimits = Limits{MaxHeaderBytes: 64 << 10, MaxBodyBytes: 8 << 20, HeaderTimeout: 10 * time.Second, IdleTimeout: 90 * time.Second}
+var DefaultLimits = Limits{
+	MaxHeaderBytes: 64 << 10,
+	MaxBodyBytes:   8 << 20,
+	HeaderTimeout:  10 * time.Second,
+	IdleTimeout:    90 * time.Second,
+}
--- a/control/config/validation/reader.go
+++ b/control/config/validation/reader.go
@@ -25,6 +25,26 @@
 	maxExactInteger = 1 << 53
 )
 
+// Defaults and bounds of a service's settings; times are in seconds.
+const (
+	defaultDrainSeconds = 2
+	minDrainSeconds     = 0.1
+	maxDrainSeconds     = 600
+	defaultReuseSeconds = 2
+	minReuseSeconds     = 1
+	maxReuseSeconds     = 3600
+	// maxCallerWeight bounds the weight of one caller of a service.
+	maxCallerWeight = 1000
+)
+
+// Defaults and bounds of a route's settings.
+const (
+	defaultTimeoutMs   = 5000
+	defaultMaxAttempts = 3
+	// maxAttemptsLimit bounds the attempts that a route may allow.
+	maxAttemptsLimit = 100
+)
+
 // The priorities of routes that name none.
 const (
 	urgentPriority  = 0
@@ -72,8 +92,8 @@
 	return Limits{
 		MaxHeaderBytes: object.Int("headBytes", DefaultLimits.MaxHeaderBytes, 1, maxExactInteger),
 		MaxBodyBytes:   object.Int("bodyBytes", DefaultLimits.MaxBodyBytes, 0, maxExactInteger),
-		HeaderTimeout:  milliseconds(object.Float("headMs", 10000, 1, dayMilliseconds)),
-		IdleTimeout:    milliseconds(object.Float("idleMs", 90000, 1, dayMilliseconds)),
+		HeaderTimeout:  milliseconds(object.Float("headMs", float64(DefaultLimits.HeaderTimeout.Milliseconds()), 1, dayMilliseconds)),
+		IdleTimeout:    milliseconds(object.Float("idleMs", float64(DefaultLimits.IdleTimeout.Milliseconds()), 1, dayMilliseconds)),
 	}
 }
 
@@ -94,8 +114,8 @@
 	service := Service{
 		Hostname:          ident.Service(name),
 		Namespace:         object.String("namespace", "default"),
-		DrainTimeout:      seconds(object.Float("drainS", 2, 0.1, 600)),
-		AddressReuseDelay: seconds(object.Float("reuseAfterS", 2, 1, 3600)),
+		DrainTimeout:      seconds(object.Float("drainS", defaultDrainSeconds, minDrainSeconds, maxDrainSeconds)),
+		AddressReuseDelay: seconds(object.Float("reuseAfterS", defaultReuseSeconds, minReuseSeconds, maxReuseSeconds)),
 		HealthCheckPath:   object.String("checkPath", ""),
 		MaxConnections:    int(object.Int("connections", 0, 0, maxInt32)),
 	}
@@ -124,7 +144,7 @@
 		if callerWeights == nil {
 			callerWeights = map[string]float64{}
 		}
-		callerWeights[name] = callers.Float(name, 1, 0, 1000)
+		callerWeights[name] = callers.Float(name, 1, 0, maxCallerWeight)
 	}
 	return ratio, callerWeights
 }
@@ -161,8 +181,8 @@
 		Urgent:        object.Bool("urgent", false),
 		Repeat:        RepeatPolicy(object.String("repeat", "")),
 		TargetLatency: milliseconds(object.Float("aimMs", 0, 0, dayMilliseconds)),
-		Timeout:       milliseconds(object.Float("timeoutMs", 5000, 0, dayMilliseconds)),
-		MaxAttempts:   int(object.Int("tries", 3, 1, 100)),
+		Timeout:       milliseconds(object.Float("timeoutMs", defaultTimeoutMs, 0, dayMilliseconds)),
+		MaxAttempts:   int(object.Int("tries", defaultMaxAttempts, 1, maxAttemptsLimit)),
 	}
 	priority := int64(defaultPriority)
 	if route.Urgent {
--- a/control/config/validation/repeat.go
+++ b/control/config/validation/repeat.go
@@ -19,7 +19,7 @@
 var (
 	never  = func(string) bool { return false }
 	always = func(string) bool { return true }
-	// repeatPolicies gives for each policy which methods may be executed twice.
+	// repeatPolicies holds for each policy which methods may be executed twice.
 	repeatPolicies = map[RepeatPolicy]func(method string) bool{
 		ByMethod:   func(method string) bool { return repeatableMethods[method] },
 		Repeatable: always,
--- a/control/coordination/keyvalue/state.go
+++ b/control/coordination/keyvalue/state.go
@@ -16,7 +16,7 @@
 	MinHistory        = 60 * time.Second
 	maxHistoryEntries = 4096
 	maxHistoryBytes   = 1 << 20
-	// changeOverhead is what a change is reckoned to take beside its value, in bytes.
+	// changeOverhead is how many bytes a change counts for in addition to its value.
 	changeOverhead = 40
 	// fullRetrySeconds is when to retry a write that found the history full.
 	fullRetrySeconds = 10
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -89,7 +89,7 @@
 		args.TTL = current.TTL
 	}
 	if !validTTL(args.TTL) {
-		return operation.Rejected(failure.New(failure.Invalid, "a renewal's ttlMs is from %d to %d", minTTL, maxTTL))
+		return operation.Rejected(failure.New(failure.Invalid, "renewing a lock needs ttlMs from %d to %d", minTTL, maxTTL))
 	}
 	if current.extend(context, args.TTL) {
 		return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
@@ -104,7 +104,7 @@
 		return operation.Rejected(err)
 	}
 	if args.GrantNumber != 0 && args.GrantNumber != current.GrantCount {
-		return operation.Rejected(failure.New(failure.NotHolder, "grant %d was followed by %d", args.GrantNumber, current.GrantCount))
+		return operation.Rejected(failure.New(failure.NotHolder, "grant %d is superseded by grant %d", args.GrantNumber, current.GrantCount))
 	}
 	current.Holder = ""
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
--- a/control/coordination/operation/table.go
+++ b/control/coordination/operation/table.go
@@ -46,7 +46,7 @@
 func (t Table) Apply(context proposer.Context, value json.RawMessage, op proposer.Operation) proposer.Result {
 	handler, ok := t[op.Kind]
 	if !ok {
-		return proposer.Result{Failure: failure.New(failure.Malformed, "no operation %q", op.Kind)}
+		return proposer.Result{Failure: failure.New(failure.Malformed, "unknown operation %q", op.Kind)}
 	}
 	if stateless[op.Kind] {
 		result := handler(context, nil, op.Args)
--- a/control/core/joinqueue/queue.go
+++ b/control/core/joinqueue/queue.go
@@ -60,7 +60,7 @@
 	waiting           []*join
 	batch             []*join
 	batchStarted      monotime.Time
-	lastBatchDuration time.Duration // of the last batch
+	lastBatchDuration time.Duration // of the last batch that succeeded
 }
 
 // Len returns how many joins wait for a batch.
@@ -77,7 +77,7 @@
 		return nil
 	}
 	if len(q.waiting) >= MaxWaiting {
-		return q.busyError(r, "%d joins wait here", len(q.waiting))
+		return q.busyError(r, "%d joins are queued at this core", len(q.waiting))
 	}
 	q.waiting = append(q.waiting, &join{Request: r, queuedAt: now, waiters: []waiter{w}})
 	return nil
@@ -134,12 +134,12 @@
 	return tickets
 }
 
-// Expire ends the tickets whose deadline is over. The outcome of those whose batch is in progress
+// Expire ends the tickets whose deadline has passed. The outcome of those whose batch is in progress
 // is unknown.
 func (q *Queue) Expire(now monotime.Time) []Refusal {
 	var refusals []Refusal
 	for _, j := range q.waiting {
-		refusals = append(refusals, q.expireWaiters(now, j, q.busyError(j.Request, "its time was over before its batch began"))...)
+		refusals = append(refusals, q.expireWaiters(now, j, q.busyError(j.Request, "the join's deadline passed before its batch began"))...)
 	}
 	q.waiting = slices.DeleteFunc(q.waiting, func(j *join) bool { return len(j.waiters) == 0 })
 	for _, j := range q.batch {
@@ -150,7 +150,7 @@
 	return refusals
 }
 
-// expireWaiters removes the waiters whose deadline is over.
+// expireWaiters removes the waiters whose deadline has passed.
 func (q *Queue) expireWaiters(now monotime.Time, j *join, refusal *failure.Error) (refusals []Refusal) {
 	j.waiters = slices.DeleteFunc(j.waiters, func(w waiter) bool {
 		if !now.After(w.deadline) {
--- a/control/core/node/antientropy.go
+++ b/control/core/node/antientropy.go
@@ -6,20 +6,21 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// The number of digests that a comparison exchanges, a power of two, is between these.
+// minBuckets and maxBuckets, powers of two, bound the number of digests that a comparison exchanges.
 const (
 	minBuckets = 16
 	maxBuckets = 1024
 )
 
-// AntiEntropyPass is the outcome of an anti-entropy pass. Invariant: Read of the
-// CountedDisks were compared, and on one of these the copies of at least LaggingKeys keys were
-// not the newest. FinishedAt is 0 if there was no pass.
+// AntiEntropyPass is the outcome of an anti-entropy pass.
 type AntiEntropyPass struct {
-	FinishedAt   monotime.Time
+	// FinishedAt is when the pass ended, 0 if there was none.
+	FinishedAt monotime.Time
+	// Read is how many of the CountedDisks were read and compared.
 	Read         int
 	CountedDisks int
-	LaggingKeys  int
+	// LaggingKeys is how many keys had an outdated copy on one of the disks that were read.
+	LaggingKeys int
 }
 
 // antiEntropyState is when this core began its last anti-entropy pass, and its outcome.
--- a/control/core/node/audit.go
+++ b/control/core/node/audit.go
@@ -12,11 +12,11 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// auditState is the end of the audit log as this core last read or wrote it. Both revision,
-// the newest in the log, and length, the number of its entries, only rise.
+// auditState is the end of the audit log as this core last read or wrote it. Invariant: revision
+// and length only rise.
 type auditState struct {
-	revision ident.Epoch
-	length   int
+	revision ident.Epoch // the newest in the log
+	length   int         // the number of entries
 	readAt   monotime.Time
 }
 
@@ -30,8 +30,8 @@
 	return string(segment.Key(n.audit.length))
 }
 
-// extendAudit takes the end of the audit log, and appends the entries of the configurations
-// that were accepted since.
+// extendAudit updates the known end of the audit log from a quorum read, and appends the entries
+// of the configurations that were accepted since.
 func (n *Node) extendAudit(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 	if reader == nil || !n.takeAuditEnd(reader) {
 		return
@@ -47,8 +47,8 @@
 	})
 }
 
-// takeAuditEnd takes the end of the audit log from a read of it, and reports whether that
-// shows where the next entry belongs.
+// takeAuditEnd updates the known end of the audit log from a quorum read, and reports whether
+// the next entry may be appended there.
 func (n *Node) takeAuditEnd(reader *quorumread.Reader) bool {
 	logged, complete := AuditEntries(reader.Entries())
 	if !complete {
--- a/control/core/node/catchup.go
+++ b/control/core/node/catchup.go
@@ -17,9 +17,9 @@
 	maxCatchUpTries = 5
 )
 
-// catchUpState is how a voter that counts again, after a start, a partition or a stalled disk,
-// finds the writes that it missed. It does not wait for the next anti-entropy pass, as the core
-// with that duty may be the one that failed.
+// catchUpState tracks how a voter that counts again (after a start, a partition or a stalled
+// disk) finds the writes that it missed. It does not wait for the next anti-entropy pass, because
+// the core that runs these passes may be the one that failed.
 type catchUpState struct {
 	done    bool
 	reading bool
--- a/control/core/node/config.go
+++ b/control/core/node/config.go
@@ -28,7 +28,7 @@
 	// StateMachine applies operations to values; Handlers(History) if it is nil.
 	StateMachine proposer.StateMachine
 	// QuorumSize, if it is not 0, overrides the size of a majority. Only the simulator sets it, to
-	// show that its checkers detect a quorum that is none.
+	// show that its invariants detect a quorum that is too small.
 	QuorumSize int
 	// CanLose is how many machines with a disk may fail at once; 0 if that is not known.
 	CanLose int
--- a/control/core/node/departure.go
+++ b/control/core/node/departure.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// voteInDoubtFor is how long after a vote of this disk the round may still end that it was
-	// for: no round lasts longer than 1.2 s.
+	// voteInDoubtFor is how long after a vote of this disk its round may still be in progress: no
+	// round lasts longer than 1.2 s.
 	voteInDoubtFor = 1300 * time.Millisecond
 	// successorWait is how long a leaving voter waits for its successor to be counted in.
 	successorWait = 2 * time.Second
@@ -38,8 +38,9 @@
 type departure struct {
 	startedAt     monotime.Time
 	votingStopped bool
-	// repairsOpen counts the operations in progress that end the rounds in doubt.
-	repairsSent   bool
+	// repairsSent is set once the operations that end the rounds in doubt were submitted.
+	repairsSent bool
+	// repairsOpen counts those of them that are in progress; failed is set when one has failed.
 	repairsOpen   int
 	failed        bool
 	votesResolved bool
@@ -50,8 +51,8 @@
 // then that are not yet known to be held by a majority without that voter. What is confirmed
 // later is held by such a majority.
 type replicationCheck struct {
-	without         ident.Disk
-	excluded        ident.Disk
+	without         ident.Disk // the voter whose copy does not count
+	excluded        ident.Disk // the voter that is not read, if any
 	reading         bool
 	compared        bool
 	underReplicated map[ident.Key]quorum.Record
--- a/control/core/node/forward.go
+++ b/control/core/node/forward.go
@@ -27,8 +27,8 @@
 	forwardID  string
 }
 
-// forward sends the copy in flight, or sends it again: its receiver, which is one run of a
-// core, takes repeats of one ticket as one.
+// forward sends the copy in flight to its target, or sends it again: the receiving run executes
+// one ticket once, however often it arrives.
 func (n *Node) forward(now monotime.Time, p *pending, fx *Effects) {
 	p.sentAt = now
 	leftMs := max(1, p.deadline.Since(now).Milliseconds())
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -33,11 +33,11 @@
 
 // heartbeatState is what a core remembers of the heartbeats that it sent.
 type heartbeatState struct {
-	seq       uint64 // of the last one
+	seq       uint64 // of the last heartbeat sent
 	checkedAt monotime.Time
 	// sent holds when the latest ones were sent, by rising sequence number.
 	sent []sentHeartbeat
-	// unheardContactedAt is when cores that were never heard were last sent one.
+	// unheardContactedAt is when a heartbeat was last sent to cores that were never heard.
 	unheardContactedAt monotime.Time
 	// leaseResendTo lists the cores that asked for a full list of leases.
 	leaseResendTo []ident.Addr
@@ -67,7 +67,7 @@
 	return s.sent[index].sentAt
 }
 
-// sendDueHeartbeats sends a heartbeat to every core that one is due to, or to all of them.
+// sendDueHeartbeats sends a heartbeat to every core whose next one is due, or to all of them.
 func (n *Node) sendDueHeartbeats(now monotime.Time, toEveryone bool, fx *Effects) {
 	n.forgetSilentPeers(now)
 	contactUnheard := now.Since(n.heartbeats.unheardContactedAt) >= heartbeatInterval
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -114,7 +114,12 @@
 // knows of, so that the new one is higher even if the shares have forgotten the node.
 func (n *Node) joinArgs(requests []joinqueue.Request) (args quota.JoinArgs) {
 	for _, r := range requests {
-		args.Nodes = append(args.Nodes, quota.Joiner{Node: r.Node, Run: r.Run, Total: r.RetryTotal, KnownEpoch: n.Leases.LeaseEpoch(r.Node)})
+		args.Nodes = append(args.Nodes, quota.Joiner{
+			Node:       r.Node,
+			Run:        r.Run,
+			Total:      r.RetryTotal,
+			KnownEpoch: n.Leases.LeaseEpoch(r.Node),
+		})
 	}
 	return args
 }
@@ -124,7 +129,7 @@
 	failed := result.Failure
 	if failed == nil {
 		if err := json.Unmarshal(result.Body, into); err != nil {
-			failed = failure.New(failure.Damaged, "join: %v", err)
+			failed = failure.New(failure.Damaged, "decode join result: %v", err)
 		}
 	}
 	if failed != nil && b.failure == nil {
@@ -138,7 +143,7 @@
 		return
 	}
 	if b.failure == nil && len(b.entered) != b.size {
-		b.failure = failure.New(failure.Damaged, "%d lease epochs for %d joins", len(b.entered), b.size)
+		b.failure = failure.New(failure.Damaged, "the batch returned %d lease epochs for %d joins", len(b.entered), b.size)
 	}
 	if b.failure == nil {
 		n.learnFromJoins(now, b, fx)
@@ -166,5 +171,6 @@
 		return Result{Ticket: ticket, Failure: &failed}
 	}
 	entry := b.entered[index]
-	return Result{Ticket: ticket, Body: operation.Encode(Joined{LeaseEpoch: entry.LeaseEpoch, Share: entry.Share, ConfigRevision: b.configRevision})}
+	joined := Joined{LeaseEpoch: entry.LeaseEpoch, Share: entry.Share, ConfigRevision: b.configRevision}
+	return Result{Ticket: ticket, Body: operation.Encode(joined)}
 }
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -200,13 +200,13 @@
 func (n *Node) timeOut(now monotime.Time, p *pending, fx *Effects) {
 	timedOut := errNoMajority()
 	if p.mayTakeEffect() {
-		timedOut = failure.NewUnknown(failure.UnknownOutcome, "the change was sent on and no return came in time")
+		timedOut = failure.NewUnknown(failure.UnknownOutcome, "the change was forwarded and no result came in time")
 	}
 	n.finish(now, p, Result{Failure: timedOut}, fx)
 }
 
 func errNoMajority() *failure.Error {
-	return failure.New(failure.NoMajority, "no majority of the core answered in time").WithRetryAfter(busyRetryAfter)
+	return failure.New(failure.NoMajority, "no majority of the cores answered in time").WithRetryAfter(busyRetryAfter)
 }
 
 // copyEnded takes the result of the copy in flight: it ends the operation, or has it tried
@@ -234,7 +234,7 @@
 	}
 }
 
-// applyOutcome announces what an operation changed and answers whoever asked for it.
+// applyOutcome announces what an operation changed and answers its caller, here or at another core.
 func (n *Node) applyOutcome(now monotime.Time, outcome proposer.Outcome, fx *Effects) {
 	if outcome.Changed && !outcome.Abandoned {
 		learned := message.Learned{Key: outcome.Operation.Key, Revision: outcome.Revision, Ballot: outcome.Ballot}
--- a/control/core/node/peers.go
+++ b/control/core/node/peers.go
@@ -156,8 +156,8 @@
 }
 
 // MarkUnreachable takes a hint that the process at an address accepts no connection. Its keys
-// move to others at once, which is safe even if it runs after all; its next heartbeat ends
-// the mark.
+// move to others at once, which is safe even if it runs after all; its next heartbeat clears
+// the hint.
 func (n *Node) MarkUnreachable(now monotime.Time, addr ident.Addr) (fx Effects) {
 	p := n.peers[addr]
 	if p == nil || p.unreachable {
--- a/control/leasetable/attemptcounts.go
+++ b/control/leasetable/attemptcounts.go
@@ -12,8 +12,8 @@
 // attemptCounts counts by service how attempts ended.
 type attemptCounts map[ident.Service]reconcile.CallCounts
 
-// addGrowth adds by how much one count grew over another. A count that fell is that of a process
-// that began anew: it adds nothing.
+// addGrowth adds the increase of each count from previous to current. A count that fell comes from
+// a process that was restarted, and adds nothing.
 func (counts attemptCounts) addGrowth(previous, current attemptCounts) {
 	for service, count := range current {
 		old := previous[service]
@@ -28,13 +28,13 @@
 	}
 }
 
-// attemptTotals sums the attempts of all sidecars since this core began. Invariants: local is
-// counted from the renewals taken here, all from those and from the other cores' local totals;
-// the first totals of a core's run are only the base of what it counts later.
+// attemptTotals sums the attempts of all sidecars since this core started. Invariants: local is
+// counted from the renewals at this core, all from these and from the other cores' local totals;
+// the first totals of another core's run are only a baseline.
 type attemptTotals struct {
 	local, all attemptCounts
-	reported   map[ident.Addr]attemptCounts // by other cores, last
-	instances  map[ident.Addr]string        // the runs of those cores
+	reported   map[ident.Addr]attemptCounts // the local totals that other cores last reported
+	instances  map[ident.Addr]string        // the instance IDs of those cores
 }
 
 func newAttemptTotals() attemptTotals {
@@ -46,8 +46,8 @@
 	}
 }
 
-// countAttempts adds by how much a sidecar's counts grew since its last renewal here. A new lease
-// begins at 0; the counts of a sidecar that has not renewed here lately are only a base.
+// countAttempts adds the increase of a sidecar's counts since its last renewal here. A new lease
+// begins at 0; the counts of a sidecar that has not renewed here lately are only a baseline.
 func (t *Table) countAttempts(now monotime.Time, e *entry, renewal record.Renewal) {
 	if renewal.AttemptCounts == nil {
 		return
@@ -64,12 +64,13 @@
 }
 
 // AttemptCounts sums how the attempts at a service ended, over all sidecars, since this core
-// began.
+// started.
 func (t *Table) AttemptCounts(service ident.Service) reconcile.CallCounts {
 	return t.totals.all[service]
 }
 
-// LocalAttemptCounts gives the same over the renewals taken here, for the other cores.
+// LocalAttemptCounts returns the same for all services over the renewals at this core only, which
+// its heartbeats carry to the other cores.
 func (t *Table) LocalAttemptCounts() map[ident.Service]reconcile.CallCounts {
 	return maps.Clone(t.totals.local)
 }
--- a/control/leasetable/feed.go
+++ b/control/leasetable/feed.go
@@ -8,7 +8,7 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Config is the newest configuration that this core knows, nil if none.
+// Config returns the newest configuration that this core knows, nil if there is none.
 func (t *Table) Config() *validation.Config { return t.config }
 
 func (t *Table) configRevision() ident.Epoch {
@@ -18,8 +18,8 @@
 	return t.config.Revision
 }
 
-// SetConfig takes a newer configuration, and tells whether it is one. A set whose records stay as
-// they are is not fed anew; it only carries the newer revision from now on.
+// SetConfig adopts a configuration, and reports whether it is newer than the present one. A set
+// whose records do not change keeps its feed version; it only carries the newer revision from now on.
 func (t *Table) SetConfig(config *validation.Config) bool {
 	if t.config != nil && config.Revision <= t.config.Revision {
 		return false
@@ -38,12 +38,12 @@
 	return true
 }
 
-// sameRecord tells whether two records that were built from one report are the same.
+// sameRecord reports whether two records that were built from one report are the same.
 func sameRecord(a, b record.Address) bool {
 	return a.Workload != nil && b.Workload != nil && a.Workload.UID == b.Workload.UID && a.Workload.Namespace == b.Workload.Namespace
 }
 
-// rebuild builds the records of a sidecar anew, as a change that is fed.
+// rebuild builds the records of a sidecar again, under the next feed version.
 func (t *Table) rebuild(e *entry) {
 	t.feedVersion++
 	e.feedVersion = t.feedVersion
@@ -57,10 +57,10 @@
 	}
 }
 
-// FeedVersion is the version of the newest change.
+// FeedVersion returns the version of the newest change.
 func (t *Table) FeedVersion() uint64 { return t.feedVersion }
 
-// ChangesSince gives every set that changed after a version of this table's feed.
+// ChangesSince returns the sets that changed after a feed version of this table.
 func (t *Table) ChangesSince(version uint64) []record.Set {
 	sets := []record.Set{}
 	if t.feedVersion <= version {
--- a/control/leasetable/members.go
+++ b/control/leasetable/members.go
@@ -11,8 +11,8 @@
 	Addr       ident.Addr  `json:"addr"`
 	Zone       ident.Zone  `json:"district"`
 	LeaseEpoch ident.Epoch `json:"claim"`
-	// ConfigRevision is that of the sidecar's last renewal here, or of the last change that its
-	// registrar passed on.
+	// ConfigRevision is that of the sidecar's last renewal here, or of the last update from its
+	// registrar.
 	ConfigRevision ident.Epoch `json:"manifest"`
 	Ready          bool        `json:"ready"`
 	Lapsed         bool        `json:"lapsed"`
@@ -38,7 +38,7 @@
 	return members
 }
 
-// LeaseEpoch is the epoch of the newest lease of a sidecar that is known here, 0 if none.
+// LeaseEpoch returns the epoch of the newest lease of a sidecar that is known here, 0 if none.
 func (t *Table) LeaseEpoch(node ident.Node) ident.Epoch {
 	if e := t.entries[node]; e != nil {
 		return e.report.LeaseEpoch
@@ -56,7 +56,7 @@
 	return count
 }
 
-// Silent gives those of the sidecars that showed no sign of life within SilentAfter.
+// Silent returns those of the sidecars that showed no sign of life within SilentAfter.
 func (t *Table) Silent(now monotime.Time, nodes []ident.Node) []ident.Node {
 	var silent []ident.Node
 	for _, node := range nodes {
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -8,7 +8,7 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// leaseVersion is the newest that a registrar has of one sidecar.
+// leaseVersion identifies the newest report that a registrar has of one sidecar.
 type leaseVersion struct {
 	epoch ident.Epoch
 	seq   uint64
@@ -26,8 +26,8 @@
 }
 
 // registrar is one core with the list of the sidecars that renew at it. Invariants: sum is the
-// exclusive or of the hashes of the list's entries, so that two cores compare a list by it;
-// lastHeard is the last time at which the list was known to be right.
+// exclusive or of the hashes of the list's entries, by which two cores compare their copies of it;
+// lastHeard is when the list was last confirmed to be current.
 type registrar struct {
 	leases    map[ident.Node]leaseVersion
 	sum       uint64
@@ -49,13 +49,14 @@
 	}
 }
 
-// has tells whether a sidecar is on the list.
+// has reports whether a sidecar is on the list.
 func (r *registrar) has(node ident.Node) bool {
 	_, ok := r.leases[node]
 	return ok
 }
 
-// keepsAlive tells whether the registrar was heard lately and lists a sidecar under that lease.
+// keepsAlive reports whether the list was confirmed within LeaseTTL and holds the sidecar under
+// that lease.
 func (r *registrar) keepsAlive(now monotime.Time, node ident.Node, leaseEpoch ident.Epoch) bool {
 	version, ok := r.leases[node]
 	return ok && version.epoch == leaseEpoch && now.Since(r.lastHeard) <= LeaseTTL
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -30,18 +30,18 @@
 	// expiryCheckInterval is how often Tick looks for leases that lapsed.
 	expiryCheckInterval = 50 * time.Millisecond
 	// maxTrackedRenewals bounds, for each lease, the renewals that are tracked until a majority
-	// has heard of them.
+	// knows of them.
 	maxTrackedRenewals = 16
 )
 
-// trackedRenewal is a renewal taken here, and the first heartbeat that tells of it.
+// trackedRenewal is a renewal at this core, and the number of the first heartbeat that announces it.
 type trackedRenewal struct {
 	number, heartbeat uint64
 }
 
-// entry is one sidecar. Invariants: lastRenewal is the last renewal taken here; lastHeard is the
-// last sign of life from elsewhere that was noted; registrar is another core that lists it, nil
-// if none is known to.
+// entry is one sidecar. Invariants: lastRenewal is the last renewal at this core; lastHeard
+// is the last recorded sign of life from another core; registrar is another core that lists the
+// sidecar, nil if none is known to.
 type entry struct {
 	report        record.Report
 	lastHeard     monotime.Time
@@ -54,24 +54,24 @@
 	attemptCounts map[ident.Service]reconcile.CallCounts
 }
 
-// renewedWithin tells whether the sidecar renewed here lately.
+// renewedWithin reports whether the sidecar renewed here lately.
 func (e *entry) renewedWithin(now monotime.Time, span time.Duration) bool {
 	return e.lastRenewal != 0 && now.Since(e.lastRenewal) <= span
 }
 
-// hasVersion tells whether the report is that of a lease and a Seq.
+// hasVersion reports whether the report is that of a lease and a Seq.
 func (e *entry) hasVersion(leaseEpoch ident.Epoch, seq uint64) bool {
 	return e.report.LeaseEpoch == leaseEpoch && e.report.Seq == seq
 }
 
-// knowsNewer tells whether the report is newer than one of that lease and Seq.
+// knowsNewer reports whether the report is newer than one of that lease and Seq.
 func (e *entry) knowsNewer(leaseEpoch ident.Epoch, seq uint64) bool {
 	return leaseEpoch < e.report.LeaseEpoch || leaseEpoch == e.report.LeaseEpoch && seq < e.report.Seq
 }
 
 // Table is the lease table of one core. Invariants: a report replaces only an older one of the
-// same sidecar; feedVersion rises with every change that a feed must tell; order lists the
-// entries by name.
+// same sidecar; feedVersion rises with every change of a record; order lists the entries by
+// name.
 type Table struct {
 	entries map[ident.Node]*entry
 	order   []ident.Node
@@ -84,10 +84,10 @@
 	lastCheck monotime.Time
 	totals    attemptTotals
 
-	local          *registrar // this core
-	pendingUpdates map[ident.Node]bool
-	announcedSum   uint64
-	lastHeartbeat  uint64 // the number of the last one that went out
+	local          *registrar          // the list of this core
+	pendingUpdates map[ident.Node]bool // changed on that list since the last PendingUpdate
+	announcedSum   uint64              // of that list at the last PendingUpdate
+	lastHeartbeat  uint64              // the number of the last heartbeat that was sent
 	registrars     map[ident.Addr]*registrar
 }
 
@@ -114,20 +114,24 @@
 	return e
 }
 
-// RenewalResult is what became of a renewal.
+// RenewalResult is the result of a renewal.
 type RenewalResult struct {
-	Changed      bool // a feed must tell of it
-	ReportWanted bool // it was not taken: the report is needed and was not there
+	// Changed says that the sidecar's records changed.
+	Changed bool
+	// ReportWanted says that the renewal had no effect, as it came without the report that this
+	// core lacks.
+	ReportWanted bool
 }
 
-// Renew takes a renewal.
+// Renew applies a renewal. Conflict says that its lease is superseded by a newer one.
 func (t *Table) Renew(now monotime.Time, renewal record.Renewal) (RenewalResult, *failure.Error) {
 	e := t.entries[renewal.Node]
 	switch {
 	case e != nil && renewal.LeaseEpoch < e.report.LeaseEpoch:
-		return RenewalResult{}, failure.New(failure.Conflict, "claim %d of %s is superseded by %d", renewal.LeaseEpoch, renewal.Node, e.report.LeaseEpoch)
+		return RenewalResult{}, failure.New(failure.Conflict,
+			"lease epoch %d of %s is superseded by %d", renewal.LeaseEpoch, renewal.Node, e.report.LeaseEpoch)
 	case e != nil && e.knowsNewer(renewal.LeaseEpoch, renewal.Seq):
-		return RenewalResult{}, nil // it came late: it tells nothing new and renews nothing
+		return RenewalResult{}, nil // late: a renewal with a newer report was applied before
 	case renewal.Report == nil && (e == nil || !e.hasVersion(renewal.LeaseEpoch, renewal.Seq)):
 		return RenewalResult{ReportWanted: true}, nil
 	}
@@ -152,7 +156,7 @@
 	return RenewalResult{Changed: changed}, nil
 }
 
-// track keeps a renewal until a majority has heard of it.
+// track records a renewal, so that AcknowledgedRenewal can return it once a majority knows of it.
 func (e *entry) track(renewal trackedRenewal) {
 	e.renewals = append(e.renewals, renewal)
 	if len(e.renewals) > maxTrackedRenewals {
@@ -160,7 +164,7 @@
 	}
 }
 
-// Tick lets leases lapse, and tells whether a feed must tell of any.
+// Tick lets leases lapse that were not renewed in time, and reports whether any record changed.
 func (t *Table) Tick(now monotime.Time) (changed bool) {
 	if now.Since(t.lastCheck) < expiryCheckInterval {
 		return false
@@ -183,8 +187,8 @@
 	return changed
 }
 
-// leaseHolds tells whether a lease holds: the sidecar renewed here, or a registrar that was heard
-// lately lists it.
+// leaseHolds reports whether a lease holds: the sidecar renewed here, or another registrar keeps it
+// alive.
 func (t *Table) leaseHolds(now monotime.Time, node ident.Node, e *entry) bool {
 	if e.renewedWithin(now, LeaseTTL) {
 		return true
@@ -192,7 +196,7 @@
 	if e.registrar != nil && e.registrar.keepsAlive(now, node, e.report.LeaseEpoch) {
 		return true
 	}
-	for _, peer := range t.registrars { // any of them will do
+	for _, peer := range t.registrars { // any one that keeps it alive suffices
 		if peer.keepsAlive(now, node, e.report.LeaseEpoch) {
 			e.registrar = peer
 			return true
@@ -202,7 +206,7 @@
 	return false
 }
 
-// lastSeen is when a sidecar last showed a sign of life, here or at another core.
+// lastSeen returns when a sidecar last showed a sign of life, here or at another core.
 func (t *Table) lastSeen(node ident.Node, e *entry) monotime.Time {
 	seen := max(e.lastHeard, e.lastRenewal)
 	for _, peer := range t.registrars {
--- a/control/leasetable/updates.go
+++ b/control/leasetable/updates.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Update is what a registrar sends the other cores of its list: all of it when Full, else what
-// changed since the list had the sum BaseSum. Sum is that of the list after it.
+// Update is what a registrar sends the other cores about its list: the whole list if Full, else what
+// changed since the list had the checksum BaseSum. Sum is the list's checksum after the update.
 type Update struct {
 	Full    bool            `json:"whole,omitempty"`
 	BaseSum uint64          `json:"base,omitempty"`
@@ -35,7 +35,7 @@
 	t.pendingUpdates[node] = true
 }
 
-// PendingUpdate gives what changed on this core's list since the last call; it is false when
+// PendingUpdate returns what changed on this core's list since the last call; it reports false if
 // nothing did.
 func (t *Table) PendingUpdate() (Update, bool) {
 	if len(t.pendingUpdates) == 0 {
@@ -56,8 +56,8 @@
 	return update, update.BaseSum != update.Sum
 }
 
-// FullUpdate gives the list as the last PendingUpdate left it. It is false while there is a newer
-// change: the list that was announced is no more, and is given again after the next PendingUpdate.
+// FullUpdate returns the list as the last PendingUpdate announced it. It reports false while there
+// is a newer change, until the next PendingUpdate has announced that.
 func (t *Table) FullUpdate() (Update, bool) {
 	if len(t.pendingUpdates) > 0 {
 		return Update{}, false
@@ -71,15 +71,15 @@
 	return update, true
 }
 
-// AnnouncedSum is the sum of this core's list as the last PendingUpdate left it.
+// AnnouncedSum returns the checksum of this core's list as the last PendingUpdate announced it.
 func (t *Table) AnnouncedSum() uint64 { return t.announcedSum }
 
-// StampHeartbeat notes that the heartbeat of that number goes out now: it tells of every renewal
-// taken so far.
+// StampHeartbeat records that the heartbeat with this number is sent now. It announces every renewal
+// so far.
 func (t *Table) StampHeartbeat(number uint64) { t.lastHeartbeat = number }
 
-// AcknowledgedRenewal is the newest renewal of a sidecar that the heartbeat of that number told
-// of, 0 if none.
+// AcknowledgedRenewal returns the number of a sidecar's newest renewal that the given heartbeat, or
+// an earlier one, announced; 0 if there is none.
 func (t *Table) AcknowledgedRenewal(node ident.Node, heartbeat uint64) uint64 {
 	e := t.entries[node]
 	if e == nil {
@@ -94,8 +94,8 @@
 	return newest
 }
 
-// Heartbeat takes another registrar's heartbeat: all sidecars on its list are alive. It is false
-// when the list that is held here does not have that sum.
+// Heartbeat applies another registrar's heartbeat, which shows that all sidecars on its list are
+// alive. It reports false if the copy of that list here has another checksum.
 func (t *Table) Heartbeat(now monotime.Time, from ident.Addr, sum uint64) bool {
 	peer := t.registrars[from]
 	if peer == nil {
@@ -109,9 +109,9 @@
 	return true
 }
 
-// ApplyUpdate applies another registrar's update. It tells whether a feed must tell of it, and
-// whether the list has the registrar's sum now.
-func (t *Table) ApplyUpdate(now monotime.Time, from ident.Addr, update Update) (changed, fits bool) {
+// ApplyUpdate applies another registrar's update. It reports whether any record changed, and whether
+// the copy of the list here has the registrar's checksum now.
+func (t *Table) ApplyUpdate(now monotime.Time, from ident.Addr, update Update) (changed, inSync bool) {
 	peer := t.registrars[from]
 	switch {
 	case peer == nil && (update.Full || update.BaseSum == 0):
@@ -135,8 +135,8 @@
 	return changed, peer.sum == update.Sum
 }
 
-// applyReport takes the report of a sidecar that renews at another registrar, unless a newer one
-// is known, and tells whether a feed must tell of it.
+// applyReport applies the report of a sidecar that renews at another registrar, unless a newer one
+// is known, and reports whether the sidecar's records changed.
 func (t *Table) applyReport(now monotime.Time, peer *registrar, report record.Report) (changed bool) {
 	e := t.entry(report.Node)
 	if e.knowsNewer(report.LeaseEpoch, report.Seq) {
@@ -154,8 +154,8 @@
 	return changed
 }
 
-// removeFrom takes a sidecar off another registrar's list. It was alive until the list was last
-// known to be right.
+// removeFrom takes a sidecar off another registrar's list. The sidecar counts as alive until the
+// list was last confirmed.
 func (t *Table) removeFrom(peer *registrar, node ident.Node) {
 	if e := t.entries[node]; e != nil {
 		e.lastHeard = max(e.lastHeard, peer.lastHeard)
--- a/control/membership/reconfiguration/changes.go
+++ b/control/membership/reconfiguration/changes.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// MoveVoter returns the change by which a voter is found at another address.
+// MoveVoter returns the change that records the new address of a voter.
 func MoveVoter(self quorum.Voter) Change {
 	return func(current quorum.Membership, _ map[ident.Disk]bool) *quorum.Membership {
 		next := nextEpoch(current)
--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -20,8 +20,8 @@
 	acceptedPrefix = "c/"
 )
 
-// item is one control key in the tree.
-type item struct {
+// keyState is what the disk holds of one control key.
+type keyState struct {
 	key ident.Key
 	quorum.Record
 }
@@ -30,29 +30,33 @@
 // membership epoch is served.
 type Acceptor struct {
 	Disk     ident.Disk
-	tree     *btree.BTreeG[*item]
+	tree     *btree.BTreeG[*keyState]
 	handlers map[quorum.Kind]handler
 }
 
 // New makes an empty acceptor.
 func New(disk ident.Disk) *Acceptor {
-	a := &Acceptor{Disk: disk, tree: btree.NewG(16, func(a, other *item) bool { return a.key < other.key })}
+	a := &Acceptor{Disk: disk, tree: btree.NewG(16, func(a, other *keyState) bool { return a.key < other.key })}
 	a.handlers = map[quorum.Kind]handler{
-		quorum.Prepare: prepare, quorum.Accept: accept, quorum.PatchAccept: acceptPatch, quorum.Confirm: confirm,
+		quorum.Prepare:     prepare,
+		quorum.Accept:      accept,
+		quorum.PatchAccept: acceptPatch,
+		quorum.Confirm:     confirm,
 	}
 	return a
 }
 
-// Load takes in one record that was read from the disk; it returns false for a record of others.
+// Load restores one record that was read from the disk. It returns false for a ring record that
+// is not the acceptor's.
 func (a *Acceptor) Load(record ring.Record) (bool, error) {
 	if key, ok := strings.CutPrefix(record.Key, promisePrefix); ok {
 		var ballot ident.Ballot
 		if err := json.Unmarshal(record.Data, &ballot); err != nil {
 			return true, failure.Wrap(err, failure.Damaged, "promise of "+key)
 		}
-		it := a.findOrCreate(ident.Key(key))
-		if it.Promised.Less(ballot) {
-			it.Promised = ballot
+		entry := a.findOrCreate(ident.Key(key))
+		if entry.Promised.Less(ballot) {
+			entry.Promised = ballot
 		}
 		return true, nil
 	}
@@ -61,41 +65,41 @@
 		if err := json.Unmarshal(record.Data, &stored); err != nil {
 			return true, failure.Wrap(err, failure.Damaged, "accepted state of "+key)
 		}
-		it := a.findOrCreate(ident.Key(key))
-		it.Accepted, it.Revision, it.Value = stored.Accepted, stored.Revision, stored.Value
-		if it.Promised.Less(stored.Accepted) {
-			it.Promised = stored.Accepted
+		entry := a.findOrCreate(ident.Key(key))
+		entry.Accepted, entry.Revision, entry.Value = stored.Accepted, stored.Revision, stored.Value
+		if entry.Promised.Less(stored.Accepted) {
+			entry.Promised = stored.Accepted
 		}
 		return true, nil
 	}
 	return false, nil
 }
 
-// findOrCreate gives the item of a key, and makes it when it is new.
-func (a *Acceptor) findOrCreate(key ident.Key) *item {
-	if it, ok := a.tree.Get(&item{key: key}); ok {
-		return it
+// findOrCreate returns the state of a key, and makes it when it is new.
+func (a *Acceptor) findOrCreate(key ident.Key) *keyState {
+	if entry, ok := a.tree.Get(&keyState{key: key}); ok {
+		return entry
 	}
-	it := &item{key: key}
-	a.tree.ReplaceOrInsert(it)
-	return it
+	entry := &keyState{key: key}
+	a.tree.ReplaceOrInsert(entry)
+	return entry
 }
 
-// promiseRecord is the ring record of an item's promise.
-func promiseRecord(it *item) ring.Record {
-	data, _ := json.Marshal(it.Promised)
-	return ring.Record{Key: promisePrefix + string(it.key), Data: data}
+// promiseRecord is the ring record of a key's promise.
+func promiseRecord(entry *keyState) ring.Record {
+	data, _ := json.Marshal(entry.Promised)
+	return ring.Record{Key: promisePrefix + string(entry.key), Data: data}
 }
 
-// acceptedRecord is the ring record of an item's accepted state.
-func acceptedRecord(it *item) ring.Record {
-	data, _ := json.Marshal(quorum.Record{Promised: it.Accepted, Accepted: it.Accepted, Revision: it.Revision})
-	if len(it.Value) > 0 {
-		// The same bytes as json.Marshal gives, without checking a value again that is JSON.
-		joined := make([]byte, 0, len(data)+len(it.Value)+8)
-		data = append(append(append(append(joined, data[:len(data)-1]...), `,"v":`...), it.Value...), '}')
+// acceptedRecord is the ring record of a key's accepted state.
+func acceptedRecord(entry *keyState) ring.Record {
+	data, _ := json.Marshal(quorum.Record{Promised: entry.Accepted, Accepted: entry.Accepted, Revision: entry.Revision})
+	if len(entry.Value) > 0 {
+		// The same bytes as json.Marshal returns, without scanning the value, which is JSON already.
+		joined := make([]byte, 0, len(data)+len(entry.Value)+8)
+		data = append(append(append(append(joined, data[:len(data)-1]...), `,"v":`...), entry.Value...), '}')
 	}
-	return ring.Record{Key: acceptedPrefix + string(it.key), Data: data}
+	return ring.Record{Key: acceptedPrefix + string(entry.key), Data: data}
 }
 
 // Step serves one request at the given membership epoch. The last result is false when no
@@ -106,16 +110,24 @@
 	if !known || request.Membership != membership || membership == 0 {
 		return quorum.Response{}, nil, false
 	}
-	it, found := a.tree.Get(&item{key: request.Key})
+	entry, found := a.tree.Get(&keyState{key: request.Key})
 	if !found {
-		it = &item{key: request.Key}
+		entry = &keyState{key: request.Key}
 	}
-	ok, records := serve(it, request)
+	ok, records := serve(entry, request)
 	if !found && len(records) > 0 {
-		a.tree.ReplaceOrInsert(it)
+		a.tree.ReplaceOrInsert(entry)
 	}
-	response := quorum.Response{Kind: request.Kind, Round: request.Round, Disk: a.Disk, Membership: membership, Key: request.Key, OK: ok, Record: it.Record}
-	if request.Kind != quorum.Prepare || request.Held.Same(it.Record) {
+	response := quorum.Response{
+		Kind:       request.Kind,
+		Round:      request.Round,
+		Disk:       a.Disk,
+		Membership: membership,
+		Key:        request.Key,
+		OK:         ok,
+		Record:     entry.Record,
+	}
+	if request.Kind != quorum.Prepare || request.Held.Same(entry.Record) {
 		response.Record.Value = nil
 	}
 	if ok && request.Kind == quorum.PatchAccept {
@@ -126,23 +138,23 @@
 
 // Merge merges a copied record: the higher promise and the newer accepted state.
 func (a *Acceptor) Merge(row quorum.Row) []ring.Record {
-	it := a.findOrCreate(row.Key)
+	entry := a.findOrCreate(row.Key)
 	var records []ring.Record
-	if it.Promised.Less(row.Record.Promised) {
-		it.Promised = row.Record.Promised
-		records = append(records, promiseRecord(it))
+	if entry.Promised.Less(row.Record.Promised) {
+		entry.Promised = row.Record.Promised
+		records = append(records, promiseRecord(entry))
 	}
-	if row.Record.Newer(it.Record) {
-		it.Accepted, it.Revision, it.Value = row.Record.Accepted, row.Record.Revision, row.Record.Value
-		records = append(records, acceptedRecord(it))
+	if row.Record.Newer(entry.Record) {
+		entry.Accepted, entry.Revision, entry.Value = row.Record.Accepted, row.Record.Revision, row.Record.Value
+		records = append(records, acceptedRecord(entry))
 	}
 	return records
 }
 
-// Peek gives one record as this disk has it, which proves nothing about the others.
+// Peek returns one record as this disk has it, which proves nothing about the others.
 func (a *Acceptor) Peek(key ident.Key) quorum.Record {
-	if it, ok := a.tree.Get(&item{key: key}); ok {
-		return it.Record
+	if entry, ok := a.tree.Get(&keyState{key: key}); ok {
+		return entry.Record
 	}
 	return quorum.Record{}
 }
@@ -153,18 +165,18 @@
 // RingKeys lists the ring keys of all records.
 func (a *Acceptor) RingKeys() []string {
 	var keys []string
-	a.tree.Ascend(func(it *item) bool {
-		keys = append(keys, promisePrefix+string(it.key), acceptedPrefix+string(it.key))
+	a.tree.Ascend(func(entry *keyState) bool {
+		keys = append(keys, promisePrefix+string(entry.key), acceptedPrefix+string(entry.key))
 		return true
 	})
 	return keys
 }
 
-// AcceptedStates gives the accepted state of every key, without values.
+// AcceptedStates returns the accepted state of every key, without values.
 func (a *Acceptor) AcceptedStates() map[ident.Key]quorum.Record {
 	states := map[ident.Key]quorum.Record{}
-	a.tree.Ascend(func(it *item) bool {
-		states[it.key] = quorum.Record{Accepted: it.Accepted, Revision: it.Revision}
+	a.tree.Ascend(func(entry *keyState) bool {
+		states[entry.key] = quorum.Record{Accepted: entry.Accepted, Revision: entry.Revision}
 		return true
 	})
 	return states
--- a/control/register/acceptor/scan.go
+++ b/control/register/acceptor/scan.go
@@ -9,14 +9,14 @@
 
 const (
 	maxPageBytes = 512 << 10
-	// rowOverhead is about what a row takes in a page besides its key and value.
+	// rowOverhead is about how many bytes a row takes in a page besides its key and value.
 	rowOverhead = 150
 	// maxBuckets bounds the digests that one scan may ask for.
 	maxBuckets = 1 << 12
 )
 
 // Scan serves one page of records, or the digests of all buckets. It returns false when the scan
-// is not to be responded to.
+// is not to be answered.
 func (a *Acceptor) Scan(membership ident.Epoch, scan quorum.Scan) (quorum.ScanResponse, bool) {
 	response := quorum.ScanResponse{Round: scan.Round, Disk: a.Disk, Membership: membership, After: scan.After}
 	if scan.Membership != membership || membership == 0 || scan.Buckets < 0 || scan.Buckets > maxBuckets {
@@ -30,41 +30,41 @@
 	return response, true
 }
 
-// digests gives the digests of all buckets of the keys below the scan's prefix.
+// digests returns the digests of all buckets of the keys below the scan's prefix.
 func (a *Acceptor) digests(scan quorum.Scan) []byte {
 	digests := make([]byte, scan.Buckets*quorum.DigestBytes)
-	a.tree.AscendGreaterOrEqual(&item{key: ident.Key(scan.Prefix)}, func(it *item) bool {
-		below := it.key.HasPrefix(scan.Prefix)
-		if below && !it.Accepted.Zero() {
-			quorum.AddToDigests(digests, it.key, it.Record)
+	a.tree.AscendGreaterOrEqual(&keyState{key: ident.Key(scan.Prefix)}, func(entry *keyState) bool {
+		below := entry.key.HasPrefix(scan.Prefix)
+		if below && !entry.Accepted.Zero() {
+			quorum.AddToDigests(digests, entry.key, entry.Record)
 		}
 		return below
 	})
 	return digests
 }
 
-// page gives the rows that follow the scan's last key; more tells whether others come behind.
+// page returns the rows that follow the scan's last key; more reports whether others follow.
 func (a *Acceptor) page(scan quorum.Scan) (rows []quorum.Row, more bool) {
 	size := 0
 	start := max(ident.Key(scan.Prefix), scan.After)
-	a.tree.AscendGreaterOrEqual(&item{key: start}, func(it *item) bool {
-		if it.key == scan.After && scan.After != "" {
+	a.tree.AscendGreaterOrEqual(&keyState{key: start}, func(entry *keyState) bool {
+		if entry.key == scan.After && scan.After != "" {
 			return true
 		}
-		if !it.key.HasPrefix(scan.Prefix) {
+		if !entry.key.HasPrefix(scan.Prefix) {
 			return false
 		}
-		if scan.Buckets > 0 && !slices.Contains(scan.OnlyBuckets, quorum.Bucket(it.key, scan.Buckets)) {
+		if scan.Buckets > 0 && !slices.Contains(scan.OnlyBuckets, quorum.Bucket(entry.key, scan.Buckets)) {
 			return true
 		}
 		if more = size > maxPageBytes; more {
 			return false
 		}
-		row := quorum.Row{Key: it.key, Record: it.Record}
+		row := quorum.Row{Key: entry.key, Record: entry.Record}
 		if !scan.Values {
 			row.Record.Value = nil
 		}
-		size += len(it.key) + len(row.Record.Value) + rowOverhead
+		size += len(entry.key) + len(row.Record.Value) + rowOverhead
 		rows = append(rows, row)
 		return true
 	})
--- a/control/register/placement/placement.go
+++ b/control/register/placement/placement.go
@@ -8,7 +8,7 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Proposer gives the live disk with the highest rendezvous weight for the key, and the one with
+// Proposer returns the live disk with the highest rendezvous weight for the key, and the one with
 // the second highest, which is its successor; "" where there is none. Every core that knows the
 // same live disks gets the same result, and a disk that joins or leaves moves only its own keys.
 func Proposer(key ident.Key, live []ident.Disk) (first, second ident.Disk) {
--- a/control/register/proposer/apply.go
+++ b/control/register/proposer/apply.go
@@ -28,15 +28,15 @@
 	p.acceptRound(now, t, base, revision, value, effects)
 }
 
-// applyBatch applies operations one after the other, and gives the revision and the value that
+// applyBatch applies operations one after the other, and returns the revision and the value that
 // they lead to. Their outcomes wait in the term's batch until the round is over.
 func (p *Proposer) applyBatch(now monotime.Time, t *term, operations []Operation, effects *Effects) (ident.Revision, json.RawMessage) {
 	revision, value := t.revision, t.value
 	t.remembered, t.repairing = nil, false
-	context := Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(instance string) {
+	context := Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(event string) {
 		// It counts for the operations behind it in the same round already; if the round is
 		// lost, so is the term with its memory.
-		t.remembered, t.memory[instance] = append(t.remembered, instance), now
+		t.remembered, t.memory[event] = append(t.remembered, event), now
 	}}
 	for _, operation := range operations {
 		if operation.Deadline != 0 && now.After(operation.Deadline) {
@@ -55,7 +55,14 @@
 		if result.Decoded != nil {
 			t.decoded = result.Decoded
 		}
-		t.batch = append(t.batch, Outcome{Operation: operation, Body: result.Body, Failure: result.Failure, Changed: result.Changed, Revision: revision, Value: value})
+		t.batch = append(t.batch, Outcome{
+			Operation: operation,
+			Body:      result.Body,
+			Failure:   result.Failure,
+			Changed:   result.Changed,
+			Revision:  revision,
+			Value:     value,
+		})
 	}
 	return revision, value
 }
--- a/control/register/proposer/operation.go
+++ b/control/register/proposer/operation.go
@@ -33,8 +33,8 @@
 	Now        monotime.Time
 	TermBegan  monotime.Time            // when this term began
 	Revision   ident.Revision           // of the value given
-	TermMemory map[string]monotime.Time // of this term only
-	Remember   func(instance string)    // sets TermMemory[instance] to when the round is over
+	TermMemory map[string]monotime.Time // when events of this term happened, by their names
+	Remember   func(event string)       // sets TermMemory[event] to the end of the round in flight
 	// Decoded is the decoded form of the value, as the state machine returned it in this term.
 	// It is nil in a new term: the state machine then decodes the value, and must treat what
 	// it has not seen in this term as new.
@@ -56,9 +56,8 @@
 	Apply(context Context, value json.RawMessage, operation Operation) Result
 }
 
-// Outcome is the end of one operation at this proposer. Invariant: Abandoned means that this
-// proposer does not know more; with MayHaveTakenEffect the operation may have taken effect, or
-// may do so yet.
+// Outcome is the end of one operation at this proposer. Abandoned means that this proposer gave the
+// operation up; with MayHaveTakenEffect the operation may have taken effect, or may do so yet.
 type Outcome struct {
 	Operation          Operation
 	Body               json.RawMessage
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -15,13 +15,21 @@
 )
 
 const (
+	// resendAfter is how long a request may stay unanswered before it is sent again.
 	resendAfter = 150 * time.Millisecond
-	// askAllAfter is how long a round waits for the few that it asked before it asks all.
-	askAllAfter     = 30 * time.Millisecond
-	roundTimeout    = 1200 * time.Millisecond
-	maxQueue        = 1024
-	maxBatch        = 256
+	// askAllAfter is how long a confirming round waits for the disks that it asked first before it
+	// asks the others.
+	askAllAfter = 30 * time.Millisecond
+	// roundTimeout is how long a round may last before its term is abandoned.
+	roundTimeout = 1200 * time.Millisecond
+	// maxQueue bounds the operations that wait for one key.
+	maxQueue = 1024
+	// maxBatch bounds the operations that share one round.
+	maxBatch = 256
+	// maxPrepareTries bounds the rejected prepares in a row before a term is abandoned.
 	maxPrepareTries = 6
+	// queueFullRetrySeconds is when to retry an operation that found the queue of its key full.
+	queueFullRetrySeconds = 1
 )
 
 // Proposer runs all terms of one core process. Invariants: instance is unique to the process,
@@ -32,9 +40,9 @@
 	stateMachine StateMachine
 	membership   quorum.Membership
 	terms        map[ident.Key]*term
-	active       map[ident.Key]*term
-	nearReplicas []ident.Disk // those that are heard from: this process's own, then the others, nearest first
-	nearCount    int          // how many after the first are near
+	active       map[ident.Key]*term // those with a round in flight or operations that wait
+	nearReplicas []ident.Disk        // see SetNearReplicas
+	nearCount    int
 	firstRound   uint64
 	round        uint64
 	patchCapable map[ident.Disk]bool
@@ -50,7 +58,15 @@
 // to a run that ended may still arrive at its address, and must not count in this one's rounds.
 func New(instance string, stateMachine StateMachine) *Proposer {
 	firstRound := ident.FirstRequestNumber(instance)
-	return &Proposer{instance: instance, stateMachine: stateMachine, firstRound: firstRound, round: firstRound, terms: map[ident.Key]*term{}, active: map[ident.Key]*term{}, patchCapable: map[ident.Disk]bool{}}
+	return &Proposer{
+		instance:     instance,
+		stateMachine: stateMachine,
+		firstRound:   firstRound,
+		round:        firstRound,
+		terms:        map[ident.Key]*term{},
+		active:       map[ident.Key]*term{},
+		patchCapable: map[ident.Disk]bool{},
+	}
 }
 
 // SetPatchCapable sets whether the process that has the disk takes patches.
@@ -62,19 +78,14 @@
 		return effects
 	}
 	p.membership = membership
-	for _, key := range p.sortedKeys(p.terms) {
+	for _, key := range sortedKeys(p.terms) {
 		p.abandon(p.terms[key], &effects)
 	}
 	return effects
 }
 
-func (p *Proposer) sortedKeys(m map[ident.Key]*term) []ident.Key {
-	out := make([]ident.Key, 0, len(m))
-	for key := range m {
-		out = append(out, key)
-	}
-	slices.Sort(out)
-	return out
+func sortedKeys(terms map[ident.Key]*term) []ident.Key {
+	return slices.Sorted(maps.Keys(terms))
 }
 
 // Submit queues one operation; its Outcome comes with these effects or later ones. Busy is its
@@ -82,7 +93,8 @@
 func (p *Proposer) Submit(now monotime.Time, operation Operation) (effects Effects) {
 	t := p.term(operation.Key)
 	if len(t.waiting) >= maxQueue {
-		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Failure: failure.New(failure.Busy, "too many operations wait for %s", operation.Key).WithRetryAfter(1)})
+		busy := failure.New(failure.Busy, "too many operations wait for %s", operation.Key)
+		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Failure: busy.WithRetryAfter(queueFullRetrySeconds)})
 		return effects
 	}
 	t.waiting = append(t.waiting, operation)
@@ -101,7 +113,7 @@
 // Withdraw takes back the operations that match, of those that wait and were not begun: each
 // ends as abandoned, and this proposer will not begin it.
 func (p *Proposer) Withdraw(match func(Operation) bool) (effects Effects) {
-	for _, key := range p.sortedKeys(p.active) {
+	for _, key := range sortedKeys(p.active) {
 		t := p.active[key]
 		t.waiting = slices.DeleteFunc(slices.Clone(t.waiting), func(operation Operation) bool {
 			if !match(operation) {
@@ -116,13 +128,13 @@
 
 // HeldKeys lists the keys that this proposer holds or is about to hold.
 func (p *Proposer) HeldKeys() []ident.Key {
-	return slices.DeleteFunc(p.sortedKeys(p.terms), func(k ident.Key) bool { return p.terms[k].stage == idle })
+	return slices.DeleteFunc(sortedKeys(p.terms), func(k ident.Key) bool { return p.terms[k].stage == idle })
 }
 
-// Release gives up every key that no round is out for; done tells whether that was all.
+// Release gives up every key without a round in flight; done reports whether none is left.
 func (p *Proposer) Release() (done bool, effects Effects) {
 	done = true
-	for _, key := range p.sortedKeys(p.terms) {
+	for _, key := range sortedKeys(p.terms) {
 		t := p.terms[key]
 		if t.stage == established && len(t.waiting) == 0 || t.stage == idle {
 			p.abandon(t, &effects)
@@ -133,16 +145,16 @@
 	return done, effects
 }
 
-// SetNearReplicas sets the disks that are heard from, this process's own first; the next
-// nearCount are near. A confirming round asks no more disks than it needs, near ones first, and
+// SetNearReplicas sets the disks of the live voters, this process's own first; the next nearCount
+// are in the same zone, the rest are not. A confirming round asks no more disks than it needs, near ones first, and
 // the others when those do not answer soon.
 func (p *Proposer) SetNearReplicas(disks []ident.Disk, nearCount int) {
 	p.nearReplicas, p.nearCount = disks, min(nearCount, max(0, len(disks)-1))
 }
 
-// Tick resends the rounds that are out, and abandons the terms whose round is out too long.
+// Tick resends the rounds in flight, and abandons the terms whose round exceeds roundTimeout.
 func (p *Proposer) Tick(now monotime.Time) (effects Effects) {
-	for _, key := range p.sortedKeys(p.active) {
+	for _, key := range sortedKeys(p.active) {
 		t := p.active[key]
 		switch {
 		case t.stage == idle || t.stage == established:
@@ -156,14 +168,17 @@
 			t.lastSent = now
 			// A silent disk may lack the base, or its process may take no patches: it gets
 			// whole values until it answers.
-			maps.DeleteFunc(t.baseHolders, func(disk ident.Disk, _ bool) bool { _, ok := t.responses[disk]; return !ok })
+			maps.DeleteFunc(t.baseHolders, func(disk ident.Disk, _ bool) bool {
+				_, responded := t.responses[disk]
+				return !responded
+			})
 			p.sendRound(t, &effects)
 		}
 	}
 	return effects
 }
 
-// Peek gives what this proposer holds as chosen of a key. It may be outdated: only an operation
+// Peek returns what this proposer holds as chosen of a key. It may be outdated: only an operation
 // proves that it is not.
 func (p *Proposer) Peek(key ident.Key) (quorum.Record, bool) {
 	t := p.terms[key]
--- a/control/register/proposer/response.go
+++ b/control/register/proposer/response.go
@@ -10,14 +10,15 @@
 
 // noteBaseHolder learns from a response, also a late one, whether its disk holds this term's
 // base. A disk that rejected a patch gets the whole value at once, within the same round if one
-// is out.
+// is in flight.
 func (p *Proposer) noteBaseHolder(t *term, response quorum.Response, effects *Effects) {
 	voter, isVoter := p.membership.Find(response.Disk)
 	if !isVoter || response.Round <= t.prepareRound || !p.current(t, response) || t.stage < reproposing {
 		return
 	}
 	switch {
-	case response.OK && (response.Kind == quorum.PatchAccept || response.Kind == quorum.Accept && response.Record.Accepted == t.ballot):
+	case response.OK && response.Kind == quorum.PatchAccept,
+		response.OK && response.Kind == quorum.Accept && response.Record.Accepted == t.ballot:
 		t.baseHolders[response.Disk] = true
 	case !response.OK && response.Kind == quorum.PatchAccept && t.baseHolders[response.Disk] && !t.ballot.Less(response.Record.Promised):
 		delete(t.baseHolders, response.Disk)
@@ -30,7 +31,7 @@
 	}
 }
 
-// Step takes in one response.
+// Step handles one response.
 func (p *Proposer) Step(now monotime.Time, response quorum.Response) (effects Effects) {
 	t := p.terms[response.Key]
 	if t == nil {
@@ -52,12 +53,12 @@
 	return effects
 }
 
-// current tells whether a response, its term and this proposer are of the same membership.
+// current reports whether a response, its term and this proposer are of the same membership.
 func (p *Proposer) current(t *term, response quorum.Response) bool {
 	return response.Membership == t.membership && t.membership == p.membership.Epoch
 }
 
-// stepLate takes in a response to a round that is over.
+// stepLate handles a response to a round that is over.
 func (p *Proposer) stepLate(now monotime.Time, t *term, response quorum.Response, effects *Effects) {
 	voter, isVoter := p.membership.Find(response.Disk)
 	if isVoter && response.OK && t.request.Kind == quorum.Confirm && p.current(t, response) {
@@ -89,7 +90,10 @@
 
 func init() {
 	roundEnds = map[stage]func(*Proposer, monotime.Time, *term, *Effects){
-		preparing: (*Proposer).prepared, reproposing: (*Proposer).reproposed, writing: (*Proposer).written, confirming: (*Proposer).confirmed,
+		preparing:   (*Proposer).prepared,
+		reproposing: (*Proposer).reproposed,
+		writing:     (*Proposer).written,
+		confirming:  (*Proposer).confirmed,
 	}
 }
 
@@ -153,6 +157,13 @@
 func (p *Proposer) repair(t *term, voter quorum.Voter, response quorum.Response, effects *Effects) {
 	if chosen := (quorum.Record{Accepted: t.acceptedBallot, Revision: t.revision}); chosen.Newer(response.Record) {
 		p.Repaired++
-		effects.Sends = append(effects.Sends, Send{voter, quorum.Request{Kind: quorum.Accept, Membership: t.membership, Key: t.key, Ballot: t.ballot, Revision: t.revision, Value: t.value}})
+		effects.Sends = append(effects.Sends, Send{voter, quorum.Request{
+			Kind:       quorum.Accept,
+			Membership: t.membership,
+			Key:        t.key,
+			Ballot:     t.ballot,
+			Revision:   t.revision,
+			Value:      t.value,
+		}})
 	}
 }
--- a/control/register/proposer/round.go
+++ b/control/register/proposer/round.go
@@ -9,7 +9,7 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// beginRound numbers a request and sends it; responses to earlier rounds count no more.
+// beginRound numbers a request and sends it; responses to earlier rounds no longer count.
 func (p *Proposer) beginRound(now monotime.Time, t *term, request quorum.Request, effects *Effects) {
 	p.round++
 	p.Rounds++
@@ -22,9 +22,11 @@
 
 // acceptRound begins the round that writes a value; base is the accepted state that the disks
 // in baseHolders hold.
-func (p *Proposer) acceptRound(now monotime.Time, t *term, base quorum.Record, revision ident.Revision, value json.RawMessage, effects *Effects) {
+func (p *Proposer) acceptRound(
+	now monotime.Time, t *term, base quorum.Record, revision ident.Revision, value json.RawMessage, effects *Effects,
+) {
 	request := quorum.Request{Kind: quorum.Accept, Ballot: t.ballot, Revision: revision, Value: value}
-	if slices.ContainsFunc(p.membership.Voters, func(v quorum.Voter) bool { return t.baseHolders[v.Disk] && p.patchCapable[v.Disk] }) {
+	if slices.ContainsFunc(p.membership.Voters, func(v quorum.Voter) bool { return p.canSendPatch(t, v.Disk) }) {
 		request.Patch = quorum.Diff(base, t.ballot, value)
 	}
 	p.beginRound(now, t, request, effects)
@@ -55,7 +57,7 @@
 			continue
 		}
 		request := withoutPatch(t.request)
-		if t.request.Patch != nil && t.baseHolders[voter.Disk] && p.patchCapable[voter.Disk] {
+		if t.request.Patch != nil && p.canSendPatch(t, voter.Disk) {
 			request.Kind, request.Value, request.Patch = quorum.PatchAccept, nil, t.request.Patch
 			p.PatchesSent++
 		}
@@ -63,4 +65,9 @@
 	}
 }
 
+// canSendPatch reports whether a disk is believed to hold the base of a patch, and to take patches.
+func (p *Proposer) canSendPatch(t *term, disk ident.Disk) bool {
+	return t.baseHolders[disk] && p.patchCapable[disk]
+}
+
 func withoutPatch(request quorum.Request) quorum.Request { request.Patch = nil; return request }
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -13,14 +13,14 @@
 
 const (
 	idle        stage = iota // the key is not held
-	preparing                // the prepare round is out
+	preparing                // the prepare round is in flight
 	reproposing              // the value that was found is accepted again under this ballot
-	established              // the key is held and no round is out
-	writing                  // an accept round is out
-	confirming               // a round that only confirms is out
+	established              // the key is held and no round is in flight
+	writing                  // an accept round is in flight
+	confirming               // a round that only confirms is in flight
 )
 
-// term is this proposer's hold on one key. Invariants: at most one round is out; revision and
+// term is this proposer's hold on one key. Invariants: at most one round is in flight; revision and
 // value are chosen from stage established on; proposed is not chosen until its round ends.
 type term struct {
 	key            ident.Key
@@ -39,23 +39,23 @@
 	acceptedBallot ident.Ballot  // under which revision and value were accepted
 	revision       ident.Revision
 	value          json.RawMessage
-	decoded        any // of value, or of proposed while a round is out
+	decoded        any // of value, or of proposed while a round is in flight
 	proposed       quorum.Record
 	waiting        []Operation
-	batch          []Outcome // of the round that is out
+	batch          []Outcome // of the round in flight
 	memory         map[string]monotime.Time
-	remembered     []string // keys of memory that the round that is out has set
+	remembered     []string // keys of memory that the round in flight has set
 	// baseHolders are the disks that responded in this term to hold the base of what is sent
 	// next, or were sent every round since. It is a guess that only saves bytes: the acceptor
 	// checks the base itself.
 	baseHolders  map[ident.Disk]bool
 	prepareRound uint64        // of this term's prepare
 	local        quorum.Record // what Local gave then
-	fewAsked     bool          // the round went to a few disks only, so far
+	fewAsked     bool          // the round has been sent to firstAsked only, so far
 	repairing    bool          // a Repair operation is in the last round
 }
 
-// term gives the term of a key, and makes it when it is new.
+// term returns the term of a key, and makes it when it is new.
 func (p *Proposer) term(key ident.Key) *term {
 	t := p.terms[key]
 	if t == nil {
@@ -65,7 +65,7 @@
 	return t
 }
 
-// advance begins what comes next for a term whose operations wait, when no round is out.
+// advance begins what comes next for a term whose operations wait, when no round is in flight.
 func (p *Proposer) advance(now monotime.Time, t *term, effects *Effects) {
 	if len(t.waiting) == 0 {
 		return
@@ -116,10 +116,10 @@
 	delete(p.active, t.key)
 }
 
-// finish ends the round that is out: its operations have their outcomes.
+// finish ends the round in flight: its operations have their outcomes.
 func (p *Proposer) finish(now monotime.Time, t *term, effects *Effects) {
-	for _, instance := range t.remembered {
-		t.memory[instance] = now
+	for _, event := range t.remembered {
+		t.memory[event] = now
 	}
 	for i := range t.batch {
 		t.batch[i].Ballot = t.ballot
--- a/control/register/quorum/membership.go
+++ b/control/register/quorum/membership.go
@@ -1,8 +1,6 @@
 package quorum
 
-import (
-	"cottonarch.example/cottonarch/base/ident"
-)
+import "cottonarch.example/cottonarch/base/ident"
 
 // Voter is one slot of the membership. Invariants: a voter that is still copying is not Counted,
 // yet its slot raises the majority, unless it is Joining: a new slot, which does not raise the
@@ -23,7 +21,7 @@
 	MajorityOverride int `json:"-"`
 }
 
-// Majority is the number of counted responses that a round needs.
+// Majority returns the number of counted responses that a round needs.
 func (m Membership) Majority() int {
 	if m.MajorityOverride > 0 {
 		return m.MajorityOverride
@@ -31,7 +29,7 @@
 	return m.Size()/2 + 1
 }
 
-// Size is the number of slots that the majority is of.
+// Size returns the number of slots that a majority is counted over.
 func (m Membership) Size() int {
 	n := 0
 	for _, voter := range m.Voters {
@@ -42,7 +40,7 @@
 	return n
 }
 
-// Find gives the voter that has a disk.
+// Find returns the voter that has a disk.
 func (m Membership) Find(disk ident.Disk) (Voter, bool) {
 	for _, voter := range m.Voters {
 		if voter.Disk == disk {
@@ -52,7 +50,7 @@
 	return Voter{}, false
 }
 
-// Counts tells whether responses of a disk count.
+// Counts reports whether responses of a disk count.
 func (m Membership) Counts(disk ident.Disk) bool {
 	voter, ok := m.Find(disk)
 	return ok && voter.Counted
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -32,7 +32,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the checksum of a value that a Patch carries: CRC-32C.
+// Checksum returns the checksum of a value that a Patch carries: CRC-32C.
 func Checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
 // Diff makes the patch from the base's value to the next one, which is to be accepted under a
@@ -62,7 +62,7 @@
 	return p
 }
 
-// commonEnds is how many bytes two values share at the front and at the end. No UTF-8 character
+// commonEnds returns how many bytes two values share at the front and at the end. No UTF-8 character
 // of next is cut, since what lies between is sent as a JSON string.
 func commonEnds(baseValue, next []byte) (head, tail int) {
 	shorter := min(len(baseValue), len(next))
--- a/control/register/quorum/pieces.go
+++ b/control/register/quorum/pieces.go
@@ -24,7 +24,7 @@
 	Length int    `json:"n,omitempty"`
 }
 
-// encodedSize is about how many bytes the pieces take in a message.
+// encodedSize estimates how many bytes the pieces take in a message.
 func encodedSize(pieces []Piece) int {
 	total := 0
 	for _, p := range pieces {
@@ -82,7 +82,7 @@
 	return begin, end - begin
 }
 
-// indexBlocks gives the offsets of the base's blocks by their hash; a hash that two blocks have
+// indexBlocks returns the offsets of the base's blocks by their hash; a hash that two blocks have
 // is given the offset -1.
 func indexBlocks(base []byte) map[uint32]int {
 	blocks := make(map[uint32]int, len(base)/blockBytes)
@@ -130,7 +130,7 @@
 	return out, true
 }
 
-// validPieces tells whether JSON carries every text unchanged.
+// validPieces reports whether JSON carries every text unchanged.
 func validPieces(pieces []Piece) bool {
 	for _, p := range pieces {
 		if !utf8.ValidString(p.Text) {
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -45,7 +45,7 @@
 	Revision ident.Revision `json:"r"`
 }
 
-// Same tells whether the record has that accepted state; a nil HeldState is none.
+// Same reports whether the record has that accepted state; a nil HeldState is none.
 func (h *HeldState) Same(record Record) bool {
 	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
--- a/control/register/quorum/record.go
+++ b/control/register/quorum/record.go
@@ -15,7 +15,7 @@
 	Value    json.RawMessage `json:"v,omitempty"`
 }
 
-// Newer tells whether r's accepted state comes after other's.
+// Newer reports whether r's accepted state comes after other's.
 func (r Record) Newer(other Record) bool {
 	if r.Accepted != other.Accepted {
 		return other.Accepted.Less(r.Accepted)
@@ -23,7 +23,7 @@
 	return r.Revision > other.Revision
 }
 
-// Same tells whether both have the same accepted state, and so the same value.
+// Same reports whether both have the same accepted state, and so the same value.
 func (r Record) Same(other Record) bool {
 	return r.Accepted == other.Accepted && r.Revision == other.Revision
 }
--- a/control/register/quorum/scan.go
+++ b/control/register/quorum/scan.go
@@ -22,7 +22,7 @@
 	OnlyBuckets []int `json:"only,omitempty"`
 }
 
-// Bucket is the bucket that a key lies in, of a number of buckets.
+// Bucket returns the bucket that a key lies in, from 0 to buckets-1.
 func Bucket(key ident.Key, buckets int) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key))
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -1,5 +1,5 @@
-// Package quorumread reads the records below a prefix from a majority of disks, and tells what
-// they have in common and which copies lag.
+// Package quorumread reads the records below a prefix from a majority of disks, and finds what they
+// agree on and which copies lag.
 package quorumread
 
 import (
@@ -12,10 +12,10 @@
 )
 
 const (
-	// resendAfter is how long a page may stay out before it is asked for again.
+	// resendAfter is how long a scan may stay unanswered before it is sent again.
 	resendAfter = 200 * time.Millisecond
-	// digestWait is how long the digests of all disks are waited for; then those of a majority
-	// are enough.
+	// digestWait is how long a read waits for the digests of all disks; after that, those of a
+	// majority are enough.
 	digestWait = 400 * time.Millisecond
 )
 
@@ -28,7 +28,7 @@
 	Agreed bool
 }
 
-// diskProgress is what was read from one disk so far.
+// diskProgress is what has been read from one disk.
 type diskProgress struct {
 	digest   []byte
 	rows     map[ident.Key]quorum.Record
@@ -66,16 +66,23 @@
 
 // New starts a quorum read; excluded is a disk whose responses do not count.
 func New(round uint64, membership quorum.Membership, prefix string, values bool, excluded ident.Disk) *Reader {
-	return &Reader{Round: round, Prefix: prefix, Values: values, Membership: membership, Excluded: excluded, progressByDisk: map[ident.Disk]*diskProgress{}}
+	return &Reader{
+		Round:          round,
+		Prefix:         prefix,
+		Values:         values,
+		Membership:     membership,
+		Excluded:       excluded,
+		progressByDisk: map[ident.Disk]*diskProgress{},
+	}
 }
 
-// Tick gives the scans to send now: first ones, and those whose response is overdue.
+// Tick returns the scans to send now: first ones, and those whose response is overdue.
 func (r *Reader) Tick(now monotime.Time) []Send {
 	var sends []Send
 	if r.began == 0 {
 		r.began = now
 	}
-	if r.Buckets > 0 && !r.compared && now.Since(r.began) >= digestWait {
+	if r.awaitsDigests() && now.Since(r.began) >= digestWait {
 		r.compareDigests(r.Membership.Majority())
 	}
 	for _, voter := range r.Membership.Voters {
@@ -87,7 +94,9 @@
 			progress = &diskProgress{rows: map[ident.Key]quorum.Record{}}
 			r.progressByDisk[voter.Disk] = progress
 		}
-		if progress.done || r.Buckets > 0 && !r.compared && progress.digest != nil || progress.lastSent != 0 && now.Since(progress.lastSent) < resendAfter {
+		digestReceived := r.awaitsDigests() && progress.digest != nil
+		responseDue := progress.lastSent == 0 || now.Since(progress.lastSent) >= resendAfter
+		if progress.done || digestReceived || !responseDue {
 			continue
 		}
 		sends = append(sends, r.scanNextPage(now, voter, progress))
@@ -95,13 +104,24 @@
 	return sends
 }
 
-// scanNextPage is the scan for the page behind the last row that was read from a disk.
+// awaitsDigests reports whether the read compares digests first and has not done so yet.
+func (r *Reader) awaitsDigests() bool { return r.Buckets > 0 && !r.compared }
+
+// scanNextPage returns the scan for the page after the last row that was read from a disk.
 func (r *Reader) scanNextPage(now monotime.Time, voter quorum.Voter, progress *diskProgress) Send {
 	progress.lastSent = now
-	return Send{voter, quorum.Scan{Round: r.Round, Membership: r.Membership.Epoch, Prefix: r.Prefix, After: progress.lastKey, Values: r.Values, Buckets: r.Buckets, OnlyBuckets: r.differing}}
+	return Send{voter, quorum.Scan{
+		Round:       r.Round,
+		Membership:  r.Membership.Epoch,
+		Prefix:      r.Prefix,
+		After:       progress.lastKey,
+		Values:      r.Values,
+		Buckets:     r.Buckets,
+		OnlyBuckets: r.differing,
+	}}
 }
 
-// compareDigests finds the buckets that differ, once the required number of digests is there.
+// compareDigests finds the buckets that differ, once the required number of digests has come.
 func (r *Reader) compareDigests(required int) {
 	digests, differs := 0, make([]bool, r.Buckets)
 	var first []byte
@@ -115,8 +135,8 @@
 			first = progress.digest
 		}
 		for i := range differs {
-			offset := i * quorum.DigestBytes
-			differs[i] = differs[i] || !bytes.Equal(first[offset:offset+quorum.DigestBytes], progress.digest[offset:offset+quorum.DigestBytes])
+			begin, end := i*quorum.DigestBytes, (i+1)*quorum.DigestBytes
+			differs[i] = differs[i] || !bytes.Equal(first[begin:end], progress.digest[begin:end])
 		}
 	}
 	if digests < required {
@@ -133,7 +153,7 @@
 	}
 }
 
-// countedVoters is how many disks the read may count.
+// countedVoters returns how many disks the read may count.
 func (r *Reader) countedVoters() (n int) {
 	for _, voter := range r.Membership.Voters {
 		if voter.Counted && voter.Disk != r.Excluded {
@@ -143,15 +163,18 @@
 	return n
 }
 
-// Step takes in one page; done is true once a majority, or with WaitForAll every disk, has been
-// read whole.
+// Step handles one page; done is true once a majority, or with WaitForAll every disk, has been
+// read completely.
 func (r *Reader) Step(now monotime.Time, page quorum.ScanResponse) (sends []Send, done bool) {
-	voter, ok := r.Membership.Find(page.Disk)
+	voter, isVoter := r.Membership.Find(page.Disk)
 	progress := r.progressByDisk[page.Disk]
-	if page.Round != r.Round || page.Membership != r.Membership.Epoch || !ok || !voter.Counted || progress == nil || progress.done || page.After != progress.lastKey {
+	if page.Round != r.Round || page.Membership != r.Membership.Epoch || !isVoter || !voter.Counted {
+		return nil, r.Done()
+	}
+	if progress == nil || progress.done || page.After != progress.lastKey {
 		return nil, r.Done()
 	}
-	if r.Buckets > 0 && !r.compared {
+	if r.awaitsDigests() {
 		if progress.digest = page.Digest; progress.digest == nil {
 			return nil, false
 		}
@@ -161,7 +184,7 @@
 		return r.Tick(now), r.Done()
 	}
 	if page.Digest != nil {
-		return nil, r.Done() // it came late, after the comparison
+		return nil, r.Done() // late: the digests were compared without it
 	}
 	for _, row := range page.Rows {
 		progress.rows[row.Key] = row.Record
@@ -174,7 +197,7 @@
 	return nil, r.Done()
 }
 
-// Done tells whether enough disks have been read.
+// Done reports whether enough disks have been read.
 func (r *Reader) Done() bool {
 	if r.WaitForAll {
 		return r.readFrom(r.countedVoters())
@@ -182,10 +205,10 @@
 	return r.HasMajority()
 }
 
-// readFrom tells whether the required number of disks has been read whole, or need not be
+// readFrom reports whether the required number of disks has been read completely, or need not be
 // because no bucket differs.
 func (r *Reader) readFrom(required int) bool {
-	if r.Buckets > 0 && !r.compared {
+	if r.awaitsDigests() {
 		return false
 	}
 	if r.compared && len(r.differing) == 0 {
@@ -195,7 +218,7 @@
 	return done >= required
 }
 
-// HasMajority tells whether a majority has been read, also while all disks are waited for.
+// HasMajority reports whether a majority has been read, also while all disks are waited for.
 func (r *Reader) HasMajority() bool { return r.readFrom(r.Membership.Majority()) }
 
 // Entries merges what was read: of each key the newest accepted state and the highest promise.
@@ -234,7 +257,7 @@
 	return entries
 }
 
-// Coverage gives how many disks were read whole, and how many count.
+// Coverage returns how many disks were read completely, and how many count.
 func (r *Reader) Coverage() (read, counted int) {
 	for _, progress := range r.progressByDisk {
 		if progress.done {
@@ -244,8 +267,8 @@
 	return read, r.countedVoters()
 }
 
-// CountHolders counts the disks read, one left out, whose copy of the key is not older than a
-// state.
+// CountHolders counts the disks that were read, without one of them, whose copy of the key is not
+// older than a state.
 func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
 	holders := 0
 	for disk, progress := range r.progressByDisk {
--- a/control/registry/record/record.go
+++ b/control/registry/record/record.go
@@ -14,7 +14,7 @@
 
 // The statuses.
 const (
-	// Unknown workloads have sent no heartbeat that tells their state yet.
+	// Unknown workloads have sent no heartbeat that reports their state yet.
 	Unknown Status = "UNKNOWN"
 	// Healthy workloads take requests.
 	Healthy Status = "HEALTHY"
@@ -59,7 +59,8 @@
 	Service  *Service  `json:"service,omitempty"`
 }
 
-// Key is what an Address is looked up by.
+// Key returns what an Address is looked up by: the UID of a workload, the namespace and host name of
+// a service.
 func (a Address) Key() string {
 	if a.Workload != nil {
 		return string(a.Workload.UID)
@@ -76,13 +77,13 @@
 	Seq        uint64      `json:"seq"`
 	// ConfigRevision is that of the configuration with which the records were built.
 	ConfigRevision ident.Epoch `json:"built"`
-	// Lapsed tells whether the author's lease has lapsed, in the view of the core that gives the
+	// Lapsed reports whether the author's lease has lapsed, in the view of the core that gives the
 	// set.
 	Lapsed  bool      `json:"lapsed,omitempty"`
 	Records []Address `json:"records"`
 }
 
-// Older tells whether this version comes before another one of the same author.
+// Older reports whether this version comes before another one of the same author.
 func (s Set) Older(other Set) bool {
 	if s.LeaseEpoch != other.LeaseEpoch {
 		return s.LeaseEpoch < other.LeaseEpoch
@@ -106,7 +107,7 @@
 	Workloads      []Workload  `json:"workloads"`
 }
 
-// SameExceptLoad tells whether two reports are the same but for the workloads' load, which travels
+// SameExceptLoad reports whether two reports are the same but for the workloads' load, which travels
 // with the responses to requests.
 func (r Report) SameExceptLoad(other Report) bool {
 	return r.Addr == other.Addr && r.Zone == other.Zone && r.Ready == other.Ready && r.Leaving == other.Leaving &&
--- a/control/rollout/reconcile/reconciler.go
+++ b/control/rollout/reconcile/reconciler.go
@@ -56,7 +56,9 @@
 type CallCounter func(service ident.Service) CallCounts
 
 // Next returns the next operation for a rollout; it reports false if none is due.
-func (r *Reconciler) Next(now monotime.Time, rollout state.Rollout, config *validation.Config, callCounts CallCounter) (proposer.Operation, bool) {
+func (r *Reconciler) Next(
+	now monotime.Time, rollout state.Rollout, config *validation.Config, callCounts CallCounter,
+) (proposer.Operation, bool) {
 	if config == nil || rollout.Phase != state.Running && rollout.Phase != state.RollingBack {
 		delete(r.watches, rollout.Route)
 		return proposer.Operation{}, false
