--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -60,8 +60,8 @@
 	// ConfigAgeMs is how many milliseconds ago, plus one, the sender knew that nothing newer than
 	// ConfigRevision was confirmed; 0 if it never did.
 	ConfigAgeMs int64 `json:"ageMs,omitempty"`
-	// HoldsDuty reports that the sender holds the anti-entropy duty.
-	HoldsDuty bool `json:"duty,omitempty"`
+	// HoldsSingletonRole reports that the sender holds the singleton role.
+	HoldsSingletonRole bool `json:"duty,omitempty"`
 	// RolloutActive reports that a roll-out runs and that CallOutcomes are wanted.
 	RolloutActive bool                                   `json:"rolling,omitempty"`
 	CallOutcomes  map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
--- a/control/core/node/antientropy.go
+++ b/control/core/node/antientropy.go
@@ -30,9 +30,9 @@
 }
 
 // LastPass returns the outcome of this core's last anti-entropy pass. It returns false if there
-// is none, or if another core holds the duty by now.
+// is none, or if another core holds the singleton role by now.
 func (n *Node) LastPass() (AntiEntropyPass, bool) {
-	return n.antiEntropy.result, n.duty.held && n.antiEntropy.result.FinishedAt != 0
+	return n.antiEntropy.result, n.singletonRole.held && n.antiEntropy.result.FinishedAt != 0
 }
 
 // repairLagging reads every key whose copies differ through its proposer, which repairs them.
--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// lastPass returns the last anti-entropy pass of the core that holds the duty.
+// lastPass returns the last anti-entropy pass of the core that holds the singleton role.
 func (cluster *threeCores) lastPass(t *testing.T) node.AntiEntropyPass {
 	var passes []node.AntiEntropyPass
 	for _, addr := range coreAddrs {
@@ -34,7 +34,7 @@
 	must.Eq(t, node.AntiEntropyPass{FinishedAt: pass.FinishedAt, Read: 3, CountedDisks: 3}, pass)
 	loser := coreAddrs[0]
 	for _, a := range coreAddrs {
-		if !cluster.nodes[a].HoldsDuty() {
+		if !cluster.nodes[a].HoldsSingletonRole() {
 			loser = a
 		}
 	}
--- a/control/core/node/audit_test.go
+++ b/control/core/node/audit_test.go
@@ -17,7 +17,7 @@
 )
 
 // proposeChange proposes a change of a version at some core, as an operator does. Changes are 0.3 s
-// apart, so that the holder of the duty reads the audit log at every third or fourth.
+// apart, so that the holder of the singleton role reads the audit log at every third or fourth.
 func (cluster *jsonCluster) proposeChange(t testing.TB, kind proposal.Kind, base uint64, body string) {
 	const steps = 6
 	cluster.lastTicket++
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -132,14 +132,14 @@
 // briefHeartbeat returns the part of a heartbeat that changes from one to the next.
 func (n *Node) briefHeartbeat(now monotime.Time) message.Heartbeat {
 	h := message.Heartbeat{
-		Run:             message.InstanceHash(n.config.InstanceID),
-		Brief:           true,
-		Seq:             n.heartbeats.seq,
-		LeaseChecksum:   n.Leases.AnnouncedSum(),
-		MembershipEpoch: n.membership.Current.Epoch,
-		ConfigRevision:  n.ConfigRevision,
-		HoldsDuty:       n.duty.held,
-		RolloutActive:   n.duty.held && n.RolloutActive(now),
+		Run:                message.InstanceHash(n.config.InstanceID),
+		Brief:              true,
+		Seq:                n.heartbeats.seq,
+		LeaseChecksum:      n.Leases.AnnouncedSum(),
+		MembershipEpoch:    n.membership.Current.Epoch,
+		ConfigRevision:     n.ConfigRevision,
+		HoldsSingletonRole: n.singletonRole.held,
+		RolloutActive:      n.singletonRole.held && n.RolloutActive(now),
 	}
 	if n.freshness.asOf != 0 {
 		h.ConfigAgeMs = now.Since(n.freshness.asOf).Milliseconds() + 1
--- a/control/core/node/leaseupdate_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -67,8 +67,8 @@
 		cluster.submitOperation("b:1", 1, take, 4*time.Second)
 		cluster.advance(32 * time.Second) // a core that has just started reclaims nothing
 		registrar := coreAddrs[0]
-		if cluster.nodes[registrar].HoldsDuty() {
-			registrar = coreAddrs[2] // the holder of the duty asks only about nodes that it does not hear itself
+		if cluster.nodes[registrar].HoldsSingletonRole() {
+			registrar = coreAddrs[2] // the holder of the role asks only about nodes that it does not hear itself
 		}
 		seq, sentAt := uint64(0), map[uint64]monotime.Time{}
 		if name != "its lease updates" {
--- a/control/core/node/leave.go
+++ b/control/core/node/leave.go
@@ -32,7 +32,7 @@
 	n.sendLeaseUpdates(now, &fx)
 	n.sendDueHeartbeats(now, true, &fx)
 	disks, addrOf := n.liveVoters(now)
-	n.passDuty(now, disks, &fx)
+	n.passSingletonRole(now, disks, &fx)
 	n.handOverKeys(disks, addrOf, &fx)
 	return fx
 }
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -1,4 +1,4 @@
-// Package node combines the protocols of one core (consensus, membership, leases, duties)
+// Package node combines the protocols of one core (consensus, membership, leases, singleton role)
 // into one deterministic step function. The daemon and the simulator drive it alike: they
 // pass in messages, ticks and the time, and carry out the Effects that are returned.
 package node
@@ -85,13 +85,13 @@
 	// recentVotes are the accepts that this disk agreed to lately, oldest first.
 	recentVotes []castVote
 
-	freshness   freshness
-	duty        dutyState
-	antiEntropy antiEntropyState
-	audit       auditState
-	rollouts    rolloutState
-	silence     silenceRound
-	joins       joinqueue.Queue
+	freshness     freshness
+	singletonRole singletonRole
+	antiEntropy   antiEntropyState
+	audit         auditState
+	rollouts      rolloutState
+	silence       silenceRound
+	joins         joinqueue.Queue
 }
 
 // Handlers returns the handlers of every operation on the control state; history is as in Config.
@@ -204,8 +204,8 @@
 // Proposer returns the proposer, for its counters.
 func (n *Node) Proposer() *proposer.Proposer { return n.proposer }
 
-// HoldsDuty reports whether this core holds the anti-entropy duty.
-func (n *Node) HoldsDuty() bool { return n.duty.held }
+// HoldsSingletonRole reports whether this core holds the singleton role.
+func (n *Node) HoldsSingletonRole() bool { return n.singletonRole.held }
 
 // SetDiskFailed sets whether the disk is out of use, and reports whether that is a change.
 func (n *Node) SetDiskFailed(failed bool) bool {
--- a/control/core/node/rollout.go
+++ b/control/core/node/rollout.go
@@ -28,7 +28,7 @@
 	return n.rollouts.seenAt != 0 && now.Since(n.rollouts.seenAt) < rolloutActiveFor
 }
 
-// rolloutReadDue reports whether the holder of the duty is to read the roll-outs.
+// rolloutReadDue reports whether the holder of the singleton role is to read the roll-outs.
 func (n *Node) rolloutReadDue(now monotime.Time) bool {
 	since := now.Since(n.rollouts.readAt)
 	return since >= idleRolloutReadInterval || n.RolloutActive(now) && since >= rolloutReadInterval
--- a/control/core/node/tick.go
+++ b/control/core/node/tick.go
@@ -20,7 +20,7 @@
 	if !n.diskFailed {
 		n.seekMembership(now, &fx)
 		n.tickCatchUp(now, &fx)
-		n.tickDuty(now, &fx)
+		n.tickSingletonRole(now, &fx)
 	}
 	n.refreshConfigRevision(now, &fx)
 	n.tickJoins(now, &fx)
--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -70,7 +70,7 @@
 		Majority:        n.HasMajority(now),
 		HeldKeys:        len(n.HeldKeys()),
 		Records:         n.RecordCount(),
-		AntiEntropyDuty: n.HoldsDuty(),
+		AntiEntropyDuty: n.HoldsSingletonRole(),
 		Cores:           n.ActiveCores(now),
 		Places:          places,
 		PlacesDigest:    placesDigest(places),
