--- a/base/hashing/hashing_test.go
+++ b/base/hashing/hashing_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Finalize gives the published values of MurmurHash3's fmix64; processes and disks rely on both
+// Finalize returns the published values of MurmurHash3's fmix64; processes and disks rely on both
 // functions' values.
 func TestKnownValues(t *testing.T) {
 	for x, want := range map[uint64]uint64{0: 0, 1: 0xb456bcfc34c2cb2c, 2: 0x3abf2a20650683e7} {
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// IDs made at the same time differ: nothing of a clock is in them.
+// IDs made at the same time differ, as no clock is read for them.
 func TestIDsAreUniqueWithoutAClock(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10000 {
--- a/control/config/proposal/proposal_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -90,11 +90,11 @@
 		must.Eq(t, ident.Epoch(1), f.read().Revision)
 	}
 	f := &fixture{}
-	many := `{"ways":{` + strings.Repeat("", 0)
+	var routes []string
 	for i := range 250 {
-		many += fmt.Sprintf(`"w%d":{"host":"h","service":"none"},`, i)
+		routes = append(routes, fmt.Sprintf(`"w%d":{"host":"h","service":"none"}`, i))
 	}
-	result := f.proposeOnRevision("1", strings.TrimSuffix(many, ",")+"}}", false, nil)
+	result := f.proposeOnRevision("1", `{"ways":{`+strings.Join(routes, ",")+`}}`, false, nil)
 	must.NotNil(t, result.Failure)
 	must.Eq(t, 100, len(result.Failure.Faults))
 }
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -13,13 +13,13 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-func (err *fixture) join(joiners ...Joiner) []Joined {
-	result := Handlers().Apply(proposer.Context{}, err.value, proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})})
-	must.Nil(err.t, result.Failure)
-	err.value = result.Value
+func (f *fixture) join(joiners ...Joiner) []Joined {
+	result := Handlers().Apply(proposer.Context{}, f.value, proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})})
+	must.Nil(f.t, result.Failure)
+	f.value = result.Value
 	var joined []Joined
-	must.NoError(err.t, json.Unmarshal(result.Body, &joined))
-	must.Len(err.t, len(joiners), joined)
+	must.NoError(f.t, json.Unmarshal(result.Body, &joined))
+	must.Len(f.t, len(joiners), joined)
 	return joined
 }
 
--- a/control/core/node/membership_test.go
+++ b/control/core/node/membership_test.go
@@ -106,67 +106,102 @@
 	must.True(t, cluster.nodes["e:1"].IsVoter())
 }
 
+// growingCluster is a cluster whose cores start, fail and are replaced at random while numbers are
+// issued.
+type growingCluster struct {
+	*threeCores
+	t      *testing.T
+	seed   uint64
+	random *rand.Rand
+	names  []ident.Addr
+	fresh  int    // the empty disks that were started
+	last   uint64 // the highest number that was issued
+	ticket uint64
+}
+
+func newGrowingCluster(t *testing.T, seed uint64) *growingCluster {
+	c := &growingCluster{
+		threeCores: newThreeCores(t),
+		t:          t,
+		seed:       seed,
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		names:      slices.Clone(coreAddrs),
+	}
+	c.drop = func(ident.Addr, message.Message) bool { return c.random.IntN(12) == 0 }
+	return c
+}
+
+// newAddr returns an address that no core has had.
+func (c *growingCluster) newAddr() ident.Addr { return ident.Addr(fmt.Sprintf("%c:1", 'd'+c.fresh)) }
+
+// startEmpty starts a core on an empty disk.
+func (c *growingCluster) startEmpty(at ident.Addr) {
+	c.fresh++
+	c.start(c.t, at, ident.Disk(fmt.Sprint("new-", c.fresh)), nil)
+}
+
+// issueNumber asks a random core for the next number, which must be above all earlier ones, and lets
+// time pass. It reports whether one was issued.
+func (c *growingCluster) issueNumber() bool {
+	c.ticket++
+	if at := c.names[c.random.IntN(len(c.names))]; !c.down[at] {
+		op := proposer.Operation{Op: ident.OperationID(fmt.Sprint(c.ticket)), Key: "number/n", Kind: "number/next"}
+		c.submitOperation(at, c.ticket, op, 4*time.Second)
+	}
+	c.advance(time.Duration(c.random.IntN(300)) * time.Millisecond)
+	e := c.ticketResult(c.ticket)
+	if e == nil || e.Failure != nil {
+		return false
+	}
+	var got struct{ Number uint64 }
+	must.NoError(c.t, json.Unmarshal(e.Body, &got))
+	must.Greater(c.t, c.last, got.Number, must.Sprint("seed ", c.seed))
+	c.last = got.Number
+	return true
+}
+
+// failOrGrow has one random thing happen to a random core.
+func (c *growingCluster) failOrGrow() {
+	switch at := c.names[c.random.IntN(len(c.names))]; c.random.IntN(5) {
+	case 0, 1: // a new core starts
+		if a := c.newAddr(); len(c.names) < 5 {
+			c.names = append(c.names, a)
+			c.startEmpty(a)
+		}
+	case 2: // killed, and restarted on its disk
+		c.down[at] = true
+		c.issueNumber()
+		c.start(c.t, at, "", nil)
+	case 3: // its disk is lost
+		c.down[at] = true
+		c.issueNumber()
+		delete(c.disks, at)
+		c.startEmpty(at)
+	default: // lost for good and replaced by a new core
+		c.down[at] = true
+		c.issueNumber()
+		a := c.newAddr()
+		c.names[slices.Index(c.names, at)] = a
+		c.startEmpty(a)
+	}
+}
+
 // Cores start, are killed, lose messages, and one at a time loses its disk or is replaced, while the
 // membership grows from three to five: no number is ever issued twice, and in the end the cluster
 // serves.
 func TestGrowthForgetsNothing(t *testing.T) {
 	for seed := range uint64(12) {
-		random := rand.New(rand.NewPCG(seed, 1))
-		cluster := newThreeCores(t)
-		names, fresh, last, ticket := slices.Clone(coreAddrs), 0, uint64(0), uint64(0)
-		startEmpty := func(at ident.Addr) {
-			fresh++
-			cluster.start(t, at, ident.Disk(fmt.Sprint("new-", fresh)), nil)
-		}
-		cluster.drop = func(ident.Addr, message.Message) bool { return random.IntN(12) == 0 }
-		nextNumber := func() bool {
-			ticket++
-			if at := names[random.IntN(len(names))]; !cluster.down[at] {
-				op := proposer.Operation{Op: ident.OperationID(fmt.Sprint(ticket)), Key: "number/n", Kind: "number/next"}
-				cluster.submitOperation(at, ticket, op, 4*time.Second)
-			}
-			cluster.advance(time.Duration(random.IntN(300)) * time.Millisecond)
-			e := cluster.ticketResult(ticket)
-			if e == nil || e.Failure != nil {
-				return false
-			}
-			var got struct{ Number uint64 }
-			must.NoError(t, json.Unmarshal(e.Body, &got))
-			must.Greater(t, last, got.Number, must.Sprint("seed ", seed))
-			last = got.Number
-			return true
-		}
+		c := newGrowingCluster(t, seed)
 		for range 24 {
-			switch at := names[random.IntN(len(names))]; random.IntN(5) {
-			case 0, 1: // a new core starts
-				if a := ident.Addr(fmt.Sprintf("%c:1", 'd'+fresh)); len(names) < 5 {
-					names = append(names, a)
-					startEmpty(a)
-				}
-			case 2: // killed, and restarted on its disk
-				cluster.down[at] = true
-				nextNumber()
-				cluster.start(t, at, "", nil)
-			case 3: // its disk is lost
-				cluster.down[at] = true
-				nextNumber()
-				delete(cluster.disks, at)
-				startEmpty(at)
-			default: // lost for good and replaced by a new core
-				cluster.down[at] = true
-				nextNumber()
-				a := ident.Addr(fmt.Sprintf("%c:1", 'd'+fresh))
-				names[slices.Index(names, at)] = a
-				startEmpty(a)
-			}
-			for end := cluster.now.Add(time.Duration(4500+random.IntN(4000)) * time.Millisecond); cluster.now < end; {
-				nextNumber()
+			c.failOrGrow()
+			for end := c.now.Add(time.Duration(4500+c.random.IntN(4000)) * time.Millisecond); c.now < end; {
+				c.issueNumber()
 			}
 		}
-		cluster.drop = nil
+		c.drop = nil
 		served := false
 		for range 40 {
-			served = nextNumber() || served
+			served = c.issueNumber() || served
 		}
 		must.True(t, served, must.Sprint("seed ", seed))
 	}
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -29,8 +29,8 @@
 }
 
 // Four updates of a registrar and its heartbeat, in every order, some lost and some twice: the
-// list that another core holds is right whenever it accepts a heartbeat, and the full update
-// always repairs it.
+// copy of the list at another core is correct whenever that accepts a heartbeat, and the full
+// update always repairs it.
 func TestAllOrdersOfARegistrarsUpdates(t *testing.T) {
 	registrar := New()
 	var updates []Update
@@ -70,8 +70,8 @@
 				rejected++
 			}
 		}
-		_, fits := table.ApplyUpdate(now, "core:1", full)
-		must.True(t, fits)
+		_, inSync := table.ApplyUpdate(now, "core:1", full)
+		must.True(t, inSync)
 		must.True(t, table.Heartbeat(now, "core:1", full.Sum))
 		must.Eq(t, announced[full.Sum], table.registrars["core:1"].leases)
 		must.Eq(t, uint64(2), table.entries["a"].report.Seq)
@@ -80,8 +80,8 @@
 	must.Positive(t, rejected)
 }
 
-// The registrar of a sidecar falls silent, drops it, or is another one now: the lease holds as
-// long as any registrar that is heard lists it, and lapses when none does.
+// The registrar of a sidecar falls silent or drops it, or the sidecar has moved to another one: the
+// lease holds as long as any registrar that is heard lists the sidecar, and lapses when none does.
 func TestLeaseLapsesOnlyWhenNobodyHearsIt(t *testing.T) {
 	updateOf := func(node ident.Node) Update {
 		registrar := New()
@@ -139,8 +139,8 @@
 	}
 }
 
-// A renewal without a report is taken only where the report is known, and that of a superseded
-// lease is rejected by every core that knows the newer one.
+// A renewal without a report is applied only by a core that knows the report; a renewal of a
+// superseded lease is rejected by every core that knows the newer one.
 func TestRenewalsWithoutAReport(t *testing.T) {
 	registrar := New()
 	_, _ = registrar.Renew(timeAt(0), newRenewal("a", 2, 3, 1))
--- a/control/membership/reconfiguration/reconfiguration_test.go
+++ b/control/membership/reconfiguration/reconfiguration_test.go
@@ -34,71 +34,111 @@
 	request acceptor.Request
 }
 
-// Two machines return with empty disks at once and both want the dead voter's slot: in every order of
+// newcomers are two reconfigurers that want the slot of one dead voter, with the acceptors of the
+// two live voters and the requests to them.
+type newcomers struct {
+	t             *testing.T
+	now           monotime.Time
+	base          quorum.Membership
+	heard         []ident.Disk
+	acceptors     map[ident.Disk]*acceptor.Acceptor
+	reconfigurers map[ident.Disk]*reconfiguration.Reconfigurer
+	mailbox       []envelope
+	chosen        *quorum.Membership // nil while none is chosen
+}
+
+// newcomerDisks are the disks of the reconfigurers, in the order in which they act.
+var newcomerDisks = []ident.Disk{"n1", "n2"}
+
+func newNewcomers(t *testing.T) *newcomers {
+	c := &newcomers{
+		t:         t,
+		now:       monotime.Time(time.Second),
+		base:      membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3")),
+		heard:     []ident.Disk{"d1", "d2"},
+		acceptors: map[ident.Disk]*acceptor.Acceptor{},
+		reconfigurers: map[ident.Disk]*reconfiguration.Reconfigurer{
+			"n1": reconfiguration.New("n1", "m1"),
+			"n2": reconfiguration.New("n2", "m2"),
+		},
+	}
+	for _, d := range c.heard {
+		c.acceptors[d] = acceptor.New(d)
+		c.acceptors[d].Adopt(c.base)
+	}
+	return c
+}
+
+// post queues the requests to the live voters.
+func (c *newcomers) post(from ident.Disk, sends []reconfiguration.Send) {
+	for _, s := range sends {
+		if c.acceptors[s.To.Disk] != nil {
+			c.mailbox = append(c.mailbox, envelope{from, s.To.Disk, s.Request})
+		}
+	}
+}
+
+// begin has a newcomer try to take the dead voter's slot.
+func (c *newcomers) begin(n ident.Disk) {
+	change := reconfiguration.TakeSlot(quorum.Voter{Disk: n, Addr: ident.Addr(n)}, 3, false)
+	c.post(n, c.reconfigurers[n].Begin(c.now, c.base, change))
+}
+
+// tick lets time pass, and has both newcomers repeat their requests or begin again.
+func (c *newcomers) tick() {
+	c.now = c.now.Add(250 * time.Millisecond)
+	for _, n := range newcomerDisks {
+		c.post(n, c.reconfigurers[n].Tick(c.now))
+		c.begin(n)
+	}
+}
+
+// deliver delivers request i, and its response at once. It reports whether that chose a membership,
+// which must be the one that was chosen before, if any.
+func (c *newcomers) deliver(i, seed int) bool {
+	delivered := c.mailbox[i]
+	c.mailbox = append(c.mailbox[:i:i], c.mailbox[i+1:]...)
+	response, _, answered := c.acceptors[delivered.to].Step(delivered.request, c.heard)
+	if !answered {
+		return false
+	}
+	sends, next := c.reconfigurers[delivered.from].Step(c.now, response)
+	c.post(delivered.from, sends)
+	if next == nil {
+		return false
+	}
+	must.Eq(c.t, ident.Epoch(2), next.Epoch)
+	if c.chosen != nil {
+		must.Eq(c.t, c.chosen.Voters, next.Voters, must.Sprintf("seed %d: two memberships at one epoch", seed))
+	}
+	c.chosen = next
+	return true
+}
+
+// Two machines start with empty disks at once and both want the dead voter's slot: in every order of
 // their messages at most one membership is chosen, and whichever proposer completes agrees with it.
 func TestAllOrdersOfTwoNewcomers(t *testing.T) {
-	base := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3"))
-	heard := []ident.Disk{"d1", "d2"}
 	chosen := 0
 	for seed := range 4 * 4 * 4 * 4 * 4 * 4 {
-		acceptors := map[ident.Disk]*acceptor.Acceptor{}
-		for _, d := range heard {
-			acceptors[d] = acceptor.New(d)
-			acceptors[d].Adopt(base)
+		c := newNewcomers(t)
+		for _, n := range newcomerDisks {
+			c.begin(n)
 		}
-		now := monotime.Time(time.Second)
-		reconfigurers := map[ident.Disk]*reconfiguration.Reconfigurer{"n1": reconfiguration.New("n1", "m1"), "n2": reconfiguration.New("n2", "m2")}
-		change := func(n ident.Disk) reconfiguration.Change {
-			return reconfiguration.TakeSlot(quorum.Voter{Disk: n, Addr: ident.Addr(n)}, 3, false)
-		}
-		var mailbox []envelope
-		post := func(from ident.Disk, sends []reconfiguration.Send) {
-			for _, s := range sends {
-				if acceptors[s.To.Disk] != nil {
-					mailbox = append(mailbox, envelope{from, s.To.Disk, s.Request})
-				}
-			}
-		}
-		order := []ident.Disk{"n1", "n2"}
-		for _, n := range order {
-			post(n, reconfigurers[n].Begin(now, base, change(n)))
-		}
-		var chosenNext *quorum.Membership
 		choices := seed
 		for step := 0; step < 300; step++ {
-			if len(mailbox) == 0 {
-				now = now.Add(250 * time.Millisecond)
-				for _, n := range order {
-					post(n, reconfigurers[n].Tick(now))
-					post(n, reconfigurers[n].Begin(now, base, change(n)))
-				}
-				if len(mailbox) == 0 {
-					continue
-				}
+			if len(c.mailbox) == 0 {
+				c.tick()
 			}
-			i := choices % 4 % len(mailbox)
-			choices /= 4
-			reconfigurer := mailbox[i]
-			mailbox = append(mailbox[:i:i], mailbox[i+1:]...)
-			response, _, answered := acceptors[reconfigurer.to].Step(reconfigurer.request, heard)
-			if !answered {
+			if len(c.mailbox) == 0 {
 				continue
 			}
-			sends, next := reconfigurers[reconfigurer.from].Step(now, response)
-			post(reconfigurer.from, sends)
-			if next == nil {
-				continue
-			}
-			must.Eq(t, ident.Epoch(2), next.Epoch)
-			if chosenNext != nil {
-				must.Eq(t, chosenNext.Voters, next.Voters, must.Sprintf("seed %d: two memberships at one epoch", seed))
-			}
-			chosenNext = next
-			if step > 60 {
+			i := choices % 4 % len(c.mailbox)
+			choices /= 4
+			if c.deliver(i, seed) && step > 60 {
 				break
 			}
 		}
-		if chosenNext != nil {
+		if c.chosen != nil {
 			chosen++
 		}
 	}
@@ -139,7 +179,7 @@
 		response, recs, answered := acceptors[s.To].Step(s.Request, nil)
 		must.True(t, answered && response.OK && len(recs) == 1)
 		next := forming.Step(response)
-		must.Eq(t, i == 2, next != nil, must.Sprint("chosen too early or not at all"))
+		must.Eq(t, i == 2, next != nil, must.Sprint("chosen only by the last vote"))
 	}
 	// Another founder proposes another set that d1 is in: rejected.
 	other := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("d9", "3"))
--- a/control/register/proposer/patch_test.go
+++ b/control/register/proposer/patch_test.go
@@ -10,16 +10,16 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// deliveries are what may happen to a request that is out.
+// deliveries are what may happen to a request in flight.
 var deliveries = []func(c *lossyCluster, i int){
 	func(c *lossyCluster, i int) { c.deliverTo(i, true); c.lose(i) },
-	func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // it comes twice
+	func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // and stays: it is delivered twice
 	func(c *lossyCluster, i int) { c.lose(i) },
 	func(c *lossyCluster, i int) { c.deliverTo(i, false); c.lose(i) },
 }
 
 const (
-	// positions is how many of the requests that are out a step chooses from.
+	// positions is how many of the requests in flight a step chooses from.
 	positions = 2
 	// choiceSteps is how many steps in a row are tried in every way.
 	choiceSteps = 4
@@ -54,7 +54,7 @@
 	return confirmed
 }
 
-// finalValue has b write once more, and gives the value that it leads to.
+// finalValue has b write once more, and returns the value after that.
 func (c *lossyCluster) finalValue() string {
 	// b may learn only now that its term was superseded.
 	for n := 0; n == 0 || n < 5 && c.last("b").Abandoned; n++ {
--- a/control/register/proposer/proposer_test.go
+++ b/control/register/proposer/proposer_test.go
@@ -1,7 +1,6 @@
 package proposer_test
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -147,7 +146,7 @@
 				c.tick("a", 100*time.Millisecond)
 				c.run(func(m envelope) bool { return m.to == "d1" })
 			}
-			must.Less(t, 15, n, must.Sprint(fmt.Sprint("ticks ", n)))
+			must.Less(t, 15, n, must.Sprint("ticks ", n))
 			must.Eq(t, risk, c.last("a").MayHaveTakenEffect)
 		})
 	}
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -18,7 +18,7 @@
 	otherBallot = ident.Ballot{Epoch: 2, Proposer: "b"}
 )
 
-// roundTrip gives a patch as the receiver reads it.
+// roundTrip returns a patch as the receiver reads it.
 func roundTrip(t *testing.T, p *quorum.Patch) *quorum.Patch {
 	raw, err := json.Marshal(p)
 	must.NoError(t, err)
@@ -115,7 +115,7 @@
 	must.Greater(t, 200, divided)
 }
 
-// A patch is rejected by whatever is not its base.
+// A patch is not applied to any record but its base.
 func TestPatchTakesItsBaseAlone(t *testing.T) {
 	long := strings.Repeat("0123456789", 100)
 	base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: []byte(long)}
--- a/control/register/quorumread/quorumread_test.go
+++ b/control/register/quorumread/quorumread_test.go
@@ -60,7 +60,7 @@
 	return set
 }
 
-// send has the acceptors serve scans, and gives the responses.
+// send has the acceptors serve scans, and returns the responses.
 func (s *diskSet) send(now monotime.Time, scans []quorumread.Send) (deliveries []delivery) {
 	for _, scan := range scans {
 		page, ok := s.acceptors[scan.To.Disk].Scan(s.membership.Epoch, scan.Scan)
@@ -77,7 +77,7 @@
 	return deliveries
 }
 
-// read reads all keys, at most for a second, and gives how many copies of each key lag and how
+// read reads all keys, at most for a second, and returns how many copies of each key lag and how
 // many rows were read.
 func (s *diskSet) read(buckets int) (lagging map[ident.Key]int, rows int) {
 	reader := quorumread.New(1, s.membership, "", false, "")
--- a/storage/ring/fuzz_test.go
+++ b/storage/ring/fuzz_test.go
@@ -13,7 +13,7 @@
 // fuzzOptions is a ring small enough for its whole image to be an input.
 var fuzzOptions = Options{FileCount: 4, FileSize: 512}
 
-// imageOf is what a ring's files hold, one after the other.
+// imageOf returns what a ring's files hold, one after the other.
 func imageOf(folder *MemoryFolder) []byte {
 	var joined []byte
 	for i := range fuzzOptions.FileCount {
@@ -33,8 +33,8 @@
 	return folder
 }
 
-// withChecksums gives every header, and every record that stands where its length says, the checksum
-// that it would have: then what the checksum keeps out on a real disk comes through.
+// withChecksums corrects the checksum of every header, and of every record that the lengths of those
+// before it lead to, so that the fuzzer also reaches the code behind the checksums.
 func withChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
@@ -55,8 +55,8 @@
 	return raw
 }
 
-// holdsRecord tells whether a record with a right checksum stands anywhere in an image, under
-// the lap of the header of its own file.
+// holdsRecord reports whether an image holds a record with a correct checksum anywhere, under the
+// lap of the header of its own file.
 func holdsRecord(raw []byte, key string, data []byte) bool {
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
 		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
@@ -75,9 +75,9 @@
 	return false
 }
 
-// Whatever bytes stand in the files: opening them ends without a panic, a record is given
-// only as it stands there under a right checksum, and a ring that opens takes a record and
-// gives it back when it is opened anew.
+// Whatever bytes the files hold: opening them ends without a panic, a record is returned only if
+// the files hold it under a correct checksum, and a ring that opens accepts a record and returns
+// it when it is opened again.
 func FuzzOpen(f *testing.F) {
 	for _, writes := range []int{0, 1, 5, 20, 60} {
 		folder := NewMemoryFolder()
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -21,9 +21,9 @@
 	return out
 }
 
-var errPowerLost = errors.New("power is gone")
+var errPowerLost = errors.New("power lost")
 
-// losePowerAfter fails every write and sync of a folder after so many.
+// losePowerAfter fails the writes and syncs of a folder from the given one on.
 func losePowerAfter(folder *MemoryFolder, writes int) {
 	folder.BeforeWrite = func(string) error {
 		if writes--; writes <= 0 {
@@ -33,7 +33,7 @@
 	}
 }
 
-// writeLaps appends 200 records, with a sync after one in three, and gives what the last
+// writeLaps appends 200 records, with a sync after one in three, and returns what the last
 // successful sync covered. Values begin with a number that rises.
 func writeLaps(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
 	synced, appended := map[string]string{}, map[string]string{}
@@ -101,7 +101,7 @@
 	}
 }
 
-// Any synced byte that is flipped is recognised, never read as good.
+// A flipped byte of a synced record is detected; its record is never returned.
 func TestDamageIsRecognised(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 1024}
 	build := func() (*MemoryFolder, map[string]string) {
@@ -129,8 +129,8 @@
 				caught++
 				continue
 			}
-			// Harmless places are dead bytes; the last record of all cannot be told
-			// from a torn tail and is the single loss allowed.
+			// No error is right where the byte belongs to no live record. The last record of
+			// all cannot be distinguished from a torn tail: it alone may be lost.
 			got := contents(r)
 			for key, data := range want {
 				if got[key] != data && data != "value-39" {
@@ -159,7 +159,7 @@
 	test.Eq(t, map[string]string{"old": "stays", "hot": "499"}, contents(r))
 }
 
-// A failed sync ends the ring until it is opened anew.
+// After a failed sync the ring returns that error until it is opened again.
 func TestSyncErrorBreaksTheRing(t *testing.T) {
 	folder := NewMemoryFolder()
 	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
@@ -208,7 +208,7 @@
 
 // A damaged header of the only file that a young ring has written does not make it a new one:
 // what was synced is never lost without an error. A ring that lost power while its first
-// header was written holds nothing yet, and begins anew.
+// header was written holds nothing yet, and is opened as a new one.
 func TestDamagedFirstHeaderIsNoNewRing(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 4096}
 	for offset := range int64(fileHeaderSize) {
@@ -228,7 +228,7 @@
 		folder := NewMemoryFolder()
 		folder.BeforeWrite = func(operation string) error {
 			if operation == "sync" {
-				return errors.New("power is gone")
+				return errors.New("power lost")
 			}
 			return nil
 		}
@@ -302,7 +302,7 @@
 	}
 }
 
-// Nothing counts in a folder that can't be synced.
+// A ring is not opened in a folder that cannot be synced.
 func TestFolderThatCannotBeSynced(t *testing.T) {
 	folder := NewMemoryFolder()
 	folder.BeforeWrite = func(operation string) error {
@@ -315,7 +315,7 @@
 	must.Error(t, err)
 }
 
-// A data folder is made with those above it, and a ring in it is read back.
+// A data folder is made with its parents, and a ring in it is read back.
 func TestFolderOnARealDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made", "here")
 	for start := range 3 {
