--- a/control/audit/segment/segment.go
+++ b/control/audit/segment/segment.go
@@ -44,9 +44,8 @@
 func Handlers() operation.Table { return operation.Table{AppendKind: appendEntry} }
 
 func appendEntry(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args AppendArgs
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, AppendArgs](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if len(current.Entries) != args.Index%MaxEntries {
--- a/control/config/proposal/audit.go
+++ b/control/config/proposal/audit.go
@@ -45,9 +45,8 @@
 // readAuditEntries responds with the entries that wait for the audit log, and remembers up to
 // which revision the log holds them.
 func readAuditEntries(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args AuditArgs
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, AuditArgs](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	audited, _ := context.Decoded.(auditedThrough)
--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -14,9 +14,8 @@
 
 // propose accepts a proposal as the next configuration, or rejects it.
 func propose(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	body, err := decode.Parse(args.Body)
--- a/control/config/proposal/state.go
+++ b/control/config/proposal/state.go
@@ -46,9 +46,8 @@
 
 // readState responds with the configuration in force.
 func readState(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, _, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	current.AuditEntries, current.Log = nil, nil
--- a/control/coordination/keyvalue/keyvalue.go
+++ b/control/coordination/keyvalue/keyvalue.go
@@ -46,9 +46,8 @@
 }
 
 func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	latest := current.Latest()
@@ -60,9 +59,8 @@
 }
 
 func write(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if len(args.Value) == 0 {
@@ -75,9 +73,8 @@
 }
 
 func remove(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Latest().Deleted {
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -54,9 +54,8 @@
 
 // acquire grants the lock if it is free or held by the caller itself.
 func acquire(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if args.Holder == "" || !validTTL(args.TTL) {
@@ -127,9 +126,8 @@
 
 // read returns who holds the lock; the holder is empty once the lease is over.
 func read(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, _, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.isFree(context) {
@@ -147,7 +145,8 @@
 // decodeForHolder decodes an operation that only the holder may perform, NotHolder if the
 // caller is not the holder.
 func decodeForHolder(rawState, rawArgs json.RawMessage) (current State, args Args, err *failure.Error) {
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err = operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return current, args, err
 	}
 	if current.Holder == "" || current.Holder != args.Holder || current.FencingToken != args.FencingToken {
--- a/control/coordination/operation/codec.go
+++ b/control/coordination/operation/codec.go
@@ -22,6 +22,13 @@
 	return nil
 }
 
+// DecodeAs decodes the state and the arguments of an operation as values of their types, with the
+// failures of Decode. What is empty has the zero value.
+func DecodeAs[S, A any](rawState, rawArgs json.RawMessage) (state S, args A, err *failure.Error) {
+	err = Decode(rawState, rawArgs, &state, &args)
+	return state, args, err
+}
+
 // Encode encodes a value of a type that cannot fail to encode.
 func Encode(v any) json.RawMessage {
 	encoded, err := json.Marshal(v)
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -49,9 +49,8 @@
 // join gives each node of a batch a lease epoch above every earlier one, and its share. All
 // nodes are recorded first, so that the fair share is that of all of them.
 func join(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args JoinArgs
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, JoinArgs](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if err := args.validate(); err != nil {
--- a/control/coordination/quota/quota.go
+++ b/control/coordination/quota/quota.go
@@ -60,7 +60,7 @@
 
 // decode decodes the state and the arguments of an operation on one node.
 func decode(rawState, rawArgs json.RawMessage) (current State, args Args, err *failure.Error) {
-	err = operation.Decode(rawState, rawArgs, &current, &args)
+	current, args, err = operation.DecodeAs[State, Args](rawState, rawArgs)
 	if current.Nodes == nil {
 		current.Nodes = map[ident.Node]Grant{}
 	}
--- a/control/coordination/sequence/sequence.go
+++ b/control/coordination/sequence/sequence.go
@@ -24,8 +24,8 @@
 	Last uint64 `json:"number"`
 }
 
-// args are the arguments of a next.
-type args struct {
+// nextArgs are the arguments of a NextKind operation.
+type nextArgs struct {
 	Increment uint64 `json:"by,omitempty"`
 }
 
@@ -37,22 +37,21 @@
 // next raises the number by the increment, 1 if none is given.
 func next(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
-	decoded := args{Increment: 1}
-	if err := operation.Decode(rawState, rawArgs, &current, &decoded); err != nil {
+	args := nextArgs{Increment: 1}
+	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
 		return operation.Rejected(err)
 	}
-	overflow := current.Last+decoded.Increment < current.Last
-	if decoded.Increment == 0 || decoded.Increment > maxIncrement || overflow {
+	overflow := current.Last+args.Increment < current.Last
+	if args.Increment == 0 || args.Increment > maxIncrement || overflow {
 		return operation.Rejected(failure.New(failure.Invalid, "by must be from 1 to 2^32"))
 	}
-	current.Last += decoded.Increment
+	current.Last += args.Increment
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(current)}
 }
 
 func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var decoded args
-	if err := operation.Decode(rawState, rawArgs, &current, &decoded); err != nil {
+	current, _, err := operation.DecodeAs[State, nextArgs](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	return operation.Result{Body: operation.Encode(current)}
--- a/control/rollout/state/rollout.go
+++ b/control/rollout/state/rollout.go
@@ -90,8 +90,8 @@
 
 // start starts a rollout unless one is under way.
 func start(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current, requested Rollout
-	if err := operation.Decode(rawState, rawArgs, &current, &requested); err != nil {
+	current, requested, err := operation.DecodeAs[Rollout, Rollout](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Phase == Running || current.Phase == RollingBack {
@@ -136,9 +136,8 @@
 // applyTransition moves a rollout on if it is at the step and in the phase that the
 // transition builds on.
 func applyTransition(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current Rollout
-	var transition Transition
-	if err := operation.Decode(rawState, rawArgs, &current, &transition); err != nil {
+	current, transition, err := operation.DecodeAs[Rollout, Transition](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Generation != transition.Generation || current.Step != transition.Step || current.Phase != transition.Phase {
@@ -156,9 +155,8 @@
 }
 
 func read(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current Rollout
-	var noArgs struct{}
-	if err := operation.Decode(rawState, rawArgs, &current, &noArgs); err != nil {
+	current, _, err := operation.DecodeAs[Rollout, struct{}](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Route == "" {
