--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -26,7 +26,12 @@
 func manyRoutes(t testing.TB, revision ident.Epoch, routes, timeout int) Snapshot {
 	routeObjects := map[string]any{}
 	for i := range routes {
-		routeObjects[fmt.Sprintf("route-%d", i)] = map[string]any{"host": "a.example", "pathStart": fmt.Sprintf("/p%d/", i), "service": "s", "timeoutMs": 500}
+		routeObjects[fmt.Sprintf("route-%d", i)] = map[string]any{
+			"host":      "a.example",
+			"pathStart": fmt.Sprintf("/p%d/", i),
+			"service":   "s",
+			"timeoutMs": 500,
+		}
 	}
 	routeObjects["route-0"].(map[string]any)["timeoutMs"] = timeout
 	return newSnapshot(t, revision, string(operation.Encode(map[string]any{"release": revision, "ways": routeObjects})))
--- a/control/config/history/log_test.go
+++ b/control/config/history/log_test.go
@@ -34,7 +34,11 @@
 			version += []uint64{0, 1, 1, 1, 7, 1 << 40}[rng.IntN(6)]
 			fingerprint := history.FingerprintOf(fmt.Sprint(seed, i))
 			log = log.Append(version, fingerprint)
-			all = append(all, recordedChange{history.Change{Revision: ident.Epoch(i + 1), Version: version, Fingerprint: fingerprint}, previous, version > previous})
+			all = append(all, recordedChange{
+				Change:          history.Change{Revision: ident.Epoch(i + 1), Version: version, Fingerprint: fingerprint},
+				previousVersion: previous,
+				versionRose:     version > previous,
+			})
 			if i%37 != 36 && i != changes-1 {
 				continue
 			}
@@ -66,7 +70,13 @@
 }
 
 // checkStatus looks up the accepted fingerprint and another one on the same base.
-func checkStatus[B any](t *testing.T, statusOn func(B, history.Fingerprint) (history.Status, history.Change), base B, past recordedChange, remembered bool) {
+func checkStatus[B any](
+	t *testing.T,
+	statusOn func(B, history.Fingerprint) (history.Status, history.Change),
+	base B,
+	past recordedChange,
+	remembered bool,
+) {
 	t.Helper()
 	status, change := statusOn(base, past.Fingerprint)
 	otherStatus, _ := statusOn(base, history.FingerprintOf("another"))
@@ -83,7 +93,14 @@
 // No proposal was accepted on a base between two versions: it was never the newest version.
 func TestBaseBetweenVersions(t *testing.T) {
 	log := history.New(0, 0).Append(5, history.FingerprintOf("a")).Append(9, history.FingerprintOf("b"))
-	for base, want := range map[uint64]history.Status{0: history.Accepted, 3: history.NotAccepted, 5: history.NotAccepted, 7: history.NotAccepted, 9: history.Undecided, 12: history.NotAccepted} {
+	for base, want := range map[uint64]history.Status{
+		0:  history.Accepted,
+		3:  history.NotAccepted,
+		5:  history.NotAccepted,
+		7:  history.NotAccepted,
+		9:  history.Undecided,
+		12: history.NotAccepted,
+	} {
 		status, _ := log.StatusOnVersion(base, history.FingerprintOf("a"))
 		must.Eq(t, want, status, must.Sprint(base))
 	}
--- a/control/config/proposal/proposal_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -24,9 +24,9 @@
 	revision ident.Revision
 }
 
-func (f *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.Epoch) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer",
-		Args: operation.Encode(proposal.Args{Partial: isPatch, BaseRevision: base, Body: json.RawMessage(body)})})
+// apply executes an operation on the control key.
+func (f *fixture) apply(op proposer.Operation) proposer.Result {
+	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, op)
 	if result.Changed {
 		f.value = result.Value
 		f.revision++
@@ -34,6 +34,16 @@
 	return result
 }
 
+func (f *fixture) proposeOnRevision(op, body string, isPatch bool, base *ident.Epoch) proposer.Result {
+	args := proposal.Args{Partial: isPatch, BaseRevision: base, Body: json.RawMessage(body)}
+	return f.apply(proposer.Operation{
+		Op:   ident.OperationID(op),
+		Key:  proposal.Key,
+		Kind: "manifest/offer",
+		Args: operation.Encode(args),
+	})
+}
+
 func (f *fixture) read() proposal.State {
 	var current proposal.State
 	_ = json.Unmarshal(operation.State(f.value), &current)
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -18,12 +18,13 @@
 
 // proposeAs sends a proposal as an operation with an identifier, as a core does.
 func (f *fixture) proposeAs(op string, args proposal.Args) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: ident.OperationID(op), Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(args), Repeatable: op == ""})
-	if result.Changed {
-		f.value = result.Value
-		f.revision++
-	}
-	return result
+	return f.apply(proposer.Operation{
+		Op:         ident.OperationID(op),
+		Key:        proposal.Key,
+		Kind:       "manifest/offer",
+		Args:       operation.Encode(args),
+		Repeatable: op == "",
+	})
 }
 
 func argsOnVersion(kind proposal.Kind, base uint64, body string) proposal.Args {
@@ -57,7 +58,11 @@
 		var bodies []string
 		for i := range uint64(changes) {
 			version := 1 + i*increment
-			args := argsOnVersion(proposal.ItemPatch, version-increment, fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s":{"n":%d}}}}`, version, i))
+			args := argsOnVersion(
+				proposal.ItemPatch,
+				version-increment,
+				fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s":{"n":%d}}}}`, version, i),
+			)
 			if i == 0 || i%50 == 0 {
 				args = argsOnVersion(proposal.FullConfig, version-increment, fullConfig(int(version), ""))
 			}
@@ -174,10 +179,17 @@
 				if rng.IntN(4) == 0 && base > 3 {
 					base -= rng.Uint64N(3)
 				}
-				current[operator] = &sentProposal{args: argsOnVersion(proposal.ItemPatch, base, fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s%d":{"n":%d}}}}`, base+1+rng.Uint64N(3), operator, step))}
+				current[operator] = &sentProposal{
+					args: argsOnVersion(
+						proposal.ItemPatch,
+						base,
+						fmt.Sprintf(`{"release":%d,"upsert":{"services":{"s%d":{"n":%d}}}}`, base+1+rng.Uint64N(3), operator, step),
+					),
+				}
 				past = append(past, current[operator])
 			}
-			if result := send(current[operator]); rng.IntN(2) == 0 && (result.Failure == nil || result.Failure.Outcome == failure.NotExecuted) {
+			if result := send(current[operator]); rng.IntN(2) == 0 &&
+				(result.Failure == nil || result.Failure.Outcome == failure.NotExecuted) {
 				current[operator] = nil // it received the response
 			}
 			send(past[rng.IntN(len(past))])
@@ -189,7 +201,12 @@
 // A state that was stored by a release without logs remembers nothing: the outcome of earlier
 // proposals is unknown, later ones are remembered.
 func TestStateWithoutLog(t *testing.T) {
-	f := &fixture{value: operation.Encode(operation.Value{State: json.RawMessage(`{"epoch":9,"release":40,"manifest":{"release":40},"taken":[{"e":9,"r":40,"m":"x"}]}`)}), revision: 9}
+	f := &fixture{
+		value: operation.Encode(
+			operation.Value{State: json.RawMessage(`{"epoch":9,"release":40,"manifest":{"release":40},"taken":[{"e":9,"r":40,"m":"x"}]}`)},
+		),
+		revision: 9,
+	}
 	must.Eq(t, failure.OutcomeUnknown, f.proposeAs("", argsOnVersion(proposal.ItemPatch, 39, `{"release":40}`)).Failure.Outcome)
 	args := argsOnVersion(proposal.ItemPatch, 40, `{"release":41}`)
 	result := f.proposeAs("", args)
--- a/control/config/proposal/size_test.go
+++ b/control/config/proposal/size_test.go
@@ -24,7 +24,9 @@
 }
 
 func (t *term) apply(kind string, args any) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: t.revision, Decoded: t.decoded}, t.value, proposer.Operation{Key: proposal.Key, Kind: kind, Args: operation.Encode(args), Repeatable: true})
+	context := proposer.Context{Revision: t.revision, Decoded: t.decoded}
+	op := proposer.Operation{Key: proposal.Key, Kind: kind, Args: operation.Encode(args), Repeatable: true}
+	result := proposal.Handlers().Apply(context, t.value, op)
 	if result.Changed {
 		t.value, t.decoded = result.Value, nil
 		t.revision++
@@ -52,7 +54,8 @@
 			if version%auditInterval == 0 {
 				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.Epoch(current.revision)}).Failure)
 			}
-			must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, fmt.Sprintf(`{"release":%d}`, version+1))).Failure)
+			patch := fmt.Sprintf(`{"release":%d}`, version+1)
+			must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, patch)).Failure)
 		}
 		beside := len(current.value) - len(current.read().Document)
 		t.Logf("after %d changes: %d bytes beside a document of %d", changes, beside, len(current.read().Document))
@@ -100,7 +103,10 @@
 func routeList(count int) string {
 	var routes []string
 	for i := range count {
-		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"a","weight":90},{"service":"b","weight":10}],"tries":2}`, i*7919, i%9, i, i))
+		routes = append(routes, fmt.Sprintf(
+			`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,`+
+				`"aimMs":200,"rank":2,"split":[{"service":"a","weight":90},{"service":"b","weight":10}],"tries":2}`,
+			i*7919, i%9, i, i))
 	}
 	return strings.Join(routes, ",")
 }
@@ -110,7 +116,8 @@
 func TestBytesSentForAChange(t *testing.T) {
 	const maxBytes = 1200
 	current := &term{}
-	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, `{"release":1,"services":{"a":{},"b":{}},"ways":{`+routeList(500)+`}}`)).Failure)
+	document := `{"release":1,"services":{"a":{},"b":{}},"ways":{` + routeList(500) + `}}`
+	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, document)).Failure)
 	var ballot ident.Ballot
 	version := uint64(1)
 	for _, changes := range []uint64{1, 40, 300} {
@@ -120,7 +127,12 @@
 				must.Nil(t, current.apply("manifest/lines", proposal.AuditArgs{After: ident.Epoch(current.revision)}).Failure)
 			}
 			base := quorum.Record{Accepted: ballot, Revision: current.revision, Value: current.value}
-			change := fmt.Sprintf(`{"release":%d,"upsert":{"ways":{"r-%07x":{"host":"new%d.example","timeoutMs":500,"service":"a"}}}}`, version+1, version%500*7919, version)
+			change := fmt.Sprintf(
+				`{"release":%d,"upsert":{"ways":{"r-%07x":{"host":"new%d.example","timeoutMs":500,"service":"a"}}}}`,
+				version+1,
+				version%500*7919,
+				version,
+			)
 			must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, change)).Failure)
 			diff := quorum.Diff(base, ballot, current.value)
 			must.NotNil(t, diff, must.Sprint(version))
--- a/control/config/proposal/version_test.go
+++ b/control/config/proposal/version_test.go
@@ -18,18 +18,17 @@
 
 // proposeOnVersion proposes on a base version.
 func (f *fixture) proposeOnVersion(kind proposal.Kind, base uint64, body string) proposer.Result {
-	result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer",
-		Args: operation.Encode(proposal.Args{Kind: kind, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(body)})})
-	if result.Changed {
-		f.value = result.Value
-		f.revision++
-	}
-	return result
+	args := proposal.Args{Kind: kind, BaseVersion: &base, AllowUnknown: true, Body: json.RawMessage(body)}
+	return f.apply(proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(args)})
 }
 
 // fullConfig returns a document with two services and two routes.
 func fullConfig(version int, extra string) string {
-	return fmt.Sprintf(`{"release":%d,"services":{"a":{},"b":{}},"ways":{"v":{"host":"v","service":"a"},"w":{"host":"h","service":"a"}}%s}`, version, extra)
+	return fmt.Sprintf(
+		`{"release":%d,"services":{"a":{},"b":{}},"ways":{"v":{"host":"v","service":"a"},"w":{"host":"h","service":"a"}}%s}`,
+		version,
+		extra,
+	)
 }
 
 // newFixture returns a control key with a configuration of version 7.
@@ -110,7 +109,11 @@
 func TestExactRepeat(t *testing.T) {
 	f := newFixture(t)
 	for _, base := range []uint64{0, 7, 3} {
-		result := f.proposeOnVersion(proposal.FullConfig, base, `{"ways":{"w":{"service":"a","host":"h"},"v":{"host":"v","service":"a"}}, "services":{"b":{},"a":{}}, "release":7}`)
+		result := f.proposeOnVersion(
+			proposal.FullConfig,
+			base,
+			`{"ways":{"w":{"service":"a","host":"h"},"v":{"host":"v","service":"a"}}, "services":{"b":{},"a":{}}, "release":7}`,
+		)
 		must.Nil(t, result.Failure)
 		must.Eq(t, `{"epoch":1,"release":7}`, string(result.Body), must.Sprint(base))
 	}
@@ -120,7 +123,10 @@
 	// Accepted and then replaced: a repeat is still accepted, and changes nothing.
 	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 7, `{"release":8,"upsert":{"services":{"c":{}}}}`).Failure)
 	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 8, `{"release":9,"remove":{"services":["c"]}}`).Failure)
-	for _, repeated := range []testProposal{{proposal.FullConfig, 0, fullConfig(7, "")}, {proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}},"release":8}`}} {
+	for _, repeated := range []testProposal{
+		{proposal.FullConfig, 0, fullConfig(7, "")},
+		{proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}},"release":8}`},
+	} {
 		result := f.proposeOnVersion(repeated.kind, repeated.base, repeated.body)
 		must.Nil(t, result.Failure)
 		must.False(t, result.Changed)
@@ -139,10 +145,25 @@
 	for i := uint64(8); i < 8+300; i++ {
 		must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, i-1, fmt.Sprintf(`{"release":%d}`, i)).Failure)
 	}
-	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 8+300-history.MaxEntries)).Failure)
-	must.Eq(t, failure.Conflict, f.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 9+300-history.MaxEntries)).Failure.Kind)
+	must.Nil(
+		t,
+		f.proposeOnVersion(proposal.ItemPatch, 7+300-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, 8+300-history.MaxEntries)).Failure,
+	)
+	must.Eq(
+		t,
+		failure.Conflict,
+		f.proposeOnVersion(
+			proposal.ItemPatch,
+			7+300-history.MaxEntries,
+			fmt.Sprintf(`{"release":%d}`, 9+300-history.MaxEntries),
+		).Failure.Kind,
+	)
 	for _, version := range []int{8, 9} {
-		result := f.proposeOnVersion(proposal.ItemPatch, 7+299-history.MaxEntries, fmt.Sprintf(`{"release":%d}`, version+299-history.MaxEntries))
+		result := f.proposeOnVersion(
+			proposal.ItemPatch,
+			7+299-history.MaxEntries,
+			fmt.Sprintf(`{"release":%d}`, version+299-history.MaxEntries),
+		)
 		must.Eq(t, failure.UnknownOutcome, result.Failure.Kind)
 		must.Eq(t, failure.OutcomeUnknown, result.Failure.Outcome)
 		must.False(t, result.Changed)
@@ -153,11 +174,20 @@
 // Every fault of a patch or a whole configuration rejects it and leaves the newest unchanged.
 func TestBadItemPatches(t *testing.T) {
 	for _, invalid := range []testProposal{
-		{proposal.FullConfig, 7, fullConfig(7, "")[:20]}, {proposal.FullConfig, 7, fullConfig(6, "")}, {proposal.FullConfig, 7, fullConfig(7, `,"x":1`)}, {proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"release":8,`, "", 1)},
-		{proposal.FullConfig, 7, fullConfig(8, "") + "x"}, {proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"service":"a"`, `"service":"c"`, 1)},
+		{proposal.FullConfig, 7, fullConfig(7, "")[:20]},
+		{proposal.FullConfig, 7, fullConfig(6, "")},
+		{proposal.FullConfig, 7, fullConfig(7, `,"x":1`)},
+		{proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"release":8,`, "", 1)},
+		{proposal.FullConfig, 7, fullConfig(8, "") + "x"},
+		{proposal.FullConfig, 7, strings.Replace(fullConfig(8, ""), `"service":"a"`, `"service":"c"`, 1)},
 		{proposal.FullConfig, 7, `{"release":"8"}`}, {proposal.FullConfig, 7, `{"release":8.5}`}, {proposal.FullConfig, 7, `{"release":null}`},
-		{proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}}}`}, {proposal.ItemPatch, 7, `{"release":7,"upsert":{"services":{"c":{}}}}`}, {proposal.ItemPatch, 7, `{"release":8`},
-		{proposal.ItemPatch, 7, `{"release":8,"upsert":[]}`}, {proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":[]}}`}, {proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":"w"}}`}, {proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":[1]}}`},
+		{proposal.ItemPatch, 7, `{"upsert":{"services":{"c":{}}}}`},
+		{proposal.ItemPatch, 7, `{"release":7,"upsert":{"services":{"c":{}}}}`},
+		{proposal.ItemPatch, 7, `{"release":8`},
+		{proposal.ItemPatch, 7, `{"release":8,"upsert":[]}`},
+		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":[]}}`},
+		{proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":"w"}}`},
+		{proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":[1]}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"remove":{"services":["a"]}}`}, // routes refer to it
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"w":{"host":"h"}}}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"h","service":"a"}}}}`}, // the host of route w
@@ -171,7 +201,11 @@
 		before := string(f.value)
 		result := f.proposeOnVersion(invalid.kind, invalid.base, invalid.body)
 		must.NotNil(t, result.Failure, must.Sprint(invalid))
-		must.True(t, result.Failure.Kind == failure.Invalid || result.Failure.Kind == failure.Malformed, must.Sprint(invalid, result.Failure))
+		must.True(
+			t,
+			result.Failure.Kind == failure.Invalid || result.Failure.Kind == failure.Malformed,
+			must.Sprint(invalid, result.Failure),
+		)
 		must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
 		must.Eq(t, before, string(f.value))
 	}
@@ -181,11 +215,19 @@
 // leaves everything else as it was sent.
 func TestItemPatch(t *testing.T) {
 	f := &fixture{}
-	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"note":[1.50,null],"services":{"a":{"x":{"y":1e3}},"b":{}},"ways":{"v":{"host":"v","service":"a","tries":1},"w":{"host":"h","service":"b"}},"limits":{"headMs":5}}`).Failure)
-	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 1, `{"release":4,"other":1,"upsert":{"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"idleMs":6}},"remove":{"ways":["w","none"],"services":["b"],"things":["t"]}}`).Failure)
+	base := `{"release":1,"note":[1.50,null],"services":{"a":{"x":{"y":1e3}},"b":{}},` +
+		`"ways":{"v":{"host":"v","service":"a","tries":1},"w":{"host":"h","service":"b"}},"limits":{"headMs":5}}`
+	itemPatch := `{"release":4,"other":1,"upsert":{"ways":{"v":{"host":"v","service":"a","hue":"<"},` +
+		`"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"idleMs":6}},` +
+		`"remove":{"ways":["w","none"],"services":["b"],"things":["t"]}}`
+	patched := `{"release":4,"note":[1.5,null],"services":{"a":{"x":{"y":1000}}},` +
+		`"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},` +
+		`"limits":{"headMs":5,"idleMs":6}}`
+	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, base).Failure)
+	must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, 1, itemPatch).Failure)
 	var got, want any
 	must.NoError(t, json.Unmarshal(f.read().Document, &got))
-	must.NoError(t, json.Unmarshal([]byte(`{"release":4,"note":[1.5,null],"services":{"a":{"x":{"y":1000}}},"ways":{"v":{"host":"v","service":"a","hue":"<"},"new":{"host":"v","pathStart":"/n/","service":"a"}},"limits":{"headMs":5,"idleMs":6}}`), &want))
+	must.NoError(t, json.Unmarshal([]byte(patched), &want))
 	must.Eq(t, want, got)
 	must.StrContains(t, string(f.read().Document), "1.50")
 }
@@ -213,7 +255,7 @@
 func TestRevisionIsThatOfTheNewest(t *testing.T) {
 	f := &fixture{}
 	readRevision := func() ident.Epoch {
-		result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
+		result := f.apply(proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
 		must.False(t, result.Changed)
 		var accepted proposal.Accepted
 		must.NoError(t, json.Unmarshal(result.Body, &accepted))
@@ -230,9 +272,10 @@
 }
 
 func BenchmarkReadRevision500(b *testing.B) {
-	f := &fixture{value: operation.Encode(operation.Value{State: operation.Encode(proposal.State{Revision: 1, Document: operation.Encode(strings.Repeat("x", 100_000))})}), revision: 1}
+	state := proposal.State{Revision: 1, Document: operation.Encode(strings.Repeat("x", 100_000))}
+	f := &fixture{value: operation.Encode(operation.Value{State: operation.Encode(state)}), revision: 1}
 	for b.Loop() {
-		if result := proposal.Handlers().Apply(proposer.Context{Revision: f.revision}, f.value, proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}); result.Failure != nil {
+		if result := f.apply(proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}); result.Failure != nil {
 			b.Fatal(result.Failure)
 		}
 	}
@@ -240,17 +283,15 @@
 
 func BenchmarkItemPatch500(b *testing.B) {
 	f := &fixture{}
-	var routes []string
-	for i := range 500 {
-		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"a","weight":90},{"service":"b","weight":10}],"tries":2}`, i*7919, i%9, i, i))
-	}
-	if result := f.proposeOnVersion(proposal.FullConfig, 0, `{"release":1,"services":{"a":{},"b":{}},"ways":{`+strings.Join(routes, ",")+`}}`); result.Failure != nil {
+	document := `{"release":1,"services":{"a":{},"b":{}},"ways":{` + routeList(500) + `}}`
+	if result := f.proposeOnVersion(proposal.FullConfig, 0, document); result.Failure != nil {
 		b.Fatal(result.Failure)
 	}
 	version := uint64(1)
 	for b.Loop() {
 		version++
-		if result := f.proposeOnVersion(proposal.ItemPatch, version-1, fmt.Sprintf(`{"release":%d,"remove":{"ways":["r-0001eef"]}}`, version)); result.Failure != nil {
+		itemPatch := fmt.Sprintf(`{"release":%d,"remove":{"ways":["r-0001eef"]}}`, version)
+		if result := f.proposeOnVersion(proposal.ItemPatch, version-1, itemPatch); result.Failure != nil {
 			b.Fatal(result.Failure)
 		}
 	}
--- a/control/config/validation/fuzz_test.go
+++ b/control/config/validation/fuzz_test.go
@@ -16,10 +16,12 @@
 // documentSeeds are configuration documents, some of them with faults.
 var documentSeeds = []string{
 	`{}`, `null`, `[]`, `{"release":1}x`, `{"release":1e400}`, `{"release":-0.0,"services":{}}`,
-	`{"release":7,"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000},"services":{"a":{"connections":100,"checkPath":"/health"},"b":{}},
+	`{"release":7,"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000},` +
+		`"services":{"a":{"connections":100,"checkPath":"/health"},"b":{}},
 "ways":{"v":{"host":"v.example","pathStart":"/x/","service":"a","repeat":"one_shot","rank":1,"aimMs":250,"timeoutMs":600,"tries":2},
 "w":{"host":"*","split":[{"service":"a","weight":90},{"service":"b","weight":10}],"repeat":"repeatable"}}}`,
-	`{"services":{"a":{"allowance":{"part":0.1,"callers":{"x":2}}}},"ways":{"w":{"host":"h:80","service":"a","split":{"b":50},"urgent":true}}}`,
+	`{"services":{"a":{"allowance":{"part":0.1,"callers":{"x":2}}}},` +
+		`"ways":{"w":{"host":"h:80","service":"a","split":{"b":50},"urgent":true}}}`,
 	`{"services":{"a":{},"a":{}},"ways":{"w":{"host":"H.","service":"a","unknown":{"kept":[1,2,3]}}}}`,
 	`{"services":{"é":{}},"ways":{"<w>":{"host":"h","service":"é","timeoutMs":0.0000001}}}`,
 }
@@ -70,8 +72,12 @@
 // that can be stored.
 func FuzzPatches(f *testing.F) {
 	for _, seed := range documentSeeds {
-		for _, itemPatch := range []string{`{"release":9,"upsert":{"services":{"c":{}}},"remove":{"ways":["w"]}}`, `{"ways":{"w":null},"services":{"a":{"x":{"y":null}}}}`,
-			`{"upsert":{"ways":[]},"remove":{"ways":{}}}`, `{"remove":{"release":["x"]},"upsert":{"limits":{"headBytes":1}}}`} {
+		for _, itemPatch := range []string{
+			`{"release":9,"upsert":{"services":{"c":{}}},"remove":{"ways":["w"]}}`,
+			`{"ways":{"w":null},"services":{"a":{"x":{"y":null}}}}`,
+			`{"upsert":{"ways":[]},"remove":{"ways":{}}}`,
+			`{"remove":{"release":["x"]},"upsert":{"limits":{"headBytes":1}}}`,
+		} {
 			f.Add([]byte(seed), []byte(itemPatch))
 		}
 	}
--- a/control/config/validation/validation_test.go
+++ b/control/config/validation/validation_test.go
@@ -14,9 +14,15 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-const wireDocument = `{"release":7,"ways":{"r-n2ctnfz":{"host":"jepu9.example","pathStart":"/lepu270/","repeat":"repeatable","timeoutMs":500.5,"aimMs":200,"rank":3,"split":[{"service":"kafi81c","weight":0.1},{"service":"huvo11a","weight":0.9}],"tries":2},` +
-	`"r-s989anu":{"host":"hulo84.example","pathStart":"/xapu221/ny95/","repeat":"one_shot","timeoutMs":600,"aimMs":250,"rank":1,"service":"wuno96b","tries":2}},` +
-	`"services":{"huvo11a":{"checkPath":"/health","connections":100,"protocol":"h1","encrypted":false},"wuno96b":{},"kafi81c":{}},"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000}}`
+// wireDocument is a configuration as operators send it.
+const wireDocument = `{"release":7,"ways":{"r-n2ctnfz":{"host":"jepu9.example","pathStart":"/lepu270/",` +
+	`"repeat":"repeatable","timeoutMs":500.5,"aimMs":200,"rank":3,` +
+	`"split":[{"service":"kafi81c","weight":0.1},{"service":"huvo11a","weight":0.9}],"tries":2},` +
+	`"r-s989anu":{"host":"hulo84.example","pathStart":"/xapu221/ny95/","repeat":"one_shot",` +
+	`"timeoutMs":600,"aimMs":250,"rank":1,"service":"wuno96b","tries":2}},` +
+	`"services":{"huvo11a":{"checkPath":"/health","connections":100,"protocol":"h1","encrypted":false},` +
+	`"wuno96b":{},"kafi81c":{}},` +
+	`"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000}}`
 
 func readLeniently(t *testing.T, body string) (*validation.Config, *failure.Error) {
 	t.Helper()
@@ -31,16 +37,39 @@
 	config, err := readLeniently(t, wireDocument)
 	must.Nil(t, err)
 	must.Eq(t, 7, config.Version)
-	must.Eq(t, validation.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 67108864, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}, config.Limits)
-	must.Eq(t, validation.Route{Name: "r-n2ctnfz", Host: "jepu9.example", PathPrefix: "/lepu270/", Service: "huvo11a", Repeat: validation.Repeatable, Priority: 3, TargetLatency: 200 * time.Millisecond,
-		Split: []validation.WeightedService{{Service: "kafi81c", Percent: 10}}, Timeout: 500500 * time.Microsecond, MaxAttempts: 2}, config.Routes[0])
+	must.Eq(
+		t,
+		validation.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 67108864, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
+		config.Limits,
+	)
+	must.Eq(
+		t,
+		validation.Route{
+			Name:          "r-n2ctnfz",
+			Host:          "jepu9.example",
+			PathPrefix:    "/lepu270/",
+			Service:       "huvo11a",
+			Repeat:        validation.Repeatable,
+			Priority:      3,
+			TargetLatency: 200 * time.Millisecond,
+			Split: []validation.WeightedService{
+				{Service: "kafi81c", Percent: 10},
+			},
+			Timeout:     500500 * time.Microsecond,
+			MaxAttempts: 2,
+		},
+		config.Routes[0],
+	)
 	must.Eq(t, "/health", config.Services["huvo11a"].HealthCheckPath)
 	must.Eq(t, 100, config.Services["huvo11a"].MaxConnections)
 	document, _ := decode.Parse([]byte(wireDocument))
 	strictConfig, err := validation.Strict(document)
 	must.Nil(t, err)
 	must.Eq(t, config, strictConfig)
-	bare, err := readLeniently(t, `{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`)
+	bare, err := readLeniently(
+		t,
+		`{"services":{"a":{}},"ways":{"u":{"host":"h","pathStart":"/u/","service":"a","urgent":true},"w":{"host":"h","service":"a"}}}`,
+	)
 	must.Nil(t, err)
 	must.Eq(t, validation.DefaultLimits, bare.Limits)
 	must.Eq(t, []int{0, 2}, []int{bare.Routes[0].Priority, bare.Routes[1].Priority})
@@ -49,13 +78,29 @@
 // Every single fault makes a configuration invalid, for Strict and Lenient.
 func TestInvalid(t *testing.T) {
 	for valid, invalid := range map[string][]string{
-		`"service":"wuno96b"`:    {`"service":"nobody"`, `"service":""`, `"service":1`, `"split":[]`, `"split":[{"service":"wuno96b","weight":0}]`, `"split":[{"service":"wuno96b"}]`, `"split":[7]`, `"split":[{"weight":1}]`, `"service":"wuno96b","split":[{"service":"kafi81c","weight":1}]`, `"service":"wuno96b","split":{"kafi81c":-1}`, `"tries":2`},
+		`"service":"wuno96b"`: {
+			`"service":"nobody"`,
+			`"service":""`,
+			`"service":1`,
+			`"split":[]`,
+			`"split":[{"service":"wuno96b","weight":0}]`,
+			`"split":[{"service":"wuno96b"}]`,
+			`"split":[7]`,
+			`"split":[{"weight":1}]`,
+			`"service":"wuno96b","split":[{"service":"kafi81c","weight":1}]`,
+			`"service":"wuno96b","split":{"kafi81c":-1}`,
+			`"tries":2`,
+		},
 		`"weight":0.1`:           {`"weight":-0.1`, `"weight":"1"`, `"weight":1e400`, `"weight":null`},
 		`{"service":"kafi81c"`:   {`{"service":"nobody"`},
 		`"timeoutMs":600`:        {`"timeoutMs":0`, `"timeoutMs":-1`, `"timeoutMs":"600"`},
 		`"repeat":"one_shot"`:    {`"repeat":"twice"`, `"repeat":""`, `"repeat":1`},
 		`"pathStart":"/xapu221/`: {`"pathStart":"xapu221/`, `"pathStart":"/a?b/`},
-		`"host":"hulo84.example","pathStart":"/xapu221/ny95/"`: {`"host":"JEPU9.example","pathStart":"/lepu270/"`, `"pathStart":"/"`, `"host":"a b","pathStart":"/"`},
+		`"host":"hulo84.example","pathStart":"/xapu221/ny95/"`: {
+			`"host":"JEPU9.example","pathStart":"/lepu270/"`,
+			`"pathStart":"/"`,
+			`"host":"a b","pathStart":"/"`,
+		},
 		`"release":7`:           {`"release":-1`, `"release":7.5`, `"release":"7"`},
 		`"encrypted":false`:     {`"encrypted":true`},
 		`"protocol":"h1"`:       {`"protocol":"h2"`},
@@ -82,7 +127,8 @@
 func TestLenient(t *testing.T) {
 	for _, body := range []string{
 		`{"x":1}`, `{"limits":{"x":1}}`, `{"services":{"a":{"x":{}}}}`, `{"services":{"Ä/1":{}}}`,
-		`{"services":{"a":{}},"ways":{"w_":{"host":"h","service":"a"}}}`, `{"services":{"a":{}},"ways":{"w":{"host":"h","split":[{"service":"a","weight":1,"x":2}]}}}`,
+		`{"services":{"a":{}},"ways":{"w_":{"host":"h","service":"a"}}}`,
+		`{"services":{"a":{}},"ways":{"w":{"host":"h","split":[{"service":"a","weight":1,"x":2}]}}}`,
 	} {
 		_, err := readLeniently(t, body)
 		must.Nil(t, err, must.Sprint(body))
@@ -111,7 +157,10 @@
 		for i := 0; i < len(tokens); i += 2 {
 			parts = append(parts, fmt.Sprintf(`{"service":%q,"weight":%s}`, tokens[i], tokens[i+1]))
 		}
-		config, err := readLeniently(t, `{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`)
+		config, err := readLeniently(
+			t,
+			`{"services":{"a":{},"b":{},"c":{}},"ways":{"w":{"host":"h","split":[`+strings.Join(parts, ",")+`]}}}`,
+		)
 		must.Nil(t, err)
 		got := string(config.Routes[0].Service)
 		for _, part := range config.Routes[0].Split {
@@ -123,7 +172,14 @@
 
 // Which requests may be executed twice, for every policy with a safe and an unsafe method.
 func TestRepeatPolicies(t *testing.T) {
-	for policy, want := range map[validation.RepeatPolicy][2]bool{validation.ByMethod: {true, false}, validation.Repeatable: {true, true}, validation.Download: {true, true}, validation.OneShot: {}, validation.Upload: {}, "other": {}} {
+	for policy, want := range map[validation.RepeatPolicy][2]bool{
+		validation.ByMethod:   {true, false},
+		validation.Repeatable: {true, true},
+		validation.Download:   {true, true},
+		validation.OneShot:    {},
+		validation.Upload:     {},
+		"other":               {},
+	} {
 		must.Eq(t, want, [2]bool{policy.Allows("GET"), policy.Allows("POST")}, must.Sprint(policy))
 	}
 }
@@ -131,7 +187,10 @@
 func manyRoutes(n int) []byte {
 	routes := []string{}
 	for i := range n {
-		routes = append(routes, fmt.Sprintf(`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,"aimMs":200,"rank":2,"split":[{"service":"huvo11a","weight":90},{"service":"kafi81c","weight":10}],"tries":2}`, i*7919, i%9, i, i))
+		routes = append(routes, fmt.Sprintf(
+			`"r-%07x":{"host":"jepu%d.example","pathStart":"/lepu%d/ny%d/","repeat":"repeatable","timeoutMs":500,`+
+				`"aimMs":200,"rank":2,"split":[{"service":"huvo11a","weight":90},{"service":"kafi81c","weight":10}],"tries":2}`,
+			i*7919, i%9, i, i))
 	}
 	return []byte(`{"release":7,"ways":{` + strings.Join(routes, ",") + `},"services":{"huvo11a":{},"kafi81c":{}}}`)
 }
--- a/control/coordination/keyspace/keyspace_test.go
+++ b/control/coordination/keyspace/keyspace_test.go
@@ -29,7 +29,11 @@
 }
 
 func (f *fixture) apply(now monotime.Time, kind string, args keyspace.Args) (json.RawMessage, *failure.Error) {
-	result := f.handlers.Apply(proposer.Context{Now: now, Decoded: f.decoded}, f.value, proposer.Operation{Op: "op", Kind: kind, Args: operation.Encode(args)})
+	result := f.handlers.Apply(
+		proposer.Context{Now: now, Decoded: f.decoded},
+		f.value,
+		proposer.Operation{Op: "op", Kind: kind, Args: operation.Encode(args)},
+	)
 	if result.Changed {
 		f.value, f.decoded = result.Value, nil
 	}
--- a/control/coordination/keyspace/state.go
+++ b/control/coordination/keyspace/state.go
@@ -25,7 +25,7 @@
 	Latest           ident.Revision    `json:"n"`
 }
 
-// compactionFraction makes compaction due when one in so many stored bytes has expired:
+// compactionFraction makes compaction due when 1/compactionFraction of the stored bytes has expired:
 // compaction rewrites the list, so it has to be rare, but expired records take space.
 const compactionFraction = 4
 
--- a/control/coordination/keyvalue/keyvalue_test.go
+++ b/control/coordination/keyvalue/keyvalue_test.go
@@ -26,7 +26,14 @@
 }
 
 func (f *fixture) apply(now monotime.Time, kind string, args keyvalue.Args) (keyvalue.Response, *failure.Error) {
-	result := keyvalue.Handlers().Apply(proposer.Context{Now: now, TermBegan: f.termBegan, Revision: f.revision, TermMemory: f.termMemory, Remember: func(name string) { f.termMemory[name] = now }}, f.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
+	context := proposer.Context{
+		Now:        now,
+		TermBegan:  f.termBegan,
+		Revision:   f.revision,
+		TermMemory: f.termMemory,
+		Remember:   func(event string) { f.termMemory[event] = now },
+	}
+	result := keyvalue.Handlers().Apply(context, f.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
 	if result.Changed {
 		f.value = result.Value
 		f.revision++
--- a/control/coordination/lock/batch_test.go
+++ b/control/coordination/lock/batch_test.go
@@ -49,7 +49,8 @@
 }
 
 func (r *singleReplica) submit(now monotime.Time, kind string, args Args) {
-	r.collect(r.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: kind, Op: ident.OperationID(fmt.Sprint(now, kind, args)), Args: operation.Encode(args)}))
+	id := ident.OperationID(fmt.Sprint(now, kind, args))
+	r.collect(r.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: kind, Op: id, Args: operation.Encode(args)}))
 }
 
 // Acquires of three callers share one round, in every order, after the lock was released or
@@ -116,14 +117,20 @@
 		replica, now := newSingleReplica(seconds(1)), seconds(1)
 		acquire := func(at monotime.Time, holder, op string) bool {
 			replica.outcomes = nil
-			replica.collect(replica.proposer.Submit(at, proposer.Operation{Key: "lock/l", Kind: "lock/claim", Op: ident.OperationID(op), Args: operation.Encode(Args{Holder: holder, TTL: 5000})}))
+			args := operation.Encode(Args{Holder: holder, TTL: 5000})
+			acquire := proposer.Operation{Key: "lock/l", Kind: "lock/claim", Op: ident.OperationID(op), Args: args}
+			replica.collect(replica.proposer.Submit(at, acquire))
 			replica.flush(at)
 			return replica.outcomes[0].Failure == nil
 		}
 		must.True(t, acquire(now, "a", "op1"))
 		again := now.Add(after)
 		must.True(t, acquire(again, "a", "op1"))
-		must.False(t, acquire(again.Add(4999*time.Millisecond), "b", "op2"), must.Sprintf("repeated after %v: b was granted the lock during a's lease", after))
+		must.False(
+			t,
+			acquire(again.Add(4999*time.Millisecond), "b", "op2"),
+			must.Sprintf("repeated after %v: b was granted the lock during a's lease", after),
+		)
 		must.True(t, acquire(again.Add(6*time.Second), "b", "op3"))
 		must.False(t, acquire(again.Add(7*time.Second), "a", "op1"), must.Sprint("an old grant was returned again while b holds the lock"))
 	}
--- a/control/coordination/lock/keep_token_test.go
+++ b/control/coordination/lock/keep_token_test.go
@@ -138,7 +138,13 @@
 		replica.flush(now)
 		replica.outcomes = nil
 		replica.submit(now, "lock/read", Args{}) // its round is under way while the release waits
-		replica.collect(replica.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: "lock/release", Op: ident.OperationID("op"), Deadline: now.Add(900 * time.Millisecond), Args: operation.Encode(Args{Holder: "a", FencingToken: 1})}))
+		replica.collect(replica.proposer.Submit(now, proposer.Operation{
+			Key:      "lock/l",
+			Kind:     "lock/release",
+			Op:       ident.OperationID("op"),
+			Deadline: now.Add(900 * time.Millisecond),
+			Args:     operation.Encode(Args{Holder: "a", FencingToken: 1}),
+		}))
 		replica.flush(now.Add(late))
 		must.Len(t, 2, replica.outcomes)
 		begun := late < 900*time.Millisecond
--- a/control/coordination/lock/lock_test.go
+++ b/control/coordination/lock/lock_test.go
@@ -24,7 +24,13 @@
 func newTerm(at float64) *term { return &term{began: seconds(at), memory: map[string]monotime.Time{}} }
 
 func (t *term) apply(now monotime.Time, kind string, args Args) (Grant, *failure.Error) {
-	result := Handlers().Apply(proposer.Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(key string) { t.memory[key] = now }}, t.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
+	context := proposer.Context{
+		Now:        now,
+		TermBegan:  t.began,
+		TermMemory: t.memory,
+		Remember:   func(event string) { t.memory[event] = now },
+	}
+	result := Handlers().Apply(context, t.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
 	if result.Changed {
 		t.value = result.Value
 	}
--- a/control/coordination/operation/operation_test.go
+++ b/control/coordination/operation/operation_test.go
@@ -24,7 +24,8 @@
 			repeatable bool
 			want       string
 		}{{"a", false, "1"}, {"a", false, "1"}, {"b", true, "2"}, {"b", true, "3"}, {"a", false, "1"}, {"c", false, "4"}, {"c", false, "4"}} {
-			result := sequence.Handlers().Apply(proposer.Context{Decoded: decoded}, value, proposer.Operation{Op: step.op, Kind: "number/next", Repeatable: step.repeatable})
+			op := proposer.Operation{Op: step.op, Kind: "number/next", Repeatable: step.repeatable}
+			result := sequence.Handlers().Apply(proposer.Context{Decoded: decoded}, value, op)
 			must.Nil(t, result.Failure)
 			must.Eq(t, `{"number":`+step.want+`}`, string(result.Body), must.Sprint(i))
 			if result.Changed {
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -14,7 +14,8 @@
 )
 
 func (f *fixture) join(joiners ...Joiner) []Joined {
-	result := Handlers().Apply(proposer.Context{}, f.value, proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})})
+	op := proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})}
+	result := Handlers().Apply(proposer.Context{}, f.value, op)
 	must.Nil(f.t, result.Failure)
 	f.value = result.Value
 	var joined []Joined
@@ -120,7 +121,13 @@
 
 // An invalid batch is rejected and changes nothing.
 func TestInvalidBatchesAreRefused(t *testing.T) {
-	for _, args := range []JoinArgs{{}, {[]Joiner{{}}}, {[]Joiner{{Node: "a"}, {Node: "a"}}}, {make([]Joiner, MaxBatch+1)}, {[]Joiner{{Node: "a", Run: string(make([]byte, MaxRunIDBytes+1))}}}} {
+	for _, args := range []JoinArgs{
+		{},
+		{[]Joiner{{}}},
+		{[]Joiner{{Node: "a"}, {Node: "a"}}},
+		{make([]Joiner, MaxBatch+1)},
+		{[]Joiner{{Node: "a", Run: string(make([]byte, MaxRunIDBytes+1))}}},
+	} {
 		result := Handlers().Apply(proposer.Context{}, nil, proposer.Operation{Kind: JoinKind, Args: operation.Encode(args)})
 		must.NotNil(t, result.Failure)
 		must.False(t, result.Changed)
--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -110,7 +110,9 @@
 	var held []ring.Record
 	for i := range records {
 		k := ident.Key(fmt.Sprintf("number/n%05d", i))
-		data, _ := json.Marshal(quorum.Record{Promised: ballot, Accepted: ballot, Revision: 1, Value: json.RawMessage(`{"state":{"number":1}}`)})
+		data, _ := json.Marshal(
+			quorum.Record{Promised: ballot, Accepted: ballot, Revision: 1, Value: json.RawMessage(`{"state":{"number":1}}`)},
+		)
 		held = append(held, ring.Record{Key: "c/" + string(k), Data: data})
 		c.confirmed[k], c.confirmedKeys = 1, append(c.confirmedKeys, k)
 		if i < 6 {
@@ -172,13 +174,27 @@
 		seeds = []ident.Addr{addrOf(0), addrOf(1), addrOf(2)}
 	}
 	m.run++
-	n, created, err := node.New(c.now, node.Config{Addr: a, Seeds: seeds, MaxVoters: c.voters, InstanceID: fmt.Sprintf("%s-%d", a, m.run),
-		CanLose: c.canLose, Founders: c.founders, NewDisk: func() ident.Disk { c.disksMade++; return ident.Disk(fmt.Sprint("new", c.disksMade)) }}, recs)
+	config := node.Config{
+		Addr:       a,
+		Seeds:      seeds,
+		MaxVoters:  c.voters,
+		InstanceID: fmt.Sprintf("%s-%d", a, m.run),
+		CanLose:    c.canLose,
+		Founders:   c.founders,
+		NewDisk:    c.newDisk,
+	}
+	n, created, err := node.New(c.now, config, recs)
 	must.NoError(c.t, err)
 	m.node, m.running, m.startedAt, m.unsynced, m.syncing = n, true, c.now, nil, nil
 	c.store(m, created)
 }
 
+// newDisk returns a disk identifier that was never used before.
+func (c *cluster) newDisk() ident.Disk {
+	c.disksMade++
+	return ident.Disk(fmt.Sprint("new", c.disksMade))
+}
+
 // killProcess kills a process; what was not synced is lost, as in a power failure.
 func (c *cluster) killProcess(a ident.Addr) {
 	m := c.machines[a]
--- a/control/core/membership/invariants_test.go
+++ b/control/core/membership/invariants_test.go
@@ -13,9 +13,9 @@
 // back for less than catchUpLimit.
 func (c *cluster) lostMachines() (lost []ident.Addr) {
 	for _, m := range c.byAddr {
-		successor, replaced := c.successorOf[m.addr]
+		successor := c.machines[c.successorOf[m.addr]]
 		switch {
-		case replaced && c.machines[successor] != nil && c.machines[successor].running && c.now.Since(c.machines[successor].bootedAt) >= catchUpLimit:
+		case successor != nil && successor.running && c.now.Since(successor.bootedAt) >= catchUpLimit:
 		case !m.running, c.now.Since(m.bootedAt) < catchUpLimit:
 			lost = append(lost, m.addr)
 		}
@@ -34,7 +34,8 @@
 	}
 	accepted := map[ident.Ballot]int{}
 	for _, m := range c.byAddr {
-		if d := ident.Disk(m.synced["disk"].Data); m.membership.Current.Epoch == newest.Epoch && m.membership.Next != nil && newest.Counts(d) {
+		if d := ident.Disk(m.synced["disk"].Data); m.membership.Current.Epoch == newest.Epoch && m.membership.Next != nil &&
+			newest.Counts(d) {
 			if accepted[m.membership.Accepted]++; accepted[m.membership.Accepted] >= newest.Majority() {
 				return *m.membership.Next
 			}
--- a/control/core/node/antientropy.go
+++ b/control/core/node/antientropy.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// bucketCount returns how many digests a comparison of so many keys exchanges.
+// bucketCount returns how many digests a comparison of a number of keys exchanges.
 func bucketCount(keys int) int {
 	count := minBuckets
 	for count < keys/2 && count < maxBuckets {
--- a/control/core/node/audit_test.go
+++ b/control/core/node/audit_test.go
@@ -32,7 +32,11 @@
 // auditLog reads the whole audit log.
 func (cluster *jsonCluster) auditLog(t testing.TB) []proposal.AuditEntry {
 	cluster.lastTicket++
-	cluster.apply(t, coreAddrs[0], cluster.nodes[coreAddrs[0]].QuorumRead(cluster.now, uint64(cluster.lastTicket), "audit/", true, time.Second))
+	cluster.apply(
+		t,
+		coreAddrs[0],
+		cluster.nodes[coreAddrs[0]].QuorumRead(cluster.now, uint64(cluster.lastTicket), "audit/", true, time.Second),
+	)
 	cluster.deliverAll(t)
 	end := cluster.results[uint64(cluster.lastTicket)]
 	must.Nil(t, end.Failure)
--- a/control/core/node/instance_test.go
+++ b/control/core/node/instance_test.go
@@ -17,7 +17,8 @@
 func TestQuorumReadOfAnEarlierRunAnswersNothing(t *testing.T) {
 	cluster := newThreeCores(t)
 	put := func(ticket uint64, value string) {
-		cluster.submitOperation("a:1", ticket, proposer.Operation{Key: "key/k", Kind: "key/write", Args: []byte(`{"value":` + value + `}`)}, 4*time.Second)
+		write := proposer.Operation{Key: "key/k", Kind: "key/write", Args: []byte(`{"value":` + value + `}`)}
+		cluster.submitOperation("a:1", ticket, write, 4*time.Second)
 		cluster.advance(2500 * time.Millisecond)
 		must.NotNil(t, cluster.ticketResult(ticket))
 		must.Nil(t, cluster.ticketResult(ticket).Failure)
--- a/control/core/node/leaseupdate_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -19,7 +19,13 @@
 
 // renew renews a lease at one core for a while, and returns when the newest renewal was sent that
 // a majority is reported to know of.
-func (cluster *threeCores) renew(t *testing.T, core ident.Addr, seq *uint64, sentAt map[uint64]monotime.Time, d time.Duration) (ackedAt monotime.Time) {
+func (cluster *threeCores) renew(
+	t *testing.T,
+	core ident.Addr,
+	seq *uint64,
+	sentAt map[uint64]monotime.Time,
+	d time.Duration,
+) (ackedAt monotime.Time) {
 	for end := cluster.now.Add(d); cluster.now < end; cluster.advance(400 * time.Millisecond) {
 		*seq++
 		sentAt[*seq] = cluster.now
--- a/control/core/node/leave_test.go
+++ b/control/core/node/leave_test.go
@@ -49,7 +49,11 @@
 	}
 	executed, unknown := 1, 0 // the first call was before the stop
 	for i := firstTicket; i < ticket; i++ {
-		must.NotNil(t, cluster.ticketResult(i), must.Sprintf("call %d of %d has no answer when the process ends", i-firstTicket, ticket-firstTicket))
+		must.NotNil(
+			t,
+			cluster.ticketResult(i),
+			must.Sprintf("call %d of %d has no answer when the process ends", i-firstTicket, ticket-firstTicket),
+		)
 		switch f := cluster.ticketResult(i).Failure; {
 		case f == nil:
 			executed++
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -82,7 +82,7 @@
 	// answerDeadline is set while leaving: by then every request has its answer.
 	answerDeadline monotime.Time
 	departure      *departure
-	// recentVotes are the accepts that this disk agreed to lately, oldest first.
+	// recentVotes are the accepts that this disk agreed to within voteInDoubtFor, oldest first.
 	recentVotes []castVote
 
 	freshness     freshness
--- a/control/core/node/partition_test.go
+++ b/control/core/node/partition_test.go
@@ -79,12 +79,21 @@
 	{operationOf(keyspace.ControlKey("g."), "group/read", keyspace.Args{Name: "a"}), ""},
 	{operationOf(keyspace.ControlKey("g."), "group/read", keyspace.Args{Name: "none"}), failure.NotFound},
 	{operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"1"`)}), ""},
-	{operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"2"`), IfRevision: new(ident.Revision)}), failure.Conflict},
+	{
+		operationOf(keyspace.ControlKey("g."), "group/put", keyspace.Args{Name: "a", Value: []byte(`"2"`), IfRevision: new(ident.Revision)}),
+		failure.Conflict,
+	},
 	{operationOf(keyspace.ControlKey("g."), "group/since", keyspace.Args{After: new(ident.Revision)}), ""},
 	{operationOf(proposal.Key, "manifest/epoch", nil), ""},
 	{operationOf(proposal.Key, "manifest/read", nil), ""},
-	{operationOf(proposal.Key, "manifest/offer", proposal.Args{BaseVersion: new(uint64), AllowUnknown: true, Body: []byte(`{"release":9}`)}), failure.Conflict},
-	{operationOf(proposal.Key, "manifest/offer", proposal.Args{Body: []byte(`{"ways":{"w":{"host":"h","service":"none"}}}`)}), failure.Invalid},
+	{
+		operationOf(proposal.Key, "manifest/offer", proposal.Args{BaseVersion: new(uint64), AllowUnknown: true, Body: []byte(`{"release":9}`)}),
+		failure.Conflict,
+	},
+	{
+		operationOf(proposal.Key, "manifest/offer", proposal.Args{Body: []byte(`{"ways":{"w":{"host":"h","service":"none"}}}`)}),
+		failure.Invalid,
+	},
 	{operationOf("share", "share/take", quota.Args{Node: "s", LeaseEpoch: 1}), failure.Conflict},
 	{operationOf("share", "share/read", nil), ""},
 	{operationOf("number/n", "no/such", nil), failure.Malformed},
@@ -205,7 +214,10 @@
 
 // isStale renews a sidecar's lease at a core, and returns whether that core reports to be stale.
 func (cluster *threeCores) isStale(t *testing.T, core ident.Addr) bool {
-	renewed, fx, rejected := cluster.nodes[core].Renew(cluster.now, record.Renewal{Node: "s", LeaseEpoch: 1, Seq: 1, Report: &record.Report{Node: "s"}})
+	renewed, fx, rejected := cluster.nodes[core].Renew(
+		cluster.now,
+		record.Renewal{Node: "s", LeaseEpoch: 1, Seq: 1, Report: &record.Report{Node: "s"}},
+	)
 	must.Nil(t, rejected)
 	cluster.apply(core, fx)
 	return renewed.Stale
@@ -259,12 +271,21 @@
 		cluster.cut("a:1", direction)
 		for began := cluster.now; cluster.now.Since(began) < 20*time.Second; {
 			if got := cluster.call("b:1", next, budget); cluster.now.Since(began) > 4*time.Second {
-				must.Nil(t, got.failure, must.Sprint(direction, ": a core that has a majority does not serve, after ", cluster.now.Since(began)))
+				must.Nil(
+					t,
+					got.failure,
+					must.Sprint(direction, ": a core that has a majority does not serve, after ", cluster.now.Since(began)),
+				)
 			}
 			for _, op := range []proposer.Operation{read, next, knownCalls[0].operation, knownCalls[9].operation, knownCalls[15].operation} {
 				got := cluster.call("a:1", op, budget)
 				must.NotNil(t, got.failure, must.Sprint(direction, op.Kind, got.body))
-				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(direction, op.Kind))
+				must.SliceContains(
+					t,
+					[]failure.Kind{failure.NoMajority, failure.UnknownOutcome},
+					got.failureKind(),
+					must.Sprint(direction, op.Kind),
+				)
 			}
 		}
 		if direction != "in" { // otherwise the others hear it
--- a/control/core/node/quorumread.go
+++ b/control/core/node/quorumread.go
@@ -22,7 +22,7 @@
 	deadline monotime.Time
 	// waitForAll has the read wait for every counted voter, not only for a majority.
 	waitForAll bool
-	// buckets, when set, has digests of so many buckets of keys compared first.
+	// buckets, when set, is the number of buckets whose digests are compared first.
 	buckets int
 	onDone  readFunc
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// restartReads begins the local requests' reads anew under a new membership, and drops the
+// restartReads begins the reads of local requests again under a new membership, and drops the
 // core's own, which are repeated anyway.
 func (n *Node) restartReads(now monotime.Time, fx *Effects) {
 	for _, round := range n.readRounds() {
--- a/control/core/node/singletonrole.go
+++ b/control/core/node/singletonrole.go
@@ -75,10 +75,13 @@
 // tries to acquire it otherwise.
 func (n *Node) renewSingletonRole(now monotime.Time, fx *Effects) {
 	n.singletonRole.renewedAt = now
-	op := proposer.Operation{Key: singletonRoleKey, Kind: "lock/claim", Args: operation.Encode(lock.Args{Holder: string(n.Disk), TTL: singletonRoleTTLMs})}
+	args := lock.Args{Holder: string(n.Disk), TTL: singletonRoleTTLMs}
+	op := proposer.Operation{Key: singletonRoleKey, Kind: "lock/claim"}
 	if n.singletonRole.held {
-		op.Kind, op.Args = "lock/renew", operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.singletonRole.token})
+		args = lock.Args{Holder: string(n.Disk), FencingToken: n.singletonRole.token}
+		op.Kind = "lock/renew"
 	}
+	op.Args = operation.Encode(args)
 	n.submitInternal(now, op, fx, func(_ monotime.Time, result Result, _ *Effects) {
 		var grant lock.Grant
 		granted := result.Failure == nil && operation.Decode(nil, result.Body, nil, &grant) == nil
--- a/control/core/node/traffic_test.go
+++ b/control/core/node/traffic_test.go
@@ -40,8 +40,12 @@
 		bytes:   map[string]int{},
 	}
 	for _, a := range coreAddrs {
-		n, _, err := node.New(cluster.now, node.Config{Addr: a, Founders: coreAddrs, InstanceID: "0123456789abcdef0123456789abcdef", History: history,
-			NewDisk: func() ident.Disk { return ident.Disk("0123456789abcdef0123456789abc" + string(a)) }}, nil)
+		n, _, err := node.New(
+			cluster.now,
+			node.Config{Addr: a, Founders: coreAddrs, InstanceID: "0123456789abcdef0123456789abcdef", History: history,
+				NewDisk: func() ident.Disk { return ident.Disk("0123456789abcdef0123456789abc" + string(a)) }},
+			nil,
+		)
 		must.NoError(t, err)
 		cluster.nodes[a] = n
 	}
--- a/control/core/node/votercopy.go
+++ b/control/core/node/votercopy.go
@@ -13,7 +13,7 @@
 const (
 	// copyBudget is how long a new voter's read of all records may take.
 	copyBudget = time.Minute
-	// copySyncTimeout is how long a copy may take to be synced before it is begun anew.
+	// copySyncTimeout is how long a copy may take to be synced before it is begun again.
 	copySyncTimeout = 2 * time.Second
 )
 
--- a/control/core/node/voters.go
+++ b/control/core/node/voters.go
@@ -118,7 +118,8 @@
 	return disks
 }
 
-// allVotersHeard reports whether all counted voters but the excluded one were heard lately.
+// allVotersHeard reports whether all counted voters but the excluded one were heard within
+// heartbeatTimeout.
 func (n *Node) allVotersHeard(now monotime.Time, excluded ident.Disk) bool {
 	heard := n.heardWithin(now, heartbeatTimeout)
 	return !slices.ContainsFunc(n.membership.Current.Voters, func(v quorum.Voter) bool {
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -54,7 +54,7 @@
 	attemptCounts map[ident.Service]reconcile.CallCounts
 }
 
-// renewedWithin reports whether the sidecar renewed here lately.
+// renewedWithin reports whether the sidecar renewed at this core within a time span before now.
 func (e *entry) renewedWithin(now monotime.Time, span time.Duration) bool {
 	return e.lastRenewal != 0 && now.Since(e.lastRenewal) <= span
 }
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -15,7 +15,13 @@
 func timeAt(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
 func newRenewal(node ident.Node, leaseEpoch ident.Epoch, seq, number uint64) record.Renewal {
-	return record.Renewal{Node: node, LeaseEpoch: leaseEpoch, Seq: seq, Number: number, Report: &record.Report{Node: node, LeaseEpoch: leaseEpoch, Seq: seq}}
+	return record.Renewal{
+		Node:       node,
+		LeaseEpoch: leaseEpoch,
+		Seq:        seq,
+		Number:     number,
+		Report:     &record.Report{Node: node, LeaseEpoch: leaseEpoch, Seq: seq},
+	}
 }
 
 func lapsed(t *testing.T, table *Table, node ident.Node) bool {
--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -49,7 +49,7 @@
 	Next   *quorum.Membership `json:"next,omitempty"`
 }
 
-// Response answers a Request. Heard lists the disks that the voter has heard lately.
+// Response answers a Request. Heard lists the disks that the voter does not presume dead.
 type Response struct {
 	Kind     Kind               `json:"kind"`
 	Round    uint64             `json:"turn"`
@@ -124,7 +124,7 @@
 }
 
 // Step handles one request. It returns the response, the records to be synced before it is sent,
-// and whether there is a response at all; heard lists the disks that were heard lately.
+// and whether there is a response at all; heard lists the disks that this one does not presume dead.
 func (a *Acceptor) Step(request Request, heard []ident.Disk) (Response, []ring.Record, bool) {
 	handle, known := a.handlers[request.Kind]
 	if !known || request.Base != a.Current.Epoch || (request.Kind == Form) != (a.Current.Epoch == 0) {
--- a/control/membership/bootstrap/bootstrap.go
+++ b/control/membership/bootstrap/bootstrap.go
@@ -39,7 +39,7 @@
 }
 
 // Tick returns the requests that are due. Only the first founder by address sends any.
-// emptyFounders holds, with their disks, the founders heard lately that are empty.
+// emptyFounders maps the live founders that are empty to their disks.
 func (b *Bootstrap) Tick(now monotime.Time, emptyFounders map[ident.Addr]ident.Disk) []Send {
 	if len(b.founders) == 0 || b.founders[0] != b.addr || b.lastSent != 0 && now.Since(b.lastSent) < resendInterval {
 		return nil
--- a/control/register/proposer/cluster_test.go
+++ b/control/register/proposer/cluster_test.go
@@ -43,7 +43,13 @@
 }
 
 func newCluster(t *testing.T, proposers ...string) *cluster {
-	c := &cluster{t: t, acceptors: map[ident.Disk]*acceptor.Acceptor{}, proposers: map[string]*proposer.Proposer{}, outcomes: map[string][]proposer.Outcome{}, now: monotime.Time(time.Second)}
+	c := &cluster{
+		t:         t,
+		acceptors: map[ident.Disk]*acceptor.Acceptor{},
+		proposers: map[string]*proposer.Proposer{},
+		outcomes:  map[string][]proposer.Outcome{},
+		now:       monotime.Time(time.Second),
+	}
 	c.membership.Epoch = 1
 	for _, d := range []ident.Disk{"d1", "d2", "d3"} {
 		c.membership.Voters = append(c.membership.Voters, quorum.Voter{Disk: d, Counted: true})
@@ -65,7 +71,10 @@
 
 func (c *cluster) submit(name, kind, val string) {
 	raw, _ := json.Marshal(val)
-	c.collect(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(name + kind + val), Key: "k", Kind: kind, Args: raw}))
+	c.collect(
+		name,
+		c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(name + kind + val), Key: "k", Kind: kind, Args: raw}),
+	)
 }
 
 // deliver delivers request i, and its response at once.
--- a/control/register/proposer/lossy_cluster_test.go
+++ b/control/register/proposer/lossy_cluster_test.go
@@ -64,7 +64,12 @@
 var localDisk = map[string]ident.Disk{"a": "d1", "b": "d2"}
 
 func newLossyCluster(t *testing.T) *lossyCluster {
-	c := &lossyCluster{cluster: newCluster(t), sent: map[writeID]string{}, synced: map[ident.Disk]map[string]ring.Record{}, kinds: map[quorum.Kind]int{}}
+	c := &lossyCluster{
+		cluster: newCluster(t),
+		sent:    map[writeID]string{},
+		synced:  map[ident.Disk]map[string]ring.Record{},
+		kinds:   map[quorum.Kind]int{},
+	}
 	for _, name := range []string{"a", "b"} {
 		c.proposers[name] = proposer.New(name, fillMachine{})
 		c.proposers[name].SetMembership(c.now, c.membership)
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -72,7 +72,8 @@
 // SetPatchCapable sets whether the process that has the disk takes patches.
 func (p *Proposer) SetPatchCapable(disk ident.Disk, capable bool) { p.patchCapable[disk] = capable }
 
-// SetMembership moves to a newer membership; every key is prepared anew under it.
+// SetMembership adopts a newer membership. Every term is abandoned, so each key is prepared again
+// under it.
 func (p *Proposer) SetMembership(_ monotime.Time, membership quorum.Membership) (effects Effects) {
 	if membership.Epoch <= p.membership.Epoch {
 		return effects
--- a/control/register/proposer/proposer_test.go
+++ b/control/register/proposer/proposer_test.go
@@ -77,7 +77,11 @@
 						continue
 					}
 					old, twice := chosen[outcome.Revision]
-					must.False(t, twice && old != string(outcome.Body), must.Sprintf("revision %d is %s and %s", outcome.Revision, old, outcome.Body))
+					must.False(
+						t,
+						twice && old != string(outcome.Body),
+						must.Sprintf("revision %d is %s and %s", outcome.Revision, old, outcome.Body),
+					)
 					chosen[outcome.Revision] = string(outcome.Body)
 				}
 			}
@@ -121,7 +125,10 @@
 	c := newCluster(t, "a")
 	c.submit("a", "write", "one")
 	c.run(func(m envelope) bool { return m.to != "d3" })
-	_, _, _ = c.acceptors["d3"].Step(1, quorum.Request{Kind: quorum.Prepare, Round: 9, Membership: 1, Key: "k", Ballot: ident.Ballot{Epoch: 7, Proposer: "stray"}})
+	_, _, _ = c.acceptors["d3"].Step(
+		1,
+		quorum.Request{Kind: quorum.Prepare, Round: 9, Membership: 1, Key: "k", Ballot: ident.Ballot{Epoch: 7, Proposer: "stray"}},
+	)
 	c.submit("a", proposer.Repair, "")
 	for range 5 {
 		c.run(nil)
@@ -155,7 +162,10 @@
 // Responses of another membership epoch or of a voter that is still copying do not count.
 func TestOnlyCountedResponsesCount(t *testing.T) {
 	c := newCluster(t, "a")
-	membership := quorum.Membership{Epoch: 2, Voters: []quorum.Voter{{Disk: "d1", Counted: true}, {Disk: "d2", Counted: true}, {Disk: "d3"}}}
+	membership := quorum.Membership{
+		Epoch:  2,
+		Voters: []quorum.Voter{{Disk: "d1", Counted: true}, {Disk: "d2", Counted: true}, {Disk: "d3"}},
+	}
 	c.collect("a", c.proposers["a"].SetMembership(c.now, membership))
 	c.submit("a", "write", "one")
 	for range 10 {
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -129,7 +129,7 @@
 	p.proceed(now, t, effects)
 }
 
-// proceed goes on to the operations that still wait, if any.
+// proceed begins the next round if operations wait, else the term is no longer active.
 func (p *Proposer) proceed(now monotime.Time, t *term, effects *Effects) {
 	delete(p.active, t.key)
 	p.advance(now, t, effects)
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -75,7 +75,10 @@
 	for i := range 300 {
 		var items []string
 		for j := range 300 {
-			items = append(items, fmt.Sprintf(`"r-%x":{"host":"h%d.example","timeoutMs":500,"hue":"%s"}`, rng.Uint32(), j, parts[rng.IntN(len(parts))]))
+			items = append(
+				items,
+				fmt.Sprintf(`"r-%x":{"host":"h%d.example","timeoutMs":500,"hue":"%s"}`, rng.Uint32(), j, parts[rng.IntN(len(parts))]),
+			)
 		}
 		baseValue := []byte(strings.Join(items, ","))
 		edits := 1 + rng.IntN(6)
@@ -184,7 +187,10 @@
 func BenchmarkDiffInPieces(b *testing.B) {
 	var list []string
 	for i := range 1000 {
-		list = append(list, fmt.Sprintf(`"r-%016x":{"host":"jepu%d.example","pathStart":"/lepu%d/","timeoutMs":500}`, uint64(i)*0x9e3779b97f4a7c15, i%9, i))
+		list = append(
+			list,
+			fmt.Sprintf(`"r-%016x":{"host":"jepu%d.example","pathStart":"/lepu%d/","timeoutMs":500}`, uint64(i)*0x9e3779b97f4a7c15, i%9, i),
+		)
 	}
 	value := []byte(`{"n":300,"l":{` + strings.Join(list, ",") + `},"end":300}`)
 	next := []byte(strings.Replace(strings.ReplaceAll(string(value), `:300`, `:301`), "jepu5", "jepu7", 1))
--- a/control/register/quorum/pieces.go
+++ b/control/register/quorum/pieces.go
@@ -34,7 +34,7 @@
 }
 
 // diffPieces divides the next value into texts and runs of the base. It finds shared runs by
-// blocks whose hash is unique in the base, so that a run is not taken for another like it.
+// blocks whose hash is unique in the base, so that a run is not confused with a similar one.
 func diffPieces(base, next []byte) []Piece {
 	blocks := indexBlocks(base)
 	var pieces []Piece
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -30,7 +30,7 @@
 	Ballot     ident.Ballot    `json:"ballot"`
 	Revision   ident.Revision  `json:"rev,omitempty"`
 	Value      json.RawMessage `json:"value,omitempty"`
-	// Patch stands for Value in a PatchAccept.
+	// Patch replaces Value in a PatchAccept.
 	Patch *Patch `json:"patch,omitempty"`
 	// Held names, in a prepare, an accepted state whose value the proposer holds, so that the
 	// response need not carry it. An acceptor that does not know the field sends it all the
@@ -50,7 +50,7 @@
 	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
 
-// Response answers a Request. Invariant: it is sent only once everything that it speaks of is
+// Response answers a Request. Invariant: it is sent only once everything that it states is
 // synced. Record is empty when a patch was accepted; Record.Value is set for a prepare alone, and
 // not for the state that the request named as held.
 type Response struct {
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -48,8 +48,8 @@
 	// WaitForAll waits for every counted voter, as anti-entropy must: the copy that lags may
 	// well be the slowest.
 	WaitForAll bool
-	// Buckets, when set, first compares digests of so many buckets of keys, and reads only
-	// those that differ. Invariant: differing is set once they are compared, and is empty when
+	// Buckets, when set, is a number of buckets of keys whose digests are compared first; only
+	// buckets that differ are read. Invariant: differing is set once they are compared, and is empty when
 	// all disks that responded hold the same.
 	Buckets        int
 	differing      []int
--- a/control/rollout/reconcile/reconciler_test.go
+++ b/control/rollout/reconcile/reconciler_test.go
@@ -31,8 +31,17 @@
 		t:          t,
 		reconciler: reconcile.New(),
 		now:        monotime.Time(time.Hour),
-		rollout:    state.Rollout{Route: "r", From: "a", To: "b", Steps: []int{10, 100}, StepSeconds: 5, MaxFailureRatio: 0.1, Phase: state.Running, Generation: 1},
-		route:      validation.Route{Name: "r", Service: "a"},
+		rollout: state.Rollout{
+			Route:           "r",
+			From:            "a",
+			To:              "b",
+			Steps:           []int{10, 100},
+			StepSeconds:     5,
+			MaxFailureRatio: 0.1,
+			Phase:           state.Running,
+			Generation:      1,
+		},
+		route: validation.Route{Name: "r", Service: "a"},
 	}
 }
 
--- a/control/rollout/state/rollout_test.go
+++ b/control/rollout/state/rollout_test.go
@@ -59,7 +59,20 @@
 	}
 	started, err := (&fixture{}).apply(t, state.StartKind, valid)
 	must.Nil(t, err)
-	must.Eq(t, state.Rollout{Route: "r", From: "a", To: "b", Steps: []int{5, 25, 50, 100}, StepSeconds: 10, MaxFailureRatio: 0.05, Phase: state.Running, Generation: 1}, started)
+	must.Eq(
+		t,
+		state.Rollout{
+			Route:           "r",
+			From:            "a",
+			To:              "b",
+			Steps:           []int{5, 25, 50, 100},
+			StepSeconds:     10,
+			MaxFailureRatio: 0.05,
+			Phase:           state.Running,
+			Generation:      1,
+		},
+		started,
+	)
 }
 
 // A transition is made once, from the step and phase that it names, and only to a phase that
@@ -91,7 +104,11 @@
 		must.Eq(t, failure.Invalid, err.Kind, must.Sprint(i))
 	}
 	for _, phase := range []state.Phase{state.RollingBack, state.RolledBack} {
-		current, err = f.apply(t, state.TransitionKind, state.Transition{Generation: 1, Step: 1, Phase: current.Phase, NextStep: 1, NextPhase: phase, Reason: "r"})
+		current, err = f.apply(
+			t,
+			state.TransitionKind,
+			state.Transition{Generation: 1, Step: 1, Phase: current.Phase, NextStep: 1, NextPhase: phase, Reason: "r"},
+		)
 		must.Nil(t, err)
 		must.Eq(t, phase, current.Phase)
 		must.Eq(t, "r", current.Reason)
--- a/storage/ring/open.go
+++ b/storage/ring/open.go
@@ -114,8 +114,8 @@
 	if moved {
 		return nil
 	}
-	// Whatever was appended after the header were only moved records, so starting that file
-	// anew loses nothing and has room.
+	// The newest file holds only moved records after its header, so appending the move again
+	// loses nothing and has room.
 	r.offset = r.scanEnd
 	return r.moveLiveRecords()
 }
--- a/storage/ring/reader.go
+++ b/storage/ring/reader.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// recordAt reads the record at an offset; ok is false when none stands there.
+// recordAt reads the record at an offset; ok is false when there is none.
 func (r *fileReader) recordAt(offset int64, lap uint64) (record storedRecord, ok bool, err error) {
 	if err := r.fill(offset + recordHeaderSize); err != nil {
 		return storedRecord{}, false, err
