--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -16,7 +16,7 @@
 	"cottonarch.example/cottonarch/capacity/workload"
 )
 
-// Result is all that was measured, with what is needed to repeat it.
+// Result is the figures of a run, with the options and the build that they were measured with.
 type Result struct {
 	Commit      string              `json:"commit"`
 	Command     string              `json:"command"` // as it was given, without the program's folder
@@ -41,7 +41,7 @@
 	gigabyte        = 1e9
 )
 
-// measurement is a run on its way.
+// measurement is a run in progress.
 type measurement struct {
 	Options
 	deadline time.Time
@@ -98,7 +98,7 @@
 func (m *measurement) measureSizes(deadline time.Time) {
 	lastPeak := 0.0 // memory of the last size that was measured
 	for i, size := range m.Sizes {
-		// What the smaller sizes leave goes to the larger.
+		// The remaining time is divided anew, so that time a smaller size did not use goes to the larger.
 		share := time.Until(deadline) / time.Duration(len(m.Sizes)-i)
 		if reason := m.exceedsBounds(i, lastPeak, share); reason != "" {
 			m.skipSize(size, reason)
@@ -123,11 +123,11 @@
 func (m *measurement) exceedsBounds(i int, lastPeak float64, share time.Duration) (reason string) {
 	size := m.Sizes[i]
 	if processes := m.Target.Cores + 1 + size/m.Target.NodesPerProcess; processes > m.MaxProcesses {
-		return fmt.Sprintf("would need %d processes, %d may be", processes, m.MaxProcesses)
+		return fmt.Sprintf("would need %d processes, at most %d may run", processes, m.MaxProcesses)
 	}
 	if lastPeak > 0 {
 		if need := lastPeak * float64(size) / float64(m.Sizes[i-1]); need > m.MemoryLimit {
-			return fmt.Sprintf("would need about %.1f GB, %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
+			return fmt.Sprintf("would need about %.1f GB, at most %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
 		}
 	}
 	if share < minSizeTime {
@@ -183,7 +183,8 @@
 			m.skipLatency(i, err.Error())
 			return
 		}
-		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms", point.Records, point.Routes, point.Pairs, point.Added["p50"], point.Added["p99"])
+		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms",
+			point.Records, point.Routes, point.Pairs, point.Added["p50"], point.Added["p99"])
 		m.result.CallLatency = append(m.result.CallLatency, point)
 	}
 }
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -54,9 +54,8 @@
 
 // acquire grants the lock if it is free or held by the caller itself.
 func acquire(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if args.Holder == "" || !validTTL(args.TTL) {
@@ -89,7 +88,7 @@
 		args.TTL = current.TTL
 	}
 	if !validTTL(args.TTL) {
-		return operation.Rejected(failure.New(failure.Invalid, "a renewal's ttlMs is from %d to %d", minTTL, maxTTL))
+		return operation.Rejected(failure.New(failure.Invalid, "renewing a lock needs ttlMs from %d to %d", minTTL, maxTTL))
 	}
 	if current.extend(context, args.TTL) {
 		return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
@@ -104,7 +103,7 @@
 		return operation.Rejected(err)
 	}
 	if args.GrantNumber != 0 && args.GrantNumber != current.GrantCount {
-		return operation.Rejected(failure.New(failure.NotHolder, "grant %d was followed by %d", args.GrantNumber, current.GrantCount))
+		return operation.Rejected(failure.New(failure.NotHolder, "grant %d is superseded by grant %d", args.GrantNumber, current.GrantCount))
 	}
 	current.Holder = ""
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
@@ -127,9 +126,8 @@
 
 // read returns who holds the lock; the holder is empty once the lease is over.
 func read(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
-	var current State
-	var args Args
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, _, err := operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.isFree(context) {
@@ -147,7 +145,8 @@
 // decodeForHolder decodes an operation that only the holder may perform, NotHolder if the
 // caller is not the holder.
 func decodeForHolder(rawState, rawArgs json.RawMessage) (current State, args Args, err *failure.Error) {
-	if err := operation.Decode(rawState, rawArgs, &current, &args); err != nil {
+	current, args, err = operation.DecodeAs[State, Args](rawState, rawArgs)
+	if err != nil {
 		return current, args, err
 	}
 	if current.Holder == "" || current.Holder != args.Holder || current.FencingToken != args.FencingToken {
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -18,7 +18,7 @@
 	otherBallot = ident.Ballot{Epoch: 2, Proposer: "b"}
 )
 
-// roundTrip gives a patch as the receiver reads it.
+// roundTrip returns a patch as the receiver reads it.
 func roundTrip(t *testing.T, p *quorum.Patch) *quorum.Patch {
 	raw, err := json.Marshal(p)
 	must.NoError(t, err)
@@ -75,7 +75,10 @@
 	for i := range 300 {
 		var items []string
 		for j := range 300 {
-			items = append(items, fmt.Sprintf(`"r-%x":{"host":"h%d.example","timeoutMs":500,"hue":"%s"}`, rng.Uint32(), j, parts[rng.IntN(len(parts))]))
+			items = append(
+				items,
+				fmt.Sprintf(`"r-%x":{"host":"h%d.example","timeoutMs":500,"hue":"%s"}`, rng.Uint32(), j, parts[rng.IntN(len(parts))]),
+			)
 		}
 		baseValue := []byte(strings.Join(items, ","))
 		edits := 1 + rng.IntN(6)
@@ -115,7 +118,7 @@
 	must.Greater(t, 200, divided)
 }
 
-// A patch is rejected by whatever is not its base.
+// A patch is not applied to any record but its base.
 func TestPatchTakesItsBaseAlone(t *testing.T) {
 	long := strings.Repeat("0123456789", 100)
 	base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: []byte(long)}
@@ -184,7 +187,10 @@
 func BenchmarkDiffInPieces(b *testing.B) {
 	var list []string
 	for i := range 1000 {
-		list = append(list, fmt.Sprintf(`"r-%016x":{"host":"jepu%d.example","pathStart":"/lepu%d/","timeoutMs":500}`, uint64(i)*0x9e3779b97f4a7c15, i%9, i))
+		list = append(
+			list,
+			fmt.Sprintf(`"r-%016x":{"host":"jepu%d.example","pathStart":"/lepu%d/","timeoutMs":500}`, uint64(i)*0x9e3779b97f4a7c15, i%9, i),
+		)
 	}
 	value := []byte(`{"n":300,"l":{` + strings.Join(list, ",") + `},"end":300}`)
 	next := []byte(strings.Replace(strings.ReplaceAll(string(value), `:300`, `:301`), "jepu5", "jepu7", 1))
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -16,9 +16,9 @@
 // The paths of the API. Sidecars serve CoresPath and ConfigPartPath too.
 const (
 	// MessagesPath takes the messages of other cores.
-	MessagesPath = "/cottonarch/v1/messages"
+	MessagesPath = core.MessagesPath
 	// CoresPath lists the cores.
-	CoresPath = "/cottonarch/v1/cores"
+	CoresPath = core.CoresPath
 	// JoinPath grants a lease.
 	JoinPath = "/cottonarch/v1/claim"
 	// RenewPath renews one.
@@ -91,7 +91,7 @@
 		return effects
 	})
 	if !taken {
-		return result, failure.New(failure.Busy, "the core's inbox is full").WithRetryAfter(retryAfterSeconds)
+		return result, failure.New(failure.Busy, "the core's step queue is full").WithRetryAfter(retryAfterSeconds)
 	}
 	select {
 	case result = <-done:
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -253,7 +253,7 @@
 	return true
 }
 
-// isConflict tells whether a core refused a lease as superseded.
+// isConflict reports whether a core refused a lease as superseded.
 func isConflict(err error) bool {
 	var fail *failure.Error
 	return failure.As(err, &fail) && fail.Kind == failure.Conflict
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -145,18 +145,19 @@
 	go s.probeEndpoint()
 }
 
-// Close ends the duties.
+// Close ends the duties and does not wait for them: one that is within a request ends when that is
+// answered or its time is over.
 func (s *Sidecar) Close() {
 	close(s.done)
 	s.apiClient.Close()
 }
 
-// Ready tells whether callers may send requests.
+// Ready reports whether callers may send requests.
 func (s *Sidecar) Ready() bool {
 	return s.leaseHeld.Load() && !s.leaving.Load() && s.configActive.Load()
 }
 
-// closing tells whether the duties end.
+// closing reports whether the duties end.
 func (s *Sidecar) closing() bool {
 	select {
 	case <-s.done:
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -44,7 +44,9 @@
 }
 
 // enqueue puts a request into an endpoint's queue; its verdict comes on the channel.
-func (q *slotQueue) enqueue(now monotime.Time, server ident.Server, hints admissionHints, deadline monotime.Time) (id uint64, verdicts chan admission.Verdict) {
+func (q *slotQueue) enqueue(
+	now monotime.Time, server ident.Server, hints admissionHints, deadline monotime.Time,
+) (id uint64, verdicts chan admission.Verdict) {
 	verdicts = make(chan admission.Verdict, 1)
 	q.lastID++
 	id = q.lastID
@@ -92,7 +94,7 @@
 	verdict, ok := awaitVerdict(verdicts, request.deadline)
 	if !ok {
 		if verdict, ok = s.abandonSlot(request.server, id, verdicts); !ok {
-			return 0, failure.New(failure.DeadlineExceeded, "no slot in time")
+			return 0, failure.New(failure.DeadlineExceeded, "the deadline passed in the admission queue")
 		}
 	}
 	if verdict.Decision == admission.Admit {
--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -4,6 +4,7 @@
 package endpoint
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -16,7 +17,8 @@
 const (
 	// HeartbeatTimeout is how long an endpoint may go without a heartbeat.
 	HeartbeatTimeout = 1100 * time.Millisecond
-	// MaxHeartbeatTimeout is the same for one whose heartbeats come more slowly than it is asked.
+	// MaxHeartbeatTimeout is the same for an endpoint whose heartbeats come at a longer interval
+	// than the one that it is asked to keep.
 	// Invariant: with the longest dial it stays below the shortest reuseAfterS, the time after
 	// which another server may use the address.
 	MaxHeartbeatTimeout = 1600 * time.Millisecond
@@ -83,7 +85,7 @@
 	return t
 }
 
-// stalled tells whether this process was suspended just now, so that what it receives may be old.
+// stalled reports whether this process was suspended just now, so that what it receives may be old.
 // Invariant: a stale heartbeat never makes a server healthy.
 func (t *Tracker) stalled(now monotime.Time) bool {
 	return !t.Fenced && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
@@ -232,26 +234,21 @@
 }
 
 // sortedServers lists the servers in a fixed order, so that runs can be repeated.
-func (t *Tracker) sortedServers() []ident.Server {
-	servers := make([]ident.Server, 0, len(t.endpoints))
-	for server := range t.endpoints {
-		servers = append(servers, server)
-	}
-	slices.Sort(servers)
-	return servers
-}
+func (t *Tracker) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(t.endpoints)) }
 
 // Check is asked just before a request goes to an endpoint, and again just before its first byte.
 // It gives the endpoint's address and until when the first byte may go, or why the request must
 // not go there: then it has not been executed.
-func (t *Tracker) Check(now monotime.Time, server ident.Server, service ident.Service) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
+func (t *Tracker) Check(
+	now monotime.Time, server ident.Server, service ident.Service,
+) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
 	e := t.endpoints[server]
 	if t.SkipChecks && e != nil {
 		return e.Addr, now.Add(HeartbeatTimeout), nil
 	}
 	switch {
 	case t.stalled(now):
-		err = failure.New(failure.EndpointRejected, "this machine was held up")
+		err = failure.New(failure.EndpointRejected, "this process was suspended and awaits new heartbeats")
 	case e == nil:
 		err = failure.New(failure.EndpointRejected, "server %q is not here", server)
 	case e.Service != service:
@@ -267,7 +264,7 @@
 	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
 }
 
-// ConnectFailed says that an endpoint refused a connection: it is unhealthy for a while.
+// ConnectFailed notes that an endpoint refused a connection: it is unhealthy for a while.
 func (t *Tracker) ConnectFailed(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
@@ -291,14 +288,6 @@
 	return Change{Updated: true}
 }
 
-// AddInFlight adds to the number of requests in flight at an endpoint; delta is negative when one
-// has ended.
-func (t *Tracker) AddInFlight(server ident.Server, delta int) {
-	if e := t.endpoints[server]; e != nil {
-		e.inFlight += delta
-	}
-}
-
 // Workloads lists the endpoints as the sidecar reports them to the registry.
 func (t *Tracker) Workloads() []record.Workload {
 	workloads := []record.Workload{}
--- a/mesh/loadbalancer/balancer_test.go
+++ b/mesh/loadbalancer/balancer_test.go
@@ -15,13 +15,19 @@
 const now = monotime.Time(time.Second)
 
 func newEntry(i int, status record.Status) registry.Entry {
-	return registry.Entry{Workload: &record.Workload{UID: ident.Server(fmt.Sprint("e", i)), SidecarAddr: ident.Addr(fmt.Sprint("g", i)), Zone: "d", Weight: 1, Status: status}}
+	return registry.Entry{Workload: &record.Workload{
+		UID:         ident.Server(fmt.Sprint("e", i)),
+		SidecarAddr: ident.Addr(fmt.Sprint("g", i)),
+		Zone:        "d",
+		Weight:      1,
+		Status:      status,
+	}}
 }
 
 // Every mix of status, lapsed lease and earlier attempt of three workloads: only a healthy one that was
 // not tried is ever chosen, one with a lease in force before one whose lease has lapsed, and there is a
 // choice whenever there is one to choose.
-func TestAllMixesOfThree(t *testing.T) {
+func TestAllMixesOfThreeWorkloads(t *testing.T) {
 	statuses := []record.Status{record.Healthy, record.Draining, record.Unhealthy, record.Unknown}
 	for n := range 16 * 16 * 16 {
 		balancer := New("d", uint64(n))
