--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -6,6 +6,7 @@
 	"hash/fnv"
 
 	"cottonarch.example/cottonarch/base/failure"
+	"cottonarch.example/cottonarch/base/hashing"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/control/leasetable"
 	"cottonarch.example/cottonarch/control/membership/acceptor"
@@ -54,9 +55,9 @@
 	// ReceivedSeq is the newest heartbeat that was received at all; 0 if that is AckSeq.
 	ReceivedSeq uint64 `json:"heard,omitempty"`
 	// LeaseChecksum is that of the leases that are registered at the sender.
-	LeaseChecksum   uint64      `json:"sum,omitempty"`
-	MembershipEpoch ident.Epoch `json:"at,omitempty"`
-	ConfigRevision  ident.Epoch `json:"manifest"`
+	LeaseChecksum   uint64                `json:"sum,omitempty"`
+	MembershipEpoch ident.MembershipEpoch `json:"at,omitempty"`
+	ConfigRevision  ident.ConfigRevision  `json:"manifest"`
 	// ConfigAgeMs is how many milliseconds ago, plus one, the sender knew that nothing newer than
 	// ConfigRevision was confirmed; 0 if it never did.
 	ConfigAgeMs int64 `json:"ageMs,omitempty"`
@@ -81,15 +82,12 @@
 	ReportsReceived bool `json:"echo,omitempty"`
 }
 
-// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, finished by a round of
-// the mixer of MurmurHash3.
+// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, mixed by
+// hashing.Mix.
 func InstanceHash(instanceID string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instanceID))
-	mixed := hash.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	return mixed ^ mixed>>33
+	return hashing.Mix(hash.Sum64())
 }
 
 // MergedWith returns a later heartbeat of the same run, completed by this one if it is brief.
--- a/control/core/node/audit.go
+++ b/control/core/node/audit.go
@@ -15,8 +15,8 @@
 // auditState is the end of the audit log as this core last read or wrote it. Invariant: revision
 // and length only rise.
 type auditState struct {
-	revision ident.Epoch // the newest in the log
-	length   int         // the number of entries
+	revision ident.ConfigRevision // the newest in the log
+	length   int                  // the number of entries
 	readAt   monotime.Time
 }
 
@@ -37,7 +37,7 @@
 		return
 	}
 	args := operation.Encode(proposal.AuditArgs{After: n.audit.revision})
-	op := proposer.Operation{Key: proposal.Key, Kind: "manifest/lines", Args: args}
+	op := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadAuditEntriesKind, Args: args}
 	n.submitInternal(now, op, fx, func(now monotime.Time, result Result, fx *Effects) {
 		var entries []proposal.AuditEntry
 		if result.Failure != nil || json.Unmarshal(result.Body, &entries) != nil {
@@ -70,7 +70,7 @@
 }
 
 // appendAudit appends the entries after a revision to the audit log, one after the other.
-func (n *Node) appendAudit(now monotime.Time, index int, audited ident.Epoch, entries []proposal.AuditEntry, fx *Effects) {
+func (n *Node) appendAudit(now monotime.Time, index int, audited ident.ConfigRevision, entries []proposal.AuditEntry, fx *Effects) {
 	for len(entries) > 0 && entries[0].Revision <= audited {
 		entries = entries[1:]
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	args := operation.Encode(segment.AppendArgs{Index: index, Entry: entries[0]})
-	op := proposer.Operation{Key: segment.Key(index), Kind: "audit/append", Args: args}
+	op := proposer.Operation{Key: segment.Key(index), Kind: segment.AppendKind, Args: args}
 	n.submitInternal(now, op, fx, func(now monotime.Time, result Result, fx *Effects) {
 		if result.Failure != nil {
 			return
--- a/control/core/node/freshness.go
+++ b/control/core/node/freshness.go
@@ -49,7 +49,7 @@
 		return
 	}
 	n.freshness.refreshStarted = now
-	read := proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}
+	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
 	n.begin(now, &pending{operation: read, deadline: now.Add(refreshBudget), onDone: n.takeConfigRevision}, fx)
 }
 
@@ -97,7 +97,7 @@
 }
 
 // heldRevision returns the revision of the configuration that this core serves, 0 if it has none.
-func (n *Node) heldRevision() ident.Epoch {
+func (n *Node) heldRevision() ident.ConfigRevision {
 	if held := n.Leases.Config(); held != nil {
 		return held.Revision
 	}
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -33,9 +33,9 @@
 // Joined is the body of the Result of a join. No configuration newer than ConfigRevision was
 // confirmed before the join came in.
 type Joined struct {
-	LeaseEpoch     ident.Epoch `json:"claim"`
-	Share          quota.Share `json:"share"`
-	ConfigRevision ident.Epoch `json:"manifest"`
+	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
+	Share          quota.Share          `json:"share"`
+	ConfigRevision ident.ConfigRevision `json:"manifest"`
 }
 
 // joinBatch is the batch in progress. Its operations run concurrently, and it ends with the
@@ -45,7 +45,7 @@
 	size           int
 	remaining      int
 	entered        []quota.Joined
-	configRevision ident.Epoch
+	configRevision ident.ConfigRevision
 	failure        *failure.Error
 }
 
@@ -101,7 +101,7 @@
 		batch.collect(result, &batch.entered)
 		n.finishJoinOperation(now, batch, fx)
 	}}, fx)
-	read := proposer.Operation{Key: proposal.Key, Kind: "manifest/epoch"}
+	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
 	n.begin(now, &pending{operation: read, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
 		var newest proposal.Accepted
 		batch.collect(result, &newest)
--- a/control/core/node/singletonrole.go
+++ b/control/core/node/singletonrole.go
@@ -76,10 +76,10 @@
 func (n *Node) renewSingletonRole(now monotime.Time, fx *Effects) {
 	n.singletonRole.renewedAt = now
 	args := lock.Args{Holder: string(n.Disk), TTL: singletonRoleTTLMs}
-	op := proposer.Operation{Key: singletonRoleKey, Kind: "lock/claim"}
+	op := proposer.Operation{Key: singletonRoleKey, Kind: lock.AcquireKind}
 	if n.singletonRole.held {
 		args = lock.Args{Holder: string(n.Disk), FencingToken: n.singletonRole.token}
-		op.Kind = "lock/renew"
+		op.Kind = lock.RenewKind
 	}
 	op.Args = operation.Encode(args)
 	n.submitInternal(now, op, fx, func(_ monotime.Time, result Result, _ *Effects) {
@@ -97,7 +97,7 @@
 	}
 	if next, _ := placement.Proposer(singletonRoleKey, disks); next != "" {
 		args := operation.Encode(lock.Args{Holder: string(n.Disk), FencingToken: n.singletonRole.token, Successor: string(next)})
-		n.submitInternal(now, proposer.Operation{Key: singletonRoleKey, Kind: "lock/pass", Args: args}, fx, ignoreResult)
+		n.submitInternal(now, proposer.Operation{Key: singletonRoleKey, Kind: lock.TransferKind, Args: args}, fx, ignoreResult)
 	}
 	n.singletonRole.held = false
 }
--- a/control/membership/reconfiguration/reconfiguration_test.go
+++ b/control/membership/reconfiguration/reconfiguration_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-func membershipOf(epoch ident.Epoch, voters ...quorum.Voter) quorum.Membership {
+func membershipOf(epoch ident.MembershipEpoch, voters ...quorum.Voter) quorum.Membership {
 	return quorum.Membership{Epoch: epoch, Voters: voters}
 }
 
@@ -107,7 +107,7 @@
 	if next == nil {
 		return false
 	}
-	must.Eq(c.t, ident.Epoch(2), next.Epoch)
+	must.Eq(c.t, ident.MembershipEpoch(2), next.Epoch)
 	if c.chosen != nil {
 		must.Eq(c.t, c.chosen.Voters, next.Voters, must.Sprintf("seed %d: two memberships at one epoch", seed))
 	}
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -36,8 +36,8 @@
 	proposer     *proposer.Proposer
 	operations   map[uint64]*clientOperation // in flight, by tag
 	reconfigurer *reconfiguration.Reconfigurer
-	copyReader   *quorumread.Reader // nil if no copy is in progress
-	copiedAt     ident.Epoch        // the membership at which the copy was complete, 0 if it is not
+	copyReader   *quorumread.Reader    // nil if no copy is in progress
+	copiedAt     ident.MembershipEpoch // the membership at which the copy was complete, 0 if it is not
 	lastRound    uint64
 	awaitedRound uint64 // the round of the message that a copy is synced, 0 if none is awaited
 
--- a/fleet/run/revision.go
+++ b/fleet/run/revision.go
@@ -19,19 +19,19 @@
 type statusPoll struct {
 	askedAt  time.Time // when the request was sent
 	answered bool
-	revision ident.Epoch // in the response; 0 is none
+	revision ident.ConfigRevision // in the response; 0 is none
 }
 
 // trackRevision judges for each sidecar when it has a confirmed revision in force. The bound runs
 // from the confirmation, or from the end of an outage that kept the revision from that sidecar.
-func (f *Fleet) trackRevision(ctx context.Context, revision ident.Epoch, confirmedAt time.Time) {
+func (f *Fleet) trackRevision(ctx context.Context, revision ident.ConfigRevision, confirmedAt time.Time) {
 	for _, sidecar := range f.Sidecars {
 		f.revisionWaits.Go(func() { f.awaitRevision(ctx, sidecar, revision, confirmedAt) })
 	}
 }
 
 // awaitRevision polls a sidecar until the revision is judged or the run ends.
-func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.Epoch, confirmedAt time.Time) {
+func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.ConfigRevision, confirmedAt time.Time) {
 	ticker := time.NewTicker(revisionPollInterval)
 	defer ticker.Stop()
 	for {
@@ -51,7 +51,7 @@
 
 func pollRevision(sidecar *process.Process) statusPoll {
 	var status struct {
-		Revision ident.Epoch `json:"manifest"`
+		Revision ident.ConfigRevision `json:"manifest"`
 	}
 	askedAt := time.Now()
 	_, err := sidecar.Request(statusTimeout, http.MethodGet, "/status", nil, &status)
@@ -61,7 +61,7 @@
 // judgeRevision judges one poll of a sidecar, and tells whether no further one is needed. A
 // response with an older revision proves that the new one was not in force yet when the request
 // was sent.
-func (f *Fleet) judgeRevision(sidecar string, revision ident.Epoch, confirmedAt time.Time, poll statusPoll) (done bool) {
+func (f *Fleet) judgeRevision(sidecar string, revision ident.ConfigRevision, confirmedAt time.Time, poll statusPoll) (done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	from, cause, ongoing := f.boundStart(sidecar, confirmedAt, time.Now(), invariant.ConfigDeadline)
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-func newSet(author string, leaseEpoch ident.Epoch, seq uint64, configRevision ident.Epoch, lapsed bool, status record.Status) record.Set {
+func newSet(author string, leaseEpoch ident.LeaseEpoch, seq uint64, configRevision ident.ConfigRevision, lapsed bool, status record.Status) record.Set {
 	workload := &record.Workload{
 		UID:       ident.Server(author + "-e"),
 		Service:   "a.x",
--- a/sim/world/operatorchecks.go
+++ b/sim/world/operatorchecks.go
@@ -26,7 +26,7 @@
 
 // awaitSidecars follows a confirmed configuration to every sidecar. The bound runs from the
 // confirmation, or from the end of what kept everybody from making that sidecar know it.
-func (o *Operators) awaitSidecars(revision ident.Epoch, confirmedAt monotime.Time) {
+func (o *Operators) awaitSidecars(revision ident.ConfigRevision, confirmedAt monotime.Time) {
 	for _, s := range o.world.Sidecars {
 		o.awaitedSidecars++
 		o.awaitSidecar(s, revision, confirmedAt, "")
@@ -35,9 +35,9 @@
 
 // awaitSidecar follows a confirmed configuration to one sidecar. The bound runs from a time
 // that was the end of a cause, if one is given.
-func (o *Operators) awaitSidecar(s *Sidecar, revision ident.Epoch, from monotime.Time, cause string) {
+func (o *Operators) awaitSidecar(s *Sidecar, revision ident.ConfigRevision, from monotime.Time, cause string) {
 	w := o.world
-	shown := ident.Epoch(0)
+	shown := ident.ConfigRevision(0)
 	if s.running {
 		shown = s.router.Revision()
 	}
@@ -85,8 +85,8 @@
 		w.Violate(invariant.AuditLog, "the audit log can't be read at day's end: %v", result.Failure)
 		return
 	}
-	logged := map[ident.Epoch]bool{}
-	last := ident.Epoch(0)
+	logged := map[ident.ConfigRevision]bool{}
+	last := ident.ConfigRevision(0)
 	for _, entry := range entries {
 		if entry.Revision <= last || len(entry.SHA256) != auditHashLength {
 			w.Violate(invariant.AuditLog, "revision %d stands after %d", entry.Revision, last)
@@ -109,7 +109,7 @@
 			continue
 		}
 		newest := o.newestConfirmed
-		c.Submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"}, finalReadBudget, func(result node.Result) {
+		c.Submit(proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, finalReadBudget, func(result node.Result) {
 			var state proposal.State
 			if !succeeded(&result, &state) {
 				w.Violate(invariant.SlowRecovery, "core %s can't read the configuration at day's end: %v", c.Addr, result.Failure)
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -21,8 +21,8 @@
 	document        func(marker string) Document
 	proposalCount   int
 	awaitedSidecars int // configurations that sidecars are still awaited to show, over all sidecars
-	newestConfirmed ident.Epoch
-	markerOf        map[ident.Epoch]string // of the confirmed proposals
+	newestConfirmed ident.ConfigRevision
+	markerOf        map[ident.ConfigRevision]string // of the confirmed proposals
 }
 
 // Document is the JSON object of a configuration.
@@ -32,14 +32,14 @@
 type configProposal struct {
 	marker       string
 	args         proposal.Args
-	mustFail     bool        // it is invalid or on an old base
-	newestBefore ident.Epoch // the newest confirmed revision when it was sent
+	mustFail     bool                 // it is invalid or on an old base
+	newestBefore ident.ConfigRevision // the newest confirmed revision when it was sent
 }
 
 // StartOperators starts operators that propose about once an interval. document makes a whole
 // configuration that bears a marker as the namespace of one service.
 func (w *World) StartOperators(interval time.Duration, document func(marker string) Document) *Operators {
-	o := &Operators{world: w, interval: interval, document: document, markerOf: map[ident.Epoch]string{}}
+	o := &Operators{world: w, interval: interval, document: document, markerOf: map[ident.ConfigRevision]string{}}
 	o.operate()
 	return o
 }
@@ -64,7 +64,7 @@
 func (o *Operators) Propose() {
 	w := o.world
 	p := o.newProposal()
-	w.request(proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(p.args)}, func(result *node.Result) {
+	w.request(proposer.Operation{Key: proposal.Key, Kind: proposal.ProposeKind, Args: operation.Encode(p.args)}, func(result *node.Result) {
 		w.Checker.Observe(invariant.ConfigRejected)
 		switch {
 		case notExecuted(result):
