--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -11,7 +11,9 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"os"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -36,9 +38,18 @@
 // stopTimeout bounds the planned stop of a server.
 const stopTimeout = 2 * time.Minute
 
-// freeAddr is an address that nobody listens at.
+// addrsGiven counts the addresses that freeAddr has given.
+var addrsGiven atomic.Uint32
+
+// freeAddr is an address that nobody listens at. Its IP is one of loopback that is given once in this
+// process and to no other test process at the same time: on 127.0.0.1 an outgoing connection of anybody
+// could take the port before the server listens, or while it is down.
 func freeAddr(t *testing.T) ident.Addr {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	const perByte = 250
+	n, pid := int(addrsGiven.Add(1)), os.Getpid()
+	must.Less(t, perByte, n, must.Sprint("too many addresses"))
+	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid/perByte%64, pid%perByte, n)
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	must.NoError(t, err)
 	defer func() { _ = listener.Close() }()
 	return ident.Addr(listener.Addr().String())
