--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/ordered"
 	"cottonarch.example/cottonarch/control/config/proposal"
 	"cottonarch.example/cottonarch/control/coordination/keyspace"
 	"cottonarch.example/cottonarch/control/coordination/keyvalue"
@@ -119,7 +118,7 @@
 
 // inFlightTickets lists the tickets of the copies in flight in order.
 func (s *operationState) inFlightTickets() []uint64 {
-	return slices.Sorted(maps.Keys(s.inFlight))
+	return ordered.Keys(s.inFlight)
 }
 
 // Submit starts a local request. Its Result carries the ticket.
--- a/control/core/node/peers.go
+++ b/control/core/node/peers.go
@@ -1,12 +1,12 @@
 package node
 
 import (
-	"maps"
 	"slices"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/ordered"
 	"cottonarch.example/cottonarch/control/core/message"
 	"cottonarch.example/cottonarch/control/registry/record"
 )
@@ -64,9 +64,7 @@
 }
 
 // peerAddrs lists the addresses of all peers in order.
-func (n *Node) peerAddrs() []ident.Addr {
-	return slices.Sorted(maps.Keys(n.peers))
-}
+func (n *Node) peerAddrs() []ident.Addr { return ordered.Keys(n.peers) }
 
 func (n *Node) forgetPeer(a ident.Addr) {
 	delete(n.peers, a)
@@ -105,7 +103,7 @@
 	for _, a := range n.config.Founders {
 		add(a)
 	}
-	for _, a := range slices.Sorted(maps.Keys(n.knownCores)) {
+	for _, a := range ordered.Keys(n.knownCores) {
 		add(a)
 	}
 	for _, a := range n.peerAddrs() {
--- a/control/core/node/quorumread.go
+++ b/control/core/node/quorumread.go
@@ -1,12 +1,11 @@
 package node
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/ordered"
 	"cottonarch.example/cottonarch/control/core/message"
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
@@ -132,9 +131,9 @@
 
 // readRounds lists the rounds of the reads in progress in order.
 func (n *Node) readRounds() []uint64 {
-	return slices.Sorted(maps.Keys(n.reads))
+	return ordered.Keys(n.reads)
 }
 
 func sortedKeys(found map[ident.Key]quorumread.Entry) []ident.Key {
-	return slices.Sorted(maps.Keys(found))
+	return ordered.Keys(found)
 }
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -11,6 +11,7 @@
 	"cottonarch.example/cottonarch/base/failure"
 	"cottonarch.example/cottonarch/base/ident"
 	"cottonarch.example/cottonarch/base/monotime"
+	"cottonarch.example/cottonarch/base/ordered"
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
@@ -86,7 +87,7 @@
 }
 
 func sortedKeys(terms map[ident.Key]*term) []ident.Key {
-	return slices.Sorted(maps.Keys(terms))
+	return ordered.Keys(terms)
 }
 
 // Submit queues one operation; its Outcome comes with these effects or later ones. Busy is its
