--- a/control/coordination/keyvalue/keyvalue_test.go
+++ b/control/coordination/keyvalue/keyvalue_test.go
@@ -27,11 +27,11 @@
 
 func (f *fixture) apply(now monotime.Time, kind string, args keyvalue.Args) (keyvalue.Response, *failure.Error) {
 	context := proposer.Context{
-		Now:        now,
-		TermBegan:  f.termBegan,
-		Revision:   f.revision,
-		TermMemory: f.termMemory,
-		Remember:   func(event string) { f.termMemory[event] = now },
+		Now:             now,
+		TermStartedAt:   f.termBegan,
+		Revision:        f.revision,
+		TermEventTimes:  f.termMemory,
+		RecordTermEvent: func(event string) { f.termMemory[event] = now },
 	}
 	result := keyvalue.Handlers().Apply(context, f.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
 	if result.Changed {
--- a/control/coordination/keyvalue/state.go
+++ b/control/coordination/keyvalue/state.go
@@ -84,7 +84,7 @@
 		return operation.Rejected(failure.New(failure.Busy, "the key changes too fast: its history is full").WithRetryAfter(fullRetrySeconds))
 	}
 	s.History = append(s.History, change)
-	context.Remember(firstSeenKey(change.Revision))
+	context.RecordTermEvent(firstSeenKey(change.Revision))
 	response := Response{Revision: change.Revision, Value: change.Value, Deleted: change.Deleted}
 	return operation.Result{State: operation.Encode(s), Body: operation.Encode(response)}
 }
@@ -93,14 +93,14 @@
 // MinHistory. A change from before the term counts as seen when the term began.
 func (s *State) dropExpired(context proposer.Context) {
 	for len(s.History) > 1 {
-		successorSeen, ok := context.TermMemory[firstSeenKey(s.History[1].Revision)]
+		successorSeen, ok := context.TermEventTimes[firstSeenKey(s.History[1].Revision)]
 		if !ok {
-			successorSeen = context.TermBegan
+			successorSeen = context.TermStartedAt
 		}
 		if context.Now.Since(successorSeen) <= MinHistory {
 			return
 		}
-		delete(context.TermMemory, firstSeenKey(s.History[0].Revision))
+		delete(context.TermEventTimes, firstSeenKey(s.History[0].Revision))
 		s.History = s.History[1:]
 	}
 }
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -73,7 +73,7 @@
 	}
 	current.Holder, current.TTL, current.LongerTTL = args.Holder, args.TTL, 0
 	current.FencingToken++
-	context.Remember(grantedKey)
+	context.RecordTermEvent(grantedKey)
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
 }
 
@@ -120,7 +120,7 @@
 	}
 	current.Holder, current.FencingToken, current.LongerTTL = args.Successor, current.FencingToken+1, 0
 	current.GrantCount++
-	context.Remember(grantedKey)
+	context.RecordTermEvent(grantedKey)
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
 }
 
--- a/control/coordination/lock/lock_test.go
+++ b/control/coordination/lock/lock_test.go
@@ -25,10 +25,10 @@
 
 func (t *term) apply(now monotime.Time, kind string, args Args) (Grant, *failure.Error) {
 	context := proposer.Context{
-		Now:        now,
-		TermBegan:  t.began,
-		TermMemory: t.memory,
-		Remember:   func(event string) { t.memory[event] = now },
+		Now:             now,
+		TermStartedAt:   t.began,
+		TermEventTimes:  t.memory,
+		RecordTermEvent: func(event string) { t.memory[event] = now },
 	}
 	result := Handlers().Apply(context, t.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
 	if result.Changed {
--- a/control/coordination/lock/state.go
+++ b/control/coordination/lock/state.go
@@ -67,9 +67,9 @@
 
 // grantedAt returns when a grant began, the beginning of the term for one of an earlier term.
 func grantedAt(context proposer.Context, key string) monotime.Time {
-	granted, ok := context.TermMemory[key]
-	if !ok || context.TermBegan.After(granted) {
-		return context.TermBegan
+	granted, ok := context.TermEventTimes[key]
+	if !ok || context.TermStartedAt.After(granted) {
+		return context.TermStartedAt
 	}
 	return granted
 }
@@ -91,13 +91,13 @@
 	}
 	if s.LongerTTL == 0 && endOf(grantedKey, s.TTL) > newEnd {
 		s.LongerTTL = s.TTL
-		context.TermMemory[longerGrantedKey] = grantedAt(context, grantedKey)
+		context.TermEventTimes[longerGrantedKey] = grantedAt(context, grantedKey)
 	}
 	if s.LongerTTL > 0 && endOf(longerGrantedKey, s.LongerTTL) <= newEnd {
 		s.LongerTTL = 0
 	}
 	s.TTL = ttl
-	context.Remember(grantedKey)
+	context.RecordTermEvent(grantedKey)
 	return *s != before
 }
 
--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -122,7 +122,7 @@
 	for i := range machines {
 		m := c.addMachine(addrOf(i))
 		if i < slots {
-			c.store(m, append([]ring.Record{{Key: "disk", Data: []byte(first.Voters[i].Disk)}, {Key: acceptor.Tag, Data: state}}, held...))
+			c.store(m, append([]ring.Record{{Key: "disk", Data: []byte(first.Voters[i].Disk)}, {Key: acceptor.RingKey, Data: state}}, held...))
 		}
 		c.startProcess(m.addr)
 		m.bootedAt = c.now
@@ -142,7 +142,7 @@
 func (c *cluster) store(m *machine, recs []ring.Record) {
 	for _, r := range recs {
 		m.synced[r.Key] = r
-		if r.Key == acceptor.Tag {
+		if r.Key == acceptor.RingKey {
 			m.membership = acceptor.State{}
 			must.NoError(c.t, json.Unmarshal(r.Data, &m.membership))
 		}
--- a/control/core/membership/invariants_test.go
+++ b/control/core/membership/invariants_test.go
@@ -35,7 +35,7 @@
 	accepted := map[ident.Ballot]int{}
 	for _, m := range c.byAddr {
 		if d := ident.Disk(m.synced["disk"].Data); m.membership.Current.Epoch == newest.Epoch && m.membership.Next != nil &&
-			newest.Counts(d) {
+			newest.IsCounted(d) {
 			if accepted[m.membership.Accepted]++; accepted[m.membership.Accepted] >= newest.Majority() {
 				return *m.membership.Next
 			}
@@ -82,7 +82,7 @@
 // machinesCounted lists the machines whose disks are counted, without the excluded ones.
 func (c *cluster) machinesCounted(membership quorum.Membership, excluded []ident.Addr) (counted []*machine) {
 	for _, m := range c.byAddr {
-		if membership.Counts(ident.Disk(m.synced["disk"].Data)) && !slices.Contains(excluded, m.addr) {
+		if membership.IsCounted(ident.Disk(m.synced["disk"].Data)) && !slices.Contains(excluded, m.addr) {
 			counted = append(counted, m)
 		}
 	}
--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -119,13 +119,13 @@
 	Nodes     []ident.Node `json:"nodes,omitempty"`
 }
 
-// Forward carries an operation to the proposer of its key. LeftMs is how many milliseconds its
+// Forward carries an operation to the proposer of its key. RemainingMs is how many milliseconds its
 // client still waits: the receiver counts them from the receipt and does not begin the operation
 // later. 0, from a core that does not know this field, sets no bound.
 type Forward struct {
-	Ticket    uint64             `json:"ticket"`
-	Operation proposer.Operation `json:"deed"`
-	LeftMs    int64              `json:"leftMs,omitempty"`
+	Ticket      uint64             `json:"ticket"`
+	Operation   proposer.Operation `json:"deed"`
+	RemainingMs int64              `json:"leftMs,omitempty"`
 }
 
 // ForwardResult is the result of a forwarded operation. Abandoned means that the receiver did not
--- a/control/core/node/consensus.go
+++ b/control/core/node/consensus.go
@@ -42,7 +42,7 @@
 	if m.Handover == nil {
 		return false
 	}
-	if !n.leaving && !n.diskFailed && n.membership.Current.Counts(n.Disk) {
+	if !n.leaving && !n.diskFailed && n.membership.Current.IsCounted(n.Disk) {
 		for _, k := range m.Handover.Keys {
 			n.applyProposer(now, n.proposer.Prepare(now, k), fx)
 		}
--- a/control/core/node/departure.go
+++ b/control/core/node/departure.go
@@ -78,7 +78,7 @@
 //     holds everything.
 func (n *Node) continueDeparture(now monotime.Time, fx *Effects) bool {
 	current := n.membership.Current
-	if n.diskFailed || !current.Counts(n.Disk) {
+	if n.diskFailed || !current.IsCounted(n.Disk) {
 		return true
 	}
 	staying, othersMayStay := n.countStaying(now, current)
@@ -87,7 +87,7 @@
 	case evenSlots && staying >= current.Size()/2:
 		n.departure = &departure{startedAt: n.departure.startedAt}
 		if n.verifyReplication(now, n.Disk, "", fx) {
-			n.propose(now, reconfiguration.Drop(n.Disk, true), fx)
+			n.propose(now, reconfiguration.RemoveVoter(n.Disk, true), fx)
 		}
 		return false
 	case staying < current.Majority():
@@ -276,6 +276,6 @@
 		}
 	}
 	if dropper == n.Disk && dead != "" && n.verifyReplication(now, dead, dead, fx) {
-		n.propose(now, reconfiguration.Drop(dead, false), fx)
+		n.propose(now, reconfiguration.RemoveVoter(dead, false), fx)
 	}
 }
--- a/control/core/node/forward.go
+++ b/control/core/node/forward.go
@@ -32,7 +32,7 @@
 func (n *Node) forward(now monotime.Time, p *pending, fx *Effects) {
 	p.sentAt = now
 	leftMs := max(1, p.deadline.Since(now).Milliseconds())
-	forward := message.Forward{Ticket: p.copyTicket, Operation: p.operation, LeftMs: leftMs}
+	forward := message.Forward{Ticket: p.copyTicket, Operation: p.operation, RemainingMs: leftMs}
 	fx.send(p.target, message.Message{To: p.targetInstance, Forward: &forward})
 }
 
@@ -54,7 +54,7 @@
 		return true
 	}
 	var rejection *message.ForwardResult
-	if n.leaving || n.diskFailed || !n.membership.Current.Counts(n.Disk) {
+	if n.leaving || n.diskFailed || !n.membership.Current.IsCounted(n.Disk) {
 		rejection = &message.ForwardResult{Ticket: m.Forward.Ticket, Abandoned: true}
 	}
 	if !readOnly[m.Forward.Operation.Kind] {
@@ -68,8 +68,8 @@
 	}
 	op := m.Forward.Operation
 	op.Ticket = n.nextNumber()
-	if m.Forward.LeftMs > 0 {
-		op.Deadline = now.Add(time.Duration(m.Forward.LeftMs) * time.Millisecond)
+	if m.Forward.RemainingMs > 0 {
+		op.Deadline = now.Add(time.Duration(m.Forward.RemainingMs) * time.Millisecond)
 	}
 	n.operations.origins[op.Ticket] = forwardOrigin{m.From, instanceID, m.Forward.Ticket, forwardID}
 	n.applyProposer(now, n.proposer.Submit(now, op), fx)
--- a/control/core/node/forward_test.go
+++ b/control/core/node/forward_test.go
@@ -41,7 +41,7 @@
 	proposing, sender := cluster.proposerAndAnother()
 	next := proposer.Operation{Key: "number/n", Kind: "number/next"}
 	m := sentForward(t, sender, cluster.nodes[sender].Submit(cluster.now, 2, next, 900*time.Millisecond))
-	must.Between(t, 1, m.Forward.LeftMs, 900)
+	must.Between(t, 1, m.Forward.RemainingMs, 900)
 	for _, diskFailed := range []bool{true, false, false} {
 		cluster.nodes[proposing].SetDiskFailed(diskFailed)
 		fx := cluster.nodes[proposing].Step(cluster.now, m)
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -93,7 +93,7 @@
 // heartbeats and need fewer.
 func (n *Node) heartbeatIntervalTo(a ident.Addr, p *peer) time.Duration {
 	interval := heartbeatInterval
-	if !n.membership.Current.Counts(n.Disk) && !n.membership.Current.Counts(p.heartbeat.Disk) {
+	if !n.membership.Current.IsCounted(n.Disk) && !n.membership.Current.IsCounted(p.heartbeat.Disk) {
 		interval = nonVoterHeartbeatInterval
 	}
 	if n.config.Addr > a {
--- a/control/core/node/membership.go
+++ b/control/core/node/membership.go
@@ -33,7 +33,7 @@
 	self, in := current.Find(n.Disk)
 	switch {
 	case in && self.Counted && self.Addr != n.config.Addr:
-		n.propose(now, reconfiguration.MoveVoter(n.asVoter()), fx)
+		n.propose(now, reconfiguration.UpdateAddress(n.asVoter()), fx)
 	case n.leaving:
 	case in && self.Counted:
 		n.dropDeadVoter(now, current, fx)
@@ -42,7 +42,7 @@
 			n.propose(now, reconfiguration.TakeSlot(n.asVoter(), n.config.MaxVoters, false), fx)
 		}
 	case in && n.voterCopy.epoch == current.Epoch:
-		n.propose(now, reconfiguration.CountIn(n.Disk), fx)
+		n.propose(now, reconfiguration.PromoteVoter(n.Disk), fx)
 	case in && n.voterCopy.due(now):
 		n.beginCopy(now, current.Epoch, fx)
 	case !in && n.isSuccessor(now, current):
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -169,7 +169,7 @@
 		if len(rec.Data) == 0 || rec.Key == diskTag {
 			continue
 		}
-		if rec.Key == membership.Tag {
+		if rec.Key == membership.RingKey {
 			if err := n.membership.Load(rec.Data); err != nil {
 				return err
 			}
@@ -185,7 +185,7 @@
 // newProposer returns a proposer under the name of this disk and run.
 func (n *Node) newProposer() *proposer.Proposer {
 	created := proposer.New(string(n.Disk)+"."+n.config.InstanceID, n.config.StateMachine)
-	created.Local = func(k ident.Key) quorum.Record { return n.acceptor.Peek(k) }
+	created.LocalRecord = func(k ident.Key) quorum.Record { return n.acceptor.Peek(k) }
 	return created
 }
 
@@ -193,7 +193,7 @@
 func (n *Node) Membership() quorum.Membership { return n.membership.Current }
 
 // IsVoter reports whether this disk's responses count.
-func (n *Node) IsVoter() bool { return !n.diskFailed && n.membership.Current.Counts(n.Disk) }
+func (n *Node) IsVoter() bool { return !n.diskFailed && n.membership.Current.IsCounted(n.Disk) }
 
 // RecordCount returns the number of keys that the disk holds a record of.
 func (n *Node) RecordCount() int { return n.acceptor.Len() }
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -310,7 +310,7 @@
 func (n *Node) tickPending(now monotime.Time, fx *Effects) {
 	n.hasSeenMajority = n.hasSeenMajority || n.HasMajority(now)
 	lostMajority := n.lostMajority(now)
-	n.applyProposer(now, n.proposer.Withdraw(func(op proposer.Operation) bool {
+	n.applyProposer(now, n.proposer.AbandonQueued(func(op proposer.Operation) bool {
 		return lostMajority || n.pastAnswerDeadline(now) || op.Deadline != 0 && now.After(op.Deadline)
 	}), fx)
 	waiting := n.operations.waiting
--- a/control/core/node/quorumread.go
+++ b/control/core/node/quorumread.go
@@ -61,7 +61,7 @@
 	if m.Scan == nil {
 		return false
 	}
-	if n.diskFailed || !n.membership.Current.Counts(n.Disk) {
+	if n.diskFailed || !n.membership.Current.IsCounted(n.Disk) {
 		return true
 	}
 	if response, ok := n.acceptor.Scan(n.membership.Current.Epoch, *m.Scan); ok {
--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Tag is the ring key of the state.
-const Tag = "roster"
+// RingKey is the ring key of the state.
+const RingKey = "roster"
 
 // State is what the disk stores. Invariants: the epoch of Current only rises; Promised, Accepted
 // and Next belong to the epoch after it and are dropped when Current changes; Current is only ever
@@ -82,7 +82,7 @@
 // Record returns the state as a ring record.
 func (a *Acceptor) Record() ring.Record {
 	data, _ := json.Marshal(a.State)
-	return ring.Record{Key: Tag, Data: data}
+	return ring.Record{Key: RingKey, Data: data}
 }
 
 // prepare promises a ballot unless a higher one was promised before. Like the other handlers it returns
@@ -130,7 +130,7 @@
 	if !known || request.Base != a.Current.Epoch || (request.Kind == Form) != (a.Current.Epoch == 0) {
 		return Response{}, nil, false
 	}
-	if request.Kind != Form && !a.Current.Counts(a.Disk) {
+	if request.Kind != Form && !a.Current.IsCounted(a.Disk) {
 		return Response{}, nil, false
 	}
 	ok, write := handle(a, request)
--- a/control/membership/reconfiguration/changes.go
+++ b/control/membership/reconfiguration/changes.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// CountIn returns the change by which a disk that has copied the control state is counted.
-func CountIn(self ident.Disk) Change {
+// PromoteVoter returns the change by which a disk that has copied the control state is counted.
+func PromoteVoter(self ident.Disk) Change {
 	return func(current quorum.Membership, _ map[ident.Disk]bool) *quorum.Membership {
 		next := nextEpoch(current)
 		slot := slices.IndexFunc(next.Voters, func(v quorum.Voter) bool { return v.Disk == self && !v.Counted })
@@ -54,8 +54,8 @@
 	}
 }
 
-// MoveVoter returns the change that records the new address of a voter.
-func MoveVoter(self quorum.Voter) Change {
+// UpdateAddress returns the change that records the new address of a voter.
+func UpdateAddress(self quorum.Voter) Change {
 	return func(current quorum.Membership, _ map[ident.Disk]bool) *quorum.Membership {
 		next := nextEpoch(current)
 		slot := slices.IndexFunc(next.Voters, func(v quorum.Voter) bool { return v.Disk == self.Disk && v.Addr != self.Addr })
@@ -67,10 +67,10 @@
 	}
 }
 
-// Drop returns the change by which a voter loses its slot: one that leaves as planned, or one that
+// RemoveVoter returns the change by which a voter loses its slot: one that leaves as planned, or one that
 // nobody has heard. It applies only to an even number of slots, as the odd number below it
 // tolerates as many failures, while among an even number the lost voter is already one of them.
-func Drop(gone ident.Disk, leaves bool) Change {
+func RemoveVoter(gone ident.Disk, leaves bool) Change {
 	return func(current quorum.Membership, heard map[ident.Disk]bool) *quorum.Membership {
 		voter, in := current.Find(gone)
 		if !in || voter.Joining || current.Size()%2 != 0 || !leaves && heard[gone] {
--- a/control/membership/reconfiguration/reconfigurer.go
+++ b/control/membership/reconfiguration/reconfigurer.go
@@ -124,7 +124,7 @@
 
 // Step handles one response. It returns the membership once that is chosen, else nil.
 func (r *Reconfigurer) Step(now monotime.Time, response acceptor.Response) ([]Send, *quorum.Membership) {
-	if r.stage == idle || response.Round != r.round || response.Base != r.base.Epoch || !r.base.Counts(response.Disk) {
+	if r.stage == idle || response.Round != r.round || response.Base != r.base.Epoch || !r.base.IsCounted(response.Disk) {
 		return nil, nil
 	}
 	if !response.OK {
--- a/control/membership/reconfiguration/restart_test.go
+++ b/control/membership/reconfiguration/restart_test.go
@@ -25,7 +25,7 @@
 		disks[v.Disk].Adopt(base)
 	}
 	now := monotime.Time(1e9)
-	change := reconfiguration.MoveVoter(quorum.Voter{Disk: "d1", Addr: "elsewhere"})
+	change := reconfiguration.UpdateAddress(quorum.Voter{Disk: "d1", Addr: "elsewhere"})
 	old := reconfiguration.New("d1", "run1")
 	var late []acceptor.Response
 	for _, s := range old.Begin(now, base, change) {
--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -127,7 +127,7 @@
 		OK:         ok,
 		Record:     entry.Record,
 	}
-	if request.Kind != quorum.Prepare || request.Held.Same(entry.Record) {
+	if request.Kind != quorum.Prepare || request.Held.Matches(entry.Record) {
 		response.Record.Value = nil
 	}
 	if ok && request.Kind == quorum.PatchAccept {
@@ -144,7 +144,7 @@
 		entry.Promised = row.Record.Promised
 		records = append(records, promiseRecord(entry))
 	}
-	if row.Record.Newer(entry.Record) {
+	if row.Record.NewerThan(entry.Record) {
 		entry.Accepted, entry.Revision, entry.Value = row.Record.Accepted, row.Record.Revision, row.Record.Value
 		records = append(records, acceptedRecord(entry))
 	}
--- a/control/register/proposer/apply.go
+++ b/control/register/proposer/apply.go
@@ -33,7 +33,7 @@
 func (p *Proposer) applyBatch(now monotime.Time, t *term, operations []Operation, effects *Effects) (ident.Revision, json.RawMessage) {
 	revision, value := t.revision, t.value
 	t.remembered, t.repairing = nil, false
-	context := Context{Now: now, TermBegan: t.began, TermMemory: t.memory, Remember: func(event string) {
+	context := Context{Now: now, TermStartedAt: t.began, TermEventTimes: t.memory, RecordTermEvent: func(event string) {
 		// It counts for the operations behind it in the same round already; if the round is
 		// lost, so is the term with its memory.
 		t.remembered, t.memory[event] = append(t.remembered, event), now
--- a/control/register/proposer/lossy_cluster_test.go
+++ b/control/register/proposer/lossy_cluster_test.go
@@ -73,7 +73,7 @@
 	for _, name := range []string{"a", "b"} {
 		c.proposers[name] = proposer.New(name, fillMachine{})
 		c.proposers[name].SetMembership(c.now, c.membership)
-		c.proposers[name].Local = func(k ident.Key) quorum.Record { return c.acceptors[localDisk[name]].Peek(k) }
+		c.proposers[name].LocalRecord = func(k ident.Key) quorum.Record { return c.acceptors[localDisk[name]].Peek(k) }
 		for _, v := range c.membership.Voters {
 			c.proposers[name].SetPatchCapable(v.Disk, v.Disk != localDisk[name])
 		}
--- a/control/register/proposer/operation.go
+++ b/control/register/proposer/operation.go
@@ -30,11 +30,11 @@
 
 // Context is what a state machine may know beyond the value.
 type Context struct {
-	Now        monotime.Time
-	TermBegan  monotime.Time            // when this term began
-	Revision   ident.Revision           // of the value given
-	TermMemory map[string]monotime.Time // when events of this term happened, by their names
-	Remember   func(event string)       // sets TermMemory[event] to the end of the round in flight
+	Now             monotime.Time
+	TermStartedAt   monotime.Time            // when this term began
+	Revision        ident.Revision           // of the value given
+	TermEventTimes  map[string]monotime.Time // when events of this term happened, by their names
+	RecordTermEvent func(event string)       // sets TermEventTimes[event] to the end of the round in flight
 	// Decoded is the decoded form of the value, as the state machine returned it in this term.
 	// It is nil in a new term: the state machine then decodes the value, and must treat what
 	// it has not seen in this term as new.
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -47,9 +47,9 @@
 	firstRound   uint64
 	round        uint64
 	patchCapable map[ident.Disk]bool
-	// Local, when set, gives what the process's own disk holds of a key. It need not be
+	// LocalRecord, when set, gives what the process's own disk holds of a key. It need not be
 	// synced: only the value that belongs to a ballot and revision is taken from it.
-	Local func(ident.Key) quorum.Record
+	LocalRecord func(ident.Key) quorum.Record
 	// Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent and PatchesRejected are counters.
 	// PatchesRejected counts patches whose base a disk did not have.
 	Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent, PatchesRejected uint64
@@ -112,9 +112,9 @@
 	return effects
 }
 
-// Withdraw takes back the operations that match, of those that wait and were not begun: each
+// AbandonQueued takes back the operations that match, of those that wait and were not begun: each
 // ends as abandoned, and this proposer will not begin it.
-func (p *Proposer) Withdraw(match func(Operation) bool) (effects Effects) {
+func (p *Proposer) AbandonQueued(match func(Operation) bool) (effects Effects) {
 	for _, key := range sortedKeys(p.active) {
 		t := p.active[key]
 		t.waiting = slices.DeleteFunc(slices.Clone(t.waiting), func(operation Operation) bool {
--- a/control/register/proposer/response.go
+++ b/control/register/proposer/response.go
@@ -44,7 +44,7 @@
 		p.stepLate(now, t, response, &effects)
 	case !response.OK && t.ballot.Less(response.Record.Promised):
 		p.stepSuperseded(now, t, response.Record.Promised, &effects)
-	case response.OK && p.current(t, response) && p.membership.Counts(response.Disk):
+	case response.OK && p.current(t, response) && p.membership.IsCounted(response.Disk):
 		t.responses[response.Disk] = response
 		if len(t.responses) >= p.membership.Majority() {
 			roundEnds[t.stage](p, now, t, &effects)
@@ -102,15 +102,15 @@
 	var best quorum.Record
 	first, agreed := true, true
 	for _, response := range t.responses {
-		if !first && !response.Record.Same(best) {
+		if !first && !response.Record.SameState(best) {
 			agreed = false
 		}
-		if first || response.Record.Newer(best) {
+		if first || response.Record.NewerThan(best) {
 			best = response.Record
 		}
 		first = false
 	}
-	if t.request.Held.Same(best) {
+	if t.request.Held.Matches(best) {
 		best.Value = t.local.Value
 	}
 	t.local = quorum.Record{}
@@ -124,7 +124,7 @@
 	}
 	// A disk that holds that state already gets an empty patch.
 	for disk, response := range t.responses {
-		t.baseHolders[disk] = response.Record.Same(best)
+		t.baseHolders[disk] = response.Record.SameState(best)
 	}
 	t.acceptedBallot = t.ballot
 	t.stage = reproposing
@@ -155,7 +155,7 @@
 
 // repair sends the chosen record to a disk whose copy is older.
 func (p *Proposer) repair(t *term, voter quorum.Voter, response quorum.Response, effects *Effects) {
-	if chosen := (quorum.Record{Accepted: t.acceptedBallot, Revision: t.revision}); chosen.Newer(response.Record) {
+	if chosen := (quorum.Record{Accepted: t.acceptedBallot, Revision: t.revision}); chosen.NewerThan(response.Record) {
 		p.Repaired++
 		effects.Sends = append(effects.Sends, Send{voter, quorum.Request{
 			Kind:       quorum.Accept,
--- a/control/register/proposer/term.go
+++ b/control/register/proposer/term.go
@@ -93,8 +93,8 @@
 	p.active[t.key] = t
 	p.Prepares++
 	request := quorum.Request{Kind: quorum.Prepare, Ballot: t.ballot}
-	if p.Local != nil {
-		t.local = p.Local(t.key)
+	if p.LocalRecord != nil {
+		t.local = p.LocalRecord(t.key)
 		request.Held = &quorum.HeldState{Accepted: t.local.Accepted, Revision: t.local.Revision}
 	}
 	p.beginRound(now, t, request, effects)
--- a/control/register/quorum/membership.go
+++ b/control/register/quorum/membership.go
@@ -50,8 +50,8 @@
 	return Voter{}, false
 }
 
-// Counts reports whether responses of a disk count.
-func (m Membership) Counts(disk ident.Disk) bool {
+// IsCounted reports whether responses of a disk count.
+func (m Membership) IsCounted(disk ident.Disk) bool {
 	voter, ok := m.Find(disk)
 	return ok && voter.Counted
 }
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -45,8 +45,8 @@
 	Revision ident.Revision `json:"r"`
 }
 
-// Same reports whether the record has that accepted state; a nil HeldState is none.
-func (h *HeldState) Same(record Record) bool {
+// Matches reports whether the record has that accepted state; a nil HeldState is none.
+func (h *HeldState) Matches(record Record) bool {
 	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
 
--- a/control/register/quorum/record.go
+++ b/control/register/quorum/record.go
@@ -15,15 +15,15 @@
 	Value    json.RawMessage `json:"v,omitempty"`
 }
 
-// Newer reports whether r's accepted state comes after other's.
-func (r Record) Newer(other Record) bool {
+// NewerThan reports whether r's accepted state comes after other's.
+func (r Record) NewerThan(other Record) bool {
 	if r.Accepted != other.Accepted {
 		return other.Accepted.Less(r.Accepted)
 	}
 	return r.Revision > other.Revision
 }
 
-// Same reports whether both have the same accepted state, and so the same value.
-func (r Record) Same(other Record) bool {
+// SameState reports whether both have the same accepted state, and so the same value.
+func (r Record) SameState(other Record) bool {
 	return r.Accepted == other.Accepted && r.Revision == other.Revision
 }
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -239,14 +239,14 @@
 				continue
 			}
 			record := progress.rows[key]
-			if !first && !record.Same(entry.Record) {
+			if !first && !record.SameState(entry.Record) {
 				entry.Agreed = false
 			}
 			highestPromise := entry.Record.Promised
 			if highestPromise.Less(record.Promised) {
 				highestPromise = record.Promised
 			}
-			if first || record.Newer(entry.Record) {
+			if first || record.NewerThan(entry.Record) {
 				entry.Record = record
 			}
 			entry.Record.Promised = highestPromise
@@ -272,7 +272,7 @@
 func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
 	holders := 0
 	for disk, progress := range r.progressByDisk {
-		if disk != without && progress.done && !state.Newer(progress.rows[key]) {
+		if disk != without && progress.done && !state.NewerThan(progress.rows[key]) {
 			holders++
 		}
 	}
@@ -283,7 +283,7 @@
 func (r *Reader) Lagging(entry Entry) []ident.Disk {
 	var disks []ident.Disk
 	for disk, progress := range r.progressByDisk {
-		if progress.done && entry.Record.Newer(progress.rows[entry.Key]) {
+		if progress.done && entry.Record.NewerThan(progress.rows[entry.Key]) {
 			disks = append(disks, disk)
 		}
 	}
--- a/explore/cluster/hash.go
+++ b/explore/cluster/hash.go
@@ -12,7 +12,7 @@
 // stateFilter leaves out counters, which no step reads, and functions that are the same for
 // all members.
 var stateFilter = canon.NewFieldFilter(
-	canon.Skip[proposer.Proposer]("stateMachine", "Local", "Prepares", "Rounds", "Repaired", "AbandonedTerms", "PatchesSent", "PatchesRejected"),
+	canon.Skip[proposer.Proposer]("stateMachine", "LocalRecord", "Prepares", "Rounds", "Repaired", "AbandonedTerms", "PatchesSent", "PatchesRejected"),
 	canon.Skip[reconfiguration.Reconfigurer]("change"),
 	canon.Skip[ring.MemoryFile]("folder"),
 )
--- a/explore/cluster/inspect.go
+++ b/explore/cluster/inspect.go
@@ -59,7 +59,7 @@
 	var inspected []quorum.Record
 	for _, group := range majorities {
 		found := newestRecord(group, obj.key())
-		known := func(other quorum.Record) bool { return found.Same(other) && bytes.Equal(found.Value, other.Value) }
+		known := func(other quorum.Record) bool { return found.SameState(other) && bytes.Equal(found.Value, other.Value) }
 		if slices.ContainsFunc(inspected, known) {
 			continue
 		}
@@ -72,7 +72,7 @@
 func newestRecord(group []*member, key ident.Key) quorum.Record {
 	var best quorum.Record
 	for _, m := range group {
-		if got := m.registerAcceptor.Peek(key); got.Newer(best) {
+		if got := m.registerAcceptor.Peek(key); got.NewerThan(best) {
 			best = got
 		}
 	}
--- a/explore/cluster/join.go
+++ b/explore/cluster/join.go
@@ -51,7 +51,7 @@
 	case isVoter && slot.Joining && !c.canGrow(m):
 		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.TakeSlot(self, maxVoters, false)))
 	case isVoter && m.copiedAt == r.Epoch:
-		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.CountIn(m.diskID)))
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.PromoteVoter(m.diskID)))
 	case isVoter && m.copyReader == nil:
 		m.lastRound++
 		m.copyReader = quorumread.New(m.lastRound, r, "", true, m.diskID)
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -50,7 +50,7 @@
 func (m *member) instance() string { return fmt.Sprintf("%s-%d", m.addr(), m.generation) }
 
 // counted tells whether the member runs and its disk counts.
-func (m *member) counted() bool { return m.running && m.membershipAcceptor.Current.Counts(m.diskID) }
+func (m *member) counted() bool { return m.running && m.membershipAcceptor.Current.IsCounted(m.diskID) }
 
 // appendRecords writes records without a sync.
 func (m *member) appendRecords(records []ring.Record) error {
@@ -105,7 +105,7 @@
 	switch {
 	case len(record.Data) == 0, record.Key == diskTag:
 		return nil
-	case record.Key == membership.Tag:
+	case record.Key == membership.RingKey:
 		return m.membershipAcceptor.Load(record.Data)
 	}
 	_, err := m.registerAcceptor.Load(record)
@@ -142,7 +142,7 @@
 	m.reconfigurer, m.copyReader, m.copiedAt, m.awaitedRound = reconfiguration.New(m.diskID, m.instance()), nil, 0, 0
 	m.lastRound = ident.FirstRequestNumber(m.instance())
 	m.proposer = proposer.New(string(m.diskID)+"."+m.instance(), c.stateMachine)
-	m.proposer.Local = func(k ident.Key) quorum.Record { return m.registerAcceptor.Peek(k) }
+	m.proposer.LocalRecord = func(k ident.Key) quorum.Record { return m.registerAcceptor.Peek(k) }
 	for _, other := range c.members {
 		if other.diskID != "" {
 			m.proposer.SetPatchCapable(other.diskID, true)
--- a/explore/cluster/settle.go
+++ b/explore/cluster/settle.go
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, m := range c.members {
-		if m.running && (!m.membershipAcceptor.Current.Counts(m.diskID) || m.membershipAcceptor.Current.Epoch < c.newestMembership().Epoch) {
+		if m.running && (!m.membershipAcceptor.Current.IsCounted(m.diskID) || m.membershipAcceptor.Current.Epoch < c.newestMembership().Epoch) {
 			return false
 		}
 	}
@@ -163,7 +163,7 @@
 		if !v.Counted || m == nil || !m.running || m.membershipAcceptor.Current.Epoch != server.membershipAcceptor.Current.Epoch {
 			continue
 		}
-		if got := m.registerAcceptor.Peek(k); !got.Same(chosen) {
+		if got := m.registerAcceptor.Peek(k); !got.SameState(chosen) {
 			c.violate(RuleRepaired, "m%d has %s at %s, what is chosen is %s", m.number, k, describeRecord(got), describeRecord(chosen))
 		}
 	}
--- a/sim/mutant/handlers.go
+++ b/sim/mutant/handlers.go
@@ -54,7 +54,7 @@
 // expireLeasesAtOnce moves the clock of a lock so far that each lease has expired.
 func expireLeasesAtOnce(acquire operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
-		ctx.TermMemory, ctx.TermBegan = nil, 0
+		ctx.TermEventTimes, ctx.TermStartedAt = nil, 0
 		ctx.Now = ctx.Now.Add(time.Hour)
 		return acquire(ctx, state, args)
 	}
--- a/sim/world/replicas.go
+++ b/sim/world/replicas.go
@@ -25,7 +25,7 @@
 		}
 		for _, k := range keysOfEither(expected, copies) {
 			w.Checker.Observe(invariant.NotRepaired)
-			if a, b := expected[k], copies[k]; !a.Same(b) {
+			if a, b := expected[k], copies[k]; !a.SameState(b) {
 				w.Violate(invariant.NotRepaired, "%s: %s holds revision %d of %v, %s holds %d of %v", k, reference.Addr, a.Revision, a.Accepted, c.Addr, b.Revision, b.Accepted)
 			}
 		}
--- a/sim/world/restart_test.go
+++ b/sim/world/restart_test.go
@@ -78,7 +78,7 @@
 		mode.do(c, 1+turn%points)
 		run.restart(c, &run.halves[n*2/changes])
 		for key, was := range synced {
-			must.False(cluster, was.Newer(c.node.Copies()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, mode.name, key))
+			must.False(cluster, was.NewerThan(c.node.Copies()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, mode.name, key))
 		}
 		run.slowestCatchUp = max(run.slowestCatchUp, cluster.awaitCatchUp(c))
 		run.slowestCopy = max(run.slowestCopy, cluster.awaitCopy(c))
