--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -175,13 +175,13 @@
 	}
 	m.run++
 	config := node.Config{
-		Addr:       a,
-		Seeds:      seeds,
-		MaxVoters:  c.voters,
-		InstanceID: fmt.Sprintf("%s-%d", a, m.run),
-		CanLose:    c.canLose,
-		Founders:   c.founders,
-		NewDisk:    c.newDisk,
+		Addr:            a,
+		Seeds:           seeds,
+		MaxVoters:       c.voters,
+		InstanceID:      fmt.Sprintf("%s-%d", a, m.run),
+		ToleratedLosses: c.canLose,
+		Founders:        c.founders,
+		NewDiskID:       c.newDisk,
 	}
 	n, created, err := node.New(c.now, config, recs)
 	must.NoError(c.t, err)
--- a/control/core/node/antientropy.go
+++ b/control/core/node/antientropy.go
@@ -17,7 +17,7 @@
 	// FinishedAt is when the pass ended, 0 if there was none.
 	FinishedAt monotime.Time
 	// Read is how many of the CountedDisks were read and compared.
-	Read         int
+	DisksRead    int
 	CountedDisks int
 	// LaggingKeys is how many keys had an outdated copy on one of the disks that were read.
 	LaggingKeys int
@@ -29,9 +29,9 @@
 	result    AntiEntropyPass
 }
 
-// LastPass returns the outcome of this core's last anti-entropy pass. It returns false if there
-// is none, or if another core holds the singleton role by now.
-func (n *Node) LastPass() (AntiEntropyPass, bool) {
+// LastAntiEntropyPass returns the outcome of this core's last anti-entropy pass. It returns false
+// if there is none, or if another core holds the singleton role by now.
+func (n *Node) LastAntiEntropyPass() (AntiEntropyPass, bool) {
 	return n.antiEntropy.result, n.singletonRole.held && n.antiEntropy.result.FinishedAt != 0
 }
 
@@ -43,13 +43,13 @@
 	found := reader.Entries()
 	result := &n.antiEntropy.result
 	*result = AntiEntropyPass{FinishedAt: now}
-	result.Read, result.CountedDisks = reader.Coverage()
+	result.DisksRead, result.CountedDisks = reader.Coverage()
 	for _, k := range sortedKeys(found) {
 		if len(reader.Lagging(found[k])) == 0 {
 			continue
 		}
 		result.LaggingKeys++
-		n.Repaired++
+		n.KeysRepaired++
 		n.submitInternal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, ignoreResult)
 	}
 }
--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -14,7 +14,7 @@
 func (cluster *threeCores) lastPass(t *testing.T) node.AntiEntropyPass {
 	var passes []node.AntiEntropyPass
 	for _, addr := range coreAddrs {
-		if pass, ok := cluster.nodes[addr].LastPass(); ok && !cluster.down[addr] {
+		if pass, ok := cluster.nodes[addr].LastAntiEntropyPass(); ok && !cluster.down[addr] {
 			passes = append(passes, pass)
 		}
 	}
@@ -31,7 +31,7 @@
 	}
 	cluster.advance(12 * time.Second)
 	pass := cluster.lastPass(t)
-	must.Eq(t, node.AntiEntropyPass{FinishedAt: pass.FinishedAt, Read: 3, CountedDisks: 3}, pass)
+	must.Eq(t, node.AntiEntropyPass{FinishedAt: pass.FinishedAt, DisksRead: 3, CountedDisks: 3}, pass)
 	loser := coreAddrs[0]
 	for _, a := range coreAddrs {
 		if !cluster.nodes[a].HoldsSingletonRole() {
@@ -44,13 +44,13 @@
 		cluster.advance(10 * time.Millisecond)
 	}
 	pass = cluster.lastPass(t)
-	must.Eq(t, 3, pass.Read)
+	must.Eq(t, 3, pass.DisksRead)
 	must.GreaterEq(t, 3, pass.LaggingKeys)
 	cluster.advance(12 * time.Second)
 	must.Eq(t, 0, cluster.lastPass(t).LaggingKeys)
 	cluster.down[loser] = true
 	cluster.advance(12 * time.Second)
 	pass = cluster.lastPass(t)
-	must.Eq(t, 2, pass.Read)
+	must.Eq(t, 2, pass.DisksRead)
 	must.Eq(t, 3, pass.CountedDisks)
 }
--- a/control/core/node/config.go
+++ b/control/core/node/config.go
@@ -23,17 +23,17 @@
 	MaxVoters int
 	// InstanceID names this run of the process. Invariant: no two runs share one.
 	InstanceID string
-	// NewDisk returns a disk identifier that was never used before.
-	NewDisk func() ident.Disk
-	// StateMachine applies operations to values; Handlers(History) if it is nil.
+	// NewDiskID returns a disk identifier that was never used before.
+	NewDiskID func() ident.Disk
+	// StateMachine applies operations to values; Handlers(WatchHistory) if it is nil.
 	StateMachine proposer.StateMachine
 	// QuorumSize, if it is not 0, overrides the size of a majority. Only the simulator sets it, to
 	// show that its invariants detect a quorum that is too small.
 	QuorumSize int
-	// CanLose is how many machines with a disk may fail at once; 0 if that is not known.
-	CanLose int
-	// History is how long the puts of a keyspace are kept for watches at least; 60 s if it is 0.
-	History time.Duration
+	// ToleratedLosses is how many machines with a disk may fail at once; 0 if unknown.
+	ToleratedLosses int
+	// WatchHistory is the least time for which a keyspace keeps its past puts for watches; 60 s if 0.
+	WatchHistory time.Duration
 	// DiskFull, when set, reports whether the disk is nearly full.
 	DiskFull func() bool
 }
--- a/control/core/node/example_test.go
+++ b/control/core/node/example_test.go
@@ -25,7 +25,7 @@
 			panic(err)
 		}
 		newDisk := func() ident.Disk { return ident.Disk("disk-" + a) }
-		config := node.Config{Addr: a, Founders: addrs, InstanceID: "run1", NewDisk: newDisk}
+		config := node.Config{Addr: a, Founders: addrs, InstanceID: "run1", NewDiskID: newDisk}
 		n, created, err := node.New(1, config, disk.Records())
 		if err != nil {
 			panic(err)
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -30,9 +30,9 @@
 	minJoinRetryAfter = 0.1
 )
 
-// Joined is the body of the Result of a join. No configuration newer than ConfigRevision was
+// JoinResult is the body of the Result of a join. No configuration newer than ConfigRevision was
 // confirmed before the join came in.
-type Joined struct {
+type JoinResult struct {
 	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
 	Share          quota.Share          `json:"share"`
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
@@ -49,7 +49,7 @@
 	failure        *failure.Error
 }
 
-// Join queues a sidecar's request to join. Its Result carries the ticket and a Joined. The
+// Join queues a sidecar's request to join. Its Result carries the ticket and a JoinResult. The
 // request is not worked on before the next tick, so that a core's other requests go first.
 func (n *Node) Join(now monotime.Time, ticket uint64, r joinqueue.Request, budget time.Duration) (fx Effects) {
 	refusal := errStopping()
@@ -171,6 +171,6 @@
 		return Result{Ticket: ticket, Failure: &failed}
 	}
 	entry := b.entered[index]
-	joined := Joined{LeaseEpoch: entry.LeaseEpoch, Share: entry.Share, ConfigRevision: b.configRevision}
+	joined := JoinResult{LeaseEpoch: entry.LeaseEpoch, Share: entry.Share, ConfigRevision: b.configRevision}
 	return Result{Ticket: ticket, Body: operation.Encode(joined)}
 }
--- a/control/core/node/join_test.go
+++ b/control/core/node/join_test.go
@@ -24,7 +24,7 @@
 	cluster.apply(core, cluster.nodes[core].Join(cluster.now, ticket, r, node.JoinBudget))
 }
 
-func (cluster *threeCores) joinResult(t *testing.T, ticket uint64) (j node.Joined) {
+func (cluster *threeCores) joinResult(t *testing.T, ticket uint64) (j node.JoinResult) {
 	e := cluster.ticketResult(ticket)
 	must.NotNil(t, e, must.Sprint(ticket))
 	must.Nil(t, e.Failure, must.Sprint(ticket))
--- a/control/core/node/leaseupdate_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -110,7 +110,7 @@
 		// Another core restarts with an empty disk.
 		restarted := coreAddrs[(n+1)%3]
 		newDisk := func() ident.Disk { return ident.Disk("new-" + restarted) }
-		config := node.Config{Addr: restarted, Founders: coreAddrs, InstanceID: "m2", NewDisk: newDisk}
+		config := node.Config{Addr: restarted, Founders: coreAddrs, InstanceID: "m2", NewDiskID: newDisk}
 		fresh, _, err := node.New(cluster.now, config, nil)
 		must.NoError(t, err)
 		cluster.nodes[restarted] = fresh
--- a/control/core/node/membership.go
+++ b/control/core/node/membership.go
@@ -126,10 +126,10 @@
 
 // mayGrow reports whether this disk may ask for a slot of its own. A core that replaces another
 // is given growAfter to find the empty slot first. Where there are too few slots to tolerate
-// CanLose failures, it waits only until it has heard the others.
+// ToleratedLosses failures, it waits only until it has heard the others.
 func (n *Node) mayGrow(now monotime.Time, current quorum.Membership) bool {
 	uptime := now.Since(n.startedAt)
-	return uptime > growAfter || current.Size() < 2*n.config.CanLose+1 && uptime > heartbeatTimeout
+	return uptime > growAfter || current.Size() < 2*n.config.ToleratedLosses+1 && uptime > heartbeatTimeout
 }
 
 // onMembershipRequest answers another core's proposal of a membership.
@@ -203,7 +203,7 @@
 	for _, tag := range n.acceptor.RingKeys() {
 		fx.Records = append(fx.Records, ring.Record{Key: tag})
 	}
-	n.Disk = n.config.NewDisk()
+	n.Disk = n.config.NewDiskID()
 	n.acceptor, n.membership = acceptor.New(n.Disk), membership.New(n.Disk)
 	n.membership.Current = current
 	fx.Records = append(fx.Records, ring.Record{Key: diskTag, Data: []byte(n.Disk)}, n.membership.Record())
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -42,10 +42,10 @@
 	Leases *leasetable.Table
 	// ConfigRevision is the newest configuration revision that is known to be confirmed.
 	ConfigRevision ident.ConfigRevision
-	// AntiEntropyPasses counts the passes that were begun here, Repaired the keys whose copies
+	// AntiEntropyPasses counts the passes that were begun here, KeysRepaired the keys whose copies
 	// they found to differ.
 	AntiEntropyPasses uint64
-	Repaired          uint64
+	KeysRepaired      uint64
 	// JoinBatches counts the batches of joins that were begun here, JoinsRefused the joins
 	// that were refused and are to be tried again.
 	JoinBatches  uint64
@@ -94,11 +94,12 @@
 	joins         joinqueue.Queue
 }
 
-// Handlers returns the handlers of every operation on the control state; history is as in Config.
-func Handlers(history time.Duration) operation.Table {
+// Handlers returns the handlers of every operation on the control state. watchHistory is
+// described at Config.
+func Handlers(watchHistory time.Duration) operation.Table {
 	merged := operation.Table{}
 	for _, handlers := range []operation.Table{
-		lock.Handlers(), sequence.Handlers(), keyvalue.Handlers(), keyspace.Handlers(history),
+		lock.Handlers(), sequence.Handlers(), keyvalue.Handlers(), keyspace.Handlers(watchHistory),
 		quota.Handlers(), proposal.Handlers(), rollout.Handlers(), segment.Handlers(),
 	} {
 		for kind, handler := range handlers {
@@ -115,7 +116,7 @@
 // before the first step.
 func New(now monotime.Time, config Config, recs []ring.Record) (*Node, []ring.Record, error) {
 	if config.StateMachine == nil {
-		config.StateMachine = Handlers(config.History)
+		config.StateMachine = Handlers(config.WatchHistory)
 	}
 	if config.MaxVoters == 0 {
 		config.MaxVoters = defaultMaxVoters
@@ -159,7 +160,7 @@
 	if n.Disk != "" {
 		return nil
 	}
-	n.Disk = n.config.NewDisk()
+	n.Disk = n.config.NewDiskID()
 	return []ring.Record{{Key: diskTag, Data: []byte(n.Disk)}}
 }
 
@@ -263,5 +264,5 @@
 // simulator uses it to show that its checkers detect that.
 func (n *Node) ForgetRecords() { n.acceptor = acceptor.New(n.Disk) }
 
-// Copies returns this disk's record of every key, without the values.
-func (n *Node) Copies() map[ident.Key]quorum.Record { return n.acceptor.AcceptedStates() }
+// AcceptedStates returns this disk's record of every key, without the values.
+func (n *Node) AcceptedStates() map[ident.Key]quorum.Record { return n.acceptor.AcceptedStates() }
--- a/control/core/node/peers.go
+++ b/control/core/node/peers.go
@@ -138,8 +138,8 @@
 	return cores
 }
 
-// CoreZones lists the active cores with their zones.
-func (n *Node) CoreZones(now monotime.Time) []record.CoreLocation {
+// CoreLocations lists the active cores with their zones.
+func (n *Node) CoreLocations(now monotime.Time) []record.CoreLocation {
 	var locations []record.CoreLocation
 	for _, a := range n.ActiveCores(now) {
 		location := record.CoreLocation{Addr: a}
--- a/control/core/node/threecores_test.go
+++ b/control/core/node/threecores_test.go
@@ -82,7 +82,7 @@
 		Seeds:      seeds[:min(3, len(seeds))],
 		Founders:   founders,
 		InstanceID: fmt.Sprint("m", cluster.now),
-		NewDisk:    newDisk,
+		NewDiskID:  newDisk,
 	}
 	n, created, err := node.New(cluster.now, config, recs)
 	must.NoError(t, err)
--- a/control/core/node/traffic_test.go
+++ b/control/core/node/traffic_test.go
@@ -42,8 +42,8 @@
 	for _, a := range coreAddrs {
 		n, _, err := node.New(
 			cluster.now,
-			node.Config{Addr: a, Founders: coreAddrs, InstanceID: "0123456789abcdef0123456789abcdef", History: history,
-				NewDisk: func() ident.Disk { return ident.Disk("0123456789abcdef0123456789abc" + string(a)) }},
+			node.Config{Addr: a, Founders: coreAddrs, InstanceID: "0123456789abcdef0123456789abcdef", WatchHistory: history,
+				NewDiskID: func() ident.Disk { return ident.Disk("0123456789abcdef0123456789abc" + string(a)) }},
 			nil,
 		)
 		must.NoError(t, err)
@@ -168,7 +168,7 @@
 	}
 	must.Eq(t, 0, cluster.patchesToOld)
 	for _, a := range coreAddrs {
-		must.Eq(t, ident.Revision(1010), cluster.nodes[a].Copies()["group/g."].Revision)
+		must.Eq(t, ident.Revision(1010), cluster.nodes[a].AcceptedStates()["group/g."].Revision)
 	}
 }
 
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -68,7 +68,7 @@
 		response.WriteError(w, answer.Failure)
 		return
 	}
-	var joined node.Joined
+	var joined node.JoinResult
 	if err := json.Unmarshal(answer.Body, &joined); err != nil {
 		response.WriteError(w, failure.New(failure.Damaged, "join: %v", err))
 		return
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -138,16 +138,16 @@
 
 func (c *Core) nodeConfig() node.Config {
 	return node.Config{
-		Addr:       c.Settings.Addr,
-		Zone:       c.Settings.Zone,
-		Seeds:      c.Settings.Seeds,
-		Founders:   c.Settings.Founders,
-		MaxVoters:  c.Settings.Voters,
-		CanLose:    c.Settings.ToleratedLosses,
-		History:    c.Settings.WatchHistory,
-		DiskFull:   c.diskFull.Load,
-		InstanceID: ident.NewID(),
-		NewDisk:    func() ident.Disk { return ident.Disk(ident.NewID()) },
+		Addr:            c.Settings.Addr,
+		Zone:            c.Settings.Zone,
+		Seeds:           c.Settings.Seeds,
+		Founders:        c.Settings.Founders,
+		MaxVoters:       c.Settings.Voters,
+		ToleratedLosses: c.Settings.ToleratedLosses,
+		WatchHistory:    c.Settings.WatchHistory,
+		DiskFull:        c.diskFull.Load,
+		InstanceID:      ident.NewID(),
+		NewDiskID:       func() ident.Disk { return ident.Disk(ident.NewID()) },
 	}
 }
 
--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -71,7 +71,7 @@
 }
 
 func newView(n *node.Node, now monotime.Time) *View {
-	membership, places := n.Membership(), n.CoreZones(now)
+	membership, places := n.Membership(), n.CoreLocations(now)
 	return &View{
 		Disk:            n.Disk,
 		Membership:      membership,
@@ -90,13 +90,13 @@
 }
 
 func newAntiEntropyPass(n *node.Node, now monotime.Time) *AntiEntropyPass {
-	pass, ok := n.LastPass()
+	pass, ok := n.LastAntiEntropyPass()
 	if !ok {
 		return nil
 	}
 	return &AntiEntropyPass{
-		Complete:      pass.Read == pass.CountedDisks && pass.LaggingKeys == 0,
-		DisksRead:     pass.Read,
+		Complete:      pass.DisksRead == pass.CountedDisks && pass.LaggingKeys == 0,
+		DisksRead:     pass.DisksRead,
 		DisksCounted:  pass.CountedDisks,
 		KeysDiffering: pass.LaggingKeys,
 		AgeMillis:     now.Since(pass.FinishedAt).Milliseconds(),
@@ -114,7 +114,7 @@
 		"patches":         proposer.PatchesSent,
 		"patches_refused": proposer.PatchesRejected,
 		"sweeps":          c.node.AntiEntropyPasses,
-		"swept_keys":      c.node.Repaired,
+		"swept_keys":      c.node.KeysRepaired,
 		"join_batches":    c.node.JoinBatches,
 		"joins_refused":   c.node.JoinsRefused,
 		"owned":           uint64(view.HeldKeys),
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -92,7 +92,7 @@
 	n, initial, err := node.New(c.watchedTime(), node.Config{
 		Addr: c.Addr, Zone: c.Zone, Seeds: w.seedsFor(c), Founders: w.Founders,
 		InstanceID:   fmt.Sprintf("%s-%d", c.Addr, c.generation),
-		StateMachine: w.stateMachine(), QuorumSize: w.quorumOverride(), NewDisk: w.newDiskID,
+		StateMachine: w.stateMachine(), QuorumSize: w.quorumOverride(), NewDiskID: w.newDiskID,
 	}, c.ring.Records())
 	c.node = n
 	if err != nil {
--- a/sim/world/corecluster_test.go
+++ b/sim/world/corecluster_test.go
@@ -156,7 +156,7 @@
 func (cluster *coreCluster) awaitCopy(c *Core) time.Duration {
 	began := cluster.world.now
 	for range 2000 {
-		if ident.ConfigRevision(c.node.Copies()[proposal.Key].Revision) >= cluster.newestAcknowledged {
+		if ident.ConfigRevision(c.node.AcceptedStates()[proposal.Key].Revision) >= cluster.newestAcknowledged {
 			return cluster.world.now.Since(began)
 		}
 		cluster.world.RunFor(coreTickInterval)
--- a/sim/world/replicas.go
+++ b/sim/world/replicas.go
@@ -18,7 +18,7 @@
 		if !c.Healthy() {
 			continue
 		}
-		copies := c.node.Copies()
+		copies := c.node.AcceptedStates()
 		if reference == nil {
 			reference, expected = c, copies
 			continue
--- a/sim/world/restart_test.go
+++ b/sim/world/restart_test.go
@@ -70,7 +70,7 @@
 	for n := range changes {
 		turn := n / changesPerRestart
 		c, mode := cluster.world.Cores[turn%cores], failureModes[(turn/cores)%len(failureModes)]
-		synced := c.node.Copies() // by the time that one more change is acknowledged
+		synced := c.node.AcceptedStates() // by the time that one more change is acknowledged
 		cluster.changeConfig()
 		if n%changesPerRestart != changesPerRestart-1 {
 			continue
@@ -78,7 +78,7 @@
 		mode.do(c, 1+turn%points)
 		run.restart(c, &run.halves[n*2/changes])
 		for key, was := range synced {
-			must.False(cluster, was.Newer(c.node.Copies()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, mode.name, key))
+			must.False(cluster, was.Newer(c.node.AcceptedStates()[key]), must.Sprintf("core %s %s: %s went back", c.Addr, mode.name, key))
 		}
 		run.slowestCatchUp = max(run.slowestCatchUp, cluster.awaitCatchUp(c))
 		run.slowestCopy = max(run.slowestCopy, cluster.awaitCopy(c))
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -40,16 +40,16 @@
 	}
 	s.joinPending = true
 	request := joinqueue.Request{Node: s.Node, Run: fmt.Sprintf("%d.%d", s.generation, s.joinCount)}
-	rpc(s, &c.process, joiner.JoinTimeout, func(respond func(node.Joined, *failure.Error)) {
+	rpc(s, &c.process, joiner.JoinTimeout, func(respond func(node.JoinResult, *failure.Error)) {
 		c.Join(request, respondResult(respond))
-	}, func(r reply[node.Joined]) {
+	}, func(r reply[node.JoinResult]) {
 		s.joinPending = false
 		s.joinEnded(c.Addr, r)
 	})
 }
 
 // joinEnded takes a core's reply to a request to join.
-func (s *Sidecar) joinEnded(core ident.Addr, r reply[node.Joined]) {
+func (s *Sidecar) joinEnded(core ident.Addr, r reply[node.JoinResult]) {
 	switch {
 	case !r.lost && r.failure == nil:
 		s.joined(r.value)
@@ -61,7 +61,7 @@
 }
 
 // joined takes a lease.
-func (s *Sidecar) joined(lease node.Joined) {
+func (s *Sidecar) joined(lease node.JoinResult) {
 	s.joinCount++
 	s.joiner.Reset()
 	s.hasLease, s.leaseEpoch, s.reportSequence = true, lease.LeaseEpoch, 1
@@ -79,9 +79,9 @@
 	s.joinPending = true
 	s.joinTurn++
 	c := s.world.Cores[s.joinTurn%len(s.world.Cores)]
-	rpc(s, &c.process, joinSinglyTimeout, func(respond func(node.Joined, *failure.Error)) {
+	rpc(s, &c.process, joinSinglyTimeout, func(respond func(node.JoinResult, *failure.Error)) {
 		c.joinSingly(s.Node, respond)
-	}, func(r reply[node.Joined]) {
+	}, func(r reply[node.JoinResult]) {
 		s.joinPending = false
 		if !r.lost && r.failure == nil {
 			s.joined(r.value)
@@ -90,8 +90,8 @@
 }
 
 // joinSingly makes the operations by which one sidecar joins.
-func (c *Core) joinSingly(sidecar ident.Node, respond func(node.Joined, *failure.Error)) {
-	fail := func() { respond(node.Joined{}, failure.New(failure.Unreachable, "the join failed")) }
+func (c *Core) joinSingly(sidecar ident.Node, respond func(node.JoinResult, *failure.Error)) {
+	fail := func() { respond(node.JoinResult{}, failure.New(failure.Unreachable, "the join failed")) }
 	number := proposer.Operation{Key: ident.Key("claim/" + string(sidecar)), Kind: sequence.NextKind}
 	c.Submit(number, joinSinglyBudget, func(result node.Result) {
 		var numbers sequence.State
@@ -112,7 +112,7 @@
 					fail()
 					return
 				}
-				respond(node.Joined{LeaseEpoch: leaseEpoch, Share: share, ConfigRevision: c.configRevision()}, nil)
+				respond(node.JoinResult{LeaseEpoch: leaseEpoch, Share: share, ConfigRevision: c.configRevision()}, nil)
 			})
 		})
 	})
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -78,7 +78,7 @@
 	if failed != nil {
 		return record.RenewalResponse{}, failed
 	}
-	response.CoresVersion, response.Cores = allCores, c.node.CoreZones(c.watchedTime())
+	response.CoresVersion, response.Cores = allCores, c.node.CoreLocations(c.watchedTime())
 	response.ConfigRevision = c.configRevision()
 	return response, nil
 }
