--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -111,7 +111,7 @@
 	Leases    bool `json:"kept,omitempty"`
 }
 
-// SilenceCheck asks a voter which of some nodes it has not heard for leasetable.SilentAfter, or
+// SilenceCheck asks a voter which of some nodes it has not heard for leasetable.SilenceTimeout, or
 // answers that.
 type SilenceCheck struct {
 	Round     uint64       `json:"turn"`
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -107,7 +107,7 @@
 func (n *Node) sendHeartbeats(now monotime.Time, to []ident.Addr, fx *Effects) {
 	n.heartbeats.seq++
 	n.heartbeats.recordSent(now)
-	n.Leases.StampHeartbeat(n.heartbeats.seq)
+	n.Leases.RecordHeartbeat(n.heartbeats.seq)
 	brief := n.briefHeartbeat(now)
 	full := n.fullHeartbeat(now, brief)
 	fullState := fmt.Sprint(full.Disk, full.Leaving, full.DiskFailed, full.MembershipEpoch, full.Cores)
@@ -135,7 +135,7 @@
 		Run:                message.InstanceHash(n.config.InstanceID),
 		Brief:              true,
 		Seq:                n.heartbeats.seq,
-		LeaseChecksum:      n.Leases.AnnouncedSum(),
+		LeaseChecksum:      n.Leases.AnnouncedChecksum(),
 		MembershipEpoch:    n.membership.Current.Epoch,
 		ConfigRevision:     n.ConfigRevision,
 		HoldsSingletonRole: n.singletonRole.held,
@@ -244,7 +244,7 @@
 func (n *Node) requestMissing(now monotime.Time, from ident.Addr, p *peer, received message.Heartbeat, fx *Effects) {
 	var missing message.ResendRequest
 	missing.Heartbeat = received.Brief && received.MembershipEpoch > n.membership.Current.Epoch
-	if n.Leases.Heartbeat(now, from, received.LeaseChecksum) {
+	if n.Leases.ApplyHeartbeat(now, from, received.LeaseChecksum) {
 		p.syncedSeq = max(p.syncedSeq, received.Seq)
 	} else {
 		missing.Leases = true
--- a/control/core/node/leaseupdate.go
+++ b/control/core/node/leaseupdate.go
@@ -16,7 +16,7 @@
 		return record.RenewalResponse{}, Effects{}, rejected
 	}
 	response := record.RenewalResponse{
-		ReportWanted:        renewed.ReportWanted,
+		ReportRequired:      renewed.ReportRequired,
 		AcknowledgedRenewal: n.Leases.AcknowledgedRenewal(r.Node, n.MajorityAckedSeq()),
 		Members:             n.Leases.LiveCount(),
 		Leaving:             n.leaving,
--- a/control/core/node/silence.go
+++ b/control/core/node/silence.go
@@ -14,7 +14,7 @@
 )
 
 // silenceRound asks all voters which of some nodes they have not heard for
-// leasetable.SilentAfter, before the retry budget shares of these nodes are reclaimed.
+// leasetable.SilenceTimeout, before the retry budget shares of these nodes are reclaimed.
 type silenceRound struct {
 	round uint64
 	// leaseEpochs are those of the shares when the round began.
@@ -24,15 +24,15 @@
 }
 
 // reclaimShares reclaims the retry budget shares of nodes that a majority has not heard for
-// leasetable.SilentAfter. The voters are asked only about nodes that this core has not heard.
+// leasetable.SilenceTimeout. The voters are asked only about nodes that this core has not heard.
 func (n *Node) reclaimShares(now monotime.Time, fx *Effects) {
 	n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: quota.ReadKind}, fx, func(now monotime.Time, result Result, fx *Effects) {
 		var shares quota.State
 		if result.Failure != nil || operation.Decode(nil, result.Body, nil, &shares) != nil {
 			return
 		}
-		silent := n.Leases.Silent(now, slices.Sorted(maps.Keys(shares.Nodes)))
-		if len(silent) > 0 && now.Since(n.startedAt) > leasetable.SilentAfter {
+		silent := n.Leases.SilentNodes(now, slices.Sorted(maps.Keys(shares.Nodes)))
+		if len(silent) > 0 && now.Since(n.startedAt) > leasetable.SilenceTimeout {
 			n.beginSilenceRound(shares, silent, fx)
 		}
 	})
@@ -57,7 +57,7 @@
 
 // onSilenceCheck answers the question of a silence round, or takes a voter's answer. Invariants:
 // a core says that a node is silent only if it has itself run for longer than
-// leasetable.SilentAfter; a share is reclaimed only if a majority of the voters said so.
+// leasetable.SilenceTimeout; a share is reclaimed only if a majority of the voters said so.
 func (n *Node) onSilenceCheck(now monotime.Time, m message.Message, fx *Effects) bool {
 	check := m.SilenceCheck
 	if check == nil {
@@ -86,9 +86,9 @@
 
 // answerSilenceCheck says which of the nodes this core has not heard.
 func (n *Node) answerSilenceCheck(now monotime.Time, to ident.Addr, check *message.SilenceCheck, fx *Effects) {
-	if now.Since(n.startedAt) <= leasetable.SilentAfter {
+	if now.Since(n.startedAt) <= leasetable.SilenceTimeout {
 		return
 	}
-	answer := message.SilenceCheck{Round: check.Round, Responder: n.Disk, Nodes: n.Leases.Silent(now, check.Nodes)}
+	answer := message.SilenceCheck{Round: check.Round, Responder: n.Disk, Nodes: n.Leases.SilentNodes(now, check.Nodes)}
 	fx.send(to, message.Message{SilenceCheck: &answer})
 }
--- a/control/leasetable/members.go
+++ b/control/leasetable/members.go
@@ -56,12 +56,12 @@
 	return count
 }
 
-// Silent returns those of the sidecars that showed no sign of life within SilentAfter.
-func (t *Table) Silent(now monotime.Time, nodes []ident.Node) []ident.Node {
+// SilentNodes returns those of the given sidecars that were not heard of within SilenceTimeout.
+func (t *Table) SilentNodes(now monotime.Time, nodes []ident.Node) []ident.Node {
 	var silent []ident.Node
 	for _, node := range nodes {
 		e := t.entries[node]
-		if e == nil || now.Since(t.lastSeen(node, e)) > SilentAfter {
+		if e == nil || now.Since(t.lastSeen(node, e)) > SilenceTimeout {
 			silent = append(silent, node)
 		}
 	}
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -27,7 +27,7 @@
 // lastHeard is when the list was last confirmed to be current.
 type registrar struct {
 	leases    map[ident.Node]leaseVersion
-	sum       uint64
+	checksum  uint64
 	lastHeard monotime.Time
 }
 
@@ -36,12 +36,12 @@
 func (r *registrar) add(node ident.Node, version leaseVersion) {
 	r.remove(node)
 	r.leases[node] = version
-	r.sum ^= version.hash(node)
+	r.checksum ^= version.hash(node)
 }
 
 func (r *registrar) remove(node ident.Node) {
 	if version, ok := r.leases[node]; ok {
-		r.sum ^= version.hash(node)
+		r.checksum ^= version.hash(node)
 		delete(r.leases, node)
 	}
 }
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -22,11 +22,11 @@
 const (
 	// LeaseTTL is how long a lease holds without renewal.
 	LeaseTTL = 1500 * time.Millisecond
-	// ForgetAfter is how long the records of a lapsed lease are still shown, as lapsed.
-	ForgetAfter = 60 * time.Second
-	// SilentAfter is how long a sidecar must be silent before its share of the retry budget may
+	// LapsedRetention is how long the records of a lapsed lease are still shown, as lapsed.
+	LapsedRetention = 60 * time.Second
+	// SilenceTimeout is how long a sidecar must be silent before its share of the retry budget may
 	// be taken back.
-	SilentAfter = 30 * time.Second
+	SilenceTimeout = 30 * time.Second
 	// expiryCheckInterval is how often Tick looks for leases that lapsed.
 	expiryCheckInterval = 50 * time.Millisecond
 	// maxTrackedRenewals bounds, for each lease, the renewals that are tracked until a majority
@@ -84,11 +84,11 @@
 	lastCheck monotime.Time
 	totals    attemptTotals
 
-	local          *registrar          // the list of this core
-	pendingUpdates map[ident.Node]bool // changed on that list since the last PendingUpdate
-	announcedSum   uint64              // of that list at the last PendingUpdate
-	lastHeartbeat  uint64              // the number of the last heartbeat that was sent
-	registrars     map[ident.Addr]*registrar
+	local             *registrar          // the list of this core
+	pendingUpdates    map[ident.Node]bool // changed on that list since the last PendingUpdate
+	announcedChecksum uint64              // of that list at the last PendingUpdate
+	lastHeartbeat     uint64              // the number of the last heartbeat that was sent
+	registrars        map[ident.Addr]*registrar
 }
 
 // New makes an empty table.
@@ -118,9 +118,9 @@
 type RenewalResult struct {
 	// Changed says that the sidecar's records changed.
 	Changed bool
-	// ReportWanted says that the renewal had no effect, as it came without the report that this
+	// ReportRequired says that the renewal had no effect, as it came without the report that this
 	// core lacks.
-	ReportWanted bool
+	ReportRequired bool
 }
 
 // Renew applies a renewal. Conflict says that its lease is superseded by a newer one.
@@ -133,7 +133,7 @@
 	case e != nil && e.knowsNewer(renewal.LeaseEpoch, renewal.Seq):
 		return RenewalResult{}, nil // late: a renewal with a newer report was applied before
 	case renewal.Report == nil && (e == nil || !e.hasVersion(renewal.LeaseEpoch, renewal.Seq)):
-		return RenewalResult{ReportWanted: true}, nil
+		return RenewalResult{ReportRequired: true}, nil
 	}
 	e = t.entry(renewal.Node)
 	t.countAttempts(now, e, renewal)
@@ -179,7 +179,7 @@
 			e.lapsed, changed = !holds, true
 			t.rebuild(e)
 		}
-		if e.lapsed && len(e.report.Workloads) > 0 && now.Since(e.lastHeard) > ForgetAfter {
+		if e.lapsed && len(e.report.Workloads) > 0 && now.Since(e.lastHeard) > LapsedRetention {
 			e.report.Workloads, changed = nil, true
 			t.rebuild(e)
 		}
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -46,7 +46,7 @@
 		update, due := registrar.PendingUpdate()
 		must.True(t, due)
 		updates = append(updates, update)
-		announced[update.Sum] = maps.Clone(registrar.local.leases)
+		announced[update.Checksum] = maps.Clone(registrar.local.leases)
 	}
 	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("a", 1, 1, 1)) })
 	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("b", 1, 1, 1)) })
@@ -68,9 +68,9 @@
 				table.ApplyUpdate(now, "core:1", updates[event])
 				continue
 			}
-			if table.Heartbeat(now, "core:1", full.Sum) {
+			if table.ApplyHeartbeat(now, "core:1", full.Checksum) {
 				accepted++
-				must.Eq(t, announced[full.Sum], table.registrars["core:1"].leases, must.Sprintf("order %d", order))
+				must.Eq(t, announced[full.Checksum], table.registrars["core:1"].leases, must.Sprintf("order %d", order))
 				must.False(t, lapsed(t, table, "a"))
 			} else {
 				rejected++
@@ -78,8 +78,8 @@
 		}
 		_, inSync := table.ApplyUpdate(now, "core:1", full)
 		must.True(t, inSync)
-		must.True(t, table.Heartbeat(now, "core:1", full.Sum))
-		must.Eq(t, announced[full.Sum], table.registrars["core:1"].leases)
+		must.True(t, table.ApplyHeartbeat(now, "core:1", full.Checksum))
+		must.Eq(t, announced[full.Checksum], table.registrars["core:1"].leases)
 		must.Eq(t, uint64(2), table.entries["a"].report.Seq)
 	}
 	must.Positive(t, accepted)
@@ -96,7 +96,7 @@
 		return update
 	}
 	update, removal := updateOf("a"), Update{Removed: []ident.Node{"a"}}
-	removal.BaseSum = update.Sum
+	removal.BaseChecksum = update.Checksum
 	for name, c := range map[string]struct {
 		secondRegistrar, heartbeats, drop, direct bool
 		lapsed                                    bool
@@ -119,12 +119,12 @@
 			now := timeAt(ms * time.Millisecond)
 			if c.heartbeats && ms%300 == 0 {
 				if !c.drop || ms < 1500 {
-					must.True(t, table.Heartbeat(now, "core:1", update.Sum), must.Sprint(name))
+					must.True(t, table.ApplyHeartbeat(now, "core:1", update.Checksum), must.Sprint(name))
 				} else {
-					must.True(t, table.Heartbeat(now, "core:1", 0), must.Sprint(name))
+					must.True(t, table.ApplyHeartbeat(now, "core:1", 0), must.Sprint(name))
 				}
 				if c.secondRegistrar {
-					must.True(t, table.Heartbeat(now, "core:2", update.Sum))
+					must.True(t, table.ApplyHeartbeat(now, "core:2", update.Checksum))
 				}
 			}
 			if c.drop && ms == 1450 {
@@ -140,8 +140,8 @@
 			}
 		}
 		must.Eq(t, c.lapsed, lapsed(t, table, "a"), must.Sprint(name))
-		must.Eq(t, 0, len(table.Silent(timeAt(20*time.Second), []ident.Node{"a"})), must.Sprint(name))
-		must.Eq(t, 1, len(table.Silent(timeAt(40*time.Second), []ident.Node{"a"})), must.Sprint(name))
+		must.Eq(t, 0, len(table.SilentNodes(timeAt(20*time.Second), []ident.Node{"a"})), must.Sprint(name))
+		must.Eq(t, 1, len(table.SilentNodes(timeAt(40*time.Second), []ident.Node{"a"})), must.Sprint(name))
 	}
 }
 
@@ -167,7 +167,7 @@
 		}
 		got, fail := table.Renew(timeAt(0), record.Renewal{Node: "a", LeaseEpoch: c.leaseEpoch, Seq: c.seq, Number: 7})
 		must.Eq(t, c.rejected, fail != nil, must.Sprintf("%+v", c))
-		must.Eq(t, c.reportWanted, got.ReportWanted, must.Sprintf("%+v", c))
+		must.Eq(t, c.reportWanted, got.ReportRequired, must.Sprintf("%+v", c))
 		_, registered := table.local.leases["a"]
 		must.Eq(t, c.knowsReport && c.leaseEpoch == 2 && c.seq == 3, registered, must.Sprintf("%+v", c))
 	}
--- a/control/leasetable/updates.go
+++ b/control/leasetable/updates.go
@@ -10,13 +10,13 @@
 )
 
 // Update is what a registrar sends the other cores about its list: the whole list if Full, else what
-// changed since the list had the checksum BaseSum. Sum is the list's checksum after the update.
+// changed since the list had the checksum BaseChecksum. Checksum is the list's checksum after the update.
 type Update struct {
-	Full    bool            `json:"whole,omitempty"`
-	BaseSum uint64          `json:"base,omitempty"`
-	Sum     uint64          `json:"sum"`
-	Reports []record.Report `json:"reports,omitempty"`
-	Removed []ident.Node    `json:"gone,omitempty"`
+	Full         bool            `json:"whole,omitempty"`
+	BaseChecksum uint64          `json:"base,omitempty"`
+	Checksum     uint64          `json:"sum"`
+	Reports      []record.Report `json:"reports,omitempty"`
+	Removed      []ident.Node    `json:"gone,omitempty"`
 }
 
 // register puts a sidecar that renews here on this core's list.
@@ -41,7 +41,7 @@
 	if len(t.pendingUpdates) == 0 {
 		return Update{}, false
 	}
-	update := Update{BaseSum: t.announcedSum, Sum: t.local.sum}
+	update := Update{BaseChecksum: t.announcedChecksum, Checksum: t.local.checksum}
 	for node := range t.pendingUpdates {
 		if t.local.has(node) {
 			update.Reports = append(update.Reports, t.entries[node].report)
@@ -52,8 +52,8 @@
 	slices.SortFunc(update.Reports, byNode)
 	slices.Sort(update.Removed)
 	clear(t.pendingUpdates)
-	t.announcedSum = t.local.sum
-	return update, update.BaseSum != update.Sum
+	t.announcedChecksum = t.local.checksum
+	return update, update.BaseChecksum != update.Checksum
 }
 
 // FullUpdate returns the list as the last PendingUpdate announced it. It reports false while there
@@ -62,7 +62,7 @@
 	if len(t.pendingUpdates) > 0 {
 		return Update{}, false
 	}
-	update := Update{Full: true, Sum: t.local.sum}
+	update := Update{Full: true, Checksum: t.local.checksum}
 	for _, node := range t.order {
 		if t.local.has(node) {
 			update.Reports = append(update.Reports, t.entries[node].report)
@@ -71,12 +71,12 @@
 	return update, true
 }
 
-// AnnouncedSum returns the checksum of this core's list as the last PendingUpdate announced it.
-func (t *Table) AnnouncedSum() uint64 { return t.announcedSum }
+// AnnouncedChecksum returns the checksum of this core's list as the last PendingUpdate announced it.
+func (t *Table) AnnouncedChecksum() uint64 { return t.announcedChecksum }
 
-// StampHeartbeat records that the heartbeat with this number is sent now. It announces every renewal
+// RecordHeartbeat records that the heartbeat with this number is sent now. It announces every renewal
 // so far.
-func (t *Table) StampHeartbeat(number uint64) { t.lastHeartbeat = number }
+func (t *Table) RecordHeartbeat(number uint64) { t.lastHeartbeat = number }
 
 // AcknowledgedRenewal returns the number of a sidecar's newest renewal that the given heartbeat, or
 // an earlier one, announced; 0 if there is none.
@@ -94,15 +94,15 @@
 	return newest
 }
 
-// Heartbeat applies another registrar's heartbeat, which shows that all sidecars on its list are
+// ApplyHeartbeat applies another registrar's heartbeat, which shows that all sidecars on its list are
 // alive. It reports false if the copy of that list here has another checksum.
-func (t *Table) Heartbeat(now monotime.Time, from ident.Addr, sum uint64) bool {
+func (t *Table) ApplyHeartbeat(now monotime.Time, from ident.Addr, checksum uint64) bool {
 	peer := t.registrars[from]
 	if peer == nil {
 		peer = newRegistrar()
 		t.registrars[from] = peer
 	}
-	if peer.sum != sum {
+	if peer.checksum != checksum {
 		return false
 	}
 	peer.lastHeard = now
@@ -114,11 +114,11 @@
 func (t *Table) ApplyUpdate(now monotime.Time, from ident.Addr, update Update) (changed, inSync bool) {
 	peer := t.registrars[from]
 	switch {
-	case peer == nil && (update.Full || update.BaseSum == 0):
+	case peer == nil && (update.Full || update.BaseChecksum == 0):
 		peer = newRegistrar()
 		t.registrars[from] = peer
-	case peer == nil || !update.Full && peer.sum != update.BaseSum:
-		return false, peer != nil && peer.sum == update.Sum
+	case peer == nil || !update.Full && peer.checksum != update.BaseChecksum:
+		return false, peer != nil && peer.checksum == update.Checksum
 	}
 	for node := range peer.leases {
 		if update.Full || slices.Contains(update.Removed, node) {
@@ -132,7 +132,7 @@
 		}
 	}
 	peer.lastHeard = now
-	return changed, peer.sum == update.Sum
+	return changed, peer.checksum == update.Checksum
 }
 
 // applyReport applies the report of a sidecar that renews at another registrar, unless a newer one
--- a/control/registry/record/record.go
+++ b/control/registry/record/record.go
@@ -83,8 +83,8 @@
 	Records []Address `json:"records"`
 }
 
-// Older reports whether this version comes before another one of the same author.
-func (s Set) Older(other Set) bool {
+// OlderThan reports whether this version comes before another one of the same author.
+func (s Set) OlderThan(other Set) bool {
 	if s.LeaseEpoch != other.LeaseEpoch {
 		return s.LeaseEpoch < other.LeaseEpoch
 	}
@@ -107,14 +107,14 @@
 	Workloads      []Workload           `json:"workloads"`
 }
 
-// SameExceptLoad reports whether two reports are the same but for the workloads' load, which travels
+// EqualExceptLoad reports whether two reports are the same but for the workloads' load, which travels
 // with the responses to requests.
-func (r Report) SameExceptLoad(other Report) bool {
+func (r Report) EqualExceptLoad(other Report) bool {
 	return r.Addr == other.Addr && r.Zone == other.Zone && r.Ready == other.Ready && r.Leaving == other.Leaving &&
-		slices.EqualFunc(r.Workloads, other.Workloads, sameExceptLoad)
+		slices.EqualFunc(r.Workloads, other.Workloads, equalExceptLoad)
 }
 
-func sameExceptLoad(a, b Workload) bool {
+func equalExceptLoad(a, b Workload) bool {
 	return a.UID == b.UID && a.Service == b.Service && a.Weight == b.Weight && a.Status == b.Status &&
 		slices.Equal(a.Addresses, b.Addresses)
 }
--- a/control/registry/record/renewal.go
+++ b/control/registry/record/renewal.go
@@ -22,8 +22,8 @@
 
 // RenewalResponse is the response to a renewal.
 type RenewalResponse struct {
-	// ReportWanted says that the core does not have the sidecar's report.
-	ReportWanted bool `json:"want,omitempty"`
+	// ReportRequired says that the core does not have the sidecar's report.
+	ReportRequired bool `json:"want,omitempty"`
 	// AcknowledgedRenewal is the Number of the newest renewal of this lease that a majority of the
 	// voters has heard of.
 	AcknowledgedRenewal uint64 `json:"took,omitempty"`
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -93,7 +93,7 @@
 
 // ReportChanged reports whether a report differs from the one that was sent last.
 func (h *Holder) ReportChanged(leaseEpoch ident.LeaseEpoch, report record.Report) bool {
-	return leaseEpoch != h.leaseEpoch || !report.SameExceptLoad(h.lastReport)
+	return leaseEpoch != h.leaseEpoch || !report.EqualExceptLoad(h.lastReport)
 }
 
 // RenewalDue reports whether a renewal is to be sent now.
@@ -150,7 +150,7 @@
 	h.outstanding--
 	h.SetCores(response.CoresVersion, response.Cores)
 	h.acknowledged(response.AcknowledgedRenewal)
-	if response.ReportWanted {
+	if response.ReportRequired {
 		h.reportHeldBy, h.renewNow = "", true
 	}
 	if response.Stale || response.Leaving {
--- a/mesh/registry/index.go
+++ b/mesh/registry/index.go
@@ -49,10 +49,10 @@
 // replaces reports whether a set is to stand in place of the one that is held: it is a newer
 // version, or the same one in another core's view.
 func replaces(set, old record.Set) bool {
-	if set.Older(old) {
+	if set.OlderThan(old) {
 		return false
 	}
-	return old.Older(set) || old.Lapsed != set.Lapsed
+	return old.OlderThan(set) || old.Lapsed != set.Lapsed
 }
 
 func (x *Index) rebuild() {
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -39,7 +39,7 @@
 		index, best := New(), record.Set{}
 		for _, i := range []int{order % 4, order / 4 % 4, order / 16 % 4, order / 64} {
 			index.Merge([]record.Set{sets[i]})
-			if best.Author == "" || best.Older(sets[i]) {
+			if best.Author == "" || best.OlderThan(sets[i]) {
 				best = sets[i]
 			}
 			must.False(t, index.Merge([]record.Set{best}), must.Sprint("a set that is held changes nothing"))
