--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -113,7 +113,7 @@
 		besideAddr = ident.Addr(m.listen(m.beside.ServePeer))
 	}
 	onlySlots := admission.DefaultSettings()
-	onlySlots.Extra = 0
+	onlySlots.ExtraRequests = 0
 	m.beside.slots.queue = admission.New(onlySlots)
 	_ = m.beside.Heartbeat(endpoint.Heartbeat{
 		Server:  "e0",
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -47,7 +47,7 @@
 	}
 	return admissionHints{
 		priority:        call.Route.Priority,
-		expectedTime:    decision.MeanWork,
+		expectedTime:    decision.MeanServiceTime,
 		earlyRejection:  receivedAt.Add(target / earlyRejectionFraction).Since(now),
 		latencyTarget:   receivedAt.Add(target).Since(now),
 		peerFailureRate: decision.PeerFailureRate,
@@ -123,7 +123,7 @@
 		ID:              id,
 		Rank:            h.priority,
 		Nested:          h.nested,
-		Work:            h.expectedTime,
+		ServiceTime:     h.expectedTime,
 		FreeRejectUntil: now.Add(h.earlyRejection),
 		Target:          now.Add(h.latencyTarget),
 		Deadline:        deadline,
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -102,7 +102,7 @@
 		s.reportSeq++
 		report.Seq = s.reportSeq
 	}
-	return s.lease.Targets(), s.lease.BeginRenewal(now, report, s.planner.Outcomes())
+	return s.lease.Targets(), s.lease.BeginRenewal(now, report, s.planner.OutcomeCounts())
 }
 
 // report is what this sidecar says of its machine; mu is held.
--- a/mesh/admission/compare_test.go
+++ b/mesh/admission/compare_test.go
@@ -153,9 +153,9 @@
 		admission:    true,
 		tuneBalancer: func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond },
 	},
-	{name: "margin1", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Margin = 1 }},
-	{name: "extra0", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 0 }},
-	{name: "extra2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.Extra = 2 }},
+	{name: "margin1", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.RunTimeMargin = 1 }},
+	{name: "extra0", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.ExtraRequests = 0 }},
+	{name: "extra2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.ExtraRequests = 2 }},
 	{name: "attempts3", balancer: "current", admission: true, maxAttempts: 3},
 	{name: "retry2", balancer: "current", admission: true, tuneAdmission: func(s *admission.Settings) { s.MinRetryAfter = 60 * ms }},
 }
--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -19,7 +19,7 @@
 	tickTolerance = 3 * time.Millisecond
 )
 
-// endpointQueue is the queue of one endpoint. Invariants: no more than slots and Extra are at the
+// endpointQueue is the queue of one endpoint. Invariants: no more than slots and ExtraRequests are at the
 // endpoint while slots are known; waiting is in order of rank, then target; a waiting request is not
 // at the endpoint.
 type endpointQueue struct {
@@ -40,7 +40,7 @@
 }
 
 func newEndpointQueue(settings *Settings) *endpointQueue {
-	return &endpointQueue{settings: settings, estimate: newRunEstimate(settings.UnknownWork)}
+	return &endpointQueue{settings: settings, estimate: newRunEstimate(settings.DefaultServiceTime)}
 }
 
 // limit is how many requests may be at the endpoint; 0 is no limit.
@@ -48,7 +48,7 @@
 	if e.slots == 0 {
 		return 0
 	}
-	return e.slots + e.settings.Extra
+	return e.slots + e.settings.ExtraRequests
 }
 
 func (e *endpointQueue) hasOpenSlot() bool { return e.slots == 0 || len(e.atEndpoint) < e.limit() }
@@ -98,7 +98,7 @@
 // waitingWork is the work of some waiting requests at the service's mean endpoint.
 func (e *endpointQueue) waitingWork(requests []Request) (sum time.Duration) {
 	for _, request := range requests {
-		sum += e.estimate.workOf(request.Work)
+		sum += e.estimate.workOf(request.ServiceTime)
 	}
 	return sum
 }
@@ -150,7 +150,7 @@
 	if e.slots == 0 {
 		return "", 0
 	}
-	run := e.expectedRun(now, request.Work)
+	run := e.expectedRun(now, request.ServiceTime)
 	if now.Add(run / 4).After(request.Deadline) {
 		return Late, e.settings.MinRetryAfter
 	}
@@ -189,11 +189,11 @@
 // rejected once it is expected to miss its target, by a margin; later only if it would miss it
 // without running at all, or its deadline.
 func (e *endpointQueue) rejectWaiting(now monotime.Time, request *Request, ahead time.Duration) Reason {
-	wait, run := e.expectedWait(now, ahead), e.expectedRun(now, request.Work)
+	wait, run := e.expectedWait(now, ahead), e.expectedRun(now, request.ServiceTime)
 	switch {
 	case now.Add(run / 4).After(request.Deadline), now >= request.target():
 		return Late
-	case request.FreeRejectUntil.Add(tickTolerance) >= now && e.missesTarget(now, request, wait+time.Duration(float64(run)*e.settings.Margin)):
+	case request.FreeRejectUntil.Add(tickTolerance) >= now && e.missesTarget(now, request, wait+time.Duration(float64(run)*e.settings.RunTimeMargin)):
 		return Busy
 	case now.Add(wait + run/4).After(request.Deadline), e.missesTarget(now, request, wait):
 		return Busy
@@ -204,7 +204,7 @@
 // recheckAt is when a waiting request must be checked again: when its rejection begins to cost, and
 // when it is late.
 func (e *endpointQueue) recheckAt(now monotime.Time, request *Request) monotime.Time {
-	at := min(request.target(), request.Deadline.Add(-e.expectedRun(now, request.Work)/4))
+	at := min(request.target(), request.Deadline.Add(-e.expectedRun(now, request.ServiceTime)/4))
 	if request.FreeRejectUntil.After(now) {
 		at = min(at, request.FreeRejectUntil)
 	}
@@ -227,10 +227,10 @@
 func (e *endpointQueue) takeNext(now monotime.Time) Request {
 	factor := e.slowdown(now)
 	expectedRun := func(request *Request) time.Duration {
-		return time.Duration(float64(e.estimate.workOf(request.Work)) * factor)
+		return time.Duration(float64(e.estimate.workOf(request.ServiceTime)) * factor)
 	}
 	first, chosen := e.inTime(now, expectedRun)
-	if chosen > first && (len(e.waiting) > e.settings.YieldPerSlot*e.slots || !e.canGoFirst(now, chosen, expectedRun)) {
+	if chosen > first && (len(e.waiting) > e.settings.LeastSlackQueuePerSlot*e.slots || !e.canGoFirst(now, chosen, expectedRun)) {
 		chosen = first
 	}
 	chosen = max(chosen, 0)
@@ -279,7 +279,7 @@
 
 // admit counts a request as being at the endpoint.
 func (e *endpointQueue) admit(now monotime.Time, request Request) {
-	e.atEndpoint = append(e.atEndpoint, running{request.ID, e.estimate.workOf(request.Work), now})
+	e.atEndpoint = append(e.atEndpoint, running{request.ID, e.estimate.workOf(request.ServiceTime), now})
 }
 
 // done ends a request at the endpoint, if it is known, and learns from it.
--- a/mesh/admission/model_test.go
+++ b/mesh/admission/model_test.go
@@ -240,7 +240,7 @@
 		LastResort:      c.shed,
 	}
 	if p, ok := balancer.(*loadbalancer.Balancer); ok {
-		request.Work, request.PeerFailureRate = p.MeanWork(c.kind.name), p.MeanFailureRate("s")
+		request.ServiceTime, request.PeerFailureRate = p.MeanServiceTime(c.kind.name), p.MeanFailureRate("s")
 		request.LastResort = request.LastResort || p.LastResort(m.now, e.UID)
 	}
 	s := m.byID[e.UID]
--- a/mesh/admission/queue.go
+++ b/mesh/admission/queue.go
@@ -124,7 +124,7 @@
 	q.verdicts = q.verdicts[:0]
 	if endpoint := q.endpoints[server]; endpoint != nil {
 		for _, request := range endpoint.waiting {
-			q.reject(request.ID, Gone, q.settings.MinRetryAfter)
+			q.reject(request.ID, Unavailable, q.settings.MinRetryAfter)
 		}
 		endpoint.waiting = endpoint.waiting[:0]
 	}
@@ -179,7 +179,7 @@
 				q.reject(request.ID, reason, endpoint.retryAfter(now, request))
 				continue
 			}
-			ahead += endpoint.expectedRun(now, request.Work)
+			ahead += endpoint.expectedRun(now, request.ServiceTime)
 		}
 		keep = append(keep, request)
 	}
--- a/mesh/admission/queue_test.go
+++ b/mesh/admission/queue_test.go
@@ -19,7 +19,7 @@
 // newRequest makes a request that comes at n ms, with 40 ms of work, a target of 400 ms and a deadline
 // of 1200 ms.
 func newRequest(id uint64, rank, n int) Request {
-	return Request{ID: id, Rank: rank, Work: 40 * ms, FreeRejectUntil: at(n + 95), Target: at(n + 400), Deadline: at(n + 1200)}
+	return Request{ID: id, Rank: rank, ServiceTime: 40 * ms, FreeRejectUntil: at(n + 95), Target: at(n + 400), Deadline: at(n + 1200)}
 }
 
 func newQueue(slots int) *Queue {
@@ -184,7 +184,7 @@
 		return request
 	}
 	queue := newQueue(1)
-	for id := range uint64(1 + queue.settings.Extra) { // they take the slot and what is beyond it
+	for id := range uint64(1 + queue.settings.ExtraRequests) { // they take the slot and what is beyond it
 		must.Eq(t, []uint64{100 + id}, withDecision(queue.Submit(at(0), "e", newRequest(100+id, 0, 0)), Admit))
 	}
 	for _, request := range []Request{newRequest(1, 1, 1), newRequest(2, 0, 2), nested(3, 1, 3), nested(4, 0, 4), newRequest(5, 1, 5)} {
@@ -203,7 +203,7 @@
 	queue, rejectedAtMs := newQueue(2), map[uint64]int{}
 	for id := range uint64(17) {
 		request := newRequest(id, 2, 0)
-		request.Work = 25 * ms
+		request.ServiceTime = 25 * ms
 		must.SliceEmpty(t, withDecision(queue.Submit(at(0), "e", request), Reject))
 	}
 	now := at(1)
--- a/mesh/admission/request.go
+++ b/mesh/admission/request.go
@@ -15,9 +15,9 @@
 	// Nested says that the run of another request waits for it: it goes before the requests of
 	// clients of its rank, as a rejection wastes what that run has done.
 	Nested bool
-	// Work is what its route takes at the service's mean endpoint, as its origin has measured it; 0
+	// ServiceTime is what its route takes at the service's mean endpoint, as its origin has measured it; 0
 	// for unknown.
-	Work time.Duration
+	ServiceTime time.Duration
 	// FreeRejectUntil is until when a rejection costs nothing, since the origin has time for another
 	// endpoint. Until Target its response is worth most; 0 is the deadline. After Deadline, which
 	// must be given, nobody waits for it.
@@ -65,11 +65,11 @@
 
 // The reasons.
 const (
-	Busy    Reason = "busy" // it would wait too long, or too many wait
-	Late    Reason = "late" // its deadline or target would pass
-	Failing Reason = "ill"  // the endpoint fails too often
-	Slow    Reason = "slow" // the endpoint alone takes longer than the request's target allows
-	Gone    Reason = "left" // the endpoint has left
+	Busy        Reason = "busy" // it would wait too long, or too many wait
+	Late        Reason = "late" // its deadline or target would pass
+	Failing     Reason = "ill"  // the endpoint fails too often
+	Slow        Reason = "slow" // the endpoint alone takes longer than the request's target allows
+	Unavailable Reason = "left" // the endpoint has left
 )
 
 // Verdict is what is to be done with a request now.
--- a/mesh/attempt/call.go
+++ b/mesh/attempt/call.go
@@ -65,10 +65,10 @@
 	Entry        registry.Entry
 	Timeout      time.Duration
 	Failure      *failure.Error
-	// MeanWork, PeerFailureRate and LastResort are for the admission queue at the destination, see
+	// MeanServiceTime, PeerFailureRate and LastResort are for the admission queue at the destination, see
 	// admission.Request; MeanResponseBytes, the mean size of the route's responses, is for the
 	// link there.
-	MeanWork          time.Duration
+	MeanServiceTime   time.Duration
 	MeanResponseBytes int
 	PeerFailureRate   float64
 	LastResort        bool
--- a/mesh/attempt/loadreport_test.go
+++ b/mesh/attempt/loadreport_test.go
@@ -16,7 +16,7 @@
 	must.Nil(t, planner.Route(start, call, 0))
 	first := planner.Next(start, call)
 	must.False(t, first.LastResort)
-	must.Eq(t, 0, first.MeanWork)
+	must.Eq(t, 0, first.MeanServiceTime)
 	must.True(t, planner.Finished(start, call, Result{
 		Outcome:    NotExecuted,
 		Rejected:   true,
@@ -40,5 +40,5 @@
 	planner.Balancer.HandleReport(start, first.Entry.UID, loadreport.Report{Slots: 6, RelativeTime: 0.1})
 	entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 	must.Eq(t, first.Entry.UID, entry.UID)
-	must.Eq(t, 80*time.Millisecond, planner.Balancer.MeanWork("w"))
+	must.Eq(t, 80*time.Millisecond, planner.Balancer.MeanServiceTime("w"))
 }
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -33,13 +33,13 @@
 type Planner struct {
 	// MinRevision is the newest revision that was confirmed when this sidecar joined: an earlier run
 	// of it may have enforced that one.
-	MinRevision ident.ConfigRevision
-	Index       *registry.Index
-	Balancer    *loadbalancer.Balancer
-	RetryBudget *retrybudget.Budget
-	config      *validation.Config
-	routes      *routetable.Table
-	outcomes    map[ident.Service]reconcile.CallCounts
+	MinRevision   ident.ConfigRevision
+	Index         *registry.Index
+	Balancer      *loadbalancer.Balancer
+	RetryBudget   *retrybudget.Budget
+	config        *validation.Config
+	routes        *routetable.Table
+	outcomeCounts map[ident.Service]reconcile.CallCounts
 	// RetryUnsafe breaks the rule of what may be retried; only tests of the checkers set it.
 	RetryUnsafe bool
 	// Counters.
@@ -49,11 +49,11 @@
 // New makes a planner without a configuration.
 func New(now monotime.Time, zone ident.Zone, seed uint64, limits retrybudget.Limits) *Planner {
 	return &Planner{
-		Index:       registry.New(),
-		Balancer:    loadbalancer.New(zone, seed),
-		RetryBudget: retrybudget.New(now, limits),
-		routes:      routetable.New(nil),
-		outcomes:    map[ident.Service]reconcile.CallCounts{},
+		Index:         registry.New(),
+		Balancer:      loadbalancer.New(zone, seed),
+		RetryBudget:   retrybudget.New(now, limits),
+		routes:        routetable.New(nil),
+		outcomeCounts: map[ident.Service]reconcile.CallCounts{},
 	}
 }
 
@@ -65,8 +65,10 @@
 	return p.config.Revision
 }
 
-// Outcomes counts, since the start, how the attempts at each service ended.
-func (p *Planner) Outcomes() map[ident.Service]reconcile.CallCounts { return maps.Clone(p.outcomes) }
+// OutcomeCounts counts, since the start, how the attempts at each service ended.
+func (p *Planner) OutcomeCounts() map[ident.Service]reconcile.CallCounts {
+	return maps.Clone(p.outcomeCounts)
+}
 
 // Config is the configuration in force, nil for none.
 func (p *Planner) Config() *validation.Config { return p.config }
@@ -165,7 +167,7 @@
 		RepeatChance:      repeatChance,
 		Entry:             entry,
 		Timeout:           remaining,
-		MeanWork:          p.Balancer.MeanWork(call.Route.Name),
+		MeanServiceTime:   p.Balancer.MeanServiceTime(call.Route.Name),
 		MeanResponseBytes: p.Balancer.MeanResponseBytes(call.Route.Name),
 		PeerFailureRate:   p.Balancer.MeanFailureRate(call.Route.Service),
 		LastResort:        call.shed || p.Balancer.LastResort(now, entry.UID),
@@ -222,12 +224,12 @@
 	if result.Outcome == NotExecuted || result.ClientLeft {
 		return
 	}
-	counts := p.outcomes[call.Route.Service]
+	counts := p.outcomeCounts[call.Route.Service]
 	counts.Total++
 	if result.Outcome == Unknown || result.EndpointFailed {
 		counts.Failed++
 	}
-	p.outcomes[call.Route.Service] = counts
+	p.outcomeCounts[call.Route.Service] = counts
 }
 
 // updateBalancer passes on what an attempt tells of its endpoint.
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -286,7 +286,7 @@
 		must.Nil(t, decision.Failure)
 		fail := &failure.Error{Kind: failure.ClientLeft, Outcome: failure.OutcomeUnknown}
 		must.False(t, planner.Finished(start, call, Result{Outcome: outcome, Failure: fail, ClientLeft: true, Unreachable: true}))
-		must.Zero(t, planner.Outcomes()["a"].Failed)
+		must.Zero(t, planner.OutcomeCounts()["a"].Failed)
 		must.Eq(t, outcome == Unknown, planner.FinalFailure(call).Outcome == failure.OutcomeUnknown)
 		for _, workload := range planner.Index.Workloads("a") {
 			must.False(t, planner.Balancer.LastResort(start, workload.UID), must.Sprint(outcome, workload.UID))
--- a/mesh/loadbalancer/balancer.go
+++ b/mesh/loadbalancer/balancer.go
@@ -205,8 +205,8 @@
 	stats.update(elapsed, size)
 }
 
-// MeanWork is how long a run of a route takes at the service's mean workload, 0 for unknown.
-func (b *Balancer) MeanWork(route string) time.Duration {
+// MeanServiceTime is how long a run of a route takes at the service's mean workload, 0 for unknown.
+func (b *Balancer) MeanServiceTime(route string) time.Duration {
 	if stats := b.routes[route]; stats != nil {
 		return time.Duration(stats.meanWork)
 	}
--- a/mesh/loadbalancer/cost.go
+++ b/mesh/loadbalancer/cost.go
@@ -15,7 +15,7 @@
 }
 
 func (b *Balancer) routeCost(route *routeStats) routeCost {
-	cost := routeCost{work: float64(b.UnknownWork), zone: float64(b.ZonePenalty)}
+	cost := routeCost{work: float64(b.DefaultServiceTime), zone: float64(b.ZonePenalty)}
 	if route != nil {
 		if route.meanWork > 0 {
 			cost.work = route.meanWork
--- a/mesh/loadbalancer/report_test.go
+++ b/mesh/loadbalancer/report_test.go
@@ -124,7 +124,7 @@
 		balancer.RecordRun(now, "large", 50*time.Millisecond, 90<<10)
 		balancer.RecordRun(now, "small", 50*time.Millisecond, 1<<10)
 	}
-	must.Eq(t, 50*time.Millisecond, balancer.MeanWork("large"))
+	must.Eq(t, 50*time.Millisecond, balancer.MeanServiceTime("large"))
 	must.Eq(t, 0, count("large"))
 	must.Between(t, 30, count("small"), 600)
 	balancer.HandleReport(now, "e1", loadreport.Report{Running: 1, Slots: 6, RelativeTime: 1})
--- a/mesh/loadbalancer/settings.go
+++ b/mesh/loadbalancer/settings.go
@@ -24,22 +24,22 @@
 	// SlowStart is for how long a workload that came after the others is taken to be slow, until it
 	// reports.
 	SlowStart time.Duration
-	// UnknownWork is the work of a route of which there was no response yet.
-	UnknownWork time.Duration
+	// DefaultServiceTime is the work of a route of which there was no response yet.
+	DefaultServiceTime time.Duration
 }
 
 // DefaultSettings returns the settings that the model in mesh/admission was run with.
 func DefaultSettings() Settings {
 	return Settings{
-		SampleSize:      0,
-		Jitter:          0.1,
-		LoadHalfLife:    2 * time.Second,
-		HealthHalfLife:  3 * time.Second,
-		ZonePenalty:     2 * time.Millisecond,
-		DefaultSlots:    6,
-		MaxFailureRate:  0.25,
-		MaxEjectedShare: 0.34,
-		SlowStart:       3 * time.Second,
-		UnknownWork:     50 * time.Millisecond,
+		SampleSize:         0,
+		Jitter:             0.1,
+		LoadHalfLife:       2 * time.Second,
+		HealthHalfLife:     3 * time.Second,
+		ZonePenalty:        2 * time.Millisecond,
+		DefaultSlots:       6,
+		MaxFailureRate:     0.25,
+		MaxEjectedShare:    0.34,
+		SlowStart:          3 * time.Second,
+		DefaultServiceTime: 50 * time.Millisecond,
 	}
 }
--- a/sim/world/admission.go
+++ b/sim/world/admission.go
@@ -41,7 +41,7 @@
 		target = queued.call.Deadline.Since(queued.startedAt)
 	}
 	request := admission.Request{
-		Rank: route.Priority, Work: decision.MeanWork, PeerFailureRate: decision.PeerFailureRate, LastResort: decision.LastResort,
+		Rank: route.Priority, ServiceTime: decision.MeanServiceTime, PeerFailureRate: decision.PeerFailureRate, LastResort: decision.LastResort,
 		FreeRejectUntil: monotime.Time(queued.startedAt.Add(target / 4).Since(now)),
 		Target:          monotime.Time(queued.startedAt.Add(target).Since(now)),
 	}
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -39,7 +39,7 @@
 		report.Seq = s.reportSequence
 	}
 	targets := s.lease.Targets()
-	renewal := s.lease.BeginRenewal(now, report, s.router.Outcomes())
+	renewal := s.lease.BeginRenewal(now, report, s.router.OutcomeCounts())
 	for _, addr := range targets {
 		s.renewWith(addr, renewal)
 	}
