--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -25,11 +25,11 @@
 // The kinds of failure.
 const (
 	// The input.
-	Malformed    Kind = "malformed" // it cannot be parsed
-	Invalid      Kind = "invalid"   // it parses, and breaks a rule
-	Oversize     Kind = "oversize"
-	NotPermitted Kind = "not-permitted" // the path does not have the method
-	BadSettings  Kind = "bad-boot"
+	Malformed        Kind = "malformed" // it cannot be parsed
+	Invalid          Kind = "invalid"   // it parses, and breaks a rule
+	Oversize         Kind = "oversize"
+	MethodNotAllowed Kind = "not-permitted" // the path does not have the method
+	BadSettings      Kind = "bad-boot"
 
 	// The state that the operation met.
 	Conflict  Kind = "conflict" // another revision than the one that was given
@@ -40,13 +40,13 @@
 	Exhausted Kind = "full"      // no room or no number is left
 
 	// The path of a request to an endpoint and back.
-	NoRoute          Kind = "no-way"
-	NoWorkload       Kind = "no-workload" // no endpoint of the service may be chosen
-	EndpointRejected Kind = "gate"        // the destination's sidecar rejected it before its endpoint
-	Unreachable      Kind = "unreached"   // no connection could be made
-	BadResponse      Kind = "bad-return"  // malformed, or not one to the request
-	LostResponse     Kind = "lost-return" // the connection broke before the response was complete
-	ClientLeft       Kind = "client-left" // the client closed its connection; nobody waits for a response
+	NoRoute            Kind = "no-way"
+	NoEndpoint         Kind = "no-workload" // no endpoint of the service may be chosen
+	EndpointRejected   Kind = "gate"        // the destination's sidecar rejected it before its endpoint
+	Unreachable        Kind = "unreached"   // no connection could be made
+	BadResponse        Kind = "bad-return"  // malformed, or not one to the request
+	LostResponse       Kind = "lost-return" // the connection broke before the response was complete
+	ClientDisconnected Kind = "client-left" // the client closed its connection; nobody waits for a response
 
 	// Time and load.
 	Busy             Kind = "busy"
@@ -57,18 +57,18 @@
 	// The control plane.
 	NoMajority     Kind = "no-majority"
 	UnknownOutcome Kind = "unknown-fate"
-	Damaged        Kind = "damaged" // what is stored cannot be read
+	Corrupted      Kind = "damaged" // what is stored cannot be read
 	DiskFailed     Kind = "disk-failed"
 	Internal       Kind = "internal"
 )
 
 // statusByKind holds the HTTP status of each kind.
 var statusByKind = map[Kind]int{
-	Malformed:    http.StatusBadRequest,
-	Invalid:      http.StatusUnprocessableEntity,
-	Oversize:     http.StatusRequestEntityTooLarge,
-	NotPermitted: http.StatusMethodNotAllowed,
-	BadSettings:  http.StatusBadRequest,
+	Malformed:        http.StatusBadRequest,
+	Invalid:          http.StatusUnprocessableEntity,
+	Oversize:         http.StatusRequestEntityTooLarge,
+	MethodNotAllowed: http.StatusMethodNotAllowed,
+	BadSettings:      http.StatusBadRequest,
 
 	Conflict:  http.StatusConflict,
 	NotFound:  http.StatusNotFound,
@@ -77,13 +77,13 @@
 	Compacted: http.StatusGone,
 	Exhausted: http.StatusInsufficientStorage,
 
-	NoRoute:          http.StatusNotFound,
-	NoWorkload:       http.StatusServiceUnavailable,
-	EndpointRejected: http.StatusServiceUnavailable,
-	Unreachable:      http.StatusServiceUnavailable,
-	BadResponse:      http.StatusBadGateway,
-	LostResponse:     http.StatusBadGateway,
-	ClientLeft:       http.StatusServiceUnavailable,
+	NoRoute:            http.StatusNotFound,
+	NoEndpoint:         http.StatusServiceUnavailable,
+	EndpointRejected:   http.StatusServiceUnavailable,
+	Unreachable:        http.StatusServiceUnavailable,
+	BadResponse:        http.StatusBadGateway,
+	LostResponse:       http.StatusBadGateway,
+	ClientDisconnected: http.StatusServiceUnavailable,
 
 	Busy:             http.StatusServiceUnavailable,
 	DeadlineExceeded: http.StatusGatewayTimeout,
@@ -92,7 +92,7 @@
 
 	NoMajority:     http.StatusServiceUnavailable,
 	UnknownOutcome: http.StatusGatewayTimeout,
-	Damaged:        http.StatusInternalServerError,
+	Corrupted:      http.StatusInternalServerError,
 	DiskFailed:     http.StatusServiceUnavailable,
 	Internal:       http.StatusInternalServerError,
 }
@@ -101,7 +101,7 @@
 type Error struct {
 	Kind       Kind    `json:"defect"`
 	Outcome    Outcome `json:"fate"`
-	Note       string  `json:"note,omitempty"`
+	Message    string  `json:"note,omitempty"`
 	Path       string  `json:"path,omitempty"`
 	RetryAfter float64 `json:"retryAfterS,omitempty"` // seconds
 	Faults     []Fault `json:"faults,omitempty"`
@@ -112,18 +112,18 @@
 
 // Fault is one fault of an input, at the path of a field.
 type Fault struct {
-	Path string `json:"path"`
-	Note string `json:"note"`
+	Path    string `json:"path"`
+	Message string `json:"note"`
 }
 
 // Error returns the kind, the note and all faults.
 func (e *Error) Error() string {
 	text := string(e.Kind)
-	if e.Note != "" {
-		text += ": " + e.Note
+	if e.Message != "" {
+		text += ": " + e.Message
 	}
 	for _, fault := range e.Faults {
-		text += fmt.Sprintf("\n  %s: %s", fault.Path, fault.Note)
+		text += fmt.Sprintf("\n  %s: %s", fault.Path, fault.Message)
 	}
 	return text
 }
@@ -138,12 +138,12 @@
 
 // New makes an error of an operation that was certainly not executed.
 func New(kind Kind, format string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: NotExecuted, Note: fmt.Sprintf(format, args...)}
+	return &Error{Kind: kind, Outcome: NotExecuted, Message: fmt.Sprintf(format, args...)}
 }
 
 // NewUnknown makes an error of an operation that may have been executed.
 func NewUnknown(kind Kind, format string, args ...any) *Error {
-	return &Error{Kind: kind, Outcome: OutcomeUnknown, Note: fmt.Sprintf(format, args...)}
+	return &Error{Kind: kind, Outcome: OutcomeUnknown, Message: fmt.Sprintf(format, args...)}
 }
 
 // WithRetryAfter sets after how many seconds the client may retry.
@@ -170,7 +170,7 @@
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Note: note + ": " + err.Error(), cause: err})
+	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Message: note + ": " + err.Error(), cause: err})
 }
 
 // As finds the typed error within an error, as errors.As does.
--- a/base/metrics/metrics.go
+++ b/base/metrics/metrics.go
@@ -11,9 +11,9 @@
 type Registry struct {
 	mu       sync.RWMutex
 	counters map[string]*atomic.Int64
-	// BeforeRead, when set, is called by Snapshot so that gauges are up to date. It is set
+	// BeforeSnapshot, when set, is called by Snapshot so that gauges are up to date. It is set
 	// before the registry is shared.
-	BeforeRead func()
+	BeforeSnapshot func()
 }
 
 // New makes an empty registry.
@@ -44,8 +44,8 @@
 
 // Snapshot reads all counters and gauges, by their names.
 func (r *Registry) Snapshot() map[string]int64 {
-	if r.BeforeRead != nil {
-		r.BeforeRead()
+	if r.BeforeSnapshot != nil {
+		r.BeforeSnapshot()
 	}
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/capacity/plan/plan.go
+++ b/capacity/plan/plan.go
@@ -97,7 +97,7 @@
 	invalid := failure.New(failure.BadSettings, "the target is invalid")
 	require := func(path string, ok bool, note string) {
 		if !ok {
-			invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: note})
+			invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: note})
 		}
 	}
 	require("nodes", t.Nodes > 0 && t.Nodes <= 100000, "must be from 1 to 100000")
--- a/capacity/run/options.go
+++ b/capacity/run/options.go
@@ -49,7 +49,7 @@
 func (o Options) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the capacity can't be measured")
 	addFault := func(path, format string, args ...any) {
-		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	last := 0
 	for _, size := range o.Sizes {
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -90,11 +90,11 @@
 		invalid.Faults = append(invalid.Faults, fail.Faults...)
 	}
 	if c.Seeds < 1 || c.Seeds > maxSeeds {
-		invalid.Faults = append(invalid.Faults, failure.Fault{Path: "seeds", Note: fmt.Sprintf("must be from 1 to %d", maxSeeds)})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: "seeds", Message: fmt.Sprintf("must be from 1 to %d", maxSeeds)})
 	}
 	if deploymentFail != nil {
 		if len(deploymentFail.Faults) == 0 {
-			deploymentFail.Faults = []failure.Fault{{Path: "deployment", Note: deploymentFail.Note}}
+			deploymentFail.Faults = []failure.Fault{{Path: "deployment", Message: deploymentFail.Message}}
 		}
 		invalid.Faults = append(invalid.Faults, deploymentFail.Faults...)
 	}
@@ -110,7 +110,7 @@
 		name, when, ok := strings.Cut(entry, "@")
 		after, err := time.ParseDuration(when)
 		if !ok || err != nil {
-			faults = append(faults, failure.Fault{Path: "at", Note: fmt.Sprintf("%q is no fault@time", entry)})
+			faults = append(faults, failure.Fault{Path: "at", Message: fmt.Sprintf("%q is no fault@time", entry)})
 			continue
 		}
 		schedule = append(schedule, scenario.ScheduledFault{Fault: name, After: after})
--- a/cmd/cottonarch/target.go
+++ b/cmd/cottonarch/target.go
@@ -39,7 +39,7 @@
 		if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
 			return nil, failure.NewUnknown(failure.BadResponse, "status %d: %s", response.StatusCode, data)
 		}
-		fail.Note = fmt.Sprintf("%s (executed: %s)", fail.Note, fail.Outcome)
+		fail.Message = fmt.Sprintf("%s (executed: %s)", fail.Message, fail.Outcome)
 		return nil, fail
 	}
 	return data, nil
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -40,7 +40,7 @@
 func validate(faults []string) *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
 	add := func(path, format string, args ...any) {
-		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	if _, ok := scenario.Deployments[app.Deployment]; !ok {
 		add("deployment", "there is no deployment %q; known: prairie, volta", app.Deployment)
--- a/control/audit/tree/verify.go
+++ b/control/audit/tree/verify.go
@@ -15,11 +15,11 @@
 		return err
 	}
 	if rebuilt.Checkpoint != log.Checkpoint {
-		return failure.New(failure.Damaged, "the leaves do not match the checkpoint")
+		return failure.New(failure.Corrupted, "the leaves do not match the checkpoint")
 	}
 	for i := 1; i < len(log.Leaves); i++ {
 		if log.Leaves[i].Revision <= log.Leaves[i-1].Revision {
-			return failure.New(failure.Damaged, "revision %d follows %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
+			return failure.New(failure.Corrupted, "revision %d follows %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
 		}
 	}
 	if olderCheckpoint == "" {
@@ -36,14 +36,14 @@
 		return err
 	}
 	if size > len(log.Leaves) {
-		return failure.New(failure.Damaged, "the log has %d leaves, the older checkpoint covers %d", len(log.Leaves), size)
+		return failure.New(failure.Corrupted, "the log has %d leaves, the older checkpoint covers %d", len(log.Leaves), size)
 	}
 	prefix, err := Build(log.Leaves[:size])
 	if err != nil {
 		return err
 	}
 	if strings.TrimSpace(prefix.Checkpoint) != strings.TrimSpace(olderCheckpoint) {
-		return failure.New(failure.Damaged, "the first %d leaves are not those of the older checkpoint", size)
+		return failure.New(failure.Corrupted, "the first %d leaves are not those of the older checkpoint", size)
 	}
 	return nil
 }
--- a/control/config/decode/faults.go
+++ b/control/config/decode/faults.go
@@ -22,7 +22,7 @@
 func (f *Faults) Add(path, format string, args ...any) {
 	f.Total++
 	if len(f.List) < maxFaults {
-		f.List = append(f.List, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+		f.List = append(f.List, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/control/config/decode/object_test.go
+++ b/control/config/decode/object_test.go
@@ -53,7 +53,7 @@
 	}
 	var got []string
 	for _, fault := range faults.List {
-		got = append(got, fault.Path+" "+fault.Note)
+		got = append(got, fault.Path+" "+fault.Message)
 	}
 	must.Eq(t, []string{
 		"s[1] must be a string", "f[1] must be a number", "f[3] must be a number", "o[1] must be an object",
@@ -69,7 +69,7 @@
 		faults.Add("path", "note %d", 1)
 	}
 	err := faults.Err(failure.Invalid)
-	must.Eq(t, "250 faults", err.Note)
+	must.Eq(t, "250 faults", err.Message)
 	must.Len(t, 100, err.Faults)
-	must.Eq(t, failure.Fault{Path: "path", Note: "note 1"}, err.Faults[0])
+	must.Eq(t, failure.Fault{Path: "path", Message: "note 1"}, err.Faults[0])
 }
--- a/control/coordination/keyspace/record.go
+++ b/control/coordination/keyspace/record.go
@@ -38,7 +38,7 @@
 func decodePutRecord(encoded json.RawMessage, now monotime.Time) (*putRecord, *failure.Error) {
 	record := &putRecord{encoded: encoded, firstSeen: now}
 	if err := json.Unmarshal(encoded, &[]any{&record.name, &record.value, &record.revision}); err != nil {
-		return nil, failure.New(failure.Damaged, "put: %v", err)
+		return nil, failure.New(failure.Corrupted, "put: %v", err)
 	}
 	if record.value == nil {
 		record.value = json.RawMessage("null")
--- a/control/coordination/operation/codec.go
+++ b/control/coordination/operation/codec.go
@@ -7,11 +7,11 @@
 )
 
 // Decode decodes the state and the arguments of an operation; either may be empty. A state
-// that cannot be decoded is Damaged, arguments that cannot be decoded are Malformed.
+// that cannot be decoded is Corrupted, arguments that cannot be decoded are Malformed.
 func Decode(state, args json.RawMessage, stateInto, argsInto any) *failure.Error {
 	if len(state) > 0 {
 		if err := json.Unmarshal(state, stateInto); err != nil {
-			return failure.New(failure.Damaged, "state: %v", err)
+			return failure.New(failure.Corrupted, "state: %v", err)
 		}
 	}
 	if len(args) > 0 {
--- a/control/coordination/operation/value.go
+++ b/control/coordination/operation/value.go
@@ -39,7 +39,7 @@
 	decoded := &decodedValue{}
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, &decoded.value); err != nil {
-			return nil, failure.New(failure.Damaged, "value: %v", err)
+			return nil, failure.New(failure.Corrupted, "value: %v", err)
 		}
 	}
 	return decoded, nil
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -40,8 +40,8 @@
 	Nodes []Joiner `json:"nodes"`
 }
 
-// Joined is the response for one node; the response to a batch holds them in its order.
-type Joined struct {
+// JoinResult is the response for one node; the response to a batch holds them in its order.
+type JoinResult struct {
 	LeaseEpoch ident.LeaseEpoch `json:"claim"`
 	Share      Share            `json:"share"`
 }
@@ -65,10 +65,10 @@
 			current.assignEpoch(joiner)
 		}
 	}
-	joined := make([]Joined, len(args.Nodes))
+	joined := make([]JoinResult, len(args.Nodes))
 	for i, joiner := range args.Nodes {
 		granted := current.raise(joiner.Node)
-		joined[i] = Joined{LeaseEpoch: current.Nodes[joiner.Node].LeaseEpoch, Share: granted}
+		joined[i] = JoinResult{LeaseEpoch: current.Nodes[joiner.Node].LeaseEpoch, Share: granted}
 	}
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(joined)}
 }
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -13,12 +13,12 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-func (f *fixture) join(joiners ...Joiner) []Joined {
+func (f *fixture) join(joiners ...Joiner) []JoinResult {
 	op := proposer.Operation{Op: "same", Kind: JoinKind, Args: operation.Encode(JoinArgs{joiners})}
 	result := Handlers().Apply(proposer.Context{}, f.value, op)
 	must.Nil(f.t, result.Failure)
 	f.value = result.Value
-	var joined []Joined
+	var joined []JoinResult
 	must.NoError(f.t, json.Unmarshal(result.Body, &joined))
 	must.Len(f.t, len(joiners), joined)
 	return joined
--- a/control/coordination/watch/cursor.go
+++ b/control/coordination/watch/cursor.go
@@ -47,8 +47,8 @@
 	keyvalue.Change
 }
 
-// Behind returns, in order, the keys whose revision is newer than the watcher has seen.
-func (c Cursor) Behind(revisions map[ident.Key]ident.Revision) []ident.Key {
+// StaleKeys returns, in order, the keys whose revision is newer than the watcher has seen.
+func (c Cursor) StaleKeys(revisions map[ident.Key]ident.Revision) []ident.Key {
 	var behind []ident.Key
 	for key, revision := range revisions {
 		if revision > c[key] {
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -44,7 +44,7 @@
 	startedAt      monotime.Time
 	size           int
 	remaining      int
-	entered        []quota.Joined
+	entered        []quota.JoinResult
 	configRevision ident.ConfigRevision
 	failure        *failure.Error
 }
@@ -129,7 +129,7 @@
 	failed := result.Failure
 	if failed == nil {
 		if err := json.Unmarshal(result.Body, into); err != nil {
-			failed = failure.New(failure.Damaged, "decode join result: %v", err)
+			failed = failure.New(failure.Corrupted, "decode join result: %v", err)
 		}
 	}
 	if failed != nil && b.failure == nil {
@@ -143,7 +143,7 @@
 		return
 	}
 	if b.failure == nil && len(b.entered) != b.size {
-		b.failure = failure.New(failure.Damaged, "the batch returned %d lease epochs for %d joins", len(b.entered), b.size)
+		b.failure = failure.New(failure.Corrupted, "the batch returned %d lease epochs for %d joins", len(b.entered), b.size)
 	}
 	if b.failure == nil {
 		n.learnFromJoins(now, b, fx)
--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -76,7 +76,7 @@
 
 // Load restores the state from the data of a Record.
 func (a *Acceptor) Load(data []byte) error {
-	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "membership")
+	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Corrupted, "membership")
 }
 
 // Record returns the state as a ring record.
--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -52,7 +52,7 @@
 	if key, ok := strings.CutPrefix(record.Key, promisePrefix); ok {
 		var ballot ident.Ballot
 		if err := json.Unmarshal(record.Data, &ballot); err != nil {
-			return true, failure.Wrap(err, failure.Damaged, "promise of "+key)
+			return true, failure.Wrap(err, failure.Corrupted, "promise of "+key)
 		}
 		entry := a.findOrCreate(ident.Key(key))
 		if entry.Promised.Less(ballot) {
@@ -63,7 +63,7 @@
 	if key, ok := strings.CutPrefix(record.Key, acceptedPrefix); ok {
 		var stored quorum.Record
 		if err := json.Unmarshal(record.Data, &stored); err != nil {
-			return true, failure.Wrap(err, failure.Damaged, "accepted state of "+key)
+			return true, failure.Wrap(err, failure.Corrupted, "accepted state of "+key)
 		}
 		entry := a.findOrCreate(ident.Key(key))
 		entry.Accepted, entry.Revision, entry.Value = stored.Accepted, stored.Revision, stored.Value
--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -55,7 +55,7 @@
 	}
 	var put keyspace.Put
 	if err := json.Unmarshal(result.Body, &put); err != nil {
-		return Entry{}, failure.NewUnknown(failure.Damaged, "entry: %v", err)
+		return Entry{}, failure.NewUnknown(failure.Corrupted, "entry: %v", err)
 	}
 	return Entry{key, put.Value, put.Revision}, nil
 }
@@ -105,7 +105,7 @@
 	}
 	var decoded keyspace.Changes
 	if err := json.Unmarshal(result.Body, &decoded); err != nil {
-		return Changes{}, failure.New(failure.Damaged, "changes: %v", err)
+		return Changes{}, failure.New(failure.Corrupted, "changes: %v", err)
 	}
 	changes := Changes{Events: make([]Entry, len(decoded.Events)), Revision: decoded.Revision}
 	for i, put := range decoded.Events {
--- a/daemon/api/coordination/paths.go
+++ b/daemon/api/coordination/paths.go
@@ -113,7 +113,7 @@
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(result.Body, &fields); err != nil {
-		response.WriteError(w, failure.New(failure.Damaged, "response: %v", err))
+		response.WriteError(w, failure.New(failure.Corrupted, "response: %v", err))
 		return
 	}
 	if kind == keyvalue.ReadKind && fields["deleted"] == true {
--- a/daemon/api/coordination/watch.go
+++ b/daemon/api/coordination/watch.go
@@ -92,7 +92,7 @@
 	// A watcher that has seen a key by now is not new any more.
 	initial := k.initial && len(k.cursor) == 0
 	var events []watch.Event
-	for _, key := range k.cursor.Behind(revisions) {
+	for _, key := range k.cursor.StaleKeys(revisions) {
 		eventsOfKey := k.changeEvents
 		if initial {
 			eventsOfKey = k.initialEvents
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -70,7 +70,7 @@
 	}
 	var joined node.Joined
 	if err := json.Unmarshal(answer.Body, &joined); err != nil {
-		response.WriteError(w, failure.New(failure.Damaged, "join: %v", err))
+		response.WriteError(w, failure.New(failure.Corrupted, "join: %v", err))
 		return
 	}
 	h.core.Metrics.Add("claims", 1)
--- a/daemon/api/operator/rollouts.go
+++ b/daemon/api/operator/rollouts.go
@@ -54,7 +54,7 @@
 	}
 	var current rollout.Rollout
 	if err := json.Unmarshal(result.Body, &current); err != nil {
-		response.WriteError(w, failure.New(failure.Damaged, "rollout: %v", err))
+		response.WriteError(w, failure.New(failure.Corrupted, "rollout: %v", err))
 		return
 	}
 	h.execute(w, r, proposer.Operation{Key: key, Kind: rollout.TransitionKind, Args: operation.Encode(rollout.Transition{
--- a/daemon/core/config.go
+++ b/daemon/core/config.go
@@ -75,7 +75,7 @@
 	}
 	var answer proposal.Accepted
 	if err := json.Unmarshal(end.Body, &answer); err != nil {
-		return nil, failure.New(failure.Damaged, "configuration revision: %v", err)
+		return nil, failure.New(failure.Corrupted, "configuration revision: %v", err)
 	}
 	if have := c.config.Load(); have != nil && have.Revision >= answer.Revision {
 		return have, nil
@@ -100,7 +100,7 @@
 func (c *Core) installConfig(raw json.RawMessage) (*Config, *failure.Error) {
 	var taken proposal.State
 	if err := json.Unmarshal(raw, &taken); err != nil {
-		return nil, failure.New(failure.Damaged, "configuration: %v", err)
+		return nil, failure.New(failure.Corrupted, "configuration: %v", err)
 	}
 	taken.AuditEntries, taken.Log = nil, nil
 	if have := c.config.Load(); have != nil && have.Revision >= taken.Revision {
--- a/daemon/core/disk_compatibility_test.go
+++ b/daemon/core/disk_compatibility_test.go
@@ -66,7 +66,7 @@
 // openEarlierDisk starts a core on a copy of earlierDisk and waits until it serves.
 func openEarlierDisk(t *testing.T) *core.Core {
 	t.Helper()
-	folder, err := ring.OpenDir(unpackDisk(t, earlierDisk))
+	folder, err := ring.OpenDiskFolder(unpackDisk(t, earlierDisk))
 	must.NoError(t, err)
 	c, err := core.Open(settings.Core{Addr: earlierAddr, Listen: earlierAddr, Zone: "a", Founders: []ident.Addr{earlierAddr}, Voters: 5,
 		RingFileBytes: 12 << 20, RingFiles: 4, RetryLimit: 60, WatchHistory: time.Minute}, zap.NewNop(), folder)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -25,7 +25,7 @@
 // Core opens a core on its data folder, and makes the server that it is reached by. Neither is
 // started yet.
 func Core(options settings.Core, log *zap.Logger) (*core.Core, *server.Server, error) {
-	folder, err := ring.OpenDir(options.Data)
+	folder, err := ring.OpenDiskFolder(options.Data)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -87,7 +87,7 @@
 func (s *Sidecar) sendLocally(ctx context.Context, request endpointRequest) (*exchange.Response, attempt.Result) {
 	local := s.sendToEndpoint(ctx, request)
 	result := attemptResultFor(local.failure, local.result)
-	result.ClientLeft = local.failure != nil && local.failure.Kind == failure.ClientLeft
+	result.ClientLeft = local.failure != nil && local.failure.Kind == failure.ClientDisconnected
 	result.LoadReport, result.Elapsed = parseLoadReport(local.loadReport), local.duration
 	return withSize(request.call, local.response, result)
 }
@@ -113,7 +113,7 @@
 	if !sent {
 		return attempt.Result{Outcome: attempt.NotExecuted, Failure: clientLeft(), ClientLeft: true}
 	}
-	fail := failure.NewUnknown(failure.ClientLeft, "the client closed its connection")
+	fail := failure.NewUnknown(failure.ClientDisconnected, "the client closed its connection")
 	return attempt.Result{Outcome: attempt.Unknown, Failure: fail, ClientLeft: true}
 }
 
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -159,7 +159,7 @@
 
 // clientLeft is the failure of a request that no endpoint has begun when its client leaves.
 func clientLeft() *failure.Error {
-	return failure.New(failure.ClientLeft, "the client closed its connection")
+	return failure.New(failure.ClientDisconnected, "the client closed its connection")
 }
 
 // dispatchQueued dispatches the queued requests for which there is room; mu is held. It goes on
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -115,7 +115,7 @@
 	}
 	result := endpointResult{
 		result:   resultUnknown,
-		failure:  failure.NewUnknown(failure.ClientLeft, "the client closed its connection"),
+		failure:  failure.NewUnknown(failure.ClientDisconnected, "the client closed its connection"),
 		duration: s.clock().Since(sentAt),
 	}
 	return result, admission.GivenUp
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -125,7 +125,7 @@
 	s.peerQuerier = &peerQuerier{sidecar: s}
 	s.endpoints.WithHeartbeatInterval(cfg.HeartbeatInterval).Fenced = cfg.EndpointsVerifyTarget
 	s.endpoints.VerifyNewcomers = s.canAskEndpoints()
-	s.Metrics.BeforeRead = s.refreshGauges
+	s.Metrics.BeforeSnapshot = s.refreshGauges
 	return s
 }
 
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -114,7 +114,7 @@
 func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
 	for _, revision := range slices.Sorted(maps.Keys(m.Accepted)) {
 		if op.Resent && m.Accepted[revision] == op.Content {
-			c.violate(RuleResend, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Note)
+			c.violate(RuleResend, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Message)
 		}
 	}
 }
--- a/explore/cluster/ringdisk.go
+++ b/explore/cluster/ringdisk.go
@@ -31,7 +31,7 @@
 	return d.ring.Sync()
 }
 
-func (d *ringDisk) unsynced() int { return d.mem.Unsynced() }
+func (d *ringDisk) unsynced() int { return d.mem.UnsyncedWrites() }
 
 func (d *ringDisk) lose(mask uint64) error {
 	write := 0
--- a/explore/options.go
+++ b/explore/options.go
@@ -105,7 +105,7 @@
 func (o Options) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "this can't be explored")
 	add := func(path, format string, args ...any) {
-		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	between := func(path string, n, lowest, highest int) {
 		if n < lowest || n > highest {
@@ -133,6 +133,6 @@
 	if len(invalid.Faults) == 0 {
 		return nil
 	}
-	slices.SortFunc(invalid.Faults, func(a, b failure.Fault) int { return strings.Compare(a.Path+a.Note, b.Path+b.Note) })
+	slices.SortFunc(invalid.Faults, func(a, b failure.Fault) int { return strings.Compare(a.Path+a.Message, b.Path+b.Message) })
 	return invalid
 }
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -146,7 +146,7 @@
 		if call.lastFailure != nil {
 			return p.giveUp(call, call.lastFailure)
 		}
-		return p.giveUp(call, failure.New(failure.NoWorkload, "no healthy endpoint of %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
+		return p.giveUp(call, failure.New(failure.NoEndpoint, "no healthy endpoint of %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
 	}
 	retry, granted := p.chargeRetry(now, call)
 	if !granted {
@@ -258,7 +258,7 @@
 func (p *Planner) giveUp(call *Call, cause *failure.Error) Decision {
 	p.GaveUp++
 	if cause == nil {
-		cause = failure.New(failure.NoWorkload, "no attempt could be made")
+		cause = failure.New(failure.NoEndpoint, "no attempt could be made")
 	}
 	failed := *cause
 	failed.Outcome = failure.NotExecuted
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -284,7 +284,7 @@
 		must.Nil(t, planner.Route(start, call, 0))
 		decision := planner.Next(start, call)
 		must.Nil(t, decision.Failure)
-		fail := &failure.Error{Kind: failure.ClientLeft, Outcome: failure.OutcomeUnknown}
+		fail := &failure.Error{Kind: failure.ClientDisconnected, Outcome: failure.OutcomeUnknown}
 		must.False(t, planner.Finished(start, call, Result{Outcome: outcome, Failure: fail, ClientLeft: true, Unreachable: true}))
 		must.Zero(t, planner.Outcomes()["a"].Failed)
 		must.Eq(t, outcome == Unknown, planner.FinalFailure(call).Outcome == failure.OutcomeUnknown)
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -56,7 +56,7 @@
 	}
 	values, fail := decode.Parse(raw)
 	if fail != nil {
-		fail.Kind, fail.Note = failure.BadSettings, file+": "+fail.Note
+		fail.Kind, fail.Message = failure.BadSettings, file+": "+fail.Message
 		return nil, fail
 	}
 	return values, nil
--- a/sim/scenario/options.go
+++ b/sim/scenario/options.go
@@ -55,7 +55,7 @@
 func (o Options) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the what-if can't be run")
 	add := func(path, format string, args ...any) {
-		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Note: fmt.Sprintf(format, args...)})
+		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	o.validateFaults(add)
 	if _, ok := world.Mutants[o.Mutant]; !ok && o.Mutant != "" {
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -153,7 +153,7 @@
 	}
 	c.disconnects = nil
 	if c.world.Platform && !powerLost {
-		c.memDisk.BeforeWrite = nil // what was not synced stays in the page cache
+		c.memDisk.BeforeOperation = nil // what was not synced stays in the page cache
 		return
 	}
 	c.memDisk.Crash(func(n int) int {
--- a/sim/world/coredisk.go
+++ b/sim/world/coredisk.go
@@ -30,7 +30,7 @@
 // damaged one is a violation; the machine then comes back empty.
 func (c *Core) openRing() {
 	w := c.world
-	c.memDisk.BeforeWrite = nil
+	c.memDisk.BeforeOperation = nil
 	w.Checker.Observe(invariant.DiskDamaged)
 	var err error
 	if c.ring, err = ring.Open(c.diskFolder(), w.Ring); err != nil {
@@ -53,7 +53,7 @@
 
 // FailDisk makes the disk fail every write and sync from now on.
 func (c *Core) FailDisk() {
-	c.memDisk.BeforeWrite = func(string) error { return errDiskFailed }
+	c.memDisk.BeforeOperation = func(string) error { return errDiskFailed }
 }
 
 // PowerOff takes the power of a machine, whose process may be down: what no sync covered is
--- a/sim/world/restart_test.go
+++ b/sim/world/restart_test.go
@@ -28,7 +28,7 @@
 // calls then at the first failure.
 func (c *Core) failDiskAt(point int, err error, then func()) {
 	generation := c.generation
-	c.memDisk.BeforeWrite = func(string) error {
+	c.memDisk.BeforeOperation = func(string) error {
 		if point--; point > 0 {
 			return nil
 		}
--- a/sim/world/watcher.go
+++ b/sim/world/watcher.go
@@ -66,7 +66,7 @@
 			for key, found := range result.Found {
 				revisions[key] = found.Record.Revision
 			}
-			r.read(w.cursor.Behind(revisions))
+			r.read(w.cursor.StaleKeys(revisions))
 		}
 	})
 }
--- a/storage/ring/disk_folder.go
+++ b/storage/ring/disk_folder.go
@@ -10,8 +10,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Dir is a Folder on a real disk. Invariant: one process holds it at a time.
-type Dir struct {
+// DiskFolder is a Folder on a real disk. Invariant: one process holds it at a time.
+type DiskFolder struct {
 	path string
 	lock *os.File
 }
@@ -19,9 +19,9 @@
 // lockFile is the name of the file whose lock marks a folder as held.
 const lockFile = "lock"
 
-// OpenDir makes the data folder if it is not there, and locks it. It returns DiskFailed when
+// OpenDiskFolder makes the data folder if it is not there, and locks it. It returns DiskFailed when
 // another process holds the folder.
-func OpenDir(path string) (*Dir, error) {
+func OpenDiskFolder(path string) (*DiskFolder, error) {
 	if err := makeFolder(path); err != nil {
 		return nil, err
 	}
@@ -33,14 +33,16 @@
 		_ = lock.Close()
 		return nil, failure.Wrap(err, failure.DiskFailed, "another process holds the data folder")
 	}
-	return &Dir{path: path, lock: lock}, nil
+	return &DiskFolder{path: path, lock: lock}, nil
 }
 
 // Close releases the lock on the folder. Files that were opened stay open.
-func (d *Dir) Close() error { return failure.Wrap(d.lock.Close(), failure.DiskFailed, "close lock") }
+func (d *DiskFolder) Close() error {
+	return failure.Wrap(d.lock.Close(), failure.DiskFailed, "close lock")
+}
 
 // Open opens one file, filling it with zeros up to its size.
-func (d *Dir) Open(name string, size int64) (File, error) {
+func (d *DiskFolder) Open(name string, size int64) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.DiskFailed, "open "+name)
@@ -52,14 +54,14 @@
 	return f, nil
 }
 
-// extend fills a file with zeros up to its size; a file that is longer is Damaged.
+// extend fills a file with zeros up to its size; a file that is longer is Corrupted.
 func extend(f *os.File, name string, size int64) error {
 	stat, err := f.Stat()
 	if err != nil {
 		return failure.Wrap(err, failure.DiskFailed, "stat "+name)
 	}
 	if stat.Size() > size {
-		return failure.New(failure.Damaged, "%s is longer than the ring's file size", name)
+		return failure.New(failure.Corrupted, "%s is longer than the ring's file size", name)
 	}
 	if stat.Size() == size {
 		return nil
@@ -81,7 +83,7 @@
 }
 
 // Sync makes the names of the folder's files durable.
-func (d *Dir) Sync() error { return syncFolder(d.path) }
+func (d *DiskFolder) Sync() error { return syncFolder(d.path) }
 
 func syncFolder(path string) error {
 	dir, err := os.Open(path)
--- a/storage/ring/format.go
+++ b/storage/ring/format.go
@@ -145,9 +145,9 @@
 }
 
 func errHeaderDamaged(file int) error {
-	return failure.New(failure.Damaged, "ring-%03d: header is damaged", file)
+	return failure.New(failure.Corrupted, "ring-%03d: header is damaged", file)
 }
 
 func errRecordDamaged(file int, sequence uint64) error {
-	return failure.New(failure.Damaged, "ring-%03d: record %d is damaged", file, sequence)
+	return failure.New(failure.Corrupted, "ring-%03d: record %d is damaged", file, sequence)
 }
--- a/storage/ring/memory_folder.go
+++ b/storage/ring/memory_folder.go
@@ -12,9 +12,9 @@
 // simulations of a loss of power.
 type MemoryFolder struct {
 	Files map[string]*MemoryFile
-	// BeforeWrite, when set, is called before each operation ("write", "sync" or
+	// BeforeOperation, when set, is called before each operation ("write", "sync" or
 	// "sync folder") and may fail it.
-	BeforeWrite func(operation string) error
+	BeforeOperation func(operation string) error
 	// BytesRead and BytesWritten count over all files.
 	BytesRead, BytesWritten uint64
 }
@@ -59,12 +59,12 @@
 	return nil
 }
 
-// before calls BeforeWrite, if it is set.
+// before calls BeforeOperation, if it is set.
 func (m *MemoryFolder) before(operation string) error {
-	if m.BeforeWrite == nil {
+	if m.BeforeOperation == nil {
 		return nil
 	}
-	return m.BeforeWrite(operation)
+	return m.BeforeOperation(operation)
 }
 
 // ReadAt reads what the process sees.
@@ -102,7 +102,7 @@
 
 // Crash simulates a loss of power. Of every unsynced write of n bytes the first keep(n) survive; a
 // file whose name no Sync of the folder covered survives unless keep(1) is 0. Files are visited in
-// the order of their names. BeforeWrite is reset.
+// the order of their names. BeforeOperation is reset.
 func (m *MemoryFolder) Crash(keep func(n int) int) {
 	for _, name := range slices.Sorted(maps.Keys(m.Files)) {
 		f := m.Files[name]
@@ -118,11 +118,11 @@
 		f.unsynced = nil
 		copy(f.cached, f.durable)
 	}
-	m.BeforeWrite = nil
+	m.BeforeOperation = nil
 }
 
-// Unsynced counts the writes that a loss of power may take.
-func (m *MemoryFolder) Unsynced() int {
+// UnsyncedWrites counts the writes that a loss of power may take.
+func (m *MemoryFolder) UnsyncedWrites() int {
 	n := 0
 	for _, f := range m.Files {
 		n += len(f.unsynced)
--- a/storage/ring/open.go
+++ b/storage/ring/open.go
@@ -12,7 +12,7 @@
 const noEnd = math.MaxUint64
 
 // Open opens a ring and recovers what was written to it, or begins an empty one. It returns a
-// Damaged failure when anything that was synced cannot be read whole.
+// Corrupted failure when anything that was synced cannot be read whole.
 func Open(folder Folder, options Options) (*Ring, error) {
 	r := &Ring{options: options, dirtyFiles: map[int]bool{}, live: map[string]liveRecord{}}
 	if err := r.openFiles(folder); err != nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	if !moved && r.oldestIsLost(headers[next]) {
-		return failure.New(failure.Damaged, "ring-%03d: header is damaged before its records were moved", next)
+		return failure.New(failure.Corrupted, "ring-%03d: header is damaged before its records were moved", next)
 	}
 	if err := r.checkNothingLost(next, r.lap+1, fileHeaderSize); err != nil {
 		return err
@@ -150,7 +150,7 @@
 		return errHeaderDamaged(file)
 	}
 	if r.sequence != 0 && header.first != r.sequence+1 {
-		return failure.New(failure.Damaged, "ring-%03d: begins at record %d, want %d", file, header.first, r.sequence+1)
+		return failure.New(failure.Corrupted, "ring-%03d: begins at record %d, want %d", file, header.first, r.sequence+1)
 	}
 	r.sequence = header.first - 1
 	if age == 0 {
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -25,7 +25,7 @@
 
 // losePowerAfter fails the writes and syncs of a folder from the given one on.
 func losePowerAfter(folder *MemoryFolder, writes int) {
-	folder.BeforeWrite = func(string) error {
+	folder.BeforeOperation = func(string) error {
 		if writes--; writes <= 0 {
 			return errPowerLost
 		}
@@ -62,7 +62,7 @@
 		}
 		r, err := Open(folder, options)
 		if err == nil {
-			folder.BeforeWrite = nil
+			folder.BeforeOperation = nil
 			return r
 		}
 		must.True(t, errors.Is(err, errPowerLost) && attempt < 2, must.Sprintf("point %d: %v", point, err))
@@ -125,7 +125,7 @@
 			folder.CorruptByte(fmt.Sprintf("ring-%03d", file), offset)
 			r, err := Open(folder, options)
 			if err != nil {
-				test.Eq(t, failure.Damaged, failure.From(err).Kind)
+				test.Eq(t, failure.Corrupted, failure.From(err).Kind)
 				caught++
 				continue
 			}
@@ -165,14 +165,14 @@
 	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
 	must.NoError(t, err)
 	must.NoError(t, r.Append([]Record{{"a", []byte("1")}}))
-	folder.BeforeWrite = func(operation string) error {
+	folder.BeforeOperation = func(operation string) error {
 		if operation == "sync" {
 			return errors.New("bad disk")
 		}
 		return nil
 	}
 	must.Error(t, r.Sync())
-	folder.BeforeWrite = nil
+	folder.BeforeOperation = nil
 	test.Eq(t, failure.DiskFailed, failure.From(r.Sync()).Kind)
 	test.Error(t, r.Append([]Record{{"a", []byte("2")}}))
 }
@@ -222,11 +222,11 @@
 		must.NotNil(t, err, must.Sprintf("byte %d of the header", offset))
 		var typed *failure.Error
 		must.True(t, failure.As(err, &typed))
-		must.Eq(t, failure.Damaged, typed.Kind)
+		must.Eq(t, failure.Corrupted, typed.Kind)
 	}
 	for part := range fileHeaderSize {
 		folder := NewMemoryFolder()
-		folder.BeforeWrite = func(operation string) error {
+		folder.BeforeOperation = func(operation string) error {
 			if operation == "sync" {
 				return errors.New("power lost")
 			}
@@ -273,7 +273,7 @@
 			folder := NewMemoryFolder()
 			options := Options{FileCount: files, FileSize: 4096}
 			writesLeft := point
-			folder.BeforeWrite = func(string) error {
+			folder.BeforeOperation = func(string) error {
 				if writesLeft--; writesLeft < 0 {
 					return errKilled
 				}
@@ -282,7 +282,7 @@
 			if _, err := Open(folder, options); err != nil {
 				must.ErrorIs(t, err, errKilled)
 			}
-			folder.BeforeWrite = nil // what the killed run wrote is in the page cache
+			folder.BeforeOperation = nil // what the killed run wrote is in the page cache
 			r, err := Open(folder, options)
 			must.NoError(t, err)
 			must.NoError(t, r.Append([]Record{{"a", []byte("synced")}}))
@@ -305,7 +305,7 @@
 // A ring is not opened in a folder that cannot be synced.
 func TestFolderThatCannotBeSynced(t *testing.T) {
 	folder := NewMemoryFolder()
-	folder.BeforeWrite = func(operation string) error {
+	folder.BeforeOperation = func(operation string) error {
 		if operation == "sync folder" {
 			return errors.New("bad folder")
 		}
@@ -319,9 +319,9 @@
 func TestFolderOnARealDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made", "here")
 	for start := range 3 {
-		dir, err := OpenDir(path)
+		dir, err := OpenDiskFolder(path)
 		must.NoError(t, err)
-		_, err = OpenDir(path)
+		_, err = OpenDiskFolder(path)
 		must.Error(t, err, must.Sprint("a second holder"))
 		r, err := Open(dir, Options{FileCount: 4, FileSize: 4096})
 		must.NoError(t, err)
--- a/wire/exchange/expect.go
+++ b/wire/exchange/expect.go
@@ -36,7 +36,7 @@
 
 // asNotSent is the failure of a call whose body was never sent.
 func asNotSent(fail *failure.Error) *failure.Error {
-	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", fail.Note)
+	return failure.New(failure.Unreachable, "the request's body was not asked for: %s", fail.Message)
 }
 
 // awaitContinue returns true for 100 Continue and false for a final response, which is left to
--- a/wire/response/response_test.go
+++ b/wire/response/response_test.go
@@ -21,9 +21,9 @@
 // Whatever the kind of a failure: one that is proved not to have been executed has such a
 // status, and no other has.
 func TestNotExecutedIsSaidOnlyWhenProved(t *testing.T) {
-	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoWorkload, failure.Busy, failure.DeadlineExceeded, failure.EndpointRejected,
+	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoEndpoint, failure.Busy, failure.DeadlineExceeded, failure.EndpointRejected,
 		failure.Unreachable, failure.BadResponse, failure.LostResponse, failure.NoMajority, failure.UnknownOutcome, failure.NotFound, failure.LockHeld, failure.NotHolder, failure.Compacted, failure.Stopping,
-		failure.NotReady, failure.Damaged, failure.DiskFailed, failure.BadSettings, failure.NotPermitted, failure.Internal, failure.Exhausted}
+		failure.NotReady, failure.Corrupted, failure.DiskFailed, failure.BadSettings, failure.MethodNotAllowed, failure.Internal, failure.Exhausted}
 	for _, kind := range kinds {
 		for _, outcome := range []failure.Outcome{failure.NotExecuted, failure.OutcomeUnknown, failure.Executed, ""} {
 			w := httptest.NewRecorder()
--- a/wire/server/paths.go
+++ b/wire/server/paths.go
@@ -37,5 +37,5 @@
 
 // writeMethodNotAllowed answers a request whose path has no handler for its method.
 func writeMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
-	response.WriteError(w, failure.New(failure.NotPermitted, "method %s is not allowed for %s", r.Method, r.URL.Path))
+	response.WriteError(w, failure.New(failure.MethodNotAllowed, "method %s is not allowed for %s", r.Method, r.URL.Path))
 }
