--- a/mesh/attempt/call.go
+++ b/mesh/attempt/call.go
@@ -11,91 +11,98 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// Outcome is what became of one attempt.
+// Outcome tells whether the endpoint executed the request of one attempt.
 type Outcome string
 
-// The outcomes. Invariant: NotExecuted is said only when it is proved, since the destination
-// rejected the request or no byte of it was sent, and never of a request that is still queued.
+// The outcomes. Invariant: NotExecuted is reported only when proven, because the destination
+// rejected the request or because no byte of the request was sent. A request that is still queued
+// never has the outcome NotExecuted.
 const (
 	Executed    Outcome = "ran"
 	NotExecuted Outcome = "not-run"
 	Unknown     Outcome = "unknown"
 )
 
-// Call is one request of a client. Invariant: maybeExecuted is set once the outcome of any attempt
-// was Unknown; from then on the call's failure never says that it was not executed.
+// Call is one request of a client and the state of its attempts. Invariant: maybeExecuted is set
+// as soon as the outcome of any attempt is Unknown; from then on, the failure of the call never
+// claims that the call was not executed.
 type Call struct {
 	Host, Path, Method, Caller string
-	// Session, when given, keeps the calls of one session at one service of a weighted route.
+	// Session, if set, pins all calls of the session to the same service of a weighted route.
 	Session  string
 	Deadline monotime.Time
 
 	// Route and Service are set by Planner.Route.
 	Route   validation.Route
 	Service validation.Service
-	// Nested says that the endpoint of this machine may have made the call.
+	// Nested reports whether the local endpoint may have made the call.
 	Nested bool
 
-	tried         map[ident.Server]bool
-	attempts      int
-	charged       int     // attempts that may have reached an endpoint
-	uncharged     int     // attempts that certainly did not
-	retryGranted  bool    // the retry budget granted an attempt, which has not reached an endpoint yet
-	repeatChance  float64 // the chance, 0 to 1, that the whole call comes from a repeated run
-	maybeExecuted bool
-	shed          bool // an admission queue rejected an attempt
-	lastFailure   *failure.Error
-	current       registry.Entry
+	tried             map[ident.Server]bool
+	attempts          int
+	chargedAttempts   int     // attempts that may have reached an endpoint
+	unchargedAttempts int     // attempts that certainly did not reach an endpoint
+	retryGranted      bool    // the retry budget granted an attempt that has not reached an endpoint yet
+	repeatChance      float64 // probability (0 to 1) that the call was made by a repeated run
+	maybeExecuted     bool
+	shed              bool // an admission queue rejected an attempt
+	lastFailure       *failure.Error
+	current           registry.Entry
 }
 
-// Repeatable reports whether the call may be executed twice: its route says so, or else its method.
+// Repeatable reports whether the call may be executed more than once, according to the repeat
+// policy of its route or, if the policy leaves the decision to the method, according to the
+// method.
 func (c *Call) Repeatable() bool { return c.Route.Repeat.Allows(c.Method) }
 
-// Attempts counts the attempts so far.
+// Attempts returns the number of attempts made so far.
 func (c *Call) Attempts() int { return c.attempts }
 
-// Decision is what to do next with a call: send it to Entry, or end it with Failure.
+// Decision is the next action for a call: send the call to Entry, or end the call with Failure.
 type Decision struct {
-	// Retry says that the attempt was charged to the retry budget, since an earlier one may have
-	// reached an endpoint.
+	// Retry reports whether the attempt was charged to the retry budget, because an earlier
+	// attempt may have reached an endpoint.
 	Retry bool
-	// RepeatChance is the chance, 0 to 1, that the endpoint runs the call a second time, for
-	// retrybudget.Budget.BeginRun at the destination.
+	// RepeatChance is the probability (0 to 1) that the attempt repeats an earlier run; the
+	// destination passes RepeatChance to retrybudget.Budget.BeginRun.
 	RepeatChance float64
 	Entry        registry.Entry
 	Timeout      time.Duration
 	Failure      *failure.Error
-	// MeanServiceTime, PeerFailureRate and LastResort are for the admission queue at the destination, see
-	// admission.Request; MeanResponseBytes, the mean size of the route's responses, is for the
-	// link there.
+	// MeanServiceTime, PeerFailureRate and LastResort are inputs of the admission queue at the
+	// destination (see admission.Request). MeanResponseBytes is the mean response size of the
+	// route; the destination uses it to limit the load on its network link.
 	MeanServiceTime   time.Duration
 	MeanResponseBytes int
 	PeerFailureRate   float64
 	LastResort        bool
 }
 
-// Result is how one attempt ended.
+// Result describes how one attempt ended.
 type Result struct {
 	Outcome Outcome
 	Failure *failure.Error
-	// Rejected says that the destination's checks rejected it.
+	// Rejected reports whether the checks of the destination rejected the attempt.
 	Rejected bool
-	// Unreachable says that the machine could not be reached or stopped answering.
+	// Unreachable reports whether the machine could not be reached or stopped responding.
 	Unreachable bool
-	// ReachedEndpoint says that the endpoint itself rejected an attempt that was not executed. It
-	// is of no use with the other outcomes: those attempts may have reached it in any case.
+	// ReachedEndpoint reports whether the endpoint itself rejected an attempt that was not
+	// executed. ReachedEndpoint has no effect for the other outcomes, because attempts with those
+	// outcomes may have reached the endpoint anyway.
 	ReachedEndpoint bool
-	// EndpointFailed says that the response tells of a failure of the endpoint.
+	// EndpointFailed reports whether the response indicates a failure of the endpoint.
 	EndpointFailed bool
-	// ClientLeft says that the attempt was given up as its client had left: it tells nothing of
-	// its endpoint, and no other follows.
+	// ClientLeft reports whether the attempt was canceled because its client disconnected. Such an
+	// attempt gives no information about its endpoint and is not followed by another attempt.
 	ClientLeft bool
-	// Shed says that the admission queue rejected it: the endpoint is busy, and not suspect.
+	// Shed reports whether the admission queue rejected the attempt. The endpoint is then busy,
+	// but not suspect.
 	Shed bool
-	// LoadReport is the endpoint's load as the destination reported it, nil if it did not.
+	// LoadReport is the load of the endpoint as reported by the destination, or nil without a
+	// report.
 	LoadReport *loadreport.Report
-	// Elapsed is how long the endpoint had the request, 0 for unknown, and ResponseBytes the size
-	// of its response.
+	// Elapsed is the time that the request spent at the endpoint, 0 if unknown. ResponseBytes is
+	// the size of the response.
 	Elapsed       time.Duration
 	ResponseBytes int64
 }
--- a/mesh/attempt/loadreport_test.go
+++ b/mesh/attempt/loadreport_test.go
@@ -9,8 +9,9 @@
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
-// Load reports reach the balancer with every kind of result; an attempt that an admission queue
-// rejects goes elsewhere as a last resort, and the endpoint is not suspect for it, only busy.
+// Load reports reach the balancer with every kind of result. After a rejection by an admission
+// queue, the next attempt goes to another endpoint as a last resort; the rejecting endpoint counts
+// as busy, not as suspect.
 func TestLoadReportsReachTheBalancer(t *testing.T) {
 	planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: "POST"}
 	must.Nil(t, planner.Route(start, call, 0))
@@ -36,7 +37,7 @@
 		entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 		must.NotEq(t, first.Entry.UID, entry.UID)
 	}
-	// Were it suspect, it would not be chosen now.
+	// A suspect endpoint would not be chosen here.
 	planner.Balancer.HandleReport(start, first.Entry.UID, loadreport.Report{Slots: 6, RelativeTime: 0.1})
 	entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 	must.Eq(t, first.Entry.UID, entry.UID)
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -1,5 +1,5 @@
-// Package attempt plans the attempts of a request in the sidecar of its client: it finds the route,
-// chooses an endpoint, takes the result, and decides whether the request is tried again.
+// Package attempt plans the attempts of a request in the sidecar of the client: a Planner finds
+// the route, chooses an endpoint, evaluates the result, and decides whether to retry.
 package attempt
 
 import (
@@ -19,20 +19,21 @@
 )
 
 const (
-	// minAttemptTime is the least time that must be left for an attempt to be made.
-	minAttemptTime = 5 * time.Millisecond
-	// retryAfterSeconds is when a client may retry that was rejected here.
+	// minRemainingTime is the minimum time before the deadline for which an attempt is still made.
+	minRemainingTime = 5 * time.Millisecond
+	// retryAfterSeconds is the Retry-After of failures that the planner generates.
 	retryAfterSeconds = 0.1
-	// maxUncharged is how many attempts of a call may fail before any endpoint, at no charge to the
-	// retry budget, so that unreachable machines cause no storm of attempts.
-	maxUncharged = 4
+	// maxUnchargedAttempts is how many attempts of a call may fail before they reach an endpoint.
+	// Such attempts are not charged to the retry budget, so this limit prevents retry storms
+	// against unreachable machines.
+	maxUnchargedAttempts = 4
 )
 
-// Planner plans the attempts of one sidecar's calls. Invariant: the configuration only moves to
-// higher revisions, and never to one below MinRevision.
+// Planner plans the attempts of all calls of one sidecar. Invariant: the enforced configuration
+// only moves to higher revisions, and never to a revision below MinRevision.
 type Planner struct {
-	// MinRevision is the newest revision that was confirmed when this sidecar joined: an earlier run
-	// of it may have enforced that one.
+	// MinRevision is the newest revision that was confirmed when this sidecar joined. An earlier
+	// process of this sidecar may already have enforced MinRevision.
 	MinRevision   ident.ConfigRevision
 	Index         *registry.Index
 	Balancer      *loadbalancer.Balancer
@@ -40,13 +41,14 @@
 	config        *validation.Config
 	routes        *routetable.Table
 	outcomeCounts map[ident.Service]reconcile.CallCounts
-	// RetryUnsafe breaks the rule of what may be retried; only tests of the checkers set it.
+	// RetryUnsafe allows retries of calls that are not repeatable. Only tests set RetryUnsafe, to
+	// verify that the checkers detect the violation.
 	RetryUnsafe bool
 	// Counters.
 	Calls, Retries, GaveUp, NoRoutes uint64
 }
 
-// New makes a planner without a configuration.
+// New returns a planner that enforces no configuration yet.
 func New(now monotime.Time, zone ident.Zone, seed uint64, limits retrybudget.Limits) *Planner {
 	return &Planner{
 		Index:         registry.New(),
@@ -57,7 +59,7 @@
 	}
 }
 
-// Revision is the revision of the configuration in force, 0 for none.
+// Revision returns the revision of the enforced configuration, or 0 if there is none.
 func (p *Planner) Revision() ident.ConfigRevision {
 	if p.config == nil {
 		return 0
@@ -65,15 +67,16 @@
 	return p.config.Revision
 }
 
-// OutcomeCounts counts, since the start, how the attempts at each service ended.
+// OutcomeCounts returns, per service, the total and failed attempts since the planner was created.
 func (p *Planner) OutcomeCounts() map[ident.Service]reconcile.CallCounts {
 	return maps.Clone(p.outcomeCounts)
 }
 
-// Config is the configuration in force, nil for none.
+// Config returns the enforced configuration, or nil if there is none.
 func (p *Planner) Config() *validation.Config { return p.config }
 
-// Enforce puts a configuration in force, unless its revision is not higher or below MinRevision.
+// Enforce replaces the enforced configuration and returns true. If the revision of config is not
+// higher than the enforced revision, or is below MinRevision, Enforce returns false.
 func (p *Planner) Enforce(config *validation.Config) bool {
 	if config.Revision <= p.Revision() || config.Revision < p.MinRevision {
 		return false
@@ -82,8 +85,8 @@
 	return true
 }
 
-// Route finds a call's route and service and sets its deadline; requestedTimeout is what the client
-// asked for, 0 for nothing.
+// Route finds the route and the service of a call and sets the deadline of the call.
+// requestedTimeout is the timeout requested by the client, or 0 for none.
 func (p *Planner) Route(now monotime.Time, call *Call, requestedTimeout time.Duration) *failure.Error {
 	if p.config == nil {
 		return failure.New(failure.NotReady, "no configuration is in force yet").WithRetryAfter(retryAfterSeconds)
@@ -93,7 +96,7 @@
 		p.NoRoutes++
 		return err
 	}
-	route.Service = p.chooseService(now, call, route)
+	route.Service = p.selectService(now, call, route)
 	call.Route, call.Service, call.tried = route, p.config.Services[route.Service], map[ident.Server]bool{}
 	timeout := route.Timeout
 	if requestedTimeout > 0 && requestedTimeout < timeout {
@@ -109,10 +112,11 @@
 	return nil
 }
 
-// chooseService chooses a service of a weighted route. The new services have the low positions, so
-// as their parts grow a session moves to them once and not back. A new service without a healthy
-// workload is passed over.
-func (p *Planner) chooseService(now monotime.Time, call *Call, route validation.Route) ident.Service {
+// selectService selects a service of a weighted route. The split services occupy the low
+// positions, so a session moves to a new service once as the weight of that service grows, and
+// never back. If the selected split service has no healthy workload, selectService returns the
+// service of the route instead.
+func (p *Planner) selectService(now monotime.Time, call *Call, route validation.Route) ident.Service {
 	if len(route.Split) == 0 {
 		return route.Service
 	}
@@ -134,25 +138,25 @@
 	return route.Service
 }
 
-// Next decides on the next attempt of a call, or ends the call: it never waits.
+// Next decides on the next attempt of a call, or ends the call. Next never blocks.
 func (p *Planner) Next(now monotime.Time, call *Call) Decision {
 	remaining := call.Deadline.Since(now)
-	if remaining < minAttemptTime {
-		return p.giveUp(call, failure.New(failure.DeadlineExceeded, "the deadline of the request has passed"))
+	if remaining < minRemainingTime {
+		return p.fail(call, failure.New(failure.DeadlineExceeded, "the deadline of the request has passed"))
 	}
-	if call.charged >= call.Route.MaxAttempts || call.uncharged > maxUncharged {
-		return p.giveUp(call, call.lastFailure)
+	if call.chargedAttempts >= call.Route.MaxAttempts || call.unchargedAttempts > maxUnchargedAttempts {
+		return p.fail(call, call.lastFailure)
 	}
 	entry, ok := p.Balancer.ChooseForRoute(now, call.Route.Name, p.Index.Workloads(call.Route.Service), call.tried)
 	if !ok {
 		if call.lastFailure != nil {
-			return p.giveUp(call, call.lastFailure)
+			return p.fail(call, call.lastFailure)
 		}
-		return p.giveUp(call, failure.New(failure.NoWorkload, "no healthy endpoint of %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
+		return p.fail(call, failure.New(failure.NoWorkload, "no healthy endpoint of %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
 	}
 	retry, granted := p.chargeRetry(now, call)
 	if !granted {
-		return p.giveUp(call, call.lastFailure)
+		return p.fail(call, call.lastFailure)
 	}
 	repeatChance := call.repeatChance
 	if retry {
@@ -174,10 +178,10 @@
 	}
 }
 
-// chargeRetry charges the next attempt to the retry budget if an earlier one may have reached an
-// endpoint. What was granted once holds until an attempt reaches an endpoint.
+// chargeRetry charges the next attempt to the retry budget if an earlier attempt may have reached
+// an endpoint. A granted retry stays valid until an attempt reaches an endpoint.
 func (p *Planner) chargeRetry(now monotime.Time, call *Call) (retry, granted bool) {
-	if call.charged == 0 {
+	if call.chargedAttempts == 0 {
 		return false, true
 	}
 	if !call.retryGranted {
@@ -190,11 +194,11 @@
 	return true, true
 }
 
-// Finished takes the result of the attempt that Next decided on; again says whether another may
-// follow.
+// Finished processes the result of the attempt that Next decided on. Finished returns whether
+// another attempt may follow.
 func (p *Planner) Finished(now monotime.Time, call *Call, result Result) (again bool) {
-	p.countResult(call, result)
-	p.updateBalancer(now, call, result)
+	p.recordOutcome(call, result)
+	p.reportToBalancer(now, call, result)
 	if result.ClientLeft {
 		call.lastFailure = result.Failure
 		call.maybeExecuted = call.maybeExecuted || result.Outcome != NotExecuted
@@ -202,7 +206,7 @@
 	}
 	switch result.Outcome {
 	case Executed:
-		// Where the endpoint itself failed, only a repeatable call is tried elsewhere.
+		// After a failure of the endpoint itself, only a repeatable call is tried elsewhere.
 		return result.EndpointFailed && call.Repeatable()
 	case Unknown:
 		call.lastFailure = result.Failure
@@ -213,13 +217,14 @@
 	return true
 }
 
-// countResult counts an attempt by whether it may have reached an endpoint, and its outcome.
-func (p *Planner) countResult(call *Call, result Result) {
+// recordOutcome counts an attempt as charged or uncharged, depending on whether the attempt may
+// have reached an endpoint, and adds its outcome to the counts of the service.
+func (p *Planner) recordOutcome(call *Call, result Result) {
 	if result.Outcome != NotExecuted || result.ReachedEndpoint {
-		call.charged++
+		call.chargedAttempts++
 		call.retryGranted = false
 	} else {
-		call.uncharged++
+		call.unchargedAttempts++
 	}
 	if result.Outcome == NotExecuted || result.ClientLeft {
 		return
@@ -232,8 +237,8 @@
 	p.outcomeCounts[call.Route.Service] = counts
 }
 
-// updateBalancer passes on what an attempt tells of its endpoint.
-func (p *Planner) updateBalancer(now monotime.Time, call *Call, result Result) {
+// reportToBalancer passes on what an attempt reveals about its endpoint.
+func (p *Planner) reportToBalancer(now monotime.Time, call *Call, result Result) {
 	uncertain := result.Outcome == Unknown && !result.ClientLeft
 	p.Balancer.Finished(now, call.current, uncertain, result.Unreachable && !result.ClientLeft)
 	if result.LoadReport != nil {
@@ -243,21 +248,23 @@
 		p.Balancer.RecordRun(now, call.Route.Name, result.Elapsed, result.ResponseBytes)
 	}
 	call.shed = call.shed || result.Shed
-	// A retry that the destination's retry budget rejects tells nothing of the endpoint there.
-	busyRetry := call.retryGranted && result.Failure != nil && result.Failure.Kind == failure.Busy
-	if result.Rejected && !result.Shed && !busyRetry {
+	// A rejection of a retry by the retry budget of the destination gives no information about the
+	// endpoint there.
+	retryRejectedAsBusy := call.retryGranted && result.Failure != nil && result.Failure.Kind == failure.Busy
+	if result.Rejected && !result.Shed && !retryRejectedAsBusy {
 		p.Balancer.Rejected(now, call.current.UID)
 	}
 }
 
-// FinalFailure is the failure to end a call with, its outcome as far as it is known.
+// FinalFailure ends a call and returns the failure to send to the client. The outcome of the
+// failure is NotExecuted only if no attempt can have been executed.
 func (p *Planner) FinalFailure(call *Call) *failure.Error {
-	return p.giveUp(call, call.lastFailure).Failure
+	return p.fail(call, call.lastFailure).Failure
 }
 
-// giveUp ends a call. Its failure says that the call was not executed only if no attempt can have
-// been.
-func (p *Planner) giveUp(call *Call, cause *failure.Error) Decision {
+// fail ends a call with a failure. The outcome of the failure is NotExecuted only if no attempt
+// can have been executed.
+func (p *Planner) fail(call *Call, cause *failure.Error) Decision {
 	p.GaveUp++
 	if cause == nil {
 		cause = failure.New(failure.NoWorkload, "no attempt could be made")
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -17,7 +17,7 @@
 
 const start = monotime.Time(time.Second)
 
-// healthyWorkload is the record of an endpoint that may be chosen.
+// healthyWorkload returns the record of an endpoint that the balancer may choose.
 func healthyWorkload(server string, service ident.Service, sidecar string) record.Address {
 	return record.Address{Workload: &record.Workload{
 		UID:         ident.Server(server),
@@ -28,8 +28,8 @@
 	}}
 }
 
-// newPlanner makes a planner with a route to service a, or with a split, and three endpoints each of
-// a and b.
+// newPlanner returns a planner with a route to service a, optionally with weighted services, and
+// three endpoints each for services a and b.
 func newPlanner(split ...validation.WeightedService) *Planner {
 	planner := New(start, "d", 1, retrybudget.Limits{})
 	planner.RetryBudget.Unlimited = true
@@ -59,16 +59,16 @@
 	return planner
 }
 
-// Every order of three outcomes, for a repeatable and another method: what may have been executed is
-// never tried again unless it is repeatable, no failure says "not executed" after an unknown
-// outcome, and no server is tried twice.
+// Covers every sequence of three outcomes, for a repeatable method and for one that is not: a call
+// that may have been executed is retried only if the call is repeatable, no failure claims "not
+// executed" after an unknown outcome, and no server is tried twice.
 func TestAllOrdersOfOutcomes(t *testing.T) {
 	outcomes := []Outcome{Executed, NotExecuted, Unknown}
 	for _, method := range []string{"GET", "POST"} {
 		for n := range 27 {
 			planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: method, Caller: "c"}
 			must.Nil(t, planner.Route(start, call, 0))
-			unknown, seen := false, map[ident.Server]bool{}
+			unknown, triedServers := false, map[ident.Server]bool{}
 			for i := 0; ; i++ {
 				decision := planner.Next(start.Add(time.Duration(i)*time.Millisecond), call)
 				if decision.Failure != nil {
@@ -77,8 +77,8 @@
 					break
 				}
 				must.False(t, unknown && method == "POST", must.Sprintf("%d: a POST with unknown outcome was tried again", n))
-				must.False(t, seen[decision.Entry.UID])
-				seen[decision.Entry.UID] = true
+				must.False(t, triedServers[decision.Entry.UID])
+				triedServers[decision.Entry.UID] = true
 				outcome := outcomes[n/[]int{1, 3, 9}[i]%3]
 				unknown = unknown || outcome == Unknown
 				again := planner.Finished(start.Add(time.Duration(i)*time.Millisecond), call, Result{
@@ -99,8 +99,9 @@
 	}
 }
 
-// The route's repeat policy goes before the method, for an attempt with unknown outcome.
-func TestRouteDecidesWhatMayRepeat(t *testing.T) {
+// After an attempt with unknown outcome, the repeat policy of the route takes precedence over the
+// method.
+func TestRouteRepeatPolicyOverridesMethod(t *testing.T) {
 	for repeat, wantByMethod := range map[validation.RepeatPolicy]map[string]bool{
 		validation.ByMethod: {"GET": true, "POST": false}, validation.Repeatable: {"GET": true, "POST": true}, validation.Download: {"GET": true, "POST": true},
 		validation.OneShot: {"GET": false, "POST": false}, validation.Upload: {"GET": false, "PUT": false},
@@ -119,22 +120,22 @@
 	}
 }
 
-// Parts of a weighted route may be finer than a hundredth.
-func TestSplitsFinerThanAHundredth(t *testing.T) {
-	planner, n := newPlanner(validation.WeightedService{Service: "b", Percent: 33, ExtraMillionths: 3333}), 0
+// The weights of a split may be finer than one percent.
+func TestSplitWeightsBelowOnePercent(t *testing.T) {
+	planner, chosenB := newPlanner(validation.WeightedService{Service: "b", Percent: 33, ExtraMillionths: 3333}), 0
 	for range 30000 {
 		call := &Call{Host: "h", Path: "/", Method: "GET"}
 		must.Nil(t, planner.Route(start, call, 0))
 		if call.Route.Service == "b" {
-			n++
+			chosenB++
 		}
 	}
-	must.Between(t, 9700, n, 10300)
+	must.Between(t, 9700, chosenB, 10300)
 }
 
-// A session moves to the new service at most once while the service's part grows, and the parts
-// hold.
-func TestSessionsMoveOnce(t *testing.T) {
+// While the weight of the new service grows, each session moves to the new service at most once,
+// and the number of moved sessions matches the weight.
+func TestSessionsMoveToNewServiceAtMostOnce(t *testing.T) {
 	serviceBySession := map[string]ident.Service{}
 	for _, percent := range []int{0, 5, 25, 50, 100} {
 		planner := newPlanner(validation.WeightedService{Service: "b", Percent: percent})
@@ -143,7 +144,7 @@
 			session := fmt.Sprint("session", i)
 			call := &Call{Host: "h", Path: "/", Method: "GET", Session: session}
 			must.Nil(t, planner.Route(start, call, 0))
-			must.False(t, serviceBySession[session] == "b" && call.Route.Service == "a", must.Sprint("a session went back"))
+			must.False(t, serviceBySession[session] == "b" && call.Route.Service == "a", must.Sprint("a session moved back to service a"))
 			serviceBySession[session] = call.Route.Service
 			if serviceBySession[session] == "b" {
 				moved++
@@ -153,8 +154,8 @@
 	}
 }
 
-// Without a healthy workload the call fails at once, with a Retry-After.
-func TestNoWorkloadFailsAtOnce(t *testing.T) {
+// Without a healthy workload, the call fails immediately with a Retry-After.
+func TestNoWorkloadFailsImmediately(t *testing.T) {
 	planner := newPlanner()
 	planner.Index.Merge([]record.Set{{Author: "n", LeaseEpoch: 2}})
 	call := &Call{Host: "h", Path: "/", Method: "POST"}
@@ -167,8 +168,9 @@
 	must.Eq(t, 404, planner.Route(start, &Call{Host: "other", Path: "/"}, 0).Status())
 }
 
-// A configuration below MinRevision is never put in force, whichever core or peer gives it.
-func TestNothingBelowMinRevisionIsEnforced(t *testing.T) {
+// A configuration with a revision below MinRevision is never enforced, whichever core or peer
+// sends the configuration.
+func TestRevisionBelowMinRevisionIsNotEnforced(t *testing.T) {
 	planner := New(start, "d", 1, retrybudget.Limits{})
 	planner.MinRevision = 10
 	must.False(t, planner.Enforce(&validation.Config{Revision: 9}))
@@ -178,10 +180,11 @@
 	must.Eq(t, 10, planner.Revision())
 }
 
-// All orders of four results before the last attempt: only what may have reached an endpoint is
-// charged, once, and counts against the route's attempts; rejections by the destination's checks and
-// refused connections cost nothing, but are bounded by maxUncharged.
-func TestOnlyArrivalsAreCharged(t *testing.T) {
+// Covers all sequences of four results before the last attempt. Only attempts that may have
+// reached an endpoint are charged, once each, and count towards MaxAttempts of the route.
+// Rejections by the checks of the destination and refused connections are not charged, but are
+// limited by maxUnchargedAttempts.
+func TestOnlyAttemptsThatMayReachAnEndpointAreCharged(t *testing.T) {
 	results := []Result{
 		{Outcome: NotExecuted, Rejected: true},
 		{Outcome: NotExecuted, Unreachable: true},
@@ -190,23 +193,23 @@
 	}
 	for n := range 256 {
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
-		more := []record.Address{}
+		extraRecords := []record.Address{}
 		for i := range 12 {
-			more = append(more, healthyWorkload(fmt.Sprint("more", i), "a", fmt.Sprint("m", i)))
+			extraRecords = append(extraRecords, healthyWorkload(fmt.Sprint("more", i), "a", fmt.Sprint("m", i)))
 		}
-		planner.Index.Merge([]record.Set{{Author: "m", LeaseEpoch: 1, Records: more}})
+		planner.Index.Merge([]record.Set{{Author: "m", LeaseEpoch: 1, Records: extraRecords}})
 		must.Nil(t, planner.Route(start, call, 0))
 		charged, uncharged, retries := 0, 0, 0
 		for i := 0; ; i++ {
 			decision := planner.Next(start, call)
-			if charged == 3 || uncharged > maxUncharged {
+			if charged == 3 || uncharged > maxUnchargedAttempts {
 				must.NotNil(t, decision.Failure)
 				break
 			}
 			must.Nil(t, decision.Failure)
 			must.Eq(t, charged > 0, decision.Retry)
 			must.Eq(t, charged > 0, decision.RepeatChance == 1)
-			retries = charged // one for each that follows an arrival, and never twice
+			retries = charged // one retry per charged attempt, never charged twice
 			must.Eq(t, uint64(retries), planner.RetryBudget.Granted, must.Sprint(n, i))
 			result := results[[]int{n % 4, n / 4 % 4, n / 16 % 4, n / 64 % 4}[i%4]]
 			result.Failure = &failure.Error{Kind: failure.LostResponse}
@@ -220,23 +223,24 @@
 	}
 }
 
-// A call makes no more than maxUncharged+1 attempts where all are rejected.
+// If all attempts are rejected, a call makes at most maxUnchargedAttempts+1 attempts.
 func TestUnchargedAttemptsAreBounded(t *testing.T) {
 	planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "POST"}
 	planner.RetryBudget.Unlimited = false
 	must.Nil(t, planner.Route(start, call, 0))
-	n := 0
-	for ; planner.Next(start, call).Failure == nil; n++ {
+	attempts := 0
+	for ; planner.Next(start, call).Failure == nil; attempts++ {
 		delete(call.tried, call.current.UID)
 		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Failure: &failure.Error{}}))
 	}
-	must.Eq(t, maxUncharged+1, n)
+	must.Eq(t, maxUnchargedAttempts+1, attempts)
 	must.Eq(t, uint64(0), planner.RetryBudget.Granted+planner.RetryBudget.Denied)
 }
 
-// An attempt has all the time that is left, however many attempts may follow: an endpoint that does
-// not answer may be at work, and to cut the attempt short is to lose its response.
-func TestAttemptHasAllTheTimeLeft(t *testing.T) {
+// Each attempt may use all the time until the deadline, however many attempts may follow. An
+// endpoint that has not responded may still be processing the request, and a shorter timeout would
+// lose the response.
+func TestAttemptTimeoutIsTimeUntilDeadline(t *testing.T) {
 	planner := newPlanner()
 	for _, method := range []string{"GET", "POST"} {
 		for _, requestedTimeout := range []time.Duration{0, time.Second} {
@@ -249,10 +253,11 @@
 	}
 }
 
-// A retry that the destination's retry budget rejects tells nothing of the endpoint, so first
-// attempts still go there; after any other rejection they avoid it.
-func TestBusyRepeatLeavesTheEndpointAlone(t *testing.T) {
-	for kind, chosen := range map[failure.Kind]bool{failure.Busy: true, failure.EndpointRejected: false} {
+// If the retry budget of the destination rejects a retry, first attempts still use that endpoint,
+// because the rejection gives no information about the endpoint. After any other rejection, first
+// attempts avoid the endpoint.
+func TestBusyRetryRejectionDoesNotPenalizeEndpoint(t *testing.T) {
+	for kind, wantChosen := range map[failure.Kind]bool{failure.Busy: true, failure.EndpointRejected: false} {
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
 		must.Nil(t, planner.Route(start, call, 0))
 		must.Nil(t, planner.Next(start, call).Failure)
@@ -264,21 +269,22 @@
 		retry := planner.Next(start, call)
 		must.True(t, retry.Retry)
 		must.True(t, planner.Finished(start, call, Result{Outcome: NotExecuted, Rejected: true, Failure: &failure.Error{Kind: kind}}))
-		seen := false
+		gotChosen := false
 		for range 100 {
 			next := &Call{Host: "h", Path: "/", Method: "GET", Caller: "c"}
 			must.Nil(t, planner.Route(start, next, 0))
 			decision := planner.Next(start, next)
-			seen = seen || decision.Entry.UID == retry.Entry.UID
+			gotChosen = gotChosen || decision.Entry.UID == retry.Entry.UID
 			planner.Finished(start, next, Result{Outcome: Executed})
 		}
-		must.Eq(t, chosen, seen, must.Sprint(kind))
+		must.Eq(t, wantChosen, gotChosen, must.Sprint(kind))
 	}
 }
 
-// An attempt that was given up as its client left is the last one, says nothing of its endpoint or
-// its machine, and is no failure in the counts of a rollout.
-func TestClientLeftTellsNothingOfTheEndpoint(t *testing.T) {
+// An attempt that was canceled because its client disconnected is the last attempt of its call,
+// does not make the endpoint or the machine suspect, and does not count as a failure in the
+// outcome counts that rollouts use.
+func TestClientLeftDoesNotPenalizeEndpoint(t *testing.T) {
 	for _, outcome := range []Outcome{NotExecuted, Unknown} {
 		planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: "GET", Caller: "c"}
 		must.Nil(t, planner.Route(start, call, 0))
@@ -299,6 +305,6 @@
 			chosen[again.Entry.UID] = true
 			planner.Finished(start, next, Result{Outcome: Executed})
 		}
-		must.True(t, chosen[decision.Entry.UID], must.Sprint(outcome, " the endpoint is avoided"))
+		must.True(t, chosen[decision.Entry.UID], must.Sprint(outcome, ": the endpoint is avoided"))
 	}
 }
