--- a/mesh/admission/balancers_test.go
+++ b/mesh/admission/balancers_test.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// balancer chooses endpoints at a client's sidecar.
+// balancer chooses endpoints in the sidecar of a client.
 type balancer interface {
 	ChooseForRoute(now monotime.Time, route string, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool)
 	Started(ident.Server)
@@ -19,7 +19,7 @@
 	Rejected(monotime.Time, ident.Server)
 }
 
-// randomBalancer chooses any endpoint.
+// randomBalancer chooses a uniformly random endpoint that was not tried yet.
 type randomBalancer struct{ rng *rand.Rand }
 
 func (b randomBalancer) ChooseForRoute(_ monotime.Time, _ string, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool) {
@@ -34,8 +34,9 @@
 func (randomBalancer) Finished(monotime.Time, registry.Entry, bool, bool) {}
 func (randomBalancer) Rejected(monotime.Time, ident.Server)               {}
 
-// legacyBalancer is the balancer as it was before there were load reports: the better of two by its own
-// requests in flight and the zone, without suspects.
+// legacyBalancer is the balancer as it was before load reports existed: the cheaper of two random
+// endpoints, by own requests in flight and by zone. Suspects are used only if no other endpoint is
+// left.
 type legacyBalancer struct {
 	rng          *rand.Rand
 	zone         ident.Zone
@@ -86,17 +87,17 @@
 	l.suspectUntil[s] = now.Add(250 * ms)
 }
 
-// policy is how the requests of a model are balanced and admitted.
+// policy selects the load balancing and the admission control of a simulation.
 type policy struct {
 	name          string
-	balancer      string // random, legacy or current
+	balancer      string // "random", "legacy" or "current"
 	admission     bool
-	maxAttempts   int // of a call; 0 is two
+	maxAttempts   int // attempts per call; 0 means two
 	tuneBalancer  func(*loadbalancer.Settings)
 	tuneAdmission func(*admission.Settings)
 }
 
-// newBalancer makes the balancer of a client.
+// newBalancer returns the balancer of a client.
 func (m *model) newBalancer(i int, seed uint64) balancer {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)+100))
 	switch m.policy.balancer {
--- a/mesh/admission/compare_test.go
+++ b/mesh/admission/compare_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/mesh/loadbalancer"
 )
 
-// averages are the means of the results of some runs.
+// averages are the mean results of several simulations.
 type averages struct{ score, earned, firstRank, worstWindows, crossZone, rejectedLate, hops float64 }
 
 func mean(scenario scenario, policy policy, seeds uint64) (average averages) {
@@ -25,7 +25,7 @@
 		average.earned += result.earnedShare() / n
 		average.firstRank += result.rank(1) / n
 		average.worstWindows += result.worstWindows() / n
-		average.crossZone += result.crossKB / result.allKB / n
+		average.crossZone += result.crossZoneKB / result.allKB / n
 		average.rejectedLate += float64(result.rejectedLate) / float64(result.calls) / n
 		average.hops += float64(result.hops) / float64(result.calls) / n
 	}
@@ -37,15 +37,16 @@
 	currentPolicy = policy{name: "current", balancer: "current", admission: true}
 )
 
-// Each scenario is simulated without admission queues, with the balancer that did without load
-// reports, and as it is today: many more requests are served within their target, those of the higher
-// rank nearly all, and rejections come early.
+// Simulates each scenario with the legacy balancer without admission queues, and with the current
+// balancer and admission queues. With the current policy, many more requests must be served within
+// their target, requests of the higher rank must earn nearly all of their value, and rejections
+// must come early.
 func TestMoreRequestsInTimeThanLegacy(t *testing.T) {
 	for _, testCase := range []struct {
 		name   string
 		base   scenario
-		gain   float64 // times as many served within their target, at least
-		rank1  float64 // part of the higher rank's worth, at least
+		gain   float64 // minimum ratio of requests served within their target, compared with the legacy policy
+		rank1  float64 // minimum earned share of the higher rank
 		score  float64
 		change func(*scenario)
 	}{
@@ -68,10 +69,10 @@
 			scenario.length = 13 * time.Second
 			legacy, current := simulate(scenario, legacyPolicy, 11), simulate(scenario, currentPolicy, 11)
 			must.Eq(t, legacy.calls, current.calls)
-			t.Logf("in time %d, were %d of %d; score %.3f, was %.3f; rank 1 %.3f, was %.3f", current.onTime, legacy.onTime,
+			t.Logf("in time: %d, legacy %d, of %d; score: %.3f, legacy %.3f; rank 1: %.3f, legacy %.3f", current.onTime, legacy.onTime,
 				current.calls, current.score(), legacy.score(), current.rank(1), legacy.rank(1))
 			must.Greater(t, testCase.gain*float64(legacy.onTime), float64(current.onTime),
-				must.Sprintf("%d of %d in time, were %d", current.onTime, current.calls, legacy.onTime))
+				must.Sprintf("%d of %d in time, legacy %d", current.onTime, current.calls, legacy.onTime))
 			must.Greater(t, testCase.rank1, current.rank(1))
 			must.Greater(t, testCase.score, current.score())
 			must.LessEq(t, current.calls/20, current.rejectedLate)
@@ -79,25 +80,26 @@
 	}
 }
 
-// With a cost for bytes between zones most large responses stay in their zone, and no worth is lost
-// for it.
+// With a cost per byte between zones, most large responses stay in their zone, and the score does
+// not drop.
 func TestCrossZoneCostKeepsResponsesInTheZone(t *testing.T) {
 	scenario, priced := largeMesh, currentPolicy
 	scenario.length = 8 * time.Second
 	priced.tuneBalancer = func(s *loadbalancer.Settings) { s.CrossZoneCostPerKB = time.Millisecond }
 	unpricedResult, pricedResult := simulate(scenario, currentPolicy, 3), simulate(scenario, priced, 3)
-	must.Less(t, unpricedResult.crossKB/4, pricedResult.crossKB)
+	must.Less(t, unpricedResult.crossZoneKB/4, pricedResult.crossZoneKB)
 	must.Greater(t, unpricedResult.score()-0.01, pricedResult.score())
 }
 
-// A simulation is determined by its seed.
+// A simulation is fully determined by its seed.
 func TestSameSeedSameRun(t *testing.T) {
 	scenario := modified(smallMesh, func(scenario *scenario) { scenario.load, scenario.length = 1.2, 4*time.Second })
 	must.Eq(t, fmt.Sprint(*simulate(scenario, currentPolicy, 5)), fmt.Sprint(*simulate(scenario, currentPolicy, 5)))
 }
 
-// BenchmarkTable prints the averages of all scenarios and policies, or with ADMISSION_TABLE=tune those
-// of other settings; ADMISSION_SCENARIOS names some of the scenarios.
+// BenchmarkTable prints the averages of all scenarios and policies. ADMISSION_TABLE=tune selects
+// the policies with varied settings instead; ADMISSION_SCENARIOS restricts the run to the named
+// scenarios.
 func BenchmarkTable(*testing.B) {
 	policies := []policy{
 		{name: "random", balancer: "random"},
@@ -120,7 +122,7 @@
 		}
 		names, all = selectedNames, selected
 	}
-	fmt.Printf("%-14s %-12s %6s %6s %6s %6s %6s %6s %6s\n", "scenario", "policy", "score", "worth", "rank1", "worst", "cross", "late", "hops")
+	fmt.Printf("%-14s %-12s %6s %6s %6s %6s %6s %6s %6s\n", "scenario", "policy", "score", "value", "rank1", "worst", "cross", "late", "hops")
 	sums, results := map[string]float64{}, make([]averages, len(all)*len(policies))
 	var group sync.WaitGroup
 	semaphore := make(chan bool, 4)
--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -9,41 +9,43 @@
 )
 
 const (
-	// stallFactor is how many times their expected time the requests at an endpoint may have been
-	// there, on the mean, before the endpoint counts as slower than its runs say.
+	// stallFactor is the limit on the age of the requests in flight, as a multiple of their
+	// expected run time, on average. Above the limit, the endpoint counts as slower than its
+	// completed runs indicate.
 	stallFactor = 2.5
-	// slowRelativeTime is the relative time above which requests that the endpoint alone would make
-	// late are rejected.
+	// slowRelativeTime is the relative time above which the queue rejects requests whose run time
+	// alone would exceed their target.
 	slowRelativeTime = 2
-	// tickTolerance is how late a Tick may come after a request's FreeRejectUntil.
+	// tickTolerance is how late a Tick may come after the FreeRejectUntil of a request.
 	tickTolerance = 3 * time.Millisecond
 )
 
-// endpointQueue is the queue of one endpoint. Invariants: no more than slots and ExtraRequests are at the
-// endpoint while slots are known; waiting is in order of rank, then target; a waiting request is not
-// at the endpoint.
+// endpointQueue is the admission queue of one endpoint. Invariants: while the number of slots is
+// known, at most slots plus ExtraRequests requests are in flight; waiting is sorted by precedes,
+// that is by rank, then nested requests first, then target; a waiting request has not been sent to
+// the endpoint.
 type endpointQueue struct {
-	settings   *Settings
-	estimate   runEstimate
-	slots      int
-	slowUntil  monotime.Time
-	waiting    []Request
-	atEndpoint []running
-	nextTrial  monotime.Time
+	settings       *Settings
+	estimate       runEstimate
+	slots          int
+	slowStartUntil monotime.Time
+	waiting        []Request
+	inFlight       []inFlightRequest
+	nextTrial      monotime.Time
 }
 
-// running is a request at the endpoint.
-type running struct {
-	id        uint64
-	work      time.Duration
-	startedAt monotime.Time
+// inFlightRequest is a request that was admitted to the endpoint and has not ended.
+type inFlightRequest struct {
+	id          uint64
+	serviceTime time.Duration
+	startedAt   monotime.Time
 }
 
 func newEndpointQueue(settings *Settings) *endpointQueue {
 	return &endpointQueue{settings: settings, estimate: newRunEstimate(settings.DefaultServiceTime)}
 }
 
-// limit is how many requests may be at the endpoint; 0 is no limit.
+// limit returns the maximum number of requests in flight, 0 for no limit.
 func (e *endpointQueue) limit() int {
 	if e.slots == 0 {
 		return 0
@@ -51,88 +53,95 @@
 	return e.slots + e.settings.ExtraRequests
 }
 
-func (e *endpointQueue) hasOpenSlot() bool { return e.slots == 0 || len(e.atEndpoint) < e.limit() }
+func (e *endpointQueue) hasFreeSlot() bool { return e.slots == 0 || len(e.inFlight) < e.limit() }
 
-// freeSlots is how many more may be admitted at once.
+// freeSlots returns how many more requests may be admitted immediately.
 func (e *endpointQueue) freeSlots() int {
 	if e.slots == 0 {
 		return len(e.waiting) + 1
 	}
-	return max(0, e.limit()-len(e.atEndpoint))
+	return max(0, e.limit()-len(e.inFlight))
 }
 
-// capacity is how many may wait.
+// capacity returns the maximum number of waiting requests.
 func (e *endpointQueue) capacity() int { return e.slots * e.settings.QueuePerSlot }
 
-// relativeTime is how many times as long the endpoint takes as the service's mean endpoint, without
-// its slow start. Requests that are at it for much longer than expected count too.
+// relativeTime returns the run time at the endpoint relative to the average endpoint of the
+// service, without the effect of the slow start. Requests that have been in flight for much longer
+// than expected increase the relative time too.
 func (e *endpointQueue) relativeTime(now monotime.Time) float64 {
 	relative := e.estimate.relativeTime()
-	if len(e.atEndpoint) < 2 {
+	if len(e.inFlight) < 2 {
 		return relative
 	}
 	age, expected := time.Duration(0), time.Duration(0)
-	for _, run := range e.atEndpoint {
+	for _, run := range e.inFlight {
 		age += now.Since(run.startedAt)
-		expected += run.work
+		expected += run.serviceTime
 	}
-	if stalledAfter := float64(expected) * relative * e.startFactor(now) * stallFactor; float64(age) > stalledAfter && stalledAfter > 0 {
+	if stalledAfter := float64(expected) * relative * e.slowStartFactor(now) * stallFactor; float64(age) > stalledAfter && stalledAfter > 0 {
 		relative *= float64(age) / stalledAfter
 	}
 	return min(relative, maxRelativeTime)
 }
 
-// startFactor is how many times as long the endpoint takes because it has just started.
-func (e *endpointQueue) startFactor(now monotime.Time) float64 {
-	if e.slowUntil.After(now) {
+// slowStartFactor returns the factor by which runs take longer because the endpoint has just
+// started.
+func (e *endpointQueue) slowStartFactor(now monotime.Time) float64 {
+	if e.slowStartUntil.After(now) {
 		return max(e.settings.SlowStartFactor, 1)
 	}
 	return 1
 }
 
-// slowdown is how many times as long the endpoint takes now as the service's mean endpoint.
+// slowdown returns the current run time at the endpoint relative to the average endpoint of the
+// service, slow start included.
 func (e *endpointQueue) slowdown(now monotime.Time) float64 {
-	return e.relativeTime(now) * e.startFactor(now)
+	return e.relativeTime(now) * e.slowStartFactor(now)
 }
 
-// waitingWork is the work of some waiting requests at the service's mean endpoint.
-func (e *endpointQueue) waitingWork(requests []Request) (sum time.Duration) {
+// totalServiceTime returns the sum of the service times of requests at the average endpoint of the
+// service.
+func (e *endpointQueue) totalServiceTime(requests []Request) (sum time.Duration) {
 	for _, request := range requests {
-		sum += e.estimate.workOf(request.ServiceTime)
+		sum += e.estimate.serviceTimeOrMean(request.ServiceTime)
 	}
 	return sum
 }
 
-// expectedRun is how long the endpoint will take for a request.
-func (e *endpointQueue) expectedRun(now monotime.Time, work time.Duration) time.Duration {
-	return time.Duration(float64(e.estimate.workOf(work)) * e.relativeTime(now) * e.startFactor(now))
+// expectedRunTime returns the expected run time of a request at this endpoint.
+func (e *endpointQueue) expectedRunTime(now monotime.Time, serviceTime time.Duration) time.Duration {
+	return time.Duration(float64(e.estimate.serviceTimeOrMean(serviceTime)) * e.relativeTime(now) * e.slowStartFactor(now))
 }
 
-// expectedWait is how long a request waits for a slot that has others before it in the queue, which
-// take so long at one slot. Invariant: 0 while a slot is free.
+// expectedWait returns how long a request is expected to wait for a slot. ahead is the total run
+// time, at one slot, of the waiting requests ahead of the request. Invariant: the result is 0
+// while a slot is free.
 func (e *endpointQueue) expectedWait(now monotime.Time, ahead time.Duration) time.Duration {
-	if e.slots == 0 || len(e.atEndpoint) < e.slots {
+	if e.slots == 0 || len(e.inFlight) < e.slots {
 		return 0
 	}
 	sum := time.Duration(0)
-	for _, run := range e.atEndpoint {
-		sum += run.work
+	for _, run := range e.inFlight {
+		sum += run.serviceTime
 	}
-	// The mean run of those at the endpoint stands for the time until a slot is free; those beyond
-	// its slots take a slot first.
-	nextFree := float64(sum) / float64(len(e.atEndpoint)) * float64(len(e.atEndpoint)-e.slots+1) * e.relativeTime(now) * e.startFactor(now)
+	// The mean run time of the requests in flight stands for the time until a slot becomes free.
+	// Requests in flight beyond the number of slots occupy a slot first.
+	nextFree := float64(sum) / float64(len(e.inFlight)) * float64(len(e.inFlight)-e.slots+1) * e.relativeTime(now) * e.slowStartFactor(now)
 	return (time.Duration(nextFree) + ahead) / time.Duration(e.slots)
 }
 
-// workAhead is how long one slot takes for the waiting requests before one that comes now.
-func (e *endpointQueue) workAhead(now monotime.Time, request Request) time.Duration {
-	return time.Duration(float64(e.waitingWork(e.waiting[:e.position(request)])) * e.slowdown(now))
+// runTimeAhead returns the total run time, at one slot, of the waiting requests ahead of a new
+// request.
+func (e *endpointQueue) runTimeAhead(now monotime.Time, request Request) time.Duration {
+	return time.Duration(float64(e.totalServiceTime(e.waiting[:e.position(request)])) * e.slowdown(now))
 }
 
-// position is the index at which a request is queued: after those of its rank and target.
+// position returns the index at which a new request is queued: behind all waiting requests that it
+// does not precede.
 func (e *endpointQueue) position(request Request) int {
 	i, _ := slices.BinarySearchFunc(e.waiting, request, func(x, y Request) int {
-		if before(y, x) {
+		if precedes(y, x) {
 			return 1
 		}
 		return -1
@@ -144,13 +153,13 @@
 	e.waiting = slices.Insert(e.waiting, e.position(request), request)
 }
 
-// rejection returns why a request that comes now is to be rejected and after how long it may be
-// tried again; no reason if it is not.
-func (e *endpointQueue) rejection(now monotime.Time, request Request) (Reason, time.Duration) {
+// checkNew returns the reason to reject a new request and the delay after which the request may be
+// retried. An empty reason means that the request is not rejected.
+func (e *endpointQueue) checkNew(now monotime.Time, request Request) (Reason, time.Duration) {
 	if e.slots == 0 {
 		return "", 0
 	}
-	run := e.expectedRun(now, request.ServiceTime)
+	run := e.expectedRunTime(now, request.ServiceTime)
 	if now.Add(run / 4).After(request.Deadline) {
 		return Late, e.settings.MinRetryAfter
 	}
@@ -162,36 +171,39 @@
 			e.nextTrial = now.Add(e.settings.TrialInterval)
 			return "", 0
 		}
-		// An idle endpoint gets one all the same, or it could never prove to be faster.
-		if len(e.atEndpoint) > 0 && e.relativeTime(now) > slowRelativeTime && e.missesTarget(now, &request, run) {
+		// An idle endpoint still gets one request at a time; otherwise the endpoint could never
+		// prove that it has become faster.
+		if len(e.inFlight) > 0 && e.relativeTime(now) > slowRelativeTime && e.missesTarget(now, &request, run) {
 			return Slow, e.settings.MinRetryAfter
 		}
 	}
 	if e.freeSlots() > len(e.waiting) {
 		return "", 0
 	}
-	if reason := e.rejectWaiting(now, &request, e.workAhead(now, request)); reason != "" {
+	if reason := e.checkWaiting(now, &request, e.runTimeAhead(now, request)); reason != "" {
 		return reason, e.retryAfter(now, request)
 	}
-	if len(e.waiting) >= e.capacity() && !before(request, e.waiting[len(e.waiting)-1]) {
+	if len(e.waiting) >= e.capacity() && !precedes(request, e.waiting[len(e.waiting)-1]) {
 		return Busy, e.retryAfter(now, request)
 	}
 	return "", 0
 }
 
-// missesTarget reports whether a request misses its target if its response comes after a delay.
+// missesTarget reports whether a response after the given delay would miss the target of a
+// request.
 func (e *endpointQueue) missesTarget(now monotime.Time, request *Request, delay time.Duration) bool {
-	return now.Add(delay).After(request.target())
+	return now.Add(delay).After(request.effectiveTarget())
 }
 
-// rejectWaiting returns why a request is not to wait any longer that has others before it, which
-// take so long at one slot; no reason if it may wait. While a rejection costs nothing, it is
-// rejected once it is expected to miss its target, by a margin; later only if it would miss it
-// without running at all, or its deadline.
-func (e *endpointQueue) rejectWaiting(now monotime.Time, request *Request, ahead time.Duration) Reason {
-	wait, run := e.expectedWait(now, ahead), e.expectedRun(now, request.ServiceTime)
+// checkWaiting returns the reason to reject a waiting request, or an empty reason if the request
+// may keep waiting. ahead is the total run time, at one slot, of the waiting requests ahead of the
+// request. Until FreeRejectUntil, a request is rejected as soon as it is expected to miss its
+// target, with a margin. Afterwards, a request is rejected only if its target would pass before
+// its run starts, or if it would miss its deadline.
+func (e *endpointQueue) checkWaiting(now monotime.Time, request *Request, ahead time.Duration) Reason {
+	wait, run := e.expectedWait(now, ahead), e.expectedRunTime(now, request.ServiceTime)
 	switch {
-	case now.Add(run / 4).After(request.Deadline), now >= request.target():
+	case now.Add(run / 4).After(request.Deadline), now >= request.effectiveTarget():
 		return Late
 	case request.FreeRejectUntil.Add(tickTolerance) >= now && e.missesTarget(now, request, wait+time.Duration(float64(run)*e.settings.RunTimeMargin)):
 		return Busy
@@ -201,36 +213,38 @@
 	return ""
 }
 
-// recheckAt is when a waiting request must be checked again: when its rejection begins to cost, and
-// when it is late.
+// recheckAt returns when a waiting request must be checked again: at FreeRejectUntil, when
+// rejections begin to have a cost, and when the request is late.
 func (e *endpointQueue) recheckAt(now monotime.Time, request *Request) monotime.Time {
-	at := min(request.target(), request.Deadline.Add(-e.expectedRun(now, request.ServiceTime)/4))
+	at := min(request.effectiveTarget(), request.Deadline.Add(-e.expectedRunTime(now, request.ServiceTime)/4))
 	if request.FreeRejectUntil.After(now) {
 		at = min(at, request.FreeRejectUntil)
 	}
 	return at
 }
 
-// retryAfter is after how long a rejected request may be tried again: when all that waits now has been
-// admitted. It is spread by the request's ID, so that those rejected together do not come together.
+// retryAfter returns the delay after which a rejected request may be retried: the time until all
+// requests that wait now have been admitted. A jitter derived from the request ID keeps requests
+// that are rejected together from being retried together.
 func (e *endpointQueue) retryAfter(now monotime.Time, request Request) time.Duration {
-	ahead := time.Duration(float64(e.waitingWork(e.waiting)) * e.relativeTime(now) * e.startFactor(now))
+	ahead := time.Duration(float64(e.totalServiceTime(e.waiting)) * e.relativeTime(now) * e.slowStartFactor(now))
 	wait := e.expectedWait(now, ahead)
 	jitter := (request.ID * 0x9e3779b97f4a7c15) >> 56 // 0 to 255
 	return min(max(wait*time.Duration(192+jitter/2)/256, e.settings.MinRetryAfter), e.settings.MaxRetryAfter)
 }
 
-// takeNext takes the request out of the queue that is admitted next. While few wait it is, of those
-// that can still be in time, the one with the least time to spare, unless one of a higher rank would
-// miss its target for it. Otherwise it is the first in the queue that can be in time, and if none
-// can, the first.
+// takeNext removes the next request to admit from the queue and returns the request. While few
+// requests wait, takeNext picks, of the requests that can still meet their target, the one with
+// the least slack, unless a request of a higher rank would then miss its target. Otherwise
+// takeNext picks the first request in the queue that can still meet its target, or the first
+// request if none can.
 func (e *endpointQueue) takeNext(now monotime.Time) Request {
 	factor := e.slowdown(now)
 	expectedRun := func(request *Request) time.Duration {
-		return time.Duration(float64(e.estimate.workOf(request.ServiceTime)) * factor)
+		return time.Duration(float64(e.estimate.serviceTimeOrMean(request.ServiceTime)) * factor)
 	}
-	first, chosen := e.inTime(now, expectedRun)
-	if chosen > first && (len(e.waiting) > e.settings.LeastSlackQueuePerSlot*e.slots || !e.canGoFirst(now, chosen, expectedRun)) {
+	first, chosen := e.feasible(now, expectedRun)
+	if chosen > first && (len(e.waiting) > e.settings.LeastSlackQueuePerSlot*e.slots || !e.canOvertake(now, chosen, expectedRun)) {
 		chosen = first
 	}
 	chosen = max(chosen, 0)
@@ -239,29 +253,29 @@
 	return request
 }
 
-// inTime finds, of the waiting requests that can still be in time, the first and the one with the
-// least time to spare; both are -1 if there is none.
-func (e *endpointQueue) inTime(now monotime.Time, expectedRun func(*Request) time.Duration) (first, tightest int) {
-	first, tightest = -1, -1
-	leastSpare := time.Duration(0)
+// feasible returns, of the waiting requests that can still meet their target, the index of the
+// first one and the index of the one with the least slack. Both are -1 if there is none.
+func (e *endpointQueue) feasible(now monotime.Time, expectedRun func(*Request) time.Duration) (first, leastSlackIndex int) {
+	first, leastSlackIndex = -1, -1
+	leastSlack := time.Duration(0)
 	for i := range e.waiting {
-		spare := e.waiting[i].target().Since(now) - expectedRun(&e.waiting[i])
-		if spare < 0 {
+		slack := e.waiting[i].effectiveTarget().Since(now) - expectedRun(&e.waiting[i])
+		if slack < 0 {
 			continue
 		}
 		if first < 0 {
 			first = i
 		}
-		if tightest < 0 || spare < leastSpare {
-			tightest, leastSpare = i, spare
+		if leastSlackIndex < 0 || slack < leastSlack {
+			leastSlackIndex, leastSlack = i, slack
 		}
 	}
-	return first, tightest
+	return first, leastSlackIndex
 }
 
-// canGoFirst reports whether all waiting requests of a higher rank are still in time if the one at
-// an index goes first.
-func (e *endpointQueue) canGoFirst(now monotime.Time, index int, expectedRun func(*Request) time.Duration) bool {
+// canOvertake reports whether all waiting requests of a higher rank still meet their target if the
+// request at index is admitted first.
+func (e *endpointQueue) canOvertake(now monotime.Time, index int, expectedRun func(*Request) time.Duration) bool {
 	ahead := expectedRun(&e.waiting[index])
 	for i := range e.waiting[:index] {
 		higher := &e.waiting[i]
@@ -277,23 +291,24 @@
 	return true
 }
 
-// admit counts a request as being at the endpoint.
+// admit adds a request to the requests in flight.
 func (e *endpointQueue) admit(now monotime.Time, request Request) {
-	e.atEndpoint = append(e.atEndpoint, running{request.ID, e.estimate.workOf(request.ServiceTime), now})
+	e.inFlight = append(e.inFlight, inFlightRequest{request.ID, e.estimate.serviceTimeOrMean(request.ServiceTime), now})
 }
 
-// done ends a request at the endpoint, if it is known, and learns from it.
-func (e *endpointQueue) done(now monotime.Time, id uint64, outcome Outcome, elapsed time.Duration) {
-	i := slices.IndexFunc(e.atEndpoint, func(run running) bool { return run.id == id })
+// complete ends a request in flight, if its ID is known, and updates the estimates with its run.
+func (e *endpointQueue) complete(now monotime.Time, id uint64, outcome Outcome, elapsed time.Duration) {
+	i := slices.IndexFunc(e.inFlight, func(run inFlightRequest) bool { return run.id == id })
 	if i < 0 {
 		return
 	}
-	work := e.atEndpoint[i].work
-	e.atEndpoint = slices.Delete(e.atEndpoint, i, i+1)
-	e.estimate.record(outcome, float64(elapsed)/e.startFactor(now), work)
+	serviceTime := e.inFlight[i].serviceTime
+	e.inFlight = slices.Delete(e.inFlight, i, i+1)
+	e.estimate.record(outcome, float64(elapsed)/e.slowStartFactor(now), serviceTime)
 }
 
-// failsTooOften reports whether the endpoint fails more than its peers do.
+// failsTooOften reports whether the failure rate of the endpoint exceeds the rate of its peers by
+// too much.
 func (e *endpointQueue) failsTooOften(peers float64) bool {
 	return e.estimate.failureRate > e.settings.MaxFailureRate+1.5*peers
 }
@@ -301,11 +316,11 @@
 func (e *endpointQueue) loadReport(now monotime.Time) loadreport.Report {
 	factor := e.slowdown(now)
 	return loadreport.Report{
-		Running:      len(e.atEndpoint),
+		Running:      len(e.inFlight),
 		Waiting:      len(e.waiting),
 		Slots:        e.slots,
 		RelativeTime: factor,
 		FailureRate:  e.estimate.failureRate,
-		QueueDelay:   e.expectedWait(now, time.Duration(float64(e.waitingWork(e.waiting))*factor)),
+		QueueDelay:   e.expectedWait(now, time.Duration(float64(e.totalServiceTime(e.waiting))*factor)),
 	}
 }
--- a/mesh/admission/estimate.go
+++ b/mesh/admission/estimate.go
@@ -3,56 +3,60 @@
 import "time"
 
 const (
-	// runMemory is over how many runs the estimates of time are averaged, and failureMemory the same
-	// of the failure rate.
-	runMemory     = 24
-	failureMemory = 16
-	// maxRelativeTime bounds the relative time.
+	// runSmoothing is the number of runs over which the time estimates are averaged, and
+	// failureRateSmoothing the number of runs over which the failure rate is averaged.
+	runSmoothing         = 24
+	failureRateSmoothing = 16
+	// maxRelativeTime is the upper bound of the relative time.
 	maxRelativeTime = 50
 )
 
-// failureByOutcome is what each outcome counts in the failure rate; GivenUp does not count.
-var failureByOutcome = map[Outcome]float64{Served: 0, Failed: 1}
+// failureSampleByOutcome maps outcomes to samples of the failure rate. GivenUp is no sample.
+var failureSampleByOutcome = map[Outcome]float64{Served: 0, Failed: 1}
 
-// runEstimate is what was learnt from the runs of one endpoint: exponential moving averages.
+// runEstimate holds estimates from the runs of one endpoint, as exponential moving averages.
 type runEstimate struct {
-	// spentTime over expectedTime is the relative time; a part of 1/runMemory of both fades with
-	// each run. Both are in nanoseconds.
-	spentTime, expectedTime float64
-	// meanTime is the mean time of a run, in nanoseconds.
-	meanTime    float64
+	// actualTime divided by expectedTime is the relative time. With each run, both decay by a
+	// fraction of 1/runSmoothing. Both are in nanoseconds.
+	actualTime, expectedTime float64
+	// meanRunTime is the mean run time in nanoseconds.
+	meanRunTime float64
 	failureRate float64
 }
 
-// newRunEstimate starts with the expected time of unknown work, at the weight of a few runs.
-func newRunEstimate(unknownWork time.Duration) runEstimate {
-	initial := float64(unknownWork) * runMemory / 4
-	return runEstimate{spentTime: initial, expectedTime: initial, meanTime: float64(unknownWork)}
+// newRunEstimate returns an initial estimate with the default service time, weighted like a few
+// runs.
+func newRunEstimate(defaultServiceTime time.Duration) runEstimate {
+	initial := float64(defaultServiceTime) * runSmoothing / 4
+	return runEstimate{actualTime: initial, expectedTime: initial, meanRunTime: float64(defaultServiceTime)}
 }
 
-// relativeTime is how many times as long the endpoint takes as the service's mean endpoint.
-func (e *runEstimate) relativeTime() float64 { return e.spentTime / e.expectedTime }
+// relativeTime returns the run time at the endpoint relative to the average endpoint of the
+// service.
+func (e *runEstimate) relativeTime() float64 { return e.actualTime / e.expectedTime }
 
-// workOf is a request's work at the service's mean endpoint, by the mean time here if it is unknown.
-func (e *runEstimate) workOf(work time.Duration) time.Duration {
-	if work > 0 {
-		return work
+// serviceTimeOrMean returns the service time of a request at the average endpoint of the service.
+// An unknown service time (0) is estimated from the mean run time at this endpoint.
+func (e *runEstimate) serviceTimeOrMean(serviceTime time.Duration) time.Duration {
+	if serviceTime > 0 {
+		return serviceTime
 	}
-	return time.Duration(e.meanTime * e.expectedTime / e.spentTime)
+	return time.Duration(e.meanRunTime * e.expectedTime / e.actualTime)
 }
 
-// record takes a run: its outcome, how long it took without the slow start of the endpoint, in
-// nanoseconds, and its work at the service's mean endpoint.
-func (e *runEstimate) record(outcome Outcome, elapsed float64, work time.Duration) {
-	if failed, counts := failureByOutcome[outcome]; counts {
-		e.failureRate += (failed - e.failureRate) / failureMemory
+// record updates the estimates with a run. elapsed is the run time in nanoseconds, without the
+// effect of the slow start; serviceTime is the service time of the request at the average endpoint
+// of the service.
+func (e *runEstimate) record(outcome Outcome, elapsed float64, serviceTime time.Duration) {
+	if failed, counts := failureSampleByOutcome[outcome]; counts {
+		e.failureRate += (failed - e.failureRate) / failureRateSmoothing
 	}
-	// How soon a run failed tells nothing of its work; but one that was given up late would have
-	// taken longer still.
-	if elapsed <= 0 || outcome == Failed || outcome == GivenUp && elapsed <= float64(work)*e.spentTime/e.expectedTime {
+	// The time until a failure gives no information about the service time. A run that was given
+	// up later than expected does count, because it would have taken even longer.
+	if elapsed <= 0 || outcome == Failed || outcome == GivenUp && elapsed <= float64(serviceTime)*e.actualTime/e.expectedTime {
 		return
 	}
-	e.meanTime += (min(elapsed, 8*e.meanTime) - e.meanTime) / runMemory
-	e.spentTime += min(elapsed, 8*maxRelativeTime*float64(work)) - e.spentTime/runMemory
-	e.expectedTime += float64(work) - e.expectedTime/runMemory
+	e.meanRunTime += (min(elapsed, 8*e.meanRunTime) - e.meanRunTime) / runSmoothing
+	e.actualTime += min(elapsed, 8*maxRelativeTime*float64(serviceTime)) - e.actualTime/runSmoothing
+	e.expectedTime += float64(serviceTime) - e.expectedTime/runSmoothing
 }
--- a/mesh/admission/events_test.go
+++ b/mesh/admission/events_test.go
@@ -4,14 +4,15 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// event is something that happens at a time; those at the same time happen in the order of seq.
+// event is a scheduled action of the simulation. Events with the same time run in the order of
+// seq.
 type event struct {
 	at  monotime.Time
 	seq int
 	run func()
 }
 
-// events is a heap of events.
+// events is a heap of scheduled events.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/mesh/admission/model_test.go
+++ b/mesh/admission/model_test.go
@@ -22,14 +22,14 @@
 	startTime = monotime.Time(time.Second)
 )
 
-// call is one request of a client, which tries once again after it was rejected.
+// call is one request of a client. The client retries a rejected call once.
 type call struct {
 	kind                 *requestKind
-	work                 float64 // nanoseconds at speed 1
+	serviceTime          float64 // in nanoseconds, at speed 1
 	client               int
 	createdAt, arrivedAt monotime.Time
 	isRetry              bool
-	rejectedEarly        bool // within a quarter of its target
+	rejectedEarly        bool // within a quarter of the target
 	reachedEndpoint      bool
 	rejectedLate         bool
 	tried                map[ident.Server]bool
@@ -42,13 +42,13 @@
 
 func (c *call) deadline() monotime.Time { return c.createdAt.Add(c.kind.deadline) }
 
-// server is one endpoint and the sidecar of its machine.
+// server is one endpoint together with the sidecar of its machine.
 type server struct {
 	index      int
 	entry      registry.Entry
 	speed      float64
 	busy       int
-	queue      []*call // its own queue
+	queue      []*call // queue of the endpoint itself
 	admission  *admission.Queue
 	waiting    map[uint64]*call
 	admittedAt map[uint64]monotime.Time
@@ -56,8 +56,8 @@
 	startedAt  monotime.Time
 }
 
-// model is a mesh of clients with a balancer each, and endpoints with or without admission queues. All
-// its events are in one queue, by time.
+// model is a discrete-event simulation of a mesh: clients with a balancer each, and endpoints with
+// or without admission queues. A single event queue, sorted by time, drives the simulation.
 type model struct {
 	scenario   scenario
 	policy     policy
@@ -65,24 +65,24 @@
 	queue      events
 	seq        int
 	rng        *rand.Rand
-	arrivals   *rand.Rand // a source of its own, so that the calls are the same whatever the policy
+	arrivals   *rand.Rand // separate random source, so that the calls are the same under every policy
 	balancers  []balancer
 	servers    []*server
 	byID       map[ident.Server]*server
 	entries    []registry.Entry
 	tally      tally
 	lastID     uint64
-	retries    float64 // attempts after one that may have been executed
+	retries    float64 // attempts that follow an attempt that may have been executed
 	totalSpeed float64
 }
 
 const (
-	slots               = 6
-	endpointQueueLength = 24
-	sidecarTime         = 1500 * time.Microsecond // a sidecar's own time for a request
+	slots                 = 6
+	endpointQueueLength   = 24
+	sidecarProcessingTime = 1500 * time.Microsecond // processing time of a sidecar per request
 )
 
-// simulate plays a scenario with a policy.
+// simulate runs a scenario under a policy and returns the results.
 func simulate(scenario scenario, policy policy, seed uint64) *tally {
 	m := &model{scenario: scenario, policy: policy, now: startTime,
 		rng: rand.New(rand.NewPCG(seed, 7)), arrivals: rand.New(rand.NewPCG(seed, 8)), byID: map[ident.Server]*server{},
@@ -106,7 +106,7 @@
 	return ident.Zone(fmt.Sprint("d", i%m.scenario.zones))
 }
 
-// newServer makes an endpoint; the last one enters later if the scenario has a slow start.
+// newServer creates an endpoint. If the scenario has a slow start, the last endpoint joins later.
 func (m *model) newServer(i int) {
 	s := &server{
 		index:      i,
@@ -154,11 +154,12 @@
 }
 func (m *model) scheduleAfter(d time.Duration, do func()) { m.schedule(m.now.Add(d), do) }
 
-// scheduleArrivals makes the calls: their rate is a wave with a burst, and they come in batches.
+// scheduleArrivals schedules the calls in batches. The arrival rate follows a sine wave with one
+// burst.
 func (m *model) scheduleArrivals(from monotime.Time) {
 	mean := 0.0
 	for _, k := range m.scenario.kinds {
-		mean += k.share * k.work.Seconds()
+		mean += k.share * k.meanServiceTime.Seconds()
 	}
 	rate := m.scenario.load * m.totalSpeed / mean
 	end := from.Add(m.scenario.length)
@@ -180,7 +181,7 @@
 	m.schedule(from, next)
 }
 
-// arrive makes a call of a random kind.
+// arrive creates a call of a random kind.
 func (m *model) arrive() {
 	x, k := m.arrivals.Float64(), &m.scenario.kinds[0]
 	for i := range m.scenario.kinds {
@@ -190,20 +191,20 @@
 		}
 	}
 	c := &call{kind: k, client: m.arrivals.IntN(m.scenario.clients), createdAt: m.now}
-	c.work = float64(k.work) * math.Exp(k.spread*m.arrivals.NormFloat64()-k.spread*k.spread/2)
+	c.serviceTime = float64(k.meanServiceTime) * math.Exp(k.spread*m.arrivals.NormFloat64()-k.spread*k.spread/2)
 	if m.arrivals.Float64() < 0.01 {
-		c.work *= k.tailFactor
+		c.serviceTime *= k.tailFactor
 	}
-	c.work = min(c.work, 7.5*float64(k.work))
+	c.serviceTime = min(c.serviceTime, 7.5*float64(k.meanServiceTime))
 	m.tally.calls++
-	m.tally.possible += k.worth
+	m.tally.possible += k.value
 	m.begin(c)
 }
 
-// begin brings a call to its client's sidecar, the first time or again.
+// begin delivers a call to the sidecar of its client, for the first time or for a retry.
 func (m *model) begin(c *call) {
 	c.arrivedAt, c.tried, c.attempts, c.shed, c.retryAfter = m.now, map[ident.Server]bool{}, 0, false, 0
-	m.scheduleAfter(sidecarTime, func() { m.send(c) })
+	m.scheduleAfter(sidecarProcessingTime, func() { m.send(c) })
 }
 
 func (m *model) networkDelay(c *call) time.Duration {
@@ -244,10 +245,10 @@
 		request.LastResort = request.LastResort || p.LastResort(m.now, e.UID)
 	}
 	s := m.byID[e.UID]
-	m.scheduleAfter(m.networkDelay(c)+sidecarTime, func() { m.submit(s, c, request) })
+	m.scheduleAfter(m.networkDelay(c)+sidecarProcessingTime, func() { m.submit(s, c, request) })
 }
 
-// submit brings an attempt to the endpoint's machine.
+// submit delivers an attempt to the machine of the endpoint.
 func (m *model) submit(s *server, c *call, request admission.Request) {
 	if s.admission == nil {
 		m.deliver(s, c)
@@ -257,7 +258,7 @@
 	m.apply(s, s.admission.Submit(m.now, s.entry.UID, request))
 }
 
-// apply takes the verdicts of an admission queue, and schedules its next tick.
+// apply processes the verdicts of an admission queue and schedules its next tick.
 func (m *model) apply(s *server, verdicts []admission.Verdict) {
 	for _, verdict := range slices.Clone(verdicts) {
 		c := s.waiting[verdict.ID]
@@ -282,7 +283,7 @@
 	}
 }
 
-// deliver brings an attempt to the endpoint.
+// deliver hands an attempt over to the endpoint.
 func (m *model) deliver(s *server, c *call) {
 	m.tally.arrivals++
 	switch {
@@ -303,21 +304,21 @@
 	if m.now.Since(c.arrivedAt) <= k.target {
 		c.reachedEndpoint = true
 	}
-	work := c.work / s.speed
+	serviceTime := c.serviceTime / s.speed
 	chance := m.rng.Float64()
 	end := served
 	for _, fault := range m.scenario.faults {
-		if fault.hits(s.index, m.now.Since(startTime)) {
-			work *= max(fault.slowdown, 1)
+		if fault.affects(s.index, m.now.Since(startTime)) {
+			serviceTime *= max(fault.slowdown, 1)
 			if chance < fault.failureRate {
-				work, end = work/10, failed
+				serviceTime, end = serviceTime/10, failed
 			}
 		}
 	}
 	if s.startedAt != 0 && m.now.Since(s.startedAt) < m.scenario.slowStart {
-		work *= 2
+		serviceTime *= 2
 	}
-	elapsed := time.Duration(work)
+	elapsed := time.Duration(serviceTime)
 	if m.now.Add(elapsed).After(c.deadline()) {
 		elapsed, end = c.deadline().Since(m.now), late
 	}
@@ -329,7 +330,7 @@
 	})
 }
 
-// executeQueued gives the free slots of an endpoint to its own queue.
+// executeQueued starts attempts from the queue of the endpoint itself while slots are free.
 func (m *model) executeQueued(s *server) {
 	for s.busy < slots && len(s.queue) > 0 {
 		next := s.queue[0]
@@ -347,11 +348,11 @@
 
 const (
 	served       ending = iota
-	failed              // the endpoint ran it and failed
+	failed              // the endpoint executed the attempt and failed
 	lost                // the endpoint reset the connection
-	endpointFull        // the endpoint's own queue was full
-	late                // its deadline passed at the endpoint
-	shed                // the admission queue rejected it
+	endpointFull        // the queue of the endpoint itself was full
+	late                // the deadline passed at the endpoint
+	shed                // the admission queue rejected the attempt
 )
 
 var outcomeByEnding = map[ending]admission.Outcome{
@@ -386,13 +387,13 @@
 	if end == served {
 		m.tally.allKB += float64(c.kind.bytes) / 1024
 		if m.zone(c.client) != c.entry.Zone {
-			m.tally.crossKB += float64(c.kind.bytes) / 1024
+			m.tally.crossZoneKB += float64(c.kind.bytes) / 1024
 		}
 	}
-	m.scheduleAfter(m.networkDelay(c)+sidecarTime, func() { m.receive(c, end, elapsed, report) })
+	m.scheduleAfter(m.networkDelay(c)+sidecarProcessingTime, func() { m.receive(c, end, elapsed, report) })
 }
 
-// receive takes the response of an attempt at the client's sidecar.
+// receive processes the response of an attempt in the sidecar of the client.
 func (m *model) receive(c *call, end ending, elapsed time.Duration, report *loadreport.Report) {
 	balancer := m.balancers[c.client]
 	balancer.Finished(m.now, c.entry, end == lost || end == late, false)
@@ -417,13 +418,14 @@
 		m.reject(c)
 		return
 	}
-	// It may have been executed: it is tried again only if it is repeatable, within a retry budget.
-	if !c.kind.unsafe && c.attempts < 2 && m.retries < 0.18*float64(m.tally.calls)+20 && c.deadline().Since(m.now) > 5*ms {
+	// The attempt may have been executed, so the call is retried only if the call is repeatable
+	// and the retry budget permits a retry.
+	if !c.kind.notRepeatable && c.attempts < 2 && m.retries < 0.18*float64(m.tally.calls)+20 && c.deadline().Since(m.now) > 5*ms {
 		m.retries++
 		m.send(c)
 		return
 	}
-	if !c.kind.unsafe && !c.isRetry && c.deadline().Since(m.now) > 20*ms {
+	if !c.kind.notRepeatable && !c.isRetry && c.deadline().Since(m.now) > 20*ms {
 		c.isRetry = true
 		m.scheduleAfter(10*ms, func() { m.begin(c) })
 		return
@@ -431,47 +433,47 @@
 	m.record(c, false)
 }
 
-// reject tells the client that its call was not executed; the client tries once again.
+// reject informs the client that its call was not executed. The client retries the call once.
 func (m *model) reject(c *call) {
 	m.tally.rejected++
 	if remaining := c.deadline().Since(m.now); !c.isRetry && remaining > 20*ms {
 		c.isRetry, c.rejectedEarly = true, m.now.Since(c.arrivedAt) <= c.kind.target/4
-		m.tally.returned++
+		m.tally.clientRetries++
 		m.scheduleAfter(min(max(c.retryAfter, 10*ms), remaining/3), func() { m.begin(c) })
 		return
 	}
 	if c.isRetry {
-		m.tally.penalty += 0.3 * c.kind.worth
+		m.tally.penalty += 0.3 * c.kind.value
 	}
 	m.record(c, false)
 }
 
-// record counts the end of a call.
+// record adds the end of a call to the results.
 func (m *model) record(c *call, ok bool) {
-	k, worth := c.kind, 0.0
+	k, value := c.kind, 0.0
 	m.tally.tries += c.attempts
 	switch x := m.now.Since(c.createdAt); {
 	case !ok:
 		m.tally.failed++
 		if c.rejectedLate && !c.reachedEndpoint {
 			m.tally.rejectedLate++
-			m.tally.penalty += 0.1 * k.worth
+			m.tally.penalty += 0.1 * k.value
 		}
 	case x <= k.target:
-		worth = k.worth
+		value = k.value
 		m.tally.onTime++
 	case c.rejectedEarly && m.now.Since(c.arrivedAt) <= k.target:
-		worth = (k.worth + k.lateWorth) / 2
+		value = (k.value + k.lateValue) / 2
 	case x <= k.deadline:
-		worth = k.lateWorth
+		value = k.lateValue
 	}
 	if ok {
 		m.tally.served++
 	}
-	m.tally.earned += worth
+	m.tally.earned += value
 	add := func(in map[int][2]float64, at int) {
 		x := in[at]
-		in[at] = [2]float64{x[0] + worth, x[1] + k.worth}
+		in[at] = [2]float64{x[0] + value, x[1] + k.value}
 	}
 	add(m.tally.byRank, k.rank)
 	add(m.tally.windows, int(c.createdAt.Since(startTime)/(2*time.Second)))
--- a/mesh/admission/queue.go
+++ b/mesh/admission/queue.go
@@ -1,10 +1,11 @@
-// Package admission holds the admission queue of the destination: requests for the endpoints of one
-// machine wait in its sidecar and not in the endpoints' own queues, so that their order is known and
-// a rejected request is known not to have been executed.
+// Package admission implements admission control at the destination: requests for the endpoints of
+// a machine wait in the admission queue of its sidecar instead of the queues of the endpoints. The
+// sidecar therefore knows the order of the requests, and knows that a rejected request was not
+// executed.
 //
-// Each endpoint has a number of slots. A request is admitted to a free slot, waits for one in the
-// order of rank and target, or is rejected as soon as it is expected to be late, while there is time
-// to try another endpoint.
+// Each endpoint has a number of slots. A request is admitted to a free slot, waits for a slot in
+// the order of rank and target, or is rejected as soon as the request is expected to be late,
+// while there is still time to try another endpoint.
 package admission
 
 import (
@@ -17,9 +18,9 @@
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
-// Queue is the admission queue of one machine's endpoints. It reads no clock and does no I/O. Each
-// method returns the verdicts that it caused, each of them once; the slice is good until the next
-// call.
+// Queue is the admission queue for all endpoints of one machine. Queue reads no clock and does no
+// I/O. Each method returns the verdicts that the call caused; every verdict is returned exactly
+// once. The returned slice is valid until the next call.
 type Queue struct {
 	settings  Settings
 	endpoints map[ident.Server]*endpointQueue
@@ -29,12 +30,12 @@
 	Rejected         map[Reason]uint64
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New(settings Settings) *Queue {
 	return &Queue{settings: settings, endpoints: map[ident.Server]*endpointQueue{}, Rejected: map[Reason]uint64{}}
 }
 
-// endpoint returns the queue of an endpoint, a new one if it is not known yet.
+// endpoint returns the queue of an endpoint and creates the queue if it does not exist yet.
 func (q *Queue) endpoint(server ident.Server) *endpointQueue {
 	endpoint := q.endpoints[server]
 	if endpoint == nil {
@@ -44,26 +45,26 @@
 	return endpoint
 }
 
-// SetSlots takes what a heartbeat says: how many requests the endpoint works on at once, 0 for
-// unknown, which admits all; and for how much longer it is slow from its start. More slots may admit
-// waiting requests.
+// SetSlots applies the values of a heartbeat: slots is the number of requests that the endpoint
+// processes concurrently, 0 if unknown, which admits all requests; slowStart is the remaining time
+// of the slow start. With more slots, waiting requests may be admitted.
 func (q *Queue) SetSlots(now monotime.Time, server ident.Server, slots int, slowStart time.Duration) []Verdict {
 	endpoint := q.endpoint(server)
-	endpoint.slots, endpoint.slowUntil = max(slots, 0), now.Add(max(slowStart, 0))
-	return q.advance(now, endpoint)
+	endpoint.slots, endpoint.slowStartUntil = max(slots, 0), now.Add(max(slowStart, 0))
+	return q.process(now, endpoint)
 }
 
-// Submit brings a request. Its own verdict is returned unless it waits, and that of a request that it
-// displaced.
+// Submit adds a request. Submit returns the verdict on the request, unless the request waits, and
+// the verdict on a request that it displaced.
 func (q *Queue) Submit(now monotime.Time, server ident.Server, request Request) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	endpoint := q.endpoint(server)
-	if reason, retryAfter := endpoint.rejection(now, request); reason != "" {
+	if reason, retryAfter := endpoint.checkNew(now, request); reason != "" {
 		q.reject(request.ID, reason, retryAfter)
 		return q.verdicts
 	}
 	endpoint.insert(request)
-	q.admitOpen(now, endpoint)
+	q.admitToFreeSlots(now, endpoint)
 	if len(endpoint.waiting) > endpoint.capacity() {
 		last := endpoint.waiting[len(endpoint.waiting)-1]
 		endpoint.waiting = endpoint.waiting[:len(endpoint.waiting)-1]
@@ -75,38 +76,39 @@
 	return q.verdicts
 }
 
-// Done ends an admitted request; elapsed is how long the endpoint had it.
+// Done ends an admitted request. elapsed is the time that the request spent at the endpoint.
 func (q *Queue) Done(now monotime.Time, server ident.Server, id uint64, outcome Outcome, elapsed time.Duration) []Verdict {
 	endpoint := q.endpoints[server]
 	if endpoint == nil {
 		return nil
 	}
-	endpoint.done(now, id, outcome, elapsed)
-	return q.advance(now, endpoint)
+	endpoint.complete(now, id, outcome, elapsed)
+	return q.process(now, endpoint)
 }
 
-// Abandon removes a waiting request whose client is gone. It gets no verdict.
+// Abandon removes a waiting request whose client has disconnected. The request gets no verdict.
 func (q *Queue) Abandon(now monotime.Time, server ident.Server, id uint64) []Verdict {
 	endpoint := q.endpoints[server]
 	if endpoint == nil {
 		return nil
 	}
 	endpoint.waiting = slices.DeleteFunc(endpoint.waiting, func(waiting Request) bool { return waiting.ID == id })
-	return q.advance(now, endpoint)
+	return q.process(now, endpoint)
 }
 
-// Tick rejects waiting requests that can't be in time any more.
+// Tick rejects waiting requests that can no longer be in time, and admits waiting requests to free
+// slots.
 func (q *Queue) Tick(now monotime.Time) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	for _, server := range q.sortedServers() {
 		endpoint := q.endpoints[server]
-		q.rejectHopeless(now, endpoint)
-		q.admitOpen(now, endpoint)
+		q.rejectLate(now, endpoint)
+		q.admitToFreeSlots(now, endpoint)
 	}
 	return q.verdicts
 }
 
-// NextTick is when Tick is next of use; ok is false if nothing waits.
+// NextTick returns when the next Tick is due. ok is false if no request waits.
 func (q *Queue) NextTick(now monotime.Time) (at monotime.Time, ok bool) {
 	for _, endpoint := range q.endpoints {
 		for i := range endpoint.waiting {
@@ -118,8 +120,8 @@
 	return at, ok
 }
 
-// RejectAll rejects all requests that wait for an endpoint, which leaves or is unhealthy. Those at the
-// endpoint go on, and its estimates learn from them.
+// RejectAll rejects all requests that wait for an endpoint that is leaving or unhealthy. Requests
+// in flight continue, and the estimates still learn from them.
 func (q *Queue) RejectAll(server ident.Server) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	if endpoint := q.endpoints[server]; endpoint != nil {
@@ -131,15 +133,16 @@
 	return q.verdicts
 }
 
-// Remove forgets an endpoint and rejects all requests that wait for it. Those at the endpoint need no
-// Done any more.
+// Remove deletes an endpoint and rejects all requests that wait for the endpoint. Done need not be
+// called for requests in flight.
 func (q *Queue) Remove(server ident.Server) []Verdict {
 	verdicts := q.RejectAll(server)
 	delete(q.endpoints, server)
 	return verdicts
 }
 
-// LoadReport is the report to send with a response of an endpoint; ok is false if it is not known.
+// LoadReport returns the load report to send with a response of an endpoint. ok is false if the
+// endpoint is unknown.
 func (q *Queue) LoadReport(now monotime.Time, server ident.Server) (report loadreport.Report, ok bool) {
 	endpoint := q.endpoints[server]
 	if endpoint == nil {
@@ -148,20 +151,21 @@
 	return endpoint.loadReport(now), true
 }
 
-// sortedServers lists the servers in a fixed order, so that runs can be repeated.
+// sortedServers returns the servers in a fixed order, so that simulations are reproducible.
 func (q *Queue) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(q.endpoints)) }
 
-// advance rejects what can't be in time in an endpoint's queue, and admits to its free slots.
-func (q *Queue) advance(now monotime.Time, endpoint *endpointQueue) []Verdict {
+// process rejects waiting requests of an endpoint that can no longer be in time, and admits
+// waiting requests to free slots.
+func (q *Queue) process(now monotime.Time, endpoint *endpointQueue) []Verdict {
 	q.verdicts = q.verdicts[:0]
-	q.rejectHopeless(now, endpoint)
-	q.admitOpen(now, endpoint)
+	q.rejectLate(now, endpoint)
+	q.admitToFreeSlots(now, endpoint)
 	return q.verdicts
 }
 
-// admitOpen admits waiting requests to the free slots.
-func (q *Queue) admitOpen(now monotime.Time, endpoint *endpointQueue) {
-	for len(endpoint.waiting) > 0 && endpoint.hasOpenSlot() {
+// admitToFreeSlots admits waiting requests to the free slots of an endpoint.
+func (q *Queue) admitToFreeSlots(now monotime.Time, endpoint *endpointQueue) {
+	for len(endpoint.waiting) > 0 && endpoint.hasFreeSlot() {
 		request := endpoint.takeNext(now)
 		q.Admitted++
 		q.verdicts = append(q.verdicts, Verdict{ID: request.ID, Decision: Admit})
@@ -169,17 +173,18 @@
 	}
 }
 
-// rejectHopeless rejects the waiting requests that can't be in time.
-func (q *Queue) rejectHopeless(now monotime.Time, endpoint *endpointQueue) {
+// rejectLate rejects the waiting requests of an endpoint that can no longer be in time.
+func (q *Queue) rejectLate(now monotime.Time, endpoint *endpointQueue) {
 	ahead, keep := time.Duration(0), endpoint.waiting[:0]
 	for i, request := range endpoint.waiting {
-		// The first ones are admitted at once: a slot is free for each of them.
+		// The first requests are admitted immediately afterwards, because a slot is free for each
+		// of them.
 		if i >= endpoint.freeSlots() {
-			if reason := endpoint.rejectWaiting(now, &request, ahead); reason != "" {
+			if reason := endpoint.checkWaiting(now, &request, ahead); reason != "" {
 				q.reject(request.ID, reason, endpoint.retryAfter(now, request))
 				continue
 			}
-			ahead += endpoint.expectedRun(now, request.ServiceTime)
+			ahead += endpoint.expectedRunTime(now, request.ServiceTime)
 		}
 		keep = append(keep, request)
 	}
--- a/mesh/admission/queue_test.go
+++ b/mesh/admission/queue_test.go
@@ -16,8 +16,8 @@
 
 func at(n int) monotime.Time { return monotime.Time(time.Second + time.Duration(n)*ms) }
 
-// newRequest makes a request that comes at n ms, with 40 ms of work, a target of 400 ms and a deadline
-// of 1200 ms.
+// newRequest returns a request that arrives at n ms, with a service time of 40 ms, a target of 400
+// ms and a deadline of 1200 ms.
 func newRequest(id uint64, rank, n int) Request {
 	return Request{ID: id, Rank: rank, ServiceTime: 40 * ms, FreeRejectUntil: at(n + 95), Target: at(n + 400), Deadline: at(n + 1200)}
 }
@@ -37,8 +37,8 @@
 	return ids
 }
 
-// orderRun is one order of submissions, an abandonment and ends of runs at a queue with one slot, and
-// what became of the requests by their IDs.
+// orderRun runs one order of submissions, an abandonment and completions on a queue with one slot,
+// and tracks the state of the requests by ID.
 type orderRun struct {
 	t           *testing.T
 	order       []int
@@ -61,26 +61,26 @@
 	}
 }
 
-// apply takes the verdicts of a step and checks each of them.
+// apply checks and records the verdicts of a step.
 func (r *orderRun) apply(verdicts []Verdict) {
 	for _, verdict := range slices.Clone(verdicts) {
 		_, decided := r.decisions[verdict.ID]
-		must.False(r.t, decided, must.Sprintf("%v: two verdicts for %d", r.order, verdict.ID))
-		must.False(r.t, r.abandoned[verdict.ID], must.Sprintf("%v: a verdict for the abandoned %d", r.order, verdict.ID))
+		must.False(r.t, decided, must.Sprintf("%v: two verdicts for request %d", r.order, verdict.ID))
+		must.False(r.t, r.abandoned[verdict.ID], must.Sprintf("%v: a verdict for the abandoned request %d", r.order, verdict.ID))
 		r.decisions[verdict.ID] = verdict.Decision
 		rank, waited := r.waitingRank[verdict.ID]
 		delete(r.waitingRank, verdict.ID)
 		if verdict.Decision == Admit {
 			r.running[verdict.ID] = true
 			for _, other := range r.waitingRank {
-				must.True(r.t, !waited || rank <= other, must.Sprintf("%v: %d overtook", r.order, verdict.ID))
+				must.True(r.t, !waited || rank <= other, must.Sprintf("%v: request %d overtook a request of a higher rank", r.order, verdict.ID))
 			}
 		}
 	}
 	must.LessEq(r.t, 2, len(r.running))
 }
 
-// submit brings a request unless it was abandoned.
+// submit submits a request unless the request was abandoned.
 func (r *orderRun) submit(n int, id uint64, rank int) {
 	if r.abandoned[id] {
 		return
@@ -89,7 +89,7 @@
 	r.apply(r.queue.Submit(at(n), "e", newRequest(id, rank, n)))
 }
 
-// abandon abandons a request that waits, or that has not come yet.
+// abandon abandons a request that is waiting or has not been submitted yet.
 func (r *orderRun) abandon(n int, id uint64) {
 	if _, waits := r.waitingRank[id]; waits || r.decisions[id] == 0 && !r.running[id] {
 		r.abandoned[id] = true
@@ -98,7 +98,7 @@
 	}
 }
 
-// done ends the run with the lowest ID, if there is one.
+// done completes the running request with the lowest ID, if there is one.
 func (r *orderRun) done(n int) {
 	for id := range uint64(6) {
 		if r.running[id] {
@@ -109,12 +109,13 @@
 	}
 }
 
-// Five requests of three ranks come, one is abandoned, runs end, in every order: no more than the
-// slots and one are at the endpoint, each request gets one verdict at most, none is admitted that was
-// abandoned or rejected, and a higher rank in the queue always goes before a lower one.
+// Five requests of three ranks are submitted, one is abandoned, and runs complete, in every order.
+// At most slots plus one requests are in flight, each request gets at most one verdict, no
+// abandoned or rejected request is admitted, and a waiting request of a higher rank is always
+// admitted before one of a lower rank.
 func TestAllOrdersOfSubmitAbandonAndDone(t *testing.T) {
 	ranks := []int{2, 0, 1, 2, 0}
-	const abandonStep = 5 // smaller ones submit, the one above ends a run
+	const abandonStep = 5 // lower steps submit requests, the higher step completes a run
 	for _, order := range meshtest.Permutations(7) {
 		run := newOrderRun(t, order)
 		for n, step := range order {
@@ -130,21 +131,21 @@
 		for n := range 8 {
 			run.done(10 + n)
 		}
-		must.MapEmpty(t, run.waitingRank, must.Sprintf("%v: somebody was forgotten", order))
+		must.MapEmpty(t, run.waitingRank, must.Sprintf("%v: a request got no verdict", order))
 	}
 }
 
-// Unknown slots are no bound.
-func TestUnknownSlotsAdmitAll(t *testing.T) {
+// An unknown number of slots imposes no limit.
+func TestUnknownSlotCountAdmitsAll(t *testing.T) {
 	queue := New(DefaultSettings())
 	for id := range uint64(500) {
 		must.Eq(t, []Verdict{{ID: id, Decision: Admit}}, queue.Submit(at(0), "e", newRequest(id, 3, 0)))
 	}
 }
 
-// A request that can't be in time is rejected when it comes, with a retryAfter that grows with what
-// waits; one of a higher rank still gets in.
-func TestRejectedAtOnceWhenTooManyWait(t *testing.T) {
+// A request that cannot be in time is rejected on Submit, with a RetryAfter that grows with the
+// number of waiting requests. A request of a higher rank is still accepted.
+func TestRequestsBeyondCapacityAreRejectedOnSubmit(t *testing.T) {
 	queue, rejected, longestRetry := newQueue(2), 0, time.Duration(0)
 	for id := range uint64(60) {
 		verdicts := queue.Submit(at(0), "e", newRequest(id, 2, 0))
@@ -154,20 +155,21 @@
 			longestRetry = max(longestRetry, verdicts[0].RetryAfter)
 		}
 	}
-	// Two slots do 400 ms of 40 ms work: about twenty may be in time.
+	// Two slots process 400 ms of requests of 40 ms each, so about twenty can be in time.
 	must.Between(t, 38, rejected, 46)
 	must.Between(t, 150*ms, longestRetry, 600*ms)
 	must.SliceNotContains(t, withDecision(queue.Submit(at(0), "e", newRequest(100, 0, 0)), Reject), 100)
 	must.Eq(t, 100, queue.Done(at(40), "e", 0, Served, 40*ms)[0].ID)
 }
 
-// A full queue gives its last place to a higher rank, and rejects the request that had it.
-func TestAFullQueueGivesPlaceToAHigherRank(t *testing.T) {
+// In a full queue, a request of a higher rank displaces the last waiting request, which is
+// rejected.
+func TestHigherRankDisplacesLastInFullQueue(t *testing.T) {
 	settings := DefaultSettings()
 	settings.QueuePerSlot = 1
 	queue := New(settings)
 	queue.SetSlots(at(0), "e", 1, 0)
-	for id := range uint64(3) { // two are admitted, one waits
+	for id := range uint64(3) { // two requests are admitted, one waits
 		must.SliceEmpty(t, withDecision(queue.Submit(at(0), "e", newRequest(id, 2, 0)), Reject))
 	}
 	must.Eq(t, []uint64{3}, withDecision(queue.Submit(at(1), "e", newRequest(3, 2, 1)), Reject))
@@ -175,16 +177,16 @@
 	must.Eq(t, []uint64{4}, withDecision(queue.Done(at(40), "e", 0, Served, 40*ms), Admit))
 }
 
-// A nested request goes before the requests of clients of its rank that came earlier, and after all of
-// a higher rank.
-func TestNestedGoesBeforeItsRank(t *testing.T) {
+// A nested request precedes the client requests of the same rank that were submitted earlier, and
+// follows all requests of a higher rank.
+func TestNestedRequestPrecedesItsRank(t *testing.T) {
 	nested := func(id uint64, rank, n int) Request {
 		request := newRequest(id, rank, n)
 		request.Nested, request.Target = true, request.Deadline
 		return request
 	}
 	queue := newQueue(1)
-	for id := range uint64(1 + queue.settings.ExtraRequests) { // they take the slot and what is beyond it
+	for id := range uint64(1 + queue.settings.ExtraRequests) { // occupies the slot and the extra requests
 		must.Eq(t, []uint64{100 + id}, withDecision(queue.Submit(at(0), "e", newRequest(100+id, 0, 0)), Admit))
 	}
 	for _, request := range []Request{newRequest(1, 1, 1), newRequest(2, 0, 2), nested(3, 1, 3), nested(4, 0, 4), newRequest(5, 1, 5)} {
@@ -197,9 +199,9 @@
 	must.Eq(t, []uint64{4, 2, 3, 1, 5}, order)
 }
 
-// A waiting request whose endpoint stalls is rejected while that costs nothing, and none waits beyond
-// its target. NextTick says when to check.
-func TestStalledEndpointRejectsEarly(t *testing.T) {
+// While rejections are free, waiting requests of a stalled endpoint are rejected early. No request
+// waits beyond its target. NextTick returns when to check.
+func TestStalledEndpointRejectsWaitingRequestsEarly(t *testing.T) {
 	queue, rejectedAtMs := newQueue(2), map[uint64]int{}
 	for id := range uint64(17) {
 		request := newRequest(id, 2, 0)
@@ -226,12 +228,13 @@
 			early++
 		}
 	}
-	must.Between(t, 1, early, 4) // the last of the queue only: the others may be in time yet
+	must.Between(t, 1, early, 4) // only the last requests of the queue; the others can still be in time
 }
 
-// An endpoint that becomes slower reports so, gets no more than one request at a time that it can't
-// finish in time, and gets all again when it has recovered.
-func TestSlowEndpointIsLearntAndForgiven(t *testing.T) {
+// An endpoint that becomes slower reports a higher relative time and gets at most one request at a
+// time that it cannot finish in time. After the endpoint has recovered, it gets all requests
+// again.
+func TestSlowEndpointIsThrottledUntilItRecovers(t *testing.T) {
 	queue, id := newQueue(6), uint64(0)
 	run := func(n int, elapsed time.Duration) {
 		id++
@@ -261,8 +264,8 @@
 	must.Between(t, 0.9, loadReportOf(queue, at(40000)).RelativeTime, 1.3)
 }
 
-// An endpoint's slow start is expected, and does not change its estimates.
-func TestSlowStartIsExpected(t *testing.T) {
+// The expected slow start of an endpoint does not change its estimates.
+func TestSlowStartDoesNotChangeEstimates(t *testing.T) {
 	queue := New(DefaultSettings())
 	queue.SetSlots(at(0), "e", 6, 3*time.Second)
 	for n := range 40 {
@@ -273,9 +276,10 @@
 	must.Between(t, 0.9, loadReportOf(queue, at(3100)).RelativeTime, 1.1)
 }
 
-// An endpoint that fails half its runs gets one trial in every TrialInterval and the last resorts; all
-// if its peers fail as often, and all when it has recovered.
-func TestEndpointThatFailsGetsTrialsOnly(t *testing.T) {
+// An endpoint that fails half of its runs gets only one trial request per TrialInterval and
+// last-resort requests. The endpoint gets all requests if its peers fail equally often, and after
+// it has recovered.
+func TestFailingEndpointGetsTrialRequestsOnly(t *testing.T) {
 	queue, id := newQueue(6), uint64(0)
 	submit := func(n int, change func(*Request)) bool {
 		id++
--- a/mesh/admission/scenario_test.go
+++ b/mesh/admission/scenario_test.go
@@ -5,88 +5,88 @@
 	"time"
 )
 
-// requestKind is one kind of request of the model.
+// requestKind is one kind of request in the simulation.
 type requestKind struct {
 	name             string
-	share            float64 // of arrivals
+	share            float64 // fraction of arrivals
 	rank             int
-	work             time.Duration
-	spread           float64 // sigma of the lognormal
-	tailFactor       float64 // factor of the work of one in a hundred
+	meanServiceTime  time.Duration
+	spread           float64 // sigma of the lognormal distribution of the service time
+	tailFactor       float64 // service time factor for one request in a hundred
 	target, deadline time.Duration
-	worth, lateWorth float64
-	unsafe           bool
+	value, lateValue float64
+	notRepeatable    bool
 	bytes            int64
 }
 
-// fault is a fault of some endpoints for a while.
+// fault affects some endpoints for a limited time.
 type fault struct {
-	servers     int // as many, from the first on
+	servers     int // number of affected servers, starting with the first
 	from, to    time.Duration
-	slowdown    float64 // factor of their work; 0 is none
-	failureRate float64 // part of their runs that fails
+	slowdown    float64 // service time factor; 0 means no slowdown
+	failureRate float64 // fraction of failed runs
 }
 
-// hits reports whether a fault has an endpoint at a time since the start.
-func (f fault) hits(server int, elapsed time.Duration) bool {
+// affects reports whether a fault affects a server at a time since the start.
+func (f fault) affects(server int, elapsed time.Duration) bool {
 	return server < f.servers && elapsed >= f.from && elapsed < f.to
 }
 
-// scenario is what happens in a simulation. Load is the part of all slots' time that the calls need
-// without faults.
+// scenario describes the mesh and the traffic of a simulation. load is the utilization of all
+// slots without faults.
 type scenario struct {
 	clients, servers, zones int
 	kinds                   []requestKind
 	speeds                  []float64
-	load, wave, burst       float64 // burst is a factor of the load for 3 s from the 10th on
+	load, wave, burst       float64 // burst is a load factor for 3 s, starting at 10 s
 	batch                   int
 	length                  time.Duration
 	faults                  []fault
-	slowStart               time.Duration // the last server starts at 5 s and is slow for so long
-	resetWhenFull           bool          // a full endpoint resets
+	slowStart               time.Duration // duration of the slow start of the last server, which joins at 5 s
+	resetWhenFull           bool          // a full endpoint resets the connection
 }
 
 var (
 	mixedKinds = []requestKind{
 		{
-			name:       "lookup",
-			share:      0.55,
-			rank:       1,
-			work:       59 * ms,
-			spread:     0.8,
-			tailFactor: 3,
-			target:     300 * ms,
-			deadline:   1200 * ms,
-			worth:      2,
-			lateWorth:  0.6,
-			bytes:      1500,
+			name:            "lookup",
+			share:           0.55,
+			rank:            1,
+			meanServiceTime: 59 * ms,
+			spread:          0.8,
+			tailFactor:      3,
+			target:          300 * ms,
+			deadline:        1200 * ms,
+			value:           2,
+			lateValue:       0.6,
+			bytes:           1500,
 		},
 		{
-			name:       "booking",
-			share:      0.15,
-			rank:       1,
-			work:       140 * ms,
-			spread:     0.5,
-			tailFactor: 5,
-			target:     600 * ms,
-			deadline:   1500 * ms,
-			worth:      2,
-			lateWorth:  0.2,
-			unsafe:     true,
-			bytes:      5000,
+			name:            "booking",
+			share:           0.15,
+			rank:            1,
+			meanServiceTime: 140 * ms,
+			spread:          0.5,
+			tailFactor:      5,
+			target:          600 * ms,
+			deadline:        1500 * ms,
+			value:           2,
+			lateValue:       0.2,
+			notRepeatable:   true,
+			bytes:           5000,
 		},
 		{
-			name:       "pull",
-			share:      0.3,
-			rank:       2,
-			work:       120 * ms,
-			spread:     0.3,
-			tailFactor: 5,
-			target:     500 * ms,
-			deadline:   2000 * ms,
-			worth:      1,
-			lateWorth:  0.3,
-			bytes:      90000,
+			name:            "pull",
+			share:           0.3,
+			rank:            2,
+			meanServiceTime: 120 * ms,
+			spread:          0.3,
+			tailFactor:      5,
+			target:          500 * ms,
+			deadline:        2000 * ms,
+			value:           1,
+			lateValue:       0.3,
+			bytes:           90000,
 		},
 	}
 	smallMesh = scenario{
--- a/mesh/admission/settings.go
+++ b/mesh/admission/settings.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Settings of an admission queue.
+// Settings configures an admission queue.
 type Settings struct {
-	// ExtraRequests is how many requests beyond its slots an endpoint may hold, so that a slot is not idle
-	// while the next request is on its way.
+	// ExtraRequests is how many requests beyond its slots an endpoint may hold, so that no slot is
+	// idle while the next request is in transit.
 	ExtraRequests int
-	// QueuePerSlot is how many may wait for each slot.
+	// QueuePerSlot is the maximum number of waiting requests per slot.
 	QueuePerSlot int
-	// LeastSlackQueuePerSlot is how many may wait for each slot while requests of a higher rank let those of a
-	// lower rank go first that have less time to spare; 0 is never.
+	// LeastSlackQueuePerSlot is the queue length per slot up to which a request of a lower rank
+	// that has less slack may be admitted before requests of a higher rank. 0 disables such
+	// admissions.
 	LeastSlackQueuePerSlot int
-	// RunTimeMargin is how many times its expected run a request must have left before its target when a
-	// slot becomes free for it; else it is rejected while that costs nothing.
+	// RunTimeMargin is the minimum time between the expected start of a run and the target, as a
+	// multiple of the expected run time. A request with less time is rejected while a rejection
+	// has no cost.
 	RunTimeMargin float64
-	// SlowStartFactor is how many times as long an endpoint takes that has just started.
+	// SlowStartFactor is the run time factor for an endpoint that has just started.
 	SlowStartFactor float64
-	// MaxFailureRate is the part of runs that may fail, beyond one and a half times the rate of its
-	// peers, before an endpoint gets no more than one request, a trial, in every TrialInterval.
+	// MaxFailureRate is the limit on the fraction of failed runs, in addition to one and a half
+	// times the failure rate of the peers. Above the limit, an endpoint gets at most one request,
+	// a trial, per TrialInterval.
 	MaxFailureRate float64
 	TrialInterval  time.Duration
-	// DefaultServiceTime is what a request is expected to take when nothing is known of it.
+	// DefaultServiceTime is the expected service time while none has been measured.
 	DefaultServiceTime time.Duration
-	// MinRetryAfter and MaxRetryAfter bound after how long a rejected request may be tried again.
+	// MinRetryAfter and MaxRetryAfter are the bounds of the RetryAfter of a rejected request.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// DefaultSettings returns the settings that the model in model_test.go was run with.
+// DefaultSettings returns the settings that were used for the simulations in model_test.go.
 func DefaultSettings() Settings {
 	return Settings{
 		ExtraRequests:          1,
