--- a/mesh/retrybudget/bucket.go
+++ b/mesh/retrybudget/bucket.go
@@ -8,32 +8,34 @@
 )
 
 const (
-	// slotsPerWindow is into how many slots a window is divided. What was spent is kept for a few
-	// slots more, since the clocks of machines run apart.
+	// slotsPerWindow is the number of slots per window. Spent retries are retained for a few more
+	// slots than a window has, because the clocks of machines drift apart.
 	slotsPerWindow = 100
 	retainedSlots  = slotsPerWindow + 4
-	// recentSlots is for how many slots requests count for the one saved retry that a bucket may hold
-	// without a share.
+	// recentSlots is the number of slots for which requests count towards the one saved retry that
+	// a bucket may hold without a share.
 	recentSlots = 5
-	// savedRatio is the part of a request's ratio that is saved: the rest covers what is counted a
-	// little late, and the calls of repeated runs, which are found out only when they are made.
-	savedRatio = 0.9
-	// maxDebt bounds what nested calls of repeats owe to the requests that come after.
+	// savedPart is the fraction of the ratio that each request saves. The rest covers requests
+	// that are counted slightly late, and the calls of repeated runs, which become known only when
+	// they are made.
+	savedPart = 0.9
+	// maxDebt is the maximum debt that nested calls of repeats impose on later requests.
 	maxDebt = 8
-	// roundingError is what sums of spent retries may be off by.
+	// roundingError is the maximum rounding error of sums of spent retries.
 	roundingError = 1e-3
 )
 
-// bucket is what a service or a caller may spend on retries. It has two sources. From the share, any
-// window may spend one part. And each request saves up its ratio, of which no more is kept than the
-// rest of the share, the reserve. So, however the traffic rises and falls, no more is spent within any
-// window than the ratio of the requests of that very window and one share.
+// bucket holds what a service or a caller may spend on retries, from two sources: the share and
+// the requests. splitShare divides the share into a part that may be spent within any window, and
+// a reserve. Each request saves its ratio, and the saved amount is limited to the reserve. However
+// the traffic varies, the bucket therefore never spends more within any window than the ratio of
+// the requests of that same window plus one share.
 //
-// Where the reserve is less than one retry, one is kept all the same, but only while the requests of
-// the last recentSlots slots are worth it. What was spent grows old only by time that was watched (see
-// Budget.Tick), requests by any time: a clock that jumps forward frees nothing. What had to be spent
-// without room (overdraw) counts beyond the window's part, and takes from what is saved until it has
-// grown old.
+// A bucket whose reserve is less than one retry may still save one retry, but only while the
+// requests of the last recentSlots slots have paid for it. Spent retries expire only with
+// step-limited time (see Budget.Tick), whereas requests expire with the time of the clock, so a
+// clock that jumps forward restores nothing. Retries that had to be spent without room (overdraw)
+// count beyond the part of the window and reduce the saved amount until they expire.
 type bucket struct {
 	recentCalls [recentSlots]int32
 	recentTotal int32 // sum of recentCalls
@@ -42,29 +44,30 @@
 	saved       float64
 	callSlot    int64 // newest slot of recentCalls
 	spentSlot   int64 // newest slot of spent
-	activeHalf  int64 // the half window of its newest request, for counting callers
+	activeHalf  int64 // half window of the newest request, to count active callers
 }
 
-// advance moves the bucket on in time; watched is the time without jumps of the clock.
-func (b *bucket) advance(slotLength time.Duration, now, watched monotime.Time) {
+// advance moves the bucket forward in time. limitedNow is the step-limited time, which excludes
+// clock jumps.
+func (b *bucket) advance(slotLength time.Duration, now, limitedNow monotime.Time) {
 	b.advanceCalls(int64(now) / int64(slotLength))
-	b.advanceSpent(int64(watched) / int64(slotLength))
+	b.advanceSpent(int64(limitedNow) / int64(slotLength))
 }
 
-// advanceCalls forgets the requests of slots that are no longer recent.
+// advanceCalls discards the requests of slots that are no longer recent.
 func (b *bucket) advanceCalls(slot int64) {
 	for n := 0; b.callSlot < slot && n < recentSlots; n++ {
 		b.callSlot++
 		b.recentTotal -= b.recentCalls[b.callSlot%recentSlots]
 		b.recentCalls[b.callSlot%recentSlots] = 0
 	}
-	if b.recentTotal == 0 || b.callSlot < slot { // all of them were cleared
+	if b.recentTotal == 0 || b.callSlot < slot { // all slots were cleared
 		b.recentCalls, b.recentTotal = [recentSlots]int32{}, 0
 	}
 	b.callSlot = max(b.callSlot, slot)
 }
 
-// advanceSpent forgets what was spent in slots that are no longer retained.
+// advanceSpent discards the spent retries of slots that are no longer retained.
 func (b *bucket) advanceSpent(slot int64) {
 	for n := 0; b.spentSlot < slot && n < retainedSlots; n++ {
 		b.spentSlot++
@@ -77,17 +80,18 @@
 	b.spentSlot = max(b.spentSlot, slot)
 }
 
-// deposit saves up the ratio of one request.
+// deposit saves the ratio of one request.
 func (b *bucket) deposit(ratio float64) {
 	if ratio > 0 {
 		b.recentCalls[b.callSlot%recentSlots]++
 		b.recentTotal++
-		b.saved += ratio * savedRatio
+		b.saved += ratio * savedPart
 	}
 }
 
-// splitShare splits a share into what any window may spend of it and the reserve. A share of one is all
-// reserve: requests give it back sooner than a window does.
+// splitShare splits a share into the part that may be spent within any window and the reserve. A
+// share of one is entirely reserve, because requests replenish the reserve sooner than a window
+// expires.
 func splitShare(share float64) (window, reserve float64) {
 	if share <= 1 {
 		return 0, max(0, share)
@@ -96,16 +100,16 @@
 	return window, share - window
 }
 
-// available tells what may be spent now, from what is saved and from a share. It drops what is saved
-// beyond the reserve.
+// available returns what may be spent now from the saved amount and from the share. available
+// discards the saved amount beyond the reserve.
 func (b *bucket) available(ratio, share float64) (saved, shared float64) {
 	window, reserve := splitShare(share)
-	b.saved = min(b.saved, max(reserve, min(1, ratio*savedRatio*float64(b.recentTotal))))
+	b.saved = min(b.saved, max(reserve, min(1, ratio*savedPart*float64(b.recentTotal))))
 	overspent := max(0, b.spentTotal-window)
 	return b.saved - overspent, window - b.spentTotal
 }
 
-// withdraw spends n from what is saved, or else from the share.
+// withdraw spends n from the saved amount if it suffices, otherwise from the share.
 func (b *bucket) withdraw(n, saved float64) {
 	if saved >= n {
 		b.saved -= n
@@ -114,8 +118,8 @@
 	b.spend(n)
 }
 
-// overdraw spends n whether there is room or not. Without room the next requests save it up; debts
-// beyond maxDebt count as spent from the share.
+// overdraw spends n whether or not there is room. Without room, the debt is repaid by the
+// following requests; debts beyond maxDebt count as spent from the share.
 func (b *bucket) overdraw(n, saved, shared float64) {
 	if saved >= n || shared < n && b.saved > -maxDebt {
 		b.saved -= n
@@ -124,11 +128,11 @@
 	b.spend(n)
 }
 
-// spend counts n as spent from the share in this slot.
+// spend records n as spent from the share in the current slot.
 func (b *bucket) spend(n float64) {
 	b.spent[b.spentSlot%retainedSlots] += float32(n)
 	b.spentTotal += n
 }
 
-// idle reports whether there is nothing to remember of this window.
+// idle reports whether the bucket holds neither spent retries nor recent requests.
 func (b *bucket) idle() bool { return b.spentTotal == 0 && b.recentTotal == 0 }
--- a/mesh/retrybudget/budget.go
+++ b/mesh/retrybudget/budget.go
@@ -1,7 +1,8 @@
-// Package retrybudget bounds the retries of one sidecar: for each service, and within it for each
-// caller. Retries are paid by the requests, a ratio of each, and by the sidecar's share of an extra
-// budget that the whole mesh has; see Limits for the bound that all sidecars keep together. A run
-// that is a repeat may make calls of its own: those count against the budgets of the services called.
+// Package retrybudget limits the retries of one sidecar, per service and, within a service, per
+// caller. Retries are paid for by the requests, each with a ratio, and by the share that the
+// sidecar has of a mesh-wide extra budget; see Limits for the limit that all sidecars keep
+// together. A repeated run may make calls of its own: those calls are charged to the budgets of
+// the called services.
 package retrybudget
 
 import (
@@ -13,70 +14,75 @@
 )
 
 const (
-	// ShareValidity is how long a share may be spent after a majority of cores last took a lease
-	// renewal; it is far shorter than the time after which the cores give the share to others.
+	// ShareValidity is how long a share may be spent after a majority of cores last accepted a
+	// lease renewal. ShareValidity is far shorter than the time after which the cores give the
+	// share to other sidecars.
 	ShareValidity = 5 * time.Second
-	// maxCallers bounds the callers of a service that have a bucket of their own.
+	// maxCallers is the maximum number of callers of a service that have a bucket of their own.
 	maxCallers = 2000
 )
 
-// Budget is the retry budget of one sidecar. It reads no clock. Invariant: a retry is granted only when
-// the service's bucket and the caller's bucket both have room, and is then spent from both.
+// Budget is the retry budget of one sidecar. Budget reads no clock. Invariant: a retry is granted
+// only if both the bucket of the service and the bucket of the caller have room, and the retry is
+// then spent from both.
 type Budget struct {
-	limits     Limits
-	slotLength time.Duration
-	share      int
-	shareFrom  monotime.Time // the share may not be spent before
-	renewedAt  monotime.Time
-	watch      monotime.StepLimiter
-	services   map[ident.Service]*serviceBudget
-	runs       runTracker
-	// Unlimited grants everything; only tests of the checkers set it.
+	limits          Limits
+	slotLength      time.Duration
+	share           int
+	shareUsableFrom monotime.Time // the share may not be spent earlier
+	shareRenewedAt  monotime.Time
+	stepLimiter     monotime.StepLimiter
+	services        map[ident.Service]*serviceBudget
+	runs            runTracker
+	// Unlimited grants all retries. Only tests set Unlimited, to verify that the checkers detect
+	// the violation.
 	Unlimited bool
-	// Counters: retries granted and denied, and repeats that BeginRun rejected.
+	// Counters of granted and denied retries, and of repeats that BeginRun rejected.
 	Granted, Denied, RejectedRepeats uint64
 }
 
-// New makes a budget whose share may be spent only one window later, so that a restart never spends a
-// share twice.
+// New returns a budget whose share may be spent only after slightly more than one window, so that
+// a restart never spends a share twice.
 func New(now monotime.Time, limits Limits) *Budget {
 	limits = limits.WithDefaults()
 	budget := &Budget{
-		limits:     limits,
-		slotLength: max(1, limits.Window/slotsPerWindow),
-		shareFrom:  now.Add(limits.Window + limits.Window/20),
-		services:   map[ident.Service]*serviceBudget{},
+		limits:          limits,
+		slotLength:      max(1, limits.Window/slotsPerWindow),
+		shareUsableFrom: now.Add(limits.Window + limits.Window/20),
+		services:        map[ident.Service]*serviceBudget{},
 	}
-	budget.watch.Observe(now)
+	budget.stepLimiter.Observe(now)
 	return budget
 }
 
-// Tick must be called many times a second: time without calls does not count, since the clock may
-// have jumped.
-func (b *Budget) Tick(now monotime.Time) { b.watch.Observe(now) }
+// Tick must be called many times per second: between readings of the clock, the step-limited time
+// advances by at most monotime.MaxStep, because the clock may have jumped.
+func (b *Budget) Tick(now monotime.Time) { b.stepLimiter.Observe(now) }
 
-// SetShare sets this sidecar's share of the mesh's extra retries.
+// SetShare sets the share of this sidecar of the extra retries of the mesh.
 func (b *Budget) SetShare(share int) { b.share = share }
 
-// ShareRenewed notes that a majority of the cores took a lease renewal that was sent at a time.
-func (b *Budget) ShareRenewed(sentAt monotime.Time) { b.renewedAt = max(b.renewedAt, sentAt) }
+// ShareRenewed records that a majority of the cores accepted a lease renewal that was sent at
+// sentAt.
+func (b *Budget) ShareRenewed(sentAt monotime.Time) { b.shareRenewedAt = max(b.shareRenewedAt, sentAt) }
 
-// Share is what may be spent now beyond the ratio of the requests.
+// Share returns the retries that may currently be spent beyond the ratio of the requests.
 func (b *Budget) Share(now monotime.Time) int {
-	if b.watch.Observe(now) < b.shareFrom || b.renewedAt == 0 || now.Since(b.renewedAt) > ShareValidity {
+	if b.stepLimiter.Observe(now) < b.shareUsableFrom || b.shareRenewedAt == 0 || now.Since(b.shareRenewedAt) > ShareValidity {
 		return 0
 	}
 	return b.share
 }
 
-// ratio is what each request for a service saves up for retries.
+// ratio returns what each request for a service saves for retries.
 func (b *Budget) ratio(service *validation.Service) float64 {
 	return min(service.RetryRatio, b.limits.Ratio)
 }
 
-// buckets finds the buckets of a service and a caller. A new bucket begins with the reserve of the
-// share, since nothing was spent from it; while the share may not be spent that is nothing, for an
-// earlier run of this sidecar may have spent it.
+// buckets returns the buckets of a service and a caller and creates missing buckets. A new bucket
+// starts with the reserve of the share, because nothing has been spent from the bucket. While the
+// share may not be spent, a new bucket starts empty, because an earlier process of this sidecar
+// may have spent the reserve.
 func (b *Budget) buckets(now monotime.Time, service *validation.Service, caller string) (*serviceBudget, *bucket) {
 	forService := b.services[service.Hostname]
 	if forService == nil {
@@ -84,27 +90,27 @@
 		forService = &serviceBudget{bucket: bucket{saved: reserve}, callers: map[string]*bucket{}}
 		b.services[service.Hostname] = forService
 	}
-	watched := b.watch.Observe(now)
-	forService.advance(b.slotLength, now, watched)
+	limitedNow := b.stepLimiter.Observe(now)
+	forService.advance(b.slotLength, now, limitedNow)
 	forCaller := forService.callers[caller]
 	if forCaller == nil {
-		forCaller = b.addCaller(now, watched, forService, service, caller)
+		forCaller = b.addCaller(now, limitedNow, forService, service, caller)
 	}
-	forCaller.advance(b.slotLength, now, watched)
+	forCaller.advance(b.slotLength, now, limitedNow)
 	return forService, forCaller
 }
 
-// addCaller makes the bucket of a caller, and forgets idle callers if there are too many.
-func (b *Budget) addCaller(now, watched monotime.Time, forService *serviceBudget, service *validation.Service, caller string) *bucket {
+// addCaller creates the bucket of a caller, and discards idle callers if there are too many.
+func (b *Budget) addCaller(now, limitedNow monotime.Time, forService *serviceBudget, service *validation.Service, caller string) *bucket {
 	if len(forService.callers) >= maxCallers {
 		for name, other := range forService.callers {
-			if other.advance(b.slotLength, now, watched); other.idle() {
+			if other.advance(b.slotLength, now, limitedNow); other.idle() {
 				delete(forService.callers, name)
 			}
 		}
 	}
 	if len(forService.callers) >= maxCallers {
-		caller = "" // too many to tell apart: the rest share one bucket
+		caller = "" // too many callers: the remaining ones share one bucket
 		if forCaller := forService.callers[caller]; forCaller != nil {
 			return forCaller
 		}
@@ -121,42 +127,44 @@
 	b.countRequest(now, forService, forCaller, b.ratio(&service))
 }
 
-// countRequest counts a request that saves up a ratio.
+// countRequest counts a request that saves the given ratio.
 func (b *Budget) countRequest(now monotime.Time, forService *serviceBudget, forCaller *bucket, ratio float64) {
 	forService.markActive(b, now, forCaller)
-	forService.totals[0]++
+	forService.requestAndRetryTotals[0]++
 	forService.deposit(ratio)
 	forCaller.deposit(ratio)
 }
 
-// AllowRetry asks for one retry, and counts it if it is granted.
+// AllowRetry requests one retry, and counts the retry if it is granted.
 func (b *Budget) AllowRetry(now monotime.Time, service validation.Service, caller string) bool {
 	forService, forCaller := b.buckets(now, &service, caller)
 	forService.markActive(b, now, forCaller)
 	share, ratio := float64(b.Share(now)), b.ratio(&service)
 	saved, shared := forService.available(ratio, share)
-	// The caller's bucket only divides what the service has, so it may always hold one retry.
+	// The bucket of the caller only divides what the service has, so the caller may always hold
+	// one retry.
 	callerSaved, callerShared := forCaller.available(1, max(1, callerShare(&service, caller, share, forService.singleCaller())))
-	callerMay := callerSaved >= 1 || callerShared >= 1
+	callerHasRoom := callerSaved >= 1 || callerShared >= 1
 	if _, named := service.CallerWeights[caller]; !named && forService.singleCaller() {
-		callerMay = true
+		callerHasRoom = true
 	}
-	if !b.Unlimited && (saved < 1 && shared < 1 || !callerMay) {
+	if !b.Unlimited && (saved < 1 && shared < 1 || !callerHasRoom) {
 		b.Denied++
 		return false
 	}
 	b.Granted++
-	forService.totals[1]++
+	forService.requestAndRetryTotals[1]++
 	forService.withdraw(1, saved)
 	forCaller.withdraw(1, callerSaved)
 	return true
 }
 
-// Totals gives, for each service, its requests and retries since the start.
+// Totals returns, per service, the numbers of requests and of retries since the budget was
+// created.
 func (b *Budget) Totals() map[ident.Service][2]int64 {
 	totals := make(map[ident.Service][2]int64, len(b.services))
 	for service, forService := range b.services {
-		totals[service] = forService.totals
+		totals[service] = forService.requestAndRetryTotals
 	}
 	return totals
 }
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -15,10 +15,10 @@
 
 var testService = validation.Service{Hostname: "s", RetryRatio: 0.2}
 
-// Twelve sidecars whose traffic rises and falls never spend more together, in any ten seconds, than a
-// fifth of that traffic and sixty. Found by seeds 14 and 30: requests from before the window had paid
-// for retries within it.
-func TestBoundHoldsOverAllNodesWhileTrafficFalls(t *testing.T) {
+// Twelve sidecars with varying traffic never spend more retries together, within any ten seconds,
+// than a fifth of the requests in that time plus sixty. Seeds 14 and 30 exposed a fault in which
+// requests from before the window paid for retries within the window.
+func TestLimitHoldsAcrossNodesWhileTrafficFalls(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var budgets []*Budget
@@ -36,13 +36,13 @@
 			for _, budget := range budgets {
 				budget.ShareRenewed(now)
 				budget.Tick(now)
-				if rng.IntN(40) == 0 && budget.AllowRetry(now, testService, "c") { // of a request that came long ago
+				if rng.IntN(40) == 0 && budget.AllowRetry(now, testService, "c") { // a retry of a request from long ago
 					retries = append(retries, now)
 				}
 				if rng.Float64() < rate/200/12 {
 					budget.CountRequest(now, testService, "c")
 					requests = append(requests, now)
-					for range 3 { // everything fails
+					for range 3 { // all attempts fail
 						if budget.AllowRetry(now, testService, "c") {
 							retries = append(retries, now)
 						}
@@ -71,7 +71,7 @@
 	}
 }
 
-// tickUntil ticks a budget through a time.
+// tickUntil ticks a budget from one time to another and returns the latter.
 func tickUntil(budget *Budget, from, to time.Duration) monotime.Time {
 	for d := from; d <= to; d += 40 * time.Millisecond {
 		budget.Tick(monotime.Time(d))
@@ -79,9 +79,9 @@
 	return monotime.Time(to)
 }
 
-// A clock that jumps forward frees no share: what was spent in a window stays spent until the budget has
-// ticked through the window.
-func TestJumpsOfTheClockFreeNothing(t *testing.T) {
+// A clock that jumps forward does not restore the share: retries spent in a window stay spent
+// until the budget has ticked through the window.
+func TestClockJumpsDoNotRestoreShare(t *testing.T) {
 	budget := New(monotime.Time(time.Second), Limits{})
 	budget.SetShare(6)
 	now := tickUntil(budget, time.Second, 14*time.Second)
@@ -100,11 +100,11 @@
 		must.Eq(t, 0, spend(now))
 	}
 	now = tickUntil(budget, time.Duration(now), time.Duration(now)+11*time.Second)
-	must.Eq(t, 3, spend(now)) // the other half comes back by requests
+	must.Eq(t, 3, spend(now)) // requests restore the other half
 }
 
-// A share is not spent in the first window of a sidecar, nor when no majority renews it.
-func TestShareNeedsTimeAndRenewal(t *testing.T) {
+// A sidecar spends no share in its first window, nor without a renewal by a majority.
+func TestShareRequiresFirstWindowAndRenewal(t *testing.T) {
 	count := func(budget *Budget, now monotime.Time) (n int) {
 		for i := range 20 {
 			if budget.AllowRetry(now, testService, fmt.Sprint(i)) {
@@ -118,14 +118,14 @@
 	budget.ShareRenewed(monotime.Time(time.Second))
 	must.Eq(t, 0, count(budget, tickUntil(budget, 0, 2*time.Second)))
 	budget.ShareRenewed(monotime.Time(11 * time.Second))
-	must.Eq(t, 3, count(budget, tickUntil(budget, 2*time.Second, 12*time.Second))) // the window's half
+	must.Eq(t, 3, count(budget, tickUntil(budget, 2*time.Second, 12*time.Second))) // half of the share, which any window may spend
 	must.Eq(t, 0, count(budget, monotime.Time(13*time.Second)))
 	must.Eq(t, 0, count(budget, monotime.Time(40*time.Second)))
 }
 
-// Where there are several callers, one of them can't take the whole share; a caller with a weight gets
-// its part. The only caller may have all of it.
-func TestCallersHaveTheirShare(t *testing.T) {
+// With several callers, a single caller cannot spend the whole share, and a caller with a weight
+// gets the part of its weight. An only caller may spend the whole share.
+func TestShareIsDividedAmongCallers(t *testing.T) {
 	named := testService
 	named.CallerWeights = map[string]float64{"big": 4, "small": 1}
 	for caller, want := range map[string]int{"big": 4, "small": 1, "other": 2, "alone": 5} {
@@ -147,9 +147,9 @@
 	}
 }
 
-// A burst ends; in the ten seconds after it no request comes at all, and all sidecars spend what they
-// can: no more than sixty in sum.
-func TestABurstThatEndedPaysForNothing(t *testing.T) {
+// After a burst, no requests arrive for ten seconds while all sidecars spend as many retries as
+// they can. They spend at most sixty in total.
+func TestRequestsOfAnEndedBurstPayForNoRetries(t *testing.T) {
 	spent := 0
 	for range 10 {
 		budget := New(monotime.Time(time.Millisecond), Limits{})
@@ -171,30 +171,30 @@
 	must.Between(t, 30, spent, 60)
 }
 
-// All sidecars of a mesh have just restarted, and had spent their shares before: they spend only what
-// their requests save up, however many services and callers are new to them. Later, a service that is
-// new to all of them costs one share.
-func TestRestartedNodesStayWithinExtra(t *testing.T) {
+// All sidecars of a mesh have restarted after having spent their shares: they spend only what
+// their requests save, however many services and callers are new to them. Later, a service that is
+// new to all sidecars costs one share.
+func TestRestartedNodesStayWithinExtraBudget(t *testing.T) {
 	const nodes, extra = 84, 208
-	for after, most := range map[time.Duration]int{time.Second: 0, 12 * time.Second: extra} {
-		sum := 0
+	for uptime, maxRetries := range map[time.Duration]int{time.Second: 0, 12 * time.Second: extra} {
+		retries := 0
 		for range nodes {
 			budget := New(monotime.Time(time.Millisecond), Limits{Extra: extra})
 			budget.SetShare(quota.FairShare(extra, nodes))
-			now := tickUntil(budget, 0, after)
+			now := tickUntil(budget, 0, uptime)
 			budget.ShareRenewed(now)
 			for i := range 100 {
 				if budget.AllowRetry(now, testService, fmt.Sprint("c", i)) {
-					sum++
+					retries++
 				}
 			}
 		}
-		must.Between(t, most*3/4, sum, most)
+		must.Between(t, maxRetries*3/4, retries, maxRetries)
 	}
 }
 
-// The bound holds with other limits as well.
-func TestBoundHoldsWithOtherLimits(t *testing.T) {
+// The limit also holds for other settings.
+func TestLimitHoldsForOtherSettings(t *testing.T) {
 	for _, limits := range []Limits{
 		{Window: 4 * time.Second, Ratio: 0.1, Extra: 4},
 		{Window: 20 * time.Second, Extra: 4},
@@ -213,7 +213,7 @@
 				retries = append(retries, now)
 			}
 		}
-		most, least := 0, effective.Ratio*savedRatio*0.9*100*effective.Window.Seconds()
+		maxRetries, minRetries := 0, effective.Ratio*savedPart*0.9*100*effective.Window.Seconds()
 		for i, end := range retries {
 			n := 0
 			for _, x := range retries[:i+1] {
@@ -221,13 +221,13 @@
 					n++
 				}
 			}
-			most = max(most, n)
+			maxRetries = max(maxRetries, n)
 		}
-		must.Between(t, int(least), most, int(effective.Ratio*100*effective.Window.Seconds())+max(0, effective.Extra))
+		must.Between(t, int(minRetries), maxRetries, int(effective.Ratio*100*effective.Window.Seconds())+max(0, effective.Extra))
 	}
 }
 
-// BenchmarkCountRequest measures the step of each request.
+// BenchmarkCountRequest measures the cost per request.
 func BenchmarkCountRequest(b *testing.B) {
 	budget := New(0, Limits{})
 	b.ReportAllocs()
@@ -236,7 +236,7 @@
 	}
 }
 
-// BenchmarkAllowRetry measures the step of each retry, granted or not.
+// BenchmarkAllowRetry measures the cost per retry, granted or denied.
 func BenchmarkAllowRetry(b *testing.B) {
 	budget := New(0, Limits{})
 	budget.SetShare(6)
--- a/mesh/retrybudget/limits.go
+++ b/mesh/retrybudget/limits.go
@@ -6,26 +6,27 @@
 	"cottonarch.example/cottonarch/control/coordination/quota"
 )
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultWindow = 10 * time.Second
 	DefaultRatio  = 0.2
 )
 
-// Limits are the bound that all sidecars of a mesh keep together, for each service: within any Window,
-// beyond the first attempt of each request, no more attempts reach an endpoint than Ratio of the
-// requests and Extra. They come from the settings. A field that is 0 takes its default, Extra that of
-// quota.DefaultTotal; an Extra or Ratio below zero means none.
+// Limits define the limit that all sidecars of a mesh keep together, for each service: within any
+// Window, the number of attempts that reach an endpoint, beyond the first attempt of each request,
+// is at most Ratio times the number of requests, plus Extra. Limits come from the settings. A
+// field that is 0 takes its default; the default of Extra is quota.DefaultTotal. A negative Extra
+// or Ratio means none.
 type Limits struct {
 	Window time.Duration
 	Ratio  float64
 	Extra  int
-	// CountNested says that calls of endpoints count as requests for the service called. Unless all
-	// of them are known to be seen as such, they save up nothing.
+	// CountNested makes calls by endpoints count as requests for the called service. Unless all
+	// such calls are known to be recognized as nested, they save nothing.
 	CountNested bool
 }
 
-// WithDefaults fills in what is not given.
+// WithDefaults returns the limits with defaults for the fields that are not set.
 func (l Limits) WithDefaults() Limits {
 	if l.Window <= 0 {
 		l.Window = DefaultWindow
@@ -40,8 +41,8 @@
 	return l
 }
 
-// SettleTime is for how long a sidecar must have used a lower share before it may promise to the cores
-// to use no more: a whole window, and a margin for clocks that run apart.
+// SettleTime returns how long a sidecar must have used a lower share before the sidecar may
+// promise to the cores not to exceed that share: a whole window, plus a margin for clock drift.
 func (l Limits) SettleTime() time.Duration {
 	window := l.WithDefaults().Window
 	return window + window/10
--- a/mesh/retrybudget/runs_test.go
+++ b/mesh/retrybudget/runs_test.go
@@ -16,21 +16,21 @@
 
 const step = 5 * time.Millisecond
 
-// model is a chain of services; each run of one makes 1.4 calls on average to the next. It knows which
-// run is a repeat, which the budgets do not.
+// model simulates a chain of services in which each run makes 1.4 calls on average to the next
+// service. Unlike the budgets, the model knows which runs are repeats.
 type model struct {
 	rng           *rand.Rand
 	now           monotime.Time
-	schedule      [][]func() // what happens, by step
+	schedule      [][]func() // scheduled actions by step
 	budgets       []*Budget
 	endpointNodes [][]int         // by service
 	failureRates  [][]float64     // by service and endpoint
 	runTime       []time.Duration // by service
 	unguarded     bool            // nested calls and runs are not reported to the budgets
-	earlyCalls    bool            // runs make their calls in their first tenth
+	earlyCalls    bool            // runs make their calls during the first tenth of their run time
 	limits        Limits
 
-	requests, repeats    [][]monotime.Time // by service; repeats are attempts that reach an endpoint after the first
+	requests, repeats    [][]monotime.Time // by service; repeats are attempts that reach an endpoint after the first attempt
 	runCount, failedRuns int
 }
 
@@ -38,7 +38,7 @@
 	return validation.Service{Hostname: ident.Service(rune('a' + index)), RetryRatio: DefaultRatio}
 }
 
-// scheduleAfter schedules what happens after some time, one step at least.
+// scheduleAfter schedules an action after a delay of at least one step.
 func (m *model) scheduleAfter(d time.Duration, do func()) {
 	i := int(m.now)/int(step) + max(1, int(d/step))
 	if i < len(m.schedule) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// request makes a request from a node to a service; nested says that an endpoint makes it, and
-// fromRepeat that its run is a repeat.
+// request makes a request from a node to a service. nested reports whether an endpoint makes the
+// request, and fromRepeat whether the run of that endpoint is a repeat.
 func (m *model) request(node, service int, nested, fromRepeat bool) {
 	if !nested || m.limits.CountNested {
 		m.requests[service] = append(m.requests[service], m.now)
@@ -61,8 +61,9 @@
 	m.attempt(node, service, chance, fromRepeat, 0, 0)
 }
 
-// attempt makes an attempt of a request; chance is its chance to be a repeat, runs how many attempts
-// reached an endpoint before, and rejections how many were rejected there.
+// attempt makes an attempt of a request. chance is the probability that the attempt is a repeat,
+// runs the number of earlier attempts that reached an endpoint, and rejections the number of
+// attempts that were rejected at the destination.
 func (m *model) attempt(node, service int, chance float64, fromRepeat bool, runs, rejections int) {
 	m.scheduleAfter(step, func() {
 		endpoint := m.rng.IntN(len(m.endpointNodes[service]))
@@ -111,15 +112,15 @@
 	}
 }
 
-// worstExcess returns by how much the repeats of a service exceed the limits in the worst window,
-// and where that window ends. Its requests may lag behind by up to a window.
+// worstExcess returns by how much the repeats of a service exceed the limit in the worst window,
+// and the end of that window. The requests may lag behind by up to one window.
 func (m *model) worstExcess(service int) (worst float64, at monotime.Time) {
 	count := func(list []monotime.Time, from, to monotime.Time) int {
 		return sort.Search(len(list), func(i int) bool { return list[i] > to }) - sort.Search(len(list), func(i int) bool { return list[i] > from })
 	}
 	window := m.limits.Window
 	for i, end := range m.repeats[service] {
-		if i%3 > 0 { // every third will do
+		if i%3 > 0 { // checks every third window end only
 			continue
 		}
 		repeats := count(m.repeats[service], end.Add(-window), end)
@@ -134,21 +135,22 @@
 	return worst, at
 }
 
-// scenario is a mesh, its traffic and its failures.
+// scenario describes a mesh, its traffic and its failures.
 type scenario struct {
 	name          string
 	endpoints     []int     // by service
-	rates         []float64 // requests of clients a second, by service
+	rates         []float64 // client requests per second, by service
 	extra         int
 	length        time.Duration
 	failureRate   func(rng *rand.Rand) float64
 	trafficFactor func(at time.Duration) float64
 }
 
-// steady is a traffic factor without changes.
+// steady is a constant traffic factor.
 func steady(time.Duration) float64 { return 1 }
 
-// burst is a traffic factor: six for four seconds of every sixteen, and nothing for the four after.
+// burst is a traffic factor with a period of sixteen seconds: one for eight seconds, six for the
+// next four seconds, and zero for the last four seconds.
 func burst(at time.Duration) float64 {
 	switch x := at % (16 * time.Second); {
 	case x > 8*time.Second && x < 12*time.Second:
@@ -159,12 +161,12 @@
 	return 1
 }
 
-// fixedRate gives all endpoints one failure rate.
+// fixedRate gives all endpoints the same failure rate.
 func fixedRate(rate float64) func(*rand.Rand) float64 {
 	return func(*rand.Rand) float64 { return rate }
 }
 
-// randomRate gives each endpoint a failure rate of 5 to 100 hundredths.
+// randomRate gives each endpoint a failure rate between 5% and 100%.
 func randomRate(rng *rand.Rand) float64 { return 0.05 + 0.95*rng.Float64() }
 
 var scenarios = []scenario{
@@ -178,7 +180,7 @@
 	{"many, a tenth fails", []int{36, 21, 27}, []float64{400, 130, 110}, 208, 40 * time.Second, fixedRate(0.1), steady},
 }
 
-// newModel makes the nodes of a scenario, each with a budget and one endpoint.
+// newModel creates the nodes of a scenario, each with a budget and one endpoint.
 func newModel(scenario scenario, seed uint64, unguarded, countNested bool) *model {
 	m := &model{
 		rng:        rand.New(rand.NewPCG(seed, 7)),
@@ -208,7 +210,7 @@
 	return m
 }
 
-// simulate plays a scenario.
+// simulate runs a scenario.
 func simulate(scenario scenario, seed uint64, unguarded, countNested bool) *model {
 	m := newModel(scenario, seed, unguarded, countNested)
 	for i := range m.schedule {
@@ -228,7 +230,7 @@
 	return m
 }
 
-// arrive makes the requests of clients in one step.
+// arrive makes the client requests of one step.
 func (m *model) arrive(scenario scenario) {
 	for service, rate := range scenario.rates {
 		for x := rate * scenario.trafficFactor(time.Duration(m.now)) * step.Seconds(); x > 0; x-- {
@@ -239,9 +241,10 @@
 	}
 }
 
-// Repeated runs that call other services keep every service within its limits, though no sidecar sees
-// which call belongs to which run. Without BeginRun and CountNestedRequest the limits are exceeded.
-func TestNestedRepeatsAreCounted(t *testing.T) {
+// Repeated runs that call other services keep every service within the limits, although no sidecar
+// sees which call belongs to which run. Without BeginRun and CountNestedRequest, the limits are
+// exceeded.
+func TestNestedCallsOfRepeatsAreCounted(t *testing.T) {
 	exceeded := 0
 	for i, scenario := range scenarios {
 		for seed := range uint64(4) {
--- a/mesh/retrybudget/service.go
+++ b/mesh/retrybudget/service.go
@@ -5,19 +5,20 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// serviceBudget is the budget of one service: a bucket for all its callers, and one for each. Callers
-// are counted by half windows, so that the share is divided only among those that call.
+// serviceBudget is the budget of one service: one bucket for the whole service and one bucket per
+// caller. Active callers are counted per half window, so that the share is divided only among the
+// callers that make calls.
 type serviceBudget struct {
 	bucket
-	callers       map[string]*bucket
-	currentHalf   int64
-	activeCallers [2]int // callers in this half window and in the one before
-	totals        [2]int64
-	nestedCalls   float64 // calls of this machine's endpoint, decayed like runTracker.decayedCount
-	hasNested     bool    // this machine's endpoint may have made some of its calls
+	callers               map[string]*bucket
+	currentHalf           int64
+	activeCallers         [2]int // active callers in the current and in the previous half window
+	requestAndRetryTotals [2]int64
+	nestedCalls           float64 // calls of the local endpoint, decayed like runTracker.decayedRunCount
+	hasNested             bool    // the local endpoint may have called this service
 }
 
-// markActive counts a caller as active in this half window.
+// markActive counts a caller as active in the current half window.
 func (s *serviceBudget) markActive(budget *Budget, now monotime.Time, caller *bucket) {
 	half := int64(now) / int64(budget.slotLength*slotsPerWindow/2)
 	if half > s.currentHalf {
@@ -33,16 +34,17 @@
 	}
 }
 
-// singleCaller reports whether at most one caller was active in this half window and the one
-// before.
+// singleCaller reports whether at most one caller was active in the current and in the previous
+// half window.
 func (s *serviceBudget) singleCaller() bool { return max(s.activeCallers[0], s.activeCallers[1]) <= 1 }
 
-// callerShare is a caller's part of the share: by weight if the configuration names the caller; else
-// up to half, and one at least; all of it if it is the only caller.
-func callerShare(service *validation.Service, caller string, share float64, single bool) float64 {
+// callerShare returns the part of the share that a caller may spend. A caller named in the
+// configuration gets a part by weight. An unnamed caller gets the whole share if it is the only
+// caller, otherwise half of the share, but at least one.
+func callerShare(service *validation.Service, caller string, share float64, singleCaller bool) float64 {
 	weight, named := service.CallerWeights[caller]
 	if !named {
-		if single {
+		if singleCaller {
 			return share
 		}
 		return min(share, max(1, share/2))
