--- a/mesh/loadbalancer/balancer.go
+++ b/mesh/loadbalancer/balancer.go
@@ -1,7 +1,7 @@
-// Package loadbalancer chooses the workload of a service for a request. It weighs what the workloads
-// report of their load with each response, what this sidecar has in flight itself, and the zone; it
-// leaves out workloads that fail more often than their peers (outlier ejection), and sends less to
-// new ones (slow start).
+// Package loadbalancer chooses a workload of a service for each request. A Balancer weighs the
+// load reports that workloads send with each response, the requests that this sidecar has in
+// flight, and the zone. Workloads that fail more often than their peers are avoided (outlier
+// ejection), and new workloads get fewer requests (slow start).
 package loadbalancer
 
 import (
@@ -16,18 +16,18 @@
 )
 
 const (
-	// suspectDuration is for how long a workload is avoided after an attempt with unknown outcome, and
+	// suspectDuration is how long a workload is avoided after an attempt with unknown outcome, and
 	// a machine after it could not be reached.
 	suspectDuration = time.Second
-	// avoidAfterRejection is for how long a workload is avoided after its machine rejected a request
-	// for it.
-	avoidAfterRejection = 250 * time.Millisecond
-	// unusedRetention is after how long without use what is known of a service or route is forgotten.
-	unusedRetention = 10 * time.Minute
+	// rejectionSuspectDuration is how long a workload is avoided after its machine rejected a
+	// request.
+	rejectionSuspectDuration = 250 * time.Millisecond
+	// unusedStatsRetention is how long the statistics of an unused service or route are kept.
+	unusedStatsRetention = 10 * time.Minute
 )
 
-// Balancer chooses workloads for one sidecar. It reads no clock. Invariant: only workloads with status
-// HEALTHY are ever chosen.
+// Balancer chooses workloads for one sidecar. Balancer reads no clock. Invariant: only workloads
+// with status HEALTHY are chosen.
 type Balancer struct {
 	Settings
 	zone             ident.Zone
@@ -35,13 +35,13 @@
 	endpoints        map[ident.Server]*endpointStats
 	services         map[ident.Service]*serviceStats
 	routes           map[string]*routeStats
-	unreachableUntil map[ident.Addr]monotime.Time // by the address of a machine's sidecar
-	// preferred, suspects and outliers are the candidates of one choice, by index; their memory is
-	// used again by the next.
+	unreachableUntil map[ident.Addr]monotime.Time // by address of the sidecar of a machine
+	// preferred, suspects and outliers hold the indexes of the candidates of the current choice;
+	// the slices are reused by the next choice.
 	preferred, suspects, outliers []int
 }
 
-// New makes a balancer for a sidecar of a zone.
+// New returns a balancer for a sidecar in a zone.
 func New(zone ident.Zone, seed uint64) *Balancer {
 	return &Balancer{
 		Settings:         DefaultSettings(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// endpoint returns the statistics of a workload, empty ones if it is new.
+// endpoint returns the statistics of a workload and creates empty statistics for a new workload.
 func (b *Balancer) endpoint(server ident.Server) *endpointStats {
 	if b.endpoints[server] == nil {
 		b.endpoints[server] = &endpointStats{server: server}
@@ -62,8 +62,9 @@
 	return b.endpoints[server]
 }
 
-// service returns what is known of the workloads of a service, in the order of entries. It is made
-// anew only for another slice: the registry never changes one in place.
+// service returns the statistics of the workloads of a service, in the order of entries. The
+// statistics are rebuilt only if entries is a different slice, because the registry never changes
+// a slice in place.
 func (b *Balancer) service(now monotime.Time, entries []registry.Entry) *serviceStats {
 	stats := b.services[entries[0].Service]
 	if stats == nil {
@@ -90,15 +91,16 @@
 	return stats
 }
 
-// Choose chooses one of the workloads that was not tried, for a route of which nothing is known.
+// Choose chooses one of the workloads that were not tried, for a route without statistics.
 func (b *Balancer) Choose(now monotime.Time, entries []registry.Entry, tried map[ident.Server]bool) (registry.Entry, bool) {
 	return b.ChooseForRoute(now, "", entries, tried)
 }
 
-// ChooseForRoute chooses one of the workloads that was not tried, for a request of a route: the one
-// whose response is expected to cost least. The healthy workloads are tried by class: first those
-// that nothing speaks against; then the suspects, and those whose lease has lapsed at the core; then
-// the outliers. Outliers that are too many to be ejected count as the first class.
+// ChooseForRoute chooses, for a request of a route, the workload with the lowest expected cost of
+// a response among the healthy workloads that were not tried. The candidates are considered by
+// class: first the preferred workloads, then the suspects, including workloads whose lease has
+// lapsed at the core, then the outliers. If there are too many outliers to eject, the outliers
+// count as preferred.
 func (b *Balancer) ChooseForRoute(
 	now monotime.Time, route string, entries []registry.Entry, tried map[ident.Server]bool,
 ) (registry.Entry, bool) {
@@ -106,18 +108,18 @@
 		return registry.Entry{}, false
 	}
 	service := b.service(now, entries)
-	b.classify(now, service, tried)
+	b.partitionCandidates(now, service, tried)
 	for _, class := range [][]int{b.preferred, b.suspects, b.outliers} {
 		if len(class) > 0 {
-			return entries[b.cheapest(now, b.routes[route], service, class)], true
+			return entries[b.leastCost(now, b.routes[route], service, class)], true
 		}
 	}
 	return registry.Entry{}, false
 }
 
-// classify sets preferred, suspects and outliers to the healthy workloads of a service that were not
-// tried.
-func (b *Balancer) classify(now monotime.Time, service *serviceStats, tried map[ident.Server]bool) {
+// partitionCandidates sets preferred, suspects and outliers to the healthy workloads of a service
+// that were not tried.
+func (b *Balancer) partitionCandidates(now monotime.Time, service *serviceStats, tried map[ident.Server]bool) {
 	ejection := outlierEjection{&b.Settings}
 	preferred, suspects, outliers := b.preferred[:0], b.suspects[:0], b.outliers[:0]
 	for i := range service.entries {
@@ -138,15 +140,15 @@
 	b.preferred, b.suspects, b.outliers = preferred, suspects, outliers
 }
 
-// isSuspect reports whether a workload is avoided: its lease has lapsed, or it or its machine gave
-// no response to this sidecar a short while ago.
+// isSuspect reports whether a workload is avoided because its lease has lapsed, or because the
+// workload or its machine recently failed to respond to this sidecar or rejected a request.
 func (b *Balancer) isSuspect(now monotime.Time, entry *registry.Entry, endpoint *endpointStats) bool {
 	return entry.Lapsed || endpoint.suspectUntil.After(now) ||
 		len(b.unreachableUntil) > 0 && b.unreachableUntil[entry.SidecarAddr].After(now)
 }
 
-// LastResort reports whether a workload that was chosen is an outlier: it was chosen since there is
-// no better one, so the request is to be run there even though it may fail.
+// LastResort reports whether a chosen workload is an outlier. An outlier is chosen only if no
+// better workload is left, so the request must run there even though it may fail.
 func (b *Balancer) LastResort(now monotime.Time, server ident.Server) bool {
 	endpoint := b.endpoints[server]
 	return endpoint != nil && outlierEjection{&b.Settings}.isOutlier(now, endpoint)
@@ -158,9 +160,9 @@
 // uniform returns a random number in [0, 1).
 func (b *Balancer) uniform() float64 { return float64(b.rng.Uint64()>>11) / (1 << 53) }
 
-// cheapest returns the candidate with the least cost, of a random sample if SampleSize says so. It
-// may reorder the candidates.
-func (b *Balancer) cheapest(now monotime.Time, route *routeStats, service *serviceStats, candidates []int) int {
+// leastCost returns the candidate with the lowest cost, out of a random sample if SampleSize is
+// set. leastCost may reorder candidates.
+func (b *Balancer) leastCost(now monotime.Time, route *routeStats, service *serviceStats, candidates []int) int {
 	routeCost := b.routeCost(route)
 	lowestCost, best := 0.0, -1
 	for _, i := range b.sample(candidates) {
@@ -172,8 +174,8 @@
 	return best
 }
 
-// sample returns SampleSize random candidates, all of them if there are no more: the first ones of
-// a shuffle.
+// sample returns SampleSize random candidates, by a partial shuffle, or all candidates if there
+// are not more than SampleSize.
 func (b *Balancer) sample(candidates []int) []int {
 	if b.SampleSize <= 0 || b.SampleSize >= len(candidates) {
 		return candidates
@@ -185,7 +187,7 @@
 	return candidates[:b.SampleSize]
 }
 
-// HandleReport takes the load report of a workload.
+// HandleReport records the load report of a workload.
 func (b *Balancer) HandleReport(now monotime.Time, server ident.Server, report loadreport.Report) {
 	endpoint := b.endpoint(server)
 	endpoint.report, endpoint.reportedAt, endpoint.inFlightAtReport = report, now, endpoint.inFlight
@@ -194,26 +196,28 @@
 	}
 }
 
-// RecordRun takes how long an endpoint had a request of a route, and the size of its response.
+// RecordRun records the time that a request of a route spent at an endpoint and the size of the
+// response.
 func (b *Balancer) RecordRun(now monotime.Time, route string, elapsed time.Duration, size int64) {
 	stats := b.routes[route]
 	if stats == nil {
-		stats = &routeStats{meanWork: float64(elapsed), meanBytes: float64(size)}
+		stats = &routeStats{meanServiceTime: float64(elapsed), meanBytes: float64(size)}
 		b.routes[route] = stats
 	}
 	stats.lastUsed = now
 	stats.update(elapsed, size)
 }
 
-// MeanServiceTime is how long a run of a route takes at the service's mean workload, 0 for unknown.
+// MeanServiceTime returns the mean run time of a route at the average workload of its service, or
+// 0 if unknown.
 func (b *Balancer) MeanServiceTime(route string) time.Duration {
 	if stats := b.routes[route]; stats != nil {
-		return time.Duration(stats.meanWork)
+		return time.Duration(stats.meanServiceTime)
 	}
 	return 0
 }
 
-// MeanResponseBytes is the mean size of a route's responses, 0 for unknown.
+// MeanResponseBytes returns the mean response size of a route, or 0 if unknown.
 func (b *Balancer) MeanResponseBytes(route string) int {
 	if stats := b.routes[route]; stats != nil {
 		return int(stats.meanBytes)
@@ -221,7 +225,8 @@
 	return 0
 }
 
-// MeanFailureRate is the part of runs that fails at a service's workloads, by their reports.
+// MeanFailureRate returns the mean fraction of failed runs at the workloads of a service,
+// according to their load reports.
 func (b *Balancer) MeanFailureRate(service ident.Service) float64 {
 	if stats := b.services[service]; stats != nil {
 		return stats.meanFailureRate
@@ -229,11 +234,12 @@
 	return 0
 }
 
-// Started counts a request in flight to a workload.
+// Started adds a request in flight to a workload.
 func (b *Balancer) Started(server ident.Server) { b.endpoint(server).inFlight++ }
 
-// Finished ends a request in flight. With uncertain, its outcome is unknown and the workload is suspect
-// for a while; with unreachable, all workloads of its machine are.
+// Finished ends a request in flight. uncertain reports that the outcome is unknown, which makes
+// the workload suspect for a while. unreachable reports that the machine could not be reached,
+// which makes all workloads of the machine suspect.
 func (b *Balancer) Finished(now monotime.Time, entry registry.Entry, uncertain, unreachable bool) {
 	endpoint := b.endpoint(entry.UID)
 	endpoint.inFlight--
@@ -246,13 +252,13 @@
 	}
 }
 
-// Rejected notes that a workload's machine rejected a request for it.
+// Rejected records that the machine of a workload rejected a request.
 func (b *Balancer) Rejected(now monotime.Time, server ident.Server) {
-	b.endpoint(server).suspectUntil = now.Add(avoidAfterRejection)
+	b.endpoint(server).suspectUntil = now.Add(rejectionSuspectDuration)
 }
 
-// Prune forgets workloads that are not alive and have nothing in flight, and services and routes that
-// are no longer used.
+// Prune deletes the statistics of workloads that are neither alive nor suspect and have no request
+// in flight, and of services and routes that are no longer used.
 func (b *Balancer) Prune(now monotime.Time, alive func(ident.Server) bool) {
 	for server, endpoint := range b.endpoints {
 		if endpoint.inFlight == 0 && !endpoint.suspectUntil.After(now) && !alive(server) {
@@ -260,12 +266,12 @@
 		}
 	}
 	for name, service := range b.services {
-		if now.Since(service.lastUsed) > unusedRetention {
+		if now.Since(service.lastUsed) > unusedStatsRetention {
 			delete(b.services, name)
 		}
 	}
 	for name, route := range b.routes {
-		if now.Since(route.lastUsed) > unusedRetention {
+		if now.Since(route.lastUsed) > unusedStatsRetention {
 			delete(b.routes, name)
 		}
 	}
--- a/mesh/loadbalancer/balancer_test.go
+++ b/mesh/loadbalancer/balancer_test.go
@@ -24,10 +24,10 @@
 	}}
 }
 
-// Every mix of status, lapsed lease and earlier attempt of three workloads: only a healthy one that was
-// not tried is ever chosen, one with a lease in force before one whose lease has lapsed, and there is a
-// choice whenever there is one to choose.
-func TestAllMixesOfThreeWorkloads(t *testing.T) {
+// Covers every combination of status, lapsed lease and earlier attempt for three workloads: only a
+// healthy workload that was not tried is chosen, a workload with a valid lease is chosen before
+// one whose lease has lapsed, and a workload is chosen whenever a candidate exists.
+func TestAllStatesOfThreeWorkloads(t *testing.T) {
 	statuses := []record.Status{record.Healthy, record.Draining, record.Unhealthy, record.Unknown}
 	for n := range 16 * 16 * 16 {
 		balancer := New("d", uint64(n))
@@ -57,9 +57,9 @@
 	}
 }
 
-// Requests in flight change the choice; a workload with an attempt of unknown outcome, and a machine
-// that could not be reached, are avoided for a while.
-func TestLoadAndSuspicionSteerTheChoice(t *testing.T) {
+// Requests in flight affect the choice. A workload after an attempt with unknown outcome and a
+// machine that could not be reached are avoided for a while.
+func TestInFlightRequestsAndSuspectsAffectChoice(t *testing.T) {
 	entries := []registry.Entry{newEntry(0, record.Healthy), newEntry(1, record.Healthy), newEntry(2, record.Healthy)}
 	count := func(balancer *Balancer, at monotime.Time) map[ident.Server]int {
 		chosen := map[ident.Server]int{}
@@ -87,5 +87,5 @@
 	must.Eq(t, 600, count(balancer, now)["e0"])
 	must.Less(t, 300, count(balancer, now.Add(2*suspectDuration))["e0"])
 	balancer.Rejected(now, "e0")
-	must.Positive(t, count(balancer, now)["e1"]) // all are suspect: one of them is chosen all the same
+	must.Positive(t, count(balancer, now)["e1"]) // all workloads are suspect, so a suspect is chosen
 }
--- a/mesh/loadbalancer/cost.go
+++ b/mesh/loadbalancer/cost.go
@@ -5,34 +5,36 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// failureCostFactor is how many times its work a failed run costs.
+// failureCostFactor is the cost of a failed run as a multiple of its service time.
 const failureCostFactor = 10
 
-// routeCost is what a route adds to the cost of any workload, in nanoseconds.
+// routeCost holds the cost parameters of a route that are the same for all workloads, in
+// nanoseconds.
 type routeCost struct {
-	work float64 // a run at the service's mean workload
-	zone float64 // a response from another zone
+	serviceTime float64 // run time at the average workload of the service
+	crossZone   float64 // extra cost of a response from another zone
 }
 
 func (b *Balancer) routeCost(route *routeStats) routeCost {
-	cost := routeCost{work: float64(b.DefaultServiceTime), zone: float64(b.ZonePenalty)}
+	cost := routeCost{serviceTime: float64(b.DefaultServiceTime), crossZone: float64(b.ZonePenalty)}
 	if route != nil {
-		if route.meanWork > 0 {
-			cost.work = route.meanWork
+		if route.meanServiceTime > 0 {
+			cost.serviceTime = route.meanServiceTime
 		}
-		cost.zone += route.meanBytes / 1024 * float64(b.CrossZoneCostPerKB)
+		cost.crossZone += route.meanBytes / 1024 * float64(b.CrossZoneCostPerKB)
 	}
 	return cost
 }
 
-// workloadEstimate is what one more request is expected to find at a workload.
+// workloadEstimate is the expected state of a workload for one more request.
 type workloadEstimate struct {
-	load              float64 // requests at the workload with this one, per slot
-	relativeTime      float64 // its time over that of the service's mean workload
-	excessFailureRate float64 // its failure rate beyond the service's mean
+	load              float64 // requests at the workload per slot, this request included
+	relativeTime      float64 // run time relative to the average workload of the service
+	excessFailureRate float64 // failure rate in excess of the mean of the service
 }
 
-// estimate weighs what a workload reported, by its age, with the means of its service.
+// estimate combines the load report of a workload, weighted by its age, with the means of the
+// service.
 func (b *Balancer) estimate(now monotime.Time, entry *registry.Entry, endpoint *endpointStats) workloadEstimate {
 	slots, service := float64(b.DefaultSlots), endpoint.service
 	estimate := workloadEstimate{load: entry.Load, relativeTime: 1}
@@ -59,17 +61,17 @@
 	return estimate
 }
 
-// cost is what a response of a workload is expected to cost, in nanoseconds of waiting.
+// cost returns the expected cost of a response of a workload, in nanoseconds of waiting.
 func (b *Balancer) cost(now monotime.Time, route routeCost, entry *registry.Entry, endpoint *endpointStats) float64 {
 	estimate := b.estimate(now, entry, endpoint)
-	// A slot that is taken now may be free when the request comes, and the other way round: the wait
-	// grows before all slots are taken.
+	// A slot that is occupied now may be free when the request arrives, and vice versa, so the
+	// expected wait grows even before all slots are occupied.
 	utilization := min(estimate.load, 1)
 	wait := utilization*utilization*utilization/4 + max(estimate.load-1, 0)
-	cost := route.work * estimate.relativeTime * (1 + wait) / float64(max(entry.Weight, 1))
-	cost += route.work * estimate.excessFailureRate * failureCostFactor
+	cost := route.serviceTime * estimate.relativeTime * (1 + wait) / float64(max(entry.Weight, 1))
+	cost += route.serviceTime * estimate.excessFailureRate * failureCostFactor
 	if entry.Zone != b.zone {
-		cost += route.zone
+		cost += route.crossZone
 	}
 	return cost
 }
--- a/mesh/loadbalancer/outlier.go
+++ b/mesh/loadbalancer/outlier.go
@@ -2,12 +2,12 @@
 
 import "cottonarch.example/cottonarch/base/monotime"
 
-// peerFailureFactor is how many times the mean failure rate of its service a workload may have, beside
-// Settings.MaxFailureRate, before it is an outlier.
+// peerFailureFactor is the tolerated failure rate of a workload as a multiple of the mean failure
+// rate of its service. A workload above this tolerance plus Settings.MaxFailureRate is an outlier.
 const peerFailureFactor = 1.5
 
-// outlierEjection leaves workloads out that fail more often than their peers, but no more than a part
-// of a service: where many fail, the fault is not theirs.
+// outlierEjection ejects workloads that fail more often than their peers, up to a limited share of
+// a service. If many workloads fail, the cause is not in the workloads.
 type outlierEjection struct{ *Settings }
 
 // isOutlier reports whether a workload fails more often than its peers.
@@ -19,7 +19,7 @@
 	return failureRate > o.MaxFailureRate+peerFailureFactor*endpoint.service.meanFailureRate
 }
 
-// mayEject reports whether so many outliers of so many candidates may be ejected.
+// mayEject reports whether the given number of outliers among the candidates may be ejected.
 func (o outlierEjection) mayEject(outliers, candidates int) bool {
 	return float64(outliers) <= o.MaxEjectedShare*float64(candidates)
 }
--- a/mesh/loadbalancer/report_test.go
+++ b/mesh/loadbalancer/report_test.go
@@ -19,7 +19,8 @@
 	return entries
 }
 
-// choiceCounts counts 1000 choices at one time; nothing is sent.
+// choiceCounts counts how often each workload is chosen in 1000 choices at the same time, without
+// sending requests.
 func choiceCounts(balancer *Balancer, after time.Duration, entries []registry.Entry) map[ident.Server]int {
 	chosen := map[ident.Server]int{}
 	for range 1000 {
@@ -29,8 +30,8 @@
 	return chosen
 }
 
-// A load report changes the choice at once, and less and less as it gets old.
-func TestLoadReportsSteerTheChoice(t *testing.T) {
+// A load report affects the choice immediately, and less and less as the report ages.
+func TestLoadReportsAffectChoice(t *testing.T) {
 	normal := loadreport.Report{Running: 2, Slots: 6, RelativeTime: 1}
 	for name, report := range map[string]loadreport.Report{
 		"full":    {Running: 7, Waiting: 6, Slots: 6, RelativeTime: 1},
@@ -50,8 +51,9 @@
 	}
 }
 
-// Own requests in flight that are not in a report yet count on top; those that are do not count twice.
-func TestOwnRequestsCountOnce(t *testing.T) {
+// The own requests in flight that are not yet in a load report add to the load; requests that the
+// report includes do not count twice.
+func TestOwnInFlightRequestsCountOnce(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(2)
 	choiceCounts(balancer, 0, entries)
 	for range 3 {
@@ -70,9 +72,9 @@
 	must.Between(t, 400, choiceCounts(balancer, 0, entries)["e0"], 600)
 }
 
-// Workloads that fail are ejected, but no more than MaxEjectedShare of a service, and the only one
-// never; where all workloads of a service fail, none is ejected.
-func TestNoMoreThanMaxEjectedShareIsEjected(t *testing.T) {
+// Failing workloads are ejected, but at most MaxEjectedShare of a service, and never the only
+// workload. If all workloads of a service fail, none is ejected.
+func TestEjectionIsLimitedToMaxEjectedShare(t *testing.T) {
 	for failing := range 7 {
 		balancer, entries := New("d", 1), healthyEntries(6)
 		choiceCounts(balancer, 0, entries)
@@ -106,8 +108,9 @@
 	must.Eq(t, 1000, choiceCounts(balancer, 0, entries)["e0"])
 }
 
-// A large response stays in its zone while the zone is not much busier; a small one need not.
-func TestLargeResponsesStayInTheZone(t *testing.T) {
+// Large responses stay in their zone while the zone is not much busier than others; small
+// responses may cross zones.
+func TestLargeResponsesPreferOwnZone(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(2)
 	entries[1].Zone = "other"
 	balancer.CrossZoneCostPerKB = time.Millisecond
@@ -132,8 +135,8 @@
 	must.Eq(t, 1000, count("large"))
 }
 
-// A workload that came after the others is taken to be slow until it reports.
-func TestNewEndpointsStartSlowly(t *testing.T) {
+// A workload that joins after the others counts as slow until its first load report.
+func TestNewWorkloadsStartSlowly(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(4)
 	choiceCounts(balancer, 0, entries[:3])
 	must.Eq(t, 0, choiceCounts(balancer, 0, entries)["e3"])
@@ -147,8 +150,8 @@
 	must.Eq(t, 1000, choiceCounts(balancer, 0, entries)["e3"])
 }
 
-// A choice allocates no memory.
-func TestChoiceAllocatesNothing(t *testing.T) {
+// ChooseForRoute allocates no memory.
+func TestChooseForRouteDoesNotAllocate(t *testing.T) {
 	balancer, entries := New("d", 1), healthyEntries(53)
 	must.Eq(t, 0, testing.AllocsPerRun(100, func() { balancer.ChooseForRoute(now, "w", entries, nil) }))
 }
--- a/mesh/loadbalancer/settings.go
+++ b/mesh/loadbalancer/settings.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Settings of a balancer. Each is read at every choice, so they may be changed at any time.
+// Settings configures a balancer. Every choice reads the settings, so they may be changed at any
+// time.
 type Settings struct {
-	// SampleSize is how many workloads are compared, 0 for all of them. The more there are, the more
-	// often sidecars that choose at the same time agree on one.
+	// SampleSize is the number of random workloads that are compared, 0 for all workloads. With a
+	// larger sample, sidecars that choose at the same time more often choose the same workload.
 	SampleSize int
-	// Jitter is the part of its cost by which a workload may seem to cost more than it does.
+	// Jitter is the maximum random increase of the cost of a workload, as a fraction of the cost.
 	Jitter float64
-	// LoadHalfLife is at what age the load of a report counts half, and HealthHalfLife the same of its
-	// relative time and failure rate.
+	// LoadHalfLife is the age at which the load of a report has half its weight. HealthHalfLife is
+	// the same for the relative time and the failure rate.
 	LoadHalfLife, HealthHalfLife time.Duration
-	// ZonePenalty is the cost of a response from another zone, and CrossZoneCostPerKB that of each KB
-	// of it.
+	// ZonePenalty is the cost of a response from another zone. CrossZoneCostPerKB is the
+	// additional cost per KB of such a response.
 	ZonePenalty, CrossZoneCostPerKB time.Duration
-	// DefaultSlots is how many requests a workload works on at once if its reports do not say.
+	// DefaultSlots is the number of slots of a workload whose reports do not state the number.
 	DefaultSlots int
-	// MaxFailureRate is the part of runs that may fail, beyond one and a half times the service's
-	// mean, before a workload is ejected as an outlier. MaxEjectedShare is the most of a service's
-	// workloads that may be ejected.
+	// MaxFailureRate is the limit on the fraction of failed runs, in addition to one and a half
+	// times the mean of the service. Above the limit, a workload is ejected as an outlier.
+	// MaxEjectedShare is the maximum fraction of the workloads of a service that may be ejected.
 	MaxFailureRate, MaxEjectedShare float64
-	// SlowStart is for how long a workload that came after the others is taken to be slow, until it
-	// reports.
+	// SlowStart is how long a workload that joins after the others counts as slow, unless a load
+	// report arrives earlier.
 	SlowStart time.Duration
-	// DefaultServiceTime is the work of a route of which there was no response yet.
+	// DefaultServiceTime is the service time of a route without a response so far.
 	DefaultServiceTime time.Duration
 }
 
-// DefaultSettings returns the settings that the model in mesh/admission was run with.
+// DefaultSettings returns the settings that were used for the simulations in mesh/admission.
 func DefaultSettings() Settings {
 	return Settings{
 		SampleSize:         0,
--- a/mesh/loadbalancer/slowstart.go
+++ b/mesh/loadbalancer/slowstart.go
@@ -6,16 +6,17 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// slowStartFactor is how many times as long as its peers a workload is taken to need that has just
-// started.
+// slowStartFactor is the assumed run time of a workload that has just started, relative to its
+// peers.
 const slowStartFactor = 2
 
-// slowStart is the time in which a new workload is taken to be slow. The zero value has none.
+// slowStart is the period during which a new workload counts as slow. The zero value is no such
+// period.
 type slowStart struct{ until monotime.Time }
 
 func (s *slowStart) begin(now monotime.Time, duration time.Duration) { s.until = now.Add(duration) }
 
-// relativeTime is the relative time of a workload that has not reported one.
+// relativeTime returns the relative time of a workload that has sent no load report.
 func (s *slowStart) relativeTime(now monotime.Time) float64 {
 	if s.until.After(now) {
 		return slowStartFactor
--- a/mesh/loadbalancer/stats.go
+++ b/mesh/loadbalancer/stats.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// maxReportedLoad bounds the load of one report in the mean of its service.
+	// maxReportedLoad limits the influence of one load report on the mean load of its service.
 	maxReportedLoad = 4
-	// A mean moves by one part of so many towards each sample.
+	// Smoothing factors: each sample moves a mean by 1/factor of the difference.
 	loadSmoothing        = 16
 	failureRateSmoothing = 32
 	routeSmoothing       = 32
-	// A run counts in the mean of its route as no more than maxWorkFactor times the mean and
-	// workMargin together.
-	maxWorkFactor = 8
-	workMargin    = time.Millisecond
+	// A run counts in the mean of its route as at most maxSampleFactor times the mean plus
+	// serviceTimeAllowance.
+	maxSampleFactor      = 8
+	serviceTimeAllowance = time.Millisecond
 )
 
-// endpointStats is what is known of one workload. Invariant: inFlight counts requests of this sidecar;
-// inFlightAtReport of them were in flight when the report was taken, and are counted in it.
+// endpointStats holds the statistics of one workload. Invariant: inFlight is the number of
+// requests of this sidecar at the workload; inFlightAtReport of those requests were in flight when
+// the load report arrived, and are included in the report.
 type endpointStats struct {
 	server           ident.Server
 	service          *serviceStats
@@ -35,19 +36,19 @@
 	slowStart        slowStart
 }
 
-// serviceStats is what is known of one service's workloads together. Invariant: endpoints[i] is what is
-// known of entries[i].
+// serviceStats holds the statistics of all workloads of one service. Invariant: endpoints[i] holds
+// the statistics of entries[i].
 type serviceStats struct {
 	entries         []registry.Entry
 	endpoints       []*endpointStats
-	meanLoad        float64 // requests that run or wait, per slot
-	meanFailureRate float64 // the part of runs that fails
-	reported        bool    // a report has come
-	initialized     bool    // a list of entries has been seen before
+	meanLoad        float64 // running and waiting requests per slot
+	meanFailureRate float64 // fraction of failed runs
+	reported        bool    // a load report was received
+	initialized     bool    // a list of entries was processed before
 	lastUsed        monotime.Time
 }
 
-// update takes a report of one of the service's workloads into the means.
+// update adds a load report of one workload to the means of the service.
 func (s *serviceStats) update(report loadreport.Report, defaultSlots int) {
 	slots := report.Slots
 	if slots == 0 {
@@ -61,20 +62,21 @@
 	s.meanFailureRate += (report.FailureRate - s.meanFailureRate) / failureRateSmoothing
 }
 
-// routeStats is what was learnt from the responses of one route.
+// routeStats holds statistics of the responses of one route.
 type routeStats struct {
-	meanWork  float64 // nanoseconds at an endpoint
-	meanBytes float64 // of a response
-	lastUsed  monotime.Time
+	meanServiceTime float64 // nanoseconds at an endpoint
+	meanBytes       float64 // per response
+	lastUsed        monotime.Time
 }
 
-// update takes a run into the means. How much a single run that took very long counts is bounded.
+// update adds a run to the means. The influence of a single very long run is limited.
 func (r *routeStats) update(elapsed time.Duration, size int64) {
-	r.meanWork += (min(float64(elapsed), maxWorkFactor*r.meanWork+float64(workMargin)) - r.meanWork) / routeSmoothing
+	r.meanServiceTime += (min(float64(elapsed), maxSampleFactor*r.meanServiceTime+float64(serviceTimeAllowance)) - r.meanServiceTime) / routeSmoothing
 	r.meanBytes += (float64(size) - r.meanBytes) / routeSmoothing
 }
 
-// decay is the weight of a report at an age: half at the half-life, and less and less slowly after.
+// decay returns the weight of a load report by age: one half at the half-life, and a decreasing
+// rate of decline afterwards.
 func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
@@ -82,8 +84,9 @@
 	return float64(halfLife) / float64(halfLife+age)
 }
 
-// steepDecay is the weight of a report that holds for longer and then is all but forgotten, so that a
-// workload that was avoided because of it is tried again.
+// steepDecay returns the weight of a load report by age. Compared with decay, the weight stays
+// high for longer and then drops to almost nothing, so that a workload that was avoided because of
+// the report is tried again.
 func steepDecay(age, halfLife time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
