--- a/mesh/bandwidth/inbound_test.go
+++ b/mesh/bandwidth/inbound_test.go
@@ -8,19 +8,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// While a large body is received, no other is admitted that would exceed maxReceiveTime; small ones
-// always are, and a body alone is never rejected.
-func TestLargeBodiesAreSpaced(t *testing.T) {
+// While a large body is received, no other body that would exceed maxInboundWait is admitted.
+// Small bodies are always admitted, and a body is never rejected while no other body is received.
+func TestLargeBodiesAreLimitedWhileReceiving(t *testing.T) {
 	link := NewInbound(6 * megabit)
 	_, ok := link.Admit(5_000_000)
 	must.True(t, ok)
 	retryAfter, ok := link.Admit(responseBytes)
 	must.False(t, ok)
 	must.Positive(t, retryAfter)
-	_, ok = link.Admit(smallBytes)
+	_, ok = link.Admit(smallBodyBytes)
 	must.True(t, ok)
 	link.Received(5_000_000)
-	link.Received(smallBytes)
+	link.Received(smallBodyBytes)
 	_, ok = link.Admit(responseBytes)
 	must.True(t, ok)
 	_, ok = link.Admit(responseBytes)
@@ -32,10 +32,10 @@
 	}
 }
 
-// Machines send random bodies to one link, four times what it carries: with admission the wait at the
-// link stays short, so that a configuration behind the bodies is in time, and the link is still used;
-// without it the wait grows without end.
-func TestBodiesBeyondTheLink(t *testing.T) {
+// Machines send random bodies to one link at four times its rate. With admission control, the wait
+// at the link stays short, so that a configuration behind the bodies arrives in time, and the link
+// is still well utilized. Without admission control, the wait grows without bound.
+func TestInboundWaitIsBoundedUnderOverload(t *testing.T) {
 	const rate, step, length = 6 * megabit, 5 * time.Millisecond, 20 * time.Second
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/mesh/bandwidth/outbound.go
+++ b/mesh/bandwidth/outbound.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// maxWait is how long the link may need for all that was sent or is expected when a large
-	// response is admitted, and maxLastResortWait the same where no other machine is left to serve
-	// the request. What is expected comes only after its run, so less of it waits at once.
-	maxWait           = 350 * time.Millisecond
+	// maxOutboundWait is the maximum time that the link may need for all sent and expected bytes
+	// when a large response is admitted. maxLastResortWait is the same limit for requests that no
+	// other machine is left to serve. Expected responses are sent only after their runs, so fewer
+	// of their bytes wait at the same time.
+	maxOutboundWait   = 350 * time.Millisecond
 	maxLastResortWait = 800 * time.Millisecond
-	// headerBytes stands for the header of a response.
+	// headerBytes is the assumed size of a response header.
 	headerBytes = 300
 )
 
-// Outbound estimates what waits at the link on its way out. It reads no clock. Invariants: queued is
-// what was sent and, by the estimate, had not been carried at updatedAt; expected is the sum of what
-// was admitted and has not been sent; both are in bytes.
+// Outbound estimates the bytes waiting at the outbound side of a link. Outbound reads no clock.
+// Invariants: queued is the number of bytes that were sent and, by the estimate, not yet carried
+// at updatedAt; expected is the number of bytes that were admitted and not yet sent.
 type Outbound struct {
 	rate      rate
 	queued    float64
@@ -26,20 +27,21 @@
 	updatedAt monotime.Time
 }
 
-// NewOutbound makes the outbound side of a link that carries so many bytes a second, 0 for unknown.
+// NewOutbound returns the limiter for the outbound direction of a link with the given rate; 0
+// means unknown.
 func NewOutbound(bytesPerSecond float64) *Outbound {
-	return &Outbound{rate: usableRate(bytesPerSecond)}
+	return &Outbound{rate: bodyRate(bytesPerSecond)}
 }
 
-// Admit decides on a request whose response is expected to have so many bytes; lastResort says that
-// no other machine is left to serve it. An admitted one must be ended with Sent; a rejected one may
-// be tried again after retryAfter.
+// Admit decides on a request with the given expected response size. lastResort reports whether no
+// other machine is left to serve the request. An admitted request must be ended with Sent; a
+// rejected request may be retried after retryAfter.
 func (o *Outbound) Admit(now monotime.Time, bytes int, lastResort bool) (retryAfter time.Duration, ok bool) {
 	if !o.rate.known() {
 		return 0, true
 	}
 	o.drain(now)
-	limit := maxWait
+	limit := maxOutboundWait
 	if lastResort {
 		limit = maxLastResortWait
 	}
@@ -51,8 +53,8 @@
 	return 0, true
 }
 
-// Sent ends an admitted request: so many bytes were expected, and so many were sent, 0 for no
-// response.
+// Sent ends an admitted request. expected is the response size that was passed to Admit, and bytes
+// is the size that was sent, 0 without a response.
 func (o *Outbound) Sent(now monotime.Time, expected, bytes int) {
 	if !o.rate.known() {
 		return
@@ -64,7 +66,7 @@
 	}
 }
 
-// Wait is how long what is sent now waits at the link, by the estimate.
+// Wait returns the estimated time that data sent now waits at the link.
 func (o *Outbound) Wait(now monotime.Time) time.Duration {
 	if !o.rate.known() {
 		return 0
@@ -73,7 +75,7 @@
 	return o.rate.transferTime(o.queued)
 }
 
-// drain takes out what the link has carried since the last step.
+// drain subtracts the bytes that the link has carried since the last update.
 func (o *Outbound) drain(now monotime.Time) {
 	if now.After(o.updatedAt) {
 		o.queued = max(0, o.queued-float64(o.rate)*now.Since(o.updatedAt).Seconds())
--- a/mesh/bandwidth/outbound_test.go
+++ b/mesh/bandwidth/outbound_test.go
@@ -17,31 +17,32 @@
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// The first large response is admitted whatever its size; while it is expected, no other is that
-// would wait too long, and what was rejected is admitted after its retryAfter.
-func TestLargeResponsesAreSpaced(t *testing.T) {
+// The first large response is admitted whatever its size. While that response is expected, no
+// other response that would wait too long is admitted. A rejected response is admitted after its
+// retryAfter.
+func TestLargeResponsesAreLimitedWhileOneIsExpected(t *testing.T) {
 	link := NewOutbound(11 * megabit)
 	_, ok := link.Admit(at(0), 2_000_000, false)
 	must.True(t, ok)
 	_, ok = link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
-	link.Sent(at(0), 2_000_000, 0) // it ended without a response
+	link.Sent(at(0), 2_000_000, 0) // the request ended without a response
 	_, ok = link.Admit(at(0), responseBytes, false)
 	must.True(t, ok)
-	link.Sent(at(0), responseBytes, 4*responseBytes) // it was larger than was expected
+	link.Sent(at(0), responseBytes, 4*responseBytes) // the response was larger than expected
 	retryAfter, ok := link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
 	_, ok = link.Admit(at(retryAfter), responseBytes, false)
 	must.True(t, ok)
 }
 
-// A full link admits small responses, and as a last resort those that wait longer; a link of unknown
-// rate bounds nothing.
-func TestWhatAFullLinkAdmits(t *testing.T) {
+// A full link admits small responses and, as a last resort, responses that wait longer. A link
+// with an unknown rate imposes no limit.
+func TestFullLinkAdmitsSmallAndLastResortResponses(t *testing.T) {
 	link := NewOutbound(11 * megabit)
 	link.Sent(at(0), 0, 600_000)
 	must.Positive(t, link.Wait(at(0)))
-	_, ok := link.Admit(at(0), smallBytes, false)
+	_, ok := link.Admit(at(0), smallBodyBytes, false)
 	must.True(t, ok)
 	_, ok = link.Admit(at(0), responseBytes, false)
 	must.False(t, ok)
@@ -56,9 +57,10 @@
 	must.Eq(t, 0, unknown.Wait(at(0)))
 }
 
-// A machine is asked for twice what its link carries: with admission the queue of a simulated link
-// stays short and the link full; without it the queue grows without end.
-func TestQueueOfAnOverloadedLinkStaysShort(t *testing.T) {
+// A machine gets requests for twice the rate of its link. With admission control, the queue of a
+// simulated link stays short and the link is well utilized. Without admission control, the queue
+// grows without bound.
+func TestOutboundQueueIsBoundedUnderOverload(t *testing.T) {
 	for _, admission := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		rate := 11 * megabit
@@ -67,8 +69,8 @@
 		running := map[monotime.Time][]int{}
 		step := 2 * time.Millisecond
 		for now := at(0); now < at(20*time.Second); now = now.Add(step) {
-			took := min(queued, rate*step.Seconds())
-			queued, carried = queued-took, carried+took
+			sent := min(queued, rate*step.Seconds())
+			queued, carried = queued-sent, carried+sent
 			for _, size := range running[now] {
 				link.Sent(now, responseBytes, size)
 				queued += float64(size)
@@ -82,12 +84,12 @@
 				running[end] = append(running[end], responseBytes/2+rng.IntN(responseBytes))
 			}
 		}
-		used := carried / rate / 20
+		utilization := carried / rate / 20
 		if !admission {
 			must.Greater(t, 3, longest)
 			continue
 		}
 		must.Less(t, 0.35, longest)
-		must.Greater(t, 0.6, used)
+		must.Greater(t, 0.6, utilization)
 	}
 }
--- a/mesh/priorityqueue/priorityqueue.go
+++ b/mesh/priorityqueue/priorityqueue.go
@@ -1,5 +1,5 @@
-// Package priorityqueue holds the requests that wait for a free sender: two bounded queues, one of
-// them for urgent routes, and the rule of which request is sent next.
+// Package priorityqueue holds the requests that wait for a free sender, in two bounded queues, one
+// of them for urgent routes, and selects the request to send next.
 package priorityqueue
 
 import (
@@ -9,29 +9,31 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// Queue decides which request is sent next. It reads no clock. Invariants: neither queue grows over
-// its size; no more requests than senders are in flight, and no more than three quarters of them for
-// ordinary routes; a request whose deadline would pass in the queue is rejected when it comes, and
-// never later on.
+// Queue selects the request to send next. Queue reads no clock. Invariants: neither queue exceeds
+// its size; at most as many requests as there are senders are in flight, and requests of ordinary
+// routes use at most three quarters of the senders (at least one); a request whose deadline would
+// pass in the queue is rejected by Enqueue, never later.
 type Queue[T any] struct {
 	senders, size              int
-	urgent, ordinary           []T // what waits
-	inFlight, ordinaryInFlight int // all requests in flight, and those of ordinary routes
+	urgent, ordinary           []T // waiting requests
+	inFlight, ordinaryInFlight int // requests in flight, in total and of ordinary routes
 	meanRunTime                time.Duration
-	// IgnoreUrgency treats urgent routes as ordinary ones; only tests of the checkers set it.
+	// IgnoreUrgency treats urgent routes as ordinary routes. Only tests set IgnoreUrgency, to
+	// verify that the checkers detect the violation.
 	IgnoreUrgency bool
-	// Rejected counts the requests that Enqueue rejected.
+	// Rejected is the number of requests that Enqueue rejected.
 	Rejected uint64
 }
 
-// New makes an empty queue for so many senders; size bounds each of its two queues.
+// New returns an empty queue for the given number of senders. size is the maximum length of each
+// of the two queues.
 func New[T any](senders, size int) *Queue[T] { return &Queue[T]{senders: senders, size: size} }
 
-// ordinaryLimit is how many requests of ordinary routes may be in flight.
+// ordinaryLimit returns the maximum number of requests of ordinary routes in flight.
 func (q *Queue[T]) ordinaryLimit() int { return max(1, q.senders-q.senders/4) }
 
-// Enqueue queues a request, or rejects it at once: its queue is full, or its deadline would pass
-// before it is sent.
+// Enqueue adds a request and returns true, or returns false if the queue for its urgency is full
+// or the deadline would pass before the request is sent.
 func (q *Queue[T]) Enqueue(now monotime.Time, item T, urgent bool, deadline monotime.Time) bool {
 	urgent = urgent && !q.IgnoreUrgency
 	list, limit := &q.ordinary, q.ordinaryLimit()
@@ -47,8 +49,8 @@
 	return true
 }
 
-// Dequeue returns the request that a free sender is to send next, if there is one. Done must be
-// called with the same urgency when the request is over.
+// Dequeue returns the next request for a free sender, if there is one. After the request has
+// ended, the caller must call Done with the returned urgency.
 func (q *Queue[T]) Dequeue() (item T, urgent, ok bool) {
 	switch {
 	case q.inFlight >= q.senders:
@@ -66,7 +68,7 @@
 	return item, urgent, true
 }
 
-// Remove removes the first waiting request that matches, and reports whether there was one.
+// Remove removes the first waiting request that matches and reports whether there was one.
 func (q *Queue[T]) Remove(matches func(T) bool) bool {
 	for _, list := range []*[]T{&q.urgent, &q.ordinary} {
 		if i := slices.IndexFunc(*list, matches); i >= 0 {
@@ -77,16 +79,16 @@
 	return false
 }
 
-// Done ends a request that Dequeue gave; elapsed is how long it was in flight.
+// Done ends a request that Dequeue returned. elapsed is the time that the request was in flight.
 func (q *Queue[T]) Done(urgent bool, elapsed time.Duration) {
 	q.inFlight--
 	if !urgent {
 		q.ordinaryInFlight--
 	}
-	// A single sample is bounded: a process that was suspended must not take all requests that were
-	// in flight for slow.
+	// Each sample is limited, so that after a suspension of the process, the requests that were in
+	// flight do not count as slow.
 	q.meanRunTime += (min(elapsed, 2*q.meanRunTime+20*time.Millisecond) - q.meanRunTime) / 16
 }
 
-// Len is how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.urgent) + len(q.ordinary) }
--- a/mesh/priorityqueue/priorityqueue_test.go
+++ b/mesh/priorityqueue/priorityqueue_test.go
@@ -11,11 +11,11 @@
 
 const start = monotime.Time(time.Second)
 
-// Every order of eight calls of Enqueue, Dequeue and Done: no queue and no sender is used beyond its
-// bound, an urgent request never waits while a sender is free, and requests of one kind are sent in
-// the order they came.
+// Covers every sequence of eight calls of Enqueue, Dequeue and Done: no queue and no sender limit
+// is exceeded, an urgent request never waits while a sender is free, and requests of the same
+// urgency are sent in the order of their arrival.
 func TestAllOrdersOfEnqueueDequeueAndDone(t *testing.T) {
-	for n := range 1 << 16 { // two bits a step: enqueue ordinary, enqueue urgent, dequeue, done
+	for n := range 1 << 16 { // two bits per step: enqueue ordinary, enqueue urgent, dequeue, done
 		queue := New[int](4, 2)
 		var inFlight []bool
 		lastTaken := map[bool]int{}
@@ -28,9 +28,9 @@
 			case 2:
 				waitingUrgent := len(queue.urgent)
 				i, urgent, ok := queue.Dequeue()
-				must.True(t, ok || waitingUrgent == 0 || len(inFlight) == 4, must.Sprintf("%x: an urgent one waits beside a free sender", n))
+				must.True(t, ok || waitingUrgent == 0 || len(inFlight) == 4, must.Sprintf("%x: an urgent request waits while a sender is free", n))
 				if ok {
-					must.True(t, urgent || waitingUrgent == 0, must.Sprintf("%x: an urgent one is passed over", n))
+					must.True(t, urgent || waitingUrgent == 0, must.Sprintf("%x: an urgent request is passed over", n))
 					must.GreaterEq(t, lastTaken[urgent], i)
 					lastTaken[urgent] = i
 					inFlight = append(inFlight, urgent)
@@ -55,9 +55,9 @@
 	}
 }
 
-// A request whose deadline would pass in the queue is rejected when it comes; an urgent one is not,
-// for it has a queue of its own.
-func TestLateRequestsAreRejectedEarly(t *testing.T) {
+// A request whose deadline would pass in the queue is rejected on Enqueue. An urgent request with
+// the same deadline is accepted, because urgent requests have a queue of their own.
+func TestLateRequestsAreRejectedOnEnqueue(t *testing.T) {
 	queue := New[int](4, 100)
 	for range 400 {
 		queue.Enqueue(start, 0, false, start.Add(time.Hour))
@@ -73,8 +73,9 @@
 	must.Eq(t, 1, queue.Rejected)
 }
 
-// A removed request is taken out of its queue, once; the others keep their order and their places.
-func TestRemovedRequestsAreSkipped(t *testing.T) {
+// A removed request leaves its queue exactly once, and the other requests keep their order. The
+// freed place can be used again.
+func TestRemovedRequestsAreNotDequeued(t *testing.T) {
 	for removed := range 6 {
 		queue := New[int](10, 3)
 		for i := range 6 {
