--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -152,7 +152,7 @@
 		if call.lastFailure != nil {
 			return p.fail(call, call.lastFailure)
 		}
-		return p.fail(call, failure.New(failure.NoWorkload, "no healthy endpoint of %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
+		return p.fail(call, failure.New(failure.NoWorkload, "no healthy endpoint of service %q", call.Route.Service).WithRetryAfter(retryAfterSeconds))
 	}
 	retry, granted := p.chargeRetry(now, call)
 	if !granted {
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -76,7 +76,7 @@
 						must.Sprintf("%s %d: outcome %s", method, n, decision.Failure.Outcome))
 					break
 				}
-				must.False(t, unknown && method == "POST", must.Sprintf("%d: a POST with unknown outcome was tried again", n))
+				must.False(t, unknown && method == "POST", must.Sprintf("%d: a POST with unknown outcome was retried", n))
 				must.False(t, triedServers[decision.Entry.UID])
 				triedServers[decision.Entry.UID] = true
 				outcome := outcomes[n/[]int{1, 3, 9}[i]%3]
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -66,7 +66,7 @@
 				}
 			}
 			must.LessEq(t, 0.2*float64(requestsInWindow)+60, float64(retriesInWindow),
-				must.Sprintf("seed %d: %d retries beside %d requests before %v", seed, retriesInWindow, requestsInWindow, time.Duration(end)))
+				must.Sprintf("seed %d: %d retries for %d requests in the window that ends at %v", seed, retriesInWindow, requestsInWindow, time.Duration(end)))
 		}
 	}
 }
