--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -1,5 +1,6 @@
-// Package acceptor is the acceptor's part of the replicated register, one for each disk: it
-// promises and accepts, and returns the records that have to be synced before it responds.
+// Package acceptor implements the acceptor of the replicated register, one for each disk. It
+// handles prepare, accept and confirm requests and returns the records that must be synced before
+// the response is sent.
 package acceptor
 
 import (
@@ -14,27 +15,27 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// The prefixes of the ring keys that a control key's promise and accepted state are stored under.
+// Prefixes of the ring keys that store the promise and the accepted state of a control key.
 const (
 	promisePrefix  = "p/"
 	acceptedPrefix = "c/"
 )
 
-// keyState is what the disk holds of one control key.
+// keyState is the record of one control key on the disk.
 type keyState struct {
 	key ident.Key
 	quorum.Record
 }
 
-// Acceptor holds the records of one disk. Invariants: a promise only rises; no request of another
-// membership epoch is served.
+// Acceptor holds the records of one disk. Invariants: the promised ballot of a key never decreases;
+// requests of another membership epoch are not served.
 type Acceptor struct {
 	Disk     ident.Disk
 	tree     *btree.BTreeG[*keyState]
 	handlers map[quorum.Kind]handler
 }
 
-// New makes an empty acceptor.
+// New returns an acceptor without records.
 func New(disk ident.Disk) *Acceptor {
 	a := &Acceptor{Disk: disk, tree: btree.NewG(16, func(a, other *keyState) bool { return a.key < other.key })}
 	a.handlers = map[quorum.Kind]handler{
@@ -46,8 +47,8 @@
 	return a
 }
 
-// Load restores one record that was read from the disk. It returns false for a ring record that
-// is not the acceptor's.
+// Load restores one record read from the disk. It returns false if the ring record does not belong
+// to the acceptor.
 func (a *Acceptor) Load(record ring.Record) (bool, error) {
 	if key, ok := strings.CutPrefix(record.Key, promisePrefix); ok {
 		var ballot ident.Ballot
@@ -75,7 +76,7 @@
 	return false, nil
 }
 
-// findOrCreate returns the state of a key, and makes it when it is new.
+// findOrCreate returns the state of a key and creates it if there is none.
 func (a *Acceptor) findOrCreate(key ident.Key) *keyState {
 	if entry, ok := a.tree.Get(&keyState{key: key}); ok {
 		return entry
@@ -85,25 +86,26 @@
 	return entry
 }
 
-// promiseRecord is the ring record of a key's promise.
+// promiseRecord returns the ring record of a key's promise.
 func promiseRecord(entry *keyState) ring.Record {
 	data, _ := json.Marshal(entry.Promised)
 	return ring.Record{Key: promisePrefix + string(entry.key), Data: data}
 }
 
-// acceptedRecord is the ring record of a key's accepted state.
+// acceptedRecord returns the ring record of a key's accepted state.
 func acceptedRecord(entry *keyState) ring.Record {
 	data, _ := json.Marshal(quorum.Record{Promised: entry.Accepted, Accepted: entry.Accepted, Revision: entry.Revision})
 	if len(entry.Value) > 0 {
-		// The same bytes as json.Marshal returns, without scanning the value, which is JSON already.
+		// Append the value by hand: json.Marshal would return the same bytes, but would also scan
+		// the value, which is JSON already.
 		joined := make([]byte, 0, len(data)+len(entry.Value)+8)
 		data = append(append(append(append(joined, data[:len(data)-1]...), `,"v":`...), entry.Value...), '}')
 	}
 	return ring.Record{Key: acceptedPrefix + string(entry.key), Data: data}
 }
 
-// Step serves one request at the given membership epoch. The last result is false when no
-// response is to be sent. The response may be sent only once the records, and those of all
+// Step serves one request at the given membership epoch. The last result is false if no response
+// is to be sent. The response may only be sent after the returned records, and those of all
 // earlier steps, are synced.
 func (a *Acceptor) Step(membership ident.MembershipEpoch, request quorum.Request) (quorum.Response, []ring.Record, bool) {
 	serve, known := a.handlers[request.Kind]
@@ -131,12 +133,13 @@
 		response.Record.Value = nil
 	}
 	if ok && request.Kind == quorum.PatchAccept {
-		response.Record = quorum.Record{} // the proposer knows it
+		response.Record = quorum.Record{} // the proposer knows the record
 	}
 	return response, records, request.Round != 0
 }
 
-// Merge merges a copied record: the higher promise and the newer accepted state.
+// Merge merges a record copied from another disk, keeping the higher promise and the newer accepted
+// state. It returns the records to be synced.
 func (a *Acceptor) Merge(row quorum.Row) []ring.Record {
 	entry := a.findOrCreate(row.Key)
 	var records []ring.Record
@@ -151,7 +154,7 @@
 	return records
 }
 
-// Peek returns one record as this disk has it, which proves nothing about the others.
+// Peek returns the record of a key on this disk, which may differ from the copies on other disks.
 func (a *Acceptor) Peek(key ident.Key) quorum.Record {
 	if entry, ok := a.tree.Get(&keyState{key: key}); ok {
 		return entry.Record
@@ -159,10 +162,10 @@
 	return quorum.Record{}
 }
 
-// Len counts the records.
+// Len returns the number of keys that have a record.
 func (a *Acceptor) Len() int { return a.tree.Len() }
 
-// RingKeys lists the ring keys of all records.
+// RingKeys returns the ring keys of all records, two for each control key.
 func (a *Acceptor) RingKeys() []string {
 	var keys []string
 	a.tree.Ascend(func(entry *keyState) bool {
--- a/control/register/acceptor/handlers.go
+++ b/control/register/acceptor/handlers.go
@@ -5,11 +5,11 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// handler serves one kind of request on a key. It returns whether the request is granted, and the
-// records that have to be synced before the response is sent.
+// handler serves one kind of request for a key. It returns whether the request is granted and the
+// records that must be synced before the response is sent.
 type handler func(*keyState, quorum.Request) (bool, []ring.Record)
 
-// prepare promises to accept nothing below the request's ballot.
+// prepare promises to reject requests with a ballot below the request's ballot.
 func prepare(entry *keyState, request quorum.Request) (bool, []ring.Record) {
 	if request.Ballot.Less(entry.Promised) {
 		return false, nil
@@ -27,14 +27,15 @@
 		return false, nil
 	}
 	if entry.Accepted == request.Ballot && entry.Revision >= request.Revision {
-		return true, nil // a repeat, or late within the same term
+		return true, nil // a repeated request, or one overtaken by a newer request of the same term
 	}
 	entry.Promised, entry.Accepted, entry.Revision, entry.Value = request.Ballot, request.Ballot, request.Revision, request.Value
 	return true, []ring.Record{acceptedRecord(entry)}
 }
 
-// acceptPatch is accept for a value that is sent as a patch. It changes nothing, and is not OK,
-// unless this disk holds the patch's base; the proposer then sends the whole value.
+// acceptPatch accepts a value that is sent as a patch. If this disk does not hold the base of the
+// patch, acceptPatch changes nothing and rejects the request; the proposer then sends the whole
+// value.
 func acceptPatch(entry *keyState, request quorum.Request) (bool, []ring.Record) {
 	if request.Ballot.Less(entry.Promised) {
 		return false, nil
@@ -50,7 +51,7 @@
 	return accept(entry, request)
 }
 
-// confirm reports whether no later term was promised here.
+// confirm grants the request if this disk has promised no higher ballot.
 func confirm(entry *keyState, request quorum.Request) (bool, []ring.Record) {
 	return !request.Ballot.Less(entry.Promised), nil
 }
--- a/control/register/acceptor/scan.go
+++ b/control/register/acceptor/scan.go
@@ -8,15 +8,16 @@
 )
 
 const (
+	// maxPageBytes is the approximate size at which a page is full.
 	maxPageBytes = 512 << 10
-	// rowOverhead is about how many bytes a row takes in a page besides its key and value.
+	// rowOverhead is the approximate number of bytes of a row in a page besides its key and value.
 	rowOverhead = 150
-	// maxBuckets bounds the digests that one scan may ask for.
+	// maxBuckets bounds the number of digests that one scan may request.
 	maxBuckets = 1 << 12
 )
 
-// Scan serves one page of records, or the digests of all buckets. It returns false when the scan
-// is not to be answered.
+// Scan returns one page of records, or the digests of all buckets. It returns false if the scan
+// must not be answered: its membership epoch differs or its number of buckets is out of range.
 func (a *Acceptor) Scan(membership ident.MembershipEpoch, scan quorum.Scan) (quorum.ScanResponse, bool) {
 	response := quorum.ScanResponse{Round: scan.Round, Disk: a.Disk, Membership: membership, After: scan.After}
 	if scan.Membership != membership || membership == 0 || scan.Buckets < 0 || scan.Buckets > maxBuckets {
@@ -30,7 +31,7 @@
 	return response, true
 }
 
-// digests returns the digests of all buckets of the keys below the scan's prefix.
+// digests returns the digests of all buckets, computed over the keys with the scan's prefix.
 func (a *Acceptor) digests(scan quorum.Scan) []byte {
 	digests := make([]byte, scan.Buckets*quorum.DigestBytes)
 	a.tree.AscendGreaterOrEqual(&keyState{key: ident.Key(scan.Prefix)}, func(entry *keyState) bool {
@@ -43,7 +44,7 @@
 	return digests
 }
 
-// page returns the rows that follow the scan's last key; more reports whether others follow.
+// page returns the rows that follow scan.After. more reports whether further rows follow.
 func (a *Acceptor) page(scan quorum.Scan) (rows []quorum.Row, more bool) {
 	size := 0
 	start := max(ident.Key(scan.Prefix), scan.After)
--- a/control/register/placement/placement.go
+++ b/control/register/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement chooses the core that is the proposer of a key, by rendezvous hashing.
+// Package placement selects the core that acts as the proposer of a key, by rendezvous hashing.
 package placement
 
 import (
@@ -8,21 +8,22 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Proposer returns the live disk with the highest rendezvous weight for the key, and the one with
-// the second highest, which is its successor; "" where there is none. Every core that knows the
-// same live disks gets the same result, and a disk that joins or leaves moves only its own keys.
-func Proposer(key ident.Key, live []ident.Disk) (first, second ident.Disk) {
+// Proposer returns the live disk with the highest rendezvous weight for the key and its successor,
+// the live disk with the second highest weight; each is "" if there is no such disk. Every core
+// that knows the same live disks gets the same result, and a disk that joins or leaves only moves
+// its own keys.
+func Proposer(key ident.Key, live []ident.Disk) (proposer, successor ident.Disk) {
 	var highest, secondHighest uint64
 	for _, disk := range live {
 		weight := rendezvousWeight(key, disk)
-		if first == "" || weight > highest {
-			second, secondHighest = first, highest
-			first, highest = disk, weight
-		} else if second == "" || weight > secondHighest {
-			second, secondHighest = disk, weight
+		if proposer == "" || weight > highest {
+			successor, secondHighest = proposer, highest
+			proposer, highest = disk, weight
+		} else if successor == "" || weight > secondHighest {
+			successor, secondHighest = disk, weight
 		}
 	}
-	return first, second
+	return proposer, successor
 }
 
 func rendezvousWeight(key ident.Key, disk ident.Disk) uint64 {
--- a/control/register/proposer/apply.go
+++ b/control/register/proposer/apply.go
@@ -9,7 +9,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// apply applies the waiting operations and begins the round that commits their results.
+// apply applies up to maxBatch waiting operations and begins the round that commits their results:
+// an accept round if the value changed, else a confirming round.
 func (p *Proposer) apply(now monotime.Time, t *term, effects *Effects) {
 	count := min(len(t.waiting), maxBatch)
 	revision, value := p.applyBatch(now, t, t.waiting[:count], effects)
@@ -28,19 +29,19 @@
 	p.acceptRound(now, t, base, revision, value, effects)
 }
 
-// applyBatch applies operations one after the other, and returns the revision and the value that
-// they lead to. Their outcomes wait in the term's batch until the round is over.
+// applyBatch applies operations in order and returns the resulting revision and value. The
+// outcomes are kept in the term's batch until the round is over.
 func (p *Proposer) applyBatch(now monotime.Time, t *term, operations []Operation, effects *Effects) (ident.Revision, json.RawMessage) {
 	revision, value := t.revision, t.value
-	t.remembered, t.repairing = nil, false
-	context := Context{Now: now, TermStartedAt: t.began, TermEventTimes: t.memory, RecordTermEvent: func(event string) {
-		// It counts for the operations behind it in the same round already; if the round is
-		// lost, so is the term with its memory.
-		t.remembered, t.memory[event] = append(t.remembered, event), now
+	t.roundEvents, t.repairing = nil, false
+	context := Context{Now: now, TermStartedAt: t.establishedAt, TermEventTimes: t.eventTimes, RecordTermEvent: func(event string) {
+		// The event is already visible to later operations of the same round. If the round
+		// fails, the term ends and its event times are dropped.
+		t.roundEvents, t.eventTimes[event] = append(t.roundEvents, event), now
 	}}
 	for _, operation := range operations {
 		if operation.Deadline != 0 && now.After(operation.Deadline) {
-			// Its client waits no longer: it is not begun, and this copy never will be.
+			// The client has stopped waiting, so this copy of the operation is never begun.
 			effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Abandoned: true})
 			continue
 		}
--- a/control/register/proposer/cluster_test.go
+++ b/control/register/proposer/cluster_test.go
@@ -24,7 +24,7 @@
 	return proposer.Result{Value: operation.Args, Changed: true, Body: operation.Args}
 }
 
-// cluster is three acceptors and some proposers; the test delivers their messages.
+// cluster holds three acceptors and some proposers; the test delivers their messages.
 type cluster struct {
 	t          *testing.T
 	membership quorum.Membership
@@ -35,7 +35,7 @@
 	now        monotime.Time
 }
 
-// envelope is a request on its way to a disk.
+// envelope is a request in flight to a disk.
 type envelope struct {
 	from    string
 	to      ident.Disk
@@ -77,7 +77,7 @@
 	)
 }
 
-// deliver delivers request i, and its response at once.
+// deliver delivers request i and immediately delivers its response.
 func (c *cluster) deliver(i int) {
 	m := c.requests[i]
 	c.requests = append(c.requests[:i:i], c.requests[i+1:]...)
@@ -86,7 +86,7 @@
 	}
 }
 
-// run delivers everything that keep lets through; the rest is lost.
+// run delivers the requests for which keep returns true, all if keep is nil, and loses the others.
 func (c *cluster) run(keep func(envelope) bool) {
 	for len(c.requests) > 0 {
 		if keep == nil || keep(c.requests[0]) {
@@ -107,7 +107,7 @@
 	return c.outcomes[name][len(c.outcomes[name])-1]
 }
 
-// restart replaces a proposer by a new run of its process, which knows nothing of the old one.
+// restart replaces a proposer by a new run of its process, which has no state of the earlier run.
 func (c *cluster) restart(from, to string) {
 	delete(c.proposers, from)
 	c.proposers[to] = proposer.New(to, putMachine{})
--- a/control/register/proposer/confirm_test.go
+++ b/control/register/proposer/confirm_test.go
@@ -14,29 +14,29 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// confirmCluster is one proposer and five acceptors, some of which may be silent.
+// confirmCluster holds one proposer and five acceptors, some of which may be silent.
 type confirmCluster struct {
-	proposer  *Proposer
-	key       ident.Key
-	acceptors map[ident.Disk]*acceptor.Acceptor
-	silent    map[ident.Disk]bool
-	now       monotime.Time
-	inFlight  []Send
-	ended     int                // operations
-	asked     map[ident.Disk]int // requests
+	proposer        *Proposer
+	key             ident.Key
+	acceptors       map[ident.Disk]*acceptor.Acceptor
+	silent          map[ident.Disk]bool
+	now             monotime.Time
+	inFlight        []Send
+	endedOperations int                // operations
+	requestCounts   map[ident.Disk]int // requests
 }
 
 func (c *confirmCluster) collect(effects Effects) {
 	c.inFlight = append(c.inFlight, effects.Sends...)
-	c.ended += len(effects.Outcomes)
+	c.endedOperations += len(effects.Outcomes)
 }
 
-// deliverAll delivers every request, and each response at once.
+// deliverAll delivers every request and immediately delivers its response.
 func (c *confirmCluster) deliverAll() {
 	for len(c.inFlight) > 0 {
 		send := c.inFlight[0]
 		c.inFlight = c.inFlight[1:]
-		if c.asked[send.To.Disk]++; c.silent[send.To.Disk] {
+		if c.requestCounts[send.To.Disk]++; c.silent[send.To.Disk] {
 			continue
 		}
 		if response, _, answers := c.acceptors[send.To.Disk].Step(1, send.Request); answers {
@@ -47,15 +47,16 @@
 
 // read submits a read and delivers its requests.
 func (c *confirmCluster) read() {
-	c.ended = 0
-	clear(c.asked)
+	c.endedOperations = 0
+	clear(c.requestCounts)
 	c.collect(c.proposer.Submit(c.now, Operation{Key: c.key, Kind: "read"}))
 	c.deliverAll()
 }
 
-// A confirming round asks only as many disks as it needs, near ones first, and the others after
-// askAllAfter; over time every copy is asked. With any two of five silent it still ends.
-func TestConfirmAsksFewAndThenAll(t *testing.T) {
+// A confirming round asks only as many disks as a majority needs, near ones first, and all others
+// after askAllAfter. Over time every disk is asked. A round also ends with any two of five disks
+// silent.
+func TestConfirmAsksSubsetThenAll(t *testing.T) {
 	membership := quorum.Membership{Epoch: 1}
 	disks := []ident.Disk{"a", "b", "c", "d", "e"}
 	acceptors := map[ident.Disk]*acceptor.Acceptor{}
@@ -66,29 +67,29 @@
 	for x := range disks {
 		for y := range x {
 			c := &confirmCluster{proposer: New("m", echoMachine{}), key: ident.Key(fmt.Sprint("k", x, y)), acceptors: acceptors,
-				silent: map[ident.Disk]bool{}, now: monotime.Time(time.Second), asked: map[ident.Disk]int{}}
+				silent: map[ident.Disk]bool{}, now: monotime.Time(time.Second), requestCounts: map[ident.Disk]int{}}
 			c.collect(c.proposer.SetMembership(c.now, membership))
 			c.proposer.SetNearReplicas(disks, 1)
 			c.read()
-			must.Eq(t, 1, c.ended)
+			must.Eq(t, 1, c.endedOperations)
 			timesAsked := map[ident.Disk]int{}
 			for range 6 {
 				c.read()
-				must.Eq(t, 3, len(c.asked))
-				must.True(t, c.asked["a"] == 1 && c.asked["b"] == 1, must.Sprint("the near ones: ", c.asked))
-				for disk := range c.asked {
+				must.Eq(t, 3, len(c.requestCounts))
+				must.True(t, c.requestCounts["a"] == 1 && c.requestCounts["b"] == 1, must.Sprint("requests to the near disks: ", c.requestCounts))
+				for disk := range c.requestCounts {
 					timesAsked[disk]++
 				}
 			}
 			must.Eq(t, 5, len(timesAsked))
 			c.silent[disks[x]], c.silent[disks[y]] = true, true
 			c.read()
-			for n := 0; c.ended == 0 && n < 4; n++ {
+			for n := 0; c.endedOperations == 0 && n < 4; n++ {
 				c.now = c.now.Add(askAllAfter + time.Millisecond)
 				c.collect(c.proposer.Tick(c.now))
 				c.deliverAll()
 			}
-			must.Eq(t, 1, c.ended, must.Sprint(disks[x], disks[y], " silent"))
+			must.Eq(t, 1, c.endedOperations, must.Sprint(disks[x], disks[y], " silent"))
 		}
 	}
 }
--- a/control/register/proposer/lossy_cluster_test.go
+++ b/control/register/proposer/lossy_cluster_test.go
@@ -17,7 +17,7 @@
 )
 
 // fillMachine is a state machine that writes its args into the first free slot of a long value.
-// The length never changes, so a lost change does not show in it.
+// The length of the value never changes, so that a lost change can't be detected by the length.
 type fillMachine struct{}
 
 const freeSlot = "........"
@@ -42,9 +42,9 @@
 }
 
 // lossyCluster is a cluster whose requests and responses the test delivers one by one, and whose
-// disks may lose what was not synced. No proposer sends patches to its own disk. Invariant,
-// checked after each delivery: what a disk holds under a ballot and revision is, to the byte,
-// what that ballot's proposer sent whole.
+// disks may lose unsynced records. No proposer sends patches to its own disk. Invariant, checked
+// after each delivery: the value that a disk holds under a ballot and revision is byte for byte
+// the whole value that the proposer of that ballot sent.
 type lossyCluster struct {
 	*cluster
 	sent      map[writeID]string
@@ -54,7 +54,7 @@
 	rejected  int
 }
 
-// delivery is a response on its way to a proposer.
+// delivery is a response in flight to a proposer.
 type delivery struct {
 	to       string
 	response quorum.Response
@@ -84,8 +84,8 @@
 	return c
 }
 
-// observe collects a proposer's effects and records what it sends whole.
-func (c *lossyCluster) observe(name string, effects proposer.Effects) {
+// collectEffects collects a proposer's effects and records the values that it sends whole.
+func (c *lossyCluster) collectEffects(name string, effects proposer.Effects) {
 	for _, s := range effects.Sends {
 		c.kinds[s.Request.Kind]++
 		if s.Request.Kind != quorum.Accept {
@@ -101,22 +101,22 @@
 
 func (c *lossyCluster) write(name, val string) {
 	raw, _ := json.Marshal(val)
-	c.observe(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(val), Key: "k", Kind: "write", Args: raw}))
+	c.collectEffects(name, c.proposers[name].Submit(c.now, proposer.Operation{Op: ident.OperationID(val), Key: "k", Kind: "write", Args: raw}))
 }
 
-// deliverTo delivers request i to its disk, which then syncs what it wrote, or restarts without
-// it.
+// deliverTo delivers request i to its disk, which then syncs the records written, or else restarts
+// without them.
 func (c *lossyCluster) deliverTo(i int, sync bool) {
 	m := c.requests[i]
 	r, records, answers := c.acceptors[m.to].Step(1, m.request)
-	c.check(m.to)
+	c.checkDisk(m.to)
 	if !sync {
 		c.acceptors[m.to] = acceptor.New(m.to)
 		for _, rec := range c.synced[m.to] {
 			_, err := c.acceptors[m.to].Load(rec)
 			must.NoError(c.t, err)
 		}
-		c.check(m.to)
+		c.checkDisk(m.to)
 		return
 	}
 	for _, rec := range records {
@@ -130,47 +130,48 @@
 	}
 }
 
-func (c *lossyCluster) check(disk ident.Disk) {
+func (c *lossyCluster) checkDisk(disk ident.Disk) {
 	record := c.acceptors[disk].Peek("k")
 	if record.Accepted.Zero() {
 		return
 	}
 	want, ok := c.sent[writeID{record.Accepted, record.Revision}]
-	must.True(c.t, ok, must.Sprint("nobody sent what it holds"))
+	must.True(c.t, ok, must.Sprint("no proposer sent the accepted state of the disk"))
 	must.Eq(c.t, want, string(record.Value))
 }
 
 func (c *lossyCluster) receive(i int) {
 	delivered := c.responses[i]
 	c.responses = append(c.responses[:i:i], c.responses[i+1:]...)
-	c.observe(delivered.to, c.proposers[delivered.to].Step(c.now, delivered.response))
+	c.collectEffects(delivered.to, c.proposers[delivered.to].Step(c.now, delivered.response))
 }
 
-func (c *lossyCluster) lose(i int) { c.requests = append(c.requests[:i:i], c.requests[i+1:]...) }
+func (c *lossyCluster) drop(i int) { c.requests = append(c.requests[:i:i], c.requests[i+1:]...) }
 
 func (c *lossyCluster) advance(d time.Duration) {
 	c.now = c.now.Add(d)
 	for _, name := range []string{"a", "b"} {
-		c.observe(name, c.proposers[name].Tick(c.now))
+		c.collectEffects(name, c.proposers[name].Tick(c.now))
 	}
 }
 
-// settle delivers everything in order.
-func (c *lossyCluster) settle() {
+// deliverAll delivers all requests and responses in order.
+func (c *lossyCluster) deliverAll() {
 	for len(c.requests)+len(c.responses) > 0 {
 		if len(c.responses) > 0 {
 			c.receive(0)
 			continue
 		}
 		c.deliverTo(0, true)
-		c.lose(0)
+		c.drop(0)
 	}
 }
 
-// settleWithTicks delivers everything, and lets time pass, until all rounds are over.
-func (c *lossyCluster) settleWithTicks() {
+// deliverAllWithTicks delivers all messages and advances the time repeatedly, so that all rounds
+// end.
+func (c *lossyCluster) deliverAllWithTicks() {
 	for range 6 {
-		c.settle()
+		c.deliverAll()
 		c.advance(250 * time.Millisecond)
 	}
 }
--- a/control/register/proposer/operation.go
+++ b/control/register/proposer/operation.go
@@ -9,13 +9,13 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// Repair is the kind of an operation that changes nothing and is submitted so that copies are
-// repaired.
+// Repair is the kind of an operation that changes nothing. The round that commits it asks all
+// voters, so that outdated copies of the key are repaired.
 const Repair = "mend"
 
-// Operation is one operation on one key. Invariants: Ticket and Deadline are the process's own
-// and never leave it; Op is the same for every copy of the operation. An operation is not begun
-// after its Deadline, if it has one.
+// Operation is one operation on one key. Invariants: Ticket and Deadline are local to the process
+// and never sent; Op is the same for every copy of the operation. An operation with a Deadline is
+// not begun after it.
 type Operation struct {
 	Ticket   uint64            `json:"-"`
 	Deadline monotime.Time     `json:"-"`
@@ -23,41 +23,42 @@
 	Key      ident.Key         `json:"key"`
 	Kind     string            `json:"kind"`
 	Args     json.RawMessage   `json:"args,omitempty"`
-	// Repeatable says that its client allows a second copy to take effect again, so no result
-	// is stored with the value to recognise a copy by.
+	// Repeatable reports that the client allows a second copy of the operation to take effect
+	// again, so that no result is stored with the value to detect duplicates.
 	Repeatable bool `json:"loose,omitempty"`
 }
 
-// Context is what a state machine may know beyond the value.
+// Context holds the inputs of a state machine besides the value and the operation.
 type Context struct {
 	Now             monotime.Time
-	TermStartedAt   monotime.Time            // when this term began
-	Revision        ident.Revision           // of the value given
-	TermEventTimes  map[string]monotime.Time // when events of this term happened, by their names
-	RecordTermEvent func(event string)       // sets TermEventTimes[event] to the end of the round in flight
-	// Decoded is the decoded form of the value, as the state machine returned it in this term.
-	// It is nil in a new term: the state machine then decodes the value, and must treat what
-	// it has not seen in this term as new.
+	TermStartedAt   monotime.Time            // when this term was established
+	Revision        ident.Revision           // revision of the value
+	TermEventTimes  map[string]monotime.Time // times of the events recorded in this term, by event name
+	RecordTermEvent func(event string)       // sets TermEventTimes[event] to the time at which the round in flight ends
+	// Decoded is the decoded form of the value that the state machine returned earlier in this
+	// term. Decoded is nil in a new term: the state machine then decodes the value, and must
+	// treat everything that it has not seen in this term as new.
 	Decoded any
 }
 
-// Result is what a state machine makes of an operation.
+// Result is the result of applying an operation to a value.
 type Result struct {
 	Value   json.RawMessage
 	Changed bool
 	Body    json.RawMessage
 	Failure *failure.Error
-	Decoded any // of Value, for the next Context; nil to keep the last
+	Decoded any // decoded form of Value, for the next Context; nil keeps the previous one
 }
 
-// StateMachine turns a value and an operation into a new value. Invariant: it depends on its
-// inputs alone.
+// StateMachine applies operations to values. Invariant: Apply is deterministic, its result depends
+// on its arguments alone.
 type StateMachine interface {
 	Apply(context Context, value json.RawMessage, operation Operation) Result
 }
 
-// Outcome is the end of one operation at this proposer. Abandoned means that this proposer gave the
-// operation up; with MayHaveTakenEffect the operation may have taken effect, or may do so yet.
+// Outcome is the outcome of one operation at this proposer. Abandoned means that this proposer
+// stopped processing the operation without a result; with MayHaveTakenEffect the operation may
+// have taken effect or may still take effect.
 type Outcome struct {
 	Operation          Operation
 	Body               json.RawMessage
@@ -76,7 +77,8 @@
 	Request quorum.Request
 }
 
-// Effects is what the caller of a step has to do: send requests and report outcomes.
+// Effects lists what the caller has to do after a step: the requests to send and the outcomes to
+// report.
 type Effects struct {
 	Sends    []Send
 	Outcomes []Outcome
--- a/control/register/proposer/patch_test.go
+++ b/control/register/proposer/patch_test.go
@@ -10,27 +10,28 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// deliveries are what may happen to a request in flight.
+// deliveries are the possible fates of a request in flight: delivered, delivered twice, lost, or
+// delivered to a disk that loses the unsynced records.
 var deliveries = []func(c *lossyCluster, i int){
-	func(c *lossyCluster, i int) { c.deliverTo(i, true); c.lose(i) },
-	func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // and stays: it is delivered twice
-	func(c *lossyCluster, i int) { c.lose(i) },
-	func(c *lossyCluster, i int) { c.deliverTo(i, false); c.lose(i) },
+	func(c *lossyCluster, i int) { c.deliverTo(i, true); c.drop(i) },
+	func(c *lossyCluster, i int) { c.deliverTo(i, true) }, // stays in flight, so that it is delivered again
+	func(c *lossyCluster, i int) { c.drop(i) },
+	func(c *lossyCluster, i int) { c.deliverTo(i, false); c.drop(i) },
 }
 
 const (
-	// positions is how many of the requests in flight a step chooses from.
+	// positions is the number of requests in flight that a step chooses from.
 	positions = 2
-	// choiceSteps is how many steps in a row are tried in every way.
+	// choiceSteps is the number of consecutive steps whose choices are enumerated exhaustively.
 	choiceSteps = 4
 )
 
-// choices is how many ways there are for one step: each delivery of each request, or the oldest
-// or the newest response.
+// choices is the number of choices for one step: each of deliveries for each request position, or
+// receiving the oldest or the newest response.
 var choices = len(deliveries)*positions + 2
 
-// take does one of the choices for a step.
-func (c *lossyCluster) take(step, choice int) {
+// applyChoice performs one of the choices for a step.
+func (c *lossyCluster) applyChoice(step, choice int) {
 	switch {
 	case choice >= len(deliveries)*positions:
 		if n := len(c.responses); n > 0 {
@@ -54,23 +55,23 @@
 	return confirmed
 }
 
-// finalValue has b write once more, and returns the value after that.
+// finalValue has b write once more and returns the resulting value.
 func (c *lossyCluster) finalValue() string {
-	// b may learn only now that its term was superseded.
+	// b may learn only by this write that its term was superseded.
 	for n := 0; n == 0 || n < 5 && c.last("b").Abandoned; n++ {
 		c.write("b", "seven")
-		c.settleWithTicks()
+		c.deliverAllWithTicks()
 	}
 	last := c.last("b")
 	must.False(c.t, last.Abandoned)
 	return string(last.Body)
 }
 
-// Two proposers write a long value while requests and responses are lost, doubled, late and
-// reordered, and disks lose what was not synced: no disk ever holds a value that was not its
-// proposer's for that ballot and revision, no confirmed change is lost, and all end with the
-// same bytes.
-func TestPatchesInAllOrders(t *testing.T) {
+// Two proposers write a long value while requests and responses are lost, duplicated, delayed and
+// reordered, and disks lose unsynced records. No disk ever holds a value other than the one that
+// the proposer sent for that ballot and revision, no confirmed change is lost, and all disks end
+// with the same bytes.
+func TestPatchesUnderAllDeliveryOrders(t *testing.T) {
 	kinds, rejected := map[quorum.Kind]int{}, 0
 	total := 1
 	for range choiceSteps {
@@ -79,24 +80,24 @@
 	for seed := range total {
 		c := newLossyCluster(t)
 		c.write("a", "one")
-		c.settle()
+		c.deliverAll()
 		c.write("a", "two")
-		c.settle()
+		c.deliverAll()
 		c.write("a", "three")
 		if seed%3 > 0 {
 			c.write("b", "four")
 		}
 		remaining := seed
 		for step := range choiceSteps {
-			c.take(step, remaining%choices)
+			c.applyChoice(step, remaining%choices)
 			remaining /= choices
 			if step == 2 {
 				c.write("a", "five")
 			}
 		}
-		c.settleWithTicks()
+		c.deliverAllWithTicks()
 		c.write("a", "six")
-		c.settleWithTicks()
+		c.deliverAllWithTicks()
 		confirmed := c.confirmed()
 		end := c.finalValue()
 		for value := range confirmed {
@@ -114,22 +115,23 @@
 	must.Greater(t, 100, rejected)
 }
 
-// A disk that rejects a patch gets the whole value within the same round, and patches again from
-// its next response on; a prepare of what all disks hold carries no value.
-func TestRejectedPatchIsSentWhole(t *testing.T) {
+// A disk that rejects a patch gets the whole value within the same round, and patches again after
+// its next response. The responses to a prepare carry no value when all disks hold the state that
+// the request names as held.
+func TestWholeValueIsSentAfterRejectedPatch(t *testing.T) {
 	c := newLossyCluster(t)
 	c.write("a", "one")
-	c.settle()
+	c.deliverAll()
 	c.write("a", "two")
-	c.settle()
+	c.deliverAll()
 	must.Eq(t, 2, c.kinds[quorum.PatchAccept])
-	// d3 lost "three", and d2 does not respond: the round of "four" needs d3.
+	// d3 missed "three" and d2 does not respond to "four", so the round of "four" needs d3.
 	c.write("a", "three")
 	for len(c.requests) > 0 {
 		if c.requests[0].to != "d3" {
 			c.deliverTo(0, true)
 		}
-		c.lose(0)
+		c.drop(0)
 	}
 	for len(c.responses) > 0 {
 		c.receive(0)
@@ -145,21 +147,21 @@
 		case c.requests[0].to != "d2":
 			c.deliverTo(0, true)
 		}
-		c.lose(0)
+		c.drop(0)
 	}
 	must.Eq(t, 1, c.rejected)
 	must.StrContains(t, string(c.last("a").Body), "four]")
 	must.Eq(t, began, c.now)
-	c.check("d3")
+	c.checkDisk("d3")
 	must.Eq(t, ident.Revision(4), c.acceptors["d3"].Peek("k").Revision)
-	// By patches again, but for d2, which rejects its patch.
+	// "five" is sent as patches again; d2 rejects its patch, as it missed "four".
 	c.write("a", "five")
-	c.settle()
+	c.deliverAll()
 	must.Eq(t, 2, c.rejected)
 	before := c.kinds[quorum.Accept]
 	c.write("a", "six")
-	c.settle()
-	must.Eq(t, before+1, c.kinds[quorum.Accept], must.Sprint("only its own disk gets it whole"))
+	c.deliverAll()
+	must.Eq(t, before+1, c.kinds[quorum.Accept], must.Sprint("only the proposer's own disk gets the whole value"))
 	// b prepares the key: other disks get patches, and the responses carry no value.
 	c.write("b", "seven")
 	for len(c.requests)+len(c.responses) > 0 {
@@ -169,20 +171,20 @@
 			continue
 		}
 		c.deliverTo(0, true)
-		c.lose(0)
+		c.drop(0)
 	}
 	must.False(t, c.last("b").Abandoned)
 	must.Eq(t, ident.Revision(7), c.last("b").Revision)
 }
 
-// A process that takes no patches does not respond to one, and gets the whole value when the
-// round is resent.
-func TestSilenceGetsTheWholeValue(t *testing.T) {
+// A process that does not accept patches does not respond to a patch, and gets the whole value when
+// the round is resent.
+func TestWholeValueIsSentAfterUnansweredPatch(t *testing.T) {
 	c := newLossyCluster(t)
 	c.write("a", "one")
-	c.settle()
+	c.deliverAll()
 	c.write("a", "two")
-	old := func() {
+	deliverWithoutPatches := func() {
 		for len(c.requests)+len(c.responses) > 0 {
 			switch {
 			case len(c.responses) > 0:
@@ -191,13 +193,13 @@
 			case c.requests[0].request.Kind != quorum.PatchAccept:
 				c.deliverTo(0, true)
 			}
-			c.lose(0)
+			c.drop(0)
 		}
 	}
-	old()
+	deliverWithoutPatches()
 	must.Len(t, 1, c.outcomes["a"])
 	c.advance(200 * time.Millisecond)
-	old()
+	deliverWithoutPatches()
 	must.Len(t, 2, c.outcomes["a"])
 	must.False(t, c.last("a").Abandoned)
 	for _, d := range []ident.Disk{"d2", "d3"} {
@@ -205,6 +207,6 @@
 	}
 	n := c.kinds[quorum.PatchAccept]
 	c.write("a", "three")
-	c.settle()
+	c.deliverAll()
 	must.Eq(t, n, c.kinds[quorum.PatchAccept])
 }
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -1,6 +1,6 @@
-// Package proposer is the proposer's part of the replicated register, a Paxos with a stable
-// leader for each key: it prepares a key at a majority once, and then needs one accept round a
-// change. A read is a confirming round, which shows that no later term was promised.
+// Package proposer implements the proposer of the replicated register, which runs Paxos with a
+// stable leader for each key: a key is prepared at a majority once, and each change then needs one
+// accept round. A read needs a confirming round, which shows that no later term was promised.
 package proposer
 
 import (
@@ -16,47 +16,51 @@
 )
 
 const (
-	// resendAfter is how long a request may stay unanswered before it is sent again.
+	// resendAfter is the time after which an unanswered request is sent again.
 	resendAfter = 150 * time.Millisecond
-	// askAllAfter is how long a confirming round waits for the disks that it asked first before it
-	// asks the others.
+	// askAllAfter is the time after which a confirming round that was sent to a subset of the
+	// voters is sent to all of them.
 	askAllAfter = 30 * time.Millisecond
-	// roundTimeout is how long a round may last before its term is abandoned.
+	// roundTimeout is the time after which a term whose round has not ended is abandoned.
 	roundTimeout = 1200 * time.Millisecond
 	// maxQueue bounds the operations that wait for one key.
 	maxQueue = 1024
 	// maxBatch bounds the operations that share one round.
 	maxBatch = 256
-	// maxPrepareTries bounds the rejected prepares in a row before a term is abandoned.
-	maxPrepareTries = 6
-	// queueFullRetrySeconds is when to retry an operation that found the queue of its key full.
+	// maxRejectedPrepares bounds the consecutive rejected prepares of a term that are retried; the
+	// next rejection abandons the term.
+	maxRejectedPrepares = 6
+	// queueFullRetrySeconds is the retry delay for an operation rejected because the queue of its
+	// key is full.
 	queueFullRetrySeconds = 1
 )
 
-// Proposer runs all terms of one core process. Invariants: instance is unique to the process,
-// so no ballot is ever used by two; rounds are numbered from firstRound on, which is the
-// process's own too, so no response to an earlier process counts in a round of this one.
+// Proposer runs all terms of one core process. Invariants: instance is unique to the process, so
+// no two processes ever use the same ballot; rounds are numbered from firstRound on, which also
+// differs between processes, so a response to an earlier process never counts in a round of this
+// process.
 type Proposer struct {
 	instance     string
 	stateMachine StateMachine
 	membership   quorum.Membership
 	terms        map[ident.Key]*term
-	active       map[ident.Key]*term // those with a round in flight or operations that wait
-	nearReplicas []ident.Disk        // see SetNearReplicas
-	nearCount    int
+	active       map[ident.Key]*term // terms with a round in flight or waiting operations
+	nearReplicas []ident.Disk        // as set by SetNearReplicas
+	nearCount    int                 // as set by SetNearReplicas
 	firstRound   uint64
 	round        uint64
 	patchCapable map[ident.Disk]bool
-	// LocalRecord, when set, gives what the process's own disk holds of a key. It need not be
-	// synced: only the value that belongs to a ballot and revision is taken from it.
+	// LocalRecord, when set, returns the record of a key on the process's own disk. The record
+	// need not be synced: only the value that belongs to a ballot and revision is taken from it.
 	LocalRecord func(ident.Key) quorum.Record
 	// Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent and PatchesRejected are counters.
 	// PatchesRejected counts patches whose base a disk did not have.
 	Prepares, Rounds, Repaired, AbandonedTerms, PatchesSent, PatchesRejected uint64
 }
 
-// New makes a proposer. Its rounds are numbered apart from those of every other run: a response
-// to a run that ended may still arrive at its address, and must not count in this one's rounds.
+// New returns a proposer. Its round numbers differ from those of every other run of the process: a
+// response to an earlier run may still arrive at the same address and must not count in a round
+// of this run.
 func New(instance string, stateMachine StateMachine) *Proposer {
 	firstRound := ident.FirstRequestNumber(instance)
 	return &Proposer{
@@ -70,11 +74,11 @@
 	}
 }
 
-// SetPatchCapable sets whether the process that has the disk takes patches.
+// SetPatchCapable sets whether the process that serves the disk accepts patches.
 func (p *Proposer) SetPatchCapable(disk ident.Disk, capable bool) { p.patchCapable[disk] = capable }
 
-// SetMembership adopts a newer membership. Every term is abandoned, so each key is prepared again
-// under it.
+// SetMembership adopts a newer membership. Every term is abandoned, so that each key is prepared
+// again under the new membership.
 func (p *Proposer) SetMembership(_ monotime.Time, membership quorum.Membership) (effects Effects) {
 	if membership.Epoch <= p.membership.Epoch {
 		return effects
@@ -86,12 +90,13 @@
 	return effects
 }
 
+// sortedKeys returns the keys of terms in ascending order.
 func sortedKeys(terms map[ident.Key]*term) []ident.Key {
 	return ordered.Keys(terms)
 }
 
-// Submit queues one operation; its Outcome comes with these effects or later ones. Busy is its
-// failure when too many wait for the same key.
+// Submit queues one operation. Its Outcome is among the returned effects or those of a later call.
+// The operation fails with failure.Busy if maxQueue operations already wait for its key.
 func (p *Proposer) Submit(now monotime.Time, operation Operation) (effects Effects) {
 	t := p.term(operation.Key)
 	if len(t.waiting) >= maxQueue {
@@ -104,7 +109,7 @@
 	return effects
 }
 
-// Prepare prepares a key ahead of its first operation, as a named successor does.
+// Prepare prepares a key ahead of its first operation, as the receiver of a handover does.
 func (p *Proposer) Prepare(now monotime.Time, key ident.Key) (effects Effects) {
 	if t := p.term(key); t.stage == idle {
 		p.prepare(now, t, &effects)
@@ -112,8 +117,8 @@
 	return effects
 }
 
-// AbandonQueued takes back the operations that match, of those that wait and were not begun: each
-// ends as abandoned, and this proposer will not begin it.
+// AbandonQueued removes the matching operations that wait and have not begun. Each of them ends as
+// abandoned, and this proposer will not begin it.
 func (p *Proposer) AbandonQueued(match func(Operation) bool) (effects Effects) {
 	for _, key := range sortedKeys(p.active) {
 		t := p.active[key]
@@ -128,12 +133,13 @@
 	return effects
 }
 
-// HeldKeys lists the keys that this proposer holds or is about to hold.
+// HeldKeys returns the keys whose term this proposer has established or is establishing.
 func (p *Proposer) HeldKeys() []ident.Key {
 	return slices.DeleteFunc(sortedKeys(p.terms), func(k ident.Key) bool { return p.terms[k].stage == idle })
 }
 
-// Release gives up every key without a round in flight; done reports whether none is left.
+// Release ends the term of every key that has no round in flight. done reports whether no term is
+// left.
 func (p *Proposer) Release() (done bool, effects Effects) {
 	done = true
 	for _, key := range sortedKeys(p.terms) {
@@ -147,29 +153,31 @@
 	return done, effects
 }
 
-// SetNearReplicas sets the disks of the live voters, this process's own first; the next nearCount
-// are in the same zone, the rest are not. A confirming round asks no more disks than it needs, near ones first, and
-// the others when those do not answer soon.
+// SetNearReplicas sets the disks of the live voters: this process's own disk first, then nearCount
+// disks in the same zone, then all others. A confirming round first asks only as many disks as a
+// majority needs, preferring near ones, and asks all others if no majority responds within
+// askAllAfter.
 func (p *Proposer) SetNearReplicas(disks []ident.Disk, nearCount int) {
 	p.nearReplicas, p.nearCount = disks, min(nearCount, max(0, len(disks)-1))
 }
 
-// Tick resends the rounds in flight, and abandons the terms whose round exceeds roundTimeout.
+// Tick resends unanswered requests, begins rounds for waiting operations whose pause is over, and
+// abandons the terms whose round exceeds roundTimeout.
 func (p *Proposer) Tick(now monotime.Time) (effects Effects) {
 	for _, key := range sortedKeys(p.active) {
 		t := p.active[key]
 		switch {
 		case t.stage == idle || t.stage == established:
 			p.advance(now, t, &effects)
-		case now.Since(t.roundBegan) > roundTimeout:
+		case now.Since(t.roundStartedAt) > roundTimeout:
 			p.abandon(t, &effects)
-		case t.fewAsked && now.Since(t.lastSent) > askAllAfter:
-			t.fewAsked, t.lastSent = false, now
+		case t.sentToSubset && now.Since(t.lastSentAt) > askAllAfter:
+			t.sentToSubset, t.lastSentAt = false, now
 			p.sendRound(t, &effects)
-		case now.Since(t.lastSent) > resendAfter:
-			t.lastSent = now
-			// A silent disk may lack the base, or its process may take no patches: it gets
-			// whole values until it answers.
+		case now.Since(t.lastSentAt) > resendAfter:
+			t.lastSentAt = now
+			// A disk that did not respond may lack the base, or its process may not accept
+			// patches: send it whole values until it responds.
 			maps.DeleteFunc(t.baseHolders, func(disk ident.Disk, _ bool) bool {
 				_, responded := t.responses[disk]
 				return !responded
@@ -180,8 +188,8 @@
 	return effects
 }
 
-// Peek returns what this proposer holds as chosen of a key. It may be outdated: only an operation
-// proves that it is not.
+// Peek returns the record of a key that this proposer knows to be chosen. The record may be
+// outdated: only an operation proves that it is current.
 func (p *Proposer) Peek(key ident.Key) (quorum.Record, bool) {
 	t := p.terms[key]
 	if t == nil || t.stage < established {
--- a/control/register/proposer/proposer_test.go
+++ b/control/register/proposer/proposer_test.go
@@ -11,10 +11,10 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A change that a superseded proposer left on a minority must not replace what a later term has
-// already answered. Found by seeds 1152 and 1181: a lock was passed on by a proposer that did
-// not know of renewals confirmed under the next term.
-func TestDeposedProposersChangeIsNotRevived(t *testing.T) {
+// A change that a superseded proposer left on a minority must not replace the value that a later
+// term has already returned. Found by seeds 1152 and 1181: a proposer that did not know of renewals
+// confirmed under the next term granted a lock to another holder.
+func TestChangeOfSupersededProposerIsNotChosenLater(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	c.submit("a", "write", "one")
 	c.run(nil)
@@ -42,9 +42,9 @@
 	must.Eq(t, `"one"`, string(c.last("a").Body))
 }
 
-// Two proposers write and read one key; every order of delivering their messages, with
-// one acceptor or none cut off from one of them, keeps what was answered.
-func TestAllOrdersOfTwoProposers(t *testing.T) {
+// Two proposers write one key, and a third reads it at the end: in every delivery order of their
+// first messages, with at most one acceptor cut off from proposer a, confirmed values are kept.
+func TestTwoProposersUnderAllDeliveryOrders(t *testing.T) {
 	orders := 0
 	for _, lost := range []ident.Disk{"", "d1", "d2", "d3"} {
 		for seed := range 4 * 3 * 4 * 3 * 4 * 3 {
@@ -85,7 +85,7 @@
 					chosen[outcome.Revision] = string(outcome.Body)
 				}
 			}
-			// A new proposer must see the newest of what was answered.
+			// A new proposer must read the newest confirmed value.
 			c.requests = nil
 			c.proposers["c"] = proposer.New("c", putMachine{})
 			c.proposers["c"].SetMembership(c.now, c.membership)
@@ -95,7 +95,7 @@
 				c.tick("c", 100*time.Millisecond)
 			}
 			end := c.last("c")
-			must.False(t, end.Abandoned, must.Sprint("the key can't be read any more"))
+			must.False(t, end.Abandoned, must.Sprint("the read of a new proposer was abandoned"))
 			for revision, val := range chosen {
 				must.LessEq(t, end.Revision, revision, must.Sprintf("lost %s at revision %d, order %d cut %s", val, revision, seed, lost))
 				if revision == end.Revision {
@@ -118,10 +118,10 @@
 	must.Eq(t, ident.Revision(1), c.acceptors["d3"].Peek("k").Revision)
 }
 
-// A copy behind a higher promise to a proposer that never held the key is repaired too. Found by
-// seed 52 of a schedule of splits: the proposer's writes were rejected there for ever, and its
-// reads never needed that disk.
-func TestRepairGoesAboveAStrayPromise(t *testing.T) {
+// An outdated copy is repaired even if its disk has promised a higher ballot to a proposer that
+// never held the key. Found by seed 52 of a network partition schedule: that disk rejected the
+// proposer's writes forever, and the proposer's reads never needed that disk.
+func TestRepairPreparesAboveUnrelatedPromise(t *testing.T) {
 	c := newCluster(t, "a")
 	c.submit("a", "write", "one")
 	c.run(func(m envelope) bool { return m.to != "d3" })
@@ -138,10 +138,10 @@
 	must.False(t, c.last("a").Abandoned)
 }
 
-// Without a majority a write is abandoned in bounded time, and may have taken effect; a read is
-// abandoned and has not.
-func TestNoMajorityEndsInBoundedTime(t *testing.T) {
-	for kind, risk := range map[string]bool{"write": true, "read": false} {
+// Without a majority, operations are abandoned in bounded time: a write with MayHaveTakenEffect, a
+// read without.
+func TestOperationWithoutMajorityIsAbandonedInTime(t *testing.T) {
+	for kind, mayHaveTakenEffect := range map[string]bool{"write": true, "read": false} {
 		t.Run(kind, func(t *testing.T) {
 			c := newCluster(t, "a")
 			c.submit("a", "write", "zero")
@@ -154,7 +154,7 @@
 				c.run(func(m envelope) bool { return m.to == "d1" })
 			}
 			must.Less(t, 15, n, must.Sprint("ticks ", n))
-			must.Eq(t, risk, c.last("a").MayHaveTakenEffect)
+			must.Eq(t, mayHaveTakenEffect, c.last("a").MayHaveTakenEffect)
 		})
 	}
 }
--- a/control/register/proposer/response.go
+++ b/control/register/proposer/response.go
@@ -8,12 +8,12 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// noteBaseHolder learns from a response, also a late one, whether its disk holds this term's
-// base. A disk that rejected a patch gets the whole value at once, within the same round if one
-// is in flight.
-func (p *Proposer) noteBaseHolder(t *term, response quorum.Response, effects *Effects) {
+// updateBaseHolder records from a response, also a late one, whether the responding disk holds
+// this term's base. A disk that rejected a patch is sent the whole value at once, within the same
+// round if a round is in flight.
+func (p *Proposer) updateBaseHolder(t *term, response quorum.Response, effects *Effects) {
 	voter, isVoter := p.membership.Find(response.Disk)
-	if !isVoter || response.Round <= t.prepareRound || !p.current(t, response) || t.stage < reproposing {
+	if !isVoter || response.Round <= t.prepareRound || !p.sameMembership(t, response) || t.stage < reproposing {
 		return
 	}
 	switch {
@@ -31,74 +31,79 @@
 	}
 }
 
-// Step handles one response.
+// Step handles one response and returns the requests to send and the outcomes to report.
 func (p *Proposer) Step(now monotime.Time, response quorum.Response) (effects Effects) {
 	t := p.terms[response.Key]
 	if t == nil {
 		return effects
 	}
-	p.noteBaseHolder(t, response, &effects)
+	p.updateBaseHolder(t, response, &effects)
 	switch {
 	case response.Round != t.round || t.stage == idle:
 	case t.stage == established:
-		p.stepLate(now, t, response, &effects)
+		p.handleLateResponse(now, t, response, &effects)
 	case !response.OK && t.ballot.Less(response.Record.Promised):
-		p.stepSuperseded(now, t, response.Record.Promised, &effects)
-	case response.OK && p.current(t, response) && p.membership.IsCounted(response.Disk):
+		p.handleSuperseded(now, t, response.Record.Promised, &effects)
+	case response.OK && p.sameMembership(t, response) && p.membership.IsCounted(response.Disk):
 		t.responses[response.Disk] = response
 		if len(t.responses) >= p.membership.Majority() {
-			roundEnds[t.stage](p, now, t, &effects)
+			onMajority[t.stage](p, now, t, &effects)
 		}
 	}
 	return effects
 }
 
-// current reports whether a response, its term and this proposer are of the same membership.
-func (p *Proposer) current(t *term, response quorum.Response) bool {
+// sameMembership reports whether a response, its term and this proposer have the same membership
+// epoch.
+func (p *Proposer) sameMembership(t *term, response quorum.Response) bool {
 	return response.Membership == t.membership && t.membership == p.membership.Epoch
 }
 
-// stepLate handles a response to a round that is over.
-func (p *Proposer) stepLate(now monotime.Time, t *term, response quorum.Response, effects *Effects) {
+// handleLateResponse handles a response to a round that is over. A late response to a confirming
+// round still repairs an outdated copy.
+func (p *Proposer) handleLateResponse(now monotime.Time, t *term, response quorum.Response, effects *Effects) {
 	voter, isVoter := p.membership.Find(response.Disk)
-	if isVoter && response.OK && t.request.Kind == quorum.Confirm && p.current(t, response) {
+	if isVoter && response.OK && t.request.Kind == quorum.Confirm && p.sameMembership(t, response) {
 		p.repair(t, voter, response, effects)
 	}
 	if t.repairing && !response.OK && t.ballot.Less(response.Record.Promised) {
-		// A promise to a proposer that never held the key keeps that copy from being
-		// repaired: go above it.
+		// A promise to a proposer that never held the key blocks the repair of that copy:
+		// prepare again with a ballot above that promise.
 		t.highestEpoch = max(t.highestEpoch, response.Record.Promised.Epoch)
 		p.prepare(now, t, effects)
 	}
 }
 
-// stepSuperseded ends a term that a disk rejected for a higher promise. A prepare is tried again
-// above it, after a pause that differs between proposers.
-func (p *Proposer) stepSuperseded(now monotime.Time, t *term, promised ident.Ballot, effects *Effects) {
+// handleSuperseded ends a term that a disk rejected because it promised a higher ballot. A
+// rejected prepare is retried with a ballot above that promise, after a pause that differs
+// between proposers.
+func (p *Proposer) handleSuperseded(now monotime.Time, t *term, promised ident.Ballot, effects *Effects) {
 	t.highestEpoch = max(t.highestEpoch, promised.Epoch)
-	if t.stage == preparing && t.tries < maxPrepareTries {
-		t.tries++
+	if t.stage == preparing && t.rejectedPrepares < maxRejectedPrepares {
+		t.rejectedPrepares++
 		t.stage = idle
-		t.pausedUntil = now.Add(time.Duration(t.tries*10+int((p.round-p.firstRound)*7%23)) * time.Millisecond)
+		t.pausedUntil = now.Add(time.Duration(t.rejectedPrepares*10+int((p.round-p.firstRound)*7%23)) * time.Millisecond)
 		return
 	}
 	p.abandon(t, effects)
 }
 
-// roundEnds ends the round of each stage once a majority has responded.
-var roundEnds map[stage]func(*Proposer, monotime.Time, *term, *Effects)
+// onMajority maps each stage to the method that completes its round once a majority has
+// responded.
+var onMajority map[stage]func(*Proposer, monotime.Time, *term, *Effects)
 
 func init() {
-	roundEnds = map[stage]func(*Proposer, monotime.Time, *term, *Effects){
-		preparing:   (*Proposer).prepared,
-		reproposing: (*Proposer).reproposed,
-		writing:     (*Proposer).written,
-		confirming:  (*Proposer).confirmed,
+	onMajority = map[stage]func(*Proposer, monotime.Time, *term, *Effects){
+		preparing:   (*Proposer).completePrepare,
+		reproposing: (*Proposer).completeReproposal,
+		writing:     (*Proposer).completeWrite,
+		confirming:  (*Proposer).completeConfirm,
 	}
 }
 
-// prepared chooses the newest accepted state of the responses to a prepare.
-func (p *Proposer) prepared(now monotime.Time, t *term, effects *Effects) {
+// completePrepare picks the newest accepted state among the responses to a prepare and begins to
+// repropose it.
+func (p *Proposer) completePrepare(now monotime.Time, t *term, effects *Effects) {
 	var best quorum.Record
 	first, agreed := true, true
 	for _, response := range t.responses {
@@ -111,18 +116,18 @@
 		first = false
 	}
 	if t.request.Held.Matches(best) {
-		best.Value = t.local.Value
+		best.Value = t.localRecord.Value
 	}
-	t.local = quorum.Record{}
+	t.localRecord = quorum.Record{}
 	t.acceptedBallot, t.revision, t.value = best.Accepted, best.Revision, best.Value
-	// The value found is accepted again under this ballot even when all responses agree:
-	// otherwise a change that an older proposer left on a minority could replace what this
-	// term answers. Only a key without any value needs no round.
+	// The value found is proposed again under this ballot even when all responses agree:
+	// otherwise a change that an older proposer left on a minority could replace the value
+	// that this term has returned to clients. Only a key without any value needs no round.
 	if agreed && t.revision == 0 {
-		p.reproposed(now, t, effects)
+		p.completeReproposal(now, t, effects)
 		return
 	}
-	// A disk that holds that state already gets an empty patch.
+	// A disk that already holds the newest accepted state gets an empty patch.
 	for disk, response := range t.responses {
 		t.baseHolders[disk] = response.Record.SameState(best)
 	}
@@ -131,20 +136,22 @@
 	p.acceptRound(now, t, best, t.revision, t.value, effects)
 }
 
-// reproposed begins to serve the key: the value that was found is chosen under this ballot.
-func (p *Proposer) reproposed(now monotime.Time, t *term, effects *Effects) {
-	t.stage, t.began, t.tries = established, now, 0
+// completeReproposal establishes the term: the value that the prepare found is chosen under this
+// ballot, and waiting operations are applied to it.
+func (p *Proposer) completeReproposal(now monotime.Time, t *term, effects *Effects) {
+	t.stage, t.establishedAt, t.rejectedPrepares = established, now, 0
 	p.proceed(now, t, effects)
 }
 
-// written takes over the value that a majority accepted.
-func (p *Proposer) written(now monotime.Time, t *term, effects *Effects) {
+// completeWrite makes the proposed value, which a majority accepted, the current value of the
+// term.
+func (p *Proposer) completeWrite(now monotime.Time, t *term, effects *Effects) {
 	t.acceptedBallot, t.revision, t.value = t.ballot, t.proposed.Revision, t.proposed.Value
 	p.finish(now, t, effects)
 }
 
-// confirmed repairs the old copies that a confirming round found.
-func (p *Proposer) confirmed(now monotime.Time, t *term, effects *Effects) {
+// completeConfirm repairs the outdated copies that a confirming round found.
+func (p *Proposer) completeConfirm(now monotime.Time, t *term, effects *Effects) {
 	for _, voter := range p.membership.Voters {
 		if response, ok := t.responses[voter.Disk]; ok {
 			p.repair(t, voter, response, effects)
@@ -153,7 +160,7 @@
 	p.finish(now, t, effects)
 }
 
-// repair sends the chosen record to a disk whose copy is older.
+// repair sends the chosen record to a disk if its copy is older.
 func (p *Proposer) repair(t *term, voter quorum.Voter, response quorum.Response, effects *Effects) {
 	if chosen := (quorum.Record{Accepted: t.acceptedBallot, Revision: t.revision}); chosen.NewerThan(response.Record) {
 		p.Repaired++
--- a/control/register/proposer/restart_test.go
+++ b/control/register/proposer/restart_test.go
@@ -12,10 +12,11 @@
 )
 
 // A response to a round of an earlier run that reaches the next run at the same address does not
-// count in that run's round of the same number. Found by cottonarch explore: a late response to
-// a confirm of before the restart made an accept look accepted by a disk that had not accepted
-// it, so a write was acknowledged that one disk alone held, and was lost.
-func TestResponseToAnEarlierRunDoesNotCount(t *testing.T) {
+// count in a round of the next run. Found by cottonarch explore, when both runs used the same
+// round numbers: a late response to a confirm request sent before the restart counted as the
+// acceptance of a write by a disk that had not accepted the write. The write was acknowledged
+// while only one disk held it, and was lost.
+func TestConfirmResponseToEarlierRunDoesNotCountAsAccept(t *testing.T) {
 	c := newCluster(t, "a-1")
 	c.submit("a-1", "read", "")
 	for len(c.requests) > 0 && c.requests[0].request.Kind == quorum.Prepare {
@@ -39,18 +40,19 @@
 		c.collect("a-2", c.proposers["a-2"].Step(c.now, r))
 	}
 	for _, e := range c.outcomes["a-2"] {
-		t.Errorf("%s is acknowledged, and one disk of three has it", json.RawMessage(e.Body))
+		t.Errorf("write of %s is acknowledged, but only one disk of three holds it", json.RawMessage(e.Body))
 	}
 }
 
-// A process is restarted while responses to its earlier run's rounds still wait in other cores'
-// send queues. The new run begins the same rounds again, but none of its own messages arrives:
-// the old responses are no majority for it, so it reports no outcome. Meanwhile another proposer
-// has confirmed a newer value.
-func TestAnswersToAnEarlierRunCountForNothing(t *testing.T) {
+// A process restarts while responses to rounds of its earlier run still wait in the send queues of
+// other cores, and another proposer has confirmed a newer value. None of the new run's own
+// messages arrives. The old responses must not count as a majority in the new run, so the new run
+// reports no outcome.
+func TestQueuedResponsesToEarlierRunDoNotCount(t *testing.T) {
 	c := newCluster(t, "d1.a1", "d2.b1")
 	var late []quorum.Response
-	// settle runs a proposer until its last operation has ended, and collects the responses.
+	// settle runs a proposer until its last operation has ended, and collects the responses to
+	// the earlier run.
 	settle := func(name string) {
 		for had := len(c.outcomes[name]); len(c.outcomes[name]) == had; c.tick(name, 20*time.Millisecond) {
 			for len(c.requests) > 0 {
@@ -79,8 +81,8 @@
 	for _, r := range late {
 		c.collect("d1.a2", c.proposers["d1.a2"].Step(c.now, r))
 	}
-	must.SliceEmpty(t, c.outcomes["d1.a2"], must.Sprint("answered from an earlier run's responses"))
+	must.SliceEmpty(t, c.outcomes["d1.a2"], must.Sprint("an operation ended on responses to an earlier run"))
 	for _, m := range c.requests {
-		must.Eq(t, quorum.Prepare, m.request.Kind, must.Sprint("it went on from an earlier run's responses"))
+		must.Eq(t, quorum.Prepare, m.request.Kind, must.Sprint("a prepare round ended on responses to an earlier run"))
 	}
 }
--- a/control/register/proposer/round.go
+++ b/control/register/proposer/round.go
@@ -9,19 +9,20 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// beginRound numbers a request and sends it; responses to earlier rounds no longer count.
+// beginRound assigns the next round number to a request and sends the request. Responses to
+// earlier rounds no longer count.
 func (p *Proposer) beginRound(now monotime.Time, t *term, request quorum.Request, effects *Effects) {
 	p.round++
 	p.Rounds++
 	request.Round, request.Membership, request.Key = p.round, t.membership, t.key
 	t.round, t.request, t.responses = p.round, request, map[ident.Disk]quorum.Response{}
-	t.roundBegan, t.lastSent = now, now
-	t.fewAsked = request.Kind == quorum.Confirm && !t.repairing && len(p.nearReplicas) >= p.membership.Majority()
+	t.roundStartedAt, t.lastSentAt = now, now
+	t.sentToSubset = request.Kind == quorum.Confirm && !t.repairing && len(p.nearReplicas) >= p.membership.Majority()
 	p.sendRound(t, effects)
 }
 
-// acceptRound begins the round that writes a value; base is the accepted state that the disks
-// in baseHolders hold.
+// acceptRound begins the round that writes a value. base is the accepted state that the disks in
+// baseHolders hold.
 func (p *Proposer) acceptRound(
 	now monotime.Time, t *term, base quorum.Record, revision ident.Revision, value json.RawMessage, effects *Effects,
 ) {
@@ -32,10 +33,10 @@
 	p.beginRound(now, t, request, effects)
 }
 
-// firstAsked lists the disks that a confirming round asks first: the near ones, and of the
-// others as many as the majority needs. Those rotate with the rounds, so that in time every copy
-// is checked.
-func (p *Proposer) firstAsked(round uint64) []ident.Disk {
+// confirmTargets returns the disks that a confirming round asks first: the near ones, and as many
+// of the others as a majority needs. The others rotate with the round number, so that every copy
+// is checked over time.
+func (p *Proposer) confirmTargets(round uint64) []ident.Disk {
 	need := p.membership.Majority()
 	asked := slices.Clone(p.nearReplicas[:min(need, 1+p.nearCount)])
 	rest := p.nearReplicas[1+p.nearCount:]
@@ -45,15 +46,16 @@
 	return asked
 }
 
-// sendRound sends the round to the voters that have not responded: the patch where the base is
-// held, the whole value elsewhere.
+// sendRound sends the round's request to the voters that have not responded: with the patch to
+// disks that hold its base, with the whole value to all others. While sentToSubset is set, the
+// request goes to confirmTargets only.
 func (p *Proposer) sendRound(t *term, effects *Effects) {
 	var asked []ident.Disk
-	if t.fewAsked {
-		asked = p.firstAsked(t.round - p.firstRound)
+	if t.sentToSubset {
+		asked = p.confirmTargets(t.round - p.firstRound)
 	}
 	for _, voter := range p.membership.Voters {
-		if _, ok := t.responses[voter.Disk]; ok || t.fewAsked && !slices.Contains(asked, voter.Disk) {
+		if _, ok := t.responses[voter.Disk]; ok || t.sentToSubset && !slices.Contains(asked, voter.Disk) {
 			continue
 		}
 		request := withoutPatch(t.request)
@@ -65,9 +67,11 @@
 	}
 }
 
-// canSendPatch reports whether a disk is believed to hold the base of a patch, and to take patches.
+// canSendPatch reports whether a disk probably holds the base of a patch and the process that
+// serves the disk accepts patches.
 func (p *Proposer) canSendPatch(t *term, disk ident.Disk) bool {
 	return t.baseHolders[disk] && p.patchCapable[disk]
 }
 
+// withoutPatch returns the request without its patch.
 func withoutPatch(request quorum.Request) quorum.Request { request.Patch = nil; return request }
--- a/control/register/quorum/membership.go
+++ b/control/register/quorum/membership.go
@@ -2,9 +2,10 @@
 
 import "cottonarch.example/cottonarch/base/ident"
 
-// Voter is one slot of the membership. Invariants: a voter that is still copying is not Counted,
-// yet its slot raises the majority, unless it is Joining: a new slot, which does not raise the
-// majority yet. A voter that is Joining is not Counted.
+// Voter is one slot of the membership. Responses of a voter count toward a majority only if it is
+// Counted. Invariants: a voter that still copies the control state is not Counted, but its slot
+// is included in the number of slots that the majority is computed from. A voter that is Joining
+// has a new slot, which is not included yet, and is not Counted.
 type Voter struct {
 	Disk    ident.Disk `json:"disk"`
 	Addr    ident.Addr `json:"addr"`
@@ -12,12 +13,12 @@
 	Joining bool       `json:"joining,omitempty"`
 }
 
-// Membership is the voters of one epoch.
+// Membership is the set of voters at one epoch.
 type Membership struct {
 	Epoch  ident.MembershipEpoch `json:"epoch"`
 	Voters []Voter               `json:"voters"`
-	// MajorityOverride, when set, replaces the majority; only the simulator sets it, to check
-	// that its invariants find a quorum that is too small.
+	// MajorityOverride, when set, replaces the majority. Only the simulator sets it, to check
+	// that the simulator's invariants detect a quorum that is too small.
 	MajorityOverride int `json:"-"`
 }
 
@@ -29,7 +30,7 @@
 	return m.Size()/2 + 1
 }
 
-// Size returns the number of slots that a majority is counted over.
+// Size returns the number of slots that the majority is computed from: all that are not Joining.
 func (m Membership) Size() int {
 	n := 0
 	for _, voter := range m.Voters {
@@ -40,7 +41,7 @@
 	return n
 }
 
-// Find returns the voter that has a disk.
+// Find returns the voter with the given disk.
 func (m Membership) Find(disk ident.Disk) (Voter, bool) {
 	for _, voter := range m.Voters {
 		if voter.Disk == disk {
@@ -50,7 +51,7 @@
 	return Voter{}, false
 }
 
-// IsCounted reports whether responses of a disk count.
+// IsCounted reports whether responses of a disk count toward a majority.
 func (m Membership) IsCounted(disk ident.Disk) bool {
 	voter, ok := m.Find(disk)
 	return ok && voter.Counted
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -7,15 +7,15 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// PatchAccept is an Accept that carries a Patch in place of its value. It is a kind of its own so
-// that an acceptor that takes no patches does not respond, rather than accept no value.
+// PatchAccept is an Accept that carries a Patch instead of the value. It has its own kind so that an
+// acceptor that does not know patches ignores the request rather than accepting an empty value.
 const PatchAccept Kind = "patch"
 
-// Patch makes one accepted value out of another, the base: its first Prefix bytes, then Middle,
-// then its last Suffix bytes. Where the two values differ in several places, Pieces take the place
-// of Middle and Prefix is piecesMarker. Invariants: BaseBallot (the request's own ballot when it
-// is nil) and BaseRevision identify the base's accepted state, and so its value; Checksum covers
-// the whole result, so a base that differs in a byte is detected.
+// Patch derives one accepted value from another, the base: the first Prefix bytes of the base, then
+// Middle, then the last Suffix bytes of the base. If the two values differ in several places,
+// Pieces may replace Middle, and Prefix is then piecesMarker. Invariants: BaseBallot (if nil, the
+// ballot of the request) and BaseRevision identify the accepted state of the base, and so its
+// value; Checksum covers the whole result, so a base that differs in any byte is detected.
 type Patch struct {
 	BaseBallot   *ident.Ballot  `json:"from,omitempty"`
 	BaseRevision ident.Revision `json:"base"`
@@ -27,16 +27,17 @@
 	Pieces []Piece `json:"pieces,omitempty"`
 }
 
-// patchOverhead is about how many bytes a patch takes besides its texts, escapes included.
+// patchOverhead is the approximate encoded size in bytes of a patch without its texts, including
+// the escapes in the texts.
 const patchOverhead = 256
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum returns the checksum of a value that a Patch carries: CRC-32C.
+// Checksum returns the CRC-32C checksum that a Patch carries for its resulting value.
 func Checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
-// Diff makes the patch from the base's value to the next one, which is to be accepted under a
-// ballot; it is nil unless the patch takes less than half the bytes of the next value.
+// Diff returns the patch from the value of base to next, which is to be accepted under a ballot. It
+// returns nil if the patch takes more than half the bytes of next.
 func Diff(base Record, ballot ident.Ballot, next []byte) *Patch {
 	if len(next) < 2*patchOverhead {
 		return nil
@@ -46,7 +47,7 @@
 	p := &Patch{BaseRevision: base.Revision, Prefix: head, Suffix: tail, Checksum: Checksum(next)}
 	cost := len(middle)
 	if cost > patchOverhead {
-		if pieces := diffPieces(base.Value, next); encodedSize(pieces) < cost && validPieces(pieces) {
+		if pieces := diffPieces(base.Value, next); encodedSize(pieces) < cost && piecesAreValidUTF8(pieces) {
 			cost, p.Prefix, p.Suffix, p.Pieces = encodedSize(pieces), piecesMarker, 0, pieces
 		}
 	}
@@ -62,8 +63,8 @@
 	return p
 }
 
-// commonEnds returns how many bytes two values share at the front and at the end. No UTF-8 character
-// of next is cut, since what lies between is sent as a JSON string.
+// commonEnds returns the lengths of the common prefix and suffix of two values. Neither splits a
+// UTF-8 character of next, because the bytes between them are sent as a JSON string.
 func commonEnds(baseValue, next []byte) (head, tail int) {
 	shorter := min(len(baseValue), len(next))
 	for head < shorter && baseValue[head] == next[head] {
@@ -81,8 +82,8 @@
 	return head, tail
 }
 
-// Apply makes the next value of a base record. It returns false when the record is not the
-// patch's base or the result is not the value that the patch was made for.
+// Apply derives the next value from a base record. It returns false if the record is not the base
+// of the patch or the checksum of the result does not match.
 func (p *Patch) Apply(base Record, ballot ident.Ballot) ([]byte, bool) {
 	if p != nil && p.BaseBallot != nil {
 		ballot = *p.BaseBallot
@@ -91,7 +92,7 @@
 		return nil, false
 	}
 	if len(p.Pieces) > 0 {
-		out, ok := joinPieces(base.Value, p.Pieces)
+		out, ok := applyPieces(base.Value, p.Pieces)
 		return out, ok && p.Prefix == piecesMarker && Checksum(out) == p.Checksum
 	}
 	if p.Prefix < 0 || p.Suffix < 0 || p.Prefix > len(base.Value)-p.Suffix {
--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -18,7 +18,7 @@
 	otherBallot = ident.Ballot{Epoch: 2, Proposer: "b"}
 )
 
-// roundTrip returns a patch as the receiver reads it.
+// roundTrip encodes a patch as JSON and returns the decoded patch.
 func roundTrip(t *testing.T, p *quorum.Patch) *quorum.Patch {
 	raw, err := json.Marshal(p)
 	must.NoError(t, err)
@@ -27,9 +27,9 @@
 	return out
 }
 
-// A patch makes the next value of its base, to the byte, wherever the two differ and whatever
-// stands at the cuts; it never takes more than half of the value.
-func TestPatchMakesTheValue(t *testing.T) {
+// A patch reproduces the next value byte for byte from its base, wherever the two values differ and
+// whichever characters lie at the boundaries. Its text is at most half as long as the value.
+func TestPatchReproducesValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	parts := []string{"a", `"`, `\`, "ä", "日本", "🚀", "<&>", "\u2028", "aaaa", ",", "\x00", "\xff"}
 	text := func(n int) string {
@@ -66,9 +66,10 @@
 	must.Greater(t, 2000, made)
 }
 
-// Values that differ in several places, as one with counts in front and a history at the end: the
-// patch makes the next value to the byte, and takes little more than what differs.
-func TestPatchInPieces(t *testing.T) {
+// For values that differ in several places, such as one with counts at the front and a history at
+// the end, the patch reproduces the next value byte for byte, and its size grows only with the
+// number of differences.
+func TestPatchInPiecesReproducesValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	parts := []string{"ä", "日本", "🚀", "way", `"host":"h.example"`, "500", ","}
 	divided := 0
@@ -102,12 +103,12 @@
 		must.NoError(t, err)
 		must.Less(t, 200+400*edits, len(raw), must.Sprint(i))
 		for name, edit := range map[string]func(*quorum.Patch){
-			"a piece behind the end":  func(p *quorum.Patch) { p.Pieces[0].Offset = len(baseValue) - p.Pieces[0].Length + 1 },
-			"a piece before the base": func(p *quorum.Patch) { p.Pieces[0].Offset = -1 },
-			"less than nothing":       func(p *quorum.Patch) { p.Pieces[0].Length = -1 },
-			"a piece too long":        func(p *quorum.Patch) { p.Pieces[0].Length = 1 << 62 },
-			"another piece":           func(p *quorum.Patch) { p.Pieces[0].Offset++ },
-			"a head beside pieces":    func(p *quorum.Patch) { p.Prefix = 0 },
+			"piece beyond end of base": func(p *quorum.Patch) { p.Pieces[0].Offset = len(baseValue) - p.Pieces[0].Length + 1 },
+			"negative piece offset":    func(p *quorum.Patch) { p.Pieces[0].Offset = -1 },
+			"negative piece length":    func(p *quorum.Patch) { p.Pieces[0].Length = -1 },
+			"piece longer than base":   func(p *quorum.Patch) { p.Pieces[0].Length = 1 << 62 },
+			"shifted piece":            func(p *quorum.Patch) { p.Pieces[0].Offset++ },
+			"pieces without marker":    func(p *quorum.Patch) { p.Prefix = 0 },
 		} {
 			altered := roundTrip(t, p)
 			edit(altered)
@@ -119,22 +120,22 @@
 }
 
 // A patch is not applied to any record but its base.
-func TestPatchTakesItsBaseAlone(t *testing.T) {
+func TestPatchAppliesOnlyToItsBase(t *testing.T) {
 	long := strings.Repeat("0123456789", 100)
 	base := quorum.Record{Promised: ownBallot, Accepted: ownBallot, Revision: 7, Value: []byte(long)}
 	next := []byte(long[:500] + "x" + long[500:])
 	for name, edit := range map[string]func(*quorum.Record, *quorum.Patch){
-		"an older revision": func(record *quorum.Record, _ *quorum.Patch) { record.Revision-- },
-		"a newer revision":  func(record *quorum.Record, _ *quorum.Patch) { record.Revision++ },
-		"another ballot":    func(record *quorum.Record, _ *quorum.Patch) { record.Accepted = otherBallot },
-		"no record":         func(record *quorum.Record, _ *quorum.Patch) { *record = quorum.Record{} },
-		"another byte":      func(record *quorum.Record, _ *quorum.Patch) { record.Value = append([]byte("1"), record.Value[1:]...) },
-		"a shorter value":   func(record *quorum.Record, _ *quorum.Patch) { record.Value = record.Value[:20] },
-		"more kept":         func(_ *quorum.Record, p *quorum.Patch) { p.Prefix++ },
-		"less than nothing": func(_ *quorum.Record, p *quorum.Patch) { p.Prefix = -1 },
-		"a tail below it":   func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = -1 },
-		"a tail too long":   func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = 1 << 62 },
-		"another base":      func(_ *quorum.Record, p *quorum.Patch) { p.BaseBallot = &otherBallot },
+		"an older revision":       func(record *quorum.Record, _ *quorum.Patch) { record.Revision-- },
+		"a newer revision":        func(record *quorum.Record, _ *quorum.Patch) { record.Revision++ },
+		"another ballot":          func(record *quorum.Record, _ *quorum.Patch) { record.Accepted = otherBallot },
+		"no record":               func(record *quorum.Record, _ *quorum.Patch) { *record = quorum.Record{} },
+		"one byte changed":        func(record *quorum.Record, _ *quorum.Patch) { record.Value = append([]byte("1"), record.Value[1:]...) },
+		"a shorter value":         func(record *quorum.Record, _ *quorum.Patch) { record.Value = record.Value[:20] },
+		"prefix longer by one":    func(_ *quorum.Record, p *quorum.Patch) { p.Prefix++ },
+		"negative prefix":         func(_ *quorum.Record, p *quorum.Patch) { p.Prefix = -1 },
+		"negative suffix":         func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = -1 },
+		"suffix longer than base": func(_ *quorum.Record, p *quorum.Patch) { p.Suffix = 1 << 62 },
+		"another base ballot":     func(_ *quorum.Record, p *quorum.Patch) { p.BaseBallot = &otherBallot },
 	} {
 		record, p := base, quorum.Diff(base, ownBallot, next)
 		must.NotNil(t, p)
@@ -144,11 +145,11 @@
 	}
 	_, ok := (*quorum.Patch)(nil).Apply(base, ownBallot)
 	must.False(t, ok)
-	must.Nil(t, quorum.Diff(base, ownBallot, []byte(strings.Repeat("x", 1000))), must.Sprint("a value that differs all over"))
+	must.Nil(t, quorum.Diff(base, ownBallot, []byte(strings.Repeat("x", 1000))), must.Sprint("a value with nothing in common with the base"))
 	must.Nil(t, quorum.Diff(base, ownBallot, []byte("short")), must.Sprint("a short value"))
 }
 
-// A batch with a value of 10 KB, whole and as a patch: to JSON and back.
+// Measures JSON encoding and decoding of a batch with a value of 10 KB, sent whole and as a patch.
 func BenchmarkBatch(b *testing.B) {
 	var list []string
 	for i := range 300 {
@@ -170,11 +171,11 @@
 				size = len(raw)
 				var back []quorum.Request
 				if json.Unmarshal(raw, &back) != nil {
-					b.Fatal("no JSON")
+					b.Fatal("batch is not valid JSON")
 				}
 				if encoding == "patch" {
 					if _, ok := back[0].Patch.Apply(base, ownBallot); !ok {
-						b.Fatal("rejected")
+						b.Fatal("patch does not apply to its base")
 					}
 				}
 			}
@@ -183,7 +184,7 @@
 	}
 }
 
-// The patch of a value of 100 KB that differs at its front, in its middle and at its end.
+// Measures Diff for a value of 100 KB that differs at the front, in the middle and at the end.
 func BenchmarkDiffInPieces(b *testing.B) {
 	var list []string
 	for i := range 1000 {
@@ -197,7 +198,7 @@
 	base := quorum.Record{Accepted: ownBallot, Revision: 7, Value: value}
 	for b.Loop() {
 		if p := quorum.Diff(base, ownBallot, next); p == nil || p.Pieces == nil {
-			b.Fatal("no pieces")
+			b.Fatal("Diff returned no patch in pieces")
 		}
 	}
 	b.ReportMetric(float64(len(value)), "bytes")
--- a/control/register/quorum/pieces.go
+++ b/control/register/quorum/pieces.go
@@ -6,39 +6,41 @@
 )
 
 const (
-	// blockBytes is the length of the blocks of the base that are searched for in the next value.
+	// blockBytes is the length of the blocks of the base that are looked up in the next value.
 	blockBytes = 32
-	// pieceCost is about how many bytes a piece takes besides its text.
-	pieceCost = 40
-	// piecesMarker is the Prefix of a patch in pieces: a process that knows no pieces rejects
-	// such a patch, as it does any other that is not for its base.
+	// pieceOverhead is the approximate number of bytes of an encoded piece besides its text. A
+	// shared run that is no longer than that is not worth a piece.
+	pieceOverhead = 40
+	// piecesMarker is the Prefix of a patch in pieces. A process that does not know pieces
+	// rejects such a patch like any patch that does not fit its base.
 	piecesMarker = -1
 	// hashFactor is the multiplier of the rolling hash (a Rabin-Karp polynomial modulo 2^32).
 	hashFactor = 0x01000193
 )
 
-// Piece is a text, and then Length bytes of the base from Offset on.
+// Piece describes a part of a value: Text, followed by Length bytes copied from the base at Offset.
 type Piece struct {
 	Text   string `json:"t,omitempty"`
 	Offset int    `json:"a,omitempty"`
 	Length int    `json:"n,omitempty"`
 }
 
-// encodedSize estimates how many bytes the pieces take in a message.
+// encodedSize estimates the number of bytes that the pieces take in a message.
 func encodedSize(pieces []Piece) int {
 	total := 0
 	for _, p := range pieces {
-		total += pieceCost + len(p.Text)
+		total += pieceOverhead + len(p.Text)
 	}
 	return total
 }
 
-// diffPieces divides the next value into texts and runs of the base. It finds shared runs by
-// blocks whose hash is unique in the base, so that a run is not confused with a similar one.
+// diffPieces divides the next value into literal texts and runs copied from the base. It finds
+// shared runs by blocks whose hash is unique in the base, so that a run is not matched with a
+// similar one elsewhere.
 func diffPieces(base, next []byte) []Piece {
 	blocks := indexBlocks(base)
 	var pieces []Piece
-	done := 0 // bytes of next that the pieces cover
+	done := 0 // number of bytes of next that the pieces cover
 	var hash uint32
 	for end := 0; end < len(next); end++ {
 		hash = rollHash(hash, next, end)
@@ -49,7 +51,7 @@
 		}
 		begin, length := extendMatch(base, next, offset, blockStart, done)
 		offset += begin - blockStart
-		if length <= pieceCost {
+		if length <= pieceOverhead {
 			continue
 		}
 		pieces = append(pieces, Piece{Text: string(next[done:begin]), Offset: offset, Length: length})
@@ -62,8 +64,8 @@
 	return append(pieces, Piece{Text: string(next[done:])})
 }
 
-// extendMatch extends a shared block in both directions, back to done at most, without cutting a
-// UTF-8 character of next.
+// extendMatch extends a shared block in both directions, backward no further than done, without
+// splitting a UTF-8 character of next.
 func extendMatch(base, next []byte, offset, from, done int) (begin, length int) {
 	shift := offset - from
 	begin, end := from, from+blockBytes
@@ -82,8 +84,8 @@
 	return begin, end - begin
 }
 
-// indexBlocks returns the offsets of the base's blocks by their hash; a hash that two blocks have
-// is given the offset -1.
+// indexBlocks maps the hash of each block of the base to the block's offset, or to -1 if several
+// blocks have that hash.
 func indexBlocks(base []byte) map[uint32]int {
 	blocks := make(map[uint32]int, len(base)/blockBytes)
 	for offset := 0; offset+blockBytes <= len(base); offset += blockBytes {
@@ -100,8 +102,9 @@
 	return blocks
 }
 
-// leavingFactor is the factor of a byte when it leaves the rolling hash.
-var leavingFactor = func() uint32 {
+// removalFactor is the weight in the rolling hash of the byte that drops out of the window:
+// hashFactor to the power of blockBytes.
+var removalFactor = func() uint32 {
 	factor := uint32(1)
 	for range blockBytes {
 		factor *= hashFactor
@@ -109,17 +112,19 @@
 	return factor
 }()
 
-// rollHash moves the hash of the last blockBytes bytes on to the byte at an offset.
+// rollHash advances the rolling hash, which covers the last blockBytes bytes, to the byte at
+// offset.
 func rollHash(hash uint32, text []byte, offset int) uint32 {
 	hash = hash*hashFactor + uint32(text[offset])
 	if offset >= blockBytes {
-		hash -= leavingFactor * uint32(text[offset-blockBytes])
+		hash -= removalFactor * uint32(text[offset-blockBytes])
 	}
 	return hash
 }
 
-// joinPieces makes the value of the pieces; it returns false if one lies outside of the base.
-func joinPieces(base []byte, pieces []Piece) ([]byte, bool) {
+// applyPieces builds the value that the pieces describe. It returns false if a piece lies outside
+// the base.
+func applyPieces(base []byte, pieces []Piece) ([]byte, bool) {
 	var out []byte
 	for _, p := range pieces {
 		if p.Offset < 0 || p.Length < 0 || p.Length > len(base) || p.Offset > len(base)-p.Length {
@@ -130,8 +135,8 @@
 	return out, true
 }
 
-// validPieces reports whether JSON carries every text unchanged.
-func validPieces(pieces []Piece) bool {
+// piecesAreValidUTF8 reports whether every text is valid UTF-8, which JSON carries unchanged.
+func piecesAreValidUTF8(pieces []Piece) bool {
 	for _, p := range pieces {
 		if !utf8.ValidString(p.Text) {
 			return false
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -1,6 +1,6 @@
-// Package quorum holds the records, the messages and the membership of a register that is
-// replicated key by key: proposers send requests to the acceptors of a membership's disks, and a
-// majority of responses decides.
+// Package quorum defines the records, messages and membership of a register that is replicated key
+// by key: proposers send requests to the acceptors of the disks in a membership, and the responses
+// of a majority decide.
 package quorum
 
 import (
@@ -12,16 +12,16 @@
 // Kind is the kind of a request.
 type Kind string
 
-// The kinds of a request; PatchAccept is a fourth.
+// The kinds of a request, besides PatchAccept.
 const (
 	Prepare Kind = "prepare"
 	Accept  Kind = "accept"
 	Confirm Kind = "confirm"
 )
 
-// Request goes from a proposer to the acceptors. Invariant: Round is new for every round of one
-// proposer process; a request that is resent keeps its round. Read repair has round 0 and is not
-// responded to.
+// Request is a request from a proposer to an acceptor. Invariant: Round is unique to each round of
+// one proposer process; a request that is resent keeps its round. A request of a read repair has
+// round 0 and gets no response.
 type Request struct {
 	Kind       Kind                  `json:"kind"`
 	Round      uint64                `json:"turn"`
@@ -32,27 +32,28 @@
 	Value      json.RawMessage       `json:"value,omitempty"`
 	// Patch replaces Value in a PatchAccept.
 	Patch *Patch `json:"patch,omitempty"`
-	// Held names, in a prepare, an accepted state whose value the proposer holds, so that the
-	// response need not carry it. An acceptor that does not know the field sends it all the
-	// same.
+	// Held identifies, in a prepare, an accepted state whose value the proposer already holds, so
+	// that the response need not carry that value. An acceptor that does not know the field
+	// sends the value nevertheless.
 	Held *HeldState `json:"have,omitempty"`
 }
 
-// HeldState identifies an accepted state. Invariant: an accepted ballot and revision have one
+// HeldState identifies an accepted state. Invariant: an accepted ballot and revision determine the
 // value, on every disk and at any time.
 type HeldState struct {
 	Accepted ident.Ballot   `json:"a"`
 	Revision ident.Revision `json:"r"`
 }
 
-// Matches reports whether the record has that accepted state; a nil HeldState is none.
+// Matches reports whether the record has the accepted state that h identifies. A nil HeldState
+// matches no record.
 func (h *HeldState) Matches(record Record) bool {
 	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
 
-// Response answers a Request. Invariant: it is sent only once everything that it states is
-// synced. Record is empty when a patch was accepted; Record.Value is set for a prepare alone, and
-// not for the state that the request named as held.
+// Response answers a Request. Invariant: it is sent only after the state that it reports is synced.
+// Record is empty if a patch was accepted. Record.Value is set only in the response to a prepare,
+// unless the request's Held identifies the same accepted state.
 type Response struct {
 	Kind       Kind                  `json:"kind"`
 	Round      uint64                `json:"turn"`
--- a/control/register/quorum/record.go
+++ b/control/register/quorum/record.go
@@ -6,8 +6,8 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Record is what one disk holds of one key. Invariants: Accepted is never above
-// Promised; Revision and Value belong to Accepted.
+// Record is the promise and the accepted state of one key on one disk. Invariants: Accepted is
+// never above Promised; Revision and Value were accepted under Accepted.
 type Record struct {
 	Promised ident.Ballot    `json:"p"`
 	Accepted ident.Ballot    `json:"a"`
@@ -15,7 +15,8 @@
 	Value    json.RawMessage `json:"v,omitempty"`
 }
 
-// NewerThan reports whether r's accepted state comes after other's.
+// NewerThan reports whether the accepted state of r is newer than that of other: accepted under a
+// higher ballot or, under the same ballot, with a higher revision.
 func (r Record) NewerThan(other Record) bool {
 	if r.Accepted != other.Accepted {
 		return other.Accepted.Less(r.Accepted)
@@ -23,7 +24,8 @@
 	return r.Revision > other.Revision
 }
 
-// SameState reports whether both have the same accepted state, and so the same value.
+// SameState reports whether both records have the same accepted ballot and revision, and so the
+// same value.
 func (r Record) SameState(other Record) bool {
 	return r.Accepted == other.Accepted && r.Revision == other.Revision
 }
--- a/control/register/quorum/scan.go
+++ b/control/register/quorum/scan.go
@@ -9,8 +9,9 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Scan asks an acceptor for its records below a prefix, a page at a time. With Buckets it asks
-// for a digest of each bucket of keys instead or, with OnlyBuckets, for the records of those.
+// Scan requests one page of an acceptor's records whose keys have a prefix. With Buckets it
+// requests a digest of each bucket of keys instead; with Buckets and OnlyBuckets, the records of
+// the keys in the listed buckets.
 type Scan struct {
 	Round      uint64                `json:"turn"`
 	Membership ident.MembershipEpoch `json:"roster"`
@@ -22,7 +23,7 @@
 	OnlyBuckets []int `json:"only,omitempty"`
 }
 
-// Bucket returns the bucket that a key lies in, from 0 to buckets-1.
+// Bucket returns the bucket of a key, from 0 to buckets-1.
 func Bucket(key ident.Key, buckets int) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key))
@@ -32,8 +33,9 @@
 // DigestBytes is the size of the digest of one bucket, in bytes.
 const DigestBytes = 8
 
-// AddToDigests adds a record's accepted state to the digests of all buckets. A digest is the sum
-// of the hashes of its bucket's states, so it is the same in whatever order they are added.
+// AddToDigests adds a record's accepted state to the digest of its key's bucket; digests holds the
+// digests of all buckets. A digest is the sum of the hashes of the accepted states in the bucket,
+// so it does not depend on the order in which the states are added.
 func AddToDigests(digests []byte, key ident.Key, record Record) {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s\x00%d", key, record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
@@ -55,5 +57,5 @@
 	After      ident.Key             `json:"after,omitempty"`
 	Rows       []Row                 `json:"rows,omitempty"`
 	More       bool                  `json:"more,omitempty"`
-	Digest     []byte                `json:"digest,omitempty"` // of all buckets, when that was asked for
+	Digest     []byte                `json:"digest,omitempty"` // digests of all buckets, if the Scan requested digests
 }
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -1,5 +1,5 @@
-// Package quorumread reads the records below a prefix from a majority of disks, and finds what they
-// agree on and which copies lag.
+// Package quorumread reads the records with a key prefix from a majority of disks, and determines
+// which records the disks agree on and which copies are outdated.
 package quorumread
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// resendAfter is how long a scan may stay unanswered before it is sent again.
+	// resendAfter is the time after which an unanswered scan is sent again.
 	resendAfter = 200 * time.Millisecond
-	// digestWait is how long a read waits for the digests of all disks; after that, those of a
-	// majority are enough.
+	// digestWait is the time that a read waits for the digests of all disks; after that, the
+	// digests of a majority are enough.
 	digestWait = 400 * time.Millisecond
 )
 
-// Entry is one key as a majority has it. Invariant: when Agreed, every response of the majority
-// had the same accepted state, so that state is chosen and was the newest when the read began or
+// Entry is the merged record of one key. Invariant: if Agreed, every disk that was read has the same
+// accepted state of the key, so that state is chosen and was the newest when the read began or
 // later.
 type Entry struct {
 	Key    ident.Key
@@ -28,34 +28,34 @@
 	Agreed bool
 }
 
-// diskProgress is what has been read from one disk.
+// diskProgress holds the data read from one disk so far.
 type diskProgress struct {
-	digest   []byte
-	rows     map[ident.Key]quorum.Record
-	lastKey  ident.Key
-	done     bool
-	lastSent monotime.Time
+	digest     []byte
+	rows       map[ident.Key]quorum.Record
+	lastKey    ident.Key
+	done       bool
+	lastSentAt monotime.Time
 }
 
-// Reader is one quorum read. Invariant: it belongs to one membership epoch; the caller
-// drops it when the membership changes.
+// Reader performs one quorum read. Invariant: a Reader belongs to one membership epoch; the caller
+// drops the Reader when the membership changes.
 type Reader struct {
 	Round      uint64
 	Prefix     string
 	Values     bool
 	Membership quorum.Membership
 	Excluded   ident.Disk
-	// WaitForAll waits for every counted voter, as anti-entropy must: the copy that lags may
-	// well be the slowest.
+	// WaitForAll makes the read wait for every counted voter rather than a majority. Anti-entropy
+	// needs this, because an outdated copy may be on the slowest disk.
 	WaitForAll bool
-	// Buckets, when set, is a number of buckets of keys whose digests are compared first; only
-	// buckets that differ are read. Invariant: differing is set once they are compared, and is empty when
-	// all disks that responded hold the same.
-	Buckets        int
-	differing      []int
-	compared       bool
-	began          monotime.Time
-	progressByDisk map[ident.Disk]*diskProgress
+	// Buckets, when set, is the number of buckets of keys whose digests are compared first; only
+	// buckets that differ are read. Invariant: differingBuckets is set once the digests are
+	// compared, and is empty if all disks that responded have the same digests.
+	Buckets          int
+	differingBuckets []int
+	digestsCompared  bool
+	startedAt        monotime.Time
+	progressByDisk   map[ident.Disk]*diskProgress
 }
 
 // Send is one scan to one disk.
@@ -64,7 +64,7 @@
 	Scan quorum.Scan
 }
 
-// New starts a quorum read; excluded is a disk whose responses do not count.
+// New returns a quorum read. The disk excluded is not read.
 func New(round uint64, membership quorum.Membership, prefix string, values bool, excluded ident.Disk) *Reader {
 	return &Reader{
 		Round:          round,
@@ -76,13 +76,14 @@
 	}
 }
 
-// Tick returns the scans to send now: first ones, and those whose response is overdue.
+// Tick returns the scans to send now: the first scan of each disk, and scans whose response is
+// overdue.
 func (r *Reader) Tick(now monotime.Time) []Send {
 	var sends []Send
-	if r.began == 0 {
-		r.began = now
+	if r.startedAt == 0 {
+		r.startedAt = now
 	}
-	if r.awaitsDigests() && now.Since(r.began) >= digestWait {
+	if r.awaitsDigests() && now.Since(r.startedAt) >= digestWait {
 		r.compareDigests(r.Membership.Majority())
 	}
 	for _, voter := range r.Membership.Voters {
@@ -95,7 +96,7 @@
 			r.progressByDisk[voter.Disk] = progress
 		}
 		digestReceived := r.awaitsDigests() && progress.digest != nil
-		responseDue := progress.lastSent == 0 || now.Since(progress.lastSent) >= resendAfter
+		responseDue := progress.lastSentAt == 0 || now.Since(progress.lastSentAt) >= resendAfter
 		if progress.done || digestReceived || !responseDue {
 			continue
 		}
@@ -105,11 +106,11 @@
 }
 
 // awaitsDigests reports whether the read compares digests first and has not done so yet.
-func (r *Reader) awaitsDigests() bool { return r.Buckets > 0 && !r.compared }
+func (r *Reader) awaitsDigests() bool { return r.Buckets > 0 && !r.digestsCompared }
 
-// scanNextPage returns the scan for the page after the last row that was read from a disk.
+// scanNextPage returns the scan for the page after the last row read from a disk.
 func (r *Reader) scanNextPage(now monotime.Time, voter quorum.Voter, progress *diskProgress) Send {
-	progress.lastSent = now
+	progress.lastSentAt = now
 	return Send{voter, quorum.Scan{
 		Round:       r.Round,
 		Membership:  r.Membership.Epoch,
@@ -117,11 +118,12 @@
 		After:       progress.lastKey,
 		Values:      r.Values,
 		Buckets:     r.Buckets,
-		OnlyBuckets: r.differing,
+		OnlyBuckets: r.differingBuckets,
 	}}
 }
 
-// compareDigests finds the buckets that differ, once the required number of digests has come.
+// compareDigests determines the buckets that differ, once the required number of disks has sent
+// digests.
 func (r *Reader) compareDigests(required int) {
 	digests, differs := 0, make([]bool, r.Buckets)
 	var first []byte
@@ -142,18 +144,18 @@
 	if digests < required {
 		return
 	}
-	r.compared = true
+	r.digestsCompared = true
 	for i, bucketDiffers := range differs {
 		if bucketDiffers {
-			r.differing = append(r.differing, i)
+			r.differingBuckets = append(r.differingBuckets, i)
 		}
 	}
 	for _, progress := range r.progressByDisk {
-		progress.lastSent, progress.done = 0, len(r.differing) == 0 && progress.digest != nil
+		progress.lastSentAt, progress.done = 0, len(r.differingBuckets) == 0 && progress.digest != nil
 	}
 }
 
-// countedVoters returns how many disks the read may count.
+// countedVoters returns the number of counted voters whose disk is not excluded.
 func (r *Reader) countedVoters() (n int) {
 	for _, voter := range r.Membership.Voters {
 		if voter.Counted && voter.Disk != r.Excluded {
@@ -163,8 +165,8 @@
 	return n
 }
 
-// Step handles one page; done is true once a majority, or with WaitForAll every disk, has been
-// read completely.
+// Step handles one response and returns the scans to send next. done is true once a majority, or
+// with WaitForAll every counted voter, has been read completely.
 func (r *Reader) Step(now monotime.Time, page quorum.ScanResponse) (sends []Send, done bool) {
 	voter, isVoter := r.Membership.Find(page.Disk)
 	progress := r.progressByDisk[page.Disk]
@@ -178,13 +180,13 @@
 		if progress.digest = page.Digest; progress.digest == nil {
 			return nil, false
 		}
-		if r.compareDigests(r.countedVoters()); !r.compared {
+		if r.compareDigests(r.countedVoters()); !r.digestsCompared {
 			return nil, false
 		}
 		return r.Tick(now), r.Done()
 	}
 	if page.Digest != nil {
-		return nil, r.Done() // late: the digests were compared without it
+		return nil, r.Done() // late: the digests were compared without this disk's
 	}
 	for _, row := range page.Rows {
 		progress.rows[row.Key] = row.Record
@@ -200,28 +202,30 @@
 // Done reports whether enough disks have been read.
 func (r *Reader) Done() bool {
 	if r.WaitForAll {
-		return r.readFrom(r.countedVoters())
+		return r.hasRead(r.countedVoters())
 	}
 	return r.HasMajority()
 }
 
-// readFrom reports whether the required number of disks has been read completely, or need not be
-// because no bucket differs.
-func (r *Reader) readFrom(required int) bool {
+// hasRead reports whether the required number of disks has been read completely, or no disk needs
+// to be read because no bucket differs.
+func (r *Reader) hasRead(required int) bool {
 	if r.awaitsDigests() {
 		return false
 	}
-	if r.compared && len(r.differing) == 0 {
+	if r.digestsCompared && len(r.differingBuckets) == 0 {
 		return true
 	}
 	done, _ := r.Coverage()
 	return done >= required
 }
 
-// HasMajority reports whether a majority has been read, also while all disks are waited for.
-func (r *Reader) HasMajority() bool { return r.readFrom(r.Membership.Majority()) }
+// HasMajority reports whether a majority has been read, even if WaitForAll makes the read wait for
+// more disks.
+func (r *Reader) HasMajority() bool { return r.hasRead(r.Membership.Majority()) }
 
-// Entries merges what was read: of each key the newest accepted state and the highest promise.
+// Entries merges the rows of the disks that were read completely: each entry has the newest accepted
+// state and the highest promise of its key.
 func (r *Reader) Entries() map[ident.Key]Entry {
 	entries := map[ident.Key]Entry{}
 	for _, progress := range r.progressByDisk {
@@ -257,7 +261,7 @@
 	return entries
 }
 
-// Coverage returns how many disks were read completely, and how many count.
+// Coverage returns how many disks were read completely, and how many the read covers in all.
 func (r *Reader) Coverage() (read, counted int) {
 	for _, progress := range r.progressByDisk {
 		if progress.done {
@@ -267,8 +271,8 @@
 	return read, r.countedVoters()
 }
 
-// CountHolders counts the disks that were read, without one of them, whose copy of the key is not
-// older than a state.
+// CountHolders returns the number of completely read disks, except the disk without, whose copy of
+// the key is not older than state.
 func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
 	holders := 0
 	for disk, progress := range r.progressByDisk {
@@ -279,7 +283,7 @@
 	return holders
 }
 
-// Lagging lists the disks whose copy of the key is older than the newest one read.
+// Lagging returns the completely read disks whose copy of the key is older than the entry.
 func (r *Reader) Lagging(entry Entry) []ident.Disk {
 	var disks []ident.Disk
 	for disk, progress := range r.progressByDisk {
--- a/control/register/quorumread/quorumread_test.go
+++ b/control/register/quorumread/quorumread_test.go
@@ -15,8 +15,8 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// diskSet is some acceptors with the network to them: a silent one never responds, a slow one
-// does so late.
+// diskSet holds acceptors and simulates the network to them: a silent disk never responds, a slow
+// disk responds late.
 type diskSet struct {
 	t            *testing.T
 	membership   quorum.Membership
@@ -24,13 +24,13 @@
 	silent, slow ident.Disk
 }
 
-// delivery is a page on its way to the reader.
+// delivery is a page in flight to the reader.
 type delivery struct {
 	at   monotime.Time
 	page quorum.ScanResponse
 }
 
-// newDiskSet makes four disks with a few hundred keys, of which some copies are older or missing.
+// newDiskSet returns four disks with 300 keys, some of whose copies are outdated or missing.
 func newDiskSet(t *testing.T, seed uint64) *diskSet {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	disks := []ident.Disk{"a", "b", "c", "d"}
@@ -60,7 +60,7 @@
 	return set
 }
 
-// send has the acceptors serve scans, and returns the responses.
+// send has the acceptors serve the scans and returns the responses with their arrival times.
 func (s *diskSet) send(now monotime.Time, scans []quorumread.Send) (deliveries []delivery) {
 	for _, scan := range scans {
 		page, ok := s.acceptors[scan.To.Disk].Scan(s.membership.Epoch, scan.Scan)
@@ -77,8 +77,8 @@
 	return deliveries
 }
 
-// read reads all keys, at most for a second, and returns how many copies of each key lag and how
-// many rows were read.
+// read reads all keys, for at most one second, and returns the number of outdated copies of each
+// key and the number of rows read.
 func (s *diskSet) read(buckets int) (lagging map[ident.Key]int, rows int) {
 	reader := quorumread.New(1, s.membership, "", false, "")
 	reader.WaitForAll, reader.Buckets = true, buckets
@@ -109,10 +109,10 @@
 	return lagging, rows
 }
 
-// Four disks with a few hundred keys, some of which differ: a quorum read that compares digests
-// first finds the same lagging copies as one without digests, and reads few rows; it waits for a
-// disk that is slow to respond, and not for one that is silent.
-func TestDigestsFindWhatDiffers(t *testing.T) {
+// A quorum read that compares digests first finds the same outdated copies on four disks as a read
+// without digests, and reads fewer than a quarter of the rows. Neither misses the copies on a slow
+// disk, and a silent disk does not keep them from finding the others.
+func TestDigestsFindSameLaggingCopies(t *testing.T) {
 	for seed := range uint64(60) {
 		disks := newDiskSet(t, seed)
 		plain, plainRows := disks.read(0)
