--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor implements the acceptor, in the sense of Paxos, of changes of the membership: one
-// disk's promises and accepted proposals for the next membership epoch.
+// Package acceptor implements the Paxos acceptor for membership changes: the promises and accepted
+// proposals of one disk for the next membership epoch.
 package acceptor
 
 import (
@@ -12,19 +12,20 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// RingKey is the ring key of the state.
+// RingKey is the ring key under which the State is stored.
 const RingKey = "roster"
 
-// State is what the disk stores. Invariants: the epoch of Current only rises; Promised, Accepted
-// and Next belong to the epoch after it and are dropped when Current changes; Current is only ever
-// set to a membership that was chosen.
+// State is the state that the disk stores. Invariants: the epoch of Current only increases;
+// Promised, Accepted and Next belong to the epoch after that of Current and are dropped when
+// Current changes; Current is only ever set to a membership that was chosen.
 type State struct {
 	Current  quorum.Membership  `json:"now"`
 	Promised ident.Ballot       `json:"promised"`
 	Accepted ident.Ballot       `json:"taken"`
 	Next     *quorum.Membership `json:"next,omitempty"`
-	// BoundTo is the first membership that this disk has agreed to form while it is empty, and
-	// BoundBy the disk that proposed it. Invariant: an empty disk is bound to one at a time.
+	// BoundTo is the first membership that this disk has voted for while it is empty, and BoundBy
+	// the disk that proposed BoundTo. Invariant: an empty disk is bound to at most one membership
+	// at a time.
 	BoundTo *quorum.Membership `json:"bound,omitempty"`
 	BoundBy ident.Disk         `json:"by,omitempty"`
 }
@@ -32,14 +33,16 @@
 // Kind is the kind of a request.
 type Kind string
 
-// The kinds of requests: the two phases of a change, and the vote for the first membership.
+// The kinds of requests: Prepare and Accept are the two phases of a change, Form requests a vote for
+// the first membership.
 const (
 	Prepare Kind = "prepare"
 	Accept  Kind = "accept"
 	Form    Kind = "form"
 )
 
-// Request asks a disk for its vote. Base is the epoch of the membership that the change is based on.
+// Request requests a vote from a disk. Base is the epoch of the membership that the change is based
+// on.
 type Request struct {
 	Kind   Kind                  `json:"kind"`
 	Round  uint64                `json:"turn"`
@@ -49,20 +52,20 @@
 	Next   *quorum.Membership    `json:"next,omitempty"`
 }
 
-// Response answers a Request. Heard lists the disks that the voter does not presume dead.
+// Response answers a Request. LiveDisks lists the disks that the voter does not presume dead.
 type Response struct {
-	Kind     Kind                  `json:"kind"`
-	Round    uint64                `json:"turn"`
-	Base     ident.MembershipEpoch `json:"base"`
-	Disk     ident.Disk            `json:"disk"`
-	OK       bool                  `json:"ok"`
-	Promised ident.Ballot          `json:"promised"`
-	Accepted ident.Ballot          `json:"taken"`
-	Next     *quorum.Membership    `json:"next,omitempty"`
-	Heard    []ident.Disk          `json:"alive,omitempty"`
+	Kind      Kind                  `json:"kind"`
+	Round     uint64                `json:"turn"`
+	Base      ident.MembershipEpoch `json:"base"`
+	Disk      ident.Disk            `json:"disk"`
+	OK        bool                  `json:"ok"`
+	Promised  ident.Ballot          `json:"promised"`
+	Accepted  ident.Ballot          `json:"taken"`
+	Next      *quorum.Membership    `json:"next,omitempty"`
+	LiveDisks []ident.Disk          `json:"alive,omitempty"`
 }
 
-// Acceptor is the acceptor of one disk.
+// Acceptor handles the requests to one disk and holds the disk's State.
 type Acceptor struct {
 	Disk ident.Disk
 	State
@@ -79,14 +82,15 @@
 	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "membership")
 }
 
-// Record returns the state as a ring record.
+// Record returns the state encoded as a ring record.
 func (a *Acceptor) Record() ring.Record {
 	data, _ := json.Marshal(a.State)
 	return ring.Record{Key: RingKey, Data: data}
 }
 
-// prepare promises a ballot unless a higher one was promised before. Like the other handlers it returns
-// whether the disk agrees, and whether its state changed and must be written.
+// prepare promises a ballot unless a higher ballot was promised before. Like the other handlers,
+// prepare returns whether the disk grants the request, and whether the state changed and must be
+// written.
 func prepare(a *Acceptor, request Request) (ok, write bool) {
 	if request.Ballot.Less(a.Promised) {
 		return false, false
@@ -95,7 +99,8 @@
 	return true, true
 }
 
-// accept accepts a membership for the next epoch unless a higher ballot was promised before.
+// accept accepts a proposed membership for the next epoch unless a higher ballot was promised
+// before.
 func accept(a *Acceptor, request Request) (ok, write bool) {
 	if request.Ballot.Less(a.Promised) || request.Next == nil || request.Next.Epoch != a.Current.Epoch+1 {
 		return false, false
@@ -104,8 +109,9 @@
 	return true, true
 }
 
-// bind binds an empty disk to a first membership. It may be bound again only by the same disk,
-// which alone counts the votes for it, or once the disk that bound it is not among the founders.
+// bind binds an empty disk to a first membership. A bound disk may be bound again only by the same
+// proposing disk, which alone counts the votes for its proposals, or to a membership that does not
+// include that proposing disk.
 func bind(a *Acceptor, request Request) (ok, write bool) {
 	if request.Next == nil || request.Next.Epoch != 1 {
 		return false, false
@@ -123,9 +129,10 @@
 	return true, true
 }
 
-// Step handles one request. It returns the response, the records to be synced before it is sent,
-// and whether there is a response at all; heard lists the disks that this one does not presume dead.
-func (a *Acceptor) Step(request Request, heard []ident.Disk) (Response, []ring.Record, bool) {
+// Step handles one request. It returns the response, the records to be synced before the response is
+// sent, and whether there is a response at all. liveDisks lists the disks that this core does not
+// presume dead.
+func (a *Acceptor) Step(request Request, liveDisks []ident.Disk) (Response, []ring.Record, bool) {
 	handle, known := a.handlers[request.Kind]
 	if !known || request.Base != a.Current.Epoch || (request.Kind == Form) != (a.Current.Epoch == 0) {
 		return Response{}, nil, false
@@ -136,7 +143,7 @@
 	ok, write := handle(a, request)
 	response := Response{
 		Kind: request.Kind, Round: request.Round, Base: request.Base, Disk: a.Disk, OK: ok,
-		Promised: a.Promised, Accepted: a.Accepted, Next: a.Next, Heard: slices.Clone(heard),
+		Promised: a.Promised, Accepted: a.Accepted, Next: a.Next, LiveDisks: slices.Clone(liveDisks),
 	}
 	if request.Kind == Form {
 		response.Next = a.BoundTo
@@ -147,7 +154,8 @@
 	return response, []ring.Record{a.Record()}, true
 }
 
-// Adopt takes a chosen membership. It returns false if that is not newer than Current.
+// Adopt replaces the state by a chosen membership and returns the records to be synced. It returns
+// false if the chosen membership is not newer than Current.
 func (a *Acceptor) Adopt(chosen quorum.Membership) ([]ring.Record, bool) {
 	if chosen.Epoch <= a.Current.Epoch {
 		return nil, false
--- a/control/membership/bootstrap/bootstrap.go
+++ b/control/membership/bootstrap/bootstrap.go
@@ -1,4 +1,4 @@
-// Package bootstrap forms the first membership, once every founder has reported that its disk is
+// Package bootstrap forms the first membership once every founder has reported that its disk is
 // empty.
 package bootstrap
 
@@ -12,22 +12,23 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// resendInterval is the time between two rounds of requests.
+// resendInterval is the time between two transmissions of the requests.
 const resendInterval = 250 * time.Millisecond
 
-// Bootstrap asks the founders for their votes. Invariant: it counts only votes for the membership
-// that it proposes in this round; that membership is chosen when every founder has voted for it.
+// Bootstrap collects the votes of the founders for the first membership. Invariants: only votes for
+// the membership proposed in the current round count; that membership is chosen when every
+// founder has voted for it.
 type Bootstrap struct {
-	disk     ident.Disk
-	addr     ident.Addr
-	founders []ident.Addr
-	round    uint64
-	proposed *quorum.Membership
-	agreed   map[ident.Disk]bool
-	lastSent monotime.Time
+	disk       ident.Disk
+	addr       ident.Addr
+	founders   []ident.Addr
+	round      uint64
+	proposed   *quorum.Membership
+	agreed     map[ident.Disk]bool
+	lastSentAt monotime.Time
 }
 
-// New returns the bootstrap of a core; founders are the addresses of all founders.
+// New returns the Bootstrap of a core. founders are the addresses of all founders.
 func New(disk ident.Disk, addr ident.Addr, founders []ident.Addr) *Bootstrap {
 	return &Bootstrap{disk: disk, addr: addr, founders: slices.Sorted(slices.Values(founders))}
 }
@@ -38,10 +39,11 @@
 	Request acceptor.Request
 }
 
-// Tick returns the requests that are due. Only the first founder by address sends any.
-// emptyFounders maps the live founders that are empty to their disks.
+// Tick returns the requests that are due. Only the founder whose address sorts first sends
+// requests, once all founders are live and empty. emptyFounders maps the addresses of the live
+// founders whose disk is empty to their disks.
 func (b *Bootstrap) Tick(now monotime.Time, emptyFounders map[ident.Addr]ident.Disk) []Send {
-	if len(b.founders) == 0 || b.founders[0] != b.addr || b.lastSent != 0 && now.Since(b.lastSent) < resendInterval {
+	if len(b.founders) == 0 || b.founders[0] != b.addr || b.lastSentAt != 0 && now.Since(b.lastSentAt) < resendInterval {
 		return nil
 	}
 	next := &quorum.Membership{Epoch: 1}
@@ -59,7 +61,7 @@
 		b.round++
 		b.proposed, b.agreed = next, map[ident.Disk]bool{}
 	}
-	b.lastSent = now
+	b.lastSentAt = now
 	var sends []Send
 	for _, v := range b.proposed.Voters {
 		sends = append(sends, Send{v.Addr, acceptor.Request{Kind: acceptor.Form, Round: b.round, Disk: b.disk, Next: b.proposed}})
@@ -67,7 +69,8 @@
 	return sends
 }
 
-// Step handles one response. It returns the membership once that is chosen, else nil.
+// Step handles one response. It returns the first membership once that membership is chosen, else
+// nil.
 func (b *Bootstrap) Step(r acceptor.Response) *quorum.Membership {
 	if b.proposed == nil || !r.OK || r.Round != b.round || r.Next == nil || !slices.Equal(r.Next.Voters, b.proposed.Voters) {
 		return nil
--- a/control/membership/reconfiguration/reconfiguration_test.go
+++ b/control/membership/reconfiguration/reconfiguration_test.go
@@ -22,47 +22,47 @@
 	return quorum.Voter{Disk: disk, Addr: addr, Counted: true}
 }
 
-// copyingVoter is a voter that has a slot and is not counted yet.
+// copyingVoter returns a voter that has a slot and is not counted yet.
 func copyingVoter(disk ident.Disk, addr ident.Addr) quorum.Voter {
 	return quorum.Voter{Disk: disk, Addr: addr}
 }
 
-// envelope is a request on its way from a proposer to an acceptor.
+// envelope is a request in flight from a proposer to an acceptor.
 type envelope struct {
 	from    ident.Disk
 	to      ident.Disk
 	request acceptor.Request
 }
 
-// newcomers are two reconfigurers that want the slot of one dead voter, with the acceptors of the
-// two live voters and the requests to them.
-type newcomers struct {
+// contenders holds two reconfigurers that propose to take the slot of the same dead voter, the
+// acceptors of the two live voters and the requests in flight to them.
+type contenders struct {
 	t             *testing.T
 	now           monotime.Time
 	base          quorum.Membership
-	heard         []ident.Disk
+	liveDisks     []ident.Disk
 	acceptors     map[ident.Disk]*acceptor.Acceptor
 	reconfigurers map[ident.Disk]*reconfiguration.Reconfigurer
-	mailbox       []envelope
+	requests      []envelope
 	chosen        *quorum.Membership // nil while none is chosen
 }
 
-// newcomerDisks are the disks of the reconfigurers, in the order in which they act.
-var newcomerDisks = []ident.Disk{"n1", "n2"}
+// contenderDisks lists the disks of the reconfigurers in the order in which the test runs them.
+var contenderDisks = []ident.Disk{"n1", "n2"}
 
-func newNewcomers(t *testing.T) *newcomers {
-	c := &newcomers{
+func newContenders(t *testing.T) *contenders {
+	c := &contenders{
 		t:         t,
 		now:       monotime.Time(time.Second),
 		base:      membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3")),
-		heard:     []ident.Disk{"d1", "d2"},
+		liveDisks: []ident.Disk{"d1", "d2"},
 		acceptors: map[ident.Disk]*acceptor.Acceptor{},
 		reconfigurers: map[ident.Disk]*reconfiguration.Reconfigurer{
 			"n1": reconfiguration.New("n1", "m1"),
 			"n2": reconfiguration.New("n2", "m2"),
 		},
 	}
-	for _, d := range c.heard {
+	for _, d := range c.liveDisks {
 		c.acceptors[d] = acceptor.New(d)
 		c.acceptors[d].Adopt(c.base)
 	}
@@ -70,35 +70,35 @@
 }
 
 // post queues the requests to the live voters.
-func (c *newcomers) post(from ident.Disk, sends []reconfiguration.Send) {
+func (c *contenders) post(from ident.Disk, sends []reconfiguration.Send) {
 	for _, s := range sends {
 		if c.acceptors[s.To.Disk] != nil {
-			c.mailbox = append(c.mailbox, envelope{from, s.To.Disk, s.Request})
+			c.requests = append(c.requests, envelope{from, s.To.Disk, s.Request})
 		}
 	}
 }
 
-// begin has a newcomer try to take the dead voter's slot.
-func (c *newcomers) begin(n ident.Disk) {
+// begin has the reconfigurer of disk n begin a change that takes the slot of the dead voter.
+func (c *contenders) begin(n ident.Disk) {
 	change := reconfiguration.TakeSlot(quorum.Voter{Disk: n, Addr: ident.Addr(n)}, 3, false)
 	c.post(n, c.reconfigurers[n].Begin(c.now, c.base, change))
 }
 
-// tick lets time pass, and has both newcomers repeat their requests or begin again.
-func (c *newcomers) tick() {
+// tick advances the time, and has both reconfigurers resend their requests or begin again.
+func (c *contenders) tick() {
 	c.now = c.now.Add(250 * time.Millisecond)
-	for _, n := range newcomerDisks {
+	for _, n := range contenderDisks {
 		c.post(n, c.reconfigurers[n].Tick(c.now))
 		c.begin(n)
 	}
 }
 
-// deliver delivers request i, and its response at once. It reports whether that chose a membership,
-// which must be the one that was chosen before, if any.
-func (c *newcomers) deliver(i, seed int) bool {
-	delivered := c.mailbox[i]
-	c.mailbox = append(c.mailbox[:i:i], c.mailbox[i+1:]...)
-	response, _, answered := c.acceptors[delivered.to].Step(delivered.request, c.heard)
+// deliver delivers request i and immediately delivers its response. It reports whether a membership
+// was chosen, which must equal the membership chosen before, if any.
+func (c *contenders) deliver(i, seed int) bool {
+	delivered := c.requests[i]
+	c.requests = append(c.requests[:i:i], c.requests[i+1:]...)
+	response, _, answered := c.acceptors[delivered.to].Step(delivered.request, c.liveDisks)
 	if !answered {
 		return false
 	}
@@ -115,24 +115,25 @@
 	return true
 }
 
-// Two machines start with empty disks at once and both want the dead voter's slot: in every order of
-// their messages at most one membership is chosen, and whichever proposer completes agrees with it.
-func TestAllOrdersOfTwoNewcomers(t *testing.T) {
+// Two machines with empty disks start at the same time and both propose to take the slot of the dead
+// voter. In every delivery order of their first messages at most one membership is chosen, and
+// every proposer that completes reports that membership.
+func TestTwoContendersUnderAllDeliveryOrders(t *testing.T) {
 	chosen := 0
 	for seed := range 4 * 4 * 4 * 4 * 4 * 4 {
-		c := newNewcomers(t)
-		for _, n := range newcomerDisks {
+		c := newContenders(t)
+		for _, n := range contenderDisks {
 			c.begin(n)
 		}
 		choices := seed
 		for step := 0; step < 300; step++ {
-			if len(c.mailbox) == 0 {
+			if len(c.requests) == 0 {
 				c.tick()
 			}
-			if len(c.mailbox) == 0 {
+			if len(c.requests) == 0 {
 				continue
 			}
-			i := choices % 4 % len(c.mailbox)
+			i := choices % 4 % len(c.requests)
 			choices /= 4
 			if c.deliver(i, seed) && step > 60 {
 				break
@@ -145,9 +146,9 @@
 	must.Greater(t, 3000, chosen)
 }
 
-// A voter that some voter of the majority has heard is not replaced, nor is one without which there is
-// no majority.
-func TestOnlyADeadSlotIsTaken(t *testing.T) {
+// A voter that some voter of the majority does not presume dead is not replaced. No voter is
+// replaced if the remaining counted voters would be no majority.
+func TestOnlySlotOfDeadVoterIsTaken(t *testing.T) {
 	me := quorum.Voter{Disk: "n", Addr: "9"}
 	three := membershipOf(4, countedVoter("a", "1"), countedVoter("b", "2"), countedVoter("c", "3"))
 	all := map[ident.Disk]bool{"a": true, "b": true, "c": true}
@@ -160,14 +161,15 @@
 	must.False(t, next.Voters[2].Counted)
 	same := reconfiguration.TakeSlot(quorum.Voter{Disk: "n", Addr: "2"}, 5, false)(three, all)
 	must.Eq(t, ident.Disk("n"), same.Voters[1].Disk)
-	// One slot is being copied already: without another counted voter there is no majority.
+	// Voter n still copies the control state: without another counted voter there is no majority.
 	copying := membershipOf(5, countedVoter("a", "1"), countedVoter("b", "2"), copyingVoter("n", "9"))
 	must.Nil(t, reconfiguration.TakeSlot(quorum.Voter{Disk: "m", Addr: "8"}, 3, false)(copying, map[ident.Disk]bool{"a": true, "n": true}))
 }
 
-// The first membership needs the vote of every founder that it is empty. A founder that is bound to one
-// first membership votes for no other while the disk that bound it is still a founder.
-func TestFormingNeedsEveryFounder(t *testing.T) {
+// The first membership needs the votes of all founders, and every founder must be empty. A founder
+// that is bound to one first membership does not vote for another that still includes the disk
+// that bound the founder.
+func TestBootstrapNeedsVoteOfEveryFounder(t *testing.T) {
 	founders := []ident.Addr{"1", "2", "3"}
 	forming := bootstrap.New("d1", "1", founders)
 	now := monotime.Time(time.Second)
@@ -179,17 +181,17 @@
 		response, recs, answered := acceptors[s.To].Step(s.Request, nil)
 		must.True(t, answered && response.OK && len(recs) == 1)
 		next := forming.Step(response)
-		must.Eq(t, i == 2, next != nil, must.Sprint("chosen only by the last vote"))
+		must.Eq(t, i == 2, next != nil, must.Sprint("the membership is chosen by the last vote only"))
 	}
-	// Another founder proposes another set that d1 is in: rejected.
+	// Another founder proposes a set that still includes d1, which bound d2: rejected.
 	other := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("d9", "3"))
 	response, _, _ := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d9", Next: &other}, nil)
 	must.False(t, response.OK)
-	// The disk that bound it is not in the set any more: accepted.
+	// The set no longer includes d1, which bound d2: accepted.
 	fresh := membershipOf(1, countedVoter("d8", "1"), countedVoter("d2", "2"), countedVoter("d3", "3"))
 	response, _, _ = acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 1, Disk: "d8", Next: &fresh}, nil)
 	must.True(t, response.OK)
-	// A disk that has a membership votes for no first one.
+	// A disk that has a membership does not vote for a first membership.
 	acceptors["2"].Adopt(fresh)
 	_, _, answered := acceptors["2"].Step(acceptor.Request{Kind: acceptor.Form, Round: 2, Disk: "d8", Next: &fresh}, nil)
 	must.False(t, answered)
--- a/control/membership/reconfiguration/restart_test.go
+++ b/control/membership/reconfiguration/restart_test.go
@@ -12,9 +12,9 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A response to an earlier run's proposal does not count for the next run's: otherwise a membership
-// could be reported as chosen that a majority never accepted.
-func TestResponseToAnEarlierRunDoesNotCount(t *testing.T) {
+// Responses to a proposal of an earlier run do not count for a proposal of the next run. Otherwise a
+// membership that a majority never accepted could be reported as chosen.
+func TestPromisesToEarlierRunDoNotCount(t *testing.T) {
 	base := quorum.Membership{Epoch: 1}
 	disks := map[ident.Disk]*acceptor.Acceptor{}
 	for _, d := range []ident.Disk{"d1", "d2", "d3"} {
@@ -37,7 +37,7 @@
 	next.Begin(now, base, change)
 	for _, r := range late {
 		sends, chosen := next.Step(now, r)
-		must.SliceEmpty(t, sends, must.Sprint("an earlier run's promise was counted for this run"))
+		must.SliceEmpty(t, sends, must.Sprint("a promise to an earlier run was counted for this run"))
 		must.Nil(t, chosen)
 	}
 }
--- a/control/membership/reconfiguration/run_test.go
+++ b/control/membership/reconfiguration/run_test.go
@@ -13,14 +13,15 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// A new disk's core is restarted while the voters' responses to its earlier run are still on their
-// way, and meanwhile another new disk's membership is chosen. The new run counts none of the old
-// promises: they were given to another ballot, and do not report what was accepted since.
-func TestPromisesToAnEarlierRunCountForNothing(t *testing.T) {
+// The core of a new disk restarts while responses of the voters to its earlier run are in flight,
+// and meanwhile a membership with another new disk is chosen. The new run must not count the old
+// promises: the voters promised another ballot, and the responses do not report proposals that
+// were accepted since.
+func TestPromisesToEarlierRunAfterCompetingChangeDoNotCount(t *testing.T) {
 	base := membershipOf(1, countedVoter("d1", "1"), countedVoter("d2", "2"), countedVoter("dead", "3"))
-	heard := []ident.Disk{"d1", "d2"}
+	liveDisks := []ident.Disk{"d1", "d2"}
 	acceptors := map[ident.Disk]*acceptor.Acceptor{}
-	for _, d := range heard {
+	for _, d := range liveDisks {
 		acceptors[d] = acceptor.New(d)
 		acceptors[d].Adopt(base)
 	}
@@ -31,7 +32,7 @@
 	answers := func(sends []reconfiguration.Send) (out []acceptor.Response) {
 		for _, s := range sends {
 			if a := acceptors[s.To.Disk]; a != nil {
-				if r, _, answered := a.Step(s.Request, heard); answered {
+				if r, _, answered := a.Step(s.Request, liveDisks); answered {
 					out = append(out, r)
 				}
 			}
@@ -41,7 +42,7 @@
 	late := answers(reconfiguration.New("n1", "m1").Begin(now, base, takeSlot("n1")))
 	must.SliceLen(t, 2, late)
 
-	// Another new disk's membership is chosen.
+	// A membership with another new disk is chosen.
 	other, chosen := reconfiguration.New("n2", "m2"), (*quorum.Membership)(nil)
 	for round := answers(other.Begin(now, base, takeSlot("n2"))); len(round) > 0 && chosen == nil; {
 		var next []acceptor.Response
@@ -60,7 +61,7 @@
 	again.Begin(now, base, takeSlot("n1"))
 	for _, r := range late {
 		sends, membership := again.Step(now, r)
-		must.SliceEmpty(t, sends, must.Sprint("it proposes a membership on promises that were never given to its ballot"))
+		must.SliceEmpty(t, sends, must.Sprint("a membership was proposed on promises that were given to another ballot"))
 		must.Nil(t, membership)
 	}
 }
