--- a/control/core/joinqueue/queue_test.go
+++ b/control/core/joinqueue/queue_test.go
@@ -18,7 +18,7 @@
 	return Request{Node: ident.Node(fmt.Sprint("node-", n)), Run: "run"}
 }
 
-// Joins that come while a batch is in progress wait for the next one, which takes all of them.
+// Joins that arrive while a batch is in progress wait for the next batch, which contains them all.
 func TestOneBatchIsInFlightAtATime(t *testing.T) {
 	q := &Queue{}
 	must.Nil(t, q.Add(start, 1, request(1), start.Add(time.Second)))
@@ -34,9 +34,9 @@
 	must.False(t, q.BatchInFlight())
 }
 
-// A repeat of a join that waits or is in progress is the same join; a join of another run of the
-// same node is not, and goes into another batch.
-func TestRepeatJoinsTheWaitingOne(t *testing.T) {
+// A repeated request for a join that waits or is in progress is attached to that join. A request of
+// another run of the same node is a separate join and goes into another batch.
+func TestRepeatedJoinIsTheSameJoin(t *testing.T) {
 	q := &Queue{}
 	deadline := start.Add(time.Second)
 	otherAttempt := request(1)
@@ -51,9 +51,9 @@
 	must.Eq(t, [][]uint64{{3}}, q.EndBatch(start, true))
 }
 
-// A full queue refuses at once and asks those refused together to wait for different times, which
-// grow with the queue.
-func TestFullQueueSaysWhenToRetry(t *testing.T) {
+// A full queue refuses joins immediately. The retry delays of joins refused together differ and
+// grow with the length of the queue.
+func TestFullQueueRefusesWithSpreadRetryAfter(t *testing.T) {
 	q := &Queue{}
 	emptyQueueRetry := q.RetryAfter(request(-1))
 	for n := range MaxWaiting {
@@ -76,7 +76,7 @@
 	must.Eq(t, 0, q.Len())
 }
 
-// Every ticket ends exactly once: by its deadline, by a refusal of all or by the end of its batch.
+// Every ticket ends exactly once: by its deadline, by RefuseWaiting or by the end of its batch.
 func TestEveryTicketEndsOnce(t *testing.T) {
 	q := &Queue{}
 	earlyDeadline, lateDeadline := start.Add(time.Second), start.Add(time.Minute)
--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -1,5 +1,5 @@
-// Package message defines the messages between core processes. Their JSON field names are fixed:
-// cores of different releases exchange them.
+// Package message defines the messages between core processes. The JSON field names must not change,
+// because cores of different releases exchange the messages.
 package message
 
 import (
@@ -15,8 +15,9 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// Message is one message. Invariants: exactly one part is set; To is empty or the InstanceID of
-// the run that it is meant for, and any other run drops it; its sender sends it at most once.
+// Message is an envelope for one of the message types below. Invariants: exactly one field besides
+// From and To is set; To is empty or the InstanceID of the run that the message is addressed to,
+// and any other run drops the message; the sender sends each message at most once.
 type Message struct {
 	From               ident.Addr           `json:"from,omitempty"`
 	To                 string               `json:"to,omitempty"`
@@ -36,38 +37,40 @@
 	SilenceCheck       *SilenceCheck        `json:"quiet,omitempty"`
 }
 
-// Empty reports whether no part is set.
+// Empty reports whether no field besides From and To is set.
 func (m Message) Empty() bool { return m == Message{From: m.From, To: m.To} }
 
-// Heartbeat is what a core sends each other core several times a second. A brief one leaves out
-// what the last full one of the same run said.
+// Heartbeat is sent by each core to every other core several times a second. A brief heartbeat
+// omits the fields whose values the last full heartbeat of the same run has reported.
 type Heartbeat struct {
-	// Run is InstanceHash of the sender's InstanceID.
+	// Run is the InstanceHash of the sender's InstanceID.
 	Run   uint64 `json:"run"`
 	Brief bool   `json:"brief,omitempty"`
-	// Seq rises with every heartbeat of one run.
+	// Seq increases with every heartbeat of one run.
 	Seq uint64 `json:"no"`
-	// AckInstance is the Run of the receiver that AckSeq and ReceivedSeq refer to.
+	// AckInstance is the Run of the receiver whose heartbeats AckSeq and ReceivedSeq refer to.
 	AckInstance uint64 `json:"of,omitempty"`
-	// AckSeq is the receiver's newest heartbeat whose LeaseChecksum was that of the list of leases
-	// held here: this core knows of every renewal that came in before it.
+	// AckSeq is the Seq of the receiver's newest heartbeat whose LeaseChecksum matched the
+	// sender's copy of the receiver's leases: the sender knows of every lease renewal that the
+	// receiver got before that heartbeat.
 	AckSeq uint64 `json:"ack,omitempty"`
-	// ReceivedSeq is the newest heartbeat that was received at all; 0 if that is AckSeq.
+	// ReceivedSeq is the Seq of the newest heartbeat received from the receiver, whatever its
+	// LeaseChecksum; 0 if that Seq equals AckSeq.
 	ReceivedSeq uint64 `json:"heard,omitempty"`
-	// LeaseChecksum is that of the leases that are registered at the sender.
+	// LeaseChecksum is the checksum of the leases that are registered at the sender.
 	LeaseChecksum   uint64                `json:"sum,omitempty"`
 	MembershipEpoch ident.MembershipEpoch `json:"at,omitempty"`
 	ConfigRevision  ident.ConfigRevision  `json:"manifest"`
-	// ConfigAgeMs is how many milliseconds ago, plus one, the sender knew that nothing newer than
-	// ConfigRevision was confirmed; 0 if it never did.
+	// ConfigAgeMs is one more than the number of milliseconds since the sender last knew that no
+	// revision newer than ConfigRevision was confirmed; 0 if the sender has never known that.
 	ConfigAgeMs int64 `json:"ageMs,omitempty"`
 	// HoldsSingletonRole reports that the sender holds the singleton role.
 	HoldsSingletonRole bool `json:"duty,omitempty"`
-	// RolloutActive reports that a roll-out runs and that CallOutcomes are wanted.
+	// RolloutActive reports that a rollout is in progress and the sender needs CallOutcomes.
 	RolloutActive bool                                   `json:"rolling,omitempty"`
 	CallOutcomes  map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
 
-	// The fields from here on are those that a brief heartbeat leaves out.
+	// A brief heartbeat omits the fields below.
 
 	InstanceID string             `json:"mark,omitempty"`
 	Disk       ident.Disk         `json:"disk,omitempty"`
@@ -76,21 +79,21 @@
 	Leaving    bool               `json:"leaving,omitempty"`
 	DiskFailed bool               `json:"broken,omitempty"`
 	Cores      []ident.Addr       `json:"cores,omitempty"`
-	// AcceptsPatches reports that the sender handles accepts that carry a quorum.Patch.
+	// AcceptsPatches reports that the sender handles accept requests that carry a quorum.Patch.
 	AcceptsPatches bool `json:"patches,omitempty"`
 	// ReportsReceived reports that the sender sets ReceivedSeq.
 	ReportsReceived bool `json:"echo,omitempty"`
 }
 
-// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, mixed by
-// hashing.Mix.
+// InstanceHash returns a 64-bit hash of the InstanceID of a run: FNV-1a, finalized by hashing.Mix.
 func InstanceHash(instanceID string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(instanceID))
 	return hashing.Mix(hash.Sum64())
 }
 
-// MergedWith returns a later heartbeat of the same run, completed by this one if it is brief.
+// MergedWith returns a later heartbeat of the same run. If the later heartbeat is brief, the fields
+// that it omits are taken from h.
 func (h Heartbeat) MergedWith(later Heartbeat) Heartbeat {
 	if !later.Brief {
 		return later
@@ -111,46 +114,48 @@
 	Leases    bool `json:"kept,omitempty"`
 }
 
-// SilenceCheck asks a voter which of some nodes it has not heard for leasetable.SilentAfter, or
-// answers that.
+// SilenceCheck asks a voter which of the listed nodes have been silent there for
+// leasetable.SilentAfter, or answers that question.
 type SilenceCheck struct {
 	Round     uint64       `json:"turn"`
 	Responder ident.Disk   `json:"says,omitempty"` // empty in the request
 	Nodes     []ident.Node `json:"nodes,omitempty"`
 }
 
-// Forward carries an operation to the proposer of its key. RemainingMs is how many milliseconds its
-// client still waits: the receiver counts them from the receipt and does not begin the operation
-// later. 0, from a core that does not know this field, sets no bound.
+// Forward carries an operation to the proposer of its key. RemainingMs is the number of milliseconds
+// for which the client still waits: the receiver counts them from receipt and does not begin the
+// operation after they have passed. 0, sent by a core that does not know this field, sets no
+// deadline.
 type Forward struct {
 	Ticket      uint64             `json:"ticket"`
 	Operation   proposer.Operation `json:"deed"`
 	RemainingMs int64              `json:"leftMs,omitempty"`
 }
 
-// ForwardResult is the result of a forwarded operation. Abandoned means that the receiver did not
-// complete it, MayHaveTakenEffect that it is not known whether it did.
+// ForwardResult is the result of a forwarded operation. Abandoned means that the receiver of the
+// Forward did not complete the operation; MayHaveTakenEffect means that it is unknown whether the
+// operation took effect.
 type ForwardResult struct {
 	Ticket   uint64         `json:"ticket"`
 	Body     []byte         `json:"body,omitempty"`
 	Failure  *failure.Error `json:"defect,omitempty"`
 	Revision ident.Revision `json:"revision"`
-	// Ballot is the one under which the key's value was confirmed at Revision; zero where that
-	// is not known.
+	// Ballot is the ballot under which the key's value was confirmed at Revision; zero if that
+	// ballot is unknown.
 	Ballot             ident.Ballot `json:"ballot,omitzero"`
 	Abandoned          bool         `json:"lost,omitempty"`
 	MayHaveTakenEffect bool         `json:"risk,omitempty"`
 }
 
-// Learned announces that a key was confirmed at a revision under a ballot. Invariant: a disk that
-// holds this ballot and revision holds the confirmed value.
+// Learned announces that the value of a key was confirmed at a revision under a ballot. Invariant: a
+// disk whose record has this accepted ballot and revision holds the confirmed value.
 type Learned struct {
 	Key      ident.Key      `json:"key"`
 	Revision ident.Revision `json:"revision"`
 	Ballot   ident.Ballot   `json:"ballot"`
 }
 
-// Handover makes the receiver the next proposer of some keys.
+// Handover asks the receiver to become the next proposer of the listed keys.
 type Handover struct {
 	Keys []ident.Key `json:"keys"`
 }
