--- a/control/membership/acceptor/acceptor.go
+++ b/control/membership/acceptor/acceptor.go
@@ -30,7 +30,7 @@
 	BoundBy ident.Disk         `json:"by,omitempty"`
 }
 
-// Kind is the kind of a request.
+// Kind identifies the type of a Request and of its Response.
 type Kind string
 
 // The kinds of requests: Prepare and Accept are the two phases of a change, Form requests a vote for
@@ -79,7 +79,7 @@
 
 // Load restores the state from the data of a Record.
 func (a *Acceptor) Load(data []byte) error {
-	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "membership")
+	return failure.Wrap(json.Unmarshal(data, &a.State), failure.Damaged, "decode stored membership state")
 }
 
 // Record returns the state encoded as a ring record.
--- a/control/membership/reconfiguration/run_test.go
+++ b/control/membership/reconfiguration/run_test.go
@@ -29,7 +29,7 @@
 	takeSlot := func(n ident.Disk) reconfiguration.Change {
 		return reconfiguration.TakeSlot(quorum.Voter{Disk: n, Addr: ident.Addr(n)}, 3, false)
 	}
-	answers := func(sends []reconfiguration.Send) (out []acceptor.Response) {
+	responsesTo := func(sends []reconfiguration.Send) (out []acceptor.Response) {
 		for _, s := range sends {
 			if a := acceptors[s.To.Disk]; a != nil {
 				if r, _, answered := a.Step(s.Request, liveDisks); answered {
@@ -39,16 +39,16 @@
 		}
 		return out
 	}
-	late := answers(reconfiguration.New("n1", "m1").Begin(now, base, takeSlot("n1")))
+	late := responsesTo(reconfiguration.New("n1", "m1").Begin(now, base, takeSlot("n1")))
 	must.SliceLen(t, 2, late)
 
 	// A membership with another new disk is chosen.
 	other, chosen := reconfiguration.New("n2", "m2"), (*quorum.Membership)(nil)
-	for round := answers(other.Begin(now, base, takeSlot("n2"))); len(round) > 0 && chosen == nil; {
+	for round := responsesTo(other.Begin(now, base, takeSlot("n2"))); len(round) > 0 && chosen == nil; {
 		var next []acceptor.Response
 		for _, r := range round {
 			sends, membership := other.Step(now, r)
-			next = append(next, answers(sends)...)
+			next = append(next, responsesTo(sends)...)
 			if membership != nil {
 				chosen = membership
 			}
--- a/control/register/acceptor/acceptor.go
+++ b/control/register/acceptor/acceptor.go
@@ -53,7 +53,7 @@
 	if key, ok := strings.CutPrefix(record.Key, promisePrefix); ok {
 		var ballot ident.Ballot
 		if err := json.Unmarshal(record.Data, &ballot); err != nil {
-			return true, failure.Wrap(err, failure.Damaged, "promise of "+key)
+			return true, failure.Wrap(err, failure.Damaged, "decode promise of key "+key)
 		}
 		entry := a.findOrCreate(ident.Key(key))
 		if entry.Promised.Less(ballot) {
@@ -64,7 +64,7 @@
 	if key, ok := strings.CutPrefix(record.Key, acceptedPrefix); ok {
 		var stored quorum.Record
 		if err := json.Unmarshal(record.Data, &stored); err != nil {
-			return true, failure.Wrap(err, failure.Damaged, "accepted state of "+key)
+			return true, failure.Wrap(err, failure.Damaged, "decode accepted state of key "+key)
 		}
 		entry := a.findOrCreate(ident.Key(key))
 		entry.Accepted, entry.Revision, entry.Value = stored.Accepted, stored.Revision, stored.Value
--- a/control/register/proposer/cluster_test.go
+++ b/control/register/proposer/cluster_test.go
@@ -81,7 +81,7 @@
 func (c *cluster) deliver(i int) {
 	m := c.requests[i]
 	c.requests = append(c.requests[:i:i], c.requests[i+1:]...)
-	if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers {
+	if r, _, responds := c.acceptors[m.to].Step(1, m.request); responds {
 		c.collect(m.from, c.proposers[m.from].Step(c.now, r))
 	}
 }
--- a/control/register/proposer/confirm_test.go
+++ b/control/register/proposer/confirm_test.go
@@ -39,7 +39,7 @@
 		if c.requestCounts[send.To.Disk]++; c.silent[send.To.Disk] {
 			continue
 		}
-		if response, _, answers := c.acceptors[send.To.Disk].Step(1, send.Request); answers {
+		if response, _, responds := c.acceptors[send.To.Disk].Step(1, send.Request); responds {
 			c.collect(c.proposer.Step(c.now, response))
 		}
 	}
--- a/control/register/proposer/lossy_cluster_test.go
+++ b/control/register/proposer/lossy_cluster_test.go
@@ -91,10 +91,10 @@
 		if s.Request.Kind != quorum.Accept {
 			continue
 		}
-		k := writeID{s.Request.Ballot, s.Request.Revision}
-		old, twice := c.sent[k]
-		must.False(c.t, twice && old != string(s.Request.Value), must.Sprint("two values under one ballot and revision"))
-		c.sent[k] = string(s.Request.Value)
+		id := writeID{s.Request.Ballot, s.Request.Revision}
+		old, seen := c.sent[id]
+		must.False(c.t, seen && old != string(s.Request.Value), must.Sprint("two values under one ballot and revision"))
+		c.sent[id] = string(s.Request.Value)
 	}
 	c.collect(name, effects)
 }
@@ -108,7 +108,7 @@
 // without them.
 func (c *lossyCluster) deliverTo(i int, sync bool) {
 	m := c.requests[i]
-	r, records, answers := c.acceptors[m.to].Step(1, m.request)
+	r, records, responds := c.acceptors[m.to].Step(1, m.request)
 	c.checkDisk(m.to)
 	if !sync {
 		c.acceptors[m.to] = acceptor.New(m.to)
@@ -125,7 +125,7 @@
 	if m.request.Kind == quorum.PatchAccept && !r.OK {
 		c.rejected++
 	}
-	if answers {
+	if responds {
 		c.responses = append(c.responses, delivery{m.from, r})
 	}
 }
--- a/control/register/proposer/proposer.go
+++ b/control/register/proposer/proposer.go
@@ -100,7 +100,7 @@
 func (p *Proposer) Submit(now monotime.Time, operation Operation) (effects Effects) {
 	t := p.term(operation.Key)
 	if len(t.waiting) >= maxQueue {
-		busy := failure.New(failure.Busy, "too many operations wait for %s", operation.Key)
+		busy := failure.New(failure.Busy, "too many operations wait for key %s", operation.Key)
 		effects.Outcomes = append(effects.Outcomes, Outcome{Operation: operation, Failure: busy.WithRetryAfter(queueFullRetrySeconds)})
 		return effects
 	}
--- a/control/register/proposer/proposer_test.go
+++ b/control/register/proposer/proposer_test.go
@@ -76,10 +76,10 @@
 					if outcome.Abandoned {
 						continue
 					}
-					old, twice := chosen[outcome.Revision]
+					old, seen := chosen[outcome.Revision]
 					must.False(
 						t,
-						twice && old != string(outcome.Body),
+						seen && old != string(outcome.Body),
 						must.Sprintf("revision %d is %s and %s", outcome.Revision, old, outcome.Body),
 					)
 					chosen[outcome.Revision] = string(outcome.Body)
@@ -185,7 +185,7 @@
 		if m.to == "d2" {
 			continue
 		}
-		if response, _, answers := c.acceptors[m.to].Step(2, m.request); answers {
+		if response, _, responds := c.acceptors[m.to].Step(2, m.request); responds {
 			c.collect("a", c.proposers["a"].Step(c.now, response))
 		}
 	}
--- a/control/register/proposer/restart_test.go
+++ b/control/register/proposer/restart_test.go
@@ -24,7 +24,7 @@
 	}
 	var late []quorum.Response
 	for _, m := range c.requests {
-		if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers && m.to != "d1" {
+		if r, _, responds := c.acceptors[m.to].Step(1, m.request); responds && m.to != "d1" {
 			late = append(late, r)
 		}
 	}
@@ -58,7 +58,7 @@
 			for len(c.requests) > 0 {
 				m := c.requests[0]
 				c.requests = c.requests[1:]
-				if r, _, answers := c.acceptors[m.to].Step(1, m.request); answers {
+				if r, _, responds := c.acceptors[m.to].Step(1, m.request); responds {
 					if m.from == "d1.a1" {
 						late = append(late, r)
 					}
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -37,7 +37,8 @@
 func Checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
 // Diff returns the patch from the value of base to next, which is to be accepted under a ballot. It
-// returns nil if the patch takes more than half the bytes of next.
+// returns nil if the patch would take more than half the bytes of next, or if its text is not valid
+// UTF-8 and so can't be sent as JSON.
 func Diff(base Record, ballot ident.Ballot, next []byte) *Patch {
 	if len(next) < 2*patchOverhead {
 		return nil
--- a/control/register/quorum/pieces.go
+++ b/control/register/quorum/pieces.go
@@ -93,7 +93,7 @@
 		for _, b := range base[offset : offset+blockBytes] {
 			hash = hash*hashFactor + uint32(b)
 		}
-		if _, twice := blocks[hash]; twice {
+		if _, duplicate := blocks[hash]; duplicate {
 			blocks[hash] = -1
 			continue
 		}
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -9,7 +9,7 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Kind is the kind of a request.
+// Kind identifies the type of a Request and of its Response.
 type Kind string
 
 // The kinds of a request, besides PatchAccept.
--- a/control/register/quorum/scan.go
+++ b/control/register/quorum/scan.go
@@ -49,7 +49,7 @@
 	Record Record    `json:"cell"`
 }
 
-// ScanResponse answers a Scan with one page.
+// ScanResponse answers a Scan with one page of rows or with digests.
 type ScanResponse struct {
 	Round      uint64                `json:"turn"`
 	Disk       ident.Disk            `json:"disk"`
--- a/control/register/quorumread/quorumread.go
+++ b/control/register/quorumread/quorumread.go
@@ -271,12 +271,12 @@
 	return read, r.countedVoters()
 }
 
-// CountHolders returns the number of completely read disks, except the disk without, whose copy of
-// the key is not older than state.
-func (r *Reader) CountHolders(key ident.Key, state quorum.Record, without ident.Disk) int {
+// CountHolders returns the number of completely read disks, except excluded, whose copy of the key
+// is not older than state.
+func (r *Reader) CountHolders(key ident.Key, state quorum.Record, excluded ident.Disk) int {
 	holders := 0
 	for disk, progress := range r.progressByDisk {
-		if disk != without && progress.done && !state.NewerThan(progress.rows[key]) {
+		if disk != excluded && progress.done && !state.NewerThan(progress.rows[key]) {
 			holders++
 		}
 	}
