--- a/control/coordination/lock/batch_test.go
+++ b/control/coordination/lock/batch_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// singleReplica is a proposer with one acceptor. Its requests are answered when flush is
-// called, so that operations which arrive meanwhile share the next round.
+// singleReplica is a proposer with a single acceptor. The acceptor answers only when flush is
+// called, so that operations submitted before flush share the next round.
 type singleReplica struct {
 	proposer *proposer.Proposer
 	acceptor *acceptor.Acceptor
@@ -53,9 +53,9 @@
 	r.collect(r.proposer.Submit(now, proposer.Operation{Key: "lock/l", Kind: kind, Op: id, Args: operation.Encode(args)}))
 }
 
-// Acquires of three callers share one round, in every order, after the lock was released or
-// its lease had expired long before: one caller is granted the lock. This failed in a test
-// with real processes: one lock was held under the fencing tokens 7 and 8 at once.
+// When the acquires of three callers share one round, in any order, after the lock was released or
+// its lease expired, exactly one caller is granted the lock. Guards against a fault seen with real
+// processes: two callers held the same lock at once, under the fencing tokens 7 and 8.
 func TestOneRoundGrantsOneHolder(t *testing.T) {
 	for _, free := range []bool{true, false} {
 		for order := range 27 {
@@ -67,7 +67,7 @@
 				replica.flush(now)
 			}
 			now = seconds(30)
-			replica.submit(now, "lock/read", Args{}) // its round is under way when the acquires arrive
+			replica.submit(now, "lock/read", Args{}) // its round is in flight when the acquires arrive
 			replica.outcomes = nil
 			for i, holder := range []int{order % 3, order / 3 % 3, order / 9} {
 				replica.submit(now.Add(time.Duration(i)), "lock/claim", Args{Holder: string(rune('a' + holder)), TTL: 1000})
@@ -85,8 +85,8 @@
 	}
 }
 
-// A release from before the holder's last grant frees nothing: in both orders of the release
-// of a grant and another acquire by the same caller.
+// A delayed release of an earlier grant does not free the lock, whether the release arrives before
+// or after another acquire by the same caller.
 func TestLateReleaseFreesNothing(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		current := newTerm(1)
@@ -109,9 +109,9 @@
 	}
 }
 
-// An acquire that is repeated under its old operation ID, as after an unknown outcome, starts
-// the lease at the repeat: a holder that counts from the repeat keeps the lock for its TTL,
-// whenever the repeat arrives.
+// An acquire that is retried with the same operation ID, as after an unknown outcome, restarts the
+// lease at the retry. A holder that measures its lease from the retry holds the lock for the whole
+// TTL, whenever the retry arrives.
 func TestRepeatedAcquireHoldsFromTheRepeat(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second} {
 		replica, now := newSingleReplica(seconds(1)), seconds(1)
--- a/control/coordination/lock/keep_token_test.go
+++ b/control/coordination/lock/keep_token_test.go
@@ -13,8 +13,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// An acquire with KeepToken extends the holder's lease under the same fencing token, under
-// any proposer; after the end of the lease, and for another caller, the token is higher.
+// An acquire with KeepToken extends the lease of the current holder under the same fencing token,
+// also under a new proposer. After the lease has expired, or for another caller, the token
+// increases.
 func TestKeepTokenKeepsTheFencingToken(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		current := newTerm(1)
@@ -30,7 +31,7 @@
 		grant, err = acquire(4, "a")
 		must.Nil(t, err)
 		must.Eq(t, 1, grant.FencingToken)
-		_, err = acquire(8.9, "b") // a relies on its lease until 9
+		_, err = acquire(8.9, "b") // a's lease lasts until 9 s
 		must.Eq(t, failure.LockHeld, err.Kind)
 		grant, err = acquire(10.1, "a")
 		must.Nil(t, err)
@@ -41,9 +42,9 @@
 	}
 }
 
-// A lock is held for the whole lease and free at most a second after it, from the shortest
-// lease to the longest.
-func TestFreeWithinASecondOfItsEnd(t *testing.T) {
+// A lock is held for the whole lease and is free at most one second after the lease has expired,
+// from the shortest TTL to the longest.
+func TestLockIsFreeWithinASecondOfExpiry(t *testing.T) {
 	for _, ttl := range []int64{50, 1000, 3000, 5000, 30000, 10 * 60 * 1000} {
 		for _, kind := range []string{"lock/claim", "lock/renew"} {
 			current := newTerm(1)
@@ -65,9 +66,9 @@
 	}
 }
 
-// A shorter lease under the same fencing token does not cut a longer one that the holder may
-// still rely on; the lock is held until the later end, also under a new proposer.
-func TestShorterTTLDoesNotCutTheLonger(t *testing.T) {
+// A shorter lease under the same fencing token does not shorten an earlier, longer lease that the
+// holder may still rely on. The lock is held until both have expired, also under a new proposer.
+func TestShorterTTLKeepsTheLongerLease(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		for _, kind := range []string{"lock/claim", "lock/renew"} {
 			current := newTerm(1)
@@ -85,7 +86,7 @@
 			_, err = current.apply(seconds(end-0.1), "lock/claim", Args{Holder: "b", TTL: 1000})
 			must.NotNil(t, err, must.Sprintf("%s, new proposer %v", kind, newProposer))
 			if !newProposer {
-				// A lease that ends after both replaces them.
+				// A lease that ends after both of the others replaces them.
 				_, err = current.apply(seconds(10.5), kind, Args{Holder: "a", FencingToken: 1, TTL: 1000, KeepToken: true})
 				must.Nil(t, err)
 				end = 11.5
@@ -96,9 +97,9 @@
 	}
 }
 
-// A release may consist of a read and an operation that names the grant which was read. In
-// every order of these with another acquire under the same fencing token: if the read came
-// before the acquire, the lock stays held.
+// A release may consist of a read followed by a release that names the grant number from the read.
+// In any interleaving with another acquire under the same fencing token, the lock stays held if the
+// read came before the acquire.
 func TestReleaseOfAnEarlierGrantFreesNothing(t *testing.T) {
 	for _, order := range [][]string{{"read", "release", "acquire"}, {"read", "acquire", "release"}, {"acquire", "read", "release"}} {
 		current := newTerm(1)
@@ -129,15 +130,15 @@
 	}
 }
 
-// An operation is not begun after its deadline: a release that waits for a round beyond its
-// deadline frees nothing, and its outcome says that it was not executed.
+// A release that waits for a round until after its deadline does not free the lock, and its outcome
+// says that the release was not executed.
 func TestOperationIsNotBegunAfterItsDeadline(t *testing.T) {
 	for _, late := range []time.Duration{0, 899 * time.Millisecond, 901 * time.Millisecond, 1100 * time.Millisecond} {
 		replica, now := newSingleReplica(seconds(1)), seconds(1)
 		replica.submit(now, "lock/claim", Args{Holder: "a", TTL: 5000})
 		replica.flush(now)
 		replica.outcomes = nil
-		replica.submit(now, "lock/read", Args{}) // its round is under way while the release waits
+		replica.submit(now, "lock/read", Args{}) // its round is in flight while the release waits
 		replica.collect(replica.proposer.Submit(now, proposer.Operation{
 			Key:      "lock/l",
 			Kind:     "lock/release",
--- a/control/coordination/lock/lock.go
+++ b/control/coordination/lock/lock.go
@@ -1,5 +1,5 @@
-// Package lock is the state machine of locks: each is leased to one holder at a time, with a
-// rising fencing token.
+// Package lock implements the state machine of locks. A lock is leased to one holder at a time,
+// under a fencing token that increases with each new grant.
 package lock
 
 import (
@@ -19,40 +19,40 @@
 	ReadKind     = "lock/read"
 )
 
-// heldRetrySeconds is when to retry an acquire that found the lock held.
+// heldRetrySeconds is the retry delay, in seconds, returned when an acquire finds the lock held.
 const heldRetrySeconds = 1
 
-// Args are the arguments of every operation.
+// Args holds the arguments of all lock operations; each operation uses a subset of the fields.
 type Args struct {
 	Holder       string `json:"holder"`
 	FencingToken uint64 `json:"fence,omitempty"`
 	// TTL is the duration of the lease in milliseconds.
 	TTL int64 `json:"ttlMs,omitempty"`
-	// Successor is the holder that a transfer names.
+	// Successor is the new holder that a transfer grants the lock to.
 	Successor string `json:"to,omitempty"`
-	// KeepToken asks an acquire for the same fencing token if the caller holds the lock already.
+	// KeepToken makes an acquire keep the fencing token if the caller already holds the lock.
 	KeepToken bool `json:"keep,omitempty"`
-	// GrantNumber, when set, restricts a release to that grant.
+	// GrantNumber, if not 0, restricts a release to the grant with this number.
 	GrantNumber uint64 `json:"grant,omitempty"`
 }
 
-// Grant is the response to every operation.
+// Grant is the response to all lock operations.
 type Grant struct {
 	Holder       string `json:"holder"`
 	FencingToken uint64 `json:"fence"`
 	// TTL is the duration of the lease in milliseconds.
 	TTL  int64 `json:"ttlMs"`
 	Held bool  `json:"held"`
-	// Number is the number of the newest grant; only a read returns it.
+	// Number is the number of the newest grant. Only a read returns Number.
 	Number uint64 `json:"grant,omitempty"`
 }
 
-// Handlers returns the operations of a lock.
+// Handlers returns the handlers of the lock operations.
 func Handlers() operation.Table {
 	return operation.Table{AcquireKind: acquire, RenewKind: renew, ReleaseKind: release, TransferKind: transfer, ReadKind: read}
 }
 
-// acquire grants the lock if it is free or held by the caller itself.
+// acquire grants the lock if the lock is free or the caller already holds it.
 func acquire(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := operation.DecodeAs[State, Args](rawState, rawArgs)
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	free := current.isFree(context)
 	if !free && current.Holder != args.Holder {
-		err := failure.New(failure.LockHeld, "held by %q", current.Holder)
+		err := failure.New(failure.LockHeld, "the lock is held by %q", current.Holder)
 		return operation.Rejected(err.WithRetryAfter(heldRetrySeconds))
 	}
 	current.GrantCount++
@@ -77,8 +77,8 @@
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
 }
 
-// renew starts the lease again from now on, with another TTL if one is given. Only another
-// TTL changes the state, so that other renewals cost no write to a disk.
+// renew restarts the lease at the current time, with a new TTL if the arguments give a TTL. The
+// state changes only when the TTL changes, so that an ordinary renewal needs no disk write.
 func renew(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := decodeForHolder(rawState, rawArgs)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return operation.Result{Body: current.encodeGrant()}
 }
 
-// release frees the lock.
+// release frees the lock. A release that names a superseded grant is rejected with NotHolder.
 func release(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := decodeForHolder(rawState, rawArgs)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
 }
 
-// transfer grants the lock to the successor that its holder names, for the same TTL.
+// transfer grants the lock to the successor that the current holder names, with the same TTL.
 func transfer(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := decodeForHolder(rawState, rawArgs)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return operation.Result{State: operation.Encode(current), Body: current.encodeGrant()}
 }
 
-// read returns who holds the lock; the holder is empty once the lease is over.
+// read returns the current grant. The holder is empty once the lease has expired.
 func read(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, _, err := operation.DecodeAs[State, Args](rawState, rawArgs)
 	if err != nil {
@@ -142,8 +142,8 @@
 	})}
 }
 
-// decodeForHolder decodes an operation that only the holder may perform, NotHolder if the
-// caller is not the holder.
+// decodeForHolder decodes the state and the arguments of an operation that only the holder may
+// perform. It returns NotHolder if the holder or the fencing token in the arguments is not current.
 func decodeForHolder(rawState, rawArgs json.RawMessage) (current State, args Args, err *failure.Error) {
 	current, args, err = operation.DecodeAs[State, Args](rawState, rawArgs)
 	if err != nil {
--- a/control/coordination/lock/lock_test.go
+++ b/control/coordination/lock/lock_test.go
@@ -13,8 +13,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// term is a lock under one proposer: its stored value, when the term began and what the term
-// remembers.
+// term holds the stored value of a lock, and the start time and the TermMemory of one proposer's
+// term.
 type term struct {
 	value  json.RawMessage
 	began  monotime.Time
@@ -41,16 +41,16 @@
 
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
-// A new proposer, which knows of no renewal, waits out the whole lease; then the next holder
-// gets a higher fencing token, and the operations of the old one are rejected.
-func TestNewProposerWaitsOutTheWholeLease(t *testing.T) {
+// A new proposer does not know of renewals in earlier terms, so it waits for the whole TTL. The next
+// holder then gets a higher fencing token, and operations of the previous holder are rejected.
+func TestNewProposerWaitsForTheWholeLease(t *testing.T) {
 	current := newTerm(1)
 	first, err := current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 5000})
 	must.Nil(t, err)
 	must.Eq(t, 1, first.FencingToken)
 	_, err = current.apply(seconds(5), "lock/renew", Args{Holder: "a", FencingToken: 1})
 	must.Nil(t, err)
-	// A new term begins at 5.1: the renewal at 5 must still hold until 10.
+	// A new term begins at 5.1 s. The lease that was renewed at 5 s must last until 10 s.
 	current = &term{value: current.value, began: seconds(5.1), memory: map[string]monotime.Time{}}
 	for _, at := range []float64{5.2, 6.5, 10, 10.1, 10.5} {
 		_, err = current.apply(seconds(at), "lock/claim", Args{Holder: "b", TTL: 5000})
@@ -67,8 +67,8 @@
 	}
 }
 
-// Fencing tokens rise over a release, a transfer and another acquire by the holder itself.
-func TestFencingTokensOnlyRise(t *testing.T) {
+// Fencing tokens increase across a release, a transfer and another acquire by the current holder.
+func TestFencingTokensOnlyIncrease(t *testing.T) {
 	current := newTerm(1)
 	last := uint64(0)
 	mustRise := func(grant Grant, err *failure.Error) {
@@ -79,7 +79,7 @@
 	mustRise(current.apply(seconds(1), "lock/claim", Args{Holder: "a", TTL: 1000}))
 	again, err := current.apply(seconds(1.5), "lock/claim", Args{Holder: "a", TTL: 1000})
 	must.Nil(t, err)
-	must.Greater(t, last, again.FencingToken) // a new grant, though to the same holder
+	must.Greater(t, last, again.FencingToken) // a new grant to the same holder
 	last = again.FencingToken
 	mustRise(current.apply(seconds(9), "lock/claim", Args{Holder: "a", TTL: 1000}))
 	mustRise(current.apply(seconds(9.1), "lock/pass", Args{Holder: "a", FencingToken: last, Successor: "b"}))
--- a/control/coordination/lock/state.go
+++ b/control/coordination/lock/state.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// grantedKey is the name under which a term remembers when the newest grant began.
+	// grantedKey is the TermMemory key of the time at which the newest grant or renewal began.
 	grantedKey = "grant"
-	// longerGrantedKey is that of the newest grant under the same fencing token which was
-	// longer than those after it.
+	// longerGrantedKey is the TermMemory key of the time at which the lease of LongerTTL began:
+	// the newest grant under the same fencing token that ends after the grants that followed.
 	longerGrantedKey = "longer grant"
 
 	// minTTL and maxTTL bound the duration of a lease, in milliseconds.
 	minTTL = 50
 	maxTTL = 10 * 60 * 1000
 
-	// minGrace and maxGrace bound how long after the end of a lease the lock stays taken. The
-	// grace covers clock drift, since the holder and the proposer each count on their own
-	// clock: a tenth of a lease up to 10 s, a thirtieth of one of 30 s, and less of longer
-	// ones, down to 1 s in 600 s; two clocks that drift apart as far as kernels adjust them,
-	// by 500 parts in a million each, differ by 0.6 s then. It is bounded so that the lock of
-	// a crashed holder is free within a second after its lease.
+	// minGrace and maxGrace bound the grace period, for which a lock stays held after its lease
+	// has expired. The grace period covers clock drift, since the holder and the proposer measure
+	// the lease on separate clocks. It is a tenth of a lease of up to 10 s, a thirtieth of a
+	// lease of 30 s, and a smaller part of longer leases, down to 1 s for 600 s: two clocks that
+	// drift apart at the limit of kernel clock adjustment, 500 ppm each, differ by 0.6 s after
+	// 600 s. The upper bound ensures that the lock of a crashed holder is free within one second
+	// after the lease has expired.
 	minGrace = 300 * time.Millisecond
 	maxGrace = time.Second
 )
 
 // State is the state of one lock. Invariants:
-//   - FencingToken rises with each grant except one that keeps the token, and no token is
-//     used for two holders; so a release or a renewal from before the last grant has no effect.
-//   - A grant that keeps the token raises GrantCount; so a release that names an earlier grant
+//   - FencingToken increases with each grant, except with a grant that keeps the token, and no
+//     token is used for two holders; so a release or a renewal from before the last grant has no
+//     effect.
+//   - A grant that keeps the token increases GrantCount; so a release that names an earlier grant
 //     has no effect either.
-//   - The end of a lease is not stored. It is counted from the newest grant or renewal in this
-//     term, or from the beginning of the term if there was none; so a new proposer waits out
-//     the whole lease. A renewal is only confirmed once a majority has confirmed that no later
-//     term has begun.
-//   - LongerTTL, if set, is a longer lease that the same token had before TTL. A holder that
-//     missed the response with the shorter one may still rely on it, so the lock is free only
-//     when both leases are over.
+//   - The expiry of a lease is not stored. It is computed from the newest grant or renewal of the
+//     current term, or from the beginning of the term if the term has neither; so a new proposer
+//     waits for the whole TTL. A renewal is acknowledged only once a majority has confirmed that
+//     no later term has begun.
+//   - LongerTTL, if not 0, is the TTL of an earlier lease under the same token that ends after the
+//     current lease. A holder that missed the response with the shorter TTL may still rely on the
+//     longer lease, so the lock is free only when both leases have expired.
 type State struct {
 	Holder       string `json:"holder,omitempty"`
 	FencingToken uint64 `json:"fence"`
@@ -51,7 +53,7 @@
 	GrantCount uint64 `json:"grants,omitempty"`
 }
 
-// isFree reports whether nobody holds the lock any more.
+// isFree reports whether the lock has no holder or its leases have expired.
 func (s State) isFree(context proposer.Context) bool {
 	if s.Holder == "" {
 		return true
@@ -59,13 +61,15 @@
 	return expired(context, grantedKey, s.TTL) && (s.LongerTTL == 0 || expired(context, longerGrantedKey, s.LongerTTL))
 }
 
-// expired reports whether a lease is over, with its grace.
+// expired reports whether a lease and its grace period are over. The lease began at the time that
+// grantedAt returns for key.
 func expired(context proposer.Context, key string, ttl int64) bool {
 	grace := min(max(minGrace, duration(ttl)/10), maxGrace)
 	return context.Now.Since(grantedAt(context, key)) > duration(ttl)+grace
 }
 
-// grantedAt returns when a grant began, the beginning of the term for one of an earlier term.
+// grantedAt returns the time at which the grant under key began. For a grant of an earlier term it
+// returns the beginning of the current term.
 func grantedAt(context proposer.Context, key string) monotime.Time {
 	granted, ok := context.TermMemory[key]
 	if !ok || context.TermBegan.After(granted) {
@@ -78,8 +82,9 @@
 
 func validTTL(ttl int64) bool { return ttl >= minTTL && ttl <= maxTTL }
 
-// extend starts a lease of ttl milliseconds now under the same fencing token. It reports
-// whether the state changed.
+// extend starts a lease of ttl milliseconds at the current time, under the same fencing token. If
+// the previous lease ends later, its TTL is kept in LongerTTL. extend reports whether the state
+// changed.
 func (s *State) extend(context proposer.Context, ttl int64) bool {
 	before := *s
 	endOf := func(key string, ttl int64) monotime.Time {
@@ -101,7 +106,7 @@
 	return *s != before
 }
 
-// encodeGrant encodes the response to a holder, which has no grant number.
+// encodeGrant encodes the response to the holder, which does not include the grant number.
 func (s State) encodeGrant() json.RawMessage {
 	return operation.Encode(Grant{Holder: s.Holder, FencingToken: s.FencingToken, TTL: s.TTL, Held: s.Holder != ""})
 }
--- a/control/coordination/sequence/sequence.go
+++ b/control/coordination/sequence/sequence.go
@@ -1,4 +1,4 @@
-// Package sequence is the state machine of rising numbers.
+// Package sequence implements the state machine of sequences, which allocate increasing numbers.
 package sequence
 
 import (
@@ -15,11 +15,11 @@
 	ReadKind = "number/read"
 )
 
-// maxIncrement bounds how far one operation may raise a number.
+// maxIncrement is the largest increment of a single operation.
 const maxIncrement = 1 << 32
 
-// State is the state of a sequence. Invariant: Last only rises; a number that was handed out
-// is never handed out again, even if its response is lost.
+// State is the state of a sequence. Invariant: Last only increases, so a number is never allocated
+// twice, even if the response is lost.
 type State struct {
 	Last uint64 `json:"number"`
 }
@@ -29,12 +29,12 @@
 	Increment uint64 `json:"by,omitempty"`
 }
 
-// Handlers returns the operations of a sequence.
+// Handlers returns the handlers of the sequence operations.
 func Handlers() operation.Table {
 	return operation.Table{NextKind: next, ReadKind: read}
 }
 
-// next raises the number by the increment, 1 if none is given.
+// next increases the number by the increment, which defaults to 1, and returns the new number.
 func next(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	var current State
 	args := nextArgs{Increment: 1}
--- a/control/coordination/watch/cursor.go
+++ b/control/coordination/watch/cursor.go
@@ -1,4 +1,5 @@
-// Package watch tracks what a watcher of keys has seen, and works out what it has not.
+// Package watch tracks which revisions of each key a watcher has received and selects the
+// changes that the watcher has yet to receive.
 package watch
 
 import (
@@ -11,12 +12,12 @@
 	"cottonarch.example/cottonarch/control/coordination/keyvalue"
 )
 
-// Cursor is the position of a watcher: the newest revision it has seen of each key. Its
-// encoded form is opaque to clients. Invariant: it names no core, so it is valid at all of
-// them, also after restarts and changes of the proposer.
+// Cursor is the position of a watcher: the newest revision that it has received of each key. The
+// encoded form is opaque to clients. Invariant: a cursor refers to no particular core, so every
+// core accepts the cursor, also after restarts and changes of the proposer.
 type Cursor map[ident.Key]ident.Revision
 
-// Encode returns the opaque form.
+// Encode returns the opaque form of the cursor for clients.
 func (c Cursor) Encode() string {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -25,7 +26,7 @@
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// Decode reads the opaque form; an empty text is the cursor of a new watcher.
+// Decode parses the opaque form of a cursor. An empty string is the cursor of a new watcher.
 func Decode(encoded string) (Cursor, *failure.Error) {
 	cursor := Cursor{}
 	if encoded == "" {
@@ -36,18 +37,19 @@
 		err = json.Unmarshal(raw, &cursor)
 	}
 	if err != nil {
-		return nil, failure.New(failure.Malformed, "the watch position is malformed")
+		return nil, failure.New(failure.Malformed, "the watch cursor is malformed: %v", err)
 	}
 	return cursor, nil
 }
 
-// Event is one change that a watcher receives.
+// Event is one change of a key, as sent to a watcher.
 type Event struct {
 	Key ident.Key `json:"key"`
 	keyvalue.Change
 }
 
-// StaleKeys returns, in order, the keys whose revision is newer than the watcher has seen.
+// StaleKeys returns, in ascending order, the keys whose revision in revisions is newer than the
+// cursor's.
 func (c Cursor) StaleKeys(revisions map[ident.Key]ident.Revision) []ident.Key {
 	var behind []ident.Key
 	for key, revision := range revisions {
@@ -59,13 +61,13 @@
 	return behind
 }
 
-// Advance returns the events that a read of a key yields and moves the cursor to the last.
-// Compacted says that changes were missed, which takes a watcher that did not return for
-// keyvalue.MinHistory.
+// Advance returns the events of a key that are newer than the cursor, and advances the cursor to
+// the last event. It returns Compacted if the history no longer holds some of them, which happens
+// only when the watcher has not returned for keyvalue.MinHistory.
 func (c Cursor) Advance(key ident.Key, response keyvalue.Response) ([]Event, *failure.Error) {
 	if response.Truncated {
 		if _, known := c[key]; known {
-			return nil, failure.New(failure.Compacted, "changes of %s after revision %d are no longer known", key, c[key])
+			return nil, failure.New(failure.Compacted, "some changes of %s after revision %d have been compacted", key, c[key])
 		}
 	}
 	var events []Event
