--- a/control/coordination/keyvalue/keyvalue.go
+++ b/control/coordination/keyvalue/keyvalue.go
@@ -1,5 +1,5 @@
-// Package keyvalue is the state machine of small values, each under a key of its own, with
-// the recent history that watches need.
+// Package keyvalue implements the state machine of single keys with small values. The state of a key
+// includes the recent history that watches read.
 package keyvalue
 
 import (
@@ -20,27 +20,27 @@
 
 const maxValueBytes = 64 << 10
 
-// Args are the arguments of every operation.
+// Args holds the arguments of all operations on a key; each operation uses a subset of the fields.
 type Args struct {
 	Value json.RawMessage `json:"value,omitempty"`
-	// IfRevision, when given, is the revision that the key must be at; 0 means that it must
-	// not exist.
+	// IfRevision, if set, is the revision that the key must have; 0 means that the key must not
+	// exist.
 	IfRevision *ident.Revision `json:"ifRevision,omitempty"`
-	// Since, when given, makes a read return the changes after a revision too.
+	// Since, if set, makes a read also return the changes after that revision.
 	Since *ident.Revision `json:"since,omitempty"`
 }
 
-// Response is the response to every operation.
+// Response is the response to all operations on a key.
 type Response struct {
 	Revision ident.Revision  `json:"revision"`
 	Value    json.RawMessage `json:"value,omitempty"`
 	Deleted  bool            `json:"deleted,omitempty"`
 	Changes  []Change        `json:"changes,omitempty"`
-	// Truncated says that Changes lacks some after Since, which the history no longer holds.
+	// Truncated means that the history no longer holds some of the changes after Since.
 	Truncated bool `json:"cut,omitempty"`
 }
 
-// Handlers returns the operations of a key.
+// Handlers returns the handlers of the operations on a key.
 func Handlers() operation.Table {
 	return operation.Table{ReadKind: read, WriteKind: write, DeleteKind: remove}
 }
@@ -67,7 +67,7 @@
 		return operation.Rejected(failure.New(failure.Invalid, "a write needs a value"))
 	}
 	if len(args.Value) > maxValueBytes {
-		return operation.Rejected(failure.New(failure.Oversize, "a value is at most %d bytes", maxValueBytes))
+		return operation.Rejected(failure.New(failure.Oversize, "the value has %d bytes, the limit is %d", len(args.Value), maxValueBytes))
 	}
 	return current.appendChange(context, args.IfRevision, Change{Value: args.Value})
 }
@@ -78,7 +78,7 @@
 		return operation.Rejected(err)
 	}
 	if current.Latest().Deleted {
-		return operation.Rejected(failure.New(failure.NotFound, "there is no such key"))
+		return operation.Rejected(failure.New(failure.NotFound, "the key does not exist"))
 	}
 	return current.appendChange(context, args.IfRevision, Change{Deleted: true})
 }
--- a/control/coordination/keyvalue/keyvalue_test.go
+++ b/control/coordination/keyvalue/keyvalue_test.go
@@ -17,7 +17,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// fixture is a key under one proposer after another.
+// fixture holds the stored value of a key and the context of the current proposer.
 type fixture struct {
 	value      json.RawMessage
 	revision   ident.Revision
@@ -46,13 +46,13 @@
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
 // A watcher that returns within a minute receives every change, also across changes of the
-// proposer; a later one gets Compacted, and never a sequence with a gap.
+// proposer. A watcher that returns later gets Compacted, never a sequence of changes with a gap.
 func TestHistoryOutlivesProposers(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	cursor := watch.Cursor{"k": 0}
 	for i := range 300 {
 		now := 1 + float64(i)
-		if i%70 == 69 { // a new proposer, whose term remembers nothing
+		if i%70 == 69 { // a new proposer with an empty TermMemory
 			f.termBegan, f.termMemory = seconds(now), map[string]monotime.Time{}
 		}
 		_, err := f.apply(seconds(now), "key/write", keyvalue.Args{Value: json.RawMessage(fmt.Sprint(i))})
@@ -76,7 +76,7 @@
 	must.Eq(t, failure.Compacted, err.Kind)
 }
 
-// When changes come faster than they expire, writes are rejected rather than history dropped.
+// When changes arrive faster than they expire, writes are rejected; unexpired history is kept.
 func TestFullHistoryRejectsWrites(t *testing.T) {
 	f := &fixture{termBegan: seconds(1), termMemory: map[string]monotime.Time{}}
 	big, _ := json.Marshal(string(make([]byte, 5000)))
@@ -102,10 +102,10 @@
 	none, three := ident.Revision(0), ident.Revision(3)
 	value := json.RawMessage(`1`)
 	for i, step := range []struct {
-		kind string
-		a    keyvalue.Args
-		bad  failure.Kind
-		rev  ident.Revision
+		kind         string
+		args         keyvalue.Args
+		wantKind     failure.Kind
+		wantRevision ident.Revision
 	}{
 		{"key/delete", keyvalue.Args{}, failure.NotFound, 0},
 		{"key/write", keyvalue.Args{Value: value, IfRevision: &none}, "", 1},
@@ -116,13 +116,13 @@
 		{"key/delete", keyvalue.Args{IfRevision: &three}, "", 4},
 		{"key/write", keyvalue.Args{}, failure.Invalid, 0},
 	} {
-		response, err := f.apply(seconds(2), step.kind, step.a)
-		if step.bad != "" {
+		response, err := f.apply(seconds(2), step.kind, step.args)
+		if step.wantKind != "" {
 			must.NotNil(t, err, must.Sprint(i))
-			must.Eq(t, step.bad, err.Kind, must.Sprint(i))
+			must.Eq(t, step.wantKind, err.Kind, must.Sprint(i))
 			continue
 		}
 		must.Nil(t, err, must.Sprint(i))
-		must.Eq(t, step.rev, response.Revision, must.Sprint(i))
+		must.Eq(t, step.wantRevision, response.Revision, must.Sprint(i))
 	}
 }
--- a/control/coordination/keyvalue/state.go
+++ b/control/coordination/keyvalue/state.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// MinHistory is how long a change stays in the history at least.
+	// MinHistory is the minimum time for which a change stays in the history.
 	MinHistory        = 60 * time.Second
 	maxHistoryEntries = 4096
 	maxHistoryBytes   = 1 << 20
-	// changeOverhead is how many bytes a change counts for in addition to its value.
+	// changeOverhead is the size in bytes that a change counts for in addition to its value.
 	changeOverhead = 40
-	// fullRetrySeconds is when to retry a write that found the history full.
-	fullRetrySeconds = 10
+	// historyFullRetrySeconds is the retry delay, in seconds, returned when a write finds the
+	// history full.
+	historyFullRetrySeconds = 10
 )
 
 // Change is one change of a key.
@@ -29,11 +30,12 @@
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-// State is the state of a key. Invariants: History is in order of revision without gaps and
-// ends with the current change; a change leaves the history only when a proposer has seen its
-// successor, within its own term, for longer than MinHistory; while the history is full of
-// younger changes, writes are rejected. A deleted key keeps its state, so its revisions never
-// start again.
+// State is the state of a key. Invariants:
+//   - History is ordered by revision without gaps and ends with the current change.
+//   - A change is dropped from the history only when a proposer has known of the next change for
+//     longer than MinHistory within the proposer's own term. While the history is full of changes
+//     that may not be dropped, writes are rejected.
+//   - A deleted key keeps its state, so its revisions never restart.
 type State struct {
 	History []Change `json:"past"`
 }
@@ -46,8 +48,8 @@
 	return s.History[len(s.History)-1]
 }
 
-// since returns the changes after a revision, and whether older ones than the history holds
-// are missing.
+// since returns the changes after a revision. truncated reports whether the history no longer holds
+// some of the changes.
 func (s State) since(revision ident.Revision) (changes []Change, truncated bool) {
 	for _, change := range s.History {
 		if change.Revision > revision {
@@ -57,7 +59,7 @@
 	return changes, len(s.History) > 0 && s.History[0].Revision > revision+1
 }
 
-// checkRevision returns Conflict if the key is not at the revision that a write requires.
+// checkRevision returns Conflict if the key does not have the required revision.
 func (s State) checkRevision(required *ident.Revision) *failure.Error {
 	if required == nil {
 		return nil
@@ -73,7 +75,8 @@
 	return nil
 }
 
-// appendChange makes a change the newest one and drops expired ones from the history.
+// appendChange appends a change to the history with the next revision, after dropping expired
+// changes.
 func (s State) appendChange(context proposer.Context, required *ident.Revision, change Change) operation.Result {
 	if err := s.checkRevision(required); err != nil {
 		return operation.Rejected(err)
@@ -81,7 +84,7 @@
 	change.Revision = context.Revision + 1
 	s.dropExpired(context)
 	if len(s.History) >= maxHistoryEntries || s.historyBytes()+len(change.Value) > maxHistoryBytes {
-		return operation.Rejected(failure.New(failure.Busy, "the key changes too fast: its history is full").WithRetryAfter(fullRetrySeconds))
+		return operation.Rejected(failure.New(failure.Busy, "the key changes too fast: its history is full").WithRetryAfter(historyFullRetrySeconds))
 	}
 	s.History = append(s.History, change)
 	context.Remember(firstSeenKey(change.Revision))
@@ -89,8 +92,8 @@
 	return operation.Result{State: operation.Encode(s), Body: operation.Encode(response)}
 }
 
-// dropExpired drops the changes whose successor this term has seen for longer than
-// MinHistory. A change from before the term counts as seen when the term began.
+// dropExpired drops the changes whose successor has been known in this term for longer than
+// MinHistory. A change from before the term counts as first seen when the term began.
 func (s *State) dropExpired(context proposer.Context) {
 	for len(s.History) > 1 {
 		successorSeen, ok := context.TermMemory[firstSeenKey(s.History[1].Revision)]
@@ -113,5 +116,5 @@
 	return total
 }
 
-// firstSeenKey is the name under which a term remembers when it first saw a revision.
+// firstSeenKey returns the TermMemory key of the time at which this term first saw a revision.
 func firstSeenKey(revision ident.Revision) string { return fmt.Sprintf("r%d", revision) }
--- a/control/coordination/operation/codec.go
+++ b/control/coordination/operation/codec.go
@@ -6,8 +6,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Decode decodes the state and the arguments of an operation; either may be empty. A state
-// that cannot be decoded is Corrupted, arguments that cannot be decoded are Malformed.
+// Decode decodes the state and the arguments of an operation; either may be empty. It returns
+// Corrupted if the state cannot be decoded, and Malformed if the arguments cannot be decoded.
 func Decode(state, args json.RawMessage, stateInto, argsInto any) *failure.Error {
 	if len(state) > 0 {
 		if err := json.Unmarshal(state, stateInto); err != nil {
@@ -22,14 +22,14 @@
 	return nil
 }
 
-// DecodeAs decodes the state and the arguments of an operation as values of their types, with the
-// failures of Decode. What is empty has the zero value.
+// DecodeAs is like Decode, but returns the state and the arguments as values of type S and A. An
+// empty state or empty arguments give the zero value.
 func DecodeAs[S, A any](rawState, rawArgs json.RawMessage) (state S, args A, err *failure.Error) {
 	err = Decode(rawState, rawArgs, &state, &args)
 	return state, args, err
 }
 
-// Encode encodes a value of a type that cannot fail to encode.
+// Encode returns the JSON encoding of a value whose type always encodes without error.
 func Encode(v any) json.RawMessage {
 	encoded, err := json.Marshal(v)
 	if err != nil {
--- a/control/coordination/operation/operation_test.go
+++ b/control/coordination/operation/operation_test.go
@@ -13,8 +13,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// A repeated operation is executed once; a repeatable one is executed again, and nothing of
-// it is remembered; with and without the retained decoded form the results are the same.
+// A repeated operation is executed once. A repeatable operation is executed again and is not stored
+// as a past operation. The results are the same with and without the retained decoded form.
 func TestRepeats(t *testing.T) {
 	for _, keepDecoded := range []bool{false, true} {
 		var value json.RawMessage
--- a/control/coordination/operation/table.go
+++ b/control/coordination/operation/table.go
@@ -1,5 +1,5 @@
-// Package operation is the state machine under every control key: it dispatches operations to
-// their handlers by kind, and executes a repeated operation only once.
+// Package operation implements the part of the state machine that all control keys share: it
+// dispatches operations to handlers by kind and deduplicates repeated operations.
 package operation
 
 import (
@@ -9,9 +9,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// Result is the result of a handler. Invariants: State is nil if the operation did not change
-// the state, else the new state as JSON without spaces; Decoded, when set, is the decoded form
-// of the state after the operation, which the next handler finds in its context.
+// Result is the result of a handler. Invariants: State is the new state as compact JSON, or nil if
+// the operation did not change the state; Decoded, if set, is the decoded form of the state after
+// the operation, which is passed to the next handler in its context.
 type Result struct {
 	State   json.RawMessage
 	Body    json.RawMessage
@@ -19,37 +19,38 @@
 	Decoded any
 }
 
-// Rejected returns the result of an operation that was rejected.
+// Rejected returns the result of an operation that was rejected with err.
 func Rejected(err *failure.Error) Result { return Result{Failure: err} }
 
-// Handler executes operations of one kind.
+// Handler executes one kind of operation.
 type Handler func(context proposer.Context, state, args json.RawMessage) Result
 
-// Table maps the kinds of operations to their handlers.
+// Table maps operation kinds to handlers.
 type Table map[string]Handler
 
-// The kinds of operations that Apply treats specially, in full, as the packages that own them
-// import this one.
+// The operation kinds that Apply treats specially. They are spelled out here because the packages
+// that declare them import this package.
 var (
-	// executedAgain lists the kinds whose response says for how long from now on something
-	// holds. A repeat is executed again, since its caller counts from the repeat.
-	executedAgain = map[string]bool{"lock/claim": true}
-	// stateless lists the kinds whose handlers use nothing but the revision of the value. They
-	// are frequent and the value may be large, so it is not decoded for them.
-	stateless = map[string]bool{"manifest/epoch": true}
-	// selfIdentifying lists the kinds whose handlers recognise a repeat by its arguments. Their
-	// operations are not remembered, and a repeat is executed again.
-	selfIdentifying = map[string]bool{"group/put": true, "share/enter": true}
+	// reexecutedKinds lists the kinds whose response is valid for a duration that starts at the
+	// operation, such as a lease. A repeat is executed again, because the caller measures the
+	// duration from the repeat.
+	reexecutedKinds = map[string]bool{"lock/claim": true}
+	// statelessKinds lists the kinds whose handlers use only the revision of the value. These
+	// operations are frequent and the value may be large, so the value is not decoded for them.
+	statelessKinds = map[string]bool{"manifest/epoch": true}
+	// idempotentKinds lists the kinds whose handlers recognize a repeat by its arguments. Their
+	// operations are not stored as past operations, and a repeat is executed again.
+	idempotentKinds = map[string]bool{"group/put": true, "share/enter": true}
 )
 
-// Apply executes an operation on the value of its key. A repeat of a remembered operation
-// returns the first response and changes nothing.
+// Apply executes an operation on the value of its key. A repeat of a stored past operation returns
+// the first response and changes nothing.
 func (t Table) Apply(context proposer.Context, value json.RawMessage, op proposer.Operation) proposer.Result {
 	handler, ok := t[op.Kind]
 	if !ok {
-		return proposer.Result{Failure: failure.New(failure.Malformed, "unknown operation %q", op.Kind)}
+		return proposer.Result{Failure: failure.New(failure.Malformed, "unknown operation kind %q", op.Kind)}
 	}
-	if stateless[op.Kind] {
+	if statelessKinds[op.Kind] {
 		result := handler(context, nil, op.Args)
 		return proposer.Result{Body: result.Body, Failure: result.Failure, Decoded: context.Decoded}
 	}
@@ -57,9 +58,9 @@
 	if err != nil {
 		return proposer.Result{Failure: err}
 	}
-	remember := op.Op != "" && !op.Repeatable && !executedAgain[op.Kind] && !selfIdentifying[op.Kind]
+	remember := op.Op != "" && !op.Repeatable && !reexecutedKinds[op.Kind] && !idempotentKinds[op.Kind]
 	if remember {
-		if past, ok := current.value.find(op.Op); ok {
+		if past, ok := current.value.findPastOperation(op.Op); ok {
 			return proposer.Result{Body: past.Body, Decoded: current}
 		}
 	}
@@ -74,12 +75,12 @@
 	next := current.value
 	next.State = result.State
 	if remember {
-		next = next.remember(PastOperation{op.Op, result.Body})
+		next = next.withPastOperation(PastOperation{op.Op, result.Body})
 	}
 	return encodeResult(next, result)
 }
 
-// encodeResult returns the result of an operation that changed the value.
+// encodeResult encodes the new value and returns the result of an operation that changed the state.
 func encodeResult(next Value, result Result) proposer.Result {
 	encoded, err := next.encode()
 	if err != nil {
--- a/control/coordination/operation/value.go
+++ b/control/coordination/operation/value.go
@@ -8,30 +8,30 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// maxPastOperations bounds the past operations that a key remembers.
+// maxPastOperations is the number of past operations that are stored with a key to detect repeats.
 const maxPastOperations = 64
 
-// PastOperation is one past operation with its response.
+// PastOperation is the identifier of an executed operation with its response.
 type PastOperation struct {
 	Op   ident.OperationID `json:"op"`
 	Body json.RawMessage   `json:"body,omitempty"`
 }
 
-// Value is the stored value of every control key. Invariant: the effects of PastOperations
-// are in State.
+// Value is the stored value of a control key. Invariant: State includes the effects of all
+// PastOperations.
 type Value struct {
 	State          json.RawMessage `json:"state,omitempty"`
 	PastOperations []PastOperation `json:"ops,omitempty"`
 }
 
-// decodedValue is a value with the decoded form of its state, which a proposer retains
-// between operations. Invariant: it is not changed once a proposer retains it.
+// decodedValue is a value with the decoded form of its state. A proposer retains the decoded value
+// between operations. Invariant: a retained decoded value is immutable.
 type decodedValue struct {
 	value Value
 	state any
 }
 
-// decodeValue returns the retained form of a value if there is one, else it decodes the value.
+// decodeValue returns the retained decoded value if present. Otherwise it decodes value.
 func decodeValue(retained any, value json.RawMessage) (*decodedValue, *failure.Error) {
 	if decoded, ok := retained.(*decodedValue); ok {
 		return decoded, nil
@@ -45,8 +45,8 @@
 	return decoded, nil
 }
 
-// find returns the past operation with an identifier.
-func (v Value) find(id ident.OperationID) (PastOperation, bool) {
+// findPastOperation returns the past operation with the given identifier.
+func (v Value) findPastOperation(id ident.OperationID) (PastOperation, bool) {
 	for _, past := range v.PastOperations {
 		if past.Op == id {
 			return past, true
@@ -55,9 +55,9 @@
 	return PastOperation{}, false
 }
 
-// remember returns the value with an operation added to the past ones; the slice of v stays
-// as it is.
-func (v Value) remember(past PastOperation) Value {
+// withPastOperation returns a copy of the value with a past operation appended. The slice of v is
+// not modified.
+func (v Value) withPastOperation(past PastOperation) Value {
 	v.PastOperations = append(slices.Clip(v.PastOperations), past)
 	if len(v.PastOperations) > maxPastOperations {
 		v.PastOperations = v.PastOperations[len(v.PastOperations)-maxPastOperations:]
@@ -65,8 +65,8 @@
 	return v
 }
 
-// encode returns what json.Marshal does. A value without past operations is composed by hand:
-// its state is JSON already and need not be scanned again.
+// encode returns the same bytes as json.Marshal. A value without past operations is concatenated
+// directly, because its state is JSON already and does not need to be scanned again.
 func (v Value) encode() (json.RawMessage, error) {
 	if len(v.PastOperations) > 0 {
 		return json.Marshal(v)
@@ -78,7 +78,7 @@
 	return append(encoded, end...), nil
 }
 
-// State returns the state within a stored value, nil if there is none.
+// State returns the state within a stored value, or nil if the value is empty or cannot be decoded.
 func State(value json.RawMessage) json.RawMessage {
 	var current Value
 	if len(value) == 0 || json.Unmarshal(value, &current) != nil {
