--- a/control/coordination/keyspace/keyspace_test.go
+++ b/control/coordination/keyspace/keyspace_test.go
@@ -16,8 +16,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// fixture is a keyspace under one proposer after another, with the decoded form that the
-// proposer retains.
+// fixture holds the stored value of a keyspace and the decoded form that the proposer retains.
 type fixture struct {
 	value    json.RawMessage
 	decoded  any
@@ -70,7 +69,7 @@
 
 func seconds(s float64) monotime.Time { return monotime.Time(s * float64(time.Second)) }
 
-// Keys are split at the first dot; one without a dot is a keyspace of its own.
+// Keys are split at the first dot. A key without a dot is a keyspace of its own.
 func TestKeysSplitAtTheFirstDot(t *testing.T) {
 	for key, want := range map[string][2]string{"g1.2d": {"g1.", "2d"}, "a.b.c": {"a.", "b.c"}, "plain": {"plain", ""}, "end.": {"end.", ""}} {
 		prefix, name := keyspace.SplitKey(key)
@@ -79,24 +78,24 @@
 	}
 }
 
-// Puts of all entries share one revision; a conflict returns the entry's own revision, 0 if it
-// does not exist; a repeat gets its first revision, whatever revision it requires, also under
-// a new proposer.
-func TestOneRevisionAndRepeats(t *testing.T) {
+// Puts of all entries share one revision. A conflict returns the current revision of the entry, or 0
+// if the entry does not exist. A repeat returns the revision of the first put, whatever revision the
+// repeat requires, also under a new proposer.
+func TestSharedRevisionAndRepeatedPuts(t *testing.T) {
 	for _, newProposer := range []bool{false, true} {
 		f := newFixture(0)
 		for i, step := range []struct {
 			name, value     string
 			ifRevision      []ident.Revision
 			revision        ident.Revision
-			currentRevision int // of the entry at a conflict, else -1
+			currentRevision int // of the entry at a conflict, or -1
 		}{
 			{"a", "1", []ident.Revision{0}, 1, -1},
 			{"b", "2", nil, 2, -1},
 			{"a", "3", []ident.Revision{0}, 0, 1},
 			{"c", "3", []ident.Revision{7}, 0, 0},
 			{"a", "3", []ident.Revision{1}, 3, -1},
-			{"a", "1", []ident.Revision{0}, 1, -1}, // a repeat of a replaced put
+			{"a", "1", []ident.Revision{0}, 1, -1}, // a repeat of a superseded put
 			{"a", "3", []ident.Revision{1}, 3, -1}, // a repeat of the current put
 			{"a", "1", nil, 1, -1},
 			{"b", "1", nil, 4, -1}, // the same value of another entry is no repeat
@@ -124,9 +123,9 @@
 	}
 }
 
-// Watches of every age, under several proposers: one that received its revision less than the
-// history ago receives every put since, in order; an older one receives all of them or
-// Compacted, never a sequence with a gap.
+// Watches of different ages, under several proposers: a watch that received its revision within the
+// history receives every later put, in order. An older watch receives all later puts or Compacted,
+// never a sequence of puts with a gap.
 func TestWatchesOfEveryAge(t *testing.T) {
 	const history = 20 * time.Second
 	f := newFixture(history)
@@ -135,7 +134,7 @@
 		revision ident.Revision
 	}
 	var started []startedWatch
-	forgotten := 0
+	compacted := 0
 	for i := range 1200 {
 		now := seconds(1 + float64(i)/10)
 		if i%400 == 399 {
@@ -154,7 +153,7 @@
 			if err != nil {
 				must.Eq(t, failure.Compacted, err.Kind)
 				must.Greater(t, history, now.Since(start.at))
-				forgotten++
+				compacted++
 				continue
 			}
 			must.Eq(t, revision, changes.Revision)
@@ -164,12 +163,13 @@
 			}
 		}
 	}
-	must.Positive(t, forgotten)
-	must.Less(t, 700*40, len(f.value), must.Sprint("the history is not forgotten"))
+	must.Positive(t, compacted)
+	must.Less(t, 700*40, len(f.value), must.Sprint("the history is not compacted"))
 }
 
-// A complete history is never Compacted: entries that were put once stay, however old.
-func TestCompleteHistoryIsNeverForgotten(t *testing.T) {
+// A history from which no put was dropped never returns Compacted: entries that were put once stay,
+// however old they are.
+func TestCompleteHistoryIsNeverCompacted(t *testing.T) {
 	f := newFixture(time.Second)
 	for i := range 50 {
 		_, err := f.put(seconds(1+float64(i)*60), fmt.Sprint(i), "v")
@@ -180,8 +180,8 @@
 	must.Len(t, 49, changes.Events)
 }
 
-// While the history is full, puts are rejected rather than history dropped; they are accepted
-// again once it has expired.
+// While the history is full, puts are rejected and unexpired history is kept. Puts are accepted again
+// once the history has expired.
 func TestFullHistoryRejectsPuts(t *testing.T) {
 	f := newFixture(0)
 	big := string(make([]byte, 1000))
@@ -203,7 +203,7 @@
 	must.Eq(t, failure.Compacted, err.Kind)
 }
 
-// The same operations with and without the retained decoded form store the same bytes.
+// The same operations store the same bytes with and without the retained decoded form.
 func TestDecodedFormEqualsTheStoredState(t *testing.T) {
 	withDecoded, withoutDecoded := newFixture(0), newFixture(0)
 	for i := range 300 {
@@ -218,7 +218,7 @@
 	must.Eq(t, string(withDecoded.value), string(withoutDecoded.value))
 }
 
-// Between two compactions, which are rare, a put changes only the end of the stored bytes.
+// Between two compactions a put changes only the end of the stored bytes, and compactions are rare.
 func TestPutsChangeOnlyTheEnd(t *testing.T) {
 	f := newFixture(20 * time.Second)
 	rewrites := 0
@@ -238,8 +238,9 @@
 	must.Less(t, 800*40, len(f.value))
 }
 
-// An expired put that is not dropped yet is not taken for a repeat: an entry that returns to
-// a value it had long ago gets a new revision, once, and keeps it under another proposer.
+// A put whose value equals an expired put that is not dropped yet is not taken for a repeat. An entry
+// that returns to a value from before the history gets one new revision, also under another
+// proposer.
 func TestExpiredValueIsPutAgain(t *testing.T) {
 	f := newFixture(time.Second)
 	for i := range 20 {
@@ -262,7 +263,7 @@
 		must.Eq(t, ident.Revision(23), revision)
 		f.decoded = nil
 	}
-	// The first put is dropped in the end, and the later one is still recognised.
+	// Once the first put has been dropped, a repeat of the later put is still recognized.
 	for i := range 40 {
 		_, err := f.put(seconds(200+float64(i)), "b", fmt.Sprint(i))
 		must.Nil(t, err)
@@ -274,7 +275,7 @@
 	must.Eq(t, ident.Revision(23), revision)
 }
 
-// The layout of an earlier release, with the revision in front, is read.
+// The stored layout of an earlier release, in which the revision comes first, can be read.
 func TestEarlierLayoutIsRead(t *testing.T) {
 	f := newFixture(0)
 	f.value = json.RawMessage(`{"state":{"n":7,"f":3,"l":[["a","x",2],["b",null,5],["a",{"k":[1]},7]]}}`)
@@ -292,7 +293,8 @@
 	must.Eq(t, `{"state":{"f":3,"l":[["a","x",2],["b",null,5],["a",{"k":[1]},7],["b","y",8]],"n":8}}`, string(f.value))
 }
 
-// A put into a keyspace of 300 entries with 400 past puts; bytes is the stored size.
+// BenchmarkPut measures a put into a keyspace of 300 entries with 400 superseded puts. The metric
+// bytes is the stored size.
 func BenchmarkPut(b *testing.B) {
 	f := newFixture(40 * time.Second)
 	now := seconds(1)
@@ -314,10 +316,10 @@
 	b.ReportMetric(float64(len(f.value)), "bytes")
 }
 
-// A repeat of an accepted put gets the put's revision again for as long as the history lasts,
-// whatever puts came between and under each new proposer. Later it is a new put: accepted
-// without a required revision, rejected with one.
-func TestResendAfterManyPuts(t *testing.T) {
+// A repeat of an accepted put returns the revision of the first put as long as the put is in the
+// history, whatever puts came between, also under new proposers. After that, the repeat is a new put:
+// accepted without a required revision, rejected with a required revision.
+func TestRepeatedPutAfterManyPuts(t *testing.T) {
 	const puts, history = 1000, 25 * time.Second
 	f := newFixture(history)
 	name := func(i int) string { return fmt.Sprint(i % 50) }
--- a/control/coordination/keyspace/record.go
+++ b/control/coordination/keyspace/record.go
@@ -11,9 +11,9 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// putRecord is one put. Invariants: firstSeen is when this term first knew of it, so the
-// record is at least as old as it looks; superseded says that a later put of its entry
-// exists; encoded is the stored form, [name, value, revision].
+// putRecord is one put in the decoded state. Invariants: firstSeen is when this term first knew of
+// the put, so the put is at least as old as firstSeen indicates; superseded means that a later put of
+// the same entry exists; encoded is the stored form, [name, value, revision].
 type putRecord struct {
 	name       string
 	value      json.RawMessage
@@ -23,7 +23,7 @@
 	superseded bool
 }
 
-// nameAndValue is the content of a put, by which a repeat is recognised.
+// nameAndValue is the content of a put, which identifies a repeat.
 type nameAndValue struct{ name, value string }
 
 // newPutRecord returns the record of a new put.
@@ -34,7 +34,7 @@
 	return &putRecord{name: name, value: value, revision: revision, encoded: encoded, firstSeen: now}
 }
 
-// decodePutRecord decodes a stored put, which this term sees for the first time.
+// decodePutRecord decodes a stored put that this term sees for the first time.
 func decodePutRecord(encoded json.RawMessage, now monotime.Time) (*putRecord, *failure.Error) {
 	record := &putRecord{encoded: encoded, firstSeen: now}
 	if err := json.Unmarshal(encoded, &[]any{&record.name, &record.value, &record.revision}); err != nil {
@@ -46,14 +46,15 @@
 	return record, nil
 }
 
-func (r *putRecord) public() Put { return Put{r.name, r.value, r.revision} }
+func (r *putRecord) toPut() Put { return Put{r.name, r.value, r.revision} }
 
 func (r *putRecord) content() nameAndValue { return nameAndValue{r.name, string(r.value)} }
 
-// storedBytes is what the record takes in the stored list, with a comma.
+// storedBytes returns the size of the record in the stored list, with a comma.
 func (r *putRecord) storedBytes() int { return len(r.encoded) + 1 }
 
-// expired reports whether the record may be dropped. Until it is, watches still receive it.
-func (r *putRecord) expired(now monotime.Time, age time.Duration) bool {
-	return r.superseded && now.Since(r.firstSeen) > age
+// expired reports whether the record may be dropped. Watches receive an expired record until the
+// record is dropped.
+func (r *putRecord) expired(now monotime.Time, maxAge time.Duration) bool {
+	return r.superseded && now.Since(r.firstSeen) > maxAge
 }
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// JoinKind is the operation that gives a batch of nodes their lease epochs and shares.
+	// JoinKind is the operation that assigns lease epochs and shares to a batch of nodes.
 	JoinKind = "share/enter"
-	// MaxBatch bounds the nodes of one batch.
-	MaxBatch = 256
-	// MaxRunIDBytes bounds the identifier of a run, which the state holds for every node.
+	// MaxBatchNodes is the largest number of nodes in one batch.
+	MaxBatchNodes = 256
+	// MaxRunIDBytes is the largest size of a run identifier, which the state holds for every node.
 	MaxRunIDBytes = 32
-	// firstBatchEpoch is where the lease epochs of batches start: above any epoch of a release
-	// that counted them for each node.
+	// firstBatchEpoch is the base of the lease epochs assigned to batches: higher than any epoch of
+	// a release that counted lease epochs separately for each node.
 	firstBatchEpoch ident.LeaseEpoch = 1 << 20
-	// maxReportedEpoch bounds the epochs that a core may report, so that epochs never run out.
+	// maxReportedEpoch is the largest epoch that a core may report, so that epochs never run out.
 	maxReportedEpoch ident.LeaseEpoch = 1 << 62
 )
 
-// Joiner is one node of a batch. A node that joins again with the same run gets the same
-// lease epoch, however often and at however many cores it asks.
+// Joiner is one node of a batch. A node that joins again with the same run gets the same lease epoch,
+// however many requests the node sends and to however many cores.
 type Joiner struct {
 	Node ident.Node `json:"node"`
-	// Run identifies the run of the node's sidecar; empty if it gives none.
+	// Run identifies the run of the node's sidecar; empty if the sidecar sends no run.
 	Run string `json:"run,omitempty"`
-	// Total is as in Args.
+	// Total is the same as Args.Total.
 	Total int `json:"total,omitempty"`
-	// KnownEpoch is a lease epoch of this node that the core knows of; the new one is higher.
+	// KnownEpoch is a lease epoch of this node that the core knows of; a new epoch is higher.
 	KnownEpoch ident.LeaseEpoch `json:"above,omitempty"`
 }
 
-// JoinArgs are the arguments of a join.
+// JoinArgs holds the arguments of a join.
 type JoinArgs struct {
 	Nodes []Joiner `json:"nodes"`
 }
 
-// JoinResult is the response for one node; the response to a batch holds them in its order.
+// JoinResult is the response for one node. The response to a batch lists the results in the order of
+// the nodes in the batch.
 type JoinResult struct {
 	LeaseEpoch ident.LeaseEpoch `json:"claim"`
 	Share      Share            `json:"share"`
 }
 
-// join gives each node of a batch a lease epoch above every earlier one, and its share. All
-// nodes are recorded first, so that the fair share is that of all of them.
+// join assigns to each node of a batch a lease epoch above every earlier epoch, and grants the node a
+// share. All nodes are recorded first, so that the fair share takes all of them into account.
 func join(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := operation.DecodeAs[State, JoinArgs](rawState, rawArgs)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	joined := make([]JoinResult, len(args.Nodes))
 	for i, joiner := range args.Nodes {
-		granted := current.raise(joiner.Node)
+		granted := current.grantShare(joiner.Node)
 		joined[i] = JoinResult{LeaseEpoch: current.Nodes[joiner.Node].LeaseEpoch, Share: granted}
 	}
 	return operation.Result{State: operation.Encode(current), Body: operation.Encode(joined)}
@@ -75,8 +76,8 @@
 
 // validate checks the size of a batch and its nodes.
 func (a JoinArgs) validate() *failure.Error {
-	if len(a.Nodes) == 0 || len(a.Nodes) > MaxBatch {
-		return failure.New(failure.Invalid, "a batch has from 1 to %d nodes", MaxBatch)
+	if len(a.Nodes) == 0 || len(a.Nodes) > MaxBatchNodes {
+		return failure.New(failure.Invalid, "a batch has %d nodes, want 1 to %d", len(a.Nodes), MaxBatchNodes)
 	}
 	seen := map[ident.Node]bool{}
 	for _, joiner := range a.Nodes {
@@ -84,17 +85,17 @@
 		case joiner.Node == "":
 			return failure.New(failure.Invalid, "a join needs a node")
 		case len(joiner.Run) > MaxRunIDBytes:
-			return failure.New(failure.Invalid, "the identifier of a run has at most %d bytes", MaxRunIDBytes)
+			return failure.New(failure.Invalid, "the run identifier of node %q is longer than %d bytes", joiner.Node, MaxRunIDBytes)
 		case seen[joiner.Node]:
-			return failure.New(failure.Invalid, "node %q is twice in a batch", joiner.Node)
+			return failure.New(failure.Invalid, "node %q occurs more than once in the batch", joiner.Node)
 		}
 		seen[joiner.Node] = true
 	}
 	return nil
 }
 
-// highestEpoch returns an epoch that no earlier one is above. A release that does not know
-// HighestEpoch may have dropped it, so the epochs of the nodes count too.
+// highestEpoch returns the highest epoch assigned so far, at least firstBatchEpoch. A release that
+// does not know HighestEpoch may have dropped the field, so the epochs of the nodes are included.
 func (s State) highestEpoch() ident.LeaseEpoch {
 	highest := max(s.HighestEpoch, firstBatchEpoch)
 	for _, grant := range s.Nodes {
@@ -103,14 +104,14 @@
 	return highest
 }
 
-// isRepeat reports whether the node has a lease epoch of this very run, and no core knows of
-// a higher one.
+// isRepeat reports whether the node already has a lease epoch for the same run and the core that sent
+// the join knows of no higher epoch.
 func (s State) isRepeat(joiner Joiner) bool {
 	grant, known := s.Nodes[joiner.Node]
 	return known && joiner.Run != "" && grant.Run == joiner.Run && grant.LeaseEpoch >= joiner.knownEpoch()
 }
 
-// knownEpoch returns KnownEpoch, 0 if it is higher than any epoch can be.
+// knownEpoch returns KnownEpoch, or 0 if KnownEpoch exceeds maxReportedEpoch.
 func (j Joiner) knownEpoch() ident.LeaseEpoch {
 	if j.KnownEpoch > maxReportedEpoch {
 		return 0
@@ -118,10 +119,10 @@
 	return j.KnownEpoch
 }
 
-// assignEpoch gives the node the next lease epoch.
+// assignEpoch assigns the next lease epoch to the node.
 func (s *State) assignEpoch(joiner Joiner) {
 	s.HighestEpoch = max(s.HighestEpoch, joiner.knownEpoch()) + 1
-	s.record(Args{Node: joiner.Node, LeaseEpoch: s.HighestEpoch, Total: joiner.Total})
+	s.recordRequest(Args{Node: joiner.Node, LeaseEpoch: s.HighestEpoch, Total: joiner.Total})
 	grant := s.Nodes[joiner.Node]
 	grant.Run = joiner.Run
 	s.Nodes[joiner.Node] = grant
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -24,10 +24,10 @@
 	return joined
 }
 
-// Lease epochs are above every earlier one: of a batch, of a release that counted them for
-// each node, or that a core reports; also if a release that does not know HighestEpoch has
-// dropped it.
-func TestEpochsOfBatchesRise(t *testing.T) {
+// A new lease epoch is above every earlier epoch: of a batch, of a release that counted epochs
+// separately for each node, or reported by a core; also after a release that does not know
+// HighestEpoch has dropped the field.
+func TestBatchEpochsIncrease(t *testing.T) {
 	f := &fixture{t: t}
 	f.apply("share/take", Args{Node: "old", LeaseEpoch: 77})
 	first := f.join(Joiner{Node: "old"}, Joiner{Node: "a"})
@@ -44,8 +44,8 @@
 	must.Eq(t, 5000003+firstBatchEpoch, f.join(Joiner{Node: "d"})[0].LeaseEpoch)
 }
 
-// A repeated join of one run keeps its lease epoch until a higher one is reported; no past
-// operation is stored for it, so the value does not grow with batches.
+// A repeated join of one run keeps its lease epoch until a core reports a higher epoch. No past
+// operation is stored for a join, so the value does not grow with the number of batches.
 func TestRepeatedJoinKeepsItsEpoch(t *testing.T) {
 	f := &fixture{t: t}
 	firstRun := Joiner{Node: "a", Run: "one"}
@@ -60,7 +60,7 @@
 	must.Len(t, 0, value.PastOperations)
 }
 
-// Nodes that start together are each granted the fair share of all of them.
+// Nodes that join in one batch are each granted the fair share for the whole batch.
 func TestBatchSharesFairly(t *testing.T) {
 	f := &fixture{t: t}
 	var joiners []Joiner
@@ -74,10 +74,10 @@
 	must.Eq(t, 168, sum)
 }
 
-// In any order of joins, takes, promises and releases, under any totals: a grant raises the
-// sum of the shares to no more than the smallest total, only a promise lowers a share, and
-// the lease epoch of a node only rises.
-func TestBatchesKeepTheTotal(t *testing.T) {
+// For any order of joins, takes, promises and releases, under any totals: a grant raises the sum of
+// the shares to no more than the smallest total, only a promise lowers a share, and the lease epoch of
+// a node only increases.
+func TestBatchesNeverExceedTheTotal(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := &fixture{t: t}
@@ -125,7 +125,7 @@
 		{},
 		{[]Joiner{{}}},
 		{[]Joiner{{Node: "a"}, {Node: "a"}}},
-		{make([]Joiner, MaxBatch+1)},
+		{make([]Joiner, MaxBatchNodes+1)},
 		{[]Joiner{{Node: "a", Run: string(make([]byte, MaxRunIDBytes+1))}}},
 	} {
 		result := Handlers().Apply(proposer.Context{}, nil, proposer.Operation{Kind: JoinKind, Args: operation.Encode(args)})
--- a/control/coordination/quota/quota_test.go
+++ b/control/coordination/quota/quota_test.go
@@ -13,7 +13,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// fixture is the control key with its stored value.
+// fixture holds the stored value of the control key.
 type fixture struct {
 	t     *testing.T
 	value json.RawMessage
@@ -38,8 +38,8 @@
 	return s, sum
 }
 
-// Fair shares sum to no more than their total, from one node to six hundred.
-func TestFairFitsTheTotal(t *testing.T) {
+// The sum of the fair shares never exceeds the total, for 1 to 600 nodes.
+func TestFairSharesFitTheTotal(t *testing.T) {
 	for _, total := range []int{-1, 1, 50, 60, 178, 208, 2000} {
 		must.Eq(t, MaxShare(total), FairShare(total, 0))
 		for n := 1; n <= 600; n++ {
@@ -51,10 +51,10 @@
 	must.Eq(t, 200, FairShare(2000, 9))
 }
 
-// Cores with two totals serve the same nodes, in any order: no grant raises the sum above the
-// smallest total of any grant, and a node that moves to the core with the larger total changes
-// nothing. Once all nodes have new lease epochs under the larger total, it rules.
-func TestTheSmallerTotalRules(t *testing.T) {
+// Cores with two totals serve the same nodes in any order. No grant raises the sum of the shares above
+// the smallest total of any grant, and a node that moves to the core with the larger total changes
+// nothing. The larger total applies once all nodes have new lease epochs under the larger total.
+func TestSmallestTotalLimitsGrants(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := &fixture{t: t}
@@ -98,7 +98,7 @@
 	}
 }
 
-// A state that was stored by a release without totals counts as under the default one.
+// Grants that were stored by a release without totals count as granted under the default total.
 func TestOldStatesUseTheDefaultTotal(t *testing.T) {
 	f := &fixture{t: t, value: json.RawMessage(`{"state":{"nodes":{"a":{"claim":1,"n":6},"b":{"claim":1,"n":6}}}}`)}
 	must.Eq(t, DefaultTotal, f.apply("share/take", Args{Node: "c", LeaseEpoch: 1, Total: 208}).Total)
--- a/control/coordination/quota/state.go
+++ b/control/coordination/quota/state.go
@@ -3,18 +3,18 @@
 import "cottonarch.example/cottonarch/base/ident"
 
 const (
-	// DefaultTotal is how many retries all nodes together may make in any window, for one
-	// service, beyond their own retry ratios, where no settings say otherwise.
+	// DefaultTotal is the default number of retries that all nodes together may make in any
+	// window, for one service, beyond their own retry ratios.
 	DefaultTotal = 60
-	// smallTotalMaxShare is the largest share of a small total.
+	// smallTotalMaxShare is the largest share that one node may hold of a small total.
 	smallTotalMaxShare = 6
 )
 
-// MaxShare returns the largest share of a total: a tenth, so that a small mesh leaves room
-// for joining nodes, or smallTotalMaxShare if that is more.
+// MaxShare returns the largest share that one node may hold of a total: a tenth, so that a small mesh
+// leaves room for joining nodes, or smallTotalMaxShare if larger.
 func MaxShare(total int) int { return max(0, min(total, max(smallTotalMaxShare, total/10))) }
 
-// FairShare returns what each of some nodes should hold of a total.
+// FairShare returns the share that each of the given number of nodes should hold of a total.
 func FairShare(total, nodes int) int {
 	if nodes <= 0 {
 		return MaxShare(total)
@@ -22,20 +22,24 @@
 	return min(MaxShare(total), max(0, total)/nodes)
 }
 
-// Grant is the share of one node. Invariants: the node spends at most Share; Share is lowered
-// only by the node's own promise, or removed when the node has long been silent; Seq is that
-// of the newest request, and older requests have no effect; SmallestTotal is the smallest
-// total that any request of this lease epoch was made under, so it only falls.
+// Grant is the share of one node. Invariants:
+//   - The node spends at most Share.
+//   - Share is lowered only by a promise of the node, or removed by a release after the node has long
+//     been silent.
+//   - Seq is the sequence number of the newest request, and older requests have no effect.
+//   - SmallestTotal is the smallest total of any request in this lease epoch, so SmallestTotal only
+//     decreases within the epoch.
 type Grant struct {
 	LeaseEpoch    ident.LeaseEpoch `json:"claim"`
 	Share         int              `json:"n"`
 	Seq           uint64           `json:"seq,omitempty"`
 	SmallestTotal int              `json:"of,omitempty"`
-	// Run identifies the run of the sidecar that LeaseEpoch was given to; empty if it gave none.
+	// Run identifies the run of the sidecar to which LeaseEpoch was assigned; empty if the sidecar
+	// sent no run.
 	Run string `json:"run,omitempty"`
 }
 
-// total returns the total of a grant, DefaultTotal for one by a release that stored none.
+// total returns the total of a grant. A grant stored by a release without totals has DefaultTotal.
 func (g Grant) total() int {
 	if g.SmallestTotal == 0 {
 		return DefaultTotal
@@ -43,20 +47,23 @@
 	return g.SmallestTotal
 }
 
-// State is the state of the control key. Invariant: a grant raises the sum of the shares to
-// no more than the smallest total of any grant. So while cores or sidecars with two totals
-// exist, the smaller one rules: since SmallestTotal only falls within a lease epoch, a node
-// that moves from a core with the smaller total to one with the larger changes nothing, and
-// the larger one rules only after every node has got a new lease epoch (its sidecar was
-// restarted) or was released. If the total falls below the sum of the shares, nothing more is
-// granted until the nodes, which receive the smaller fair share, have promised less.
+// State is the state of the control key. Invariant: a grant raises the sum of the shares to no more
+// than the smallest total of any grant.
+//
+// While cores or sidecars with two totals exist, the smaller total applies. SmallestTotal only
+// decreases within a lease epoch, so a node that moves from a core with the smaller total to a core
+// with the larger total changes nothing. The larger total applies only after every node has got a new
+// lease epoch (its sidecar was restarted) or was released. If the total falls below the sum of the
+// shares, nothing more is granted until the nodes, which receive the smaller fair share, have
+// promised to spend less.
 type State struct {
 	Nodes map[ident.Node]Grant `json:"nodes"`
-	// HighestEpoch is the highest lease epoch that a batch of joins was given; it only rises.
+	// HighestEpoch is the highest lease epoch that was assigned to a batch of joins. HighestEpoch
+	// only increases.
 	HighestEpoch ident.LeaseEpoch `json:"claims,omitempty"`
 }
 
-// smallestTotal returns the smallest total of any grant, 0 if there is none.
+// smallestTotal returns the smallest total of any grant, or 0 if there are no grants.
 func (s State) smallestTotal() int {
 	smallest := 0
 	for _, grant := range s.Nodes {
@@ -67,8 +74,8 @@
 	return smallest
 }
 
-// record stores the lease epoch, the total and the promise of a node; it grants nothing.
-func (s State) record(args Args) {
+// recordRequest stores the lease epoch, the total and the promise of a node without granting a share.
+func (s State) recordRequest(args Args) {
 	grant, total := s.Nodes[args.Node], args.Total
 	if total == 0 {
 		total = DefaultTotal
@@ -83,9 +90,9 @@
 	s.Nodes[args.Node] = grant
 }
 
-// raise raises the share of a recorded node to the fair share, as far as the shares of the
-// other nodes leave room.
-func (s State) raise(node ident.Node) Share {
+// grantShare raises the share of a recorded node to the fair share, as far as the shares of the other
+// nodes allow.
+func (s State) grantShare(node ident.Node) Share {
 	grant, total := s.Nodes[node], s.smallestTotal()
 	available, fair := total, FairShare(total, len(s.Nodes))
 	for other, otherGrant := range s.Nodes {
