--- a/control/coordination/keyvalue/keyvalue.go
+++ b/control/coordination/keyvalue/keyvalue.go
@@ -67,7 +67,7 @@
 		return operation.Rejected(failure.New(failure.Invalid, "a write needs a value"))
 	}
 	if len(args.Value) > maxValueBytes {
-		return operation.Rejected(failure.New(failure.Oversize, "the value has %d bytes, the limit is %d", len(args.Value), maxValueBytes))
+		return operation.Rejected(failure.New(failure.Oversize, "a value is limited to %d bytes", maxValueBytes))
 	}
 	return current.appendChange(context, args.IfRevision, Change{Value: args.Value})
 }
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -77,7 +77,7 @@
 // validate checks the size of a batch and its nodes.
 func (a JoinArgs) validate() *failure.Error {
 	if len(a.Nodes) == 0 || len(a.Nodes) > MaxBatchNodes {
-		return failure.New(failure.Invalid, "a batch has %d nodes, want 1 to %d", len(a.Nodes), MaxBatchNodes)
+		return failure.New(failure.Invalid, "a batch must have from 1 to %d nodes", MaxBatchNodes)
 	}
 	seen := map[ident.Node]bool{}
 	for _, joiner := range a.Nodes {
--- a/storage/ring/folder.go
+++ b/storage/ring/folder.go
@@ -1,6 +1,6 @@
 package ring
 
-// File is what the ring needs of a preallocated file.
+// File is a preallocated file of a ring.
 type File interface {
 	ReadAt(p []byte, offset int64) (int, error)
 	WriteAt(p []byte, offset int64) (int, error)
@@ -8,9 +8,8 @@
 	Sync() error
 }
 
-// Folder opens preallocated files; a file that was not there is all zeros. Until Sync the
-// name of a file that was made may be lost with the power, each by itself, whatever was
-// written and synced within the file.
+// Folder opens preallocated files; a new file contains only zeros. Until Sync, a loss of power may
+// remove each new file independently, even if the contents of the file were synced.
 type Folder interface {
 	Open(name string, size int64) (File, error)
 	Sync() error
--- a/storage/ring/format.go
+++ b/storage/ring/format.go
@@ -7,22 +7,22 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Every number on the disk is little-endian.
+// All numbers on the disk are little-endian.
 //
-// A file begins with a header of fileHeaderSize bytes: the magic number, the lap, the
-// sequence number of the file's first record, unused bytes, and the checksum of all before
-// it. Records follow without gaps. A record is a header of recordHeaderSize bytes (the magic
-// number, the checksum, the length of key and data together, the length of the key, the
-// record's sequence number, the newest sequence number known synced when it was written, and
-// unused bytes), then the key, then the data. Its checksum covers all behind itself, and the
-// lap of the file, which is not stored with the record.
+// A file begins with a header of fileHeaderSize bytes: the magic number, the generation of the file,
+// the sequence number of the file's first record, unused bytes, and the checksum of the preceding
+// bytes. Records follow without gaps. A record is a header of recordHeaderSize bytes (the magic
+// number, the checksum, the length of key and data together, the length of the key, the record's
+// sequence number, the newest sequence number known to be synced when the record was written, and
+// unused bytes), then the key, then the data. The checksum of a record covers all bytes after the
+// checksum, and the generation of the file, which is not stored with the record.
 const (
 	fileMagic      = 0x43544152
 	fileHeaderSize = 32
 
-	fileLapOffset   = 4
-	fileFirstOffset = 12
-	fileSumOffset   = 28
+	fileGenerationOffset = 4
+	fileFirstOffset      = 12
+	fileSumOffset        = 28
 
 	recordMagic      = 0x52454344
 	recordHeaderSize = 36
@@ -34,48 +34,49 @@
 	recordSyncedOffset    = 22
 )
 
-// movedKey is the key of the moved mark, the record that follows the last moved record of a file. It
-// begins with a zero byte so that it is no key of a caller's record.
-const movedKey = "\x00moved"
+// moveMarkerKey is the key of the move marker, the record that follows the last moved record of a
+// file. The key begins with a zero byte so that it never equals the key of a caller's record.
+const moveMarkerKey = "\x00moved"
 
-// maxCount is beyond what any ring counts to, and far from where a count would wrap.
+// maxCount is larger than any count that a ring reaches, and far below the overflow of uint64.
 const maxCount = 1 << 62
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// fileHeader is the header of one file. Invariant: lap and first are set only when it is valid.
+// fileHeader is the header of one file. Invariant: generation and first are set only if valid is
+// true.
 type fileHeader struct {
-	valid bool
-	blank bool   // never written
-	lap   uint64 // how many files had been begun, this one included
-	first uint64 // sequence number of the file's first record
+	valid      bool
+	blank      bool   // never written
+	generation uint64 // number of files begun so far, including this file
+	first      uint64 // sequence number of the file's first record
 }
 
-// encodeFileHeader returns the bytes of a header.
-func encodeFileHeader(lap, first uint64) []byte {
+// encodeFileHeader returns the encoded form of a file header.
+func encodeFileHeader(generation, first uint64) []byte {
 	raw := make([]byte, fileHeaderSize)
 	binary.LittleEndian.PutUint32(raw, fileMagic)
-	binary.LittleEndian.PutUint64(raw[fileLapOffset:], lap)
+	binary.LittleEndian.PutUint64(raw[fileGenerationOffset:], generation)
 	binary.LittleEndian.PutUint64(raw[fileFirstOffset:], first)
-	binary.LittleEndian.PutUint32(raw[fileSumOffset:], crc32.Checksum(raw[:fileSumOffset], castagnoli))
+	binary.LittleEndian.PutUint32(raw[fileSumOffset:], crc32.Checksum(raw[:fileSumOffset], castagnoliTable))
 	return raw
 }
 
-// parseFileHeader reads a header from the first fileHeaderSize bytes of a file.
+// parseFileHeader parses the header in the first fileHeaderSize bytes of a file.
 func parseFileHeader(raw []byte) fileHeader {
 	header := fileHeader{blank: allZero(raw)}
-	sum := crc32.Checksum(raw[:fileSumOffset], castagnoli)
+	sum := crc32.Checksum(raw[:fileSumOffset], castagnoliTable)
 	if binary.LittleEndian.Uint32(raw) != fileMagic || sum != binary.LittleEndian.Uint32(raw[fileSumOffset:]) {
 		return header
 	}
-	lap, first := binary.LittleEndian.Uint64(raw[fileLapOffset:]), binary.LittleEndian.Uint64(raw[fileFirstOffset:])
-	if validCount(lap) && validCount(first) {
-		header.valid, header.lap, header.first = true, lap, first
+	generation, first := binary.LittleEndian.Uint64(raw[fileGenerationOffset:]), binary.LittleEndian.Uint64(raw[fileFirstOffset:])
+	if validCount(generation) && validCount(first) {
+		header.valid, header.generation, header.first = true, generation, first
 	}
 	return header
 }
 
-// validCount reports whether a number of a header may be a count: laps and records count from 1.
+// validCount reports whether n is a possible generation or sequence number; both start at 1.
 func validCount(n uint64) bool { return n > 0 && n < maxCount }
 
 func allZero(raw []byte) bool {
@@ -87,24 +88,24 @@
 	return true
 }
 
-// storedRecord is a record as a file holds it. Invariant: data lies within the bytes that it
-// was parsed from.
+// storedRecord is a record in a file. Invariant: data of a parsed record is a slice of the parsed
+// bytes.
 type storedRecord struct {
 	key            string
 	data           []byte
 	sequence       uint64
-	syncedSequence uint64 // newest sequence number known synced when it was written
+	syncedSequence uint64 // newest sequence number known to be synced at the time of the write
 }
 
-// size returns how many bytes of its file the record takes.
+// size returns the size in bytes of the record in a file.
 func (s storedRecord) size() int64 { return recordSize(s.key, s.data) }
 
 func recordSize(key string, data []byte) int64 {
 	return int64(recordHeaderSize + len(key) + len(data))
 }
 
-// encodeRecord returns the bytes of a record in a file of the given lap.
-func encodeRecord(record storedRecord, lap uint64) []byte {
+// encodeRecord returns the encoded form of a record in a file of the given generation.
+func encodeRecord(record storedRecord, generation uint64) []byte {
 	raw := make([]byte, recordHeaderSize, record.size())
 	binary.LittleEndian.PutUint32(raw, recordMagic)
 	binary.LittleEndian.PutUint32(raw[recordLengthOffset:], uint32(len(record.key)+len(record.data)))
@@ -112,13 +113,13 @@
 	binary.LittleEndian.PutUint64(raw[recordSequenceOffset:], record.sequence)
 	binary.LittleEndian.PutUint64(raw[recordSyncedOffset:], record.syncedSequence)
 	raw = append(append(raw, record.key...), record.data...)
-	binary.LittleEndian.PutUint32(raw[recordSumOffset:], recordChecksum(raw[recordLengthOffset:], lap))
+	binary.LittleEndian.PutUint32(raw[recordSumOffset:], recordChecksum(raw[recordLengthOffset:], generation))
 	return raw
 }
 
-// parseRecord reads the record that raw begins with; ok is false when there is none whose
-// checksum is right under the lap.
-func parseRecord(raw []byte, lap uint64) (record storedRecord, ok bool) {
+// parseRecord parses the record at the start of raw. ok is false if there is no record or the checksum
+// does not match for the generation.
+func parseRecord(raw []byte, generation uint64) (record storedRecord, ok bool) {
 	if len(raw) < recordHeaderSize || binary.LittleEndian.Uint32(raw) != recordMagic {
 		return storedRecord{}, false
 	}
@@ -127,7 +128,7 @@
 	if end > int64(len(raw)) || uint32(keyLength) > length {
 		return storedRecord{}, false
 	}
-	if recordChecksum(raw[recordLengthOffset:end], lap) != binary.LittleEndian.Uint32(raw[recordSumOffset:]) {
+	if recordChecksum(raw[recordLengthOffset:end], generation) != binary.LittleEndian.Uint32(raw[recordSumOffset:]) {
 		return storedRecord{}, false
 	}
 	body := raw[recordHeaderSize:end]
@@ -139,15 +140,15 @@
 	}, true
 }
 
-func recordChecksum(covered []byte, lap uint64) uint32 {
-	sum := crc32.Checksum(covered, castagnoli)
-	return crc32.Update(sum, castagnoli, binary.LittleEndian.AppendUint64(nil, lap))
+func recordChecksum(covered []byte, generation uint64) uint32 {
+	sum := crc32.Checksum(covered, castagnoliTable)
+	return crc32.Update(sum, castagnoliTable, binary.LittleEndian.AppendUint64(nil, generation))
 }
 
-func errHeaderDamaged(file int) error {
-	return failure.New(failure.Corrupted, "ring-%03d: header is damaged", file)
+func errHeaderCorrupted(file int) error {
+	return failure.New(failure.Corrupted, "ring-%03d: file header is corrupted", file)
 }
 
-func errRecordDamaged(file int, sequence uint64) error {
-	return failure.New(failure.Corrupted, "ring-%03d: record %d is damaged", file, sequence)
+func errRecordCorrupted(file int, sequence uint64) error {
+	return failure.New(failure.Corrupted, "ring-%03d: record %d is corrupted", file, sequence)
 }
--- a/storage/ring/fuzz_test.go
+++ b/storage/ring/fuzz_test.go
@@ -10,10 +10,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// fuzzOptions is a ring small enough for its whole image to be an input.
+// fuzzOptions describes a ring that is small enough to use the whole image as a fuzz input.
 var fuzzOptions = Options{FileCount: 4, FileSize: 512}
 
-// imageOf returns what a ring's files hold, one after the other.
+// imageOf returns the concatenated contents of the files of a ring.
 func imageOf(folder *MemoryFolder) []byte {
 	var joined []byte
 	for i := range fuzzOptions.FileCount {
@@ -22,7 +22,7 @@
 	return joined
 }
 
-// folderOf lays an image of any length out as files.
+// folderOf returns a folder whose files hold the image, which may have any length.
 func folderOf(raw []byte) *MemoryFolder {
 	folder := NewMemoryFolder()
 	raw = append(bytes.Clone(raw), make([]byte, int(fuzzOptions.FileSize)*fuzzOptions.FileCount)...)
@@ -33,21 +33,22 @@
 	return folder
 }
 
-// withChecksums corrects the checksum of every header, and of every record that the lengths of those
-// before it lead to, so that the fuzzer also reaches the code behind the checksums.
+// withChecksums fixes the checksum of every file header, and of every record that is reachable through
+// the lengths of the preceding records, so that the fuzzer also reaches the code behind the checksum
+// verification.
 func withChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
 		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
 		binary.LittleEndian.PutUint32(file, fileMagic)
-		binary.LittleEndian.PutUint32(file[28:], crc32.Checksum(file[:28], castagnoli))
-		lap := file[4:12]
+		binary.LittleEndian.PutUint32(file[28:], crc32.Checksum(file[:28], castagnoliTable))
+		generation := file[4:12]
 		for offset := fileHeaderSize; offset+recordHeaderSize <= len(file); {
 			end := offset + recordHeaderSize + int(binary.LittleEndian.Uint32(file[offset+8:]))
 			if binary.LittleEndian.Uint32(file[offset:]) != recordMagic || end > len(file) {
 				break
 			}
-			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoli), castagnoli, lap)
+			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoliTable), castagnoliTable, generation)
 			binary.LittleEndian.PutUint32(file[offset+4:], sum)
 			offset = end
 		}
@@ -55,8 +56,8 @@
 	return raw
 }
 
-// holdsRecord reports whether an image holds a record with a correct checksum anywhere, under the
-// lap of the header of its own file.
+// holdsRecord reports whether an image holds the record at any offset, with a correct checksum for the
+// generation in the header of the same file.
 func holdsRecord(raw []byte, key string, data []byte) bool {
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
 		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
@@ -66,7 +67,7 @@
 				continue
 			}
 			size, width := binary.LittleEndian.Uint32(file[offset+8:]), binary.LittleEndian.Uint16(file[offset+12:])
-			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoli), castagnoli, file[4:12])
+			sum := crc32.Update(crc32.Checksum(file[offset+8:end], castagnoliTable), castagnoliTable, file[4:12])
 			if int(size) == len(key)+len(data) && int(width) == len(key) && sum == binary.LittleEndian.Uint32(file[offset+4:]) {
 				return true
 			}
@@ -75,9 +76,9 @@
 	return false
 }
 
-// Whatever bytes the files hold: opening them ends without a panic, a record is returned only if
-// the files hold it under a correct checksum, and a ring that opens accepts a record and returns
-// it when it is opened again.
+// FuzzOpen checks, for arbitrary file contents, that Open does not panic, that a record is returned
+// only if the files hold the record with a correct checksum, and that an opened ring accepts a new
+// record and returns the record after a restart.
 func FuzzOpen(f *testing.F) {
 	for _, writes := range []int{0, 1, 5, 20, 60} {
 		folder := NewMemoryFolder()
@@ -95,10 +96,10 @@
 		f.Add(torn, false)
 	}
 	f.Add([]byte{}, false)
-	f.Fuzz(func(t *testing.T, raw []byte, reseal bool) {
+	f.Fuzz(func(t *testing.T, raw []byte, fixChecksums bool) {
 		whole := int(fuzzOptions.FileSize) * fuzzOptions.FileCount
 		raw = append(bytes.Clone(raw), make([]byte, whole)...)[:whole]
-		if reseal {
+		if fixChecksums {
 			raw = withChecksums(raw)
 		}
 		folder := folderOf(raw)
@@ -107,7 +108,7 @@
 			return
 		}
 		for _, record := range r.Records() {
-			must.True(t, holdsRecord(raw, record.Key, record.Data), must.Sprintf("%q came from nowhere", record.Key))
+			must.True(t, holdsRecord(raw, record.Key, record.Data), must.Sprintf("record %q is not in the files", record.Key))
 		}
 		if r.Append([]Record{{"new", []byte("data")}}) != nil || r.Sync() != nil {
 			return // full
--- a/storage/ring/memory_folder.go
+++ b/storage/ring/memory_folder.go
@@ -8,22 +8,22 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// MemoryFolder is a Folder in memory that loses or tears what was not synced, for tests and
-// simulations of a loss of power.
+// MemoryFolder is a Folder in memory that can lose or tear unsynced writes, for tests and simulations
+// of a loss of power.
 type MemoryFolder struct {
 	Files map[string]*MemoryFile
-	// BeforeOperation, when set, is called before each operation ("write", "sync" or
-	// "sync folder") and may fail it.
+	// BeforeOperation, if set, is called before each operation ("write", "sync" or "sync folder").
+	// If BeforeOperation returns an error, the operation fails with that error.
 	BeforeOperation func(operation string) error
-	// BytesRead and BytesWritten count over all files.
+	// BytesRead and BytesWritten are totals over all files.
 	BytesRead, BytesWritten uint64
 }
 
-// MemoryFile is one file of a MemoryFolder. Invariant: durable holds only what a Sync covered,
-// and what Crash chose to keep of the rest; cached is what the process sees.
+// MemoryFile is a file of a MemoryFolder. Invariant: durable holds only synced writes and the parts of
+// unsynced writes that survived a Crash; cached holds the contents that the process reads.
 type MemoryFile struct {
 	folder     *MemoryFolder
-	nameSynced bool // the folder was synced since the file was made
+	nameSynced bool // the folder was synced after the file was created
 	durable    []byte
 	cached     []byte
 	unsynced   []pendingWrite
@@ -35,10 +35,10 @@
 	data   []byte
 }
 
-// NewMemoryFolder makes an empty folder.
+// NewMemoryFolder returns an empty folder.
 func NewMemoryFolder() *MemoryFolder { return &MemoryFolder{Files: map[string]*MemoryFile{}} }
 
-// Open opens a file, which is all zeros if it was not there.
+// Open opens or creates a file. A new file contains only zeros.
 func (m *MemoryFolder) Open(name string, size int64) (File, error) {
 	if f, ok := m.Files[name]; ok {
 		return f, nil
@@ -48,9 +48,9 @@
 	return f, nil
 }
 
-// Sync makes the names of all files durable.
+// Sync makes the directory entries of all files durable.
 func (m *MemoryFolder) Sync() error {
-	if err := m.before("sync folder"); err != nil {
+	if err := m.runBeforeOperation("sync folder"); err != nil {
 		return err
 	}
 	for _, f := range m.Files {
@@ -59,27 +59,27 @@
 	return nil
 }
 
-// before calls BeforeOperation, if it is set.
-func (m *MemoryFolder) before(operation string) error {
+// runBeforeOperation calls BeforeOperation, if set.
+func (m *MemoryFolder) runBeforeOperation(operation string) error {
 	if m.BeforeOperation == nil {
 		return nil
 	}
 	return m.BeforeOperation(operation)
 }
 
-// ReadAt reads what the process sees.
+// ReadAt reads the contents, including unsynced writes.
 func (f *MemoryFile) ReadAt(p []byte, offset int64) (int, error) {
 	if offset >= int64(len(f.cached)) {
-		return 0, failure.Wrap(os.ErrInvalid, failure.DiskFailed, "read past the end")
+		return 0, failure.Wrap(os.ErrInvalid, failure.DiskFailed, "read past the end of the file")
 	}
 	n := copy(p, f.cached[offset:])
 	f.folder.BytesRead += uint64(n)
 	return n, nil
 }
 
-// WriteAt writes what a crash may lose until the next Sync.
+// WriteAt writes to the file. Until the next Sync, a crash may lose the write.
 func (f *MemoryFile) WriteAt(p []byte, offset int64) (int, error) {
-	if err := f.folder.before("write"); err != nil {
+	if err := f.folder.runBeforeOperation("write"); err != nil {
 		return 0, err
 	}
 	copy(f.cached[offset:], p)
@@ -90,7 +90,7 @@
 
 // Sync makes the writes to this file durable.
 func (f *MemoryFile) Sync() error {
-	if err := f.folder.before("sync"); err != nil {
+	if err := f.folder.runBeforeOperation("sync"); err != nil {
 		return err
 	}
 	for _, p := range f.unsynced {
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// Crash simulates a loss of power. Of every unsynced write of n bytes the first keep(n) survive; a
-// file whose name no Sync of the folder covered survives unless keep(1) is 0. Files are visited in
-// the order of their names. BeforeOperation is reset.
+// Crash simulates a loss of power. Of every unsynced write of n bytes, the first keep(n) bytes
+// survive. A file whose directory entry is not synced survives unless keep(1) is 0. Files are visited
+// in the order of their names. Crash resets BeforeOperation.
 func (m *MemoryFolder) Crash(keep func(n int) int) {
 	for _, name := range slices.Sorted(maps.Keys(m.Files)) {
 		f := m.Files[name]
@@ -121,7 +121,7 @@
 	m.BeforeOperation = nil
 }
 
-// UnsyncedWrites counts the writes that a loss of power may take.
+// UnsyncedWrites returns the number of writes that a loss of power may lose.
 func (m *MemoryFolder) UnsyncedWrites() int {
 	n := 0
 	for _, f := range m.Files {
@@ -130,7 +130,7 @@
 	return n
 }
 
-// CorruptByte flips bits of one durable byte.
+// CorruptByte flips bits of one byte of a file.
 func (m *MemoryFolder) CorruptByte(name string, offset int64) {
 	f := m.Files[name]
 	f.durable[offset] ^= 0x5a
--- a/storage/ring/reader.go
+++ b/storage/ring/reader.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// readAhead is how much of a file is read at once: a ring that holds little is opened
-	// without reading all of its files.
+	// readAhead is the size in bytes of one read, so that a ring with few records is opened without
+	// reading all of its files.
 	readAhead = 256 << 10
-	// maxZeroRun is how many bytes that were never written end the search for lost records:
-	// more than any loss of power leaves out between two syncs.
+	// maxZeroRun is the number of consecutive zero bytes after which the search for lost records
+	// ends. It is larger than any gap that a loss of power leaves between two syncs.
 	maxZeroRun = 4 * readAhead
 )
 
-// fileReader reads one file from its start. Invariant: loaded holds the first bytes of the file.
+// fileReader reads one file from its start into memory. Invariant: loaded holds the first bytes of
+// the file.
 type fileReader struct {
 	file   File
 	size   int64
@@ -28,8 +29,8 @@
 	return &fileReader{file: r.files[file], size: r.options.FileSize}
 }
 
-// fill reads on until at least n bytes are loaded, or the file ends.
-func (r *fileReader) fill(n int64) error {
+// load reads on until at least n bytes are loaded, or the file ends.
+func (r *fileReader) load(n int64) error {
 	for n = min(n, r.size); int64(len(r.loaded)) < n; {
 		have := len(r.loaded)
 		next := int(min(readAhead, r.size-int64(have)))
@@ -45,14 +46,14 @@
 	return nil
 }
 
-// fillPastGaps reads on from an offset to the end of what was ever written.
-func (r *fileReader) fillPastGaps(from int64) error {
-	if err := r.fill(from); err != nil {
+// loadToEndOfWrites reads on from an offset until maxZeroRun zero bytes follow, or the file ends.
+func (r *fileReader) loadToEndOfWrites(from int64) error {
+	if err := r.load(from); err != nil {
 		return err
 	}
 	for zeroRun := 0; zeroRun < maxZeroRun && int64(len(r.loaded)) < r.size; {
 		have := len(r.loaded)
-		if err := r.fill(int64(have) + readAhead); err != nil {
+		if err := r.load(int64(have) + readAhead); err != nil {
 			return err
 		}
 		if zeroRun += readAhead; !allZero(r.loaded[have:]) {
@@ -62,24 +63,24 @@
 	return nil
 }
 
-// recordAt reads the record at an offset; ok is false when there is none.
-func (r *fileReader) recordAt(offset int64, lap uint64) (record storedRecord, ok bool, err error) {
-	if err := r.fill(offset + recordHeaderSize); err != nil {
+// recordAt reads the record at an offset. ok is false if there is no valid record.
+func (r *fileReader) recordAt(offset int64, generation uint64) (record storedRecord, ok bool, err error) {
+	if err := r.load(offset + recordHeaderSize); err != nil {
 		return storedRecord{}, false, err
 	}
 	if int64(len(r.loaded)) < offset+recordHeaderSize || binary.LittleEndian.Uint32(r.loaded[offset:]) != recordMagic {
 		return storedRecord{}, false, nil
 	}
 	length := int64(binary.LittleEndian.Uint32(r.loaded[offset+recordLengthOffset:]))
-	if err := r.fill(offset + recordHeaderSize + length); err != nil {
+	if err := r.load(offset + recordHeaderSize + length); err != nil {
 		return storedRecord{}, false, err
 	}
-	record, ok = parseRecord(r.loaded[offset:], lap)
+	record, ok = parseRecord(r.loaded[offset:], generation)
 	return record, ok, nil
 }
 
-// nextMagic returns the offset of the next record magic number from an offset on, -1 if none is
-// loaded.
+// nextMagic returns the offset of the first record magic number at or after an offset within the
+// loaded bytes, or -1.
 func (r *fileReader) nextMagic(from int64) int64 {
 	magic := binary.LittleEndian.AppendUint32(nil, recordMagic)
 	n := bytes.Index(r.loaded[from:], magic)
--- a/storage/ring/recycle.go
+++ b/storage/ring/recycle.go
@@ -6,15 +6,15 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// nextFile begins the next file, which holds no live record, and moves the live records of the file
-// after that one into it, so that this file can be overwritten next.
-func (r *Ring) nextFile() error {
+// rotate begins the next file, which holds no live record. It then moves the live records of the
+// following file into the new current file, so that the following file can be overwritten next.
+func (r *Ring) rotate() error {
 	if err := r.Sync(); err != nil {
 		return err
 	}
 	r.current = (r.current + 1) % r.options.FileCount
-	r.lap++
-	if _, err := r.files[r.current].WriteAt(encodeFileHeader(r.lap, r.sequence+1), 0); err != nil {
+	r.generation++
+	if _, err := r.files[r.current].WriteAt(encodeFileHeader(r.generation, r.sequence+1), 0); err != nil {
 		r.fatalErr = failure.Wrap(err, failure.DiskFailed, "write header")
 		return r.fatalErr
 	}
@@ -25,12 +25,12 @@
 	return r.Sync()
 }
 
-// moveLiveRecords moves the live records of the next file into the current one and ends them
-// with the moved mark.
+// moveLiveRecords moves the live records of the next file into the current file and then appends the
+// move marker.
 func (r *Ring) moveLiveRecords() error {
 	next := (r.current + 1) % r.options.FileCount
 	var keys []string
-	need := recordSize(movedKey, nil)
+	need := recordSize(moveMarkerKey, nil)
 	for key, record := range r.live {
 		if record.file == next {
 			keys = append(keys, key)
@@ -38,7 +38,7 @@
 		}
 	}
 	if r.offset+need > r.options.FileSize {
-		return failure.New(failure.DiskFailed, "no room to move live records forward")
+		return failure.New(failure.DiskFailed, "ring-%03d has no room for the live records of ring-%03d: %d bytes needed", r.current, next, need)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
@@ -47,5 +47,5 @@
 		}
 		r.Moves++
 	}
-	return r.writeRecord(movedKey, nil)
+	return r.writeRecord(moveMarkerKey, nil)
 }
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -23,7 +23,7 @@
 
 var errPowerLost = errors.New("power lost")
 
-// losePowerAfter fails the writes and syncs of a folder from the given one on.
+// losePowerAfter makes the writes and syncs of a folder fail from the given operation on.
 func losePowerAfter(folder *MemoryFolder, writes int) {
 	folder.BeforeOperation = func(string) error {
 		if writes--; writes <= 0 {
@@ -33,9 +33,9 @@
 	}
 }
 
-// writeLaps appends 200 records, with a sync after one in three, and returns what the last
-// successful sync covered. Values begin with a number that rises.
-func writeLaps(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
+// writeRecords appends 200 records, with a sync after one record in three on average, and returns the
+// records covered by the last successful sync. Values begin with an increasing number.
+func writeRecords(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
 	synced, appended := map[string]string{}, map[string]string{}
 	for i := range 200 {
 		key, data := fmt.Sprintf("k%d", rng.IntN(12)), fmt.Sprintf("%d-%0*d", i, rng.IntN(90)+1, width)
@@ -53,7 +53,7 @@
 	return synced, nil
 }
 
-// recoverFromPowerLoss loses power, and again while the ring is opened, twice.
+// recoverFromPowerLoss simulates a loss of power, and up to two more while the ring is opened.
 func recoverFromPowerLoss(t *testing.T, folder *MemoryFolder, options Options, rng *rand.Rand, point int) *Ring {
 	for attempt := range 3 {
 		folder.Crash(func(n int) int { return rng.IntN(n + 1) })
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Power is lost at every single write point of a long run; what a Sync covered is
-// always there afterwards, and no older value returns.
+// Simulates a loss of power at every write of a long run: synced records are never lost, and no older
+// value replaces a synced value.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 2048}
 	for point := 1; point < 400; point++ {
@@ -81,7 +81,7 @@
 		var synced map[string]string
 		r, err := Open(folder, options)
 		if err == nil {
-			synced, err = writeLaps(r, rng, point)
+			synced, err = writeRecords(r, rng, point)
 		}
 		if err == nil {
 			continue
@@ -89,20 +89,20 @@
 		r = recoverFromPowerLoss(t, folder, options, rng, point)
 		got := contents(r)
 		for key, data := range synced {
-			// Only values written later, and never confirmed, may stand instead.
+			// Only a later, unsynced value may have replaced the synced value.
 			var old, now int
 			_, _ = fmt.Sscanf(data, "%d-", &old)
 			_, err := fmt.Sscanf(got[key], "%d-", &now)
-			must.NoError(t, err, must.Sprintf("point %d key %s lost", point, key))
-			must.LessEq(t, now, old, must.Sprintf("point %d key %s went back", point, key))
+			must.NoError(t, err, must.Sprintf("point %d: key %s was lost", point, key))
+			must.LessEq(t, now, old, must.Sprintf("point %d: key %s reverted to an older value", point, key))
 		}
 		must.NoError(t, r.Append([]Record{{"after", []byte("x")}}))
 		must.NoError(t, r.Sync())
 	}
 }
 
-// A flipped byte of a synced record is detected; its record is never returned.
-func TestDamageIsRecognised(t *testing.T) {
+// A corrupted byte in a synced record is detected, and the record is never returned.
+func TestCorruptionIsDetected(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 1024}
 	build := func() (*MemoryFolder, map[string]string) {
 		folder := NewMemoryFolder()
@@ -129,8 +129,8 @@
 				caught++
 				continue
 			}
-			// No error is right where the byte belongs to no live record. The last record of
-			// all cannot be distinguished from a torn tail: it alone may be lost.
+			// Open may succeed if the byte belongs to no live record. The last record of the
+			// ring cannot be distinguished from a torn tail, so only that record may be lost.
 			got := contents(r)
 			for key, data := range want {
 				if got[key] != data && data != "value-39" {
@@ -142,7 +142,7 @@
 	test.Greater(t, 100, caught)
 }
 
-// Records that are never rewritten outlive many laps.
+// Records that are never rewritten survive many passes through the ring.
 func TestLiveRecordsMoveForward(t *testing.T) {
 	folder := NewMemoryFolder()
 	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
@@ -159,7 +159,7 @@
 	test.Eq(t, map[string]string{"old": "stays", "hot": "499"}, contents(r))
 }
 
-// After a failed sync the ring returns that error until it is opened again.
+// After a failed sync, all later syncs and appends fail until the ring is opened again.
 func TestSyncErrorBreaksTheRing(t *testing.T) {
 	folder := NewMemoryFolder()
 	r, err := Open(folder, Options{FileCount: 4, FileSize: 1024})
@@ -177,9 +177,9 @@
 	test.Error(t, r.Append([]Record{{"a", []byte("2")}}))
 }
 
-// A process that is killed leaves writes that no sync covered; the next run reads them as
-// they are. Power that is lost later must not take what that run built on: after each
-// number of unsynced records, however many of them the disk keeps.
+// A killed process leaves unsynced writes in the page cache, and the next run reads these writes. A
+// later loss of power must not lose the records that the next run has read, for any number of
+// unsynced records and however much of them the disk keeps.
 func TestWritesOfAKilledRunAreMadeDurable(t *testing.T) {
 	for unsynced := range 4 {
 		for keep := range 3 {
@@ -206,10 +206,10 @@
 	}
 }
 
-// A damaged header of the only file that a young ring has written does not make it a new one:
-// what was synced is never lost without an error. A ring that lost power while its first
-// header was written holds nothing yet, and is opened as a new one.
-func TestDamagedFirstHeaderIsNoNewRing(t *testing.T) {
+// If a ring has written only one file and the header of that file is corrupted, Open returns an error
+// instead of initializing a new ring, so synced records are never lost without an error. A ring that
+// lost power while the first header was written holds no records, and is opened as a new ring.
+func TestCorruptFirstHeaderIsNotANewRing(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 4096}
 	for offset := range int64(fileHeaderSize) {
 		folder := NewMemoryFolder()
@@ -241,30 +241,30 @@
 	}
 }
 
-// Two damaged headers beside each other do not take a young ring back to the lap before them.
-func TestDamagedHeadersOfAYoungRingAreNoOlderRing(t *testing.T) {
+// If two adjacent files of a ring in its first pass are corrupted, Open returns an error instead of
+// opening the ring in the state before these files.
+func TestCorruptHeadersDoNotRevertTheRing(t *testing.T) {
 	options := Options{FileCount: 5, FileSize: 1024}
 	folder := NewMemoryFolder()
 	r, err := Open(folder, options)
 	must.NoError(t, err)
-	for n := 0; r.lap < 3; n++ {
+	for n := 0; r.generation < 3; n++ {
 		must.NoError(t, r.Append([]Record{{"promise", fmt.Appendf(nil, "%0100d", n)}}))
 		must.NoError(t, r.Sync())
 	}
-	// The second file is lost whole, and the third's header.
+	// The whole second file and the header of the third file are corrupted.
 	lost := folder.Files["ring-001"]
 	for n := range lost.durable {
 		lost.durable[n], lost.cached[n] = 0x77, 0x77
 	}
 	folder.CorruptByte("ring-002", 5)
 	_, err = Open(folder, options)
-	must.NotNil(t, err, must.Sprint("an older ring was opened"))
+	must.NotNil(t, err, must.Sprint("the ring was opened in an earlier state"))
 }
 
-// A loss of power may take each file whose name no sync of the folder covered. Before
-// anything counts all names are durable, also those that a run made which was killed before it
-// had synced the folder: for each set of files that may be lost and each point of such a
-// kill, what was synced is there.
+// A loss of power may remove each file whose directory entry is not synced. Open makes all directory
+// entries durable, also entries created by a run that was killed before the sync of the folder. For
+// every set of files that may be lost and every point of the kill, synced records survive.
 func TestFileNamesAreDurable(t *testing.T) {
 	const files, points = 4, 12
 	errKilled := errors.New("killed")
@@ -282,7 +282,7 @@
 			if _, err := Open(folder, options); err != nil {
 				must.ErrorIs(t, err, errKilled)
 			}
-			folder.BeforeOperation = nil // what the killed run wrote is in the page cache
+			folder.BeforeOperation = nil // the writes of the killed run are in the page cache
 			r, err := Open(folder, options)
 			must.NoError(t, err)
 			must.NoError(t, r.Append([]Record{{"a", []byte("synced")}}))
@@ -302,8 +302,8 @@
 	}
 }
 
-// A ring is not opened in a folder that cannot be synced.
-func TestFolderThatCannotBeSynced(t *testing.T) {
+// Open fails if the folder cannot be synced.
+func TestOpenFailsWhenTheFolderCannotBeSynced(t *testing.T) {
 	folder := NewMemoryFolder()
 	folder.BeforeOperation = func(operation string) error {
 		if operation == "sync folder" {
@@ -315,8 +315,9 @@
 	must.Error(t, err)
 }
 
-// A data folder is made with its parents, and a ring in it is read back.
-func TestFolderOnARealDisk(t *testing.T) {
+// OpenDiskFolder creates the data folder with its parents and excludes a second holder, and a ring in
+// the folder can be read back.
+func TestDiskFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made", "here")
 	for start := range 3 {
 		dir, err := OpenDiskFolder(path)
@@ -332,8 +333,8 @@
 	}
 }
 
-// A start from a ring as large as the platform's, with a value of 100 KB among its
-// records, after many laps.
+// BenchmarkOpenAfterManyLaps measures Open for a ring of the size used by the platform, with a value
+// of 100 KB among the records, after many passes through the files.
 func BenchmarkOpenAfterManyLaps(b *testing.B) {
 	folder, options := NewMemoryFolder(), Options{FileCount: 4, FileSize: 12 << 20}
 	r, err := Open(folder, options)
