--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure is the typed error of all packages: its kind, and whether the operation that
-// failed was executed.
+// Package failure defines the typed error of all packages, which holds the kind of the failure and
+// whether the failed operation was executed.
 package failure
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/juju/errors"
 )
 
-// Kind is the kind of a failure, as clients see it.
+// Kind is the kind of a failure. Clients receive the kind as a string.
 type Kind string
 
-// Outcome says whether the operation took effect.
+// Outcome states whether the failed operation took effect.
 type Outcome string
 
-// The three outcomes. Invariant: NotExecuted is given only when proved.
+// The outcomes. Invariant: NotExecuted is used only if the operation provably was not executed.
 const (
 	NotExecuted    Outcome = "no"
 	OutcomeUnknown Outcome = "unknown"
@@ -25,28 +25,28 @@
 // The kinds of failure.
 const (
 	// The input.
-	Malformed        Kind = "malformed" // it cannot be parsed
-	Invalid          Kind = "invalid"   // it parses, and breaks a rule
+	Malformed        Kind = "malformed" // the input cannot be parsed
+	Invalid          Kind = "invalid"   // the input can be parsed but violates a rule
 	Oversize         Kind = "oversize"
-	MethodNotAllowed Kind = "not-permitted" // the path does not have the method
+	MethodNotAllowed Kind = "not-permitted" // the path does not support the method
 	BadSettings      Kind = "bad-boot"
 
-	// The state that the operation met.
-	Conflict  Kind = "conflict" // another revision than the one that was given
+	// The state that the operation found.
+	Conflict  Kind = "conflict" // the current revision is not the required revision
 	NotFound  Kind = "missing"
-	LockHeld  Kind = "held" // by another holder
+	LockHeld  Kind = "held" // the lock has another holder
 	NotHolder Kind = "not-holder"
-	Compacted Kind = "forgotten" // the changes that were asked for are no longer kept
-	Exhausted Kind = "full"      // no room or no number is left
+	Compacted Kind = "forgotten" // the requested changes are no longer stored
+	Exhausted Kind = "full"      // no space or no number is left
 
-	// The path of a request to an endpoint and back.
+	// Routing a request to an endpoint and returning the response.
 	NoRoute            Kind = "no-way"
-	NoEndpoint         Kind = "no-workload" // no endpoint of the service may be chosen
-	EndpointRejected   Kind = "gate"        // the destination's sidecar rejected it before its endpoint
+	NoEndpoint         Kind = "no-workload" // the service has no eligible endpoint
+	EndpointRejected   Kind = "gate"        // the destination's sidecar rejected the request before the endpoint received it
 	Unreachable        Kind = "unreached"   // no connection could be made
-	BadResponse        Kind = "bad-return"  // malformed, or not one to the request
+	BadResponse        Kind = "bad-return"  // the response is malformed or does not match the request
 	LostResponse       Kind = "lost-return" // the connection broke before the response was complete
-	ClientDisconnected Kind = "client-left" // the client closed its connection; nobody waits for a response
+	ClientDisconnected Kind = "client-left" // the client closed its connection and no longer waits for the response
 
 	// Time and load.
 	Busy             Kind = "busy"
@@ -57,7 +57,7 @@
 	// The control plane.
 	NoMajority     Kind = "no-majority"
 	UnknownOutcome Kind = "unknown-fate"
-	Corrupted      Kind = "damaged" // what is stored cannot be read
+	Corrupted      Kind = "damaged" // stored data cannot be read
 	DiskFailed     Kind = "disk-failed"
 	Internal       Kind = "internal"
 )
@@ -97,7 +97,7 @@
 	Internal:       http.StatusInternalServerError,
 }
 
-// Error is one failure. Invariant: Kind is one of the constants above.
+// Error is the typed error. Invariant: Kind is one of the constants above.
 type Error struct {
 	Kind       Kind    `json:"defect"`
 	Outcome    Outcome `json:"fate"`
@@ -105,18 +105,19 @@
 	Path       string  `json:"path,omitempty"`
 	RetryAfter float64 `json:"retryAfterS,omitempty"` // seconds
 	Faults     []Fault `json:"faults,omitempty"`
-	// CurrentRevision is, at a conflict, the present revision: 0 when there is none yet.
+	// CurrentRevision is the current revision in case of a conflict; 0 means that the object does
+	// not exist yet.
 	CurrentRevision *uint64 `json:"revision,omitempty"`
 	cause           error
 }
 
-// Fault is one fault of an input, at the path of a field.
+// Fault is an invalid field of an input, with the path of the field.
 type Fault struct {
 	Path    string `json:"path"`
 	Message string `json:"note"`
 }
 
-// Error returns the kind, the note and all faults.
+// Error returns the kind, the message and all faults.
 func (e *Error) Error() string {
 	text := string(e.Kind)
 	if e.Message != "" {
@@ -128,7 +129,7 @@
 	return text
 }
 
-// Status is the HTTP status for the failure.
+// Status returns the HTTP status of the failure.
 func (e *Error) Status() int {
 	if code, ok := statusByKind[e.Kind]; ok {
 		return code
@@ -136,20 +137,21 @@
 	return http.StatusInternalServerError
 }
 
-// New makes an error of an operation that was certainly not executed.
+// New returns an error for an operation that was certainly not executed.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Outcome: NotExecuted, Message: fmt.Sprintf(format, args...)}
 }
 
-// NewUnknown makes an error of an operation that may have been executed.
+// NewUnknown returns an error for an operation that may have been executed.
 func NewUnknown(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Outcome: OutcomeUnknown, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter sets after how many seconds the client may retry.
+// WithRetryAfter sets the number of seconds after which the client may retry, and returns e.
 func (e *Error) WithRetryAfter(seconds float64) *Error { e.RetryAfter = seconds; return e }
 
-// From finds the typed error within an error, or wraps it as internal with an unknown outcome.
+// From returns the typed error in the chain of err. If the chain contains no typed error, From
+// returns an Internal error with an unknown outcome and the text of err.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -161,17 +163,17 @@
 	return NewUnknown(Internal, "%s", err.Error())
 }
 
-// Unwrap returns the cause, nil if there is none.
+// Unwrap returns the cause, or nil if the error has no cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Wrap returns an error of another library as a typed one, with a kind and a trace; the outcome is
-// unknown. It returns nil for a nil error.
-func Wrap(err error, kind Kind, note string) error {
+// Wrap returns a typed error of the given kind, with err as the cause, a trace and an unknown
+// outcome. It returns nil if err is nil.
+func Wrap(err error, kind Kind, message string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Message: note + ": " + err.Error(), cause: err})
+	return errors.Trace(&Error{Kind: kind, Outcome: OutcomeUnknown, Message: message + ": " + err.Error(), cause: err})
 }
 
-// As finds the typed error within an error, as errors.As does.
+// As finds the typed error in the chain of err, like errors.As.
 func As(err error, target **Error) bool { return errors.As(err, target) }
--- a/base/hashing/hashing.go
+++ b/base/hashing/hashing.go
@@ -1,8 +1,8 @@
-// Package hashing spreads the bits of 64-bit hashes. FNV-1a of short texts leaves its high bits
-// nearly equal; mixed, all bits may be used.
+// Package hashing mixes the bits of 64-bit hashes. FNV-1a hashes of short strings have nearly equal
+// high bits; after mixing, all bits may be used.
 package hashing
 
-// Multipliers of the 64-bit finalizer of MurmurHash3.
+// The multipliers of MurmurHash3's 64-bit finalizer.
 const (
 	firstMultiplier  = 0xff51afd7ed558ccd
 	secondMultiplier = 0xc4ceb9fe1a85ec53
--- a/base/ident/clock_test.go
+++ b/base/ident/clock_test.go
@@ -10,9 +10,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// No package of the daemons reads the wall clock as a number, so a wall clock that jumps,
-// also back, changes no id, no order and no wait. Steps read no clock at all.
-func TestNobodyReadsTheWallClock(t *testing.T) {
+// No package of the daemons converts the wall clock to a number, so a wall clock that jumps forward
+// or back affects no ID, order or timeout. The folders control, mesh and storage, which hold the
+// step functions, read no clock at all.
+func TestNoPackageReadsTheWallClock(t *testing.T) {
 	wallClockRead := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)`)
 	clockRead := regexp.MustCompile(`time\.(Now|Since|Until)\(`)
 	filesRead := 0
--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// IDs made at the same time differ, as no clock is read for them.
+// IDs created at the same time differ, because they do not depend on a clock.
 func TestIDsAreUniqueWithoutAClock(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10000 {
--- a/base/metrics/metrics.go
+++ b/base/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps named counters and gauges. What happens often is counted here, not
-// logged.
+// Package metrics provides named counters and gauges. Frequent events are counted in metrics instead
+// of being logged.
 package metrics
 
 import (
@@ -7,19 +7,19 @@
 	"sync/atomic"
 )
 
-// Registry is a set of named counters and gauges; any goroutine may use it.
+// Registry is a set of named counters and gauges. It is safe for concurrent use.
 type Registry struct {
 	mu       sync.RWMutex
 	counters map[string]*atomic.Int64
-	// BeforeSnapshot, when set, is called by Snapshot so that gauges are up to date. It is set
-	// before the registry is shared.
+	// BeforeSnapshot, if set, is called by Snapshot to update gauges. BeforeSnapshot must be set
+	// before the registry is shared between goroutines.
 	BeforeSnapshot func()
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry { return &Registry{counters: map[string]*atomic.Int64{}} }
 
-// Counter returns the counter of a name, and makes it when it is new.
+// Counter returns the counter or gauge with the given name, and creates it if it does not exist.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.RLock()
 	counter := r.counters[name]
@@ -36,13 +36,13 @@
 	return counter
 }
 
-// Add adds to a counter.
+// Add adds delta to a counter.
 func (r *Registry) Add(name string, delta int64) { r.Counter(name).Add(delta) }
 
-// Set sets a gauge.
+// Set sets a gauge to value.
 func (r *Registry) Set(name string, value int64) { r.Counter(name).Store(value) }
 
-// Snapshot reads all counters and gauges, by their names.
+// Snapshot returns the values of all counters and gauges by name.
 func (r *Registry) Snapshot() map[string]int64 {
 	if r.BeforeSnapshot != nil {
 		r.BeforeSnapshot()
--- a/base/monotime/monotime.go
+++ b/base/monotime/monotime.go
@@ -1,5 +1,5 @@
-// Package monotime is monotonic time. Times of two processes cannot be compared: safety rests on
-// no agreement of clocks.
+// Package monotime provides monotonic time. Times of different processes are not comparable, so no
+// safety property may depend on synchronized clocks.
 package monotime
 
 import (
@@ -9,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a reading of one process's monotonic clock, in nanoseconds.
+// Time is a reading of the monotonic clock of one process, in nanoseconds.
 type Time int64
 
-// Duration is a length of monotonic time.
+// Duration is the difference between two monotonic times.
 type Duration = time.Duration
 
 // Add returns the time that is d later.
 func (t Time) Add(d Duration) Time { return t + Time(d) }
 
-// Since is the time that passed from earlier to t.
+// Since returns the time elapsed from earlier to t.
 func (t Time) Since(earlier Time) Duration { return Duration(t - earlier) }
 
 // After reports whether t is later than other.
@@ -27,15 +27,15 @@
 // Clock reads the monotonic time of one process.
 type Clock func() Time
 
-// ProcessClock returns a clock of this process; it starts at one second so that the zero Time
-// always means "never". Unlike the monotonic clock of package time it goes on while the machine
-// is suspended: to the process that looks like any other pause.
+// ProcessClock returns a clock of this process. The clock starts at one second, so that the zero
+// Time always means "never". Unlike the monotonic clock of package time, the clock keeps advancing
+// while the machine is suspended, so a suspension looks like any other pause of the process.
 func ProcessClock() Clock {
 	start := readBootTime()
 	return func() Time { return readBootTime() - start + Time(time.Second) }
 }
 
-// readBootTime reads the time since the machine started, suspension included.
+// readBootTime returns the time since the machine booted, including time spent suspended.
 func readBootTime() Time {
 	var reading unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading) != nil {
@@ -44,16 +44,16 @@
 	return Time(reading.Nano())
 }
 
-// StepLimiter follows a clock by bounded steps. Invariant: between two readings it advances by
-// MaxStep at most, however far the clock moved; so a clock that jumps forward, or a pause of the
-// process, makes a wait look longer than it was by MaxStep at most.
+// StepLimiter follows a clock in bounded steps. Invariant: between two readings, the limited time
+// advances by at most MaxStep, however far the clock moved; so a clock that jumps forward, or a
+// pause of the process, makes a wait look at most MaxStep longer than the wait was.
 type StepLimiter struct {
 	lastReading Time
-	observed    Time // the limited time as last returned
+	observed    Time // the most recently returned limited time
 }
 
-// MaxStep is the most that the limited time advances between two readings. It is far below every margin that a lease leaves,
-// and far above the time between two ticks of a loop.
+// MaxStep is the largest advance of the limited time between two readings. MaxStep is far below
+// every safety margin of a lease, and far above the time between two ticks of a loop.
 const MaxStep = 100 * time.Millisecond
 
 // Observe takes a reading of the clock and returns the limited time.
@@ -68,7 +68,8 @@
 	return l.observed
 }
 
-// LimitSteps returns a clock that follows another by bounded steps; any goroutine may read it.
+// LimitSteps returns a clock that follows clock in bounded steps. The returned clock is safe for
+// concurrent use.
 func LimitSteps(clock Clock) Clock {
 	var mu sync.Mutex
 	var limiter StepLimiter
--- a/base/monotime/monotime_test.go
+++ b/base/monotime/monotime_test.go
@@ -7,14 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// Every order of four kinds of reading: the limited time is never ahead of the time that really
-// passed, but for one step a jump, and it never goes back.
+// For every sequence of four kinds of readings: the limited time exceeds the time that really
+// elapsed by at most MaxStep per forward jump, and never goes back.
 func TestAllOrdersOfJumps(t *testing.T) {
 	steps := []struct{ elapsed, shown time.Duration }{
 		{20 * time.Millisecond, 20 * time.Millisecond}, // a tick
 		{20 * time.Millisecond, 30 * time.Second},      // the clock jumps forward
 		{5 * time.Second, 5 * time.Second},             // the process is paused
-		{20 * time.Millisecond, -time.Second},          // a clock that goes back
+		{20 * time.Millisecond, -time.Second},          // the clock goes back
 	}
 	for order := range 256 {
 		var limiter StepLimiter
@@ -35,7 +35,7 @@
 	}
 }
 
-// The process's clock moves on and never reads "never".
+// The process clock never goes back and never returns the zero Time, which means "never".
 func TestProcessClock(t *testing.T) {
 	clock := ProcessClock()
 	first := clock()
--- a/base/queue/queue.go
+++ b/base/queue/queue.go
@@ -1,14 +1,14 @@
-// Package queue is a bounded queue between goroutines.
+// Package queue implements a bounded queue between goroutines.
 package queue
 
-// Queue passes items between goroutines. Invariant: it never holds more than its size; a
+// Queue passes items between goroutines. Invariant: a queue never holds more items than its size; a
 // full queue rejects items instead of growing.
 type Queue[T any] struct{ items chan T }
 
-// New makes a queue that holds up to size items.
+// New returns a queue that holds up to size items.
 func New[T any](size int) *Queue[T] { return &Queue[T]{items: make(chan T, size)} }
 
-// TryPut puts an item in, or returns false at once when the queue is full.
+// TryPut appends an item. It returns false without waiting if the queue is full.
 func (q *Queue[T]) TryPut(item T) bool {
 	select {
 	case q.items <- item:
@@ -18,7 +18,7 @@
 	}
 }
 
-// Put puts an item in, waiting for room; it returns false when done closes first.
+// Put appends an item, and waits while the queue is full. It returns false if done is closed first.
 func (q *Queue[T]) Put(item T, done <-chan struct{}) bool {
 	select {
 	case q.items <- item:
@@ -28,16 +28,17 @@
 	}
 }
 
-// Out is the channel that items are received from. It is never closed.
+// Out returns the channel from which items are received. The channel is never closed.
 func (q *Queue[T]) Out() <-chan T { return q.items }
 
-// Len is the number of items that are held now.
+// Len returns the number of queued items.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Free is the number of items that there is room for now.
+// Free returns the number of items that can be appended before the queue is full.
 func (q *Queue[T]) Free() int { return cap(q.items) - len(q.items) }
 
-// Drain appends items without waiting until there are limit of them, or the queue is empty.
+// Drain moves queued items to items, without waiting, until items has limit elements or the queue is
+// empty.
 func (q *Queue[T]) Drain(items []T, limit int) []T {
 	for len(items) < limit {
 		select {
