--- a/control/coordination/keyspace/keyspace_test.go
+++ b/control/coordination/keyspace/keyspace_test.go
@@ -180,8 +180,8 @@
 	must.Len(t, 49, changes.Events)
 }
 
-// While the history is full, puts are rejected and unexpired history is kept. Puts are accepted again
-// once the history has expired.
+// While the history is full, puts are rejected and unexpired history is kept. Puts are accepted
+// again once the history has expired.
 func TestFullHistoryRejectsPuts(t *testing.T) {
 	f := newFixture(0)
 	big := string(make([]byte, 1000))
@@ -238,8 +238,8 @@
 	must.Less(t, 800*40, len(f.value))
 }
 
-// A put whose value equals an expired put that is not dropped yet is not taken for a repeat. An entry
-// that returns to a value from before the history gets one new revision, also under another
+// A put whose value equals an expired put that is not dropped yet is not taken for a repeat. An
+// entry that returns to a value from before the history gets one new revision, also under another
 // proposer.
 func TestExpiredValueIsPutAgain(t *testing.T) {
 	f := newFixture(time.Second)
@@ -317,8 +317,8 @@
 }
 
 // A repeat of an accepted put returns the revision of the first put as long as the put is in the
-// history, whatever puts came between, also under new proposers. After that, the repeat is a new put:
-// accepted without a required revision, rejected with a required revision.
+// history, whatever puts came between, also under new proposers. After that, the repeat is a new
+// put: accepted without a required revision, rejected with a required revision.
 func TestRepeatedPutAfterManyPuts(t *testing.T) {
 	const puts, history = 1000, 25 * time.Second
 	f := newFixture(history)
--- a/control/coordination/keyspace/record.go
+++ b/control/coordination/keyspace/record.go
@@ -12,8 +12,8 @@
 )
 
 // putRecord is one put in the decoded state. Invariants: firstSeen is when this term first knew of
-// the put, so the put is at least as old as firstSeen indicates; superseded means that a later put of
-// the same entry exists; encoded is the stored form, [name, value, revision].
+// the put, so the put is at least as old as firstSeen indicates; superseded means that a later put
+// of the same entry exists; encoded is the stored form, [name, value, revision].
 type putRecord struct {
 	name       string
 	value      json.RawMessage
--- a/control/coordination/quota/join.go
+++ b/control/coordination/quota/join.go
@@ -23,8 +23,8 @@
 	maxReportedEpoch ident.LeaseEpoch = 1 << 62
 )
 
-// Joiner is one node of a batch. A node that joins again with the same run gets the same lease epoch,
-// however many requests the node sends and to however many cores.
+// Joiner is one node of a batch. A node that joins again with the same run gets the same lease
+// epoch, however many requests the node sends and to however many cores.
 type Joiner struct {
 	Node ident.Node `json:"node"`
 	// Run identifies the run of the node's sidecar; empty if the sidecar sends no run.
@@ -47,8 +47,8 @@
 	Share      Share            `json:"share"`
 }
 
-// join assigns to each node of a batch a lease epoch above every earlier epoch, and grants the node a
-// share. All nodes are recorded first, so that the fair share takes all of them into account.
+// join assigns to each node of a batch a lease epoch above every earlier epoch, and grants the node
+// a share. All nodes are recorded first, so that the fair share takes all of them into account.
 func join(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := operation.DecodeAs[State, JoinArgs](rawState, rawArgs)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return highest
 }
 
-// isRepeat reports whether the node already has a lease epoch for the same run and the core that sent
-// the join knows of no higher epoch.
+// isRepeat reports whether the node already has a lease epoch for the same run and the core that
+// sent the join knows of no higher epoch.
 func (s State) isRepeat(joiner Joiner) bool {
 	grant, known := s.Nodes[joiner.Node]
 	return known && joiner.Run != "" && grant.Run == joiner.Run && grant.LeaseEpoch >= joiner.knownEpoch()
--- a/control/coordination/quota/join_test.go
+++ b/control/coordination/quota/join_test.go
@@ -75,8 +75,8 @@
 }
 
 // For any order of joins, takes, promises and releases, under any totals: a grant raises the sum of
-// the shares to no more than the smallest total, only a promise lowers a share, and the lease epoch of
-// a node only increases.
+// the shares to no more than the smallest total, only a promise lowers a share, and the lease epoch
+// of a node only increases.
 func TestBatchesNeverExceedTheTotal(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/control/coordination/quota/quota_test.go
+++ b/control/coordination/quota/quota_test.go
@@ -51,9 +51,10 @@
 	must.Eq(t, 200, FairShare(2000, 9))
 }
 
-// Cores with two totals serve the same nodes in any order. No grant raises the sum of the shares above
-// the smallest total of any grant, and a node that moves to the core with the larger total changes
-// nothing. The larger total applies once all nodes have new lease epochs under the larger total.
+// Cores with two totals serve the same nodes in any order. No grant raises the sum of the shares
+// above the smallest total of any grant, and a node that moves to the core with the larger total
+// changes nothing. The larger total applies once all nodes have new lease epochs under the larger
+// total.
 func TestSmallestTotalLimitsGrants(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/control/coordination/quota/state.go
+++ b/control/coordination/quota/state.go
@@ -10,8 +10,8 @@
 	smallTotalMaxShare = 6
 )
 
-// MaxShare returns the largest share that one node may hold of a total: a tenth, so that a small mesh
-// leaves room for joining nodes, or smallTotalMaxShare if larger.
+// MaxShare returns the largest share that one node may hold of a total: a tenth, so that a small
+// mesh leaves room for joining nodes, or smallTotalMaxShare if larger.
 func MaxShare(total int) int { return max(0, min(total, max(smallTotalMaxShare, total/10))) }
 
 // FairShare returns the share that each of the given number of nodes should hold of a total.
@@ -74,7 +74,8 @@
 	return smallest
 }
 
-// recordRequest stores the lease epoch, the total and the promise of a node without granting a share.
+// recordRequest stores the lease epoch, the total and the promise of a node without granting a
+// share.
 func (s State) recordRequest(args Args) {
 	grant, total := s.Nodes[args.Node], args.Total
 	if total == 0 {
@@ -90,8 +91,8 @@
 	s.Nodes[args.Node] = grant
 }
 
-// grantShare raises the share of a recorded node to the fair share, as far as the shares of the other
-// nodes allow.
+// grantShare raises the share of a recorded node to the fair share, as far as the shares of the
+// other nodes allow.
 func (s State) grantShare(node ident.Node) Share {
 	grant, total := s.Nodes[node], s.smallestTotal()
 	available, fair := total, FairShare(total, len(s.Nodes))
--- a/storage/ring/format.go
+++ b/storage/ring/format.go
@@ -117,8 +117,8 @@
 	return raw
 }
 
-// parseRecord parses the record at the start of raw. ok is false if there is no record or the checksum
-// does not match for the generation.
+// parseRecord parses the record at the start of raw. ok is false if there is no record or the
+// checksum does not match for the generation.
 func parseRecord(raw []byte, generation uint64) (record storedRecord, ok bool) {
 	if len(raw) < recordHeaderSize || binary.LittleEndian.Uint32(raw) != recordMagic {
 		return storedRecord{}, false
--- a/storage/ring/fuzz_test.go
+++ b/storage/ring/fuzz_test.go
@@ -33,9 +33,9 @@
 	return folder
 }
 
-// withChecksums fixes the checksum of every file header, and of every record that is reachable through
-// the lengths of the preceding records, so that the fuzzer also reaches the code behind the checksum
-// verification.
+// withChecksums fixes the checksum of every file header, and of every record that is reachable
+// through the lengths of the preceding records, so that the fuzzer also reaches the code behind the
+// checksum verification.
 func withChecksums(raw []byte) []byte {
 	raw = bytes.Clone(raw)
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
@@ -56,8 +56,8 @@
 	return raw
 }
 
-// holdsRecord reports whether an image holds the record at any offset, with a correct checksum for the
-// generation in the header of the same file.
+// holdsRecord reports whether an image holds the record at any offset, with a correct checksum for
+// the generation in the header of the same file.
 func holdsRecord(raw []byte, key string, data []byte) bool {
 	for start := 0; start+fileHeaderSize <= len(raw); start += int(fuzzOptions.FileSize) {
 		file := raw[start:min(len(raw), start+int(fuzzOptions.FileSize))]
--- a/storage/ring/memory_folder.go
+++ b/storage/ring/memory_folder.go
@@ -8,8 +8,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// MemoryFolder is a Folder in memory that can lose or tear unsynced writes, for tests and simulations
-// of a loss of power.
+// MemoryFolder is a Folder in memory that can lose or tear unsynced writes, for tests and
+// simulations of a loss of power.
 type MemoryFolder struct {
 	Files map[string]*MemoryFile
 	// BeforeOperation, if set, is called before each operation ("write", "sync" or "sync folder").
@@ -19,8 +19,8 @@
 	BytesRead, BytesWritten uint64
 }
 
-// MemoryFile is a file of a MemoryFolder. Invariant: durable holds only synced writes and the parts of
-// unsynced writes that survived a Crash; cached holds the contents that the process reads.
+// MemoryFile is a file of a MemoryFolder. Invariant: durable holds only synced writes and the parts
+// of unsynced writes that survived a Crash; cached holds the contents that the process reads.
 type MemoryFile struct {
 	folder     *MemoryFolder
 	nameSynced bool // the folder was synced after the file was created
@@ -101,8 +101,8 @@
 }
 
 // Crash simulates a loss of power. Of every unsynced write of n bytes, the first keep(n) bytes
-// survive. A file whose directory entry is not synced survives unless keep(1) is 0. Files are visited
-// in the order of their names. Crash resets BeforeOperation.
+// survive. A file whose directory entry is not synced survives unless keep(1) is 0. Files are
+// visited in the order of their names. Crash resets BeforeOperation.
 func (m *MemoryFolder) Crash(keep func(n int) int) {
 	for _, name := range slices.Sorted(maps.Keys(m.Files)) {
 		f := m.Files[name]
--- a/storage/ring/open.go
+++ b/storage/ring/open.go
@@ -37,9 +37,9 @@
 	return r, r.rotate()
 }
 
-// openFiles opens all files and makes their directory entries durable before anything is written. The
-// folder is synced even if all files existed, because a run that was killed may have created the files
-// without syncing the folder.
+// openFiles opens all files and makes their directory entries durable before anything is written.
+// The folder is synced even if all files existed, because a run that was killed may have created
+// the files without syncing the folder.
 func (r *Ring) openFiles(folder Folder) error {
 	for i := range r.options.FileCount {
 		file, err := folder.Open(fmt.Sprintf("ring-%03d", i), r.options.FileSize)
@@ -74,9 +74,9 @@
 	return newest
 }
 
-// checkNeverWritten checks that files without a valid header belong to a new ring. Only the header of
-// the first file may be torn. Records are written only after the header was synced, so a record whose
-// synced sequence number is set proves that a header existed and is corrupted.
+// checkNeverWritten checks that files without a valid header belong to a new ring. Only the header
+// of the first file may be torn. Records are written only after the header was synced, so a record
+// whose synced sequence number is set proves that a header existed and is corrupted.
 func (r *Ring) checkNeverWritten(headers []fileHeader) error {
 	for i, header := range headers {
 		if !header.blank && i != 0 {
@@ -86,8 +86,8 @@
 	return r.checkNoSyncedRecordLost(0, 1, fileHeaderSize)
 }
 
-// recover reads the files from the oldest to the newest, makes the records read durable, and completes
-// the move of live records if a crash interrupted the move.
+// recover reads the files from the oldest to the newest, makes the records read durable, and
+// completes the move of live records if a crash interrupted the move.
 func (r *Ring) recover(headers []fileHeader, newest int) error {
 	next := (newest + 1) % r.options.FileCount
 	r.generation = headers[newest].generation
@@ -126,8 +126,8 @@
 // to be overwritten.
 func (r *Ring) isOldest(age int) bool { return age == r.options.FileCount-1 }
 
-// oldestHeaderIsLost reports whether the header of the next file to be overwritten, which the previous
-// pass through the ring wrote, is missing or invalid.
+// oldestHeaderIsLost reports whether the header of the next file to be overwritten, which the
+// previous pass through the ring wrote, is missing or invalid.
 func (r *Ring) oldestHeaderIsLost(header fileHeader) bool {
 	files := uint64(r.options.FileCount)
 	return r.generation >= files && (!header.valid || header.generation != r.generation-files+1)
@@ -138,8 +138,8 @@
 	file := (newest - age + r.options.FileCount) % r.options.FileCount
 	header := headers[file]
 	if uint64(age) >= r.generation {
-		// The first pass through the ring had not reached this file; only the header of the next file
-		// to be written may be torn.
+		// The first pass through the ring had not reached this file; only the header of the next
+		// file to be written may be torn.
 		if !header.blank && !r.isOldest(age) {
 			return errHeaderCorrupted(file)
 		}
@@ -185,9 +185,9 @@
 	}
 }
 
-// scanFile reads the records of one file with sequence numbers below end, and keeps the newest record
-// of each key. For the newest file, end is unknownEnd, and scanFile checks that the bytes after the
-// last record are at most a torn tail.
+// scanFile reads the records of one file with sequence numbers below end, and keeps the newest
+// record of each key. For the newest file, end is unknownEnd, and scanFile checks that the bytes
+// after the last record are at most a torn tail.
 func (r *Ring) scanFile(file int, generation, end uint64) error {
 	reader := r.reader(file)
 	offset := int64(fileHeaderSize)
@@ -217,8 +217,8 @@
 }
 
 // checkNoSyncedRecordLost searches a file, from an offset after the last record read, for a record
-// that was written when a lost record was known to be synced. Such a record proves corruption: a torn
-// tail contains no such record.
+// that was written when a lost record was known to be synced. Such a record proves corruption: a
+// torn tail contains no such record.
 func (r *Ring) checkNoSyncedRecordLost(file int, generation uint64, from int64) error {
 	reader := r.reader(file)
 	if err := reader.loadToEndOfWrites(from); err != nil {
--- a/storage/ring/ring.go
+++ b/storage/ring/ring.go
@@ -1,6 +1,6 @@
 // Package ring implements a circular log of keyed records in a fixed set of preallocated files, and
-// keeps the newest record of each key. Before a file is overwritten, the live records of the file are
-// moved to the current file, so the log never grows and no index is stored. Opening a ring
+// keeps the newest record of each key. Before a file is overwritten, the live records of the file
+// are moved to the current file, so the log never grows and no index is stored. Opening a ring
 // distinguishes a torn tail, which a loss of power leaves, from corruption of synced data, which is
 // reported and never skipped.
 package ring
@@ -61,8 +61,8 @@
 }
 
 // Append writes records, which are durable only after Sync. It returns Oversize for a record that
-// never fits, and DiskFailed if the ring has no room or a write failed. If a record does not fit, the
-// records of the batch before that record stay appended.
+// never fits, and DiskFailed if the ring has no room or a write failed. If a record does not fit,
+// the records of the batch before that record stay appended.
 func (r *Ring) Append(batch []Record) error {
 	if r.fatalErr != nil {
 		return r.fatalErr
@@ -161,6 +161,6 @@
 func (r *Ring) MaxRecordSize() int64 { return r.options.FileSize / 2 }
 
 // maxLiveBytes returns the maximum total size of the live records. The maximum leaves room for the
-// current file, for the file whose records are being moved, and for as many superseded records as live
-// records.
+// current file, for the file whose records are being moved, and for as many superseded records as
+// live records.
 func (r *Ring) maxLiveBytes() int64 { return r.options.FileSize * int64(r.options.FileCount-2) / 2 }
--- a/storage/ring/ring_test.go
+++ b/storage/ring/ring_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// writeRecords appends 200 records, with a sync after one record in three on average, and returns the
-// records covered by the last successful sync. Values begin with an increasing number.
+// writeRecords appends 200 records, with a sync after one record in three on average, and returns
+// the records covered by the last successful sync. Values begin with an increasing number.
 func writeRecords(r *Ring, rng *rand.Rand, width int) (synced map[string]string, err error) {
 	synced, appended := map[string]string{}, map[string]string{}
 	for i := range 200 {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Simulates a loss of power at every write of a long run: synced records are never lost, and no older
-// value replaces a synced value.
+// Simulates a loss of power at every write of a long run: synced records are never lost, and no
+// older value replaces a synced value.
 func TestPowerLossAtEachWritePoint(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 2048}
 	for point := 1; point < 400; point++ {
@@ -206,9 +206,10 @@
 	}
 }
 
-// If a ring has written only one file and the header of that file is corrupted, Open returns an error
-// instead of initializing a new ring, so synced records are never lost without an error. A ring that
-// lost power while the first header was written holds no records, and is opened as a new ring.
+// If a ring has written only one file and the header of that file is corrupted, Open returns an
+// error instead of initializing a new ring, so synced records are never lost without an error. A
+// ring that lost power while the first header was written holds no records, and is opened as a new
+// ring.
 func TestCorruptFirstHeaderIsNotANewRing(t *testing.T) {
 	options := Options{FileCount: 4, FileSize: 4096}
 	for offset := range int64(fileHeaderSize) {
@@ -315,8 +316,8 @@
 	must.Error(t, err)
 }
 
-// OpenDiskFolder creates the data folder with its parents and excludes a second holder, and a ring in
-// the folder can be read back.
+// OpenDiskFolder creates the data folder with its parents and excludes a second holder, and a ring
+// in the folder can be read back.
 func TestDiskFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "made", "here")
 	for start := range 3 {
