--- a/control/leasetable/attemptcounts.go
+++ b/control/leasetable/attemptcounts.go
@@ -9,12 +9,12 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// attemptCounts counts by service how attempts ended.
+// attemptCounts holds the number of completed and failed attempts per service.
 type attemptCounts map[ident.Service]reconcile.CallCounts
 
-// addGrowth adds the increase of each count from previous to current. A count that fell comes from
-// a process that was restarted, and adds nothing.
-func (counts attemptCounts) addGrowth(previous, current attemptCounts) {
+// addIncrease adds the increase of each count from previous to current. A decreased count means
+// that the reporting process restarted; such a service is skipped.
+func (counts attemptCounts) addIncrease(previous, current attemptCounts) {
 	for service, count := range current {
 		old := previous[service]
 		if count.Total < old.Total || count.Failed < old.Failed {
@@ -29,12 +29,12 @@
 }
 
 // attemptTotals sums the attempts of all sidecars since this core started. Invariants: local is
-// counted from the renewals at this core, all from these and from the other cores' local totals;
-// the first totals of another core's run are only a baseline.
+// computed from the renewals at this core, all from these renewals and the local totals of the
+// other cores; the first totals that an instance of another core reports serve only as a baseline.
 type attemptTotals struct {
 	local, all attemptCounts
-	reported   map[ident.Addr]attemptCounts // the local totals that other cores last reported
-	instances  map[ident.Addr]string        // the instance IDs of those cores
+	reported   map[ident.Addr]attemptCounts // latest local totals reported by each other core
+	instances  map[ident.Addr]string        // instance ID of each other core
 }
 
 func newAttemptTotals() attemptTotals {
@@ -46,8 +46,9 @@
 	}
 }
 
-// countAttempts adds the increase of a sidecar's counts since its last renewal here. A new lease
-// begins at 0; the counts of a sidecar that has not renewed here lately are only a baseline.
+// countAttempts adds the increase of a sidecar's counts since its last renewal at this core. The
+// counts of a new lease start at 0. If the last renewal at this core is older than LeaseTTL, the
+// counts serve only as a baseline.
 func (t *Table) countAttempts(now monotime.Time, e *entry, renewal record.Renewal) {
 	if renewal.AttemptCounts == nil {
 		return
@@ -57,31 +58,32 @@
 		old = attemptCounts{}
 	}
 	if old != nil && e.renewedWithin(now, LeaseTTL) {
-		t.totals.local.addGrowth(old, renewal.AttemptCounts)
-		t.totals.all.addGrowth(old, renewal.AttemptCounts)
+		t.totals.local.addIncrease(old, renewal.AttemptCounts)
+		t.totals.all.addIncrease(old, renewal.AttemptCounts)
 	}
 	e.attemptCounts = renewal.AttemptCounts
 }
 
-// AttemptCounts sums how the attempts at a service ended, over all sidecars, since this core
+// AttemptCounts returns the attempt counts of a service, summed over all sidecars since this core
 // started.
 func (t *Table) AttemptCounts(service ident.Service) reconcile.CallCounts {
 	return t.totals.all[service]
 }
 
-// LocalAttemptCounts returns the same for all services over the renewals at this core only, which
-// its heartbeats carry to the other cores.
+// LocalAttemptCounts returns the attempt counts of all services, summed over the renewals at this
+// core only. The heartbeats of this core carry these counts to the other cores.
 func (t *Table) LocalAttemptCounts() map[ident.Service]reconcile.CallCounts {
 	return maps.Clone(t.totals.local)
 }
 
-// AddRemoteAttemptCounts takes the LocalAttemptCounts of another core; instance names its run.
+// AddRemoteAttemptCounts adds the increase of another core's LocalAttemptCounts. The instance ID
+// changes when that core restarts.
 func (t *Table) AddRemoteAttemptCounts(from ident.Addr, instance string, counts map[ident.Service]reconcile.CallCounts) {
 	if counts == nil {
 		return
 	}
 	if t.totals.instances[from] == instance {
-		t.totals.all.addGrowth(t.totals.reported[from], counts)
+		t.totals.all.addIncrease(t.totals.reported[from], counts)
 	}
 	t.totals.instances[from], t.totals.reported[from] = instance, counts
 }
--- a/control/leasetable/feed.go
+++ b/control/leasetable/feed.go
@@ -8,7 +8,7 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Config returns the newest configuration that this core knows, nil if there is none.
+// Config returns the newest configuration that this core knows, or nil if it knows none.
 func (t *Table) Config() *validation.Config { return t.config }
 
 func (t *Table) configRevision() ident.ConfigRevision {
@@ -18,8 +18,9 @@
 	return t.config.Revision
 }
 
-// SetConfig adopts a configuration, and reports whether it is newer than the present one. A set
-// whose records do not change keeps its feed version; it only carries the newer revision from now on.
+// SetConfig applies a configuration if its revision is newer than the current one, and reports
+// whether it did. A set whose records do not change keeps its feed version; only its
+// ConfigRevision is updated.
 func (t *Table) SetConfig(config *validation.Config) bool {
 	if t.config != nil && config.Revision <= t.config.Revision {
 		return false
@@ -33,18 +34,19 @@
 			e.set.ConfigRevision = config.Revision
 			continue
 		}
-		t.rebuild(e)
+		t.rebuildRecords(e)
 	}
 	return true
 }
 
-// sameRecord reports whether two records that were built from one report are the same.
+// sameRecord reports whether two records built from the same report are equal. A configuration can
+// only change which workloads have records and the namespace of a record.
 func sameRecord(a, b record.Address) bool {
 	return a.Workload != nil && b.Workload != nil && a.Workload.UID == b.Workload.UID && a.Workload.Namespace == b.Workload.Namespace
 }
 
-// rebuild builds the records of a sidecar again, under the next feed version.
-func (t *Table) rebuild(e *entry) {
+// rebuildRecords rebuilds the records of a sidecar and assigns the next feed version to its set.
+func (t *Table) rebuildRecords(e *entry) {
 	t.feedVersion++
 	e.feedVersion = t.feedVersion
 	e.set = record.Set{
@@ -57,10 +59,10 @@
 	}
 }
 
-// FeedVersion returns the version of the newest change.
+// FeedVersion returns the feed version of the newest change to any set.
 func (t *Table) FeedVersion() uint64 { return t.feedVersion }
 
-// ChangesSince returns the sets that changed after a feed version of this table.
+// ChangesSince returns the sets that changed after the given feed version of this table.
 func (t *Table) ChangesSince(version uint64) []record.Set {
 	sets := []record.Set{}
 	if t.feedVersion <= version {
--- a/control/leasetable/members.go
+++ b/control/leasetable/members.go
@@ -5,21 +5,21 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// Member is one sidecar as this core sees it.
+// Member describes one sidecar as known to this core.
 type Member struct {
 	Node       ident.Node       `json:"node"`
 	Addr       ident.Addr       `json:"addr"`
 	Zone       ident.Zone       `json:"district"`
 	LeaseEpoch ident.LeaseEpoch `json:"claim"`
-	// ConfigRevision is that of the sidecar's last renewal here, or of the last update from its
-	// registrar.
+	// ConfigRevision is the configuration revision in the sidecar's last renewal at this core, or
+	// in the last update from its registrar.
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	Ready          bool                 `json:"ready"`
 	Lapsed         bool                 `json:"lapsed"`
 	Servers        int                  `json:"servers"`
 }
 
-// Members lists the sidecars by name.
+// Members returns all known sidecars in order of node name.
 func (t *Table) Members() []Member {
 	members := []Member{}
 	for _, node := range t.order {
@@ -38,7 +38,7 @@
 	return members
 }
 
-// LeaseEpoch returns the epoch of the newest lease of a sidecar that is known here, 0 if none.
+// LeaseEpoch returns the epoch of the newest known lease of a sidecar, or 0 if there is none.
 func (t *Table) LeaseEpoch(node ident.Node) ident.LeaseEpoch {
 	if e := t.entries[node]; e != nil {
 		return e.report.LeaseEpoch
@@ -46,7 +46,7 @@
 	return 0
 }
 
-// LiveCount counts the sidecars whose lease holds.
+// LiveCount returns the number of sidecars whose lease has not lapsed.
 func (t *Table) LiveCount() (count int) {
 	for _, e := range t.entries {
 		if !e.lapsed {
@@ -56,7 +56,8 @@
 	return count
 }
 
-// SilentNodes returns those of the given sidecars that were not heard of within SilenceTimeout.
+// SilentNodes returns the given sidecars that no core is known to have heard from within
+// SilenceTimeout.
 func (t *Table) SilentNodes(now monotime.Time, nodes []ident.Node) []ident.Node {
 	var silent []ident.Node
 	for _, node := range nodes {
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -9,22 +9,23 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// leaseVersion identifies the newest report that a registrar has of one sidecar.
+// leaseVersion identifies the newest report that a registrar has received from one sidecar.
 type leaseVersion struct {
 	epoch ident.LeaseEpoch
 	seq   uint64
 }
 
-// hash is the hash of an entry of a registrar's list.
+// hash returns the hash of one entry of a registrar's list. Cores of different releases compare
+// sums of these hashes, so the hashed text must not change.
 func (v leaseVersion) hash(node ident.Node) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%d", node, v.epoch, v.seq)
 	return hashing.Mix(hash.Sum64())
 }
 
-// registrar is one core with the list of the sidecars that renew at it. Invariants: sum is the
-// exclusive or of the hashes of the list's entries, by which two cores compare their copies of it;
-// lastHeard is when the list was last confirmed to be current.
+// registrar is the list of the sidecars that renew at one core. Invariants: checksum is the XOR of
+// the hashes of the list's entries, with which two cores compare their copies of the list;
+// lastHeard is the time at which the list was last confirmed to be current.
 type registrar struct {
 	leases    map[ident.Node]leaseVersion
 	checksum  uint64
@@ -46,14 +47,14 @@
 	}
 }
 
-// has reports whether a sidecar is on the list.
-func (r *registrar) has(node ident.Node) bool {
+// contains reports whether the list contains a sidecar.
+func (r *registrar) contains(node ident.Node) bool {
 	_, ok := r.leases[node]
 	return ok
 }
 
-// keepsAlive reports whether the list was confirmed within LeaseTTL and holds the sidecar under
-// that lease.
+// keepsAlive reports whether the list was confirmed within LeaseTTL and contains the sidecar with
+// the given lease epoch.
 func (r *registrar) keepsAlive(now monotime.Time, node ident.Node, leaseEpoch ident.LeaseEpoch) bool {
 	version, ok := r.leases[node]
 	return ok && version.epoch == leaseEpoch && now.Since(r.lastHeard) <= LeaseTTL
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -1,10 +1,11 @@
-// Package leasetable is a core's table of the sidecars' leases: which sidecar renews, at which
-// core, and what it reports of its machine. The table is kept in memory only; the cores bring
-// each other's up to date.
+// Package leasetable implements the table of sidecar leases that each core keeps: which sidecars
+// renew, at which core, and what each sidecar reports about its machine. The table is kept in
+// memory only; cores replicate their part of the table to each other.
 //
-// A core is the registrar of the sidecars that renew at it. It sends the other cores what changes
-// on its list, and with each heartbeat the list's checksum, by which they know that all sidecars
-// on it are alive. A Table is a step function: it does no I/O and reads no clock.
+// A core is the registrar of the sidecars that renew at it. A registrar sends changes of its list
+// to the other cores. Each of its heartbeats carries the checksum of the list; a matching checksum
+// confirms that all sidecars on the list are alive. A Table is deterministic: it does no I/O and
+// does not read the clock.
 package leasetable
 
 import (
@@ -20,78 +21,80 @@
 )
 
 const (
-	// LeaseTTL is how long a lease holds without renewal.
+	// LeaseTTL is the time after the last renewal at which a lease lapses.
 	LeaseTTL = 1500 * time.Millisecond
-	// LapsedRetention is how long the records of a lapsed lease are still shown, as lapsed.
+	// LapsedRetention is how long after the last contact the records of a sidecar with a lapsed
+	// lease are still returned, marked as lapsed.
 	LapsedRetention = 60 * time.Second
-	// SilenceTimeout is how long a sidecar must be silent before its share of the retry budget may
-	// be taken back.
+	// SilenceTimeout is how long no core may have heard from a sidecar before the sidecar's share
+	// of the retry budget may be reclaimed.
 	SilenceTimeout = 30 * time.Second
-	// expiryCheckInterval is how often Tick looks for leases that lapsed.
+	// expiryCheckInterval is the interval at which Tick checks for lapsed leases.
 	expiryCheckInterval = 50 * time.Millisecond
-	// maxTrackedRenewals bounds, for each lease, the renewals that are tracked until a majority
-	// knows of them.
+	// maxTrackedRenewals bounds the renewals per lease that are tracked until a majority
+	// acknowledges them.
 	maxTrackedRenewals = 16
 )
 
-// trackedRenewal is a renewal at this core, and the number of the first heartbeat that announces it.
+// trackedRenewal is the number of a renewal at this core together with the sequence number of the
+// first heartbeat that announces the renewal.
 type trackedRenewal struct {
 	number, heartbeat uint64
 }
 
-// entry is one sidecar. Invariants: lastRenewal is the last renewal at this core; lastHeard
-// is the last recorded sign of life from another core; registrar is another core that lists the
-// sidecar, nil if none is known to.
+// entry is the table's state of one sidecar. Invariants: lastRenewal is the time of the last
+// renewal at this core; lastHeard is the latest recorded time at which the sidecar is known to
+// have been alive; registrar is another core that lists the sidecar, nil if none is known.
 type entry struct {
 	report        record.Report
 	lastHeard     monotime.Time
 	lastRenewal   monotime.Time
 	registrar     *registrar
 	lapsed        bool
-	feedVersion   uint64 // of the change at which set was built
+	feedVersion   uint64 // feed version at which set was built
 	set           record.Set
 	renewals      []trackedRenewal
 	attemptCounts map[ident.Service]reconcile.CallCounts
 }
 
-// renewedWithin reports whether the sidecar renewed at this core within a time span before now.
+// renewedWithin reports whether the sidecar renewed at this core within the given time before now.
 func (e *entry) renewedWithin(now monotime.Time, span time.Duration) bool {
 	return e.lastRenewal != 0 && now.Since(e.lastRenewal) <= span
 }
 
-// hasVersion reports whether the report is that of a lease and a Seq.
+// hasVersion reports whether the report has the given lease epoch and Seq.
 func (e *entry) hasVersion(leaseEpoch ident.LeaseEpoch, seq uint64) bool {
 	return e.report.LeaseEpoch == leaseEpoch && e.report.Seq == seq
 }
 
-// knowsNewer reports whether the report is newer than one of that lease and Seq.
-func (e *entry) knowsNewer(leaseEpoch ident.LeaseEpoch, seq uint64) bool {
+// isNewerThan reports whether the report is newer than a report with the given lease epoch and Seq.
+func (e *entry) isNewerThan(leaseEpoch ident.LeaseEpoch, seq uint64) bool {
 	return leaseEpoch < e.report.LeaseEpoch || leaseEpoch == e.report.LeaseEpoch && seq < e.report.Seq
 }
 
 // Table is the lease table of one core. Invariants: a report replaces only an older one of the
-// same sidecar; feedVersion rises with every change of a record; order lists the entries by
-// name.
+// same sidecar; feedVersion increases with every change of a record; order holds the keys of
+// entries, sorted.
 type Table struct {
 	entries map[ident.Node]*entry
 	order   []ident.Node
 
 	config          *validation.Config
 	services        record.Set // built from the configuration
-	servicesVersion uint64     // of the change at which services was built
+	servicesVersion uint64     // feed version at which services was built
 	feedVersion     uint64
 
 	lastCheck monotime.Time
 	totals    attemptTotals
 
-	local             *registrar          // the list of this core
-	pendingUpdates    map[ident.Node]bool // changed on that list since the last PendingUpdate
-	announcedChecksum uint64              // of that list at the last PendingUpdate
-	lastHeartbeat     uint64              // the number of the last heartbeat that was sent
+	local             *registrar          // list of this core
+	pendingUpdates    map[ident.Node]bool // sidecars changed in local since the last PendingUpdate
+	announcedChecksum uint64              // checksum of local at the last PendingUpdate
+	lastHeartbeat     uint64              // sequence number of the last heartbeat sent
 	registrars        map[ident.Addr]*registrar
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{
 		entries:        map[ident.Node]*entry{},
@@ -102,7 +105,7 @@
 	}
 }
 
-// entry finds or makes the entry of a sidecar.
+// entry returns the entry of a sidecar, creating it if necessary.
 func (t *Table) entry(node ident.Node) *entry {
 	e := t.entries[node]
 	if e == nil {
@@ -116,29 +119,29 @@
 
 // RenewalResult is the result of a renewal.
 type RenewalResult struct {
-	// Changed says that the sidecar's records changed.
+	// Changed is true if the sidecar's records changed.
 	Changed bool
-	// ReportRequired says that the renewal had no effect, as it came without the report that this
-	// core lacks.
+	// ReportRequired is true if the renewal had no effect because it carried no report and this
+	// core does not have the report.
 	ReportRequired bool
 }
 
-// Renew applies a renewal. Conflict says that its lease is superseded by a newer one.
+// Renew applies a renewal. It fails with Conflict if a newer lease supersedes the renewed lease.
 func (t *Table) Renew(now monotime.Time, renewal record.Renewal) (RenewalResult, *failure.Error) {
 	e := t.entries[renewal.Node]
 	switch {
 	case e != nil && renewal.LeaseEpoch < e.report.LeaseEpoch:
 		return RenewalResult{}, failure.New(failure.Conflict,
 			"lease epoch %d of %s is superseded by %d", renewal.LeaseEpoch, renewal.Node, e.report.LeaseEpoch)
-	case e != nil && e.knowsNewer(renewal.LeaseEpoch, renewal.Seq):
-		return RenewalResult{}, nil // late: a renewal with a newer report was applied before
+	case e != nil && e.isNewerThan(renewal.LeaseEpoch, renewal.Seq):
+		return RenewalResult{}, nil // delayed: a renewal with a newer report was applied before
 	case renewal.Report == nil && (e == nil || !e.hasVersion(renewal.LeaseEpoch, renewal.Seq)):
 		return RenewalResult{ReportRequired: true}, nil
 	}
 	e = t.entry(renewal.Node)
 	t.countAttempts(now, e, renewal)
-	firstHeard := e.lastRenewal == 0 && e.lastHeard == 0
-	changed := firstHeard || e.lapsed || !e.hasVersion(renewal.LeaseEpoch, renewal.Seq)
+	isNew := e.lastRenewal == 0 && e.lastHeard == 0
+	changed := isNew || e.lapsed || !e.hasVersion(renewal.LeaseEpoch, renewal.Seq)
 	if renewal.LeaseEpoch != e.report.LeaseEpoch {
 		e.renewals = nil
 	}
@@ -151,12 +154,13 @@
 	e.track(trackedRenewal{number: renewal.Number, heartbeat: t.lastHeartbeat + 1})
 	t.register(renewal.Node, leaseVersion{renewal.LeaseEpoch, renewal.Seq})
 	if changed {
-		t.rebuild(e)
+		t.rebuildRecords(e)
 	}
 	return RenewalResult{Changed: changed}, nil
 }
 
-// track records a renewal, so that AcknowledgedRenewal can return it once a majority knows of it.
+// track records a renewal, so that AcknowledgedRenewal can return its number once a majority has
+// acknowledged a heartbeat that announces the renewal.
 func (e *entry) track(renewal trackedRenewal) {
 	e.renewals = append(e.renewals, renewal)
 	if len(e.renewals) > maxTrackedRenewals {
@@ -164,7 +168,8 @@
 	}
 }
 
-// Tick lets leases lapse that were not renewed in time, and reports whether any record changed.
+// Tick updates which leases have lapsed, and drops the workloads of lapsed sidecars that were not
+// heard from for longer than LapsedRetention. Tick reports whether any record changed.
 func (t *Table) Tick(now monotime.Time) (changed bool) {
 	if now.Since(t.lastCheck) < expiryCheckInterval {
 		return false
@@ -172,23 +177,23 @@
 	t.lastCheck = now
 	for _, node := range t.order {
 		e := t.entries[node]
-		if t.local.has(node) && now.Since(e.lastRenewal) > LeaseTTL {
+		if t.local.contains(node) && now.Since(e.lastRenewal) > LeaseTTL {
 			t.unregister(node)
 		}
 		if holds := t.leaseHolds(now, node, e); holds == e.lapsed {
 			e.lapsed, changed = !holds, true
-			t.rebuild(e)
+			t.rebuildRecords(e)
 		}
 		if e.lapsed && len(e.report.Workloads) > 0 && now.Since(e.lastHeard) > LapsedRetention {
 			e.report.Workloads, changed = nil, true
-			t.rebuild(e)
+			t.rebuildRecords(e)
 		}
 	}
 	return changed
 }
 
-// leaseHolds reports whether a lease holds: the sidecar renewed here, or another registrar keeps it
-// alive.
+// leaseHolds reports whether a lease holds: the sidecar renewed at this core within LeaseTTL, or
+// another registrar confirms the lease.
 func (t *Table) leaseHolds(now monotime.Time, node ident.Node, e *entry) bool {
 	if e.renewedWithin(now, LeaseTTL) {
 		return true
@@ -196,7 +201,7 @@
 	if e.registrar != nil && e.registrar.keepsAlive(now, node, e.report.LeaseEpoch) {
 		return true
 	}
-	for _, peer := range t.registrars { // any one that keeps it alive suffices
+	for _, peer := range t.registrars { // one registrar that confirms the lease suffices
 		if peer.keepsAlive(now, node, e.report.LeaseEpoch) {
 			e.registrar = peer
 			return true
@@ -206,11 +211,12 @@
 	return false
 }
 
-// lastSeen returns when a sidecar last showed a sign of life, here or at another core.
+// lastSeen returns the latest time at which the sidecar is known to have been alive, from renewals
+// at this core and from the lists of the other registrars.
 func (t *Table) lastSeen(node ident.Node, e *entry) monotime.Time {
 	seen := max(e.lastHeard, e.lastRenewal)
 	for _, peer := range t.registrars {
-		if peer.has(node) {
+		if peer.contains(node) {
 			seen = max(seen, peer.lastHeard)
 		}
 	}
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func lapsed(t *testing.T, table *Table, node ident.Node) bool {
+func isLapsed(t *testing.T, table *Table, node ident.Node) bool {
 	for _, member := range table.Members() {
 		if member.Node == node {
 			return member.Lapsed
@@ -34,10 +34,10 @@
 	return false
 }
 
-// Four updates of a registrar and its heartbeat, in every order, some lost and some twice: the
-// copy of the list at another core is correct whenever that accepts a heartbeat, and the full
-// update always repairs it.
-func TestAllOrdersOfARegistrarsUpdates(t *testing.T) {
+// Applies four updates of a registrar and its heartbeat in every order, with losses and
+// duplicates. Guards against a core that accepts a heartbeat while its copy of the registrar's
+// list differs, and against a copy that a full update does not repair.
+func TestRegistrarUpdatesInEveryOrder(t *testing.T) {
 	registrar := New()
 	var updates []Update
 	announced := map[uint64]map[ident.Node]leaseVersion{}
@@ -51,7 +51,7 @@
 	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("a", 1, 1, 1)) })
 	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("b", 1, 1, 1)) })
 	step(func() { _, _ = registrar.Renew(timeAt(0), newRenewal("a", 1, 2, 2)) })
-	step(func() { // b falls silent
+	step(func() { // b stops renewing
 		_, _ = registrar.Renew(timeAt(2*time.Second), newRenewal("a", 1, 2, 3))
 		registrar.Tick(timeAt(2 * time.Second))
 	})
@@ -71,7 +71,7 @@
 			if table.ApplyHeartbeat(now, "core:1", full.Checksum) {
 				accepted++
 				must.Eq(t, announced[full.Checksum], table.registrars["core:1"].leases, must.Sprintf("order %d", order))
-				must.False(t, lapsed(t, table, "a"))
+				must.False(t, isLapsed(t, table, "a"))
 			} else {
 				rejected++
 			}
@@ -86,9 +86,10 @@
 	must.Positive(t, rejected)
 }
 
-// The registrar of a sidecar falls silent or drops it, or the sidecar has moved to another one: the
-// lease holds as long as any registrar that is heard lists the sidecar, and lapses when none does.
-func TestLeaseLapsesOnlyWhenNobodyHearsIt(t *testing.T) {
+// The registrar of a sidecar stops sending heartbeats or removes the sidecar from its list, or the
+// sidecar moves to another registrar. The lease must hold as long as a registrar with current
+// heartbeats lists the sidecar, and must lapse when there is no such registrar.
+func TestLeaseLapsesWhenNoRegistrarConfirmsIt(t *testing.T) {
 	updateOf := func(node ident.Node) Update {
 		registrar := New()
 		_, _ = registrar.Renew(timeAt(0), newRenewal(node, 1, 1, 1))
@@ -101,14 +102,14 @@
 		secondRegistrar, heartbeats, drop, direct bool
 		lapsed                                    bool
 	}{
-		"the registrar sends its heartbeat":              {heartbeats: true},
-		"the registrar is silent":                        {lapsed: true},
-		"the registrar dropped it":                       {heartbeats: true, drop: true, lapsed: true},
-		"another registrar has it":                       {secondRegistrar: true, heartbeats: true, drop: true},
-		"it renews here":                                 {direct: true},
-		"it renews here and its old registrar drops it":  {direct: true, heartbeats: true, drop: true},
-		"two registrars had it and both are silent now":  {secondRegistrar: true, lapsed: true},
-		"its registrar dropped it and another is silent": {secondRegistrar: true, drop: true, lapsed: true},
+		"registrar sends heartbeats":                         {heartbeats: true},
+		"registrar is silent":                                {lapsed: true},
+		"registrar drops the sidecar":                        {heartbeats: true, drop: true, lapsed: true},
+		"second registrar lists the sidecar":                 {secondRegistrar: true, heartbeats: true, drop: true},
+		"sidecar renews here":                                {direct: true},
+		"sidecar renews here and old registrar drops it":     {direct: true, heartbeats: true, drop: true},
+		"two registrars list the sidecar and are silent":     {secondRegistrar: true, lapsed: true},
+		"registrar drops the sidecar and another one silent": {secondRegistrar: true, drop: true, lapsed: true},
 	} {
 		table := New()
 		table.ApplyUpdate(timeAt(0), "core:1", update)
@@ -136,17 +137,17 @@
 			}
 			table.Tick(now)
 			if ms < 1400 {
-				must.False(t, lapsed(t, table, "a"), must.Sprintf("%s at %d", name, ms))
+				must.False(t, isLapsed(t, table, "a"), must.Sprintf("%s at %d", name, ms))
 			}
 		}
-		must.Eq(t, c.lapsed, lapsed(t, table, "a"), must.Sprint(name))
+		must.Eq(t, c.lapsed, isLapsed(t, table, "a"), must.Sprint(name))
 		must.Eq(t, 0, len(table.SilentNodes(timeAt(20*time.Second), []ident.Node{"a"})), must.Sprint(name))
 		must.Eq(t, 1, len(table.SilentNodes(timeAt(40*time.Second), []ident.Node{"a"})), must.Sprint(name))
 	}
 }
 
-// A renewal without a report is applied only by a core that knows the report; a renewal of a
-// superseded lease is rejected by every core that knows the newer one.
+// A renewal without a report is applied only by a core that has the report. A renewal of a
+// superseded lease is rejected by every core that knows the newer lease.
 func TestRenewalsWithoutAReport(t *testing.T) {
 	registrar := New()
 	_, _ = registrar.Renew(timeAt(0), newRenewal("a", 2, 3, 1))
--- a/control/leasetable/updates.go
+++ b/control/leasetable/updates.go
@@ -9,8 +9,9 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Update is what a registrar sends the other cores about its list: the whole list if Full, else what
-// changed since the list had the checksum BaseChecksum. Checksum is the list's checksum after the update.
+// Update carries a registrar's list to the other cores: the whole list if Full is set, otherwise
+// the changes since the list had the checksum BaseChecksum. Checksum is the checksum of the list
+// after the update.
 type Update struct {
 	Full         bool            `json:"whole,omitempty"`
 	BaseChecksum uint64          `json:"base,omitempty"`
@@ -19,7 +20,7 @@
 	Removed      []ident.Node    `json:"gone,omitempty"`
 }
 
-// register puts a sidecar that renews here on this core's list.
+// register adds a sidecar that renews at this core to the core's list.
 func (t *Table) register(node ident.Node, version leaseVersion) {
 	if t.local.leases[node] != version {
 		t.local.add(node, version)
@@ -27,7 +28,7 @@
 	}
 }
 
-// unregister takes a sidecar off this core's list.
+// unregister removes a sidecar from this core's list.
 func (t *Table) unregister(node ident.Node) {
 	e := t.entries[node]
 	e.lastHeard = max(e.lastHeard, e.lastRenewal)
@@ -35,15 +36,15 @@
 	t.pendingUpdates[node] = true
 }
 
-// PendingUpdate returns what changed on this core's list since the last call; it reports false if
-// nothing did.
+// PendingUpdate returns the changes of this core's list since the last call. It reports false if
+// the list did not change.
 func (t *Table) PendingUpdate() (Update, bool) {
 	if len(t.pendingUpdates) == 0 {
 		return Update{}, false
 	}
 	update := Update{BaseChecksum: t.announcedChecksum, Checksum: t.local.checksum}
 	for node := range t.pendingUpdates {
-		if t.local.has(node) {
+		if t.local.contains(node) {
 			update.Reports = append(update.Reports, t.entries[node].report)
 		} else {
 			update.Removed = append(update.Removed, node)
@@ -56,30 +57,30 @@
 	return update, update.BaseChecksum != update.Checksum
 }
 
-// FullUpdate returns the list as the last PendingUpdate announced it. It reports false while there
-// is a newer change, until the next PendingUpdate has announced that.
+// FullUpdate returns this core's whole list, as announced by the last PendingUpdate. It reports
+// false while the list has changes that no PendingUpdate has announced.
 func (t *Table) FullUpdate() (Update, bool) {
 	if len(t.pendingUpdates) > 0 {
 		return Update{}, false
 	}
 	update := Update{Full: true, Checksum: t.local.checksum}
 	for _, node := range t.order {
-		if t.local.has(node) {
+		if t.local.contains(node) {
 			update.Reports = append(update.Reports, t.entries[node].report)
 		}
 	}
 	return update, true
 }
 
-// AnnouncedChecksum returns the checksum of this core's list as the last PendingUpdate announced it.
+// AnnouncedChecksum returns the checksum of this core's list at the last PendingUpdate.
 func (t *Table) AnnouncedChecksum() uint64 { return t.announcedChecksum }
 
-// RecordHeartbeat records that the heartbeat with this number is sent now. It announces every renewal
-// so far.
+// RecordHeartbeat records that this core sends the heartbeat with the given sequence number, which
+// announces every renewal so far.
 func (t *Table) RecordHeartbeat(number uint64) { t.lastHeartbeat = number }
 
-// AcknowledgedRenewal returns the number of a sidecar's newest renewal that the given heartbeat, or
-// an earlier one, announced; 0 if there is none.
+// AcknowledgedRenewal returns the number of a sidecar's newest renewal that the given heartbeat or
+// an earlier heartbeat announced, or 0 if there is none.
 func (t *Table) AcknowledgedRenewal(node ident.Node, heartbeat uint64) uint64 {
 	e := t.entries[node]
 	if e == nil {
@@ -94,8 +95,9 @@
 	return newest
 }
 
-// ApplyHeartbeat applies another registrar's heartbeat, which shows that all sidecars on its list are
-// alive. It reports false if the copy of that list here has another checksum.
+// ApplyHeartbeat applies another registrar's heartbeat, which confirms that all sidecars on the
+// registrar's list are alive. It reports false if this core's copy of the list has a different
+// checksum.
 func (t *Table) ApplyHeartbeat(now monotime.Time, from ident.Addr, checksum uint64) bool {
 	peer := t.registrars[from]
 	if peer == nil {
@@ -109,8 +111,8 @@
 	return true
 }
 
-// ApplyUpdate applies another registrar's update. It reports whether any record changed, and whether
-// the copy of the list here has the registrar's checksum now.
+// ApplyUpdate applies another registrar's update. It reports whether any record changed, and
+// whether this core's copy of the list now has the checksum of the update.
 func (t *Table) ApplyUpdate(now monotime.Time, from ident.Addr, update Update) (changed, inSync bool) {
 	peer := t.registrars[from]
 	switch {
@@ -135,11 +137,11 @@
 	return changed, peer.checksum == update.Checksum
 }
 
-// applyReport applies the report of a sidecar that renews at another registrar, unless a newer one
-// is known, and reports whether the sidecar's records changed.
+// applyReport applies the report of a sidecar that renews at another registrar, unless a newer
+// report is known, and reports whether the sidecar's records changed.
 func (t *Table) applyReport(now monotime.Time, peer *registrar, report record.Report) (changed bool) {
 	e := t.entry(report.Node)
-	if e.knowsNewer(report.LeaseEpoch, report.Seq) {
+	if e.isNewerThan(report.LeaseEpoch, report.Seq) {
 		return false
 	}
 	changed = e.report.Node == "" || e.lapsed || !e.hasVersion(report.LeaseEpoch, report.Seq)
@@ -149,13 +151,13 @@
 	e.report, e.registrar, e.lapsed = report, peer, false
 	e.lastHeard = max(e.lastHeard, now)
 	if changed {
-		t.rebuild(e)
+		t.rebuildRecords(e)
 	}
 	return changed
 }
 
-// removeFrom takes a sidecar off another registrar's list. The sidecar counts as alive until the
-// list was last confirmed.
+// removeFrom removes a sidecar from another registrar's list. The sidecar counts as alive up to the
+// time at which the list was last confirmed.
 func (t *Table) removeFrom(peer *registrar, node ident.Node) {
 	if e := t.entries[node]; e != nil {
 		e.lastHeard = max(e.lastHeard, peer.lastHeard)
@@ -166,8 +168,8 @@
 	peer.remove(node)
 }
 
-// RemoveRegistrar drops the list of a registrar whose run is over: its next run begins with an
-// empty one.
+// RemoveRegistrar drops the list of a registrar that stopped or restarted: a restarted registrar
+// starts with an empty list.
 func (t *Table) RemoveRegistrar(from ident.Addr) {
 	peer := t.registrars[from]
 	if peer == nil {
