--- a/control/registry/record/build.go
+++ b/control/registry/record/build.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// FromReport builds a sidecar's records from its report and the configuration. A workload whose
-// service is not configured is left out.
+// FromReport builds a sidecar's records from its report and the configuration. Workloads whose
+// service is not configured are omitted.
 func FromReport(report Report, config *validation.Config) []Address {
 	records := []Address{}
 	if config == nil {
@@ -33,13 +33,13 @@
 	return records
 }
 
-// FromConfig builds the set of the configuration itself: its services, by key.
+// FromConfig builds the record set of the configuration itself: its services, sorted by key.
 func FromConfig(config *validation.Config) Set {
 	set := Set{Records: []Address{}}
 	if config == nil {
 		return set
 	}
-	set.LeaseEpoch = ident.LeaseEpoch(config.Revision) // it orders the versions of this set
+	set.LeaseEpoch = ident.LeaseEpoch(config.Revision) // orders the versions of this set
 	hosts := hostsByService(config)
 	for _, service := range config.Services {
 		set.Records = append(set.Records, Address{Service: &Service{
@@ -54,7 +54,7 @@
 	return set
 }
 
-// hostsByService lists the hosts whose routes lead to each service.
+// hostsByService returns, for each service, the distinct hosts of the routes to the service.
 func hostsByService(config *validation.Config) map[ident.Service][]string {
 	hosts := map[ident.Service][]string{}
 	for _, route := range config.Routes {
--- a/control/registry/record/record.go
+++ b/control/registry/record/record.go
@@ -1,6 +1,6 @@
-// Package record defines the records of the registry: Service and Workload, joined as Address,
-// and the messages that carry them between sidecars and cores. A record is the same for every
-// sidecar that reads it.
+// Package record defines the records of the registry, Service and Workload, with their union type
+// Address, and the messages that carry records between sidecars and cores. A record is the same
+// for every sidecar that reads it.
 package record
 
 import (
@@ -9,58 +9,58 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Status is the state of a workload.
+// Status is the health status of a workload.
 type Status string
 
-// The statuses.
+// The statuses of a workload.
 const (
-	// Unknown workloads have sent no heartbeat that reports their state yet.
+	// Unknown workloads have not yet sent a heartbeat that reports their state.
 	Unknown Status = "UNKNOWN"
 	// Healthy workloads take requests.
 	Healthy Status = "HEALTHY"
-	// Unhealthy workloads are silent or report that they fail.
+	// Unhealthy workloads have stopped sending heartbeats or report a failure.
 	Unhealthy Status = "UNHEALTHY"
-	// Draining workloads finish their requests and take no new ones.
+	// Draining workloads finish their requests and take no new requests.
 	Draining Status = "DRAINING"
 )
 
-// Network is the one network of the mesh, with which references are fully qualified.
+// Network is the name of the only network of the mesh. Fully qualified references contain it.
 const Network = "default"
 
-// Workload is one endpoint. Invariant: UID names one run of one endpoint; on its machine an
+// Workload is one endpoint. Invariants: UID identifies one run of one endpoint; on a machine, an
 // address belongs to one UID at a time.
 type Workload struct {
 	UID         ident.Server  `json:"uid"`
 	Addresses   []ident.Addr  `json:"addresses"`
 	Network     string        `json:"network"`
 	Node        ident.Node    `json:"node"`
-	SidecarAddr ident.Addr    `json:"gate"` // of the sidecar that admits requests to it
+	SidecarAddr ident.Addr    `json:"gate"` // address of the sidecar that admits requests to the workload
 	Zone        ident.Zone    `json:"district"`
 	Namespace   string        `json:"namespace"`
 	Service     ident.Service `json:"service"`
-	Identity    string        `json:"identity,omitempty"` // its SPIFFE id
+	Identity    string        `json:"identity,omitempty"` // SPIFFE ID
 	Weight      uint32        `json:"weight"`
 	Status      Status        `json:"status"`
-	Load        float64       `json:"burden"` // as the endpoint reports it
+	Load        float64       `json:"burden"` // as reported by the endpoint
 }
 
-// Service is one group of workloads.
+// Service is a named group of workloads.
 type Service struct {
 	Namespace         string        `json:"namespace"`
 	Hostname          ident.Service `json:"hostname"`
 	DrainSeconds      float64       `json:"drainS"`
-	ReuseAfterSeconds float64       `json:"reuseAfterS"` // when an address may be another workload's
+	ReuseAfterSeconds float64       `json:"reuseAfterS"` // delay before an address may belong to another workload
 	Hosts             []string      `json:"hosts,omitempty"`
 }
 
-// Address is a Workload or a Service. Invariant: exactly one is set.
+// Address is the union of Workload and Service. Invariant: exactly one of the fields is set.
 type Address struct {
 	Workload *Workload `json:"workload,omitempty"`
 	Service  *Service  `json:"service,omitempty"`
 }
 
-// Key returns what an Address is looked up by: the UID of a workload, the namespace and host name of
-// a service.
+// Key returns the lookup key of the record: the UID of a workload, or the namespace and host name
+// of a service.
 func (a Address) Key() string {
 	if a.Workload != nil {
 		return string(a.Workload.UID)
@@ -68,22 +68,22 @@
 	return a.Service.Namespace + "/" + string(a.Service.Hostname)
 }
 
-// Set is all records of one author: a sidecar, or the configuration, whose Author is "" and whose
-// LeaseEpoch is its revision. Invariants: only the author changes its records; its versions are
-// ordered by (LeaseEpoch, Seq, ConfigRevision), which only rises.
+// Set holds all records of one author. The author is a sidecar, or the configuration; the set of
+// the configuration has the Author "" and the configuration's revision as LeaseEpoch. Invariants:
+// only the author changes its records; the versions of a set are ordered by (LeaseEpoch, Seq,
+// ConfigRevision), which never decreases.
 type Set struct {
 	Author     ident.Node       `json:"author"`
 	LeaseEpoch ident.LeaseEpoch `json:"claim"`
 	Seq        uint64           `json:"seq"`
-	// ConfigRevision is that of the configuration with which the records were built.
+	// ConfigRevision is the revision of the configuration from which the records were built.
 	ConfigRevision ident.ConfigRevision `json:"built"`
-	// Lapsed reports whether the author's lease has lapsed, in the view of the core that gives the
-	// set.
+	// Lapsed is true if the author's lease has lapsed according to the core that sends the set.
 	Lapsed  bool      `json:"lapsed,omitempty"`
 	Records []Address `json:"records"`
 }
 
-// OlderThan reports whether this version comes before another one of the same author.
+// OlderThan reports whether the set is an older version than another set of the same author.
 func (s Set) OlderThan(other Set) bool {
 	if s.LeaseEpoch != other.LeaseEpoch {
 		return s.LeaseEpoch < other.LeaseEpoch
@@ -94,7 +94,7 @@
 	return s.ConfigRevision < other.ConfigRevision
 }
 
-// Report is what a sidecar reports of its machine.
+// Report is a sidecar's report on itself and on the workloads of its machine.
 type Report struct {
 	Node           ident.Node           `json:"node"`
 	Addr           ident.Addr           `json:"addr"`
@@ -107,8 +107,8 @@
 	Workloads      []Workload           `json:"workloads"`
 }
 
-// EqualExceptLoad reports whether two reports are the same but for the workloads' load, which travels
-// with the responses to requests.
+// EqualExceptLoad reports whether two reports describe the same state apart from the load of the
+// workloads, which is carried by the responses to requests.
 func (r Report) EqualExceptLoad(other Report) bool {
 	return r.Addr == other.Addr && r.Zone == other.Zone && r.Ready == other.Ready && r.Leaving == other.Leaving &&
 		slices.EqualFunc(r.Workloads, other.Workloads, equalExceptLoad)
--- a/control/registry/record/renewal.go
+++ b/control/registry/record/renewal.go
@@ -5,16 +5,16 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// Renewal renews a lease at one core. A renewal without a Report says that the one of (LeaseEpoch,
-// Seq) still holds; a renewal without AttemptCounts that they have not changed. Invariant: Number
-// rises with every renewal of one run of a sidecar.
+// Renewal renews a lease at one core. A renewal without a Report means that the report identified
+// by (LeaseEpoch, Seq) is still current; a renewal without AttemptCounts means that the counts have
+// not changed. Invariant: Number increases with every renewal of one run of a sidecar.
 type Renewal struct {
 	Node           ident.Node           `json:"node"`
 	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
 	Seq            uint64               `json:"seq"`
 	Number         uint64               `json:"beat"`
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
-	// CoresVersion is that of the list of cores that the sidecar has.
+	// CoresVersion is the version of the sidecar's list of cores.
 	CoresVersion  string                                 `json:"view,omitempty"`
 	Report        *Report                                `json:"report,omitempty"`
 	AttemptCounts map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
@@ -22,22 +22,22 @@
 
 // RenewalResponse is the response to a renewal.
 type RenewalResponse struct {
-	// ReportRequired says that the core does not have the sidecar's report.
+	// ReportRequired is true if the core does not have the sidecar's report.
 	ReportRequired bool `json:"want,omitempty"`
 	// AcknowledgedRenewal is the Number of the newest renewal of this lease that a majority of the
-	// voters has heard of.
+	// voters knows of.
 	AcknowledgedRenewal uint64 `json:"took,omitempty"`
-	// Members is how many sidecars the core sees.
+	// Members is the number of sidecars that the core knows.
 	Members        int                  `json:"members"`
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
-	// Stale says that the core can't tell whether it knows the newest configuration.
+	// Stale is true if the core cannot confirm that its configuration is the newest.
 	Stale        bool           `json:"stale,omitempty"`
 	Leaving      bool           `json:"leaving,omitempty"`
 	CoresVersion string         `json:"view,omitempty"`
-	Cores        []CoreLocation `json:"cores,omitempty"` // left out if the sidecar has CoresVersion
+	Cores        []CoreLocation `json:"cores,omitempty"` // omitted if the sidecar has CoresVersion
 }
 
-// CoreLocation is the address of a core and its zone, "" if that is not known.
+// CoreLocation is the address and zone of a core. The zone is "" if unknown.
 type CoreLocation struct {
 	Addr ident.Addr `json:"addr"`
 	Zone ident.Zone `json:"district,omitempty"`
--- a/control/rollout/reconcile/operations.go
+++ b/control/rollout/reconcile/operations.go
@@ -8,18 +8,18 @@
 	"cottonarch.example/cottonarch/control/rollout/state"
 )
 
-// configPatch is a merge patch of the destinations of routes, by name.
+// configPatch is a JSON merge patch that sets the destinations of routes, keyed by route name.
 type configPatch struct {
 	Routes map[string]routePatch `json:"ways"`
 }
 
-// routePatch sets the services of a route; without a split, all requests go to Service.
+// routePatch sets the services of a route. Without a split, all requests go to Service.
 type routePatch struct {
 	Service string         `json:"service"`
 	Split   map[string]int `json:"split"` // percentages by service; null removes the split
 }
 
-// transition returns the operation that moves a rollout to another step and phase.
+// transition returns the operation that changes a rollout to the given step and phase.
 func transition(rollout state.Rollout, next state.Phase, step int, reason string) proposer.Operation {
 	args := state.Transition{
 		Generation: rollout.Generation,
@@ -32,8 +32,9 @@
 	return proposer.Operation{Key: state.Key(rollout.Route), Kind: state.TransitionKind, Args: operation.Encode(args)}
 }
 
-// proposeShare returns the operation that sends a percentage of the route to the new service.
-// It builds on the revision that was examined, so it never overwrites a concurrent change.
+// proposeShare returns the operation that sends a percentage of the route's requests to the new
+// service. The proposal names the examined revision as its base, so it never overwrites a
+// concurrent change.
 func proposeShare(rollout state.Rollout, config *validation.Config, percent int) proposer.Operation {
 	patch := routePatch{Service: string(rollout.From)}
 	switch {
--- a/control/rollout/reconcile/reconciler.go
+++ b/control/rollout/reconcile/reconciler.go
@@ -1,5 +1,5 @@
-// Package reconcile compares a rollout with the configuration in force and works out the
-// next operation that brings the configuration towards the rollout's wanted state.
+// Package reconcile compares a rollout with the configuration in force and determines the next
+// operation that moves the configuration toward the desired state of the rollout.
 package reconcile
 
 import (
@@ -13,54 +13,55 @@
 	"cottonarch.example/cottonarch/control/rollout/state"
 )
 
-// minCalls is how many calls must have ended before a step is judged.
-const minCalls = 20
+// minStepCalls is the number of calls that must have completed before a step is evaluated.
+const minStepCalls = 20
 
-// The reasons for rolling back. They are stored with the rollout, so their text is kept.
+// The reasons for a rollback. The texts are stored with the rollout and must not change.
 const (
 	reasonRemoved  = "the way or the service is no more in the manifest"
 	reasonFailures = "%d of %d calls ended in a defect at %d%%"
 )
 
-// CallCounts counts the calls of a service that have ended, and those that failed.
+// CallCounts holds the number of completed calls of a service and how many of the calls failed.
 type CallCounts struct {
 	Total  uint64 `json:"all"`
 	Failed uint64 `json:"bad"`
 }
 
-// minus returns what was counted since a baseline. It reports false if a count is below the
-// baseline, which then comes from another core.
-func (c CallCounts) minus(baseline CallCounts) (CallCounts, bool) {
+// since returns the increase of the counts since a baseline. It reports false if a count is below
+// the baseline, which means that the baseline was taken at another core.
+func (c CallCounts) since(baseline CallCounts) (CallCounts, bool) {
 	if c.Total < baseline.Total || c.Failed < baseline.Failed {
 		return CallCounts{}, false
 	}
 	return CallCounts{Total: c.Total - baseline.Total, Failed: c.Failed - baseline.Failed}, true
 }
 
-// stepWatch is the observation of one step of one generation of a rollout. A core that takes
-// the rollouts over starts a new one, so one core observes a step for its whole time.
-type stepWatch struct {
+// stepObservation is the observation of one step of one generation of a rollout. A core that takes
+// over the rollouts starts a new observation, so a single core observes a step for its whole
+// duration.
+type stepObservation struct {
 	generation uint64
 	step       int
 	startedAt  monotime.Time
 	baseline   CallCounts
 }
 
-// Reconciler holds the observations of the rollouts under way, by route.
-type Reconciler struct{ watches map[string]stepWatch }
+// Reconciler observes the rollouts in progress. The observations are keyed by route name.
+type Reconciler struct{ observations map[string]stepObservation }
 
 // New returns a reconciler without observations.
-func New() *Reconciler { return &Reconciler{watches: map[string]stepWatch{}} }
+func New() *Reconciler { return &Reconciler{observations: map[string]stepObservation{}} }
 
-// CallCounter returns the counts of a service at this core.
+// CallCounter returns the call counts of a service as known to this core.
 type CallCounter func(service ident.Service) CallCounts
 
-// Next returns the next operation for a rollout; it reports false if none is due.
+// Next returns the next operation for a rollout. It reports false if no operation is due.
 func (r *Reconciler) Next(
 	now monotime.Time, rollout state.Rollout, config *validation.Config, callCounts CallCounter,
 ) (proposer.Operation, bool) {
 	if config == nil || rollout.Phase != state.Running && rollout.Phase != state.RollingBack {
-		delete(r.watches, rollout.Route)
+		delete(r.observations, rollout.Route)
 		return proposer.Operation{}, false
 	}
 	route := findRoute(config, rollout.Route)
@@ -71,32 +72,32 @@
 		return transition(rollout, state.RollingBack, rollout.Step, reasonRemoved), true
 	}
 	percent := rollout.Steps[rollout.Step]
-	if shareOfTarget(route, rollout) != percent*validation.OnePercent {
-		delete(r.watches, rollout.Route)
+	if targetShare(route, rollout) != percent*validation.OnePercent {
+		delete(r.observations, rollout.Route)
 		return proposeShare(rollout, config, percent), true
 	}
-	return r.judgeStep(now, rollout, callCounts(rollout.To))
+	return r.evaluateStep(now, rollout, callCounts(rollout.To))
 }
 
-// judgeStep decides on a step whose share is in force: it is rolled back if too many calls
-// fail, and completed once its time is over.
-func (r *Reconciler) judgeStep(now monotime.Time, rollout state.Rollout, counts CallCounts) (proposer.Operation, bool) {
-	watch, ok := r.watches[rollout.Route]
-	if !ok || watch.generation != rollout.Generation || watch.step != rollout.Step {
-		watch = stepWatch{rollout.Generation, rollout.Step, now, counts}
-		r.watches[rollout.Route] = watch
+// evaluateStep evaluates a step whose share is in force: the rollout is rolled back if too many
+// calls fail, and the step completes once its duration has passed and enough calls have completed.
+func (r *Reconciler) evaluateStep(now monotime.Time, rollout state.Rollout, counts CallCounts) (proposer.Operation, bool) {
+	observation, ok := r.observations[rollout.Route]
+	if !ok || observation.generation != rollout.Generation || observation.step != rollout.Step {
+		observation = stepObservation{rollout.Generation, rollout.Step, now, counts}
+		r.observations[rollout.Route] = observation
 	}
-	ended, ok := counts.minus(watch.baseline)
+	ended, ok := counts.since(observation.baseline)
 	if !ok {
-		delete(r.watches, rollout.Route)
+		delete(r.observations, rollout.Route)
 		return proposer.Operation{}, false
 	}
-	if ended.Total >= minCalls && float64(ended.Failed) > rollout.MaxFailureRatio*float64(ended.Total) {
+	if ended.Total >= minStepCalls && float64(ended.Failed) > rollout.MaxFailureRatio*float64(ended.Total) {
 		reason := fmt.Sprintf(reasonFailures, ended.Failed, ended.Total, rollout.Steps[rollout.Step])
 		return transition(rollout, state.RollingBack, rollout.Step, reason), true
 	}
 	stepTime := time.Duration(rollout.StepSeconds * float64(time.Second))
-	if now.Since(watch.startedAt) < stepTime || ended.Total < minCalls {
+	if now.Since(observation.startedAt) < stepTime || ended.Total < minStepCalls {
 		return proposer.Operation{}, false
 	}
 	if rollout.Step == len(rollout.Steps)-1 {
@@ -105,11 +106,11 @@
 	return transition(rollout, state.Running, rollout.Step+1, ""), true
 }
 
-// rollBack returns the operation that gives the route back to the old service, or the one
-// that ends the rollout once that is in force.
+// rollBack returns the operation that routes all requests to the old service again, or, once the
+// configuration in force does so, the operation that ends the rollout.
 func (r *Reconciler) rollBack(rollout state.Rollout, route *validation.Route, config *validation.Config) proposer.Operation {
-	delete(r.watches, rollout.Route)
-	if route == nil || route.Service != rollout.To && shareOfTarget(route, rollout) == 0 {
+	delete(r.observations, rollout.Route)
+	if route == nil || route.Service != rollout.To && targetShare(route, rollout) == 0 {
 		return transition(rollout, state.RolledBack, rollout.Step, "")
 	}
 	return proposeShare(rollout, config, 0)
@@ -124,8 +125,9 @@
 	return nil
 }
 
-// shareOfTarget returns the part of the route that goes to the new service, in millionths.
-func shareOfTarget(route *validation.Route, rollout state.Rollout) int {
+// targetShare returns the share of the route's requests that goes to the new service, in
+// millionths.
+func targetShare(route *validation.Route, rollout state.Rollout) int {
 	if route.Service == rollout.To {
 		return validation.FullShare
 	}
--- a/control/rollout/reconcile/reconciler_test.go
+++ b/control/rollout/reconcile/reconciler_test.go
@@ -16,7 +16,7 @@
 	"cottonarch.example/cottonarch/control/rollout/state"
 )
 
-// fixture is a rollout of route r from service a to b with what the reconciler sees.
+// fixture is a rollout of route r from service a to service b, with the inputs of the reconciler.
 type fixture struct {
 	t          *testing.T
 	reconciler *reconcile.Reconciler
@@ -45,7 +45,7 @@
 	}
 }
 
-// next returns the next operation; it reports false if there is none.
+// next returns the next operation. It reports false if no operation is due.
 func (f *fixture) next() (proposer.Operation, bool) {
 	config := &validation.Config{
 		Revision: 7,
@@ -62,7 +62,7 @@
 	must.False(f.t, due, must.Sprint(op.Kind, string(op.Args)))
 }
 
-// mustPropose checks that the next operation proposes a patch on the examined revision.
+// mustPropose checks that the next operation proposes a patch based on the examined revision.
 func (f *fixture) mustPropose(patch string) {
 	f.t.Helper()
 	op, due := f.next()
@@ -75,7 +75,7 @@
 	must.Eq(f.t, patch, string(args.Body))
 }
 
-// mustMove checks that the next operation is a transition.
+// mustMove checks that the next operation is a transition to the given step and phase.
 func (f *fixture) mustMove(step int, phase state.Phase) {
 	f.t.Helper()
 	op, due := f.next()
@@ -93,15 +93,15 @@
 	f.route.Split = []validation.WeightedService{{Service: "b", Percent: 10}}
 }
 
-// A rollout without failures goes through its steps: each share is proposed, kept for the
-// step's time and for a number of calls, and followed by the next.
+// A rollout without failures completes its steps in order: each share is proposed and stays in
+// force for the duration of the step and the minimum number of calls before the next share.
 func TestStepsWithoutFailures(t *testing.T) {
 	f := newFixture(t)
 	f.mustPropose(`{"ways":{"r":{"service":"a","split":{"b":10}}}}`)
 	f.sendTenPercent()
 	f.mustWait()
 	f.counts.Total = 100
-	f.mustWait() // the time of the step is not over
+	f.mustWait() // the duration of the step has not passed
 	f.now = f.now.Add(6 * time.Second)
 	f.mustMove(1, state.Running)
 	f.rollout.Step = 1
@@ -116,8 +116,8 @@
 	f.mustWait()
 }
 
-// Too many failed calls roll a step back, but only over enough calls; the route is then given
-// back before the rollout ends.
+// Too many failed calls roll the rollout back, but only after the minimum number of calls. The
+// route must return to the old service before the rollout ends.
 func TestFailuresRollBack(t *testing.T) {
 	f := newFixture(t)
 	f.sendTenPercent()
@@ -126,7 +126,7 @@
 	f.counts = reconcile.CallCounts{Total: 1019, Failed: 919}
 	f.mustWait()
 	f.counts = reconcile.CallCounts{Total: 1030, Failed: 903}
-	f.mustWait() // as many as are allowed
+	f.mustWait() // exactly the allowed failure ratio
 	f.counts.Failed++
 	f.mustMove(0, state.RollingBack)
 	f.rollout.Phase = state.RollingBack
@@ -135,9 +135,9 @@
 	f.mustMove(0, state.RolledBack)
 }
 
-// Counts below the baseline come from another core: the step is observed from its beginning
-// again, as it is for another generation of the rollout.
-func TestStepIsObservedAgain(t *testing.T) {
+// Counts below the baseline come from another core and must restart the observation of the step.
+// A new generation of the rollout must restart the observation, too.
+func TestStepObservationRestarts(t *testing.T) {
 	f := newFixture(t)
 	f.sendTenPercent()
 	f.counts = reconcile.CallCounts{Total: 500}
@@ -145,7 +145,7 @@
 	f.now = f.now.Add(6 * time.Second)
 	f.counts = reconcile.CallCounts{Total: 40}
 	f.mustWait() // the observation is dropped
-	f.mustWait() // and starts again
+	f.mustWait() // a new observation starts
 	f.counts.Total += 20
 	f.mustWait()
 	f.rollout.Generation++
@@ -153,7 +153,7 @@
 	f.mustWait()
 }
 
-// A rollout whose route or target is removed from the configuration is rolled back.
+// A rollout whose route or target service is missing from the configuration is rolled back.
 func TestRemovedRouteOrService(t *testing.T) {
 	f := newFixture(t)
 	f.route.Name = "renamed"
--- a/control/rollout/state/rollout.go
+++ b/control/rollout/state/rollout.go
@@ -1,5 +1,5 @@
-// Package state is the state machine of rollouts, which move a route from one service to
-// another in steps: one control key for each route.
+// Package state implements the state machine of rollouts. A rollout moves the requests of a route
+// from one service to another in steps; each route has a control key of its own.
 package state
 
 import (
@@ -12,7 +12,7 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// Prefix is the common prefix of the control keys.
+// Prefix is the common prefix of the control keys of rollouts.
 const Prefix = "rollout/"
 
 // The kinds of operations on a rollout.
@@ -22,7 +22,7 @@
 	ReadKind       = "rollout/read"
 )
 
-// What a rollout has where its request gives no value, and the bounds of the values.
+// Defaults and bounds of the values in a request to start a rollout.
 const (
 	defaultStepSeconds     = 10
 	defaultMaxFailureRatio = 0.05
@@ -47,33 +47,33 @@
 	RolledBack  Phase = "back"
 )
 
-// nextPhases lists which phases may follow a phase.
+// nextPhases lists the phases that may follow each phase.
 var nextPhases = map[Phase][]Phase{Running: {Running, RollingBack, Done}, RollingBack: {RolledBack}}
 
-// Rollout is the state of the newest rollout of a route. Invariants: Steps rise and end with
-// 100; Step only rises while the phase is Running; every transition names the step and the
-// phase that it builds on, so that two cores which both believe that they drive the rollout
-// cannot both make it.
+// Rollout is the state of the newest rollout of a route. Invariants: Steps are strictly increasing
+// and end with 100; Step never decreases while the phase is Running; every transition names the
+// step and the phase from which it starts, so that of two cores that both believe to be driving the
+// rollout only one can make the transition.
 type Rollout struct {
 	Route string        `json:"way"`
 	From  ident.Service `json:"from"`
 	To    ident.Service `json:"to"`
-	// Steps are the percentages of requests that go to To, one after the other.
+	// Steps are the successive percentages of requests that go to To.
 	Steps []int `json:"steps"`
-	// StepSeconds is how long a step lasts at least.
+	// StepSeconds is the minimum duration of a step.
 	StepSeconds float64 `json:"stepS"`
-	// MaxFailureRatio is the part of failed calls above which the rollout is rolled back.
+	// MaxFailureRatio is the ratio of failed calls above which the rollout is rolled back.
 	MaxFailureRatio float64 `json:"mostDefects"`
 	// Step is the index of the current step.
 	Step  int   `json:"at"`
 	Phase Phase `json:"phase"`
-	// Reason says why the rollout was rolled back.
+	// Reason explains why the rollout was rolled back.
 	Reason string `json:"why,omitempty"`
 	// Generation counts the rollouts of the route.
 	Generation uint64 `json:"round"`
 }
 
-// Transition is a change of a rollout under way: from a step and a phase to others.
+// Transition changes the step and phase of a rollout in progress.
 type Transition struct {
 	Generation uint64 `json:"round"`
 	Step       int    `json:"at"`
@@ -83,19 +83,19 @@
 	Reason     string `json:"why,omitempty"`
 }
 
-// Handlers returns the operations of a rollout.
+// Handlers returns the handlers of the operations on a rollout.
 func Handlers() operation.Table {
 	return operation.Table{StartKind: start, TransitionKind: applyTransition, ReadKind: read}
 }
 
-// start starts a rollout unless one is under way.
+// start starts a rollout unless a rollout of the route is in progress.
 func start(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, requested, err := operation.DecodeAs[Rollout, Rollout](rawState, rawArgs)
 	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Phase == Running || current.Phase == RollingBack {
-		return operation.Rejected(failure.New(failure.Conflict, "a rollout of %q is %s", current.Route, current.Phase))
+		return operation.Rejected(failure.New(failure.Conflict, "the rollout of route %q is in progress (phase %q)", current.Route, current.Phase))
 	}
 	requested.setDefaults()
 	if err := requested.validate(); err != nil {
@@ -120,32 +120,32 @@
 func (r *Rollout) validate() *failure.Error {
 	rising := slices.IsSorted(r.Steps) && len(slices.Compact(slices.Clone(r.Steps))) == len(r.Steps)
 	if !rising || r.Steps[0] < 1 || r.Steps[len(r.Steps)-1] != 100 || len(r.Steps) > maxSteps {
-		return failure.New(failure.Invalid, "steps must rise from 1 at least to 100")
+		return failure.New(failure.Invalid, "steps must be strictly increasing percentages from 1 or more up to 100")
 	}
 	servicesValid := r.From != "" && r.To != "" && r.From != r.To
 	stepSecondsValid := r.StepSeconds >= minStepSeconds && r.StepSeconds <= maxStepSeconds
 	ratioValid := r.MaxFailureRatio >= 0 && r.MaxFailureRatio <= 1
 	if r.Route == "" || !servicesValid || !stepSecondsValid || !ratioValid {
 		return failure.New(failure.Invalid,
-			"a rollout needs a route, a service other than the route's, stepS from %v to %v and mostDefects from 0 to 1",
+			"a rollout needs a route, two different services, stepS from %v to %v and mostDefects from 0 to 1",
 			minStepSeconds, maxStepSeconds)
 	}
 	return nil
 }
 
-// applyTransition moves a rollout on if it is at the step and in the phase that the
-// transition builds on.
+// applyTransition changes the step and phase of a rollout if the rollout is in the generation,
+// step and phase from which the transition starts.
 func applyTransition(_ proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, transition, err := operation.DecodeAs[Rollout, Transition](rawState, rawArgs)
 	if err != nil {
 		return operation.Rejected(err)
 	}
 	if current.Generation != transition.Generation || current.Step != transition.Step || current.Phase != transition.Phase {
-		return operation.Rejected(failure.New(failure.Conflict, "the rollout is at step %d, %s", current.Step, current.Phase))
+		return operation.Rejected(failure.New(failure.Conflict, "the rollout is at step %d in phase %q", current.Step, current.Phase))
 	}
 	phaseAllowed := slices.Contains(nextPhases[current.Phase], transition.NextPhase)
 	if !phaseAllowed || transition.NextStep < current.Step || transition.NextStep >= len(current.Steps) {
-		return operation.Rejected(failure.New(failure.Invalid, "no transition from %s to %s", current.Phase, transition.NextPhase))
+		return operation.Rejected(failure.New(failure.Invalid, "a rollout cannot change from phase %q to phase %q", current.Phase, transition.NextPhase))
 	}
 	current.Step, current.Phase = transition.NextStep, transition.NextPhase
 	if transition.Reason != "" {
@@ -160,7 +160,7 @@
 		return operation.Rejected(err)
 	}
 	if current.Route == "" {
-		return operation.Rejected(failure.New(failure.NotFound, "there was no rollout"))
+		return operation.Rejected(failure.New(failure.NotFound, "the route has no rollout"))
 	}
 	return operation.Result{Body: operation.Encode(current)}
 }
--- a/control/rollout/state/rollout_test.go
+++ b/control/rollout/state/rollout_test.go
@@ -12,10 +12,10 @@
 	"cottonarch.example/cottonarch/control/rollout/state"
 )
 
-// fixture is the control key of one rollout.
+// fixture holds the value of one rollout's control key.
 type fixture struct{ value json.RawMessage }
 
-// apply returns the rollout after an operation.
+// apply executes an operation and returns the rollout in its response.
 func (f *fixture) apply(t *testing.T, kind string, args any) (state.Rollout, *failure.Error) {
 	t.Helper()
 	result := state.Handlers().Apply(proposer.Context{}, f.value, proposer.Operation{Kind: kind, Args: operation.Encode(args)})
@@ -29,7 +29,7 @@
 	return current, result.Failure
 }
 
-// Requests with values out of bounds are rejected; what a request does not give has a default.
+// Requests with values out of bounds are rejected; values that a request omits get defaults.
 func TestRequestsAreValidated(t *testing.T) {
 	valid := state.Rollout{Route: "r", From: "a", To: "b"}
 	for i, change := range []func(*state.Rollout){
@@ -75,9 +75,10 @@
 	)
 }
 
-// A transition is made once, from the step and phase that it names, and only to a phase that
-// may follow; a new rollout starts only after the end of the one before.
-func TestTransitionsAreMadeOnce(t *testing.T) {
+// Guards against two cores that both make a transition, and against invalid transitions: a
+// transition applies once, from the step and phase it names, to an allowed phase. A new rollout
+// starts only after the previous rollout has ended.
+func TestTransitionsAreAppliedOnce(t *testing.T) {
 	f := &fixture{}
 	_, err := f.apply(t, state.ReadKind, struct{}{})
 	must.Eq(t, failure.NotFound, err.Kind)
