--- a/control/audit/segment/segment_test.go
+++ b/control/audit/segment/segment_test.go
@@ -14,8 +14,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// An entry is appended at its own index and above the newest revision only, so that two
-// writers of one log append each entry once.
+// Guards against two writers of one log that append the same entry twice: an entry is appended
+// only at its own index, and only if its revision is above the newest revision in the segment.
 func TestAppendsInOrder(t *testing.T) {
 	var value json.RawMessage
 	for i, step := range []struct {
@@ -23,12 +23,12 @@
 		revision ident.ConfigRevision
 		want     failure.Kind
 	}{
-		{1, 1, failure.Conflict}, // an entry is missing before it
+		{1, 1, failure.Conflict}, // the preceding entry is missing
 		{0, 1, ""},
-		{0, 1, failure.Conflict}, // by a second writer
+		{0, 1, failure.Conflict}, // from a second writer
 		{1, 1, failure.Conflict}, // the same revision again
 		{1, 5, ""},
-		{segment.MaxEntries + 2, 7, ""}, // an index counts over the whole log
+		{segment.MaxEntries + 2, 7, ""}, // the index refers to the whole log
 	} {
 		args := segment.AppendArgs{Index: step.index, Entry: proposal.AuditEntry{Revision: step.revision}}
 		result := segment.Handlers().Apply(proposer.Context{}, value, proposer.Operation{Kind: segment.AppendKind, Args: operation.Encode(args)})
@@ -43,7 +43,7 @@
 	must.Eq(t, `{"leaves":[{"epoch":1,"sha256":""},{"epoch":5,"sha256":""},{"epoch":7,"sha256":""}]}`, string(operation.State(value)))
 }
 
-// The keys of segments sort in their order.
+// The lexical order of the segment keys is the order of the segments.
 func TestKeysSort(t *testing.T) {
 	last := ident.Key("")
 	for index := 0; index < 20*segment.MaxEntries; index += segment.MaxEntries {
--- a/control/audit/tree/log.go
+++ b/control/audit/tree/log.go
@@ -1,6 +1,6 @@
-// Package tree builds the transparency log of the audit entries and verifies it: a Merkle
-// tree as in RFC 6962, by the library behind Go's checksum database, so that others can
-// verify the log with independent tools.
+// Package tree builds and verifies the transparency log of the audit entries. The log is a Merkle
+// tree as in RFC 6962, computed with the library of Go's checksum database, so that third parties
+// can verify the log with independent tools.
 package tree
 
 import (
@@ -17,14 +17,14 @@
 // Origin is the first line of a checkpoint.
 const Origin = "cottonarch.example/audit"
 
-// Log is the audit log with a checkpoint over all of it: the origin, the number of leaves
-// and the root hash in Base64, each on a line.
+// Log is the audit log with a checkpoint over all leaves: the origin, the number of leaves and the
+// root hash in Base64, each on a line of its own.
 type Log struct {
 	Checkpoint string                `json:"checkpoint"`
 	Leaves     []proposal.AuditEntry `json:"leaves"`
 }
 
-// Build returns the log of the leaves.
+// Build returns the log of the leaves with its checkpoint.
 func Build(leaves []proposal.AuditEntry) (Log, error) {
 	root, err := Root(leaves)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return Log{Checkpoint: checkpoint, Leaves: leaves}, nil
 }
 
-// Root returns the root hash over all leaves, each in its JSON form.
+// Root returns the root hash over the JSON encodings of the leaves.
 func Root(leaves []proposal.AuditEntry) (tlog.Hash, error) {
 	var hashes []tlog.Hash
 	reader := tlog.HashReaderFunc(func(indexes []int64) ([]tlog.Hash, error) {
--- a/control/audit/tree/log_test.go
+++ b/control/audit/tree/log_test.go
@@ -18,9 +18,9 @@
 	return out
 }
 
-// A log that continues an older checkpoint is verified; one that lacks, changed or swapped
-// a leaf, or that has the checkpoint of another log, is not.
-func TestOnlyAContinuationPasses(t *testing.T) {
+// Verify accepts a log that continues an older checkpoint. Verify must reject a log with a missing,
+// changed or swapped leaf, and a log with the checkpoint of another log.
+func TestVerifyAcceptsOnlyContinuations(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 7, 300} {
 		old, err := Build(makeLeaves(n))
 		must.NoError(t, err)
--- a/control/audit/tree/verify.go
+++ b/control/audit/tree/verify.go
@@ -7,19 +7,19 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Verify checks a log against its own checkpoint and, if olderCheckpoint is not empty, that
-// the log continues the one which that checkpoint covered.
+// Verify checks that a log matches its own checkpoint and, if olderCheckpoint is not empty, that
+// the log continues the log which olderCheckpoint covers.
 func Verify(log Log, olderCheckpoint string) error {
 	rebuilt, err := Build(log.Leaves)
 	if err != nil {
 		return err
 	}
 	if rebuilt.Checkpoint != log.Checkpoint {
-		return failure.New(failure.Damaged, "the leaves do not match the checkpoint")
+		return failure.New(failure.Damaged, "the leaves of the audit log do not match its checkpoint")
 	}
 	for i := 1; i < len(log.Leaves); i++ {
 		if log.Leaves[i].Revision <= log.Leaves[i-1].Revision {
-			return failure.New(failure.Damaged, "revision %d follows %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
+			return failure.New(failure.Damaged, "the audit log has revision %d after revision %d", log.Leaves[i].Revision, log.Leaves[i-1].Revision)
 		}
 	}
 	if olderCheckpoint == "" {
@@ -28,22 +28,21 @@
 	return verifyContinuation(log, olderCheckpoint)
 }
 
-// verifyContinuation checks that the leaves which an older checkpoint covered are the first
-// ones of the log.
+// verifyContinuation checks that the log begins with the leaves that an older checkpoint covers.
 func verifyContinuation(log Log, olderCheckpoint string) error {
 	size, err := checkpointSize(olderCheckpoint)
 	if err != nil {
 		return err
 	}
 	if size > len(log.Leaves) {
-		return failure.New(failure.Damaged, "the log has %d leaves, the older checkpoint covers %d", len(log.Leaves), size)
+		return failure.New(failure.Damaged, "the audit log has %d leaves, but the older checkpoint covers %d", len(log.Leaves), size)
 	}
 	prefix, err := Build(log.Leaves[:size])
 	if err != nil {
 		return err
 	}
 	if strings.TrimSpace(prefix.Checkpoint) != strings.TrimSpace(olderCheckpoint) {
-		return failure.New(failure.Damaged, "the first %d leaves are not those of the older checkpoint", size)
+		return failure.New(failure.Damaged, "the first %d leaves of the audit log do not match the older checkpoint", size)
 	}
 	return nil
 }
@@ -52,11 +51,11 @@
 func checkpointSize(checkpoint string) (int, error) {
 	lines := strings.Split(checkpoint, "\n")
 	if len(lines) < 3 || lines[0] != Origin {
-		return 0, failure.New(failure.Malformed, "the older checkpoint is not one of this log")
+		return 0, failure.New(failure.Malformed, "the older checkpoint is not a checkpoint of %q", Origin)
 	}
 	size, err := strconv.Atoi(lines[1])
 	if err != nil || size < 0 {
-		return 0, failure.New(failure.Malformed, "the older checkpoint has no size")
+		return 0, failure.New(failure.Malformed, "the older checkpoint has an invalid number of leaves %q", lines[1])
 	}
 	return size, nil
 }
--- a/control/config/decode/faults.go
+++ b/control/config/decode/faults.go
@@ -6,11 +6,11 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// maxFaults bounds the faults that one document reports in full.
+// maxFaults bounds the faults that are listed for one document.
 const maxFaults = 100
 
-// Faults collects what is wrong with one document. Invariant: List holds the first
-// maxFaults faults, Total counts all of them.
+// Faults collects the faults of one document. Invariant: List holds the first maxFaults faults;
+// Total is the number of all faults.
 type Faults struct {
 	List  []failure.Fault
 	Total int
@@ -18,7 +18,7 @@
 	AllowUnknown bool
 }
 
-// Add records a fault at a path; the note is formatted as by fmt.Sprintf.
+// Add records a fault at a path. The note is formatted as by fmt.Sprintf.
 func (f *Faults) Add(path, format string, args ...any) {
 	f.Total++
 	if len(f.List) < maxFaults {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Err returns the collected faults as one error of the given kind, nil if there are none.
+// Err returns the collected faults as one error of the given kind, or nil if there are no faults.
 func (f *Faults) Err(kind failure.Kind) *failure.Error {
 	if f.Total == 0 {
 		return nil
--- a/control/config/decode/list.go
+++ b/control/config/decode/list.go
@@ -2,13 +2,14 @@
 
 import "encoding/json"
 
-// IsList reports whether the field is present and a list.
+// IsList reports whether the field is present and holds a list.
 func (o Object) IsList(name string) bool {
 	_, isList := o.fields[name].([]any)
 	return isList
 }
 
-// list reads a field that must be a list if it is present; elements names what it holds.
+// list reads a field that must hold a list if present. The type name in elements is used in the
+// fault.
 func (o Object) list(name, elements string) []any {
 	value, ok := o.fields[name]
 	if !ok {
@@ -21,7 +22,7 @@
 	return list
 }
 
-// Objects reads a list of objects; an absent list is empty, faulty elements are left out.
+// Objects reads a list of objects. An absent list is empty; invalid elements are omitted.
 func (o Object) Objects(name string) []Object {
 	list := o.list(name, "objects")
 	objects, parentPath := make([]Object, 0, len(list)), o.Path()
@@ -37,7 +38,8 @@
 	return objects
 }
 
-// readElements reads a list whose elements convert accepts; fault is the note on another one.
+// readElements reads a list and converts its elements. Each element that convert rejects is omitted
+// and adds a fault with the note in fault.
 func readElements[T any](o Object, name, elements, fault string, convert func(element any) (T, bool)) []T {
 	var converted []T
 	for i, element := range o.list(name, elements) {
@@ -51,7 +53,7 @@
 	return converted
 }
 
-// Strings reads a list of strings; an absent list is nil, faulty elements are left out.
+// Strings reads a list of strings. An absent list is nil; invalid elements are omitted.
 func (o Object) Strings(name string) []string {
 	return readElements(o, name, "strings", "must be a string", func(element any) (string, bool) {
 		text, ok := element.(string)
@@ -59,7 +61,7 @@
 	})
 }
 
-// Floats reads a list of numbers; an absent list is nil, faulty elements are left out.
+// Floats reads a list of numbers. An absent list is nil; invalid elements are omitted.
 func (o Object) Floats(name string) []float64 {
 	return readElements(o, name, "numbers", "must be a number", func(element any) (float64, bool) {
 		number, ok := element.(json.Number)
--- a/control/config/decode/object.go
+++ b/control/config/decode/object.go
@@ -7,23 +7,22 @@
 	"slices"
 )
 
-// Object is one JSON object of a document together with its path. Its methods read the
-// fields; what is wrong with them is added to the faults of the document. The path is
-// composed only when it is needed.
+// Object is a JSON object of a document together with its path. The methods read the fields of the
+// object and add errors to the faults of the document. The path is built only when needed.
 type Object struct {
 	parentPath, field string
-	// position is 1 plus the index of the object where the field is a list, else 0.
+	// position is 1 plus the index of the object if the field is a list, otherwise 0.
 	position int
 	fields   map[string]any
 	faults   *Faults
 }
 
-// Root returns the top object of a document.
+// Root returns the top-level object of a document.
 func Root(fields map[string]any, faults *Faults) Object {
 	return Object{fields: fields, faults: faults}
 }
 
-// Path returns the path of the object, empty for the root.
+// Path returns the path of the object, which is empty for the root.
 func (o Object) Path() string {
 	path := o.field
 	if o.parentPath != "" {
@@ -49,13 +48,13 @@
 // Has reports whether the field is present.
 func (o Object) Has(name string) bool { _, ok := o.fields[name]; return ok }
 
-// Fault adds a fault at a field.
+// Fault adds a fault for a field of the object to the faults of the document.
 func (o Object) Fault(name, format string, args ...any) {
 	o.faults.Add(o.PathOf(name), format, args...)
 }
 
-// RejectUnknown adds a fault for every field that is not listed, unless the document
-// allows unknown fields.
+// RejectUnknown adds a fault for every field whose name is not in known, unless the document allows
+// unknown fields.
 func (o Object) RejectUnknown(known ...string) {
 	if o.faults.AllowUnknown {
 		return
@@ -77,10 +76,10 @@
 	return names
 }
 
-// Fields returns the fields as they were parsed; the caller must not change the map.
+// Fields returns the parsed fields. The caller must not change the map.
 func (o Object) Fields() map[string]any { return o.fields }
 
-// Child returns the object in a field, an empty one if the field is absent.
+// Child returns the object in a field, or an empty object if the field is absent or faulty.
 func (o Object) Child(name string) Object {
 	child := Object{parentPath: o.Path(), field: name, faults: o.faults}
 	value, ok := o.fields[name]
@@ -93,7 +92,7 @@
 	return child
 }
 
-// String reads a string, the fallback if the field is absent.
+// String reads a string. It returns the fallback if the field is absent.
 func (o Object) String(name, fallback string) string {
 	value, ok := o.fields[name]
 	if !ok {
@@ -106,7 +105,7 @@
 	return text
 }
 
-// RequiredString reads a string that must be present and not empty.
+// RequiredString reads a string field, which must be present and not empty.
 func (o Object) RequiredString(name string) string {
 	text := o.String(name, "")
 	if _, given := o.fields[name]; !given {
@@ -117,7 +116,7 @@
 	return text
 }
 
-// Float reads a number from low to high, the fallback if the field is absent or faulty.
+// Float reads a number from low to high. It returns the fallback if the field is absent or faulty.
 func (o Object) Float(name string, fallback, low, high float64) float64 {
 	value, ok := o.fields[name]
 	if !ok {
@@ -136,8 +135,8 @@
 	return x
 }
 
-// Int reads a whole number from low to high, the fallback if the field is absent or
-// faulty. The bounds must be exact as float64.
+// Int reads an integer from low to high. It returns the fallback if the field is absent or faulty.
+// The bounds must be exactly representable as float64.
 func (o Object) Int(name string, fallback, low, high int64) int64 {
 	x := o.Float(name, float64(fallback), float64(low), float64(high))
 	if x != math.Trunc(x) {
@@ -147,7 +146,7 @@
 	return int64(x)
 }
 
-// Bool reads a truth value, the fallback if the field is absent.
+// Bool reads a Boolean. It returns the fallback if the field is absent.
 func (o Object) Bool(name string, fallback bool) bool {
 	value, ok := o.fields[name]
 	if !ok {
--- a/control/config/decode/object_test.go
+++ b/control/config/decode/object_test.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/control/config/decode"
 )
 
-// Every fault is reported with its path, at any depth.
-func TestPaths(t *testing.T) {
+// Faults at any depth are reported with their paths.
+func TestFaultPaths(t *testing.T) {
 	document, err := decode.Parse([]byte(`{"a":{"b":{"c":1,"l":[{"x":1},7,{"y":{"z":"t"}}]}},"l":[{"x":1}],"m":{}}`))
 	must.Nil(t, err)
 	faults := &decode.Faults{}
@@ -36,7 +36,7 @@
 	must.Eq(t, failure.Malformed, err.Kind)
 }
 
-// Lists are read without their faulty elements, each of which is a fault with its index.
+// Invalid list elements are omitted, and each of them adds a fault with its index.
 func TestLists(t *testing.T) {
 	document, err := decode.Parse([]byte(`{"s":["a",1,"b"],"f":[1,"x",2.5,1e999],"o":[{},7],"none":{},"empty":[]}`))
 	must.Nil(t, err)
@@ -61,7 +61,7 @@
 	}, got)
 }
 
-// Faults beyond the bound are counted and left out of the list.
+// Faults beyond the bound are counted but not listed.
 func TestFaultsAreBounded(t *testing.T) {
 	faults := &decode.Faults{}
 	must.Nil(t, faults.Err(failure.Invalid))
--- a/control/config/decode/parse.go
+++ b/control/config/decode/parse.go
@@ -1,6 +1,5 @@
-// Package decode reads JSON documents field by field: it checks types and bounds and
-// reports every fault with the path of the field. Configurations and settings files are
-// read with it.
+// Package decode reads JSON documents field by field. It checks types and bounds and reports every
+// fault with the path of the field. Configurations and settings files are read with this package.
 package decode
 
 import (
@@ -13,12 +12,13 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Parse decodes a single JSON object; numbers stay json.Number, so that they can be
-// encoded again without loss. Anything else, and any data after the object, is Malformed.
+// Parse decodes a single JSON object. Numbers are kept as json.Number, so that they can be encoded
+// again without loss. Parse fails with Malformed for any other value, and for data after the
+// object.
 func Parse(raw []byte) (map[string]any, *failure.Error) {
-	// The decoder would silently replace invalid UTF-8.
+	// json.Decoder silently replaces invalid UTF-8.
 	if !utf8.Valid(raw) {
-		return nil, failure.New(failure.Malformed, "not a JSON object: not in UTF-8")
+		return nil, failure.New(failure.Malformed, "not a JSON object: invalid UTF-8")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -65,7 +65,7 @@
 
 // A delta that is applied to another configuration than the one it was made from, or that
 // was corrupted in transit, is rejected.
-func TestDeltaOverAnotherBaseIsRefused(t *testing.T) {
+func TestDeltaIsRejectedOnAnotherBase(t *testing.T) {
 	from, to := manyRoutes(t, 1, 20, 500), manyRoutes(t, 2, 20, 900)
 	delta, ok := Between(from, to)
 	must.True(t, ok)
@@ -83,7 +83,7 @@
 }
 
 // The size of the delta of one changed route does not depend on the number of routes.
-func TestDeltaCostsWhatChanged(t *testing.T) {
+func TestDeltaSizeIndependentOfConfigSize(t *testing.T) {
 	sizes := map[int]int{}
 	for _, routes := range []int{10, 100, 1000} {
 		delta, ok := Between(manyRoutes(t, 1, routes, 500), manyRoutes(t, 2, routes, 900))
--- a/control/config/history/fingerprint.go
+++ b/control/config/history/fingerprint.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// fingerprintBytes is the length of a fingerprint. Fingerprints are compared only between
-// proposals on one base, so 64 bits are ample.
+// fingerprintBytes is the length of a fingerprint. Only fingerprints of proposals on the same base
+// are compared, so 64 bits suffice.
 const fingerprintBytes = 8
 
-// fingerprintTextLength is the length of a fingerprint as text.
+// fingerprintTextLength is the length of a fingerprint in Base64.
 var fingerprintTextLength = base64.RawStdEncoding.EncodedLen(fingerprintBytes)
 
-// Fingerprint identifies a proposal by its content: the first bytes of a SHA-256 sum, in
-// Base64. Proposals with different fingerprints differ.
+// Fingerprint identifies a proposal by its content: the first bytes of a SHA-256 sum, in Base64.
+// Proposals with different fingerprints are different proposals.
 type Fingerprint string
 
-// FingerprintOf returns the fingerprint of a proposal's parts. Each part is preceded by its
-// length, so that no two lists of parts are hashed alike.
+// FingerprintOf returns the fingerprint of a proposal's parts. Each part is prefixed with its
+// length, so that different lists of parts never have the same hash input.
 func FingerprintOf(parts ...string) Fingerprint {
 	hash := sha256.New()
 	for _, part := range parts {
--- a/control/config/history/log.go
+++ b/control/config/history/log.go
@@ -1,5 +1,5 @@
-// Package history remembers which proposals made the newest revisions of the configuration,
-// in a few bytes each, and reports whether a proposal that is sent again was accepted.
+// Package history records, in a few bytes per change, which proposals made the newest revisions of
+// the configuration, and reports whether a resent proposal was accepted.
 package history
 
 import (
@@ -10,15 +10,15 @@
 )
 
 const (
-	// MaxEntries is how many of the newest changes a log remembers.
+	// MaxEntries is the maximum number of changes in a log.
 	MaxEntries = 256
 	// incrementBase is the base in which version increments are written.
 	incrementBase = 36
-	// incrementEnd ends an increment; the fingerprint of the change follows.
-	incrementEnd = '.'
+	// incrementTerminator ends an increment and precedes the fingerprint of the change.
+	incrementTerminator = '.'
 )
 
-// Change is one accepted proposal with the revision and the version that it made.
+// Change is an accepted proposal with the resulting revision and version of the configuration.
 type Change struct {
 	Revision    ident.ConfigRevision
 	Version     uint64
@@ -26,25 +26,25 @@
 }
 
 // Log holds the newest accepted proposals in order, one for each revision. Invariants:
-// BaseRevision and BaseVersion are those before the oldest remembered change; versions never
-// fall; a proposal that names a base version is accepted only while that version is the
-// newest, and raises it.
+// BaseRevision and BaseVersion are the revision and version before the oldest change in the log;
+// versions never decrease; a proposal that names a base version is accepted only while the base
+// version is the newest version, and increases the version.
 type Log struct {
 	BaseRevision ident.ConfigRevision `json:"e"`
 	BaseVersion  uint64               `json:"r"`
-	// Encoded holds for each change the increment of the version, incrementEnd, and the
+	// Encoded holds, for each change, the increment of the version, incrementTerminator and the
 	// fingerprint.
 	Encoded string `json:"c"`
 }
 
-// New returns a log that remembers nothing up to a revision and its version.
+// New returns an empty log that starts at a revision and its version.
 func New(revision ident.ConfigRevision, version uint64) Log {
 	return Log{BaseRevision: revision, BaseVersion: version}
 }
 
-// ContinueAt returns the log if it reaches the given revision and version, else a new one
-// that starts there. Processes of a release without logs drop the log when they accept a
-// change, so a log may be missing or too short.
+// ContinueAt returns the log if its newest change has the given revision and version, otherwise a
+// new log that starts at this revision and version. Processes of releases that do not support logs
+// drop the log when they accept a change, so a log may be missing or too short.
 func (l *Log) ContinueAt(revision ident.ConfigRevision, version uint64) Log {
 	if l != nil {
 		if last := l.last(); last.Revision == revision && last.Version == version {
@@ -54,11 +54,11 @@
 	return New(revision, version)
 }
 
-// Append adds a change to a version that is not below the newest one, and drops the oldest
-// changes beyond MaxEntries.
+// Append adds a change that results in the given version, which must not be below the newest
+// version, and drops the oldest changes beyond MaxEntries.
 func (l Log) Append(version uint64, fingerprint Fingerprint) Log {
 	increment := version - l.last().Version
-	l.Encoded += strconv.FormatUint(increment, incrementBase) + string(incrementEnd) + string(fingerprint)
+	l.Encoded += strconv.FormatUint(increment, incrementBase) + string(incrementTerminator) + string(fingerprint)
 	for l.count() > MaxEntries {
 		oldest, rest, _ := decodeFirst(l.Encoded, l.base())
 		l.BaseRevision, l.BaseVersion, l.Encoded = oldest.Revision, oldest.Version, rest
@@ -66,11 +66,11 @@
 	return l
 }
 
-// StatusOnVersion returns the status of a proposal that builds on a version. It can only
-// have made the change that led away from that version.
+// StatusOnVersion returns the status of a proposal with the given base version. Such a proposal can
+// only have made the change that raised the version from the base version.
 func (l Log) StatusOnVersion(base uint64, fingerprint Fingerprint) (Status, Change) {
 	if base < l.BaseVersion {
-		return Forgotten, Change{}
+		return Unknown, Change{}
 	}
 	previous := l.BaseVersion
 	for _, change := range l.changes() {
@@ -85,11 +85,11 @@
 	return NotAccepted, Change{}
 }
 
-// StatusOnRevision returns the status of a proposal that builds on a revision. It can only
-// have made the next revision.
+// StatusOnRevision returns the status of a proposal with the given base revision. Such a proposal
+// can only have made the next revision.
 func (l Log) StatusOnRevision(base ident.ConfigRevision, fingerprint Fingerprint) (Status, Change) {
 	if base < l.BaseRevision {
-		return Forgotten, Change{}
+		return Unknown, Change{}
 	}
 	changes := l.changes()
 	if index := uint64(base - l.BaseRevision); index < uint64(len(changes)) {
@@ -101,8 +101,8 @@
 	return NotAccepted, Change{}
 }
 
-// StatusOf returns the status of a proposal that names no base. It is Forgotten if it is not
-// found and the log does not reach back to the first revision.
+// StatusOf returns the status of a proposal that names no base. The status is Unknown if the log
+// does not contain the proposal and does not reach back to the first revision.
 func (l Log) StatusOf(fingerprint Fingerprint) (Status, Change) {
 	for _, change := range l.changes() {
 		if change.Fingerprint == fingerprint {
@@ -110,12 +110,12 @@
 		}
 	}
 	if l.BaseRevision > 0 {
-		return Forgotten, Change{}
+		return Unknown, Change{}
 	}
 	return Undecided, Change{}
 }
 
-// compareFingerprint returns the status of a proposal that can only have made one change.
+// compareFingerprint returns the status of a proposal that can only have made the given change.
 func compareFingerprint(change Change, fingerprint Fingerprint) (Status, Change) {
 	if change.Fingerprint == fingerprint {
 		return Accepted, change
@@ -123,12 +123,12 @@
 	return NotAccepted, Change{}
 }
 
-func (l Log) count() int { return strings.Count(l.Encoded, string(incrementEnd)) }
+func (l Log) count() int { return strings.Count(l.Encoded, string(incrementTerminator)) }
 
-// base returns the state before the oldest remembered change.
+// base returns the revision and version before the oldest change in the log.
 func (l Log) base() Change { return Change{Revision: l.BaseRevision, Version: l.BaseVersion} }
 
-// last returns the newest change, the base if the log is empty.
+// last returns the newest change, or the base if the log is empty.
 func (l Log) last() Change {
 	if changes := l.changes(); len(changes) > 0 {
 		return changes[len(changes)-1]
@@ -136,7 +136,7 @@
 	return l.base()
 }
 
-// changes decodes the log; a malformed change ends it.
+// changes decodes the changes in the log up to the first malformed change.
 func (l Log) changes() []Change {
 	changes := make([]Change, 0, MaxEntries)
 	previous := l.base()
@@ -149,9 +149,9 @@
 	}
 }
 
-// decodeFirst decodes the first change of an encoded list, which follows previous.
+// decodeFirst decodes the first change of an encoded list. The change follows previous.
 func decodeFirst(encoded string, previous Change) (change Change, rest string, ok bool) {
-	digits, rest, ok := strings.Cut(encoded, string(incrementEnd))
+	digits, rest, ok := strings.Cut(encoded, string(incrementTerminator))
 	increment, err := strconv.ParseUint(digits, incrementBase, 64)
 	if !ok || err != nil || len(rest) < fingerprintTextLength {
 		return Change{}, "", false
--- a/control/config/history/log_test.go
+++ b/control/config/history/log_test.go
@@ -12,17 +12,17 @@
 	"cottonarch.example/cottonarch/control/config/history"
 )
 
-// recordedChange is a change in the unbounded list that the log is compared with.
+// recordedChange is a change in the unbounded list with which the log is compared.
 type recordedChange struct {
 	history.Change
-	previousVersion uint64 // the version that it was made on
+	previousVersion uint64 // version before the change
 	versionRose     bool
 }
 
-// Compared with a list that forgets nothing: for proposals on every base, with the accepted
-// fingerprint and with another one, the log reports the true status or Forgotten, and it
-// never reports Forgotten for its newest MaxEntries changes.
-func TestLogAgainstTheWholeHistory(t *testing.T) {
+// Compares the log with an unbounded list of changes: for proposals on every base, with the
+// accepted and with another fingerprint, the log must report the true status or Unknown. For the
+// newest MaxEntries changes, the log must not report Unknown.
+func TestLogAgainstUnboundedHistory(t *testing.T) {
 	const changes, seeds = 600, 4
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(3, seed))
@@ -55,7 +55,7 @@
 				status, change := log.StatusOf(past.Fingerprint)
 				must.Eq(t, remembered, status == history.Accepted)
 				must.True(t, !remembered || change == past.Change)
-				must.True(t, remembered || status == history.Forgotten)
+				must.True(t, remembered || status == history.Unknown)
 			}
 			status, _ := log.StatusOnVersion(version, history.FingerprintOf("new"))
 			must.Eq(t, history.Undecided, status)
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkStatus looks up the accepted fingerprint and another one on the same base.
+// checkStatus checks the statuses of the accepted and of another fingerprint on the same base.
 func checkStatus[B any](
 	t *testing.T,
 	statusOn func(B, history.Fingerprint) (history.Status, history.Change),
@@ -81,8 +81,8 @@
 	status, change := statusOn(base, past.Fingerprint)
 	otherStatus, _ := statusOn(base, history.FingerprintOf("another"))
 	if !remembered {
-		must.Eq(t, history.Forgotten, status, must.Sprint(base))
-		must.Eq(t, history.Forgotten, otherStatus, must.Sprint(base))
+		must.Eq(t, history.Unknown, status, must.Sprint(base))
+		must.Eq(t, history.Unknown, otherStatus, must.Sprint(base))
 		return
 	}
 	must.Eq(t, history.Accepted, status, must.Sprint(base))
@@ -90,7 +90,7 @@
 	must.Eq(t, history.NotAccepted, otherStatus, must.Sprint(base))
 }
 
-// No proposal was accepted on a base between two versions: it was never the newest version.
+// A base between two versions was never the newest version, so no proposal on it was accepted.
 func TestBaseBetweenVersions(t *testing.T) {
 	log := history.New(0, 0).Append(5, history.FingerprintOf("a")).Append(9, history.FingerprintOf("b"))
 	for base, want := range map[uint64]history.Status{
@@ -106,9 +106,9 @@
 	}
 }
 
-// A log that does not reach the newest revision, or is malformed, is replaced by a new one,
-// which reports every earlier proposal as Forgotten.
-func TestMalformedLogIsForgotten(t *testing.T) {
+// A malformed log, or a log that does not reach the newest revision, is replaced by a new log,
+// which reports every earlier proposal as Unknown.
+func TestMalformedLogIsReplaced(t *testing.T) {
 	whole := history.New(0, 0).Append(5, history.FingerprintOf("a")).Append(9, history.FingerprintOf("b"))
 	short := whole
 	short.Encoded = short.Encoded[:len(short.Encoded)-1]
@@ -117,7 +117,7 @@
 	for _, log := range []*history.Log{nil, {}, &short, &malformed} {
 		must.Eq(t, history.New(2, 9), log.ContinueAt(2, 9))
 		status, _ := log.ContinueAt(2, 9).StatusOnVersion(5, history.FingerprintOf("b"))
-		must.Eq(t, history.Forgotten, status)
+		must.Eq(t, history.Unknown, status)
 	}
 	must.Eq(t, history.New(3, 9), whole.ContinueAt(3, 9))
 	must.Eq(t, whole, whole.ContinueAt(2, 9))
--- a/control/config/proposal/proposal.go
+++ b/control/config/proposal/proposal.go
@@ -91,7 +91,7 @@
 // markUncertain makes the outcome of a rejection unknown if the proposal may have been
 // accepted before: it names no base and the log has forgotten changes.
 func (a Args) markUncertain(log history.Log, err *failure.Error) *failure.Error {
-	if status, _ := a.status(log, ""); status == history.Forgotten {
+	if status, _ := a.status(log, ""); status == history.Unknown {
 		err.Outcome = failure.OutcomeUnknown
 	}
 	return err
--- a/control/config/proposal/proposal_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -52,7 +52,7 @@
 
 // Of several proposals on one base, in every order, one is accepted; the others are rejected
 // with Conflict and change nothing.
-func TestRaceHasOneWinner(t *testing.T) {
+func TestConcurrentProposalsAcceptOne(t *testing.T) {
 	for first := range 3 {
 		f := &fixture{}
 		must.Nil(t, f.proposeOnRevision("0", validConfig, false, nil).Failure)
@@ -76,7 +76,7 @@
 
 // Invalid configurations are rejected with the path of every fault and leave the revision
 // unchanged.
-func TestBadConfigsAreRefusedWithPaths(t *testing.T) {
+func TestInvalidConfigsAreRejectedWithPaths(t *testing.T) {
 	for body, want := range map[string]string{
 		`{`:                                     "malformed",
 		`[]`:                                    "malformed",
--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -59,7 +59,7 @@
 	switch {
 	case status == history.Undecided || args.BaseVersion == nil && args.BaseRevision == nil:
 		return operation.Result{}, false
-	case status == history.Forgotten:
+	case status == history.Unknown:
 		return operation.Rejected(failure.NewUnknown(failure.UnknownOutcome,
 			"the configuration is at revision %d and version %d; whether this proposal was accepted before is no longer known",
 			s.Revision, s.Version)), true
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -50,7 +50,7 @@
 
 // After many changes every accepted proposal is sent again: the newest get their first
 // response, the outcome of older ones is unknown, and none is rejected as not executed.
-func TestNoAcceptedProposalIsRefused(t *testing.T) {
+func TestResentAcceptedProposalIsNotRejected(t *testing.T) {
 	const changes = 600
 	for _, increment := range []uint64{1, 2, 5000} {
 		f := &fixture{}
@@ -82,7 +82,7 @@
 }
 
 // The same for proposals that name a base revision, or an operation ID in place of a base.
-func TestNoAcceptedOperationIsRefused(t *testing.T) {
+func TestResentAcceptedOperationIsNotRejected(t *testing.T) {
 	const changes = 600
 	for _, named := range []bool{false, true} {
 		f := &fixture{}
--- a/control/config/proposal/size_test.go
+++ b/control/config/proposal/size_test.go
@@ -39,7 +39,7 @@
 
 // The bytes that are stored beside the document are bounded by the length of the log and by
 // the entries that the audit log does not hold yet.
-func TestBytesBesideTheDocument(t *testing.T) {
+func TestStateOverheadIsBounded(t *testing.T) {
 	const (
 		perChange     = 14  // in the log: an increment, its end and a fingerprint
 		perAuditEntry = 110 // of an entry that waits for the audit log
@@ -65,7 +65,7 @@
 
 // No entry is dropped that the audit log is not known to hold, and a new proposer knows
 // nothing of it; the newest entry always stays, to recognise the configuration in force.
-func TestEntriesWaitForTheAuditLog(t *testing.T) {
+func TestAuditEntriesAreKeptUntilLogged(t *testing.T) {
 	current := &term{}
 	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 	change := func() {
@@ -113,7 +113,7 @@
 
 // In a configuration of 500 routes, a change of one route sends to a disk that holds the base
 // no more than the size of the change, however many changes were made before.
-func TestBytesSentForAChange(t *testing.T) {
+func TestChangeDiffSizeIsBounded(t *testing.T) {
 	const maxBytes = 1200
 	current := &term{}
 	document := `{"release":1,"services":{"a":{},"b":{}},"ways":{` + routeList(500) + `}}`
--- a/control/config/proposal/version_test.go
+++ b/control/config/proposal/version_test.go
@@ -106,7 +106,7 @@
 
 // The configuration in force is accepted again whatever the order of its fields and its base;
 // another document with the same version is not.
-func TestExactRepeat(t *testing.T) {
+func TestRepeatOfCurrentConfig(t *testing.T) {
 	f := newFixture(t)
 	for _, base := range []uint64{0, 7, 3} {
 		result := f.proposeOnVersion(
@@ -140,7 +140,7 @@
 
 // Accepted proposals are remembered for a number of changes. The outcome of an older proposal
 // is unknown, whether it was accepted or not: a Conflict would not be proved.
-func TestMemoryOfAcceptedIsBounded(t *testing.T) {
+func TestAcceptedProposalLogIsBounded(t *testing.T) {
 	f := newFixture(t)
 	for i := uint64(8); i < 8+300; i++ {
 		must.Nil(t, f.proposeOnVersion(proposal.ItemPatch, i-1, fmt.Sprintf(`{"release":%d}`, i)).Failure)
@@ -172,7 +172,7 @@
 }
 
 // Every fault of a patch or a whole configuration rejects it and leaves the newest unchanged.
-func TestBadItemPatches(t *testing.T) {
+func TestInvalidItemPatches(t *testing.T) {
 	for _, invalid := range []testProposal{
 		{proposal.FullConfig, 7, fullConfig(7, "")[:20]},
 		{proposal.FullConfig, 7, fullConfig(6, "")},
@@ -235,7 +235,7 @@
 // A merge patch of a configuration with unknown fields keeps them and the version, and is
 // validated leniently; a version below the one in force is rejected also without a base
 // version.
-func TestMergePatchesBesidesVersions(t *testing.T) {
+func TestMergePatchesWithoutBaseVersion(t *testing.T) {
 	f := &fixture{}
 	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 0, fullConfig(7, `,"x":1`)).Failure)
 	must.Nil(t, f.proposeOnRevision("1", `{"ways":{"w":{"service":"b"}}}`, true, nil).Failure)
@@ -252,7 +252,7 @@
 
 // The revision that is read is that of the newest configuration, after every accepted or
 // rejected proposal.
-func TestRevisionIsThatOfTheNewest(t *testing.T) {
+func TestReadRevisionReturnsTheNewest(t *testing.T) {
 	f := &fixture{}
 	readRevision := func() ident.ConfigRevision {
 		result := f.apply(proposer.Operation{Op: "x", Key: proposal.Key, Kind: "manifest/epoch"})
--- a/control/config/validation/validation_test.go
+++ b/control/config/validation/validation_test.go
@@ -76,7 +76,7 @@
 }
 
 // Every single fault makes a configuration invalid, for Strict and Lenient.
-func TestInvalid(t *testing.T) {
+func TestInvalidConfigs(t *testing.T) {
 	for valid, invalid := range map[string][]string{
 		`"service":"wuno96b"`: {
 			`"service":"nobody"`,
@@ -124,7 +124,7 @@
 }
 
 // Unknown fields and free names are accepted by Lenient alone.
-func TestLenient(t *testing.T) {
+func TestUnknownFieldsAndLenientNames(t *testing.T) {
 	for _, body := range []string{
 		`{"x":1}`, `{"limits":{"x":1}}`, `{"services":{"a":{"x":{}}}}`, `{"services":{"Ä/1":{}}}`,
 		`{"services":{"a":{}},"ways":{"w_":{"host":"h","service":"a"}}}`,
