--- a/control/config/delta/compressed.go
+++ b/control/config/delta/compressed.go
@@ -10,24 +10,24 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Compressed is a whole configuration that is compressed once, on first use, and shared by
-// all receivers. It is safe for concurrent use.
+// Compressed holds a whole configuration that is compressed once, on first use, and shared by all
+// receivers. Compressed is safe for concurrent use.
 type Compressed struct {
 	raw        json.RawMessage
 	once       sync.Once
 	compressed []byte
 }
 
-// NewCompressed returns a configuration that Bytes will compress.
+// NewCompressed returns a Compressed for a configuration, which the first call of Bytes compresses.
 func NewCompressed(raw json.RawMessage) *Compressed { return &Compressed{raw: raw} }
 
-// Bytes returns the configuration in the DEFLATE format.
+// Bytes returns the configuration in DEFLATE format.
 func (c *Compressed) Bytes() []byte {
 	c.once.Do(func() { c.compressed = compress(c.raw) })
 	return c.compressed
 }
 
-// compress cannot fail: it writes to memory, at a valid compression level.
+// compress cannot fail, as it writes to memory with a valid compression level.
 func compress(raw []byte) []byte {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
@@ -39,8 +39,8 @@
 	return buffer.Bytes()
 }
 
-// Decompress returns the configuration of a compressed form. BadResponse says that the data
-// is malformed or that the configuration has more than maxBytes bytes.
+// Decompress returns the configuration from its compressed form. Decompress fails with BadResponse
+// if the data is malformed or the configuration has more than maxBytes bytes.
 func Decompress(data []byte, maxBytes int) (json.RawMessage, *failure.Error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), int64(maxBytes)+1))
 	if err != nil {
--- a/control/config/delta/delta.go
+++ b/control/config/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta encodes a configuration as its difference from an earlier one, so that
-// distributing a change costs the size of the change and not of the whole configuration.
+// Package delta encodes a configuration as its difference from an earlier configuration, so that
+// distributing a change takes bytes in proportion to the change and not to the whole configuration.
 package delta
 
 import (
@@ -15,9 +15,10 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// Delta turns the configuration of one revision into that of a later one. Invariant: Patch,
-// a JSON merge patch (RFC 7396), applied to the configuration of From gives one whose
-// encoding has the SHA-256 sum Digest; Apply rejects any other result.
+// Delta converts the configuration of revision From to the configuration of the later revision To.
+// Patch is a JSON merge patch (RFC 7396). Invariant: Patch, applied to the configuration of From,
+// results in a configuration whose encoding has the SHA-256 sum Digest; Apply rejects any other
+// result.
 type Delta struct {
 	From   ident.ConfigRevision `json:"from"`
 	To     ident.ConfigRevision `json:"to"`
@@ -25,7 +26,7 @@
 	Patch  json.RawMessage      `json:"patch"`
 }
 
-// Snapshot is one configuration with its revision, in parsed and in stored form.
+// Snapshot is a configuration with its revision, in parsed form (Tree) and in stored form (Raw).
 type Snapshot struct {
 	Revision ident.ConfigRevision
 	Tree     map[string]any
@@ -38,9 +39,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Between returns the delta from one snapshot to a later one. It reports false if there is
-// none worth sending: a merge patch cannot express the difference (a field that becomes
-// null), or the patch is not smaller than the whole configuration.
+// Between returns the delta from one snapshot to a later snapshot. It reports false if there is no
+// delta worth sending: a merge patch cannot express the difference (a field that becomes null), or
+// the patch is not smaller than the whole configuration.
 func Between(from, to Snapshot) (Delta, bool) {
 	if from.Revision == 0 || from.Revision >= to.Revision {
 		return Delta{}, false
@@ -56,8 +57,8 @@
 	return Delta{From: from.Revision, To: to.Revision, Digest: Digest(to.Raw), Patch: raw}, true
 }
 
-// difference returns the merge patch that turns base into want. Where a merge patch cannot
-// express the difference, applying it gives another result, which Between checks.
+// difference returns the merge patch that converts base to want. If a merge patch cannot express
+// the difference, applying the returned patch has a different result; Between checks the result.
 func difference(base, want map[string]any) map[string]any {
 	patch := map[string]any{}
 	for name := range base {
@@ -75,7 +76,8 @@
 	return patch
 }
 
-// fieldPatch returns the patch of one field: the difference of two objects, else the new value.
+// fieldPatch returns the patch of one field: the difference if both values are objects, otherwise
+// the new value.
 func fieldPatch(old, value any) any {
 	oldObject, wasObject := old.(map[string]any)
 	object, isObject := value.(map[string]any)
@@ -85,8 +87,9 @@
 	return value
 }
 
-// Apply returns the snapshot of To, given the stored configuration of From. Malformed says
-// that an input cannot be parsed, BadResponse that the result does not match the digest.
+// Apply returns the snapshot of revision To, given the stored configuration of revision From. Apply
+// fails with Malformed if an input cannot be parsed, and with BadResponse if the result does not
+// match the digest.
 func (d Delta) Apply(base json.RawMessage) (Snapshot, *failure.Error) {
 	tree, err := decode.Parse(base)
 	if err != nil {
--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// newSnapshot returns a snapshot in the form that a core stores.
+// newSnapshot returns the snapshot of a document, encoded as cores store it.
 func newSnapshot(t testing.TB, revision ident.ConfigRevision, raw string) Snapshot {
 	t.Helper()
 	tree, err := decode.Parse([]byte(raw))
@@ -22,7 +22,8 @@
 	return Snapshot{Revision: revision, Tree: tree, Raw: operation.Encode(tree)}
 }
 
-// manyRoutes returns a configuration of routes, the first with a timeout of its own.
+// manyRoutes returns a configuration with the given number of routes; timeout applies to the first
+// route.
 func manyRoutes(t testing.TB, revision ident.ConfigRevision, routes, timeout int) Snapshot {
 	routeObjects := map[string]any{}
 	for i := range routes {
@@ -37,15 +38,16 @@
 	return newSnapshot(t, revision, string(operation.Encode(map[string]any{"release": revision, "ways": routeObjects})))
 }
 
-// Applying a delta gives the later configuration to the byte: for every pair of documents
-// from a small alphabet, including pairs whose difference a merge patch cannot express.
+// Applying a delta must reproduce the later configuration byte for byte. Checks every pair of
+// documents from a small set of values, including pairs whose difference a merge patch cannot
+// express.
 func TestDeltaGivesTheExactConfiguration(t *testing.T) {
 	values := []string{`1`, `1.0`, `null`, `"x"`, `[1,null]`, `{}`, `{"a":1}`, `{"a":{"b":null}}`, `{"a":{"b":2}}`, `{"b":2}`}
 	var documents []string
 	for _, v := range values {
 		documents = append(documents, fmt.Sprintf(`{"k":%s}`, v), fmt.Sprintf(`{"k":%s,"z":1}`, v), fmt.Sprintf(`{"z":%s}`, v))
 	}
-	made := 0
+	deltaCount := 0
 	for _, before := range documents {
 		for _, after := range documents {
 			from, to := newSnapshot(t, 3, before), newSnapshot(t, 7, after)
@@ -53,18 +55,18 @@
 			if !ok {
 				continue
 			}
-			made++
+			deltaCount++
 			got, err := delta.Apply(from.Raw)
 			must.Nil(t, err, must.Sprint(before, after))
 			must.Eq(t, string(to.Raw), string(got.Raw))
 			must.Eq(t, ident.ConfigRevision(7), got.Revision)
 		}
 	}
-	must.Greater(t, 100, made)
+	must.Greater(t, 100, deltaCount)
 }
 
-// A delta that is applied to another configuration than the one it was made from, or that
-// was corrupted in transit, is rejected.
+// Apply rejects a delta on a configuration other than the base of the delta, and a delta that was
+// corrupted in transit.
 func TestDeltaIsRejectedOnAnotherBase(t *testing.T) {
 	from, to := manyRoutes(t, 1, 20, 500), manyRoutes(t, 2, 20, 900)
 	delta, ok := Between(from, to)
@@ -95,8 +97,8 @@
 	must.Less(t, 250, sizes[1000])
 }
 
-// A removed route costs its name alone, and there is no delta between configurations that
-// have nothing in common.
+// The delta of a removed route contains only the route's name. There is no delta between
+// configurations that have nothing in common.
 func TestDeltaOfRemovedRoutes(t *testing.T) {
 	const routes = 100
 	before, after := manyRoutes(t, 1, routes, 500), manyRoutes(t, 2, routes-1, 500)
@@ -110,8 +112,8 @@
 	must.False(t, ok)
 }
 
-// The history gives a delta to the newest snapshot from every retained one and from no other,
-// and stays within its bounds; the snapshot before the newest is always retained.
+// The history returns a delta to the newest snapshot from every other retained snapshot only, and
+// stays within its bounds. The newest two snapshots are always retained.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for revision := ident.ConfigRevision(1); revision <= 3*maxHistorySnapshots; revision++ {
@@ -134,7 +136,7 @@
 	must.NotNil(t, h.Since(1000))
 }
 
-// Decompressing gives back what was compressed; malformed or too large data is rejected.
+// Decompress restores the compressed configuration, and rejects malformed or too large data.
 func TestCompressionRoundTrip(t *testing.T) {
 	raw := manyRoutes(t, 1, 300, 5).Raw
 	compressed := NewCompressed(raw).Bytes()
--- a/control/config/delta/history.go
+++ b/control/config/delta/history.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxHistorySnapshots and maxHistoryBytes bound the retained snapshots; the newest one and
-	// the one before it are retained whatever their size.
+	// maxHistorySnapshots and maxHistoryBytes bound the number and the total size of the retained
+	// snapshots. The newest two snapshots are retained whatever their size.
 	maxHistorySnapshots = 8
 	maxHistoryBytes     = 2 << 20
 )
 
-// History retains the newest snapshot and those shortly before it, and caches the deltas to
-// the newest. Invariants: snapshots are in order of their revisions; deltas holds deltas to
-// the newest snapshot only, with nil for those that are not worth sending.
+// History retains the newest snapshots and caches the deltas to the newest snapshot. Invariants:
+// snapshots are in order of revision; deltas holds only deltas to the newest snapshot, keyed by the
+// revision of the base, with nil for a base without a delta worth sending.
 type History struct {
 	snapshots []Snapshot
 	deltas    map[ident.ConfigRevision]*Delta
 }
 
-// Add appends a snapshot; one that is not newer than the newest is ignored.
+// Add appends a snapshot. A snapshot that is not newer than the newest snapshot is ignored.
 func (h *History) Add(snapshot Snapshot) {
 	if n := len(h.snapshots); n > 0 && h.snapshots[n-1].Revision >= snapshot.Revision {
 		return
@@ -41,8 +41,8 @@
 	return total
 }
 
-// Since returns the delta from a revision to the newest one. It is nil if the revision is not
-// retained, is the newest, or is too different.
+// Since returns the delta from a revision to the newest revision. Since returns nil if the revision
+// is not retained, is the newest revision, or has no delta worth sending.
 func (h *History) Since(from ident.ConfigRevision) *Delta {
 	if d, known := h.deltas[from]; known {
 		return d
--- a/control/config/merge/merge.go
+++ b/control/config/merge/merge.go
@@ -1,8 +1,8 @@
 // Package merge applies JSON merge patches (RFC 7396) to configurations.
 package merge
 
-// Merge returns base with the overlay applied: objects are merged field by field, null
-// removes a field, any other value replaces it. Neither input is changed.
+// Merge returns base with the overlay applied: objects are merged field by field, null removes a
+// field, and any other value replaces the field. Neither input is changed.
 func Merge(base, overlay map[string]any) map[string]any {
 	merged := make(map[string]any, len(base)+len(overlay))
 	for name, value := range base {
--- a/control/config/merge/merge_test.go
+++ b/control/config/merge/merge_test.go
@@ -9,7 +9,7 @@
 	"cottonarch.example/cottonarch/control/config/merge"
 )
 
-// The examples of RFC 7396, appendix A, whose documents are objects.
+// Checks the examples of RFC 7396, appendix A, in which both documents are objects.
 func TestExamplesOfTheRFC(t *testing.T) {
 	for _, example := range [][3]string{
 		{`{"a":"b"}`, `{"a":"c"}`, `{"a":"c"}`},
--- a/control/config/patch/patch.go
+++ b/control/config/patch/patch.go
@@ -1,5 +1,5 @@
-// Package patch applies item patches to a configuration: it replaces and removes whole
-// routes, services and other named items.
+// Package patch applies item patches to a configuration. An item patch adds, replaces and removes
+// whole routes, services and other named items.
 package patch
 
 import (
@@ -9,10 +9,10 @@
 	"cottonarch.example/cottonarch/control/config/decode"
 )
 
-// Apply returns base without the items listed under "remove" and with those under "upsert"
-// put in whole, by kind and name; the "release" of the patch replaces that of base. Removing
-// an item that does not exist is no fault. Other fields of the patch are faults unless
-// unknown fields are allowed. Neither input is changed; a failure is Invalid.
+// Apply returns base without the items listed under "remove", and with the items under "upsert"
+// added or replaced as a whole, by kind and name. The "release" of the patch replaces the "release"
+// of base. Removing an item that does not exist is not a fault. Other fields of the patch are
+// faults unless unknown fields are allowed. Neither input is changed. A failure is Invalid.
 func Apply(base, itemPatch map[string]any, allowUnknown bool) (map[string]any, *failure.Error) {
 	faults := &decode.Faults{AllowUnknown: allowUnknown}
 	root := decode.Root(itemPatch, faults)
@@ -26,8 +26,8 @@
 	return patched, faults.Err(failure.Invalid)
 }
 
-// removeItems removes the items that are listed by kind; kinds that are not objects are
-// left alone.
+// removeItems removes the items that removals lists by kind. Kinds that are not objects in the
+// document are not changed.
 func removeItems(document map[string]any, removals decode.Object) {
 	for _, kind := range removals.FieldNames() {
 		names := removals.Strings(kind)
@@ -43,7 +43,7 @@
 	}
 }
 
-// upsertItems puts the items in that are given by kind and name.
+// upsertItems adds or replaces the items that upserts holds by kind and name.
 func upsertItems(document map[string]any, upserts decode.Object) {
 	for _, kind := range upserts.FieldNames() {
 		items := upserts.Child(kind)
--- a/control/config/proposal/audit.go
+++ b/control/config/proposal/audit.go
@@ -9,13 +9,13 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// maxAuditEntries bounds the entries that wait for the audit log.
+// maxAuditEntries bounds the stored entries that are not yet known to be in the audit log.
 const maxAuditEntries = 256
 
 // AuditEntry records the configuration of one revision for the audit log.
 type AuditEntry struct {
 	Revision ident.ConfigRevision `json:"epoch"`
-	// SHA256 is the sum of the whole document as it is stored and read back.
+	// SHA256 is the SHA-256 sum, in hexadecimal, of the whole document as it is stored.
 	SHA256  string `json:"sha256"`
 	Partial bool   `json:"partial,omitempty"`
 }
@@ -26,12 +26,12 @@
 	After ident.ConfigRevision `json:"after,omitempty"`
 }
 
-// auditedThrough is the revision up to which the audit log holds every entry, as far as the
-// proposer knows in its term. A new proposer knows nothing and drops no entry until a read of
-// the entries names the revision.
+// auditedThrough is the revision up to which the proposer knows, in its term, that the audit log
+// holds every entry. The value is 0 for a new proposer, which therefore drops no entry until a read
+// of the entries names the revision.
 type auditedThrough ident.ConfigRevision
 
-// pendingAuditEntries returns the entries that the audit log is not known to hold.
+// pendingAuditEntries returns the entries that are not known to be in the audit log.
 func (s *State) pendingAuditEntries(context proposer.Context) []AuditEntry {
 	audited, _ := context.Decoded.(auditedThrough)
 	return slices.DeleteFunc(s.AuditEntries, func(entry AuditEntry) bool { return entry.Revision <= ident.ConfigRevision(audited) })
@@ -42,8 +42,8 @@
 	return entries[max(0, len(entries)-maxAuditEntries):]
 }
 
-// readAuditEntries responds with the entries that wait for the audit log, and remembers up to
-// which revision the log holds them.
+// readAuditEntries responds with the stored audit entries, and keeps in Decoded the revision up to
+// which the audit log holds every entry.
 func readAuditEntries(context proposer.Context, rawState, rawArgs json.RawMessage) operation.Result {
 	current, args, err := operation.DecodeAs[State, AuditArgs](rawState, rawArgs)
 	if err != nil {
--- a/control/config/proposal/fuzz_test.go
+++ b/control/config/proposal/fuzz_test.go
@@ -18,10 +18,9 @@
 	return current
 }
 
-// For any two proposals, one after the other, on the version in force: an accepted
-// configuration is accepted again from the store and raises the version; a repeat gets the
-// same response; another proposal on the older version is rejected; and a rejected proposal
-// changes nothing.
+// For any two successive proposals on the version in force: an accepted configuration is accepted
+// again from the store and increases the version; a repeat gets the same response; another proposal
+// on the older version is rejected; and a rejected proposal changes nothing.
 func FuzzProposals(f *testing.F) {
 	for _, kind := range []string{string(proposal.FullConfig), string(proposal.ItemPatch), string(proposal.MergePatch), "other"} {
 		f.Add(kind, []byte(fullConfig(9, "")), string(proposal.ItemPatch), []byte(`{"release":11,"upsert":{"services":{"c":{}}}}`))
--- a/control/config/proposal/kind.go
+++ b/control/config/proposal/kind.go
@@ -6,20 +6,20 @@
 	"cottonarch.example/cottonarch/control/config/patch"
 )
 
-// Kind says how the body of a proposal relates to the configuration in force.
+// Kind determines how the body of a proposal is applied to the configuration in force.
 type Kind string
 
 // The kinds of proposal.
 const (
 	// FullConfig replaces the configuration.
 	FullConfig Kind = ""
-	// MergePatch changes it field by field, see merge.Merge.
+	// MergePatch changes the configuration field by field, see merge.Merge.
 	MergePatch Kind = "part"
 	// ItemPatch replaces and removes named items, see patch.Apply.
 	ItemPatch Kind = "change"
 )
 
-// composer returns the whole document that a body proposes on a base.
+// composer returns the whole document that results from applying the body of a proposal to a base.
 type composer func(base, body map[string]any, allowUnknown bool) (map[string]any, *failure.Error)
 
 var composers = map[Kind]composer{
--- a/control/config/proposal/proposal.go
+++ b/control/config/proposal/proposal.go
@@ -1,5 +1,5 @@
-// Package proposal is the state machine of the control key that stores the configuration:
-// it accepts and rejects the operators' proposals.
+// Package proposal implements the state machine of the control key that stores the configuration.
+// The state machine accepts or rejects the operators' proposals.
 package proposal
 
 import (
@@ -24,26 +24,26 @@
 	ReadAuditEntriesKind = "manifest/lines"
 )
 
-// Handlers returns the operations of the control key.
+// Handlers returns the handlers of the operations on the configuration.
 func Handlers() operation.Table {
 	return operation.Table{ProposeKind: propose, ReadKind: readState, ReadRevisionKind: readRevision, ReadAuditEntriesKind: readAuditEntries}
 }
 
 // Args are the arguments of a proposal.
 type Args struct {
-	// Partial is how releases without Kind say MergePatch.
+	// Partial means MergePatch. Releases that do not support Kind set Partial.
 	Partial bool `json:"partial,omitempty"`
 	Kind    Kind `json:"kind,omitempty"`
-	// BaseRevision, when given, is the revision that the proposal builds on.
+	// BaseRevision, if set, is the revision on which the proposal is based.
 	BaseRevision *ident.ConfigRevision `json:"baseEpoch,omitempty"`
-	// BaseVersion, when given, is the version that the proposal builds on, 0 for none yet; the
-	// proposal must then have a higher version.
+	// BaseVersion, if set, is the version on which the proposal is based, 0 if there is no version
+	// yet; the proposal must then have a higher version.
 	BaseVersion *uint64 `json:"baseRelease,omitempty"`
-	// AllowUnknown accepts fields that the mesh does not know; they are stored and ignored.
+	// AllowUnknown accepts unknown fields, which are stored and ignored.
 	AllowUnknown bool `json:"loose,omitempty"`
-	// OperationID is the operator's own identifier of the proposal, if it gave one.
+	// OperationID is the identifier that the operator assigned to the proposal, "" if none.
 	OperationID string `json:"op,omitempty"`
-	// Body is the document or the patch as it was sent.
+	// Body is the document or the patch as sent by the operator.
 	Body json.RawMessage `json:"manifest"`
 }
 
@@ -60,8 +60,8 @@
 	return a.Kind
 }
 
-// fingerprint identifies the proposal by its kind, its base, its identifier and its body,
-// re-encoded with sorted fields. Stored logs hold fingerprints: what is hashed must not change.
+// fingerprint identifies the proposal by its kind, base, identifier and body, re-encoded with
+// sorted fields. Stored logs hold fingerprints, so the hashed text must not change.
 func (a Args) fingerprint(encodedBody json.RawMessage) history.Fingerprint {
 	base := ""
 	switch {
@@ -73,8 +73,8 @@
 	return history.FingerprintOf(string(a.kind()), base, a.OperationID, string(encodedBody))
 }
 
-// status returns what the log knows of the proposal. One that has neither a base nor an
-// identifier is always a new one.
+// status returns the status of the proposal according to the log. A proposal with neither a base
+// nor an identifier is always treated as a new proposal.
 func (a Args) status(log history.Log, fingerprint history.Fingerprint) (history.Status, history.Change) {
 	switch {
 	case a.BaseVersion != nil:
@@ -88,9 +88,10 @@
 	}
 }
 
-// markUncertain makes the outcome of a rejection unknown if the proposal may have been
-// accepted before: it names no base and the log has forgotten changes.
-func (a Args) markUncertain(log history.Log, err *failure.Error) *failure.Error {
+// markOutcomeUnknown sets the outcome of a rejection to unknown if the proposal may have been
+// accepted before: the proposal names no base, and the log does not reach back to the first
+// revision.
+func (a Args) markOutcomeUnknown(log history.Log, err *failure.Error) *failure.Error {
 	if status, _ := a.status(log, ""); status == history.Unknown {
 		err.Outcome = failure.OutcomeUnknown
 	}
--- a/control/config/proposal/proposal_test.go
+++ b/control/config/proposal/proposal_test.go
@@ -15,10 +15,10 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// validConfig is a document that the strict reader accepts.
+// validConfig is a document that validation.Strict accepts.
 const validConfig = `{"services":{"a.x":{"namespace":"n"}},"ways":{"w":{"host":"h.x","service":"a.x"}}}`
 
-// fixture is the control key with its stored value and its revision.
+// fixture holds the stored value of the control key and its revision.
 type fixture struct {
 	value    json.RawMessage
 	revision ident.Revision
@@ -50,8 +50,8 @@
 	return current
 }
 
-// Of several proposals on one base, in every order, one is accepted; the others are rejected
-// with Conflict and change nothing.
+// Guards against lost updates: of several proposals on one base, in every order, one is accepted;
+// the others are rejected with Conflict and change nothing.
 func TestConcurrentProposalsAcceptOne(t *testing.T) {
 	for first := range 3 {
 		f := &fixture{}
--- a/control/config/proposal/propose.go
+++ b/control/config/proposal/propose.go
@@ -30,7 +30,7 @@
 	}
 	next, err := current.evaluate(context, args, body)
 	if err != nil {
-		return operation.Rejected(args.markUncertain(log, err))
+		return operation.Rejected(args.markOutcomeUnknown(log, err))
 	}
 	log = log.Append(next.Version, fingerprint)
 	next.Log = &log
@@ -42,10 +42,10 @@
 }
 
 // answerWithoutEvaluation answers a proposal that was decided before or whose base is not the
-// newest one; it reports false for any other. A repeat of an accepted proposal gets the first
-// response again, and so does the whole configuration in force. Conflict is the answer only
-// if the log proves that the proposal was not accepted; if the log has forgotten, the outcome
-// is unknown.
+// newest revision or version. It reports false for any other proposal. A repeat of an accepted
+// proposal gets the first response again, and so does a proposal of the whole configuration in
+// force. Conflict is the answer only if the log proves that the proposal was not accepted; if the
+// log does not reach back to the base, the outcome is unknown.
 func (s *State) answerWithoutEvaluation(
 	args Args, log history.Log, fingerprint history.Fingerprint, encodedBody json.RawMessage,
 ) (operation.Result, bool) {
@@ -61,7 +61,7 @@
 		return operation.Result{}, false
 	case status == history.Unknown:
 		return operation.Rejected(failure.NewUnknown(failure.UnknownOutcome,
-			"the configuration is at revision %d and version %d; whether this proposal was accepted before is no longer known",
+			"the configuration is at revision %d and version %d; the log no longer shows whether this proposal was accepted before",
 			s.Revision, s.Version)), true
 	case args.BaseVersion != nil:
 		return operation.Rejected(failure.New(failure.Conflict,
@@ -72,8 +72,8 @@
 	}
 }
 
-// evaluate checks a proposal on the configuration in force and returns the state after it,
-// still without its log.
+// evaluate validates a proposal against the configuration in force and returns the next state,
+// without its Log.
 func (s *State) evaluate(context proposer.Context, args Args, body map[string]any) (next State, err *failure.Error) {
 	document, err := s.compose(args, body)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return next, nil
 }
 
-// compose returns the whole document that is proposed.
+// compose returns the whole proposed document.
 func (s *State) compose(args Args, body map[string]any) (map[string]any, *failure.Error) {
 	composeDocument, ok := composers[args.kind()]
 	if !ok {
@@ -122,8 +122,8 @@
 	return composeDocument(base, body, args.AllowUnknown)
 }
 
-// checkVersion checks the version of a proposal: on a base version it must be given and
-// higher than the one in force, else it must not be lower.
+// checkVersion checks the version of a proposal. A proposal with a base version must have a version
+// above the version in force; any other proposal must not have a version below the version in force.
 func (s *State) checkVersion(args Args, body map[string]any, version uint64) *failure.Error {
 	_, given := body["release"]
 	if args.BaseVersion != nil && (!given || version <= s.Version) || given && version < s.Version {
--- a/control/config/proposal/resend_test.go
+++ b/control/config/proposal/resend_test.go
@@ -35,9 +35,9 @@
 	return proposal.Args{Kind: proposal.MergePatch, BaseRevision: &base, Body: json.RawMessage(body)}
 }
 
-// checkResent checks the result of repeating an accepted proposal: the first response, or an
-// unknown outcome where that is allowed. The repeat must change nothing.
-func checkResent(t *testing.T, result proposer.Result, first string, mayForget bool, note ...any) {
+// checkResent checks the result of resending an accepted proposal: the first response or, if
+// mayBeUnknown is set, an unknown outcome. The resent proposal must change nothing.
+func checkResent(t *testing.T, result proposer.Result, first string, mayBeUnknown bool, note ...any) {
 	t.Helper()
 	must.False(t, result.Changed, must.Sprint(note...))
 	if result.Failure == nil {
@@ -45,11 +45,12 @@
 		return
 	}
 	must.Eq(t, failure.OutcomeUnknown, result.Failure.Outcome, must.Sprint(append(note, result.Failure)...))
-	must.True(t, mayForget, must.Sprint(note...))
+	must.True(t, mayBeUnknown, must.Sprint(note...))
 }
 
-// After many changes every accepted proposal is sent again: the newest get their first
-// response, the outcome of older ones is unknown, and none is rejected as not executed.
+// Guards against an operator who resends an accepted proposal and learns that it was not executed.
+// After many changes, every accepted proposal is resent: the newest proposals get their first
+// response, the outcome of older proposals is unknown.
 func TestResentAcceptedProposalIsNotRejected(t *testing.T) {
 	const changes = 600
 	for _, increment := range []uint64{1, 2, 5000} {
@@ -81,10 +82,11 @@
 	}
 }
 
-// The same for proposals that name a base revision, or an operation ID in place of a base.
+// Like TestResentAcceptedProposalIsNotRejected, for proposals that name a base revision, or an
+// operation ID instead of a base.
 func TestResentAcceptedOperationIsNotRejected(t *testing.T) {
 	const changes = 600
-	for _, named := range []bool{false, true} {
+	for _, withOperationID := range []bool{false, true} {
 		f := &fixture{}
 		must.Nil(t, f.proposeOnRevision("begin", validConfig, false, nil).Failure)
 		var sent []proposal.Args
@@ -92,7 +94,7 @@
 		for i := range changes {
 			op := fmt.Sprint("op", i)
 			args := argsOnRevision(f.read().Revision, fmt.Sprintf(`{"release":%d,"services":{"a.x":{"namespace":"n%d"}}}`, i, i))
-			if named {
+			if withOperationID {
 				args.BaseRevision, args.OperationID = nil, op
 			}
 			result := f.proposeAs(op, args)
@@ -100,19 +102,19 @@
 			sent, ops, bodies = append(sent, args), append(ops, op), append(bodies, string(result.Body))
 		}
 		for index := range sent {
-			checkResent(t, f.proposeAs(ops[index], sent[index]), bodies[index], changes-index > history.MaxEntries, named, index)
+			checkResent(t, f.proposeAs(ops[index], sent[index]), bodies[index], changes-index > history.MaxEntries, withOperationID, index)
 		}
 	}
 }
 
-// Of two proposals on each base the second is rejected with Conflict, in whichever order they
-// come; once the base is older than the log, the outcome of a repeat is unknown.
+// Of two proposals on each base, the second to arrive is rejected with Conflict. Once the base is
+// older than the log, the outcome of resending the rejected proposal is unknown.
 func TestTwoProposalsOnEachBase(t *testing.T) {
 	const changes = 400
 	rng := rand.New(rand.NewPCG(1, 1))
 	f := &fixture{}
 	must.Nil(t, f.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
-	var losers []proposal.Args
+	var rejected []proposal.Args
 	for i := range uint64(changes) {
 		pair := []proposal.Args{
 			argsOnVersion(proposal.ItemPatch, 1+i, fmt.Sprintf(`{"release":%d,"upsert":{"services":{"x":{"n":%d}}}}`, i+2, i)),
@@ -124,9 +126,9 @@
 		must.NotNil(t, result.Failure)
 		must.Eq(t, failure.Conflict, result.Failure.Kind)
 		must.Eq(t, failure.NotExecuted, result.Failure.Outcome)
-		losers = append(losers, pair[1-first])
+		rejected = append(rejected, pair[1-first])
 	}
-	for i, args := range losers {
+	for i, args := range rejected {
 		result := f.proposeAs("", args)
 		must.NotNil(t, result.Failure)
 		must.False(t, result.Changed)
@@ -139,14 +141,14 @@
 	}
 }
 
-// Eight concurrent operators lose every second response and send the same proposal again at
-// any later time: an accepted proposal is never rejected as not executed, a rejected one is
-// never acknowledged, and each base has one accepted proposal.
+// Eight concurrent operators lose every second response on average and resend the same proposal at
+// any later time. An accepted proposal must never be rejected as not executed, a rejected proposal
+// must never be acknowledged, and each base must have at most one accepted proposal.
 func TestEightConcurrentProposals(t *testing.T) {
 	const operators, steps, seeds = 8, 700, 8
 	type sentProposal struct {
 		args     proposal.Args
-		body     string // of the response when it was accepted
+		body     string // body of the first response that accepted the proposal
 		accepted bool
 	}
 	for seed := range uint64(seeds) {
@@ -155,15 +157,15 @@
 		must.Nil(t, f.proposeAs("", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 		current := make([]*sentProposal, operators)
 		var past []*sentProposal
-		winners := map[uint64]*sentProposal{}
+		acceptedByBase := map[uint64]*sentProposal{}
 		send := func(proposed *sentProposal) proposer.Result {
 			result := f.proposeAs("", proposed.args)
 			base := *proposed.args.BaseVersion
 			switch {
 			case result.Failure == nil && result.Changed:
 				must.False(t, proposed.accepted, must.Sprint(seed, base))
-				must.Nil(t, winners[base], must.Sprint(seed, base))
-				proposed.accepted, proposed.body, winners[base] = true, string(result.Body), proposed
+				must.Nil(t, acceptedByBase[base], must.Sprint(seed, base))
+				proposed.accepted, proposed.body, acceptedByBase[base] = true, string(result.Body), proposed
 			case result.Failure == nil:
 				must.True(t, proposed.accepted, must.Sprint(seed, base))
 				must.Eq(t, proposed.body, string(result.Body))
@@ -190,16 +192,16 @@
 			}
 			if result := send(current[operator]); rng.IntN(2) == 0 &&
 				(result.Failure == nil || result.Failure.Outcome == failure.NotExecuted) {
-				current[operator] = nil // it received the response
+				current[operator] = nil // the operator received the response
 			}
 			send(past[rng.IntN(len(past))])
 		}
-		must.Greater(t, history.MaxEntries, len(winners), must.Sprint(seed))
+		must.Greater(t, history.MaxEntries, len(acceptedByBase), must.Sprint(seed))
 	}
 }
 
-// A state that was stored by a release without logs remembers nothing: the outcome of earlier
-// proposals is unknown, later ones are remembered.
+// A state stored by a release that does not support logs: the outcome of earlier proposals is
+// unknown, and later proposals are recorded in a new log.
 func TestStateWithoutLog(t *testing.T) {
 	f := &fixture{
 		value: operation.Encode(
--- a/control/config/proposal/size_test.go
+++ b/control/config/proposal/size_test.go
@@ -16,14 +16,14 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// term is the control key under one proposer, with the decoded form that it retains between
-// operations.
-type term struct {
+// proposerTerm is the control key during the term of one proposer, with the decoded form that the
+// proposer retains between operations.
+type proposerTerm struct {
 	fixture
 	decoded any
 }
 
-func (t *term) apply(kind string, args any) proposer.Result {
+func (t *proposerTerm) apply(kind string, args any) proposer.Result {
 	context := proposer.Context{Revision: t.revision, Decoded: t.decoded}
 	op := proposer.Operation{Key: proposal.Key, Kind: kind, Args: operation.Encode(args), Repeatable: true}
 	result := proposal.Handlers().Apply(context, t.value, op)
@@ -37,16 +37,16 @@
 	return result
 }
 
-// The bytes that are stored beside the document are bounded by the length of the log and by
-// the entries that the audit log does not hold yet.
+// The size of the stored state apart from the document is bounded by the length of the log and the
+// number of entries that the audit log does not hold yet.
 func TestStateOverheadIsBounded(t *testing.T) {
 	const (
-		perChange     = 14  // in the log: an increment, its end and a fingerprint
-		perAuditEntry = 110 // of an entry that waits for the audit log
+		perChange     = 14  // bytes in the log: an increment, its terminator and a fingerprint
+		perAuditEntry = 110 // bytes of an entry that the audit log does not hold yet
 		fixed         = 300
 		auditInterval = 3 // changes between two reads for the audit log
 	)
-	current := &term{}
+	current := &proposerTerm{}
 	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 	version := uint64(1)
 	for _, changes := range []uint64{0, 300, 1000} {
@@ -57,16 +57,17 @@
 			patch := fmt.Sprintf(`{"release":%d}`, version+1)
 			must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.ItemPatch, version, patch)).Failure)
 		}
-		beside := len(current.value) - len(current.read().Document)
-		t.Logf("after %d changes: %d bytes beside a document of %d", changes, beside, len(current.read().Document))
-		must.LessEq(t, fixed+auditInterval*perAuditEntry+perChange*min(int(changes)+1, history.MaxEntries), beside)
+		overhead := len(current.value) - len(current.read().Document)
+		t.Logf("after %d changes: %d bytes in addition to a document of %d bytes", changes, overhead, len(current.read().Document))
+		must.LessEq(t, fixed+auditInterval*perAuditEntry+perChange*min(int(changes)+1, history.MaxEntries), overhead)
 	}
 }
 
-// No entry is dropped that the audit log is not known to hold, and a new proposer knows
-// nothing of it; the newest entry always stays, to recognise the configuration in force.
+// Guards against the loss of audit entries: an entry is dropped only if the proposer knows that the
+// audit log holds the entry, and a new proposer starts without this knowledge. The newest entry is
+// always kept, to recognize a proposal of the configuration in force.
 func TestAuditEntriesAreKeptUntilLogged(t *testing.T) {
-	current := &term{}
+	current := &proposerTerm{}
 	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, fullConfig(1, ""))).Failure)
 	change := func() {
 		version := current.read().Version
@@ -111,11 +112,11 @@
 	return strings.Join(routes, ",")
 }
 
-// In a configuration of 500 routes, a change of one route sends to a disk that holds the base
-// no more than the size of the change, however many changes were made before.
+// In a configuration of 500 routes, the diff of a change of one route, sent to a disk that holds
+// the base, has at most maxBytes bytes, however many changes were made before.
 func TestChangeDiffSizeIsBounded(t *testing.T) {
 	const maxBytes = 1200
-	current := &term{}
+	current := &proposerTerm{}
 	document := `{"release":1,"services":{"a":{},"b":{}},"ways":{` + routeList(500) + `}}`
 	must.Nil(t, current.apply("manifest/offer", argsOnVersion(proposal.FullConfig, 0, document)).Failure)
 	var ballot ident.Ballot
--- a/control/config/proposal/state.go
+++ b/control/config/proposal/state.go
@@ -11,19 +11,20 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// State is the state of the control key: the newest configuration and what is needed to
-// judge proposals. Invariant: Version never falls; while every proposal names a base
-// version, each change raises it.
+// State is the state of the control key: the newest configuration and the data needed to evaluate
+// proposals. Invariants: Version never decreases; as long as every proposal names a base version,
+// each change increases Version.
 type State struct {
-	// Revision is the revision of the control key at which Document came into force.
+	// Revision is the revision of the control key at which Document took effect.
 	Revision ident.ConfigRevision `json:"epoch"`
-	// Version is the number that the operators gave the document.
+	// Version is the version that the operators assigned to the document.
 	Version uint64 `json:"release,omitempty"`
-	// AllowUnknown says that Document may have unknown fields and free names.
+	// AllowUnknown is true if Document may have fields and names that only validation.Lenient
+	// accepts.
 	AllowUnknown bool            `json:"loose,omitempty"`
 	Document     json.RawMessage `json:"manifest"`
-	// AuditEntries are the newest entries for the audit log in order of revision; the last is
-	// that of Revision.
+	// AuditEntries are the newest entries for the audit log in order of revision; the last entry is
+	// the entry of Revision.
 	AuditEntries []AuditEntry `json:"lines,omitempty"`
 	// Log holds the newest accepted proposals.
 	Log *history.Log `json:"chain,omitempty"`
@@ -54,7 +55,7 @@
 	return operation.Result{Body: operation.Encode(current)}
 }
 
-// readRevision responds with the newest revision, which is that of the control key.
+// readRevision responds with the newest revision, which is the revision of the control key.
 func readRevision(context proposer.Context, _, _ json.RawMessage) operation.Result {
 	return operation.Result{Body: operation.Encode(Accepted{Revision: ident.ConfigRevision(context.Revision)})}
 }
--- a/control/config/proposal/version_test.go
+++ b/control/config/proposal/version_test.go
@@ -44,9 +44,9 @@
 	body string
 }
 
-// All orders of five proposals, each sent twice, of which some build on the newest version and
-// some on others: of different proposals on one base one is accepted; a repeat of an accepted
-// one gets the same response; a rejected one changes nothing.
+// All orders of five proposals, each sent twice, some based on the newest version and some on other
+// versions: of different proposals on one base, one is accepted; a repeat of an accepted proposal
+// gets the same response; a rejected proposal changes nothing.
 func TestProposalsOnOneBase(t *testing.T) {
 	proposals := []testProposal{
 		{proposal.FullConfig, 7, fullConfig(9, `,"x":"A"`)}, {proposal.FullConfig, 7, fullConfig(9, `,"x":"B"`)},
@@ -63,11 +63,11 @@
 			permute(rest, func(order []int) { then(append([]int{next}, order...)) })
 		}
 	}
-	n := 0
+	orders := 0
 	permute([]int{0, 1, 2, 3, 4}, func(order []int) {
-		n++
+		orders++
 		f, acceptedBodies, currentVersion := newFixture(t), map[int]string{}, uint64(7)
-		for round := range 2 { // every proposal once, then every one again
+		for round := range 2 { // every proposal once, then every proposal again
 			for _, i := range order {
 				proposed, before := proposals[i], string(f.value)
 				result := f.proposeOnVersion(proposed.kind, proposed.base, proposed.body)
@@ -97,11 +97,11 @@
 		for i := range acceptedBodies {
 			acceptedByBase[proposals[i].base]++
 		}
-		for base, n := range acceptedByBase {
-			must.Eq(t, 1, n, must.Sprintf("base %d, order %v", base, order))
+		for base, accepted := range acceptedByBase {
+			must.Eq(t, 1, accepted, must.Sprintf("base %d, order %v", base, order))
 		}
 	})
-	must.Eq(t, 120, n)
+	must.Eq(t, 120, orders)
 }
 
 // The configuration in force is accepted again whatever the order of its fields and its base;
@@ -138,8 +138,8 @@
 	must.Eq(t, 3, f.revision)
 }
 
-// Accepted proposals are remembered for a number of changes. The outcome of an older proposal
-// is unknown, whether it was accepted or not: a Conflict would not be proved.
+// The log holds accepted proposals for a bounded number of changes. The outcome of an older
+// proposal is unknown, whether the proposal was accepted or not: the log cannot prove a Conflict.
 func TestAcceptedProposalLogIsBounded(t *testing.T) {
 	f := newFixture(t)
 	for i := uint64(8); i < 8+300; i++ {
@@ -171,7 +171,8 @@
 	must.Eq(t, 301, f.revision)
 }
 
-// Every fault of a patch or a whole configuration rejects it and leaves the newest unchanged.
+// Each of these faults in a patch or a whole configuration rejects the proposal and leaves the
+// stored configuration unchanged.
 func TestInvalidItemPatches(t *testing.T) {
 	for _, invalid := range []testProposal{
 		{proposal.FullConfig, 7, fullConfig(7, "")[:20]},
@@ -188,7 +189,7 @@
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":[]}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":"w"}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"remove":{"ways":[1]}}`},
-		{proposal.ItemPatch, 7, `{"release":8,"remove":{"services":["a"]}}`}, // routes refer to it
+		{proposal.ItemPatch, 7, `{"release":8,"remove":{"services":["a"]}}`}, // routes refer to service a
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"w":{"host":"h"}}}}`},
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"h","service":"a"}}}}`}, // the host of route w
 		{proposal.ItemPatch, 7, `{"release":8,"upsert":{"ways":{"x":{"host":"x","service":"c"}}}}`},
@@ -212,7 +213,7 @@
 }
 
 // An item patch replaces whole items, removes items, ignores names that do not exist, and
-// leaves everything else as it was sent.
+// keeps everything else as the operator sent it.
 func TestItemPatch(t *testing.T) {
 	f := &fixture{}
 	base := `{"release":1,"note":[1.50,null],"services":{"a":{"x":{"y":1e3}},"b":{}},` +
@@ -250,8 +251,8 @@
 	must.Nil(t, f.proposeOnVersion(proposal.FullConfig, 7, fullConfig(8, "")).Failure)
 }
 
-// The revision that is read is that of the newest configuration, after every accepted or
-// rejected proposal.
+// A read of the revision returns the revision of the newest configuration, after accepted and after
+// rejected proposals.
 func TestReadRevisionReturnsTheNewest(t *testing.T) {
 	f := &fixture{}
 	readRevision := func() ident.ConfigRevision {
--- a/control/config/validation/config.go
+++ b/control/config/validation/config.go
@@ -1,5 +1,5 @@
-// Package validation turns a configuration document into its typed form and reports every
-// fault with its path.
+// Package validation converts a configuration document to its typed form and reports every fault
+// with its path.
 package validation
 
 import (
@@ -8,17 +8,17 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Config is a valid configuration of the mesh, as the operators want it in force.
-// Invariants: every service that a route names exists; no two routes have the same host and
-// path prefix.
+// Config is a valid configuration of the mesh: the desired state that the operators set.
+// Invariants: every service that a route names exists; no two routes have the same host and path
+// prefix.
 type Config struct {
-	// Revision is that of the control key that stores the configuration.
+	// Revision is the revision of the control key that stores the configuration.
 	Revision ident.ConfigRevision
-	// Version is the author's own rising number, 0 if none is given.
+	// Version is an increasing number that the operators assign, 0 if absent.
 	Version  uint64
 	Limits   Limits
 	Services map[ident.Service]Service
-	// Routes are in order of their names.
+	// Routes are sorted by name.
 	Routes []Route
 }
 
@@ -28,21 +28,21 @@
 	Namespace string        `json:"namespace"`
 	// DrainTimeout is how long a leaving endpoint may take to finish its requests.
 	DrainTimeout time.Duration `json:"drain"`
-	// AddressReuseDelay is the least time before the address of an endpoint that left may
-	// belong to another service.
+	// AddressReuseDelay is the minimum time before the address of an endpoint that left may belong
+	// to another service.
 	AddressReuseDelay time.Duration `json:"reuse"`
-	// RetryRatio is the part of its requests that may be retried. Invariant: at most 0.2.
+	// RetryRatio is the ratio of the service's requests that may be retried. Invariant: at most 0.2.
 	RetryRatio float64 `json:"part"`
-	// CallerWeights weighs the callers of the service that share its retry budget.
+	// CallerWeights holds the weights with which the callers of the service share its retry budget.
 	CallerWeights map[string]float64 `json:"callers,omitempty"`
-	// HealthCheckPath is the path of an endpoint's health check, empty if it has none.
+	// HealthCheckPath is the path of the endpoints' health check, empty if they have none.
 	HealthCheckPath string `json:"checkPath,omitempty"`
-	// MaxConnections bounds the connections to one endpoint; 0 means no bound.
+	// MaxConnections limits the connections to one endpoint; 0 means no limit.
 	MaxConnections int `json:"connections,omitempty"`
 }
 
-// Limits bound the requests that clients send: their sizes, the time to receive a request's
-// header, and the time that a connection may be idle.
+// Limits holds the limits on client requests: the sizes of header and body, the time to receive a
+// request's header, and the time for which a connection may be idle.
 type Limits struct {
 	MaxHeaderBytes int64         `json:"headBytes"`
 	MaxBodyBytes   int64         `json:"bodyBytes"`
@@ -50,7 +50,7 @@
 	IdleTimeout    time.Duration `json:"idle"`
 }
 
-// DefaultLimits are the limits that apply where a configuration gives none.
+// DefaultLimits are the limits that apply if a configuration sets none.
 var DefaultLimits = Limits{
 	MaxHeaderBytes: 64 << 10,
 	MaxBodyBytes:   8 << 20,
--- a/control/config/validation/fuzz_test.go
+++ b/control/config/validation/fuzz_test.go
@@ -13,7 +13,7 @@
 	"cottonarch.example/cottonarch/mesh/routetable"
 )
 
-// documentSeeds are configuration documents, some of them with faults.
+// documentSeeds are configuration documents, some of which are invalid.
 var documentSeeds = []string{
 	`{}`, `null`, `[]`, `{"release":1}x`, `{"release":1e400}`, `{"release":-0.0,"services":{}}`,
 	`{"release":7,"limits":{"headBytes":16384,"bodyBytes":67108864,"headMs":3000,"idleMs":15000},` +
@@ -26,8 +26,9 @@
 	`{"services":{"é":{}},"ways":{"<w>":{"host":"h","service":"é","timeoutMs":0.0000001}}}`,
 }
 
-// stored returns the document as every reader gets it from the control key that stores it.
-func stored(t *testing.T, document map[string]any) map[string]any {
+// storeAndRead returns the document as readers of the control key get it, and checks that encoding
+// the document again does not change it.
+func storeAndRead(t *testing.T, document map[string]any) map[string]any {
 	raw, err := json.Marshal(document)
 	must.NoError(t, err)
 	back, parseErr := decode.Parse(raw)
@@ -38,9 +39,10 @@
 	return back
 }
 
-// For any bytes that an operator sends: they are accepted or rejected; a document reads the
-// same after it was stored; what Strict accepts, Lenient accepts with the same result; and an
-// accepted configuration is accepted again, with the same result, from the store.
+// For any input from an operator: the input is accepted or rejected without a panic; a document
+// reads the same after being stored; Lenient accepts every document that Strict accepts, with the
+// same result; and an accepted configuration is accepted again from the store, with the same
+// result.
 func FuzzConfig(f *testing.F) {
 	for _, seed := range documentSeeds {
 		f.Add([]byte(seed))
@@ -50,7 +52,7 @@
 		if err != nil {
 			return
 		}
-		back := stored(t, document)
+		back := storeAndRead(t, document)
 		strictConfig, strictErr := validation.Strict(document)
 		lenientConfig, lenientErr := validation.Lenient(document)
 		must.Eq(t, lenientConfig == nil, lenientErr != nil)
@@ -67,9 +69,9 @@
 	})
 }
 
-// For any patch of any configuration: a merge patch or an item patch that is applied twice
-// has the effect of one application, changes neither of its inputs, and results in a document
-// that can be stored.
+// For any patch of any configuration: applying a merge patch or an item patch twice has the same
+// effect as applying it once, does not change the inputs, and results in a document that can be
+// stored.
 func FuzzPatches(f *testing.F) {
 	for _, seed := range documentSeeds {
 		for _, itemPatch := range []string{
@@ -90,15 +92,15 @@
 		if err != nil {
 			return
 		}
-		before := stored(t, base)
-		stored(t, merge.Merge(base, itemPatch))
-		must.Eq(t, stored(t, merge.Merge(base, itemPatch)), stored(t, merge.Merge(merge.Merge(base, itemPatch), itemPatch)))
+		before := storeAndRead(t, base)
+		storeAndRead(t, merge.Merge(base, itemPatch))
+		must.Eq(t, storeAndRead(t, merge.Merge(base, itemPatch)), storeAndRead(t, merge.Merge(merge.Merge(base, itemPatch), itemPatch)))
 		if next, err := patch.Apply(base, itemPatch, true); err == nil {
-			once := stored(t, next)
+			once := storeAndRead(t, next)
 			twice, err := patch.Apply(next, itemPatch, true)
 			must.Nil(t, err)
-			must.Eq(t, once, stored(t, twice))
+			must.Eq(t, once, storeAndRead(t, twice))
 		}
-		must.Eq(t, before, stored(t, base))
+		must.Eq(t, before, storeAndRead(t, base))
 	})
 }
--- a/control/config/validation/names.go
+++ b/control/config/validation/names.go
@@ -11,8 +11,8 @@
 	anyHost = "*"
 )
 
-// NormalizeHost returns the form in which hosts are compared: lower case, without a port
-// and a final dot.
+// NormalizeHost returns the form in which hosts are compared: lower case, without port and trailing
+// dot.
 func NormalizeHost(name string) string {
 	if strings.IndexByte(name, ':') >= 0 {
 		if host, _, err := net.SplitHostPort(name); err == nil {
@@ -22,8 +22,8 @@
 	return strings.TrimSuffix(strings.ToLower(name), ".")
 }
 
-// isStrictName reports whether a text consists of letters and digits, with dots, dashes and
-// underscores between them.
+// isStrictName reports whether s consists of letters and digits, with dots, dashes and underscores
+// between letters and digits.
 func isStrictName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -35,8 +35,8 @@
 	return s != "" && len(s) <= maxNameLength
 }
 
-// isFreeName reports whether a text has neither spaces nor control characters.
-func isFreeName(s string) bool {
+// isLenientName reports whether s contains neither spaces nor control characters.
+func isLenientName(s string) bool {
 	for _, c := range s {
 		if c <= ' ' || c == 0x7f {
 			return false
@@ -45,7 +45,7 @@
 	return s != "" && len(s) <= maxNameLength
 }
 
-// nameRules says which names a reader accepts.
+// nameRules holds the functions that check the names in a document.
 type nameRules struct {
 	routeName, hostName, serviceName func(string) bool
 }
@@ -56,5 +56,5 @@
 		hostName:    isStrictName,
 		serviceName: func(s string) bool { return isStrictName(s) && NormalizeHost(s) == s },
 	}
-	freeNames = nameRules{routeName: isFreeName, hostName: isFreeName, serviceName: isFreeName}
+	lenientNames = nameRules{routeName: isLenientName, hostName: isLenientName, serviceName: isLenientName}
 )
--- a/control/config/validation/reader.go
+++ b/control/config/validation/reader.go
@@ -16,12 +16,13 @@
 	maxRoutes     = 20000
 	maxCallers    = 1000
 	maxPathPrefix = 2048
-	// maxRetryRatio bounds the part of a service's requests that may be retried.
+	// maxRetryRatio bounds the ratio of a service's requests that may be retried.
 	maxRetryRatio = 0.2
-	// maxInt32 bounds numbers that become an int.
-	maxInt32        = 1<<31 - 1
-	dayMilliseconds = 86_400_000
-	// maxExactInteger is the largest whole number up to which every JSON reader is exact.
+	// maxInt32 bounds numbers that are converted to int, which may have 32 bits.
+	maxInt32           = 1<<31 - 1
+	millisecondsPerDay = 86_400_000
+	// maxExactInteger is the largest integer up to which every JSON reader represents all integers
+	// exactly.
 	maxExactInteger = 1 << 53
 )
 
@@ -45,23 +46,23 @@
 	maxAttemptsLimit = 100
 )
 
-// The priorities of routes that name none.
+// The priorities of routes that do not set a priority.
 const (
 	urgentPriority  = 0
 	defaultPriority = 2
 )
 
-// Strict validates a document all of whose fields must be known here, with names of letters,
-// digits, dots, dashes and underscores.
+// Strict validates a document, and rejects unknown fields and names with characters other than
+// letters, digits, dots, dashes and underscores.
 func Strict(document map[string]any) (*Config, *failure.Error) {
 	return readConfig(document, strictNames, &decode.Faults{})
 }
 
-// Lenient validates a document that may have unknown fields and freely chosen names.
-// Invariant: what Strict accepts, Lenient accepts with the same result; so every receiver of
-// a configuration that was already accepted reads it with Lenient.
+// Lenient validates a document that may have unknown fields and names with any characters other
+// than spaces and control characters. Invariant: Lenient accepts every document that Strict
+// accepts, with the same result, so every receiver of an accepted configuration uses Lenient.
 func Lenient(document map[string]any) (*Config, *failure.Error) {
-	return readConfig(document, freeNames, &decode.Faults{AllowUnknown: true})
+	return readConfig(document, lenientNames, &decode.Faults{AllowUnknown: true})
 }
 
 func readConfig(document map[string]any, rules nameRules, faults *decode.Faults) (*Config, *failure.Error) {
@@ -92,8 +93,8 @@
 	return Limits{
 		MaxHeaderBytes: object.Int("headBytes", DefaultLimits.MaxHeaderBytes, 1, maxExactInteger),
 		MaxBodyBytes:   object.Int("bodyBytes", DefaultLimits.MaxBodyBytes, 0, maxExactInteger),
-		HeaderTimeout:  milliseconds(object.Float("headMs", float64(DefaultLimits.HeaderTimeout.Milliseconds()), 1, dayMilliseconds)),
-		IdleTimeout:    milliseconds(object.Float("idleMs", float64(DefaultLimits.IdleTimeout.Milliseconds()), 1, dayMilliseconds)),
+		HeaderTimeout:  milliseconds(object.Float("headMs", float64(DefaultLimits.HeaderTimeout.Milliseconds()), 1, millisecondsPerDay)),
+		IdleTimeout:    milliseconds(object.Float("idleMs", float64(DefaultLimits.IdleTimeout.Milliseconds()), 1, millisecondsPerDay)),
 	}
 }
 
@@ -102,7 +103,7 @@
 	services := make(map[ident.Service]Service, len(names))
 	for _, name := range names {
 		if !rules.serviceName(name) {
-			object.Fault(name, "a service name must be a host name in lower case")
+			object.Fault(name, "a service name must be a lower-case host name")
 		}
 		services[ident.Service(name)] = readService(name, object.Child(name))
 	}
@@ -149,7 +150,7 @@
 	return ratio, callerWeights
 }
 
-// routeMatch is what a route matches, which no two routes may share.
+// routeMatch is the match of a route. No two routes may have the same match.
 type routeMatch struct{ host, pathPrefix string }
 
 func readRoutes(object decode.Object, rules nameRules, services map[ident.Service]Service) []Route {
@@ -158,13 +159,13 @@
 	nameByMatch := make(map[routeMatch]string, len(names))
 	for _, name := range names {
 		if !rules.routeName(name) {
-			object.Fault(name, "a route name must consist of letters, digits, dots and dashes")
+			object.Fault(name, "a route name must consist of letters, digits, dots, dashes and underscores")
 		}
 		routeObject := object.Child(name)
 		route := readRoute(name, routeObject, rules, services)
 		match := routeMatch{route.Host, route.PathPrefix}
 		if other, ok := nameByMatch[match]; ok {
-			routeObject.Fault("pathStart", "the same host and pathStart as route %q", other)
+			routeObject.Fault("pathStart", "host and pathStart are the same as in route %q", other)
 		}
 		nameByMatch[match] = name
 		routes = append(routes, route)
@@ -180,8 +181,8 @@
 		PathPrefix:    object.String("pathStart", "/"),
 		Urgent:        object.Bool("urgent", false),
 		Repeat:        RepeatPolicy(object.String("repeat", "")),
-		TargetLatency: milliseconds(object.Float("aimMs", 0, 0, dayMilliseconds)),
-		Timeout:       milliseconds(object.Float("timeoutMs", defaultTimeoutMs, 0, dayMilliseconds)),
+		TargetLatency: milliseconds(object.Float("aimMs", 0, 0, millisecondsPerDay)),
+		Timeout:       milliseconds(object.Float("timeoutMs", defaultTimeoutMs, 0, millisecondsPerDay)),
 		MaxAttempts:   int(object.Int("tries", defaultMaxAttempts, 1, maxAttemptsLimit)),
 	}
 	priority := int64(defaultPriority)
@@ -196,11 +197,11 @@
 		object.Fault("repeat", "must be repeatable, one_shot, upload or download")
 	}
 	if route.Host != "" && route.Host != anyHost && !rules.hostName(route.Host) {
-		object.Fault("host", "must be a host name without port, or *")
+		object.Fault("host", "must be a host name without a port, or *")
 	}
 	route.Host = NormalizeHost(route.Host)
 	if !strings.HasPrefix(route.PathPrefix, "/") || len(route.PathPrefix) > maxPathPrefix || strings.ContainsAny(route.PathPrefix, "?# ") {
-		object.Fault("pathStart", "must begin with / and hold no query")
+		object.Fault("pathStart", "must begin with /, contain no ?, # or space, and have at most %d bytes", maxPathPrefix)
 	}
 	route.Service, route.Split = readDestinations(object, services)
 	return route
--- a/control/config/validation/repeat.go
+++ b/control/config/validation/repeat.go
@@ -1,10 +1,11 @@
 package validation
 
-// RepeatPolicy says which requests of a route may be executed twice.
+// RepeatPolicy determines which requests of a route may be executed twice.
 type RepeatPolicy string
 
-// The repeat policies. Upload is OneShot for large request bodies, Download is Repeatable
-// for large response bodies.
+// The repeat policies. ByMethod allows the safe methods only, Repeatable allows all requests and
+// OneShot allows none. Upload is OneShot for large request bodies, Download is Repeatable for large
+// response bodies.
 const (
 	ByMethod   RepeatPolicy = ""
 	Repeatable RepeatPolicy = "repeatable"
@@ -19,7 +20,8 @@
 var (
 	never  = func(string) bool { return false }
 	always = func(string) bool { return true }
-	// repeatPolicies holds for each policy which methods may be executed twice.
+	// repeatPolicies holds, for each policy, the function that decides whether a method may be
+	// executed twice.
 	repeatPolicies = map[RepeatPolicy]func(method string) bool{
 		ByMethod:   func(method string) bool { return repeatableMethods[method] },
 		Repeatable: always,
@@ -29,8 +31,8 @@
 	}
 )
 
-// Allows reports whether a request with this method may be executed twice; under an unknown
-// policy it may not.
+// Allows reports whether a request with the given method may be executed twice. An unknown policy
+// allows no repeated execution.
 func (p RepeatPolicy) Allows(method string) bool {
 	allowed, ok := repeatPolicies[p]
 	return ok && allowed(method)
--- a/control/config/validation/route.go
+++ b/control/config/validation/route.go
@@ -11,37 +11,37 @@
 	Name       string `json:"name"`
 	Host       string `json:"host"`
 	PathPrefix string `json:"pathStart"`
-	// Service receives what Split leaves.
+	// Service receives the requests that Split does not send to other services.
 	Service ident.Service `json:"service"`
 	Urgent  bool          `json:"urgent,omitempty"`
-	// Repeat says which requests may be executed twice; empty leaves it to the method.
+	// Repeat determines which requests may be executed twice; if empty, the method decides.
 	Repeat RepeatPolicy `json:"repeat,omitempty"`
-	// Priority orders the requests of different routes under load, 0 first.
+	// Priority is the priority of the route's requests under load; 0 is the highest.
 	Priority int `json:"rank"`
-	// TargetLatency is the latency up to which a response has its full value; 0 means none.
+	// TargetLatency is the latency up to which a response has its full value; 0 means no target.
 	TargetLatency time.Duration `json:"aim,omitempty"`
-	// Split sends parts of the requests to other services. Invariants: in order of service;
-	// the parts sum to no more than the whole; Service is not among them.
+	// Split sends parts of the requests to other services. Invariants: sorted by service; the parts
+	// sum to at most FullShare; Service is not among the services of Split.
 	Split []WeightedService `json:"split,omitempty"`
-	// Timeout bounds a request with all its attempts.
+	// Timeout bounds a request including all attempts.
 	Timeout     time.Duration `json:"limit"`
 	MaxAttempts int           `json:"tries"`
 }
 
 const (
-	// FullShare is all requests of a route, in millionths.
+	// FullShare is the share of all requests of a route, in millionths.
 	FullShare = 1_000_000
-	// OnePercent is one percent of the requests of a route, in millionths.
+	// OnePercent is the share of one percent of the requests of a route, in millionths.
 	OnePercent = FullShare / 100
 )
 
-// WeightedService is a service with its part of the requests of a route: Percent percent
-// and ExtraMillionths millionths. Invariant: ExtraMillionths is less than one percent.
+// WeightedService is a service with its share of the requests of a route: Percent percent plus
+// ExtraMillionths millionths. Invariant: ExtraMillionths is less than OnePercent.
 type WeightedService struct {
 	Service         ident.Service `json:"service"`
 	Percent         int           `json:"percent"`
 	ExtraMillionths int           `json:"rest,omitempty"`
 }
 
-// Millionths returns the part of the service in millionths of the route's requests.
+// Millionths returns the service's share of the route's requests in millionths.
 func (w WeightedService) Millionths() int { return w.Percent*OnePercent + w.ExtraMillionths }
--- a/control/config/validation/split.go
+++ b/control/config/validation/split.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxWeight keeps sums of weights far below the range of a float64.
+	// maxWeight keeps sums of weights far below the largest float64.
 	maxWeight = 1e15
-	// roundingGuard makes up for the rounding of a quotient: 0.1 of a route is 100,000
-	// millionths, not one less.
-	roundingGuard = 1e-6
+	// roundingTolerance compensates for the rounding error of a quotient, so that 0.1 of a route
+	// is 100,000 millionths and not one millionth less.
+	roundingTolerance = 1e-6
 )
 
 // serviceWeight is a service with its weight in a list of destinations.
@@ -22,8 +22,8 @@
 	weight  float64
 }
 
-// readDestinations reads the services of a route, which are given as a list of weighted
-// services or as one service with the percentages of others.
+// readDestinations reads the services of a route. The document has either a list of weighted
+// services, or a primary service with the percentages of other services.
 func readDestinations(route decode.Object, services map[ident.Service]Service) (primary ident.Service, parts []WeightedService) {
 	if route.IsList("split") {
 		return readWeightedSplit(route, services)
@@ -44,7 +44,7 @@
 			split.Fault(name, "there is no service %q", name)
 		}
 		if part.Service == primary {
-			split.Fault(name, "is the service of the route itself")
+			split.Fault(name, "is the service of the route and must not be in its split")
 		}
 		if sum += part.Percent; sum > 100 {
 			split.Fault(name, "the percentages sum to more than 100")
@@ -54,9 +54,9 @@
 	return parts
 }
 
-// readWeightedSplit reads a list of services with weights. The heaviest service, among equals
-// the first by name, becomes the primary one and receives what rounding leaves. Invariant: a
-// service without weight gets no part.
+// readWeightedSplit reads a list of services with weights. The service with the largest weight
+// becomes the primary service and receives the remainder after rounding; among equal weights, the
+// first name wins. Invariant: a service with weight 0 gets no share.
 func readWeightedSplit(route decode.Object, services map[ident.Service]Service) (primary ident.Service, parts []WeightedService) {
 	weights, sum := readWeights(route, services)
 	if sum <= 0 {
@@ -71,7 +71,7 @@
 		}
 	}
 	for _, entry := range weights {
-		millionths := int(entry.weight/sum*FullShare + roundingGuard)
+		millionths := int(entry.weight/sum*FullShare + roundingTolerance)
 		if entry.service != heaviest.service && millionths > 0 {
 			parts = append(parts, WeightedService{
 				Service:         entry.service,
@@ -83,10 +83,10 @@
 	return heaviest.service, parts
 }
 
-// readWeights reads the list of weighted services, with the sum of their weights.
+// readWeights reads the list of weighted services and returns the sum of the weights.
 func readWeights(route decode.Object, services map[ident.Service]Service) (weights []serviceWeight, sum float64) {
 	if route.Has("service") {
-		route.Fault("service", "can't be given beside a list of weighted services")
+		route.Fault("service", "must not be given together with a list of weighted services")
 	}
 	for _, object := range route.Objects("split") {
 		object.RejectUnknown("service", "weight")
--- a/control/config/validation/validation_test.go
+++ b/control/config/validation/validation_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// wireDocument is a configuration as operators send it.
+// wireDocument is a configuration in the form in which operators send it.
 const wireDocument = `{"release":7,"ways":{"r-n2ctnfz":{"host":"jepu9.example","pathStart":"/lepu270/",` +
 	`"repeat":"repeatable","timeoutMs":500.5,"aimMs":200,"rank":3,` +
 	`"split":[{"service":"kafi81c","weight":0.1},{"service":"huvo11a","weight":0.9}],"tries":2},` +
@@ -31,8 +31,7 @@
 	return validation.Lenient(document)
 }
 
-// A document as operators send it is read into its types, with the same result by Strict and
-// Lenient.
+// Strict and Lenient convert a document from an operator to the same typed configuration.
 func TestWireDocument(t *testing.T) {
 	config, err := readLeniently(t, wireDocument)
 	must.Nil(t, err)
@@ -75,7 +74,7 @@
 	must.Eq(t, []int{0, 2}, []int{bare.Routes[0].Priority, bare.Routes[1].Priority})
 }
 
-// Every single fault makes a configuration invalid, for Strict and Lenient.
+// Each of these faults makes a configuration invalid, for Strict and for Lenient.
 func TestInvalidConfigs(t *testing.T) {
 	for valid, invalid := range map[string][]string{
 		`"service":"wuno96b"`: {
@@ -123,7 +122,7 @@
 	}
 }
 
-// Unknown fields and free names are accepted by Lenient alone.
+// Lenient accepts unknown fields and names that Strict rejects.
 func TestUnknownFieldsAndLenientNames(t *testing.T) {
 	for _, body := range []string{
 		`{"x":1}`, `{"limits":{"x":1}}`, `{"services":{"a":{"x":{}}}}`, `{"services":{"Ä/1":{}}}`,
@@ -138,8 +137,9 @@
 	}
 }
 
-// The parts keep the proportions of any weights to a millionth; the heaviest service, among
-// equals the first by name, receives the rest; a service without weight receives nothing.
+// The shares keep the proportions of any weights to a millionth. The service with the largest
+// weight, among equal weights the first by name, receives the remainder; a service with weight 0
+// receives nothing.
 func TestWeightedSplits(t *testing.T) {
 	for list, want := range map[string]string{
 		`a 1`:                "a",
@@ -170,7 +170,7 @@
 	}
 }
 
-// Which requests may be executed twice, for every policy with a safe and an unsafe method.
+// Checks for every policy whether a safe and an unsafe method may be executed twice.
 func TestRepeatPolicies(t *testing.T) {
 	for policy, want := range map[validation.RepeatPolicy][2]bool{
 		validation.ByMethod:   {true, false},
