--- a/control/audit/segment/segment.go
+++ b/control/audit/segment/segment.go
@@ -28,8 +28,8 @@
 func Key(index int) ident.Key { return ident.Key(fmt.Sprintf("%s%08d", Prefix, index/MaxEntries)) }
 
 // State is the state of a segment. Invariants: Entries are in order of revision; an entry is only
-// appended, and only at the index that the operation names, so that two cores that both believe to
-// be maintaining the log append the entry once; an entry never changes.
+// appended, and only at the index that the operation names, so that two cores that both consider
+// themselves responsible for the log append the entry once; an entry never changes.
 type State struct {
 	Entries []proposal.AuditEntry `json:"leaves"`
 }
--- a/control/config/proposal/fuzz_test.go
+++ b/control/config/proposal/fuzz_test.go
@@ -12,7 +12,7 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// storedState returns the stored state.
+// storedState returns the decoded state of the control key.
 func (f *fixture) storedState(t *testing.T) (current proposal.State) {
 	must.NoError(t, json.Unmarshal(operation.State(f.value), &current))
 	return current
@@ -32,7 +32,7 @@
 		for _, proposed := range []testProposal{{proposal.Kind(kind), 0, string(body)}, {proposal.Kind(nextKind), 0, string(nextBody)}} {
 			before := s.storedState(t)
 			if !json.Valid([]byte(proposed.body)) {
-				continue // the API rejects it before it becomes a proposal
+				continue // the API rejects a body that is not JSON
 			}
 			first := s.proposeOnVersion(proposed.kind, before.Version, proposed.body)
 			after := s.storedState(t)
--- a/control/config/proposal/version_test.go
+++ b/control/config/proposal/version_test.go
@@ -104,8 +104,8 @@
 	must.Eq(t, 120, orders)
 }
 
-// The configuration in force is accepted again whatever the order of its fields and its base;
-// another document with the same version is not.
+// The configuration in force is accepted again whatever the order of its fields and its base.
+// Another document with the same version is rejected.
 func TestRepeatOfCurrentConfig(t *testing.T) {
 	f := newFixture(t)
 	for _, base := range []uint64{0, 7, 3} {
@@ -234,7 +234,7 @@
 }
 
 // A merge patch of a configuration with unknown fields keeps them and the version, and is
-// validated leniently; a version below the one in force is rejected also without a base
+// validated leniently. A version below the version in force is rejected even without a base
 // version.
 func TestMergePatchesWithoutBaseVersion(t *testing.T) {
 	f := &fixture{}
--- a/control/config/validation/split.go
+++ b/control/config/validation/split.go
@@ -35,7 +35,8 @@
 	return primary, readPercentSplit(route.Child("split"), primary, services)
 }
 
-// readPercentSplit reads the percentages that go to services other than the primary one.
+// readPercentSplit reads the percentages of requests that go to services other than the primary
+// service.
 func readPercentSplit(split decode.Object, primary ident.Service, services map[ident.Service]Service) (parts []WeightedService) {
 	sum := 0
 	for _, name := range split.FieldNames() {
@@ -105,7 +106,7 @@
 }
 
 // mergeByService sorts the weights by service and sums those of a service that is listed
-// more than once. It reuses the slice.
+// more than once. The result reuses the slice of weights.
 func mergeByService(weights []serviceWeight) []serviceWeight {
 	slices.SortStableFunc(weights, func(a, b serviceWeight) int { return strings.Compare(string(a.service), string(b.service)) })
 	merged := weights[:1]
--- a/control/leasetable/feed.go
+++ b/control/leasetable/feed.go
@@ -18,9 +18,9 @@
 	return t.config.Revision
 }
 
-// SetConfig applies a configuration if its revision is newer than the current one, and reports
-// whether it did. A set whose records do not change keeps its feed version; only its
-// ConfigRevision is updated.
+// SetConfig applies a configuration if its revision is above the current revision, and reports
+// whether the configuration was applied. A set whose records do not change keeps its feed version;
+// only its ConfigRevision is updated.
 func (t *Table) SetConfig(config *validation.Config) bool {
 	if t.config != nil && config.Revision <= t.config.Revision {
 		return false
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -4,7 +4,7 @@
 //
 // A core is the registrar of the sidecars that renew at it. A registrar sends changes of its list
 // to the other cores. Each of its heartbeats carries the checksum of the list; a matching checksum
-// confirms that all sidecars on the list are alive. A Table is deterministic: it does no I/O and
+// confirms that all sidecars on the list are alive. A Table is a step function: it does no I/O and
 // does not read the clock.
 package leasetable
 
@@ -72,7 +72,7 @@
 	return leaseEpoch < e.report.LeaseEpoch || leaseEpoch == e.report.LeaseEpoch && seq < e.report.Seq
 }
 
-// Table is the lease table of one core. Invariants: a report replaces only an older one of the
+// Table is the lease table of one core. Invariants: a report replaces only an older report of the
 // same sidecar; feedVersion increases with every change of a record; order holds the keys of
 // entries, sorted.
 type Table struct {
--- a/control/leasetable/table_test.go
+++ b/control/leasetable/table_test.go
@@ -30,7 +30,7 @@
 			return member.Lapsed
 		}
 	}
-	t.Fatalf("%s is not known", node)
+	t.Fatalf("sidecar %s is not in the table", node)
 	return false
 }
 
--- a/control/rollout/reconcile/operations.go
+++ b/control/rollout/reconcile/operations.go
@@ -33,8 +33,8 @@
 }
 
 // proposeShare returns the operation that sends a percentage of the route's requests to the new
-// service. The proposal names the examined revision as its base, so it never overwrites a
-// concurrent change.
+// service. The proposal names the examined revision as its base, so the proposal never overwrites
+// a concurrent change.
 func proposeShare(rollout state.Rollout, config *validation.Config, percent int) proposer.Operation {
 	patch := routePatch{Service: string(rollout.From)}
 	switch {
--- a/control/rollout/reconcile/reconciler.go
+++ b/control/rollout/reconcile/reconciler.go
@@ -29,7 +29,7 @@
 }
 
 // since returns the increase of the counts since a baseline. It reports false if a count is below
-// the baseline, which means that the baseline was taken at another core.
+// the baseline, which means that the counts and the baseline come from different cores.
 func (c CallCounts) since(baseline CallCounts) (CallCounts, bool) {
 	if c.Total < baseline.Total || c.Failed < baseline.Failed {
 		return CallCounts{}, false
--- a/control/rollout/state/rollout.go
+++ b/control/rollout/state/rollout.go
@@ -52,8 +52,8 @@
 
 // Rollout is the state of the newest rollout of a route. Invariants: Steps are strictly increasing
 // and end with 100; Step never decreases while the phase is Running; every transition names the
-// step and the phase from which it starts, so that of two cores that both believe to be driving the
-// rollout only one can make the transition.
+// step and the phase from which it starts, so that if two cores both consider themselves
+// responsible for the rollout, only one of the cores can make the transition.
 type Rollout struct {
 	Route string        `json:"way"`
 	From  ident.Service `json:"from"`
