--- a/control/config/proposal/fuzz_test.go
+++ b/control/config/proposal/fuzz_test.go
@@ -12,16 +12,15 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// storedState returns the stored state.
+// storedState returns the decoded state of the control key.
 func (f *fixture) storedState(t *testing.T) (current proposal.State) {
 	must.NoError(t, json.Unmarshal(operation.State(f.value), &current))
 	return current
 }
 
-// For any two proposals, one after the other, on the version in force: an accepted
-// configuration is accepted again from the store and raises the version; a repeat gets the
-// same response; another proposal on the older version is rejected; and a rejected proposal
-// changes nothing.
+// For any two successive proposals on the version in force: an accepted configuration is accepted
+// again from the store and increases the version; a repeat gets the same response; another proposal
+// on the older version is rejected; and a rejected proposal changes nothing.
 func FuzzProposals(f *testing.F) {
 	for _, kind := range []string{string(proposal.FullConfig), string(proposal.ItemPatch), string(proposal.MergePatch), "other"} {
 		f.Add(kind, []byte(fullConfig(9, "")), string(proposal.ItemPatch), []byte(`{"release":11,"upsert":{"services":{"c":{}}}}`))
@@ -33,7 +32,7 @@
 		for _, proposed := range []testProposal{{proposal.Kind(kind), 0, string(body)}, {proposal.Kind(nextKind), 0, string(nextBody)}} {
 			before := s.storedState(t)
 			if !json.Valid([]byte(proposed.body)) {
-				continue // the API rejects it before it becomes a proposal
+				continue // the API rejects a body that is not JSON
 			}
 			first := s.proposeOnVersion(proposed.kind, before.Version, proposed.body)
 			after := s.storedState(t)
