--- a/control/core/node/antientropy.go
+++ b/control/core/node/antientropy.go
@@ -6,7 +6,8 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// minBuckets and maxBuckets, powers of two, bound the number of digests that a comparison exchanges.
+// minBuckets and maxBuckets limit the number of digests that a comparison exchanges. Both are
+// powers of two.
 const (
 	minBuckets = 16
 	maxBuckets = 1024
@@ -14,16 +15,17 @@
 
 // AntiEntropyPass is the outcome of an anti-entropy pass.
 type AntiEntropyPass struct {
-	// FinishedAt is when the pass ended, 0 if there was none.
+	// FinishedAt is the time at which the pass ended, 0 if no pass has ended.
 	FinishedAt monotime.Time
-	// Read is how many of the CountedDisks were read and compared.
+	// DisksRead is the number of the CountedDisks whose copies were read and compared.
 	DisksRead    int
 	CountedDisks int
-	// LaggingKeys is how many keys had an outdated copy on one of the disks that were read.
+	// LaggingKeys is the number of keys with an outdated copy on at least one of the disks read.
 	LaggingKeys int
 }
 
-// antiEntropyState is when this core began its last anti-entropy pass, and its outcome.
+// antiEntropyState holds the start time of this core's last anti-entropy pass, and the outcome of
+// the last completed pass.
 type antiEntropyState struct {
 	startedAt monotime.Time
 	result    AntiEntropyPass
@@ -35,7 +37,8 @@
 	return n.antiEntropy.result, n.singletonRole.held && n.antiEntropy.result.FinishedAt != 0
 }
 
-// repairLagging reads every key whose copies differ through its proposer, which repairs them.
+// repairLagging submits a repair operation for each key whose copies differ. The key's proposer
+// reads the key and thereby repairs its copies.
 func (n *Node) repairLagging(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 	if reader == nil {
 		return
@@ -54,7 +57,8 @@
 	}
 }
 
-// bucketCount returns how many digests a comparison of a number of keys exchanges.
+// bucketCount returns the number of digests that a comparison of the given number of keys
+// exchanges.
 func bucketCount(keys int) int {
 	count := minBuckets
 	for count < keys/2 && count < maxBuckets {
--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -22,8 +22,8 @@
 	return passes[0]
 }
 
-// An anti-entropy pass counts the keys of a copy that lost everything as lagging until they are
-// repaired, and a disk that does not answer as not read.
+// An anti-entropy pass must count the keys of a disk that lost all records as lagging until they
+// are repaired, and must not count a disk that does not answer as read.
 func TestAntiEntropyReportsLaggingCopies(t *testing.T) {
 	cluster := newThreeCores(t)
 	for i, k := range []ident.Key{"number/a", "number/b", "number/c"} {
@@ -32,13 +32,13 @@
 	cluster.advance(12 * time.Second)
 	pass := cluster.lastPass(t)
 	must.Eq(t, node.AntiEntropyPass{FinishedAt: pass.FinishedAt, DisksRead: 3, CountedDisks: 3}, pass)
-	loser := coreAddrs[0]
+	emptied := coreAddrs[0]
 	for _, a := range coreAddrs {
 		if !cluster.nodes[a].HoldsSingletonRole() {
-			loser = a
+			emptied = a
 		}
 	}
-	cluster.nodes[loser].ForgetRecords()
+	cluster.nodes[emptied].ForgetRecords()
 	before := pass.FinishedAt
 	for cluster.lastPass(t).FinishedAt == before {
 		cluster.advance(10 * time.Millisecond)
@@ -48,7 +48,7 @@
 	must.GreaterEq(t, 3, pass.LaggingKeys)
 	cluster.advance(12 * time.Second)
 	must.Eq(t, 0, cluster.lastPass(t).LaggingKeys)
-	cluster.down[loser] = true
+	cluster.down[emptied] = true
 	cluster.advance(12 * time.Second)
 	pass = cluster.lastPass(t)
 	must.Eq(t, 2, pass.DisksRead)
--- a/control/core/node/audit.go
+++ b/control/core/node/audit.go
@@ -12,17 +12,17 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// auditState is the end of the audit log as this core last read or wrote it. Invariant: revision
-// and length only rise.
+// auditState describes the end of the audit log as of this core's last read or append. Invariant:
+// revision and length never decrease.
 type auditState struct {
-	revision ident.ConfigRevision // the newest in the log
+	revision ident.ConfigRevision // the newest revision in the log
 	length   int                  // the number of entries
 	readAt   monotime.Time
 }
 
-// auditPrefix returns the key of the segment that the next entry of the audit log belongs to,
-// as far as this core knows, so that the earlier ones are not read again. Without any
-// knowledge it is the prefix of the whole log.
+// auditPrefix returns the key prefix to read: the key of the segment to which the next entry of the
+// audit log belongs, so that earlier segments are not read again. If the length of the log is
+// unknown, auditPrefix returns the prefix of the whole log.
 func (n *Node) auditPrefix() string {
 	if n.audit.length == 0 {
 		return segment.Prefix
@@ -30,10 +30,10 @@
 	return string(segment.Key(n.audit.length))
 }
 
-// extendAudit updates the known end of the audit log from a quorum read, and appends the entries
-// of the configurations that were accepted since.
+// extendAudit updates the known end of the audit log from a quorum read, and appends entries for
+// the configurations that were accepted after the last entry.
 func (n *Node) extendAudit(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
-	if reader == nil || !n.takeAuditEnd(reader) {
+	if reader == nil || !n.updateAuditEnd(reader) {
 		return
 	}
 	args := operation.Encode(proposal.AuditArgs{After: n.audit.revision})
@@ -43,35 +43,36 @@
 		if result.Failure != nil || json.Unmarshal(result.Body, &entries) != nil {
 			return
 		}
-		n.appendAudit(now, n.audit.length, n.audit.revision, entries, fx)
+		n.appendAuditEntries(now, n.audit.length, n.audit.revision, entries, fx)
 	})
 }
 
-// takeAuditEnd updates the known end of the audit log from a quorum read, and reports whether
-// the next entry may be appended there.
-func (n *Node) takeAuditEnd(reader *quorumread.Reader) bool {
+// updateAuditEnd updates the known end of the audit log from a quorum read, and reports whether the
+// next entry may be appended at that end.
+func (n *Node) updateAuditEnd(reader *quorumread.Reader) bool {
 	logged, complete := AuditEntries(reader.Entries())
 	if !complete {
-		return false // an append is in progress, or was left on a minority: read again
+		return false // an append is in progress or reached only a minority: the log is read again
 	}
 	from, partial := 0, reader.Prefix != segment.Prefix
 	if partial {
 		from = n.audit.length - n.audit.length%segment.MaxEntries
 	}
 	if partial && reader.Prefix != n.auditPrefix() || from+len(logged) < n.audit.length {
-		return false // it was read before an append that has ended since
+		return false // the read is older than an append that has completed
 	}
 	n.audit.length = from + len(logged)
 	if len(logged) > 0 {
 		n.audit.revision = logged[len(logged)-1].Revision
 	}
-	// After a full segment another core may have begun the next one: read that first.
+	// If the segment is full, another core may have started the next segment, which must be read
+	// first.
 	return !partial || len(logged) != segment.MaxEntries
 }
 
-// appendAudit appends the entries after a revision to the audit log, one after the other.
-func (n *Node) appendAudit(now monotime.Time, index int, audited ident.ConfigRevision, entries []proposal.AuditEntry, fx *Effects) {
-	for len(entries) > 0 && entries[0].Revision <= audited {
+// appendAuditEntries appends the entries newer than lastRevision to the audit log, one at a time.
+func (n *Node) appendAuditEntries(now monotime.Time, index int, lastRevision ident.ConfigRevision, entries []proposal.AuditEntry, fx *Effects) {
+	for len(entries) > 0 && entries[0].Revision <= lastRevision {
 		entries = entries[1:]
 	}
 	if len(entries) == 0 {
@@ -84,12 +85,12 @@
 			return
 		}
 		n.audit.revision, n.audit.length = entries[0].Revision, index+1
-		n.appendAudit(now, index+1, n.audit.revision, entries[1:], fx)
+		n.appendAuditEntries(now, index+1, n.audit.revision, entries[1:], fx)
 	})
 }
 
-// AuditEntries joins the segments of the audit log. It is complete only if a majority agrees
-// on every one of them.
+// AuditEntries concatenates the entries of all segments of the audit log. complete is true only if
+// every segment could be decoded and a majority agrees on every segment.
 func AuditEntries(found map[ident.Key]quorumread.Entry) (entries []proposal.AuditEntry, complete bool) {
 	for _, k := range sortedKeys(found) {
 		var stored segment.State
--- a/control/core/node/audit_test.go
+++ b/control/core/node/audit_test.go
@@ -16,8 +16,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposeChange proposes a change of a version at some core, as an operator does. Changes are 0.3 s
-// apart, so that the holder of the singleton role reads the audit log at every third or fourth.
+// proposeChange proposes a change to a configuration version at one of the cores, as an operator
+// does. Changes are 0.3 s apart, so the holder of the singleton role reads the audit log once for
+// every three or four changes.
 func (cluster *jsonCluster) proposeChange(t testing.TB, kind proposal.Kind, base uint64, body string) {
 	const steps = 6
 	cluster.lastTicket++
@@ -29,7 +30,7 @@
 	cluster.execute(t, core, proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: args, Repeatable: true})
 }
 
-// auditLog reads the whole audit log.
+// auditLog reads all entries of the audit log.
 func (cluster *jsonCluster) auditLog(t testing.TB) []proposal.AuditEntry {
 	cluster.lastTicket++
 	cluster.apply(
@@ -45,10 +46,10 @@
 	return entries
 }
 
-// The bytes that a change of the configuration takes between the cores, with its audit entry, do
-// not grow with the number of earlier changes; and every change has its entry.
-func TestChangesAreFewBytes(t *testing.T) {
-	const routeCount, perRound, mostBytes = 100, 40, 25_000
+// The number of bytes that the cores exchange for a configuration change and its audit entry must
+// not grow with the number of earlier changes, and every change must have an audit entry.
+func TestConfigChangeTrafficIsBounded(t *testing.T) {
+	const routeCount, changesPerRound, maxBytes = 100, 40, 25_000
 	cluster := newJSONCluster(t, time.Minute)
 	var routes []string
 	for i := range routeCount {
@@ -58,7 +59,7 @@
 	}
 	cluster.proposeChange(t, proposal.FullConfig, 0, `{"release":1,"services":{"a":{}},"ways":{`+strings.Join(routes, ",")+`}}`)
 	release := uint64(1)
-	for _, before := range []uint64{0, 300, 1000} {
+	for _, earlierChanges := range []uint64{0, 300, 1000} {
 		changeUpTo := func(upTo uint64) {
 			for ; release < upTo; release++ {
 				patch := fmt.Sprintf(
@@ -67,24 +68,24 @@
 				cluster.proposeChange(t, proposal.ItemPatch, release, patch)
 			}
 		}
-		changeUpTo(1 + before)
+		changeUpTo(1 + earlierChanges)
 		clear(cluster.bytes)
-		changeUpTo(1 + before + perRound)
+		changeUpTo(1 + earlierChanges + changesPerRound)
 		total := 0
 		for kind, n := range cluster.bytes {
 			if kind != "heartbeat" {
 				total += n
 			}
 		}
-		t.Logf("after %d changes: %d bytes between three cores for each; %v", before, total/perRound, cluster.bytes)
-		must.Less(t, mostBytes, total/perRound, must.Sprint(before))
+		t.Logf("after %d changes: %d bytes per change between three cores; %v", earlierChanges, total/changesPerRound, cluster.bytes)
+		must.Less(t, maxBytes, total/changesPerRound, must.Sprint(earlierChanges))
 	}
 	for range 60 {
 		cluster.step(t)
 	}
 	entries := cluster.auditLog(t)
 	must.Eq(t, int(release), len(entries))
-	for i, l := range entries {
-		must.Eq(t, ident.ConfigRevision(i+1), l.Revision)
+	for i, entry := range entries {
+		must.Eq(t, ident.ConfigRevision(i+1), entry.Revision)
 	}
 }
--- a/control/core/node/catchup.go
+++ b/control/core/node/catchup.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// catchUpPause is the time between two comparisons.
+	// catchUpPause is the pause between two comparisons.
 	catchUpPause = 200 * time.Millisecond
-	// maxCatchUpTries bounds the comparisons: while there are many writes, some that are in
-	// progress always look like missed ones. The anti-entropy pass repairs the rest.
+	// maxCatchUpTries limits the number of comparisons. Under heavy write load, some writes in
+	// progress always look like missed writes. Anti-entropy passes repair the remaining keys.
 	maxCatchUpTries = 5
 )
 
-// catchUpState tracks how a voter that counts again (after a start, a partition or a stalled
-// disk) finds the writes that it missed. It does not wait for the next anti-entropy pass, because
-// the core that runs these passes may be the one that failed.
+// catchUpState tracks how a voter that counts again (after a start, a partition or a disk stall)
+// finds the writes that it missed. The voter does not wait for the next anti-entropy pass, because
+// the core that runs these passes may have failed.
 type catchUpState struct {
 	done    bool
 	reading bool
@@ -27,10 +27,10 @@
 	nextTry monotime.Time
 }
 
-// tickCatchUp compares this disk's copies with those of the other voters, and has the keys
-// repaired whose copy here is older.
+// tickCatchUp compares this disk's copies with the copies of the other voters, and starts a repair
+// of each key whose copy on this disk is older.
 func (n *Node) tickCatchUp(now monotime.Time, fx *Effects) {
-	if !n.IsVoter() || n.leaving || !n.hasMajorityWithin(now, silentMajorityAge) {
+	if !n.IsVoter() || n.leaving || !n.hasMajorityWithin(now, maxMajoritySilence) {
 		n.catchUp = &catchUpState{}
 		return
 	}
@@ -45,14 +45,15 @@
 		if reader == nil {
 			return
 		}
-		lagging := n.laggingHere(reader)
+		lagging := n.localLaggingKeys(reader)
 		state.done = len(lagging) == 0 || state.tries >= maxCatchUpTries
 		n.repairKeys(now, lagging, fx)
 	})
 }
 
-// laggingHere lists the keys of which a quorum read found an older copy here than elsewhere.
-func (n *Node) laggingHere(reader *quorumread.Reader) (keys []ident.Key) {
+// localLaggingKeys lists the keys whose copy on this disk was older than another disk's copy in a
+// quorum read.
+func (n *Node) localLaggingKeys(reader *quorumread.Reader) (keys []ident.Key) {
 	found := reader.Entries()
 	for _, k := range sortedKeys(found) {
 		if slices.Contains(reader.Lagging(found[k]), n.Disk) {
--- a/control/core/node/consensus.go
+++ b/control/core/node/consensus.go
@@ -6,7 +6,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// onRequest answers a proposer's request, if this disk has a slot and has not stopped voting.
+// onRequest handles a proposer's request. It ignores the request if this disk has failed, has no
+// slot in the membership or has stopped voting.
 func (n *Node) onRequest(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Request == nil {
 		return false
@@ -37,7 +38,7 @@
 	return true
 }
 
-// onHandover prepares this core to propose for the keys that a leaving core hands over.
+// onHandover prepares this core to become the proposer for the keys that a leaving core hands over.
 func (n *Node) onHandover(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Handover == nil {
 		return false
--- a/control/core/node/departure.go
+++ b/control/core/node/departure.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// voteInDoubtFor is how long after a vote of this disk its round may still be in progress: no
-	// round lasts longer than 1.2 s.
+	// voteInDoubtFor is the time after a vote of this disk during which the vote's round may still
+	// be in progress. No round lasts longer than 1.2 s.
 	voteInDoubtFor = 1300 * time.Millisecond
-	// successorWait is how long a leaving voter waits for its successor to be counted in.
+	// successorWait is the maximum time that a leaving voter waits for its successor to be counted.
 	successorWait = 2 * time.Second
-	// compareTimeout bounds one comparison of the copies.
+	// compareTimeout is the time limit of one comparison of the copies.
 	compareTimeout = time.Second
-	// comparePause is the time between two comparisons.
+	// comparePause is the pause between two comparisons.
 	comparePause = 20 * time.Millisecond
 )
 
-// castVote is an accept that this disk agreed to.
+// castVote records that this disk granted an accept request.
 type castVote struct {
 	key    ident.Key
 	castAt monotime.Time
 }
 
-// departure is a voter's planned leave. Invariants: while votingStopped is set, this disk
-// answers no proposer, so that every majority consists of voters that stay; votesResolved is
-// set only when every round has ended that an earlier vote of this disk may have completed.
+// departure tracks a voter's planned leave. Invariants: while votingStopped is set, this disk
+// answers no proposer, so that every majority consists of voters that stay; votesResolved is set
+// only when every round that an earlier vote of this disk may have completed has ended.
 type departure struct {
 	startedAt     monotime.Time
 	votingStopped bool
-	// repairsSent is set once the operations that end the rounds in doubt were submitted.
+	// repairsSent is set once the repair operations that end the rounds in doubt were submitted.
 	repairsSent bool
-	// repairsOpen counts those of them that are in progress; failed is set when one has failed.
-	repairsOpen   int
-	failed        bool
-	votesResolved bool
+	// pendingRepairs counts the repair operations in progress. failed is set when a repair
+	// operation has failed.
+	pendingRepairs int
+	failed         bool
+	votesResolved  bool
 }
 
-// replicationCheck shows, for one membership, that no confirmed value depends on the copy of
-// one voter. Invariant: once the copies were compared, underReplicated holds the records found
-// then that are not yet known to be held by a majority without that voter. What is confirmed
-// later is held by such a majority.
+// replicationCheck verifies for one membership that no confirmed value depends on the copy of one
+// voter. Invariant: once compared is set, underReplicated holds the records of the first comparison
+// that are not yet known to be held by a majority without that voter. Values that are confirmed
+// after the first comparison are held by such a majority.
 type replicationCheck struct {
-	without         ident.Disk // the voter whose copy does not count
-	excluded        ident.Disk // the voter that is not read, if any
+	uncounted       ident.Disk // the voter whose copy does not count toward the majority
+	excluded        ident.Disk // the voter whose copy is not read; empty if all copies are read
 	reading         bool
 	compared        bool
 	underReplicated map[ident.Key]quorum.Record
@@ -61,7 +62,8 @@
 
 func (c *replicationCheck) passed() bool { return c.compared && len(c.underReplicated) == 0 }
 
-// recordVote remembers the key of an accept that this disk agreed to, as long as it is in doubt.
+// recordVote records the key of an accept request that this disk granted, and drops the votes that
+// are older than voteInDoubtFor.
 func (n *Node) recordVote(now monotime.Time, key ident.Key) {
 	for len(n.recentVotes) > 0 && now.Since(n.recentVotes[0].castAt) > voteInDoubtFor {
 		n.recentVotes = n.recentVotes[1:]
@@ -69,13 +71,14 @@
 	n.recentVotes = append(n.recentVotes, castVote{key, now})
 }
 
-// continueDeparture carries on a planned leave. It returns true once no confirmed value
-// depends on this disk any more, or when no voter stays that could take over.
+// continueDeparture performs the next step of a planned leave. It returns true once no confirmed
+// value depends on this disk, or if no voter that could take over stays.
 //
-//   - Where another core can follow, that one is counted in first and this voter's slot is
-//     dropped afterwards, so that at no step fewer voters are counted than before.
-//   - Otherwise this disk stops voting, and leaves once a majority of the voters that stay
-//     holds everything.
+//   - If another core can replace this voter, the successor is counted first and this voter's slot
+//     is dropped afterwards, so that the number of counted voters never falls below the initial
+//     number.
+//   - Otherwise this disk stops voting, and leaves once a majority of the voters that stay holds
+//     every confirmed value.
 func (n *Node) continueDeparture(now monotime.Time, fx *Effects) bool {
 	current := n.membership.Current
 	if n.diskFailed || !current.Counts(n.Disk) {
@@ -87,7 +90,7 @@
 	case evenSlots && staying >= current.Size()/2:
 		n.departure = &departure{startedAt: n.departure.startedAt}
 		if n.verifyReplication(now, n.Disk, "", fx) {
-			n.propose(now, reconfiguration.Drop(n.Disk, true), fx)
+			n.proposeMembership(now, reconfiguration.Drop(n.Disk, true), fx)
 		}
 		return false
 	case staying < current.Majority():
@@ -101,10 +104,10 @@
 	return n.resolveVotes(now, fx) && n.verifyReplication(now, n.Disk, n.Disk, fx)
 }
 
-// countStaying counts the other voters that are healthy and stay. othersMayStay reports
-// whether there are any, heard or not, that have not announced to leave.
+// countStaying counts the other voters that are healthy and not leaving. othersMayStay reports
+// whether any other voter, reachable or not, has not announced that it leaves.
 func (n *Node) countStaying(now monotime.Time, current quorum.Membership) (staying int, othersMayStay bool) {
-	healthy := n.healthy(now)
+	healthy := n.healthyDisks(now)
 	for _, v := range current.Voters {
 		if !v.Counted || v.Disk == n.Disk {
 			continue
@@ -117,7 +120,7 @@
 	return staying, othersMayStay
 }
 
-// announcedLeave reports whether the last heartbeat of a disk said that it leaves.
+// announcedLeave reports whether the last heartbeat of a disk's core announced a planned leave.
 func (n *Node) announcedLeave(d ident.Disk) bool {
 	for _, p := range n.peers {
 		if p.heartbeat.Disk == d {
@@ -127,15 +130,15 @@
 	return false
 }
 
-// hasOnlyLeavers reports whether a counted voter that is heard leaves as planned, while every
-// other voter with a slot is healthy.
-func (n *Node) hasOnlyLeavers(now monotime.Time, current quorum.Membership) bool {
-	healthy, leaving := n.healthy(now), false
+// onlyLeaversUnhealthy reports whether at least one counted voter that still sends heartbeats is
+// leaving as planned, and every other voter with a slot is healthy.
+func (n *Node) onlyLeaversUnhealthy(now monotime.Time, current quorum.Membership) bool {
+	healthy, leaving := n.healthyDisks(now), false
 	for _, v := range current.Voters {
 		if v.Joining || slices.Contains(healthy, v.Disk) && (v.Disk != n.Disk || !n.leaving) {
 			continue
 		}
-		heard := v.Disk == n.Disk || slices.Contains(n.heardWithin(now, heartbeatTimeout), v.Disk)
+		heard := v.Disk == n.Disk || slices.Contains(n.disksHeardWithin(now, heartbeatTimeout), v.Disk)
 		if !v.Counted || !heard || v.Disk != n.Disk && !n.announcedLeave(v.Disk) {
 			return false
 		}
@@ -144,14 +147,15 @@
 	return leaving
 }
 
-// successor returns the disk that is to be counted in for a voter that leaves: one that has
-// joined already, else the first by address of the cores without a slot. There is none while
-// another voter is not healthy, as its slot is filled first.
+// successor returns the disk that replaces a leaving voter: a joining disk if there is one,
+// otherwise the disk of the eligible core without a slot that has the lowest address. It returns an
+// empty identifier while a voter that is not leaving is unhealthy, because that voter's slot is
+// filled first.
 func (n *Node) successor(now monotime.Time, current quorum.Membership) ident.Disk {
-	if !n.hasOnlyLeavers(now, current) {
+	if !n.onlyLeaversUnhealthy(now, current) {
 		return ""
 	}
-	healthy := n.healthy(now)
+	healthy := n.healthyDisks(now)
 	for _, v := range current.Voters {
 		if v.Joining && slices.Contains(healthy, v.Disk) && (v.Disk != n.Disk || !n.leaving) {
 			return v.Disk
@@ -171,53 +175,54 @@
 	return ""
 }
 
-// isSuccessor reports whether this disk is to follow a voter that leaves.
+// isSuccessor reports whether this disk is the successor of a leaving voter.
 func (n *Node) isSuccessor(now monotime.Time, current quorum.Membership) bool {
 	return current.Size()%2 != 0 && !n.leaving && n.successor(now, current) == n.Disk
 }
 
-// resolveVotes ends the rounds that this disk voted for before it stopped voting. A proposer
-// may hold this disk's vote and wait for one more, so its value may be confirmed after the
-// copies were compared. A later operation on the same key, run by its proposer, ends only after
-// that round.
+// resolveVotes ends the rounds in which this disk voted before it stopped voting. A proposer may
+// have this disk's vote and wait for one more vote, so a value may be confirmed after the copies
+// were compared. A later operation of the same proposer on the same key ends only after that round,
+// so resolveVotes submits such an operation for each key in doubt.
 func (n *Node) resolveVotes(now monotime.Time, fx *Effects) bool {
-	leave := n.departure
-	if leave.votesResolved || leave.repairsSent && leave.repairsOpen > 0 {
-		return leave.votesResolved
+	state := n.departure
+	if state.votesResolved || state.repairsSent && state.pendingRepairs > 0 {
+		return state.votesResolved
 	}
-	if leave.repairsSent && !leave.failed {
-		leave.votesResolved = true
+	if state.repairsSent && !state.failed {
+		state.votesResolved = true
 		return true
 	}
-	leave.repairsSent, leave.failed = true, false
-	keys := n.keysInDoubt(now, leave)
-	leave.repairsOpen = len(keys)
+	state.repairsSent, state.failed = true, false
+	keys := n.keysInDoubt(now, state)
+	state.pendingRepairs = len(keys)
 	for _, k := range keys {
 		n.submitInternal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, func(_ monotime.Time, result Result, _ *Effects) {
-			leave.repairsOpen--
-			// An earlier release answers that the operation is malformed, but after its round too.
-			leave.failed = leave.failed || result.Failure != nil && result.Failure.Kind != failure.Malformed
+			state.pendingRepairs--
+			// Cores of an earlier release reject the operation as malformed, also after the round.
+			state.failed = state.failed || result.Failure != nil && result.Failure.Kind != failure.Malformed
 		})
 	}
 	return false
 }
 
-// keysInDoubt lists the keys of the votes that were in doubt when this disk began to leave.
-func (n *Node) keysInDoubt(now monotime.Time, leave *departure) (keys []ident.Key) {
+// keysInDoubt lists the keys of the votes whose rounds may have been in progress when this disk
+// began to leave.
+func (n *Node) keysInDoubt(now monotime.Time, state *departure) (keys []ident.Key) {
 	for _, v := range n.recentVotes {
-		if now.Since(v.castAt) <= voteInDoubtFor+now.Since(leave.startedAt) && !slices.Contains(keys, v.key) {
+		if now.Since(v.castAt) <= voteInDoubtFor+now.Since(state.startedAt) && !slices.Contains(keys, v.key) {
 			keys = append(keys, v.key)
 		}
 	}
 	return keys
 }
 
-// verifyReplication compares the copies of all voters but the excluded one, and repairs those
-// that lag, until every value is held by a majority of the voters that remain without one of
-// them.
-func (n *Node) verifyReplication(now monotime.Time, without, excluded ident.Disk, fx *Effects) bool {
-	if n.replication == nil || n.replication.without != without || n.replication.excluded != excluded {
-		n.replication = &replicationCheck{without: without, excluded: excluded}
+// verifyReplication compares the copies of all voters except the excluded voter and repairs copies
+// that lag. It returns true once every value is held by a majority of the voters that does not
+// include the uncounted voter.
+func (n *Node) verifyReplication(now monotime.Time, uncounted, excluded ident.Disk, fx *Effects) bool {
+	if n.replication == nil || n.replication.uncounted != uncounted || n.replication.excluded != excluded {
+		n.replication = &replicationCheck{uncounted: uncounted, excluded: excluded}
 	}
 	check := n.replication
 	if check.passed() || check.reading || check.nextCompare.After(now) {
@@ -227,16 +232,17 @@
 	n.startCompare(now, n.allVotersHeard(now, excluded), excluded, fx, func(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 		check.reading, check.nextCompare = false, now.Add(comparePause)
 		if reader != nil {
-			check.compare(reader)
+			check.applyRead(reader)
 			n.repairKeys(now, slices.Sorted(maps.Keys(check.underReplicated)), fx)
 		}
 	})
 	return check.passed()
 }
 
-// compare takes in what a quorum read found. Keys whose buckets were equal were not read: all
-// disks that were asked hold the same of them, and one of these held what was found before.
-func (c *replicationCheck) compare(reader *quorumread.Reader) {
+// applyRead updates the check from a completed quorum read. The read skips keys in buckets whose
+// digests are equal: all disks that were read hold the same records for these keys, including the
+// records that an earlier comparison found.
+func (c *replicationCheck) applyRead(reader *quorumread.Reader) {
 	need, found := (reader.Membership.Size()-1)/2+1, reader.Entries()
 	if !c.compared {
 		c.compared, c.underReplicated = true, map[ident.Key]quorum.Record{}
@@ -246,25 +252,26 @@
 	}
 	maps.DeleteFunc(c.underReplicated, func(k ident.Key, record quorum.Record) bool {
 		_, differs := found[k]
-		return !differs || reader.CountHolders(k, record, c.without) >= need
+		return !differs || reader.CountHolders(k, record, c.uncounted) >= need
 	})
 }
 
-// repairKeys reads keys through their proposers, which repairs their copies.
+// repairKeys submits a repair operation for each key. The key's proposer reads the key and thereby
+// repairs its copies.
 func (n *Node) repairKeys(now monotime.Time, keys []ident.Key, fx *Effects) {
 	for _, k := range keys {
 		n.submitInternal(now, proposer.Operation{Key: k, Kind: proposer.Repair}, fx, ignoreResult)
 	}
 }
 
-// dropDeadVoter drops the slot of a voter that is presumed dead where the number of slots is
-// even: with one slot fewer the cluster tolerates the next failure, which it would not with an
-// empty one. The first healthy counted voter does it.
+// dropDeadVoter drops the slot of a voter that is presumed dead if the number of slots is even.
+// With one slot fewer the cluster tolerates the next failure; with the empty slot it would not.
+// Only the first healthy counted voter of the membership proposes the drop.
 func (n *Node) dropDeadVoter(now monotime.Time, current quorum.Membership, fx *Effects) {
 	if current.Size()%2 != 0 || now.Since(n.startedAt) <= voterDeadAfter {
 		return
 	}
-	healthy, heard := n.healthy(now), n.heardWithin(now, voterDeadAfter)
+	healthy, heard := n.healthyDisks(now), n.disksHeardWithin(now, voterDeadAfter)
 	dropper, dead := ident.Disk(""), ident.Disk("")
 	for _, v := range current.Voters {
 		switch {
@@ -276,6 +283,6 @@
 		}
 	}
 	if dropper == n.Disk && dead != "" && n.verifyReplication(now, dead, dead, fx) {
-		n.propose(now, reconfiguration.Drop(dead, false), fx)
+		n.proposeMembership(now, reconfiguration.Drop(dead, false), fx)
 	}
 }
--- a/control/core/node/effects.go
+++ b/control/core/node/effects.go
@@ -10,19 +10,20 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Effects is the work that a step leaves to its caller. Invariant: what SplitDurable returns
-// is sent only after the Records of this and all earlier steps are synced; the other messages
-// depend on nothing that is written to this core's disk and may be sent at once.
+// Effects is the output of a step: the records, messages and results that the caller must process.
+// Invariant: the caller sends the messages that SplitDurable returns only after the Records of this
+// and all earlier steps are synced. The other messages do not depend on records on this core's disk
+// and may be sent immediately.
 type Effects struct {
 	Records []ring.Record
 	Sends   []Send
 	Results []Result
 	Learned []message.Learned
-	// SidecarViewChanged reports that sidecars are to be notified: a lease changed,
-	// or this core became stale or ceased to be.
+	// SidecarViewChanged is set if the caller must notify the sidecars, because a lease changed or
+	// because this core became stale or is no longer stale.
 	SidecarViewChanged bool
-	// ConfirmedConfig is the stored form of a configuration that was just learned to be
-	// confirmed; nil if there is none.
+	// ConfirmedConfig is the stored form of a configuration that this step learned to be confirmed
+	// and that this core's disk holds; nil if there is none.
 	ConfirmedConfig json.RawMessage
 }
 
@@ -38,16 +39,16 @@
 	Body     json.RawMessage
 	Failure  *failure.Error
 	Revision ident.Revision
-	// Ballot is the one under which Revision was confirmed; zero where that is not known.
+	// Ballot is the ballot under which Revision was confirmed; zero if it is unknown.
 	Ballot ident.Ballot
-	// Found is what a quorum read returned.
+	// Found holds the entries that a quorum read returned.
 	Found map[ident.Key]quorumread.Entry
 }
 
-// SplitDurable removes from the effects the records and the messages that may be sent only
-// once these are synced, and returns them. Membership requests are among these messages: by
-// asking to be counted, a new voter states that it holds its copy, which must still be true
-// after a power failure.
+// SplitDurable removes and returns the records, together with the messages that may be sent only
+// after the records are synced. Membership requests are among these messages: a new voter that asks
+// to be counted asserts that it holds a copy of the control state, and the assertion must remain
+// true after a power failure.
 func (fx *Effects) SplitDurable() Effects {
 	durable := Effects{Records: fx.Records}
 	var immediate []Send
@@ -62,7 +63,7 @@
 	return durable
 }
 
-// dependsOnDisk reports whether a message states something that this core's disk must hold.
+// dependsOnDisk reports whether a message asserts state that this core's disk must hold.
 func dependsOnDisk(m message.Message) bool {
 	return m.Response != nil || m.ScanResponse != nil || m.MembershipRequest != nil || m.MembershipResponse != nil
 }
@@ -71,7 +72,7 @@
 	fx.Sends = append(fx.Sends, Send{to, m})
 }
 
-// fail adds the failure of a local request.
+// fail adds a failed result for the local request with the given ticket.
 func (fx *Effects) fail(ticket uint64, err *failure.Error) {
 	fx.Results = append(fx.Results, Result{Ticket: ticket, Failure: err})
 }
--- a/control/core/node/example_test.go
+++ b/control/core/node/example_test.go
@@ -13,9 +13,10 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Example runs three cores in one process, each on a ring in memory, and acquires a lock at one of
-// them. A program with sockets and real disks does the same: it passes in messages and ticks, syncs
-// the Records of SplitDurable before it sends the messages of it, and sends the others at once.
+// Example runs three cores in one process, each with an in-memory ring, and acquires a lock at one
+// of the cores. A program with sockets and real disks works the same way: it passes in messages and
+// ticks, syncs the Records that SplitDurable returns before it sends the messages that SplitDurable
+// returns, and sends the other messages immediately.
 func Example() {
 	addrs := []ident.Addr{"a:1", "b:1", "c:1"}
 	nodes, rings := map[ident.Addr]*node.Node{}, map[ident.Addr]*ring.Ring{}
--- a/control/core/node/forward.go
+++ b/control/core/node/forward.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// forwardResendAfter is how long a forwarded operation waits for its result before it is
-	// sent again.
+	// forwardResendAfter is the time without a result after which a forward is sent again.
 	forwardResendAfter = 350 * time.Millisecond
-	// maxForwardResults bounds the forwarded changes that are remembered.
+	// maxForwardResults limits the number of forwarded changes whose results are remembered.
 	maxForwardResults = 1 << 12
-	// maxReplayBody is the largest result, in bytes, that is kept for a repeated forward.
+	// maxReplayBody is the maximum size, in bytes, of a result that is kept to answer a repeated
+	// forward.
 	maxReplayBody = 4 << 10
 )
 
-// forwardOrigin is the core that forwarded an operation, and its ticket there.
+// forwardOrigin identifies the core that forwarded an operation, and the operation's ticket at that
+// core.
 type forwardOrigin struct {
 	from       ident.Addr
 	instanceID string
@@ -27,17 +28,17 @@
 	forwardID  string
 }
 
-// forward sends the copy in flight to its target, or sends it again: the receiving run executes
-// one ticket once, however often it arrives.
+// forward sends or resends the attempt in flight to its target. The receiving run executes each
+// ticket at most once, so a resend is safe.
 func (n *Node) forward(now monotime.Time, p *pending, fx *Effects) {
 	p.sentAt = now
 	leftMs := max(1, p.deadline.Since(now).Milliseconds())
-	forward := message.Forward{Ticket: p.copyTicket, Operation: p.operation, LeftMs: leftMs}
+	forward := message.Forward{Ticket: p.attemptTicket, Operation: p.operation, LeftMs: leftMs}
 	fx.send(p.target, message.Message{To: p.targetInstance, Forward: &forward})
 }
 
-// onForward runs an operation that another core forwarded, unless it is a repeat or this core
-// proposes nothing now.
+// onForward executes an operation that another core forwarded. It answers a repeated forward with
+// the remembered result, and rejects the operation if this core cannot propose now.
 func (n *Node) onForward(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Forward == nil {
 		return false
@@ -58,8 +59,8 @@
 		rejection = &message.ForwardResult{Ticket: m.Forward.Ticket, Abandoned: true}
 	}
 	if !readOnly[m.Forward.Operation.Kind] {
-		// A rejection is remembered too: a copy of the message that is still in flight must
-		// not be run here after its sender was answered that it was not.
+		// Rejections are remembered too. Otherwise a duplicate of the message that arrives later
+		// could be executed after the sender was told that the operation was not executed.
 		n.operations.rememberForward(forwardID, rejection)
 	}
 	if rejection != nil {
@@ -76,8 +77,8 @@
 	return true
 }
 
-// rememberForward records a forwarded change with its result, nil while there is none, and
-// forgets the oldest beyond maxForwardResults.
+// rememberForward records a forwarded change and its result, which is nil until the result is
+// known. It discards the oldest entry if there are more than maxForwardResults.
 func (s *operationState) rememberForward(forwardID string, result *message.ForwardResult) {
 	s.forwarded[forwardID] = result
 	s.forwardOrder = append(s.forwardOrder, forwardID)
@@ -93,20 +94,21 @@
 	if _, remembered := n.operations.forwarded[origin.forwardID]; remembered {
 		n.operations.forwarded[origin.forwardID] = &result
 		if len(result.Body) > maxReplayBody {
-			// A repeat of it is answered from the key's record, which remembers the operation.
+			// The result is too large to keep. The sender retries the operation, and the retry is
+			// answered from the key's record, which stores the results of recent operations.
 			n.operations.forwarded[origin.forwardID] = &message.ForwardResult{Ticket: origin.ticket, Abandoned: true, MayHaveTakenEffect: true}
 		}
 	}
 	fx.send(origin.from, message.Message{To: origin.instanceID, ForwardResult: &result})
 }
 
-// onForwardResult takes the result of an operation that this core forwarded.
+// onForwardResult processes the result of an operation that this core forwarded.
 func (n *Node) onForwardResult(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.ForwardResult == nil {
 		return false
 	}
 	if p, ok := n.operations.inFlight[m.ForwardResult.Ticket]; ok && p.target == m.From {
-		n.copyEnded(now, p, *m.ForwardResult, fx)
+		n.handleAttemptResult(now, p, *m.ForwardResult, fx)
 	}
 	return true
 }
--- a/control/core/node/forward_test.go
+++ b/control/core/node/forward_test.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// proposerAndAnother returns the proposer of a number that stands at 1, and another core.
-func (cluster *threeCores) proposerAndAnother() (proposing, other ident.Addr) {
+// proposerAndSender increments a number to 1, and returns the number's proposer and another core.
+func (cluster *threeCores) proposerAndSender() (proposing, other ident.Addr) {
 	cluster.submit("a:1", 1, "number/next", "number/n")
 	cluster.advance(200 * time.Millisecond)
 	proposing = cluster.proposerOf("number/n")
@@ -30,15 +30,16 @@
 			return s.Msg
 		}
 	}
-	t.Fatal("nothing was forwarded")
+	t.Fatal("the effects contain no forward")
 	return message.Message{}
 }
 
-// A forward that its receiver rejected is not begun when a copy of it comes later, though the
-// receiver could serve it by then: its sender was answered that it was not executed.
-func TestRejectedForwardIsNeverBegun(t *testing.T) {
+// A core rejects a forwarded operation, and a duplicate of the forward arrives when the core could
+// execute the operation. The duplicate must be rejected too, because the sender was told that the
+// operation was not executed.
+func TestRejectedForwardIsNeverExecuted(t *testing.T) {
 	cluster := newThreeCores(t)
-	proposing, sender := cluster.proposerAndAnother()
+	proposing, sender := cluster.proposerAndSender()
 	next := proposer.Operation{Key: "number/n", Kind: "number/next"}
 	m := sentForward(t, sender, cluster.nodes[sender].Submit(cluster.now, 2, next, 900*time.Millisecond))
 	must.Between(t, 1, m.Forward.LeftMs, 900)
@@ -50,49 +51,51 @@
 		must.True(t, fx.Sends[0].Msg.ForwardResult.Abandoned)
 		must.False(t, fx.Sends[0].Msg.ForwardResult.MayHaveTakenEffect)
 	}
-	cluster.down[sender] = true // so it sends no forward of its own that may be begun
+	cluster.down[sender] = true // the sender's own forward must not be executed
 	cluster.advance(2 * time.Second)
 	cluster.submit(proposing, 3, "number/read", "number/n")
 	cluster.advance(200 * time.Millisecond)
 	must.Eq(t, `{"number":1}`, string(cluster.ticketResult(3).Body))
 }
 
-// The outcome that a caller gets of an operation with a budget is true and comes in time, whichever
-// messages between the cores are lost for how long: nothing that is reported as not executed takes
-// effect, and nothing is begun after the budget.
-func TestOutcomeWithinTheBudget(t *testing.T) {
+// Messages of one kind between the cores are lost for various times while an operation runs. The
+// caller must receive the correct outcome within the budget: an operation that is reported as not
+// executed must not take effect, and no operation may start after its budget.
+func TestOutcomeIsReportedWithinBudget(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	kinds := map[string]func(message.Message) bool{
-		"forward": func(m message.Message) bool { return m.Forward != nil },
-		"carried": func(m message.Message) bool { return m.ForwardResult != nil },
-		"return":  func(m message.Message) bool { return m.Response != nil },
-		"ask":     func(m message.Message) bool { return m.Request != nil },
+		"forward":        func(m message.Message) bool { return m.Forward != nil },
+		"forward result": func(m message.Message) bool { return m.ForwardResult != nil },
+		"response":       func(m message.Message) bool { return m.Response != nil },
+		"request":        func(m message.Message) bool { return m.Request != nil },
 	}
 	outcomes := map[string]int{}
-	for what, matches := range kinds {
-		for _, spanMs := range []int{0, 100, 500, 850, 1000, 1300, 3000} {
-			span := time.Duration(spanMs) * time.Millisecond
+	for lostKind, matches := range kinds {
+		for _, lossDurationMs := range []int{0, 100, 500, 850, 1000, 1300, 3000} {
+			lossDuration := time.Duration(lossDurationMs) * time.Millisecond
 			cluster := newThreeCores(t)
-			_, sender := cluster.proposerAndAnother()
+			_, sender := cluster.proposerAndSender()
 			began := cluster.now
-			cluster.drop = func(_ ident.Addr, m message.Message) bool { return matches(m) && cluster.now.Since(began) < span }
+			cluster.drop = func(_ ident.Addr, m message.Message) bool {
+				return matches(m) && cluster.now.Since(began) < lossDuration
+			}
 			cluster.submitOperation(sender, 2, proposer.Operation{Op: "once", Key: "number/n", Kind: "number/next"}, budget)
 			for cluster.ticketResult(2) == nil && cluster.now.Since(began) < 2*time.Second {
 				cluster.advance(10 * time.Millisecond)
 			}
-			must.LessEq(t, budget+50*time.Millisecond, cluster.now.Since(began), must.Sprint(what, span))
+			must.LessEq(t, budget+50*time.Millisecond, cluster.now.Since(began), must.Sprint(lostKind, lossDuration))
 			cluster.drop = nil
 			cluster.advance(3 * time.Second)
 			cluster.submit(sender, 3, "number/read", "number/n")
 			cluster.advance(500 * time.Millisecond)
-			end, number := cluster.ticketResult(2), string(cluster.ticketResult(3).Body)
+			result, number := cluster.ticketResult(2), string(cluster.ticketResult(3).Body)
 			switch {
-			case end.Failure == nil:
+			case result.Failure == nil:
 				outcomes["yes"]++
-				must.Eq(t, `{"number":2}`, number, must.Sprint(what, span))
-			case end.Failure.Outcome == "no":
+				must.Eq(t, `{"number":2}`, number, must.Sprint(lostKind, lossDuration))
+			case result.Failure.Outcome == "no":
 				outcomes["no"]++
-				must.Eq(t, `{"number":1}`, number, must.Sprint(what, span))
+				must.Eq(t, `{"number":1}`, number, must.Sprint(lostKind, lossDuration))
 			default:
 				outcomes["unknown"]++
 			}
--- a/control/core/node/freshness.go
+++ b/control/core/node/freshness.go
@@ -13,44 +13,47 @@
 )
 
 const (
-	// refreshAge is how old the configuration's proposer lets its knowledge of the newest
-	// revision grow before it reads it again; otherRefreshAge is the same for the other cores,
-	// which mostly learn of it by heartbeats.
-	refreshAge      = 500 * time.Millisecond
-	otherRefreshAge = time.Second
-	// refreshBudget is how long such a read may take.
+	// refreshAge is the age of the known configuration revision at which the proposer of the
+	// configuration reads the revision again. nonProposerRefreshAge applies to all other cores,
+	// which usually learn the revision from heartbeats.
+	refreshAge            = 500 * time.Millisecond
+	nonProposerRefreshAge = time.Second
+	// refreshBudget is the time limit of a read of the configuration revision.
 	refreshBudget = time.Second
-	// staleAge is how old that knowledge may be before a core calls itself stale.
-	staleAge = 1300 * time.Millisecond
-	// silentMajorityAge is the same for the time since a majority was heard.
-	silentMajorityAge = 800 * time.Millisecond
-	// behindAge is the same for the time that a core has known of a newer configuration than
-	// it holds: it hears the others but can't get it from them.
-	behindAge = 800 * time.Millisecond
+	// maxConfigAge is the age of the known configuration revision beyond which a core is stale.
+	maxConfigAge = 1300 * time.Millisecond
+	// maxMajoritySilence is the time without heartbeats from a majority beyond which a core is
+	// stale.
+	maxMajoritySilence = 800 * time.Millisecond
+	// maxBehindAge is the time beyond which a core is stale if it knows of a newer configuration
+	// than the configuration that it holds. Such a core receives heartbeats but cannot fetch the
+	// configuration.
+	maxBehindAge = 800 * time.Millisecond
 )
 
-// freshness is how well a core knows the newest configuration. Invariant: nothing newer than
-// Node.ConfigRevision was confirmed before asOf, as a read through the proposer of the
-// configuration began then, here or at the core whose heartbeat reported it.
+// freshness tracks how current a core's knowledge of the newest configuration is. Invariant: no
+// revision newer than Node.ConfigRevision was confirmed before asOf. asOf is the start time of a
+// read through the configuration's proposer, by this core or by the core whose heartbeat reported
+// asOf.
 type freshness struct {
 	asOf monotime.Time
-	// refreshStarted is when the read in progress began, 0 if there is none.
+	// refreshStarted is the start time of the read in progress, 0 if no read is in progress.
 	refreshStarted monotime.Time
-	// behindSince is since when a newer configuration is known of than the one held, 0 if
-	// there is none.
+	// behindSince is the time since which this core has known of a newer configuration than the
+	// configuration that it holds, 0 if it knows of none.
 	behindSince monotime.Time
-	// wasStale is what stale returned in the last tick.
+	// wasStale is the result of stale in the last tick.
 	wasStale bool
 }
 
-// refreshConfigRevision reads the newest revision again if what is known of it is too old.
+// refreshConfigRevision reads the newest configuration revision if the known revision is too old.
 func (n *Node) refreshConfigRevision(now monotime.Time, fx *Effects) {
 	if !n.refreshDue(now) {
 		return
 	}
 	n.freshness.refreshStarted = now
 	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
-	n.begin(now, &pending{operation: read, deadline: now.Add(refreshBudget), onDone: n.takeConfigRevision}, fx)
+	n.beginOperation(now, &pending{operation: read, deadline: now.Add(refreshBudget), onResult: n.onConfigRevisionRead}, fx)
 }
 
 func (n *Node) refreshDue(now monotime.Time) bool {
@@ -61,11 +64,11 @@
 	}
 	disks, _ := n.liveVoters(now)
 	first, _ := placement.Proposer(proposal.Key, disks)
-	return first == n.Disk || !known || age >= otherRefreshAge
+	return first == n.Disk || !known || age >= nonProposerRefreshAge
 }
 
-// takeConfigRevision takes the result of a read of the newest revision.
-func (n *Node) takeConfigRevision(now monotime.Time, result Result, fx *Effects) {
+// onConfigRevisionRead processes the result of a read of the newest configuration revision.
+func (n *Node) onConfigRevisionRead(now monotime.Time, result Result, fx *Effects) {
 	began := n.freshness.refreshStarted
 	n.freshness.refreshStarted = 0
 	var newest proposal.Accepted
@@ -73,21 +76,23 @@
 		return
 	}
 	if newest.Revision > n.ConfigRevision || newest.Revision > n.heldRevision() {
-		// By its ballot, a disk that took part in the round finds the value in its own records.
+		// The ballot lets a disk that took part in the round find the value in its own records.
 		n.learn(now, message.Learned{Key: proposal.Key, Revision: ident.Revision(newest.Revision), Ballot: result.Ballot}, fx)
 	}
 	n.freshness.asOf = max(n.freshness.asOf, began)
 }
 
-// stale reports whether this core can't tell what the newest configuration is, or can't get it.
+// stale reports whether this core does not know the newest configuration revision, or has been
+// unable to fetch the configuration.
 func (n *Node) stale(now monotime.Time) bool {
-	return n.freshness.asOf == 0 || now.Since(n.freshness.asOf) > staleAge ||
-		!n.hasMajorityWithin(now, silentMajorityAge) ||
-		n.freshness.behindSince != 0 && now.Since(n.freshness.behindSince) > behindAge
+	return n.freshness.asOf == 0 || now.Since(n.freshness.asOf) > maxConfigAge ||
+		!n.hasMajorityWithin(now, maxMajoritySilence) ||
+		n.freshness.behindSince != 0 && now.Since(n.freshness.behindSince) > maxBehindAge
 }
 
-// trackBehind notes since when a newer configuration is known of than the one held here.
-func (n *Node) trackBehind(now monotime.Time) {
+// updateBehindSince updates the time since which this core has known of a newer configuration than
+// the configuration that it holds.
+func (n *Node) updateBehindSince(now monotime.Time) {
 	switch {
 	case n.heldRevision() >= n.ConfigRevision:
 		n.freshness.behindSince = 0
@@ -96,7 +101,7 @@
 	}
 }
 
-// heldRevision returns the revision of the configuration that this core serves, 0 if it has none.
+// heldRevision returns the revision of the configuration that this core serves, 0 if there is none.
 func (n *Node) heldRevision() ident.ConfigRevision {
 	if held := n.Leases.Config(); held != nil {
 		return held.Revision
@@ -104,9 +109,9 @@
 	return 0
 }
 
-// StaleAt reports whether this core can't tell at a time what the newest configuration is, or
-// can't get it.
+// StaleAt reports whether this core is stale at the given time: it does not know the newest
+// configuration revision, or has been unable to fetch the configuration.
 func (n *Node) StaleAt(now monotime.Time) bool { return n.stale(now) }
 
-// Stale returns what StaleAt returned in the last tick.
+// Stale reports whether this core was stale in the last tick, see StaleAt.
 func (n *Node) Stale() bool { return n.freshness.wasStale }
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -13,33 +13,35 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats to one peer, and between two to
-	// cores that were never heard.
+	// heartbeatInterval is the time between two heartbeats to the same peer. Cores from which no
+	// heartbeat was received yet are contacted at the same interval.
 	heartbeatInterval = 300 * time.Millisecond
-	// nonVoterHeartbeatInterval is the same between two cores that do not vote.
+	// nonVoterHeartbeatInterval replaces heartbeatInterval between two cores that do not vote.
 	nonVoterHeartbeatInterval = 500 * time.Millisecond
-	// secondSenderDelay is how much longer the second of two cores waits for the first.
+	// secondSenderDelay is added to the heartbeat interval of the core with the higher address.
 	secondSenderDelay = 70 * time.Millisecond
-	// heartbeatCheckInterval is the time between two looks for peers whose heartbeat is due.
+	// heartbeatCheckInterval is the time between two checks for peers to which a heartbeat is due.
 	heartbeatCheckInterval = 30 * time.Millisecond
-	// fullHeartbeatInterval is how often a heartbeat to a peer is full, changed or not.
+	// fullHeartbeatInterval is the time after which a peer is sent a full heartbeat even if this
+	// core's state has not changed.
 	fullHeartbeatInterval = 10 * time.Second
-	// resendRequestInterval is the least time between two resend requests to one peer.
+	// resendRequestInterval is the minimum time between two resend requests to the same peer.
 	resendRequestInterval = 200 * time.Millisecond
-	// forgetPeerAfter is how long after its last heartbeat a peer is forgotten, and how long
-	// after its last mention by others a known core is.
+	// forgetPeerAfter is the time after its last heartbeat at which a peer is removed. A known core
+	// is removed when no peer has listed it for the same time.
 	forgetPeerAfter = time.Minute
 )
 
-// heartbeatState is what a core remembers of the heartbeats that it sent.
+// heartbeatState tracks the heartbeats that a core has sent.
 type heartbeatState struct {
-	seq       uint64 // of the last heartbeat sent
+	seq       uint64 // sequence number of the last heartbeat
 	checkedAt monotime.Time
-	// sent holds when the latest ones were sent, by rising sequence number.
+	// sent lists the heartbeats of the last receiptTimeout in ascending order of sequence number.
 	sent []sentHeartbeat
-	// unheardContactedAt is when a heartbeat was last sent to cores that were never heard.
+	// unheardContactedAt is the time of the last heartbeat to cores from which no heartbeat was
+	// received yet.
 	unheardContactedAt monotime.Time
-	// leaseResendTo lists the cores that asked for a full list of leases.
+	// leaseResendTo lists the cores that requested the full list of leases.
 	leaseResendTo []ident.Addr
 }
 
@@ -49,7 +51,7 @@
 	sentAt monotime.Time
 }
 
-// recordSent notes that the heartbeat seq is sent now, and drops those older than receiptTimeout.
+// recordSent records that heartbeat seq is sent now, and drops entries older than receiptTimeout.
 func (s *heartbeatState) recordSent(now monotime.Time) {
 	expired := 0
 	for expired < len(s.sent) && now.Since(s.sent[expired].sentAt) > receiptTimeout {
@@ -58,7 +60,7 @@
 	s.sent = append(s.sent[expired:], sentHeartbeat{s.seq, now})
 }
 
-// sentAt returns when a heartbeat was sent, 0 if that is longer ago than receiptTimeout.
+// sentAt returns the time at which a heartbeat was sent, or 0 if the heartbeat is no longer listed.
 func (s *heartbeatState) sentAt(seq uint64) monotime.Time {
 	index, found := slices.BinarySearchFunc(s.sent, seq, func(h sentHeartbeat, seq uint64) int { return cmp.Compare(h.seq, seq) })
 	if !found {
@@ -67,7 +69,8 @@
 	return s.sent[index].sentAt
 }
 
-// sendDueHeartbeats sends a heartbeat to every core whose next one is due, or to all of them.
+// sendDueHeartbeats sends a heartbeat to each core to which a heartbeat is due. If toEveryone is
+// set, it sends a heartbeat to every known core.
 func (n *Node) sendDueHeartbeats(now monotime.Time, toEveryone bool, fx *Effects) {
 	n.forgetSilentPeers(now)
 	contactUnheard := now.Since(n.heartbeats.unheardContactedAt) >= heartbeatInterval
@@ -87,10 +90,11 @@
 	}
 }
 
-// heartbeatIntervalTo returns the time between two heartbeats to a peer. Of two cores the one
-// with the lower address sends first and the other replies with its own heartbeat; only when
-// none came does the other begin. Two cores that do not vote affect no placement by their
-// heartbeats and need fewer.
+// heartbeatIntervalTo returns the time between two heartbeats to a peer. Of two cores, the core
+// with the lower address sends first and the core with the higher address replies with its own
+// heartbeat. The core with the higher address sends unprompted only if no heartbeat arrived in
+// time. Heartbeats between two non-voters do not affect the placement of keys, so they are sent
+// less often.
 func (n *Node) heartbeatIntervalTo(a ident.Addr, p *peer) time.Duration {
 	interval := heartbeatInterval
 	if !n.membership.Current.Counts(n.Disk) && !n.membership.Current.Counts(p.heartbeat.Disk) {
@@ -102,8 +106,8 @@
 	return interval
 }
 
-// sendHeartbeats sends a heartbeat to some cores: a full one to those that do not know this
-// core's present state, a brief one to the others.
+// sendHeartbeats sends a heartbeat to each of the given cores. Cores that do not know this core's
+// current state receive a full heartbeat, the others a brief heartbeat.
 func (n *Node) sendHeartbeats(now monotime.Time, to []ident.Addr, fx *Effects) {
 	n.heartbeats.seq++
 	n.heartbeats.recordSent(now)
@@ -129,7 +133,7 @@
 	}
 }
 
-// briefHeartbeat returns the part of a heartbeat that changes from one to the next.
+// briefHeartbeat returns a heartbeat with only the fields that change frequently.
 func (n *Node) briefHeartbeat(now monotime.Time) message.Heartbeat {
 	h := message.Heartbeat{
 		Run:                message.InstanceHash(n.config.InstanceID),
@@ -150,7 +154,7 @@
 	return h
 }
 
-// fullHeartbeat completes a brief heartbeat by this core's state.
+// fullHeartbeat returns a copy of a brief heartbeat with the fields that change rarely filled in.
 func (n *Node) fullHeartbeat(now monotime.Time, brief message.Heartbeat) message.Heartbeat {
 	full := brief
 	full.Brief = false
@@ -169,8 +173,8 @@
 	return full
 }
 
-// onHeartbeat takes a peer's heartbeat, and replies with one of this core's own if that is
-// due soon.
+// onHeartbeat processes a peer's heartbeat. It replies with a heartbeat of its own if at least half
+// of the interval to this peer has passed.
 func (n *Node) onHeartbeat(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Heartbeat == nil {
 		return false
@@ -183,7 +187,7 @@
 	}
 	p.lastHeard, p.unreachable = now, false
 	if received.Seq < p.heartbeat.Seq {
-		return true // an older one, overtaken: it shows only that the peer is live
+		return true // a reordered, older heartbeat shows only that the peer is live
 	}
 	p.heartbeat = p.heartbeat.MergedWith(received)
 	n.applyHeartbeat(now, m.From, p, received, fx)
@@ -197,8 +201,9 @@
 	return true
 }
 
-// peerOfHeartbeat returns the peer that sent a heartbeat, reset if this is a new run of it. It
-// returns nil for a brief heartbeat of a run of which no full one has come.
+// peerOfHeartbeat returns the peer that sent a heartbeat, and resets the peer if the heartbeat
+// comes from a new run. It returns nil for a brief heartbeat from a run whose full heartbeat has
+// not arrived yet.
 func (n *Node) peerOfHeartbeat(now monotime.Time, from ident.Addr, received message.Heartbeat) *peer {
 	p := n.peers[from]
 	if received.Brief && (p == nil || p.heartbeat.Run != received.Run) {
@@ -209,19 +214,19 @@
 		n.peers[from] = p
 	}
 	if p.heartbeat.Run != received.Run {
-		n.abandonCopies(from, p.heartbeat.InstanceID)
+		n.abandonAttempts(from, p.heartbeat.InstanceID)
 		n.Leases.RemoveRegistrar(from)
 		*p = peer{firstHeard: now}
 	}
 	return p
 }
 
-// applyHeartbeat takes the peer's state, the membership and the acknowledgements from its
+// applyHeartbeat applies the peer's state, its membership and its acknowledgements from a
 // heartbeat.
 func (n *Node) applyHeartbeat(now monotime.Time, from ident.Addr, p *peer, received message.Heartbeat, fx *Effects) {
 	state := p.heartbeat
 	n.proposer.SetPatchCapable(state.Disk, state.AcceptsPatches)
-	// One disk is at one address: an older address of the same disk is stale.
+	// A disk has only one address, so any other address recorded for this disk is outdated.
 	for _, a := range n.peerAddrs() {
 		if a != from && n.peers[a].heartbeat.Disk == state.Disk {
 			n.forgetPeer(a)
@@ -239,8 +244,8 @@
 	}
 }
 
-// requestMissing asks a peer for what its heartbeat shows to be missing here: its membership,
-// or its list of leases.
+// requestMissing requests a full heartbeat if the peer has a newer membership, and the peer's list
+// of leases if the checksum in the heartbeat shows that the list held here differs.
 func (n *Node) requestMissing(now monotime.Time, from ident.Addr, p *peer, received message.Heartbeat, fx *Effects) {
 	var missing message.ResendRequest
 	missing.Heartbeat = received.Brief && received.MembershipEpoch > n.membership.Current.Epoch
@@ -254,7 +259,8 @@
 	}
 }
 
-// requestResend sends a resend request to a peer unless one was sent just before.
+// requestResend sends a resend request to a peer, unless the last request to the peer was sent less
+// than resendRequestInterval ago.
 func (n *Node) requestResend(now monotime.Time, to ident.Addr, p *peer, request message.ResendRequest, fx *Effects) {
 	if now.Since(p.resendRequestedAt) < resendRequestInterval {
 		return
@@ -263,7 +269,7 @@
 	fx.send(to, message.Message{ResendRequest: &request})
 }
 
-// learnRollout takes what a heartbeat says of roll-outs.
+// learnRollout records a heartbeat's report of an active rollout and of call outcomes.
 func (n *Node) learnRollout(now monotime.Time, from ident.Addr, h message.Heartbeat) {
 	if h.RolloutActive {
 		n.rollouts.seenAt = now
@@ -271,7 +277,8 @@
 	n.Leases.AddRemoteAttemptCounts(from, h.InstanceID, h.CallOutcomes)
 }
 
-// learnConfigRevision takes what a heartbeat says of the configuration.
+// learnConfigRevision records the configuration revision in a heartbeat and the age of the sender's
+// knowledge of the revision.
 func (n *Node) learnConfigRevision(now monotime.Time, h *message.Heartbeat, fx *Effects) {
 	if h.ConfigRevision > n.ConfigRevision {
 		n.learn(now, message.Learned{Key: proposal.Key, Revision: ident.Revision(h.ConfigRevision)}, fx)
@@ -281,8 +288,8 @@
 	}
 }
 
-// onResendRequest sends a peer what it asks for: a full heartbeat the next time, or the list
-// of leases.
+// onResendRequest handles a peer's resend request: the next heartbeat to the peer is a full one,
+// and the full list of leases is sent if the peer requested the list.
 func (n *Node) onResendRequest(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.ResendRequest == nil {
 		return false
--- a/control/core/node/instance_test.go
+++ b/control/core/node/instance_test.go
@@ -11,10 +11,10 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// A core is restarted while responses to its earlier run's quorum read are still on their way. The
-// new run begins a quorum read too, whose own responses are lost: the old ones, from before a put
-// that was acknowledged meanwhile, do not complete it.
-func TestQuorumReadOfAnEarlierRunAnswersNothing(t *testing.T) {
+// A core restarts while responses to its earlier run's quorum read are in transit. The new run also
+// begins a quorum read, whose own responses are lost. The old responses must not complete the new
+// read, because they predate a put that was acknowledged in the meantime.
+func TestResponsesToEarlierRunAreIgnored(t *testing.T) {
 	cluster := newThreeCores(t)
 	put := func(ticket uint64, value string) {
 		write := proposer.Operation{Key: "key/k", Kind: "key/write", Args: []byte(`{"value":` + value + `}`)}
@@ -41,26 +41,26 @@
 	for _, m := range late {
 		cluster.apply("c:1", cluster.nodes["c:1"].Step(cluster.now, m))
 	}
-	must.Nil(t, cluster.ticketResult(4), must.Sprint("a quorum read was completed by responses to an earlier run"))
+	must.Nil(t, cluster.ticketResult(4), must.Sprint("responses to an earlier run completed the quorum read"))
 }
 
-// Two runs of a core never use the same number for a forward, though both do the same from their
-// start: a proposer would take the second for a repeat of the first, if the client named the
-// operation itself, and answer it from memory.
-func TestForwardsOfTwoRunsDiffer(t *testing.T) {
+// Two runs of a core perform the same steps from their start, but must never use the same ticket
+// for a forward. Otherwise, if the client chose the operation's identifier, the proposer would
+// treat the second forward as a repeat of the first forward and answer it from memory.
+func TestForwardTicketsOfTwoRunsDiffer(t *testing.T) {
 	cluster := newThreeCores(t)
-	proposing, sender := cluster.proposerAndAnother()
+	proposing, sender := cluster.proposerAndSender()
 	tickets := map[uint64]bool{}
 	for range 2 {
 		cluster.start(t, sender, "", coreAddrs)
 		var fx node.Effects
-		for len(fx.Sends) == 0 { // until it hears a majority
+		for len(fx.Sends) == 0 { // until the sender has a majority
 			cluster.advance(10 * time.Millisecond)
 			fx = cluster.nodes[sender].Submit(cluster.now, 7, proposer.Operation{Op: "named", Key: "number/n", Kind: "number/next"}, time.Second)
 		}
 		must.Eq(t, proposing, fx.Sends[0].To)
 		ticket := sentForward(t, sender, fx).Forward.Ticket
-		must.False(t, tickets[ticket], must.Sprint("the number was used by the earlier run: ", ticket))
+		must.False(t, tickets[ticket], must.Sprint("ticket was already used by the earlier run: ", ticket))
 		tickets[ticket] = true
 		cluster.down[sender] = true
 	}
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// JoinBudget is how long a join may wait at a core: long enough for the batch in progress
-	// and for its own.
+	// JoinBudget is the time limit of a join at a core. It is long enough for the batch in progress
+	// and for the batch that contains the join.
 	JoinBudget = 1800 * time.Millisecond
-	// majorityWait is how long a join waits at a core that hears no majority before it is sent
-	// to another.
+	// majorityWait is the time that a join waits at a core without a majority before the core
+	// refuses it, so that the sidecar tries another core.
 	majorityWait = 600 * time.Millisecond
-	// batchBudget is how long the operations of one batch may take.
+	// batchBudget is the time limit of the operations of one batch.
 	batchBudget = 1500 * time.Millisecond
-	// batchOperations is the number of operations of a batch.
+	// batchOperations is the number of operations in a batch.
 	batchOperations = 2
-	// minJoinRetryAfter is, in seconds, the least time after which a failed join is repeated.
-	minJoinRetryAfter = 0.1
+	// minJoinRetryAfterSeconds is the minimum time after which a sidecar may retry a failed join.
+	minJoinRetryAfterSeconds = 0.1
 )
 
 // JoinResult is the body of the Result of a join. No configuration newer than ConfigRevision was
-// confirmed before the join came in.
+// confirmed before the join request arrived.
 type JoinResult struct {
 	LeaseEpoch     ident.LeaseEpoch     `json:"claim"`
 	Share          quota.Share          `json:"share"`
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
 }
 
-// joinBatch is the batch in progress. Its operations run concurrently, and it ends with the
-// last of them.
+// joinBatch is the batch of joins in progress. The operations of the batch run concurrently, and
+// the batch ends when the last operation ends.
 type joinBatch struct {
-	startedAt      monotime.Time
-	size           int
-	remaining      int
-	entered        []quota.Joined
-	configRevision ident.ConfigRevision
-	failure        *failure.Error
+	startedAt         monotime.Time
+	size              int
+	pendingOperations int
+	joined            []quota.Joined
+	configRevision    ident.ConfigRevision
+	failure           *failure.Error
 }
 
-// Join queues a sidecar's request to join. Its Result carries the ticket and a JoinResult. The
-// request is not worked on before the next tick, so that a core's other requests go first.
+// Join queues a sidecar's request to join. The Result carries the ticket and a JoinResult. The
+// request is not processed before the next tick, so that the core's other requests have priority.
 func (n *Node) Join(now monotime.Time, ticket uint64, r joinqueue.Request, budget time.Duration) (fx Effects) {
 	refusal := errStopping()
 	if !n.leaving {
@@ -63,18 +63,18 @@
 	return fx
 }
 
-// tickJoins ends the joins whose time is over and begins the next batch.
+// tickJoins refuses the joins whose deadlines have passed and begins the next batch.
 func (n *Node) tickJoins(now monotime.Time, fx *Effects) {
 	n.refuseJoins(n.joins.Expire(now), fx)
 	if n.leaving {
-		n.refuseJoins(n.joins.RefuseWaiting(now, failure.Stopping, "the core stops"), fx)
+		n.refuseJoins(n.joins.RefuseWaiting(now, failure.Stopping, "the core is stopping"), fx)
 		return
 	}
 	if n.joins.Len() == 0 {
 		return
 	}
 	if !n.HasMajority(now) {
-		n.refuseJoins(n.joins.RefuseWaiting(now.Add(-majorityWait), failure.NoMajority, "this core sees no majority"), fx)
+		n.refuseJoins(n.joins.RefuseWaiting(now.Add(-majorityWait), failure.NoMajority, "this core cannot reach a majority of the cores"), fx)
 		return
 	}
 	if batch := n.joins.BeginBatch(now); len(batch) > 0 {
@@ -89,29 +89,29 @@
 	}
 }
 
-// beginJoinBatch starts the operations of a batch: one that gives every node its lease epoch and
-// its share, and one read of the newest configuration revision, which begins after all joins of
-// the batch came in.
+// beginJoinBatch starts the operations of a batch: one operation that assigns a lease epoch and a
+// retry budget share to every node, and one read of the newest configuration revision. The read
+// begins after all joins of the batch have arrived.
 func (n *Node) beginJoinBatch(now monotime.Time, requests []joinqueue.Request, fx *Effects) {
-	batch := &joinBatch{startedAt: now, size: len(requests), remaining: batchOperations}
+	batch := &joinBatch{startedAt: now, size: len(requests), pendingOperations: batchOperations}
 	n.JoinBatches++
 	deadline := now.Add(batchBudget)
 	join := proposer.Operation{Key: quota.Key, Kind: quota.JoinKind, Args: operation.Encode(n.joinArgs(requests))}
-	n.begin(now, &pending{operation: join, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
-		batch.collect(result, &batch.entered)
-		n.finishJoinOperation(now, batch, fx)
+	n.beginOperation(now, &pending{operation: join, deadline: deadline, onResult: func(now monotime.Time, result Result, fx *Effects) {
+		batch.collect(result, &batch.joined)
+		n.joinOperationDone(now, batch, fx)
 	}}, fx)
 	read := proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}
-	n.begin(now, &pending{operation: read, deadline: deadline, onDone: func(now monotime.Time, result Result, fx *Effects) {
+	n.beginOperation(now, &pending{operation: read, deadline: deadline, onResult: func(now monotime.Time, result Result, fx *Effects) {
 		var newest proposal.Accepted
 		batch.collect(result, &newest)
 		batch.configRevision = newest.Revision
-		n.finishJoinOperation(now, batch, fx)
+		n.joinOperationDone(now, batch, fx)
 	}}, fx)
 }
 
-// joinArgs returns the arguments of a batch. They name each lease epoch that the lease table
-// knows of, so that the new one is higher even if the shares have forgotten the node.
+// joinArgs returns the arguments of a batch's join operation. They include each node's lease epoch
+// in the lease table, so that the new lease epoch is higher even if the node's share was removed.
 func (n *Node) joinArgs(requests []joinqueue.Request) (args quota.JoinArgs) {
 	for _, r := range requests {
 		args.Nodes = append(args.Nodes, quota.Joiner{
@@ -124,7 +124,8 @@
 	return args
 }
 
-// collect takes the result of one of the operations, and the first failure of them.
+// collect decodes the result of one of the batch's operations and records the batch's first
+// failure.
 func (b *joinBatch) collect(result Result, into any) {
 	failed := result.Failure
 	if failed == nil {
@@ -137,13 +138,13 @@
 	}
 }
 
-// finishJoinOperation ends the batch once all of its operations have ended.
-func (n *Node) finishJoinOperation(now monotime.Time, b *joinBatch, fx *Effects) {
-	if b.remaining--; b.remaining > 0 {
+// joinOperationDone records the end of one operation, and ends the batch once all operations ended.
+func (n *Node) joinOperationDone(now monotime.Time, b *joinBatch, fx *Effects) {
+	if b.pendingOperations--; b.pendingOperations > 0 {
 		return
 	}
-	if b.failure == nil && len(b.entered) != b.size {
-		b.failure = failure.New(failure.Damaged, "the batch returned %d lease epochs for %d joins", len(b.entered), b.size)
+	if b.failure == nil && len(b.joined) != b.size {
+		b.failure = failure.New(failure.Damaged, "join batch returned %d lease epochs for %d joins", len(b.joined), b.size)
 	}
 	if b.failure == nil {
 		n.learnFromJoins(now, b, fx)
@@ -155,7 +156,7 @@
 	}
 }
 
-// learnFromJoins takes the configuration revision that the batch has read.
+// learnFromJoins records the configuration revision that the batch has read.
 func (n *Node) learnFromJoins(now monotime.Time, b *joinBatch, fx *Effects) {
 	if b.configRevision > n.ConfigRevision {
 		n.learn(now, message.Learned{Key: proposal.Key, Revision: ident.Revision(b.configRevision)}, fx)
@@ -163,14 +164,14 @@
 	n.freshness.asOf = max(n.freshness.asOf, b.startedAt)
 }
 
-// result returns the answer to one caller of the batch.
+// result returns the result for the caller of the join at the given index of the batch.
 func (b *joinBatch) result(ticket uint64, index int) Result {
 	if b.failure != nil {
 		failed := *b.failure
-		failed.RetryAfter = max(failed.RetryAfter, minJoinRetryAfter)
+		failed.RetryAfter = max(failed.RetryAfter, minJoinRetryAfterSeconds)
 		return Result{Ticket: ticket, Failure: &failed}
 	}
-	entry := b.entered[index]
+	entry := b.joined[index]
 	joined := JoinResult{LeaseEpoch: entry.LeaseEpoch, Share: entry.Share, ConfigRevision: b.configRevision}
 	return Result{Ticket: ticket, Body: operation.Encode(joined)}
 }
--- a/control/core/node/join_test.go
+++ b/control/core/node/join_test.go
@@ -19,20 +19,21 @@
 	return joinqueue.Request{Node: ident.Node(fmt.Sprint("node-", n)), Run: attempt}
 }
 
-// join starts a sidecar's join at a core.
+// join submits a sidecar's join request to a core.
 func (cluster *threeCores) join(core ident.Addr, ticket uint64, r joinqueue.Request) {
 	cluster.apply(core, cluster.nodes[core].Join(cluster.now, ticket, r, node.JoinBudget))
 }
 
 func (cluster *threeCores) joinResult(t *testing.T, ticket uint64) (j node.JoinResult) {
-	e := cluster.ticketResult(ticket)
-	must.NotNil(t, e, must.Sprint(ticket))
-	must.Nil(t, e.Failure, must.Sprint(ticket))
-	must.NoError(t, json.Unmarshal(e.Body, &j))
+	result := cluster.ticketResult(ticket)
+	must.NotNil(t, result, must.Sprint(ticket))
+	must.Nil(t, result.Failure, must.Sprint(ticket))
+	must.NoError(t, json.Unmarshal(result.Body, &j))
 	return j
 }
 
-// quorumRounds counts the rounds of all proposers, without those of quorum reads.
+// quorumRounds returns the number of rounds of all proposers. Rounds of quorum reads are not
+// included.
 func (cluster *threeCores) quorumRounds() (sum uint64) {
 	for _, a := range coreAddrs {
 		sum += cluster.nodes[a].Proposer().Rounds
@@ -40,9 +41,9 @@
 	return sum
 }
 
-// Joins that come together at one core, or at all of them, need a bounded number of rounds and not
-// one each; every node gets a lease epoch of its own.
-func TestJoinsThatComeTogetherShareRounds(t *testing.T) {
+// Concurrent joins at one core or at all cores must share a bounded number of rounds instead of
+// using one round each, and every node must get a unique lease epoch.
+func TestConcurrentJoinsShareRounds(t *testing.T) {
 	for _, c := range []struct{ joins, cores, batches, rounds int }{{100, 1, 1, 8}, {320, 1, 3, 12}, {320, 3, 3, 12}} {
 		cluster := newThreeCores(t)
 		before := cluster.quorumRounds()
@@ -69,8 +70,8 @@
 	}
 }
 
-// A repeat of a join, at the same core or at another, gets the same lease epoch; a later run of the
-// same node gets a higher one.
+// A repeated join at the same core or at another core must get the same lease epoch. A later run of
+// the same node must get a higher lease epoch.
 func TestRepeatedJoinKeepsItsLeaseEpoch(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.join("a:1", 1, joinRequest(1, "first"))
@@ -86,8 +87,8 @@
 	must.Greater(t, first.LeaseEpoch, cluster.joinResult(t, 4).LeaseEpoch)
 }
 
-// A core without a majority holds a join for a while and then refuses it; one that regains its
-// majority in time grants it.
+// A core without a majority must queue a join for a while and then refuse it. If the core regains
+// the majority in time, it must grant the join.
 func TestJoinWaitsForAMajority(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.drop = func(to ident.Addr, m message.Message) bool { return (to == "a:1") != (m.From == "a:1") }
@@ -105,11 +106,11 @@
 	cluster.joinResult(t, 2)
 }
 
-// A core that leaves refuses the joins that wait and those that still come.
+// A leaving core must refuse the joins that are queued and the joins that arrive later.
 func TestLeavingCoreRefusesJoins(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.join("a:1", 1, joinRequest(1, "run"))
-	cluster.apply("a:1", cluster.nodes["a:1"].Leave(cluster.now, stopWithin))
+	cluster.apply("a:1", cluster.nodes["a:1"].Leave(cluster.now, stopLimit))
 	cluster.join("a:1", 2, joinRequest(2, "run"))
 	cluster.advance(100 * time.Millisecond)
 	for _, ticket := range []uint64{1, 2} {
@@ -119,9 +120,9 @@
 	must.Eq(t, 2, cluster.nodes["a:1"].JoinsRefused)
 }
 
-// Whichever core fails while joins are in progress, each of them ends in time, and its repeat gets a
-// lease epoch above all that were given before.
-func TestJoinsSurviveTheLossOfACore(t *testing.T) {
+// A core fails while joins are in progress. Every join must end within JoinBudget, and a repeated
+// join must get a lease epoch that is higher than all epochs assigned before the failure.
+func TestJoinsSurviveCoreFailure(t *testing.T) {
 	for _, dead := range coreAddrs[1:] {
 		cluster := newThreeCores(t)
 		cluster.join("a:1", 1, joinRequest(0, "run"))
--- a/control/core/node/leaseupdate.go
+++ b/control/core/node/leaseupdate.go
@@ -25,8 +25,8 @@
 	return response, Effects{SidecarViewChanged: renewed.Changed}, nil
 }
 
-// sendLeaseUpdates sends the other cores what changed among the leases that are registered
-// here, and the full list to those that asked for it.
+// sendLeaseUpdates sends the changes to the leases that are registered at this core to all live
+// peers, and the full list of leases to the cores that requested the list.
 func (n *Node) sendLeaseUpdates(now monotime.Time, fx *Effects) {
 	if update, due := n.Leases.PendingUpdate(); due {
 		for _, a := range n.peerAddrs() {
@@ -46,15 +46,15 @@
 	}
 }
 
-// onLeaseUpdate takes what changed among the leases of a peer. An update that does not follow
-// the list held here is answered by a request for the full list.
+// onLeaseUpdate applies the changes to a peer's leases. If the update does not follow on from the
+// list held here, onLeaseUpdate requests the full list.
 func (n *Node) onLeaseUpdate(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.LeaseUpdate == nil {
 		return false
 	}
 	p := n.peers[m.From]
 	if p == nil {
-		return true // its heartbeat comes first
+		return true // the lease list is requested after the peer's first heartbeat
 	}
 	changed, inSync := n.Leases.ApplyUpdate(now, m.From, *m.LeaseUpdate)
 	fx.SidecarViewChanged = fx.SidecarViewChanged || changed
@@ -64,16 +64,17 @@
 	return true
 }
 
-// MajorityAckedSeq returns the newest heartbeat of this core that a majority of the voters,
-// this one included, has received together with the list of leases that it refers to. That
-// majority knows of every renewal which came in before that heartbeat. It is 0 if there is none.
+// MajorityAckedSeq returns the sequence number of this core's newest heartbeat that a majority of
+// the voters, including this core, has received together with the corresponding list of leases. The
+// majority knows of every renewal that arrived at this core before that heartbeat was sent.
+// MajorityAckedSeq returns 0 if there is no such heartbeat.
 func (n *Node) MajorityAckedSeq() uint64 {
 	var acked []uint64
 	for _, v := range n.membership.Current.Voters {
 		switch {
 		case v.Joining:
 		case v.Disk == n.Disk:
-			acked = append(acked, n.heartbeats.seq+1) // what came in here is known here
+			acked = append(acked, n.heartbeats.seq+1) // this core knows all of its own renewals
 		default:
 			for _, a := range n.peerAddrs() {
 				if p := n.peers[a]; p.heartbeat.Disk == v.Disk {
--- a/control/core/node/leaseupdate_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -17,8 +17,8 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// renew renews a lease at one core for a while, and returns when the newest renewal was sent that
-// a majority is reported to know of.
+// renew renews a lease at one core for the duration d, and returns the send time of the newest
+// renewal that the core reported as known to a majority.
 func (cluster *threeCores) renew(
 	t *testing.T,
 	core ident.Addr,
@@ -38,7 +38,7 @@
 	return ackedAt
 }
 
-// shares reads the retry budget shares at any core that can.
+// shares reads the retry budget shares at the first core that can serve the read.
 func (cluster *threeCores) shares(t *testing.T) (s quota.State) {
 	for n := range 10 {
 		cluster.lastTicket++
@@ -52,29 +52,30 @@
 			return s
 		}
 	}
-	t.Fatal("no core can read the shares")
+	t.Fatal("no core could read the retry budget shares")
 	return s
 }
 
-// A core whose messages reach no other acknowledges no renewal from then on, and the share of its
-// sidecar is reclaimed only after a majority has not heard of the sidecar for a long time. By then
-// the last acknowledged renewal is long past, whichever messages are lost.
+// A core's messages no longer reach the other cores, so the core must stop acknowledging renewals.
+// The retry budget share of its sidecar may be reclaimed only after the sidecar was silent at a
+// majority for a long time. At that time the last acknowledged renewal must be more than 25 s old,
+// whichever messages are lost.
 func TestShareIsReclaimedOnlyFromSilentNodes(t *testing.T) {
-	for name, lost := range map[string]func(registrar, to ident.Addr, m message.Message) bool{
-		"all that the registrar sends": func(registrar, _ ident.Addr, m message.Message) bool { return m.From == registrar },
-		"its lease updates":            func(_, _ ident.Addr, m message.Message) bool { return m.LeaseUpdate != nil },
+	for name, isLost := range map[string]func(registrar, to ident.Addr, m message.Message) bool{
+		"all messages from the registrar": func(registrar, _ ident.Addr, m message.Message) bool { return m.From == registrar },
+		"its lease updates":               func(_, _ ident.Addr, m message.Message) bool { return m.LeaseUpdate != nil },
 		"its heartbeats": func(registrar, _ ident.Addr, m message.Message) bool {
 			return m.From == registrar && m.Heartbeat != nil
 		},
-		"the heartbeats to it": func(registrar, to ident.Addr, m message.Message) bool { return to == registrar && m.Heartbeat != nil },
+		"heartbeats to it": func(registrar, to ident.Addr, m message.Message) bool { return to == registrar && m.Heartbeat != nil },
 	} {
 		cluster := newThreeCores(t)
 		take := proposer.Operation{Key: "share", Kind: "share/take", Args: operation.Encode(quota.Args{Node: "n", LeaseEpoch: 1})}
 		cluster.submitOperation("b:1", 1, take, 4*time.Second)
-		cluster.advance(32 * time.Second) // a core that has just started reclaims nothing
+		cluster.advance(32 * time.Second) // a core that has just started reclaims no shares
 		registrar := coreAddrs[0]
 		if cluster.nodes[registrar].HoldsSingletonRole() {
-			registrar = coreAddrs[2] // the holder of the role asks only about nodes that it does not hear itself
+			registrar = coreAddrs[2] // the role's holder queries only nodes that are silent at the holder too
 		}
 		seq, sentAt := uint64(0), map[uint64]monotime.Time{}
 		if name != "its lease updates" {
@@ -82,23 +83,23 @@
 			must.Less(t, 1500*time.Millisecond, cluster.now.Since(ackedAt), must.Sprint(name))
 			must.MapContainsKey(t, cluster.shares(t).Nodes, ident.Node("n"), must.Sprint(name))
 		}
-		cluster.drop = func(to ident.Addr, m message.Message) bool { return lost(registrar, to, m) }
-		ackedAt, freed := monotime.Time(0), false
+		cluster.drop = func(to ident.Addr, m message.Message) bool { return isLost(registrar, to, m) }
+		ackedAt, reclaimed := monotime.Time(0), false
 		for range 30 {
 			ackedAt = max(ackedAt, cluster.renew(t, registrar, &seq, sentAt, 2*time.Second))
 			if _, has := cluster.shares(t).Nodes["n"]; !has {
-				freed = true
+				reclaimed = true
 				must.Greater(t, 25*time.Second, cluster.now.Since(ackedAt), must.Sprint(name))
 			}
 		}
-		// While its messages arrive and only the answers are lost it is still heard.
-		must.Eq(t, name != "the heartbeats to it", freed, must.Sprint(name))
+		// If only the heartbeats to the registrar are lost, its messages still reach the others.
+		must.Eq(t, name != "heartbeats to it", reclaimed, must.Sprint(name))
 	}
 }
 
-// Every core knows within a second that a sidecar renews, at whichever core it does. A brief
-// heartbeat from an unknown run makes the receiver ask for a full one, and a core that lost the
-// lists of leases gets them again.
+// A sidecar renews its lease at one core. Every core must list the sidecar as live within a second.
+// When a core that lost its lists of leases receives a brief heartbeat from a run that it does not
+// know, it must request a full heartbeat and receive the lists again.
 func TestCoresReplicateSidecarLeases(t *testing.T) {
 	for n := range 3 {
 		cluster := newThreeCores(t)
@@ -107,7 +108,7 @@
 		for _, a := range coreAddrs {
 			must.Eq(t, 1, cluster.nodes[a].Leases.LiveCount(), must.Sprintf("%s of %s", a, coreAddrs[n]))
 		}
-		// Another core restarts with an empty disk.
+		// A different core restarts with an empty disk.
 		restarted := coreAddrs[(n+1)%3]
 		newDisk := func() ident.Disk { return ident.Disk("new-" + restarted) }
 		config := node.Config{Addr: restarted, Founders: coreAddrs, InstanceID: "m2", NewDiskID: newDisk}
@@ -118,7 +119,7 @@
 		must.Eq(t, 1, cluster.nodes[restarted].Leases.LiveCount())
 		cluster.advance(2 * time.Second)
 		for _, a := range coreAddrs {
-			must.Eq(t, 0, cluster.nodes[a].Leases.LiveCount(), must.Sprint("silent for two seconds"))
+			must.Eq(t, 0, cluster.nodes[a].Leases.LiveCount(), must.Sprint("no renewal for two seconds"))
 		}
 	}
 }
--- a/control/core/node/leave.go
+++ b/control/core/node/leave.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// answerMargin is how long before the end of a planned stop every request has its answer,
-	// so that the answer can still be sent.
+	// answerMargin is the time before the end of a planned stop by which every request is answered,
+	// so that the answers can still be sent.
 	answerMargin = 300 * time.Millisecond
-	// stoppingRetryAfter is, in seconds, when a client may retry that met a stopping core.
-	stoppingRetryAfter = 0.1
+	// stoppingRetryAfterSeconds is the time after which a client may retry a request that a
+	// stopping core rejected.
+	stoppingRetryAfterSeconds = 0.1
 )
 
-// Leave begins a planned stop that may last as long as within: this core proposes for no key
-// any more and hands its keys to their next proposers. ContinueLeave reports when it is done.
-// Every request that is in progress, or still comes, has its answer answerMargin before the
-// end at the latest.
-func (n *Node) Leave(now monotime.Time, within time.Duration) (fx Effects) {
+// Leave begins a planned stop that may last for at most limit. This core stops proposing and hands
+// its keys to their next proposers. ContinueLeave reports when the stop is complete. Every request
+// that is in progress or arrives later is answered at least answerMargin before the limit.
+func (n *Node) Leave(now monotime.Time, limit time.Duration) (fx Effects) {
 	if n.leaving {
 		return fx
 	}
 	n.leaving, n.departure = true, &departure{startedAt: now}
-	n.answerDeadline = now.Add(within - min(within/2, answerMargin))
+	n.answerDeadline = now.Add(limit - min(limit/2, answerMargin))
 	n.capDeadlines()
 	n.sendLeaseUpdates(now, &fx)
 	n.sendDueHeartbeats(now, true, &fx)
 	disks, addrOf := n.liveVoters(now)
-	n.passSingletonRole(now, disks, &fx)
+	n.transferSingletonRole(now, disks, &fx)
 	n.handOverKeys(disks, addrOf, &fx)
 	return fx
 }
 
-// handOverKeys sends each key that this core proposes for to the next proposer of it.
+// handOverKeys sends each key for which this core is the proposer to the key's next proposer.
 func (n *Node) handOverKeys(disks []ident.Disk, addrOf map[ident.Disk]ident.Addr, fx *Effects) {
 	keys := map[ident.Addr][]ident.Key{}
 	for _, k := range n.proposer.HeldKeys() {
@@ -52,8 +52,8 @@
 	}
 }
 
-// ContinueLeave carries on a planned stop. It returns true when no request is in progress and
-// all that was confirmed is held by a majority of the voters that stay.
+// ContinueLeave performs the next step of a planned stop. It returns true once no request is in
+// progress and the planned leave of this core's voter is complete, see continueDeparture.
 func (n *Node) ContinueLeave(now monotime.Time) (bool, Effects) {
 	var fx Effects
 	done, effects := n.proposer.Release()
@@ -64,7 +64,7 @@
 	return n.continueDeparture(now, &fx), fx
 }
 
-// capDeadlines has every request in progress end by the answer deadline.
+// capDeadlines limits the deadline of every request in progress to the answer deadline.
 func (n *Node) capDeadlines() {
 	for _, p := range n.operations.waiting {
 		p.deadline = min(p.deadline, n.answerDeadline)
@@ -77,7 +77,8 @@
 	}
 }
 
-// deadlineFor returns the deadline of a request with a budget: a planned stop brings it forward.
+// deadlineFor returns the deadline of a request with the given budget. During a planned stop the
+// deadline is at most the answer deadline.
 func (n *Node) deadlineFor(now monotime.Time, budget time.Duration) monotime.Time {
 	deadline := now.Add(budget)
 	if n.leaving {
@@ -86,11 +87,12 @@
 	return deadline
 }
 
-// pastAnswerDeadline reports whether a planned stop is so near its end that nothing is begun.
+// pastAnswerDeadline reports whether the answer deadline of a planned stop has passed, after which
+// no operation is started.
 func (n *Node) pastAnswerDeadline(now monotime.Time) bool {
 	return n.leaving && now >= n.answerDeadline
 }
 
 func errStopping() *failure.Error {
-	return failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetryAfter)
+	return failure.New(failure.Stopping, "the core is stopping").WithRetryAfter(stoppingRetryAfterSeconds)
 }
--- a/control/core/node/leave_test.go
+++ b/control/core/node/leave_test.go
@@ -12,47 +12,47 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// A core is cut off, in each direction, at a few times after the start of its planned stop, while
-// calls go on. Each call has its answer before the stop ends, and none that was answered as not
-// executed takes effect later. The times are virtual.
+// A core is partitioned, in each direction, at various times after the start of its planned stop,
+// while clients keep calling it. Every call must be answered before the stop ends, and a call that
+// was answered as not executed must not take effect later. All times are virtual.
 func TestPlannedStopAnswersAllPending(t *testing.T) {
-	for direction := range cuts {
-		for _, lead := range []time.Duration{0, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
-			t.Run(direction+" "+lead.String(), func(t *testing.T) { stopWhileCutOff(t, direction, lead) })
+	for direction := range partitionDirections {
+		for _, delay := range []time.Duration{0, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond} {
+			t.Run(direction+" "+delay.String(), func(t *testing.T) { stopWhilePartitioned(t, direction, delay) })
 		}
 	}
 }
 
-// stopWhileCutOff cuts off the proposer of a number, lead after its planned stop began, and calls it
-// all the while.
-func stopWhileCutOff(t *testing.T, direction string, lead time.Duration) {
-	const firstTicket, callEvery = uint64(2000), 20 * time.Millisecond
+// stopWhilePartitioned begins a planned stop of a number's proposer and partitions the proposer
+// after lead. It calls the proposer throughout.
+func stopWhilePartitioned(t *testing.T, direction string, delay time.Duration) {
+	const firstTicket, callInterval = uint64(2000), 20 * time.Millisecond
 	cluster := newThreeCores(t)
 	cluster.submit("a:1", 1, "number/next", "number/n")
 	cluster.advance(200 * time.Millisecond)
 	leaver := cluster.proposerOf("number/n")
-	// An operation is in progress that can't end by itself, as its requests are lost.
+	// The leaver's requests are lost, so an operation in progress cannot complete.
 	cluster.drop = func(to ident.Addr, m message.Message) bool {
 		return m.From == leaver && to != leaver && m.Request != nil
 	}
 	began, ticket := cluster.now, firstTicket
-	cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopWithin))
-	for left := false; !left && cluster.now.Since(began) < stopWithin; ticket++ {
-		if cluster.now.Since(began) >= lead {
-			cluster.cut(leaver, direction)
+	cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopLimit))
+	for left := false; !left && cluster.now.Since(began) < stopLimit; ticket++ {
+		if cluster.now.Since(began) >= delay {
+			cluster.partition(leaver, direction)
 		}
 		cluster.submitOperation(leaver, ticket, operationOf("number/n", "number/next", map[string]int{}), 4*time.Second)
-		cluster.advance(callEvery)
+		cluster.advance(callInterval)
 		done, fx := cluster.nodes[leaver].ContinueLeave(cluster.now)
 		cluster.apply(leaver, fx)
 		left = done
 	}
-	executed, unknown := 1, 0 // the first call was before the stop
+	executed, unknown := 1, 0 // the first call was executed before the stop
 	for i := firstTicket; i < ticket; i++ {
 		must.NotNil(
 			t,
 			cluster.ticketResult(i),
-			must.Sprintf("call %d of %d has no answer when the process ends", i-firstTicket, ticket-firstTicket),
+			must.Sprintf("call %d of %d was not answered before the process ended", i-firstTicket, ticket-firstTicket),
 		)
 		switch f := cluster.ticketResult(i).Failure; {
 		case f == nil:
--- a/control/core/node/membership.go
+++ b/control/core/node/membership.go
@@ -16,15 +16,17 @@
 )
 
 const (
-	// voterDeadAfter is how long a voter must not have been heard, by disks that have listened
-	// for as long, before its slot may be taken.
+	// voterDeadAfter is the time without heartbeats after which a core presumes a voter dead, so
+	// that the voter's slot may be taken. A core that has run for less time presumes no voter dead.
 	voterDeadAfter = 3 * time.Second
-	// growAfter is how long after its start a core waits before it asks for a slot of its own.
-	growAfter = 6 * time.Second
+	// addSlotAfter is the time that a core waits after its start before it requests an additional
+	// slot.
+	addSlotAfter = 6 * time.Second
 )
 
-// seekMembership works towards this disk being a counted voter.
-func (n *Node) seekMembership(now monotime.Time, fx *Effects) {
+// tickMembership performs the next step toward making this disk a counted voter. If this disk is
+// already a counted voter, tickMembership maintains the voter's address and drops dead voters.
+func (n *Node) tickMembership(now monotime.Time, fx *Effects) {
 	current := n.membership.Current
 	if current.Epoch == 0 {
 		n.tickBootstrap(now, fx)
@@ -33,26 +35,26 @@
 	self, in := current.Find(n.Disk)
 	switch {
 	case in && self.Counted && self.Addr != n.config.Addr:
-		n.propose(now, reconfiguration.MoveVoter(n.asVoter()), fx)
+		n.proposeMembership(now, reconfiguration.MoveVoter(n.localVoter()), fx)
 	case n.leaving:
 	case in && self.Counted:
 		n.dropDeadVoter(now, current, fx)
-	case in && self.Joining && !n.canGrow(now, current) && !n.isSuccessor(now, current):
+	case in && self.Joining && !n.mayBeCounted(now, current) && !n.isSuccessor(now, current):
 		if n.mayTakeSlot(now, current) {
-			n.propose(now, reconfiguration.TakeSlot(n.asVoter(), n.config.MaxVoters, false), fx)
+			n.proposeMembership(now, reconfiguration.TakeSlot(n.localVoter(), n.config.MaxVoters, false), fx)
 		}
 	case in && n.voterCopy.epoch == current.Epoch:
-		n.propose(now, reconfiguration.CountIn(n.Disk), fx)
+		n.proposeMembership(now, reconfiguration.CountIn(n.Disk), fx)
 	case in && n.voterCopy.due(now):
 		n.beginCopy(now, current.Epoch, fx)
 	case !in && n.isSuccessor(now, current):
-		n.propose(now, reconfiguration.TakeSlot(n.asVoter(), len(current.Voters)+1, true), fx)
+		n.proposeMembership(now, reconfiguration.TakeSlot(n.localVoter(), len(current.Voters)+1, true), fx)
 	case !in && n.mayTakeSlot(now, current):
-		n.propose(now, reconfiguration.TakeSlot(n.asVoter(), n.config.MaxVoters, n.mayGrow(now, current)), fx)
+		n.proposeMembership(now, reconfiguration.TakeSlot(n.localVoter(), n.config.MaxVoters, n.mayAddSlot(now, current)), fx)
 	}
 }
 
-// tickBootstrap works towards the first membership, if this core is one of its founders.
+// tickBootstrap performs the next step toward the first membership, if this core is a founder.
 func (n *Node) tickBootstrap(now monotime.Time, fx *Effects) {
 	if !slices.Contains(n.config.Founders, n.config.Addr) {
 		return
@@ -69,13 +71,13 @@
 	}
 }
 
-// asVoter returns this disk as a voter at this core's address.
-func (n *Node) asVoter() quorum.Voter {
+// localVoter returns a voter entry with this disk and this core's address.
+func (n *Node) localVoter() quorum.Voter {
 	return quorum.Voter{Disk: n.Disk, Addr: n.config.Addr}
 }
 
-// propose begins a change of the membership in force.
-func (n *Node) propose(now monotime.Time, change reconfiguration.Change, fx *Effects) {
+// proposeMembership begins a change to the current membership.
+func (n *Node) proposeMembership(now monotime.Time, change reconfiguration.Change, fx *Effects) {
 	n.sendReconfiguration(n.reconfigurer.Begin(now, n.membership.Current, change), fx)
 }
 
@@ -86,14 +88,14 @@
 	}
 }
 
-// canGrow reports whether this disk, which has joined, may be counted in and so raise the
-// number of slots by one: all counted voters are healthy, and another joining disk can follow
-// unless the number is even. An even number of slots tolerates no more failures than the odd
-// one below it, so the last joining disk stands by and takes the next empty slot. Had it been
-// counted in, and the voter that it was to replace then failed for good, every later failure
-// would be one too many.
-func (n *Node) canGrow(now monotime.Time, current quorum.Membership) bool {
-	healthy := n.healthy(now)
+// mayBeCounted reports whether this joining disk may become a counted voter, which raises the
+// number of slots by one. All voters with a slot must be healthy, and if the current number of
+// slots is odd, another healthy disk must be joining too. An even number of slots tolerates no more
+// failures than the next lower odd number, so a single joining disk waits for the next empty slot.
+// If the disk were counted and the voter that it is meant to replace then failed permanently, the
+// cluster would not tolerate any further failure.
+func (n *Node) mayBeCounted(now monotime.Time, current quorum.Membership) bool {
+	healthy := n.healthyDisks(now)
 	otherJoiners := 0
 	for _, v := range current.Voters {
 		switch isHealthy := slices.Contains(healthy, v.Disk); {
@@ -106,33 +108,35 @@
 	return current.Size()%2 == 0 || otherJoiners > 0
 }
 
-// mayTakeSlot reports whether this disk may find a slot: a voter is at this address, or one was
-// not heard here for voterDeadAfter, or the membership has fewer voters than it should and this
-// disk may raise it. Others do not ask, as each request outbids those that would succeed. What
-// the disks of a majority have heard decides; a core that has just started need not itself wait
-// for a voter's silence to last.
+// mayTakeSlot reports whether a request for a slot by this disk may succeed. That is so if another
+// disk's voter has this core's address, if this core received no heartbeat from a voter for
+// voterDeadAfter, or if the membership has too few voters and this disk may add a slot. In all
+// other cases the disk sends no request, because the request's higher ballot would preempt requests
+// that could succeed. The acceptors of a majority decide whether a voter is presumed dead, so a
+// core that has just started need not wait for voterDeadAfter itself.
 func (n *Node) mayTakeSlot(now monotime.Time, current quorum.Membership) bool {
 	if slices.ContainsFunc(current.Voters, func(v quorum.Voter) bool { return v.Addr == n.config.Addr && v.Disk != n.Disk }) {
 		return true
 	}
 	if now.Since(n.startedAt) <= heartbeatTimeout {
-		return false // live cores may not have sent a heartbeat yet
+		return false // heartbeats of live cores may not have arrived yet
 	}
-	heard := n.heardWithin(now, voterDeadAfter)
+	heard := n.disksHeardWithin(now, voterDeadAfter)
 	_, in := current.Find(n.Disk)
-	return !in && n.mayGrow(now, current) && len(current.Voters) < n.config.MaxVoters ||
+	return !in && n.mayAddSlot(now, current) && len(current.Voters) < n.config.MaxVoters ||
 		slices.ContainsFunc(current.Voters, func(v quorum.Voter) bool { return !slices.Contains(heard, v.Disk) && (!in || !v.Joining) })
 }
 
-// mayGrow reports whether this disk may ask for a slot of its own. A core that replaces another
-// is given growAfter to find the empty slot first. Where there are too few slots to tolerate
-// ToleratedLosses failures, it waits only until it has heard the others.
-func (n *Node) mayGrow(now monotime.Time, current quorum.Membership) bool {
+// mayAddSlot reports whether this disk may request an additional slot. During the first
+// addSlotAfter of its run a core does not, so that a core that replaces another core takes the
+// empty slot instead. If there are too few slots to tolerate ToleratedLosses failures, the core
+// waits only for heartbeatTimeout, in which it receives the heartbeats of the other cores.
+func (n *Node) mayAddSlot(now monotime.Time, current quorum.Membership) bool {
 	uptime := now.Since(n.startedAt)
-	return uptime > growAfter || current.Size() < 2*n.config.ToleratedLosses+1 && uptime > heartbeatTimeout
+	return uptime > addSlotAfter || current.Size() < 2*n.config.ToleratedLosses+1 && uptime > heartbeatTimeout
 }
 
-// onMembershipRequest answers another core's proposal of a membership.
+// onMembershipRequest handles a core's proposal of a membership as an acceptor.
 func (n *Node) onMembershipRequest(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.MembershipRequest == nil {
 		return false
@@ -148,8 +152,8 @@
 	return true
 }
 
-// onMembershipResponse takes an answer to this core's proposal, and adopts the membership once
-// it is chosen.
+// onMembershipResponse processes an acceptor's response to this core's proposal of a membership,
+// and adopts the membership once it is chosen.
 func (n *Node) onMembershipResponse(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.MembershipResponse == nil {
 		return false
@@ -168,15 +172,16 @@
 	return true
 }
 
-// adoptChosen adopts a membership that this core brought about, and has due heartbeats sent in
-// the next tick.
+// adoptChosen adopts a membership that was chosen by this core's proposal, and schedules a check
+// for due heartbeats in the next tick.
 func (n *Node) adoptChosen(now monotime.Time, next quorum.Membership, fx *Effects) {
 	n.adoptMembership(now, next, fx)
 	n.heartbeats.checkedAt = 0
 }
 
-// adoptMembership takes a chosen membership, if it is newer than the one in force. All that
-// holds for one membership only is dropped: copies, comparisons, reads.
+// adoptMembership adopts a chosen membership if it is newer than the current membership. State that
+// is valid only for one membership is reset: the copy for a new voter, comparisons of the copies,
+// and quorum reads.
 func (n *Node) adoptMembership(now monotime.Time, chosen quorum.Membership, fx *Effects) {
 	_, hadSlot := n.membership.Current.Find(n.Disk)
 	chosen.MajorityOverride = n.config.QuorumSize
@@ -196,8 +201,8 @@
 	}
 }
 
-// becomeNewDisk deletes all records and gives this disk a new identifier, as its slot was taken
-// while it was away.
+// becomeNewDisk deletes all records and assigns a new identifier to this disk, because the disk's
+// slot was taken while the core was unreachable.
 func (n *Node) becomeNewDisk(now monotime.Time, fx *Effects) {
 	current := n.membership.Current
 	for _, tag := range n.acceptor.RingKeys() {
--- a/control/core/node/membership_test.go
+++ b/control/core/node/membership_test.go
@@ -15,23 +15,23 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// While the slot of a lost disk is empty the next failure is one too many, so an empty core is counted
-// soon after its start: at the same address at once, at another address as soon as the voters presume
-// the lost one dead.
-func TestEmptyCoreIsCountedQuickly(t *testing.T) {
+// While the slot of a lost disk is empty, the cluster does not tolerate another failure, so a core
+// with an empty disk must become a counted voter soon after its start: immediately at the lost
+// disk's address, and at another address as soon as the voters presume the lost voter dead.
+func TestEmptyCoreBecomesVoterQuickly(t *testing.T) {
 	for name, replacement := range map[string]struct {
 		at     ident.Addr
 		within time.Duration
 	}{
-		"its disk was lost":   {"c:1", 500 * time.Millisecond},
-		"it replaces another": {"d:1", 2 * time.Second},
+		"empty disk at the same address":    {"c:1", 500 * time.Millisecond},
+		"replacement core at a new address": {"d:1", 2 * time.Second},
 	} {
 		cluster := newThreeCores(t)
 		cluster.submit("a:1", 1, "number/next", "number/n")
 		cluster.advance(200 * time.Millisecond)
 		must.Nil(t, cluster.ticketResult(1).Failure)
 		cluster.down["c:1"] = true
-		cluster.advance(1900 * time.Millisecond) // the machine boots, its process starts
+		cluster.advance(1900 * time.Millisecond) // time to boot the machine and start its process
 		delete(cluster.disks, "c:1")
 		cluster.start(t, replacement.at, "new", nil)
 		from := cluster.now
@@ -44,8 +44,8 @@
 	}
 }
 
-// A voter that has just started has heard nobody yet and presumes nobody dead: no slot is taken on its
-// vote.
+// A voter that has just started has received no heartbeats yet and must presume no voter dead, so
+// that no slot is taken with its vote.
 func TestRestartedVotersPresumeNobodyDead(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.start(t, "d:1", "new", nil)
@@ -63,37 +63,37 @@
 	must.True(t, in)
 }
 
-// A core replaces another, which is stopped or killed for good at any time after the start of its
-// replacement; later the next one fails for good and is replaced. The cluster always serves again: no
-// slot is created that only the lost disk could fill.
+// A core is stopped or killed permanently at various times after its replacement started. Later
+// another core fails permanently and is replaced. The cluster must serve requests again each time.
+// Guards against an additional slot that only the lost disk could fill.
 func TestReplacementAtAnyTime(t *testing.T) {
 	for delay := 250 * time.Millisecond; delay <= 9*time.Second; delay += 250 * time.Millisecond {
-		for _, stop := range []bool{true, false} {
+		for _, planned := range []bool{true, false} {
 			cluster := newThreeCores(t)
 			cluster.submit("a:1", 1, "number/next", "number/n")
 			cluster.start(t, "d:1", "new-d", nil)
 			cluster.advance(delay)
-			if stop {
-				cluster.apply("b:1", cluster.nodes["b:1"].Leave(cluster.now, stopWithin))
+			if planned {
+				cluster.apply("b:1", cluster.nodes["b:1"].Leave(cluster.now, stopLimit))
 				cluster.advance(50 * time.Millisecond)
 			}
 			cluster.down["b:1"] = true
 			cluster.advance(8 * time.Second)
-			must.True(t, cluster.nodes["d:1"].IsVoter(), must.Sprint(delay, stop))
+			must.True(t, cluster.nodes["d:1"].IsVoter(), must.Sprint(delay, planned))
 			cluster.down["a:1"] = true
 			cluster.advance(2 * time.Second)
 			cluster.start(t, "e:1", "new-e", nil)
 			cluster.advance(3 * time.Second)
-			must.True(t, cluster.nodes["e:1"].IsVoter(), must.Sprint(delay, stop))
+			must.True(t, cluster.nodes["e:1"].IsVoter(), must.Sprint(delay, planned))
 			cluster.submit("c:1", 2, "number/next", "number/n")
 			cluster.advance(2 * time.Second)
-			must.NotNil(t, cluster.ticketResult(2), must.Sprint(delay, stop))
-			must.Nil(t, cluster.ticketResult(2).Failure, must.Sprint(delay, stop))
+			must.NotNil(t, cluster.ticketResult(2), must.Sprint(delay, planned))
+			must.Nil(t, cluster.ticketResult(2).Failure, must.Sprint(delay, planned))
 		}
 	}
 }
 
-// Two joining cores are counted in, one after the other; a single one stands by.
+// A single joining core must wait without being counted; two joining cores must both become voters.
 func TestCoresJoinInPairs(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.start(t, "d:1", "new-d", nil)
@@ -106,17 +106,17 @@
 	must.True(t, cluster.nodes["e:1"].IsVoter())
 }
 
-// growingCluster is a cluster whose cores start, fail and are replaced at random while numbers are
-// issued.
+// growingCluster is a cluster in which cores start, fail and are replaced at random while the
+// cluster issues numbers.
 type growingCluster struct {
 	*threeCores
-	t      *testing.T
-	seed   uint64
-	random *rand.Rand
-	names  []ident.Addr
-	fresh  int    // the empty disks that were started
-	last   uint64 // the highest number that was issued
-	ticket uint64
+	t                 *testing.T
+	seed              uint64
+	random            *rand.Rand
+	addrs             []ident.Addr
+	emptyDisksStarted int    // the number of cores that were started on an empty disk
+	highestNumber     uint64 // the highest number that was issued so far
+	ticket            uint64
 }
 
 func newGrowingCluster(t *testing.T, seed uint64) *growingCluster {
@@ -125,26 +125,28 @@
 		t:          t,
 		seed:       seed,
 		random:     rand.New(rand.NewPCG(seed, 1)),
-		names:      slices.Clone(coreAddrs),
+		addrs:      slices.Clone(coreAddrs),
 	}
 	c.drop = func(ident.Addr, message.Message) bool { return c.random.IntN(12) == 0 }
 	return c
 }
 
-// newAddr returns an address that no core has had.
-func (c *growingCluster) newAddr() ident.Addr { return ident.Addr(fmt.Sprintf("%c:1", 'd'+c.fresh)) }
+// newAddr returns an address that no core has used.
+func (c *growingCluster) newAddr() ident.Addr {
+	return ident.Addr(fmt.Sprintf("%c:1", 'd'+c.emptyDisksStarted))
+}
 
-// startEmpty starts a core on an empty disk.
+// startEmpty starts a core with an empty disk.
 func (c *growingCluster) startEmpty(at ident.Addr) {
-	c.fresh++
-	c.start(c.t, at, ident.Disk(fmt.Sprint("new-", c.fresh)), nil)
+	c.emptyDisksStarted++
+	c.start(c.t, at, ident.Disk(fmt.Sprint("new-", c.emptyDisksStarted)), nil)
 }
 
-// issueNumber asks a random core for the next number, which must be above all earlier ones, and lets
-// time pass. It reports whether one was issued.
+// issueNumber requests the next number from a random core and advances the time. The number must be
+// higher than all earlier numbers. issueNumber reports whether a number was issued.
 func (c *growingCluster) issueNumber() bool {
 	c.ticket++
-	if at := c.names[c.random.IntN(len(c.names))]; !c.down[at] {
+	if at := c.addrs[c.random.IntN(len(c.addrs))]; !c.down[at] {
 		op := proposer.Operation{Op: ident.OperationID(fmt.Sprint(c.ticket)), Key: "number/n", Kind: "number/next"}
 		c.submitOperation(at, c.ticket, op, 4*time.Second)
 	}
@@ -155,45 +157,45 @@
 	}
 	var got struct{ Number uint64 }
 	must.NoError(c.t, json.Unmarshal(e.Body, &got))
-	must.Greater(c.t, c.last, got.Number, must.Sprint("seed ", c.seed))
-	c.last = got.Number
+	must.Greater(c.t, c.highestNumber, got.Number, must.Sprint("seed ", c.seed))
+	c.highestNumber = got.Number
 	return true
 }
 
-// failOrGrow has one random thing happen to a random core.
-func (c *growingCluster) failOrGrow() {
-	switch at := c.names[c.random.IntN(len(c.names))]; c.random.IntN(5) {
+// injectRandomEvent starts, restarts or replaces a randomly chosen core, or discards its disk.
+func (c *growingCluster) injectRandomEvent() {
+	switch at := c.addrs[c.random.IntN(len(c.addrs))]; c.random.IntN(5) {
 	case 0, 1: // a new core starts
-		if a := c.newAddr(); len(c.names) < 5 {
-			c.names = append(c.names, a)
+		if a := c.newAddr(); len(c.addrs) < 5 {
+			c.addrs = append(c.addrs, a)
 			c.startEmpty(a)
 		}
-	case 2: // killed, and restarted on its disk
+	case 2: // a core is killed and restarted with its disk
 		c.down[at] = true
 		c.issueNumber()
 		c.start(c.t, at, "", nil)
-	case 3: // its disk is lost
+	case 3: // a core loses its disk
 		c.down[at] = true
 		c.issueNumber()
 		delete(c.disks, at)
 		c.startEmpty(at)
-	default: // lost for good and replaced by a new core
+	default: // a core is lost permanently and replaced by a new core
 		c.down[at] = true
 		c.issueNumber()
 		a := c.newAddr()
-		c.names[slices.Index(c.names, at)] = a
+		c.addrs[slices.Index(c.addrs, at)] = a
 		c.startEmpty(a)
 	}
 }
 
-// Cores start, are killed, lose messages, and one at a time loses its disk or is replaced, while the
-// membership grows from three to five: no number is ever issued twice, and in the end the cluster
-// serves.
-func TestGrowthForgetsNothing(t *testing.T) {
+// Cores start, are killed and lose messages, and one core at a time loses its disk or is replaced,
+// while the membership grows from three to five voters. No number may be issued twice, and the
+// cluster must serve requests at the end.
+func TestNoNumberIsIssuedTwiceWhileMembershipGrows(t *testing.T) {
 	for seed := range uint64(12) {
 		c := newGrowingCluster(t, seed)
 		for range 24 {
-			c.failOrGrow()
+			c.injectRandomEvent()
 			for end := c.now.Add(time.Duration(4500+c.random.IntN(4000)) * time.Millisecond); c.now < end; {
 				c.issueNumber()
 			}
--- a/control/core/node/node.go
+++ b/control/core/node/node.go
@@ -1,6 +1,6 @@
 // Package node combines the protocols of one core (consensus, membership, leases, singleton role)
-// into one deterministic step function. The daemon and the simulator drive it alike: they
-// pass in messages, ticks and the time, and carry out the Effects that are returned.
+// into one deterministic step function. The daemon and the simulator both pass in messages, ticks
+// and the current time, and carry out the returned Effects.
 package node
 
 import (
@@ -38,24 +38,24 @@
 type Node struct {
 	// Disk is the identifier of this core's disk.
 	Disk ident.Disk
-	// Leases holds the sidecars that are registered here and at other cores.
+	// Leases holds the leases of the sidecars that are registered at this core and at other cores.
 	Leases *leasetable.Table
-	// ConfigRevision is the newest configuration revision that is known to be confirmed.
+	// ConfigRevision is the newest configuration revision that this core knows to be confirmed.
 	ConfigRevision ident.ConfigRevision
-	// AntiEntropyPasses counts the passes that were begun here, KeysRepaired the keys whose copies
-	// they found to differ.
+	// AntiEntropyPasses counts the anti-entropy passes that this core began. KeysRepaired counts
+	// the keys whose copies differed in these passes.
 	AntiEntropyPasses uint64
 	KeysRepaired      uint64
-	// JoinBatches counts the batches of joins that were begun here, JoinsRefused the joins
-	// that were refused and are to be tried again.
+	// JoinBatches counts the batches of joins that this core began. JoinsRefused counts the joins
+	// that this core refused and whose callers are expected to retry.
 	JoinBatches  uint64
 	JoinsRefused uint64
 
 	config    Config
 	startedAt monotime.Time
-	// diskFailed is set while the disk is out of use: this core then neither votes nor proposes.
+	// diskFailed is set while the disk is unusable. The core then neither votes nor proposes.
 	diskFailed bool
-	// firstNumber is where the request numbers of this run begin, see ident.FirstRequestNumber.
+	// firstNumber is the start of this run's request numbers, see ident.FirstRequestNumber.
 	firstNumber uint64
 	lastNumber  uint64
 
@@ -66,10 +66,10 @@
 	bootstrap    *bootstrap.Bootstrap
 
 	peers map[ident.Addr]*peer
-	// knownCores are the cores that others listed, with the time of the last mention.
+	// knownCores maps each core address that peers listed to the time when a peer last listed it.
 	knownCores map[ident.Addr]monotime.Time
 	heartbeats heartbeatState
-	// hasSeenMajority is set once this run has heard a majority of the voters.
+	// hasSeenMajority is set once this run has received heartbeats from a majority of the voters.
 	hasSeenMajority bool
 	operations      operationState
 	reads           map[uint64]*pendingRead
@@ -79,10 +79,11 @@
 	replication *replicationCheck
 
 	leaving bool
-	// answerDeadline is set while leaving: by then every request has its answer.
+	// answerDeadline is set while leaving. Every request is answered by that time.
 	answerDeadline monotime.Time
 	departure      *departure
-	// recentVotes are the accepts that this disk agreed to within voteInDoubtFor, oldest first.
+	// recentVotes lists the accept requests that this disk granted within the last voteInDoubtFor,
+	// oldest first.
 	recentVotes []castVote
 
 	freshness     freshness
@@ -94,8 +95,8 @@
 	joins         joinqueue.Queue
 }
 
-// Handlers returns the handlers of every operation on the control state. watchHistory is
-// described at Config.
+// Handlers returns the handlers of all operations on the control state. Config.WatchHistory
+// describes watchHistory.
 func Handlers(watchHistory time.Duration) operation.Table {
 	merged := operation.Table{}
 	for _, handlers := range []operation.Table{
@@ -112,8 +113,8 @@
 	return merged
 }
 
-// New builds a node from the records of its disk. The records that it returns must be synced
-// before the first step.
+// New builds a node from the records of its disk. The caller must sync the returned records before
+// the first step.
 func New(now monotime.Time, config Config, recs []ring.Record) (*Node, []ring.Record, error) {
 	if config.StateMachine == nil {
 		config.StateMachine = Handlers(config.WatchHistory)
@@ -149,8 +150,8 @@
 	return n, created, nil
 }
 
-// loadDisk takes the disk's identifier from its records, or gives it a new one and returns
-// the record of that.
+// loadDisk reads the disk's identifier from its records. For an empty disk it creates an identifier
+// and returns the record that stores it.
 func (n *Node) loadDisk(recs []ring.Record) []ring.Record {
 	for _, rec := range recs {
 		if rec.Key == diskTag {
@@ -164,7 +165,7 @@
 	return []ring.Record{{Key: diskTag, Data: []byte(n.Disk)}}
 }
 
-// loadState restores the acceptors from the disk's records; empty ones are deletions.
+// loadState restores both acceptors from the disk's records. A record without data is a deletion.
 func (n *Node) loadState(recs []ring.Record) error {
 	for _, rec := range recs {
 		if len(rec.Data) == 0 || rec.Key == diskTag {
@@ -183,46 +184,47 @@
 	return nil
 }
 
-// newProposer returns a proposer under the name of this disk and run.
+// newProposer returns a proposer whose name consists of the disk's identifier and the instance ID.
 func (n *Node) newProposer() *proposer.Proposer {
 	created := proposer.New(string(n.Disk)+"."+n.config.InstanceID, n.config.StateMachine)
 	created.Local = func(k ident.Key) quorum.Record { return n.acceptor.Peek(k) }
 	return created
 }
 
-// Membership returns the membership in force at this core.
+// Membership returns the membership that this core currently uses.
 func (n *Node) Membership() quorum.Membership { return n.membership.Current }
 
-// IsVoter reports whether this disk's responses count.
+// IsVoter reports whether this disk works and counts toward a majority.
 func (n *Node) IsVoter() bool { return !n.diskFailed && n.membership.Current.Counts(n.Disk) }
 
-// RecordCount returns the number of keys that the disk holds a record of.
+// RecordCount returns the number of keys for which the disk holds a record.
 func (n *Node) RecordCount() int { return n.acceptor.Len() }
 
-// HeldKeys lists the keys that this core is the proposer of.
+// HeldKeys lists the keys for which this core is the proposer.
 func (n *Node) HeldKeys() []ident.Key { return n.proposer.HeldKeys() }
 
-// Proposer returns the proposer, for its counters.
+// Proposer returns the proposer, so that callers can read its counters.
 func (n *Node) Proposer() *proposer.Proposer { return n.proposer }
 
 // HoldsSingletonRole reports whether this core holds the singleton role.
 func (n *Node) HoldsSingletonRole() bool { return n.singletonRole.held }
 
-// SetDiskFailed sets whether the disk is out of use, and reports whether that is a change.
+// SetDiskFailed sets whether the disk is unusable, and reports whether the setting changed.
 func (n *Node) SetDiskFailed(failed bool) bool {
 	changed := n.diskFailed != failed
 	n.diskFailed = failed
 	return changed
 }
 
-// nextNumber returns the number of the next request of this core. Invariant: no other run uses
-// the same number.
+// nextNumber returns the number of this core's next request. Invariant: no other run of this core
+// uses the same number.
 func (n *Node) nextNumber() uint64 {
 	n.lastNumber++
 	return n.lastNumber
 }
 
-// sendToVoter sends a message to a voter, at the address that it was last heard from.
+// sendToVoter sends a message to a voter, at the address of the peer whose heartbeat reported the
+// voter's disk, or at the address in the membership if there is no such peer.
 func (n *Node) sendToVoter(v quorum.Voter, m message.Message, fx *Effects) {
 	if v.Disk == n.Disk {
 		fx.send(n.config.Addr, m)
@@ -237,7 +239,7 @@
 	fx.send(to, m)
 }
 
-// Step handles one message. A message to another run of this core is dropped.
+// Step handles one message. It drops messages that are addressed to another run of this core.
 func (n *Node) Step(now monotime.Time, m message.Message) (fx Effects) {
 	if m.To != "" && m.To != n.config.InstanceID {
 		return fx
@@ -250,7 +252,7 @@
 	return fx
 }
 
-// messageHandler handles one part of a message; it returns false when that part is not set.
+// messageHandler handles one kind of message. It returns false if the message is of another kind.
 type messageHandler func(n *Node, now monotime.Time, m message.Message, fx *Effects) bool
 
 var messageHandlers = []messageHandler{
@@ -260,9 +262,9 @@
 	(*Node).onSilenceCheck,
 }
 
-// ForgetRecords makes the acceptor lose all its records, which no real disk may do. The
-// simulator uses it to show that its checkers detect that.
+// ForgetRecords discards all of the acceptor's records. No working disk does that; the simulator
+// calls ForgetRecords to verify that its checkers detect the loss.
 func (n *Node) ForgetRecords() { n.acceptor = acceptor.New(n.Disk) }
 
-// AcceptedStates returns this disk's record of every key, without the values.
+// AcceptedStates returns this disk's record for each key, without the values.
 func (n *Node) AcceptedStates() map[ident.Key]quorum.Record { return n.acceptor.AcceptedStates() }
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -22,17 +22,18 @@
 )
 
 const (
-	// maxPending bounds the operations in progress at one core.
+	// maxPending limits the number of operations in progress at one core.
 	maxPending = 20000
-	// retryPause is how long an operation waits after its copy was abandoned by a proposer.
+	// retryPause is the delay before an operation is retried after a proposer abandoned an attempt.
 	retryPause = 40 * time.Millisecond
-	// internalBudget is how long an operation of the core's own may take.
+	// internalBudget is the time limit of an operation that the core itself submits.
 	internalBudget = 2 * time.Second
-	// busyRetryAfter is, in seconds, when a client may retry that met a full or cut-off core.
-	busyRetryAfter = 1
+	// busyRetryAfterSeconds is the time after which a client may retry a request that an overloaded
+	// core, or a core without a majority, rejected.
+	busyRetryAfterSeconds = 1
 )
 
-// readOnly lists the operations that change nothing: it does no harm to run one twice.
+// readOnly lists the operations that change no value and can therefore safely run more than once.
 var readOnly = map[string]bool{
 	lock.ReadKind:                 true,
 	sequence.ReadKind:             true,
@@ -47,7 +48,7 @@
 	proposer.Repair:               true,
 }
 
-// needsDiskSpace lists the operations that may need more room on the disks.
+// needsDiskSpace lists the operations that may require additional disk space.
 var needsDiskSpace = map[string]bool{
 	keyvalue.WriteKind:   true,
 	proposal.ProposeKind: true,
@@ -57,53 +58,57 @@
 	keyspace.PutKind:     true,
 }
 
-// resultFunc receives the result of an operation of the core's own.
+// resultFunc receives the result of an operation that the core itself submitted.
 type resultFunc func(now monotime.Time, result Result, fx *Effects)
 
-// ignoreResult is the resultFunc of operations that are repeated anyway.
+// ignoreResult is the resultFunc of operations that need no error handling, because the core
+// submits them again periodically.
 func ignoreResult(monotime.Time, Result, *Effects) {}
 
-// pending is one operation that this core has to answer. Invariants: at most one copy of it is
-// in flight, not counting the abandonedCopies, whose processes were given up while they might
-// still run it; mayHaveTakenEffect is set once any copy may have taken effect.
+// pending is an operation that this core must answer. Each attempt sends the operation to a
+// proposer. Invariants: at most one attempt is in flight, apart from the abandonedAttempts, which
+// may still run at a core that is no longer live; mayHaveTakenEffect is set once any attempt may
+// have taken effect.
 type pending struct {
 	ticket    uint64
 	operation proposer.Operation
 	deadline  monotime.Time
-	// retryAt is the earliest time at which the next copy is sent.
+	// retryAt is the earliest time of the next attempt.
 	retryAt monotime.Time
-	// copyTicket is the ticket of the copy in flight, 0 if there is none.
-	copyTicket uint64
-	sentAt     monotime.Time
-	// target is the address of the core that runs the copy in flight, targetInstance the run of it.
+	// attemptTicket is the ticket of the attempt in flight, 0 if no attempt is in flight.
+	attemptTicket uint64
+	sentAt        monotime.Time
+	// target and targetInstance are the address and the instance ID of the core that executes the
+	// attempt in flight.
 	target             ident.Addr
 	targetInstance     string
-	abandonedCopies    int
+	abandonedAttempts  int
 	mayHaveTakenEffect bool
-	onDone             resultFunc
+	onResult           resultFunc
 }
 
-// mayTakeEffect reports whether some copy of the operation may have changed something, or may yet.
+// mayTakeEffect reports whether an attempt may have changed the value or may still change it.
 func (p *pending) mayTakeEffect() bool {
-	return (p.mayHaveTakenEffect || p.abandonedCopies > 0) && !readOnly[p.operation.Kind]
+	return (p.mayHaveTakenEffect || p.abandonedAttempts > 0) && !readOnly[p.operation.Kind]
 }
 
-// abandonCopy gives up the copy in flight, which may still take effect.
-func (p *pending) abandonCopy() {
-	p.copyTicket, p.mayHaveTakenEffect = 0, true
+// abandonAttempt abandons the attempt in flight, which may still take effect.
+func (p *pending) abandonAttempt() {
+	p.attemptTicket, p.mayHaveTakenEffect = 0, true
 }
 
 // operationState holds the operations in progress at one core.
 type operationState struct {
-	// inFlight holds, by copyTicket, the operations of which a copy is in flight.
+	// inFlight maps attemptTicket to each operation that has an attempt in flight.
 	inFlight map[uint64]*pending
-	// waiting holds the others, in the order in which they are tried.
+	// waiting lists the operations without an attempt in flight, in the order in which they are
+	// retried.
 	waiting []*pending
-	// origins tells, by ticket, where the operations came from that other cores forwarded.
+	// origins maps the ticket of each operation that another core forwarded to its origin.
 	origins map[uint64]forwardOrigin
-	// forwarded holds the changes that other cores forwarded, by forwardID, with their results
-	// once there are any: a repeated forward is not run again. forwardOrder holds their ids,
-	// oldest first.
+	// forwarded maps the forwardID of each change that another core forwarded to its result, nil
+	// until there is a result. It prevents a repeated forward from being executed again.
+	// forwardOrder lists the forwardIDs, oldest first.
 	forwarded    map[string]*message.ForwardResult
 	forwardOrder []string
 }
@@ -116,52 +121,54 @@
 	}
 }
 
-// inFlightTickets lists the tickets of the copies in flight in order.
+// inFlightTickets lists the tickets of the attempts in flight in sorted order.
 func (s *operationState) inFlightTickets() []uint64 {
 	return ordered.Keys(s.inFlight)
 }
 
-// Submit starts a local request. Its Result carries the ticket.
+// Submit starts a local operation. The Result of the operation carries the ticket.
 func (n *Node) Submit(now monotime.Time, ticket uint64, op proposer.Operation, budget time.Duration) (fx Effects) {
-	n.begin(now, &pending{ticket: ticket, operation: op, deadline: n.deadlineFor(now, budget)}, &fx)
+	n.beginOperation(now, &pending{ticket: ticket, operation: op, deadline: n.deadlineFor(now, budget)}, &fx)
 	return fx
 }
 
-// submitInternal runs an operation of the core's own.
+// submitInternal starts an operation on behalf of the core itself.
 func (n *Node) submitInternal(now monotime.Time, op proposer.Operation, fx *Effects, onDone resultFunc) {
-	n.begin(now, &pending{operation: op, deadline: now.Add(internalBudget), onDone: onDone}, fx)
+	n.beginOperation(now, &pending{operation: op, deadline: now.Add(internalBudget), onResult: onDone}, fx)
 }
 
-// begin takes an operation in, or ends it at once where this core can't run it.
-func (n *Node) begin(now monotime.Time, p *pending, fx *Effects) {
+// beginOperation dispatches an operation, or finishes it immediately with a failure if this core
+// cannot accept it.
+func (n *Node) beginOperation(now monotime.Time, p *pending, fx *Effects) {
 	if p.operation.Op == "" {
 		p.operation.Op = ident.OperationID(fmt.Sprintf("%s.%s.%d", n.Disk, n.config.InstanceID, n.nextNumber()-n.firstNumber))
 	}
-	if rejected := n.rejection(now, p.operation.Kind); rejected != nil {
-		n.finish(now, p, Result{Failure: rejected}, fx)
+	if rejected := n.admissionFailure(now, p.operation.Kind); rejected != nil {
+		n.finishOperation(now, p, Result{Failure: rejected}, fx)
 		return
 	}
 	n.dispatch(now, p, fx)
 }
 
-// rejection returns why an operation of a kind can't be begun now, nil if it can.
-func (n *Node) rejection(now monotime.Time, kind string) *failure.Error {
+// admissionFailure returns the reason why an operation of the given kind cannot be started now, or
+// nil if the operation can be started.
+func (n *Node) admissionFailure(now monotime.Time, kind string) *failure.Error {
 	switch {
 	case n.pastAnswerDeadline(now):
 		return errStopping()
 	case needsDiskSpace[kind] && n.config.DiskFull != nil && n.config.DiskFull():
-		return failure.New(failure.Exhausted, "the disk has no room for more control state")
+		return failure.New(failure.Exhausted, "the disk is nearly full: operation %q needs disk space", kind)
 	case len(n.operations.inFlight)+len(n.operations.waiting) >= maxPending:
-		return failure.New(failure.Busy, "too many operations are in progress").WithRetryAfter(busyRetryAfter)
+		return failure.New(failure.Busy, "too many operations are in progress (limit %d)", maxPending).WithRetryAfter(busyRetryAfterSeconds)
 	}
 	return nil
 }
 
-// dispatch sends one copy of an operation to the proposer of its key, or has it wait until that
-// is possible.
+// dispatch starts an attempt at the proposer of the operation's key, or queues the operation until
+// an attempt is possible.
 func (n *Node) dispatch(now monotime.Time, p *pending, fx *Effects) {
 	if n.lostMajority(now) && !p.mayTakeEffect() {
-		n.timeOut(now, p, fx)
+		n.timeOutOperation(now, p, fx)
 		return
 	}
 	disks, addrOf := n.liveVoters(now)
@@ -170,12 +177,12 @@
 		n.operations.waiting = append(n.operations.waiting, p)
 		return
 	}
-	p.copyTicket = n.nextNumber()
-	n.operations.inFlight[p.copyTicket] = p
+	p.attemptTicket = n.nextNumber()
+	n.operations.inFlight[p.attemptTicket] = p
 	if first == n.Disk {
 		p.target, p.targetInstance = n.config.Addr, n.config.InstanceID
 		op := p.operation
-		op.Ticket, op.Deadline = p.copyTicket, p.deadline
+		op.Ticket, op.Deadline = p.attemptTicket, p.deadline
 		n.applyProposer(now, n.proposer.Submit(now, op), fx)
 		return
 	}
@@ -184,42 +191,43 @@
 	n.forward(now, p, fx)
 }
 
-// finish ends an operation with a result. A failure is turned into an unknown outcome if a
-// copy of the operation may still take effect.
-func (n *Node) finish(now monotime.Time, p *pending, result Result, fx *Effects) {
+// finishOperation finishes an operation with a result. If an attempt may still take effect, a
+// failure with the outcome "not executed" is changed to an unknown outcome.
+func (n *Node) finishOperation(now monotime.Time, p *pending, result Result, fx *Effects) {
 	result.Ticket = p.ticket
 	if result.Failure != nil && p.mayTakeEffect() && result.Failure.Outcome == failure.NotExecuted {
 		unknown := *result.Failure
 		unknown.Outcome = failure.OutcomeUnknown
 		result.Failure = &unknown
 	}
-	if p.onDone != nil {
-		p.onDone(now, result, fx)
+	if p.onResult != nil {
+		p.onResult(now, result, fx)
 		return
 	}
 	fx.Results = append(fx.Results, result)
 }
 
-// timeOut ends an operation whose time is over, or that a core without a majority can't run.
-func (n *Node) timeOut(now monotime.Time, p *pending, fx *Effects) {
+// timeOutOperation fails an operation whose deadline has passed, or that cannot run because this
+// core has no majority.
+func (n *Node) timeOutOperation(now monotime.Time, p *pending, fx *Effects) {
 	timedOut := errNoMajority()
 	if p.mayTakeEffect() {
-		timedOut = failure.NewUnknown(failure.UnknownOutcome, "the change was forwarded and no result came in time")
+		timedOut = failure.NewUnknown(failure.UnknownOutcome, "operation %q may have taken effect, but its result did not arrive in time", p.operation.Kind)
 	}
-	n.finish(now, p, Result{Failure: timedOut}, fx)
+	n.finishOperation(now, p, Result{Failure: timedOut}, fx)
 }
 
 func errNoMajority() *failure.Error {
-	return failure.New(failure.NoMajority, "no majority of the cores answered in time").WithRetryAfter(busyRetryAfter)
+	return failure.New(failure.NoMajority, "no majority of the cores responded in time").WithRetryAfter(busyRetryAfterSeconds)
 }
 
-// copyEnded takes the result of the copy in flight: it ends the operation, or has it tried
-// again if its proposer abandoned it.
-func (n *Node) copyEnded(now monotime.Time, p *pending, result message.ForwardResult, fx *Effects) {
-	delete(n.operations.inFlight, p.copyTicket)
-	p.copyTicket = 0
+// handleAttemptResult processes the result of the attempt in flight. If the proposer abandoned the
+// attempt, the operation is queued for a retry; otherwise the operation is finished.
+func (n *Node) handleAttemptResult(now monotime.Time, p *pending, result message.ForwardResult, fx *Effects) {
+	delete(n.operations.inFlight, p.attemptTicket)
+	p.attemptTicket = 0
 	if !result.Abandoned {
-		n.finish(now, p, Result{Body: result.Body, Failure: result.Failure, Revision: result.Revision, Ballot: result.Ballot}, fx)
+		n.finishOperation(now, p, Result{Body: result.Body, Failure: result.Failure, Revision: result.Revision, Ballot: result.Ballot}, fx)
 		return
 	}
 	p.mayHaveTakenEffect = p.mayHaveTakenEffect || result.MayHaveTakenEffect
@@ -227,7 +235,7 @@
 	n.operations.waiting = append(n.operations.waiting, p)
 }
 
-// applyProposer carries out the effects of the proposer.
+// applyProposer sends the proposer's requests and processes its outcomes.
 func (n *Node) applyProposer(now monotime.Time, effects proposer.Effects, fx *Effects) {
 	for _, s := range effects.Sends {
 		request := s.Request
@@ -238,7 +246,8 @@
 	}
 }
 
-// applyOutcome announces what an operation changed and answers its caller, here or at another core.
+// applyOutcome announces a change to all peers and returns the result of the operation to its
+// origin, which is this core or the core that forwarded the operation.
 func (n *Node) applyOutcome(now monotime.Time, outcome proposer.Outcome, fx *Effects) {
 	if outcome.Changed && !outcome.Abandoned {
 		learned := message.Learned{Key: outcome.Operation.Key, Revision: outcome.Revision, Ballot: outcome.Ballot}
@@ -262,11 +271,11 @@
 		return
 	}
 	if p, ok := n.operations.inFlight[ticket]; ok {
-		n.copyEnded(now, p, result, fx)
+		n.handleAttemptResult(now, p, result, fx)
 	}
 }
 
-// learn takes the news that a key was confirmed at a revision.
+// learn records that a key was confirmed at a revision.
 func (n *Node) learn(now monotime.Time, learned message.Learned, fx *Effects) {
 	fx.Learned = append(fx.Learned, learned)
 	if learned.Key.HasPrefix(rollout.Prefix) {
@@ -276,14 +285,14 @@
 		return
 	}
 	n.ConfigRevision = max(n.ConfigRevision, ident.ConfigRevision(learned.Revision))
-	// If this disk took part in the round, it holds the value already.
+	// A disk that accepted the value in this round already holds the value.
 	held := n.acceptor.Peek(learned.Key)
 	if !learned.Ballot.Zero() && held.Accepted == learned.Ballot && held.Revision == learned.Revision {
 		fx.ConfirmedConfig = operation.State(held.Value)
 	}
 }
 
-// onLearned takes another core's news that a key was confirmed.
+// onLearned processes another core's announcement that a key was confirmed.
 func (n *Node) onLearned(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Learned == nil {
 		return false
@@ -292,21 +301,22 @@
 	return true
 }
 
-// abandonCopies gives up the copies in flight at a process that is gone.
-func (n *Node) abandonCopies(addr ident.Addr, instanceID string) {
+// abandonAttempts abandons the attempts in flight at a process that has ended or is unreachable.
+func (n *Node) abandonAttempts(addr ident.Addr, instanceID string) {
 	for _, ticket := range n.operations.inFlightTickets() {
 		p := n.operations.inFlight[ticket]
 		if p.target == addr && p.targetInstance == instanceID {
 			delete(n.operations.inFlight, ticket)
-			p.abandonCopy()
+			p.abandonAttempt()
 			n.operations.waiting = append(n.operations.waiting, p)
 		}
 	}
 }
 
-// tickPending dispatches the operations that wait and ends those whose time is over. Without a
-// majority it ends at once whatever has certainly changed nothing; a change that may have been
-// begun stays until its deadline, as its outcome may yet be learned.
+// tickPending dispatches the waiting operations and fails the operations whose deadlines have
+// passed. If this core has lost the majority, operations that have certainly changed nothing fail
+// immediately. A change that may have been started remains until its deadline, because its outcome
+// may still become known.
 func (n *Node) tickPending(now monotime.Time, fx *Effects) {
 	n.hasSeenMajority = n.hasSeenMajority || n.HasMajority(now)
 	lostMajority := n.lostMajority(now)
@@ -317,7 +327,7 @@
 	n.operations.waiting = nil
 	for _, p := range waiting {
 		if now > p.deadline {
-			n.timeOut(now, p, fx)
+			n.timeOutOperation(now, p, fx)
 			continue
 		}
 		n.dispatch(now, p, fx)
@@ -329,22 +339,23 @@
 	}
 }
 
-// tickInFlight ends the copy in flight of an operation, gives it up if its target is silent, or
-// repeats it if no answer came.
+// tickInFlight fails an operation in flight if its deadline has passed, or if the operation is
+// read-only and the majority is lost. It abandons the attempt if the target is not live, and
+// forwards the operation again if no result has arrived.
 func (n *Node) tickInFlight(now monotime.Time, p *pending, lostMajority bool, fx *Effects) {
 	if now > p.deadline || lostMajority && readOnly[p.operation.Kind] {
-		delete(n.operations.inFlight, p.copyTicket)
+		delete(n.operations.inFlight, p.attemptTicket)
 		p.mayHaveTakenEffect = true
-		n.timeOut(now, p, fx)
+		n.timeOutOperation(now, p, fx)
 		return
 	}
 	if p.target == n.config.Addr {
 		return
 	}
 	if target := n.peers[p.target]; target == nil || !target.live(now) {
-		delete(n.operations.inFlight, p.copyTicket)
-		p.abandonCopy()
-		p.abandonedCopies++
+		delete(n.operations.inFlight, p.attemptTicket)
+		p.abandonAttempt()
+		p.abandonedAttempts++
 		n.operations.waiting = append(n.operations.waiting, p)
 	} else if now.Since(p.sentAt) > forwardResendAfter {
 		n.forward(now, p, fx)
--- a/control/core/node/operations_test.go
+++ b/control/core/node/operations_test.go
@@ -12,8 +12,9 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// The keys of a killed proposer move to another as soon as its address refuses connections, not only
-// when its heartbeats time out; and its slot of the membership stays.
+// A proposer is killed. Its keys must move to another proposer as soon as the killed proposer's
+// address refuses connections, not only after the heartbeat timeout, and its slot in the membership
+// must remain.
 func TestKilledProposerIsReplacedAtOnce(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.submit("a:1", 1, "number/next", "number/n")
@@ -36,9 +37,10 @@
 	must.Eq(t, ident.MembershipEpoch(1), cluster.nodes[survivor].Membership().Epoch)
 }
 
-// A forward that is duplicated or repeated takes effect once, and a lost result is sent again.
-func TestForwardActsOnce(t *testing.T) {
-	for _, lostPart := range []string{"", "forward", "carried"} {
+// A forwarded operation must take effect exactly once if the forward is duplicated, or if the
+// forward or its result is lost and the forward is sent again.
+func TestForwardTakesEffectOnce(t *testing.T) {
+	for _, lostPart := range []string{"", "forward", "forward result"} {
 		cluster := newThreeCores(t)
 		cluster.submit("a:1", 1, "number/next", "number/n")
 		cluster.advance(200 * time.Millisecond)
@@ -50,10 +52,10 @@
 		cluster.drop = func(to ident.Addr, m message.Message) bool {
 			if m.Forward != nil && lostPart == "" && !dropped {
 				dropped = true
-				cluster.mailbox = append(cluster.mailbox, envelope{to, m}) // duplicated
+				cluster.mailbox = append(cluster.mailbox, envelope{to, m}) // deliver the forward twice
 				return false
 			}
-			if (m.Forward != nil && lostPart == "forward" || m.ForwardResult != nil && lostPart == "carried") && !dropped {
+			if (m.Forward != nil && lostPart == "forward" || m.ForwardResult != nil && lostPart == "forward result") && !dropped {
 				dropped = true
 				return true
 			}
@@ -70,14 +72,14 @@
 	}
 }
 
-// A planned stop hands keys over: their next proposer holds them before the old one stops, and no
-// operation in progress is lost.
-func TestPlannedStopHandsOver(t *testing.T) {
+// A planned stop must hand over the core's keys: the next proposer holds the keys before the
+// leaving core stops, and no operation in progress is lost.
+func TestPlannedStopHandsOverKeys(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.submit("a:1", 1, "number/next", "number/n")
 	cluster.advance(200 * time.Millisecond)
 	leaver := cluster.proposerOf("number/n")
-	cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopWithin))
+	cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopLimit))
 	cluster.advance(60 * time.Millisecond)
 	left := false
 	for i := 0; i < 50 && !left; i++ {
@@ -96,9 +98,10 @@
 	must.Eq(t, `{"number":1}`, string(cluster.ticketResult(2).Body))
 }
 
-// A change is forwarded to a proposer that is just leaving, in every order of the first messages: it
-// takes effect at most once, and the outcome that its sender gets is true.
-func TestAllOrdersOfHandover(t *testing.T) {
+// A change is forwarded to a proposer that has just begun to leave, and the first messages are
+// delivered in every order. The change must take effect at most once, and its sender must receive
+// the correct outcome.
+func TestHandoverInEveryMessageOrder(t *testing.T) {
 	succeeded := 0
 	for seed := range 4 * 4 * 4 * 4 * 4 {
 		cluster := newThreeCores(t)
@@ -110,15 +113,15 @@
 			sender = coreAddrs[1]
 		}
 		cluster.submitOperation(sender, 2, proposer.Operation{Op: "twice", Key: "number/n", Kind: "number/next"}, 2*time.Second)
-		cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopWithin))
+		cluster.apply(leaver, cluster.nodes[leaver].Leave(cluster.now, stopLimit))
 		for choices, n := seed, 0; n < 60 && len(cluster.mailbox) > 0; n++ {
 			i := 0
 			if n < 5 {
 				i, choices = choices%4%len(cluster.mailbox), choices/4
 			}
-			p := cluster.mailbox[i]
+			next := cluster.mailbox[i]
 			cluster.mailbox = append(cluster.mailbox[:i:i], cluster.mailbox[i+1:]...)
-			cluster.apply(p.to, cluster.nodes[p.to].Step(cluster.now, p.msg))
+			cluster.apply(next.to, cluster.nodes[next.to].Step(cluster.now, next.msg))
 		}
 		for n := 0; n < 20; n++ {
 			left, fx := cluster.nodes[leaver].ContinueLeave(cluster.now)
@@ -128,20 +131,20 @@
 				cluster.down[leaver] = true
 			}
 		}
-		must.True(t, cluster.down[leaver], must.Sprintf("seed %d: the proposer could not leave", seed))
+		must.True(t, cluster.down[leaver], must.Sprintf("seed %d: the leaving proposer did not stop", seed))
 		cluster.advance(2 * time.Second)
-		end := cluster.ticketResult(2)
-		must.NotNil(t, end)
+		result := cluster.ticketResult(2)
+		must.NotNil(t, result)
 		cluster.submit(sender, 3, "number/read", "number/n")
 		cluster.advance(500 * time.Millisecond)
 		must.Nil(t, cluster.ticketResult(3).Failure)
 		number := string(cluster.ticketResult(3).Body)
 		switch {
-		case end.Failure == nil:
+		case result.Failure == nil:
 			succeeded++
-			must.Eq(t, `{"number":2}`, string(end.Body), must.Sprintf("seed %d", seed))
+			must.Eq(t, `{"number":2}`, string(result.Body), must.Sprintf("seed %d", seed))
 			must.Eq(t, `{"number":2}`, number, must.Sprintf("seed %d", seed))
-		case end.Failure.Outcome == "no":
+		case result.Failure.Outcome == "no":
 			must.Eq(t, `{"number":1}`, number, must.Sprintf("seed %d", seed))
 		default:
 			must.True(t, number == `{"number":1}` || number == `{"number":2}`)
--- a/control/core/node/partition_test.go
+++ b/control/core/node/partition_test.go
@@ -20,19 +20,20 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// cuts are the directions in which a core may be cut off from the others.
-var cuts = map[string]func(at, to ident.Addr, m message.Message) bool{
+// partitionDirections maps the name of each direction in which a core can be partitioned from the
+// others to a function that reports whether a message is lost.
+var partitionDirections = map[string]func(at, to ident.Addr, m message.Message) bool{
 	"both": func(at, to ident.Addr, m message.Message) bool { return (m.From == at) != (to == at) },
 	"in":   func(at, to ident.Addr, m message.Message) bool { return to == at && m.From != at },
 	"out":  func(at, to ident.Addr, m message.Message) bool { return m.From == at && to != at },
 }
 
-func (cluster *threeCores) cut(core ident.Addr, direction string) {
-	cluster.drop = func(to ident.Addr, m message.Message) bool { return cuts[direction](core, to, m) }
+func (cluster *threeCores) partition(core ident.Addr, direction string) {
+	cluster.drop = func(to ident.Addr, m message.Message) bool { return partitionDirections[direction](core, to, m) }
 }
 
 // call runs an operation at a core and waits for its result.
-func (cluster *threeCores) call(core ident.Addr, op proposer.Operation, budget time.Duration) (e callResult) {
+func (cluster *threeCores) call(core ident.Addr, op proposer.Operation, budget time.Duration) (result callResult) {
 	cluster.lastTicket++
 	ticket, began := cluster.lastTicket, cluster.now
 	cluster.submitOperation(core, ticket, op, budget)
@@ -42,29 +43,29 @@
 	if end := cluster.ticketResult(ticket); end != nil {
 		return callResult{string(end.Body), end.Failure, cluster.now.Since(began)}
 	}
-	return callResult{took: -1}
+	return callResult{elapsed: -1}
 }
 
 type callResult struct {
 	body    string
 	failure *failure.Error
-	took    time.Duration
+	elapsed time.Duration
 }
 
-func (e callResult) failureKind() failure.Kind {
-	if e.failure == nil {
+func (result callResult) failureKind() failure.Kind {
+	if result.failure == nil {
 		return ""
 	}
-	return e.failure.Kind
+	return result.failure.Kind
 }
 
 func operationOf(key ident.Key, kind string, args any) proposer.Operation {
 	return proposer.Operation{Key: key, Kind: kind, Args: operation.Encode(args), Repeatable: true}
 }
 
-// knownCalls are calls that a core which proposes for every key could answer from its own memory,
-// each with the kind of the failure that it returns while it is connected.
-var knownCalls = []struct {
+// cachedKeyCalls lists calls that a core which proposes for every key could answer from memory,
+// each with the kind of failure that the core returns while it is connected.
+var cachedKeyCalls = []struct {
 	operation   proposer.Operation
 	failureKind failure.Kind // "" for a success
 }{
@@ -99,7 +100,8 @@
 	{operationOf("number/n", "no/such", nil), failure.Malformed},
 }
 
-// fillAllKeys gives every key of knownCalls a value, and has one core propose for them all.
+// fillAllKeys writes a value to every key of cachedKeyCalls, and makes one core the proposer for
+// all of these keys.
 func (cluster *threeCores) fillAllKeys(t *testing.T, core ident.Addr) {
 	for _, op := range []proposer.Operation{
 		operationOf("lock/l", "lock/claim", lock.Args{Holder: "me", TTL: 60000}),
@@ -114,72 +116,73 @@
 	}
 }
 
-// takeOver makes one core the proposer of a key again.
+// takeOver makes a core the proposer for a key.
 func (cluster *threeCores) takeOver(core ident.Addr, k ident.Key) {
 	cluster.apply(core, cluster.nodes[core].Step(cluster.now, message.Message{Handover: &message.Handover{Keys: []ident.Key{k}}}))
 	cluster.advance(50 * time.Millisecond)
 }
 
-// A core that proposes for a key, and so remembers its value, neither answers nor rejects from
-// memory: cut off in any direction, and called at any time afterwards, it reports that no majority
-// answered, or that the outcome of a change is unknown, and nothing else. What it reported as not
-// executed is not executed later. Connected, it gives each of the answers.
-func TestCutOffCoreAnswersNothingFromMemory(t *testing.T) {
+// A core that proposes for a key has the key's value in memory. While the core is partitioned in
+// any direction, it must neither answer nor reject calls from memory at any time: the only allowed
+// results are "no majority" and "unknown outcome". A call that was reported as not executed must
+// not be executed later. While it is connected, the core returns the expected result of each call.
+func TestPartitionedCoreAnswersNothingFromMemory(t *testing.T) {
 	const budget = 900 * time.Millisecond
-	for direction := range cuts {
+	for direction := range partitionDirections {
 		for _, afterMs := range []int{0, 300, 900, 1300, 2000, 3100} {
 			after := time.Duration(afterMs) * time.Millisecond
 			cluster := newThreeCores(t)
 			cluster.fillAllKeys(t, "a:1")
-			for i, call := range knownCalls {
+			for i, call := range cachedKeyCalls {
 				must.Eq(t, call.failureKind, cluster.call("a:1", call.operation, budget).failureKind(), must.Sprint(i, call.operation.Kind))
 			}
 			cluster.call("a:1", operationOf("number/n", "number/next", map[string]int{}), budget)
-			for i, call := range knownCalls {
+			for i, call := range cachedKeyCalls {
 				cluster.takeOver("a:1", call.operation.Key)
-				cluster.cut("a:1", direction)
+				cluster.partition("a:1", direction)
 				cluster.advance(after)
-				where := fmt.Sprintf("call %d, %s, cut %s, %v after it", i, call.operation.Kind, direction, after)
+				description := fmt.Sprintf("call %d, %s, partition %s, %v after its start", i, call.operation.Kind, direction, after)
 				got := cluster.call("a:1", call.operation, budget)
-				must.NotNil(t, got.failure, must.Sprint(where, got.body))
-				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(where))
-				must.Eq(t, got.failureKind() == failure.NoMajority, got.failure.Outcome == failure.NotExecuted, must.Sprint(where))
-				must.Between(t, 0, got.took, budget+50*time.Millisecond, must.Sprint(where))
+				must.NotNil(t, got.failure, must.Sprint(description, got.body))
+				must.SliceContains(t, []failure.Kind{failure.NoMajority, failure.UnknownOutcome}, got.failureKind(), must.Sprint(description))
+				must.Eq(t, got.failureKind() == failure.NoMajority, got.failure.Outcome == failure.NotExecuted, must.Sprint(description))
+				must.Between(t, 0, got.elapsed, budget+50*time.Millisecond, must.Sprint(description))
 				if direction != "out" && after > 1200*time.Millisecond || after > 3*time.Second {
-					must.Eq(t, failure.NoMajority, got.failureKind(), must.Sprint(where))
-					must.Less(t, 50*time.Millisecond, got.took, must.Sprint(where))
+					must.Eq(t, failure.NoMajority, got.failureKind(), must.Sprint(description))
+					must.Less(t, 50*time.Millisecond, got.elapsed, must.Sprint(description))
 				}
 				cluster.drop = nil
 				cluster.advance(time.Second)
 				if call.operation.Kind == "number/next" && got.failure.Outcome == failure.NotExecuted {
-					must.Eq(t, `{"number":3}`, cluster.call("b:1", operationOf("number/n", "number/read", nil), budget).body, must.Sprint(where))
+					must.Eq(t, `{"number":3}`, cluster.call("b:1", operationOf("number/n", "number/read", nil), budget).body, must.Sprint(description))
 				}
 			}
 		}
 	}
 }
 
-// What waits at a core when it loses the majority is answered then and not at its deadline: a read,
-// and a change that was not begun, as not executed. A change that was begun has an unknown outcome,
-// and is answered with its result if the majority is back in time.
-func TestWaitingCallsEndWithTheMajority(t *testing.T) {
+// Calls are pending at a core when the core loses the majority. Reads and changes that were not
+// started must be answered as not executed when the majority is lost, not only at their deadlines.
+// A change that was started has an unknown outcome, and must be answered with its result if the
+// majority is restored before the deadline.
+func TestPendingCallsEndWhenMajorityIsLost(t *testing.T) {
 	const budget = 4 * time.Second
 	next, read := operationOf("number/n", "number/next", map[string]int{}), operationOf("number/n", "number/read", map[string]int{})
-	next.Repeatable = false // so that the copies of one call take effect once
+	next.Repeatable = false // each call must take effect only once
 	startCutOff := func(direction string) *threeCores {
 		cluster := newThreeCores(t)
 		cluster.fillAllKeys(t, "a:1")
 		cluster.takeOver("a:1", "number/n")
-		cluster.cut("a:1", direction)
+		cluster.partition("a:1", direction)
 		return cluster
 	}
 	for _, direction := range []string{"both", "in"} {
 		cluster := startCutOff(direction)
 		got := cluster.call("a:1", read, budget)
 		must.Eq(t, failure.NoMajority, got.failureKind())
-		must.Less(t, 1300*time.Millisecond, got.took)
+		must.Less(t, 1300*time.Millisecond, got.elapsed)
 
-		// The first change is in a round; those behind it are not begun.
+		// The first change is in a round. The changes queued behind it are not started.
 		cluster = startCutOff(direction)
 		for ticket := uint64(1); ticket <= 3; ticket++ {
 			cluster.submitOperation("a:1", ticket, next, budget)
@@ -193,13 +196,13 @@
 		cluster.drop = nil
 		cluster.advance(budget)
 		must.Nil(t, cluster.ticketResult(1).Failure)
-		must.Eq(t, `{"number":3}`, cluster.call("b:1", next, budget).body, must.Sprint("one of three took effect"))
+		must.Eq(t, `{"number":3}`, cluster.call("b:1", next, budget).body, must.Sprint("only the first of the three changes may take effect"))
 	}
 }
 
-// A core that has just started, and has heard no majority yet, keeps a call until it hears one, as
-// the live cores may not have sent a heartbeat.
-func TestStartingCoreKeepsCalls(t *testing.T) {
+// A core that has just started and has no majority yet must queue a call until it has a majority,
+// because heartbeats of live cores may not have arrived yet.
+func TestStartingCoreQueuesCalls(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.down["c:1"] = true
 	cluster.start(t, "c:1", "", coreAddrs)
@@ -207,12 +210,14 @@
 	must.Nil(t, got.failure)
 }
 
-// holdConfig has a core hold the configuration of a revision, as the daemon does once it has read it.
+// holdConfig sets the configuration that a core holds, as the daemon does after it has read the
+// configuration.
 func (cluster *threeCores) holdConfig(core ident.Addr, revision ident.ConfigRevision) {
 	cluster.nodes[core].Leases.SetConfig(&validation.Config{Revision: revision})
 }
 
-// isStale renews a sidecar's lease at a core, and returns whether that core reports to be stale.
+// isStale renews a sidecar's lease at a core, and returns whether the core reports that it is
+// stale.
 func (cluster *threeCores) isStale(t *testing.T, core ident.Addr) bool {
 	renewed, fx, rejected := cluster.nodes[core].Renew(
 		cluster.now,
@@ -223,11 +228,11 @@
 	return renewed.Stale
 }
 
-// A core that is cut off, in any direction, reports to the sidecars that renew at it that it is
-// stale: within a second after it lost the majority, or after it heard of a configuration that it
-// can't get. Connected, it never does.
-func TestCutOffCoreTellsItsSidecarsToLeave(t *testing.T) {
-	for direction := range cuts {
+// A core that is partitioned in any direction must report to its sidecars that it is stale, within
+// 1.3 s after it lost the majority or learned of a configuration that it cannot fetch. A connected
+// core must never report that it is stale.
+func TestPartitionedCoreReportsStale(t *testing.T) {
+	for direction := range partitionDirections {
 		cluster := newThreeCores(t)
 		cluster.fillAllKeys(t, "a:1")
 		for _, a := range coreAddrs {
@@ -237,47 +242,48 @@
 			cluster.advance(100 * time.Millisecond)
 			must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction))
 		}
-		cluster.cut("a:1", direction)
-		cluster.advance(1300 * time.Millisecond) // another core becomes the proposer of the key
+		cluster.partition("a:1", direction)
+		cluster.advance(1300 * time.Millisecond) // another core becomes the proposer for the key
 		must.Eq(t, direction != "out", cluster.isStale(t, "a:1"), must.Sprint(direction))
 		newer := operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":4}`)})
 		must.Eq(t, "", cluster.call("b:1", newer, time.Second).failureKind(), must.Sprint(direction))
 		cluster.holdConfig("b:1", 2)
 		cluster.holdConfig("c:1", 2)
 		cluster.advance(1300 * time.Millisecond)
-		must.True(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": it holds an older configuration and does not report it"))
+		must.True(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": a:1 holds an older configuration and does not report that it is stale"))
 		must.False(t, cluster.isStale(t, "b:1"), must.Sprint(direction))
 		cluster.drop = nil
 		cluster.advance(time.Second)
 		cluster.holdConfig("a:1", 2)
 		cluster.advance(100 * time.Millisecond)
-		must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": healed"))
+		must.False(t, cluster.isStale(t, "a:1"), must.Sprint(direction, ": a:1 is stale after the partition healed"))
 	}
 }
 
-// A core is cut off for twenty seconds, in which a spare core takes its slot of the membership and
-// the others change the keys that it proposed for. All the while it answers 503 or 504. Once it is
-// back it is a new disk, holds nothing of the old one, and returns the newest values.
-func TestReplacedWhileCutOff(t *testing.T) {
+// A core is partitioned for 20 s. A spare core takes its slot in the membership, and the others
+// change the keys for which it was the proposer. The partitioned core must answer every call with
+// 503 or 504. After the partition has healed, the core must have a new disk identifier without the
+// old records, and must return the newest values.
+func TestCoreReplacedWhilePartitioned(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	next, read := operationOf("number/n", "number/next", nil), operationOf("number/n", "number/read", nil)
-	for direction := range cuts {
+	for direction := range partitionDirections {
 		cluster := newThreeCores(t)
 		cluster.start(t, "d:1", "disk-d:1", coreAddrs)
 		cluster.advance(10 * time.Second)
 		cluster.fillAllKeys(t, "a:1")
 		cluster.takeOver("a:1", "number/n")
 		disk := cluster.nodes["a:1"].Disk
-		cluster.cut("a:1", direction)
+		cluster.partition("a:1", direction)
 		for began := cluster.now; cluster.now.Since(began) < 20*time.Second; {
 			if got := cluster.call("b:1", next, budget); cluster.now.Since(began) > 4*time.Second {
 				must.Nil(
 					t,
 					got.failure,
-					must.Sprint(direction, ": a core that has a majority does not serve, after ", cluster.now.Since(began)),
+					must.Sprint(direction, ": a core that has a majority rejects a call after ", cluster.now.Since(began)),
 				)
 			}
-			for _, op := range []proposer.Operation{read, next, knownCalls[0].operation, knownCalls[9].operation, knownCalls[15].operation} {
+			for _, op := range []proposer.Operation{read, next, cachedKeyCalls[0].operation, cachedKeyCalls[9].operation, cachedKeyCalls[15].operation} {
 				got := cluster.call("a:1", op, budget)
 				must.NotNil(t, got.failure, must.Sprint(direction, op.Kind, got.body))
 				must.SliceContains(
@@ -288,17 +294,17 @@
 				)
 			}
 		}
-		if direction != "in" { // otherwise the others hear it
+		if direction != "in" { // with "in", the core's heartbeats still reach the others
 			_, in := cluster.nodes["b:1"].Membership().Find(disk)
-			must.False(t, in, must.Sprint(direction, ": the spare did not take the slot"))
+			must.False(t, in, must.Sprint(direction, ": the spare core did not take the slot"))
 		}
-		last := cluster.call("b:1", read, budget).body
+		newestBody := cluster.call("b:1", read, budget).body
 		cluster.drop = nil
 		cluster.advance(5 * time.Second)
 		if direction != "in" {
 			must.NotEq(t, disk, cluster.nodes["a:1"].Disk, must.Sprint(direction))
 		}
-		must.Eq(t, last, cluster.call("a:1", read, budget).body, must.Sprint(direction))
-		must.Eq(t, failure.LockHeld, cluster.call("a:1", knownCalls[0].operation, budget).failureKind(), must.Sprint(direction))
+		must.Eq(t, newestBody, cluster.call("a:1", read, budget).body, must.Sprint(direction))
+		must.Eq(t, failure.LockHeld, cluster.call("a:1", cachedKeyCalls[0].operation, budget).failureKind(), must.Sprint(direction))
 	}
 }
--- a/control/core/node/peers.go
+++ b/control/core/node/peers.go
@@ -12,58 +12,67 @@
 )
 
 const (
-	// heartbeatTimeout is how long after its last heartbeat a core counts as live.
+	// heartbeatTimeout is the time since its last heartbeat for which a core is considered live.
 	heartbeatTimeout = 1200 * time.Millisecond
-	// receiptTimeout is how long ago the newest heartbeat that a peer is known to have received
-	// may have been sent. It is twice heartbeatTimeout, as the peer reports it in its own.
+	// receiptTimeout is the maximum age of the newest heartbeat that a peer has acknowledged, for
+	// the peer to be considered able to receive messages. It is about twice heartbeatTimeout,
+	// because the acknowledgement arrives with the peer's own heartbeat.
 	receiptTimeout = 2500 * time.Millisecond
-	// activeFor is how long after its last heartbeat a core is still listed as active.
+	// activeFor is the time since its last heartbeat for which a core is listed as active.
 	activeFor = 5 * time.Second
-	// maxKnownCores bounds the cores that are known by mention alone.
+	// maxKnownCores limits the number of cores that are known only from the lists of peers.
 	maxKnownCores = 64
 )
 
-// peer is another core as last heard. All of its fields belong to one run of that core.
+// peer is the state of another core as of its last heartbeat. All fields refer to one run of that
+// core.
 type peer struct {
-	// heartbeat is the last one, completed by the last full one.
+	// heartbeat is the last heartbeat. Fields that a brief heartbeat omits come from the last full
+	// heartbeat.
 	heartbeat  message.Heartbeat
 	firstHeard monotime.Time
 	lastHeard  monotime.Time
-	// lastReceivedSentAt is when the newest of our heartbeats was sent that it has received.
+	// lastReceivedSentAt is the send time of this core's newest heartbeat that the peer has
+	// received.
 	lastReceivedSentAt monotime.Time
-	// unreachable is set when it refused a connection. It is a hint only: it moves keys and
-	// forwarded operations, but never a slot of the membership.
+	// unreachable is set when the peer refused a connection. The flag is only a hint: it causes
+	// keys and forwarded operations to move to other cores, but never frees a slot of the
+	// membership.
 	unreachable bool
-	// syncedSeq is the newest of its heartbeats whose list of leases is the one held here.
+	// syncedSeq is the sequence number of the peer's newest heartbeat whose list of leases matches
+	// the list held here.
 	syncedSeq uint64
-	// ackedSeq is the newest of our heartbeats whose list of leases it holds.
+	// ackedSeq is the sequence number of this core's newest heartbeat whose list of leases the peer
+	// holds.
 	ackedSeq uint64
-	// lastFullState is what the last full heartbeat to it said, sent at fullSentAt.
+	// lastFullState is the state in the last full heartbeat to the peer, sent at fullSentAt.
 	lastFullState string
 	fullSentAt    monotime.Time
-	// lastSent is when the last heartbeat to it was sent.
+	// lastSent is the time at which the last heartbeat to the peer was sent.
 	lastSent          monotime.Time
 	resendRequestedAt monotime.Time
 }
 
-// live reports whether requests can be sent to the peer.
+// live reports whether the peer is considered able to receive and answer requests.
 func (p *peer) live(now monotime.Time) bool {
 	return p.heardWithin(now, heartbeatTimeout)
 }
 
-// heardWithin reports whether the peer can be reached and was heard in the last window.
+// heardWithin reports whether the peer is reachable, receives this core's messages and sent a
+// heartbeat within the last window.
 func (p *peer) heardWithin(now monotime.Time, window time.Duration) bool {
 	return !p.unreachable && now.Since(p.lastHeard) <= window && p.receives(now)
 }
 
-// receives reports whether the peer receives what this core sends, as far as that is known: a
-// link that fails in one direction lets its heartbeats through. Peers that do not report what
-// they receive are taken to receive it.
+// receives reports whether the peer has recently received a heartbeat of this core. Without the
+// check, a link that fails only in the direction to the peer would go unnoticed, because the peer's
+// own heartbeats still arrive. Peers that do not report receipt are assumed to receive all
+// messages.
 func (p *peer) receives(now monotime.Time) bool {
 	return !p.heartbeat.ReportsReceived || now.Since(max(p.firstHeard, p.lastReceivedSentAt)) <= receiptTimeout
 }
 
-// peerAddrs lists the addresses of all peers in order.
+// peerAddrs lists the addresses of all peers in sorted order.
 func (n *Node) peerAddrs() []ident.Addr { return ordered.Keys(n.peers) }
 
 func (n *Node) forgetPeer(a ident.Addr) {
@@ -71,8 +80,8 @@
 	n.Leases.RemoveRegistrar(a)
 }
 
-// forgetSilentPeers drops the peers that were not heard, and the known cores that were not
-// mentioned, for forgetPeerAfter.
+// forgetSilentPeers removes the peers that sent no heartbeat, and the known cores that no peer
+// listed, for forgetPeerAfter.
 func (n *Node) forgetSilentPeers(now monotime.Time) {
 	for _, a := range n.peerAddrs() {
 		if now.Since(n.peers[a].lastHeard) > forgetPeerAfter {
@@ -86,7 +95,7 @@
 	}
 }
 
-// Cores lists the addresses of all cores that are known, this one first.
+// Cores lists the addresses of all known cores, starting with this core.
 func (n *Node) Cores() []ident.Addr {
 	cores := []ident.Addr{n.config.Addr}
 	add := func(a ident.Addr) {
@@ -112,7 +121,7 @@
 	return cores
 }
 
-// AddKnownCores records addresses of cores that others mentioned.
+// AddKnownCores records the addresses of cores that a peer listed.
 func (n *Node) AddKnownCores(now monotime.Time, cores []ident.Addr) {
 	for _, a := range cores {
 		if len(n.knownCores) < maxKnownCores {
@@ -121,8 +130,8 @@
 	}
 }
 
-// ActiveCores lists the cores that this one recommends to others: itself, the voters and the
-// cores it hears.
+// ActiveCores lists the cores that this core announces to other cores and to sidecars: itself, the
+// voters, and the cores whose last heartbeat arrived within activeFor.
 func (n *Node) ActiveCores(now monotime.Time) []ident.Addr {
 	cores := []ident.Addr{n.config.Addr}
 	for _, v := range n.membership.Current.Voters {
@@ -138,7 +147,7 @@
 	return cores
 }
 
-// CoreLocations lists the active cores with their zones.
+// CoreLocations lists the addresses and zones of the active cores.
 func (n *Node) CoreLocations(now monotime.Time) []record.CoreLocation {
 	var locations []record.CoreLocation
 	for _, a := range n.ActiveCores(now) {
@@ -153,16 +162,16 @@
 	return locations
 }
 
-// MarkUnreachable takes a hint that the process at an address accepts no connection. Its keys
-// move to others at once, which is safe even if it runs after all; its next heartbeat clears
-// the hint.
+// MarkUnreachable records that the process at an address refused a connection. The process's keys
+// move to other proposers immediately, which is safe even if the process is still running. The next
+// heartbeat from the address clears the mark.
 func (n *Node) MarkUnreachable(now monotime.Time, addr ident.Addr) (fx Effects) {
 	p := n.peers[addr]
 	if p == nil || p.unreachable {
 		return fx
 	}
 	p.unreachable = true
-	n.abandonCopies(addr, p.heartbeat.InstanceID)
+	n.abandonAttempts(addr, p.heartbeat.InstanceID)
 	n.tickPending(now, &fx)
 	return fx
 }
--- a/control/core/node/quorumread.go
+++ b/control/core/node/quorumread.go
@@ -10,30 +10,32 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// readFunc receives the reader of a finished quorum read, nil if it was not answered in time.
+// readFunc receives the reader of a finished quorum read, or nil if the read timed out.
 type readFunc func(now monotime.Time, reader *quorumread.Reader, fx *Effects)
 
 // pendingRead is one quorum read in progress.
 type pendingRead struct {
 	*quorumread.Reader
-	// ticket is that of the local request, if onDone is nil.
+	// ticket identifies the local request if onDone is nil.
 	ticket   uint64
 	deadline monotime.Time
-	// waitForAll has the read wait for every counted voter, not only for a majority.
+	// waitForAll makes the read wait for every counted voter instead of only a majority.
 	waitForAll bool
-	// buckets, when set, is the number of buckets whose digests are compared first.
+	// buckets is the number of buckets whose digests are compared before records are read. If it is
+	// 0, all records are read.
 	buckets int
 	onDone  readFunc
 }
 
-// QuorumRead reads all records below a prefix from a majority of the voters.
+// QuorumRead starts a read of all records with a key prefix from a majority of the voters. The
+// Result of the read carries the ticket.
 func (n *Node) QuorumRead(now monotime.Time, ticket uint64, prefix string, values bool, budget time.Duration) (fx Effects) {
 	n.startRead(now, &pendingRead{ticket: ticket, deadline: n.deadlineFor(now, budget)}, prefix, values, "", &fx)
 	return fx
 }
 
-// startRead begins a quorum read of the records below a prefix, with or without their values.
-// The responses of the excluded disk do not count.
+// startRead starts a quorum read of the records with a key prefix, with or without their values.
+// Responses of the excluded disk are not counted.
 func (n *Node) startRead(now monotime.Time, r *pendingRead, prefix string, values bool, excluded ident.Disk, fx *Effects) {
 	round := n.nextNumber()
 	r.Reader = quorumread.New(round, n.membership.Current, prefix, values, excluded)
@@ -42,8 +44,8 @@
 	n.sendScans(r.Tick(now), fx)
 }
 
-// startCompare begins a quorum read that compares the copies of all keys, by digests first and
-// without their values.
+// startCompare starts a quorum read that compares the copies of all keys without reading their
+// values. Digests are compared first, so that only keys in differing buckets are read.
 func (n *Node) startCompare(now monotime.Time, waitForAll bool, excluded ident.Disk, fx *Effects, onDone readFunc) {
 	r := &pendingRead{deadline: now.Add(compareTimeout), waitForAll: waitForAll, buckets: bucketCount(n.RecordCount()), onDone: onDone}
 	n.startRead(now, r, "", false, excluded, fx)
@@ -56,7 +58,8 @@
 	}
 }
 
-// onScan answers one page of a quorum read, if this disk counts.
+// onScan handles a request for one page of a quorum read. It ignores the request if this disk has
+// failed or is not a counted voter.
 func (n *Node) onScan(_ monotime.Time, m message.Message, fx *Effects) bool {
 	if m.Scan == nil {
 		return false
@@ -70,8 +73,8 @@
 	return true
 }
 
-// onScanResponse takes one page of a quorum read, or this core's own notice that its copy is
-// synced.
+// onScanResponse processes one page of a quorum read, or this core's own message that its voter
+// copy is synced, see storeCopies.
 func (n *Node) onScanResponse(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.ScanResponse == nil {
 		return false
@@ -97,7 +100,7 @@
 	return true
 }
 
-// tickReads repeats the scans that were not answered, and ends the reads whose time is over.
+// tickReads resends scans that were not answered, and ends the reads whose deadlines have passed.
 func (n *Node) tickReads(now monotime.Time, fx *Effects) {
 	for _, round := range n.readRounds() {
 		read := n.reads[round]
@@ -117,8 +120,8 @@
 	}
 }
 
-// restartReads begins the reads of local requests again under a new membership, and drops the
-// core's own, which are repeated anyway.
+// restartReads restarts the reads of local requests under a new membership. It drops the reads that
+// the core itself started, because the core starts them again periodically.
 func (n *Node) restartReads(now monotime.Time, fx *Effects) {
 	for _, round := range n.readRounds() {
 		read := n.reads[round]
@@ -129,7 +132,7 @@
 	}
 }
 
-// readRounds lists the rounds of the reads in progress in order.
+// readRounds lists the round numbers of the reads in progress in sorted order.
 func (n *Node) readRounds() []uint64 {
 	return ordered.Keys(n.reads)
 }
--- a/control/core/node/restart_test.go
+++ b/control/core/node/restart_test.go
@@ -18,8 +18,8 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// The rounds of quorum reads differ between two runs of a core: a page of an earlier run's read may be
-// older than what was acknowledged since.
+// Quorum reads of two runs of a core must use different round numbers, because a response to an
+// earlier run's read may be older than values that were acknowledged since.
 func TestQuorumReadsOfTwoRunsShareNoRound(t *testing.T) {
 	formed := acceptor.New("d1")
 	formed.Adopt(quorum.Membership{Epoch: 1, Voters: []quorum.Voter{{Disk: "d1", Addr: "a:1", Counted: true}}})
@@ -34,17 +34,18 @@
 				return s.Msg.Scan.Round
 			}
 		}
-		t.Fatal("no scan was sent")
+		t.Fatal("the quorum read sent no scan")
 		return 0
 	}
 	first, second := scan("run1"), scan("run2")
 	must.NotEq(t, first, second)
 }
 
-// A configuration is acknowledged and every core restarts before it was announced. Once they have a
-// majority again, each core serves it from its own disk, without reading it through its proposer.
-func TestRestartedCoresShowWhatTheirDisksHold(t *testing.T) {
-	const shownWithin = 300 * time.Millisecond
+// A configuration is acknowledged, and every core restarts before the configuration was announced.
+// Once the cores have a majority again, each core must serve the configuration from its own disk,
+// without a read through the configuration's proposer.
+func TestRestartedCoresServeConfigFromDisk(t *testing.T) {
+	const serveWithin = 300 * time.Millisecond
 	cluster := newThreeCores(t)
 	cluster.drop = func(_ ident.Addr, m message.Message) bool { return m.Learned != nil }
 	propose := operationOf(proposal.Key, "manifest/offer", proposal.Args{AllowUnknown: true, Body: []byte(`{"release":7}`)})
@@ -57,7 +58,7 @@
 	for slices.ContainsFunc(coreAddrs, lacksMajority) {
 		cluster.advance(10 * time.Millisecond)
 	}
-	cluster.advance(shownWithin)
+	cluster.advance(serveWithin)
 	for _, a := range coreAddrs {
 		must.SliceNotEmpty(t, cluster.confirmed[a], must.Sprint(a))
 		var held proposal.State
--- a/control/core/node/silence.go
+++ b/control/core/node/silence.go
@@ -13,18 +13,19 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// silenceRound asks all voters which of some nodes they have not heard for
-// leasetable.SilentAfter, before the retry budget shares of these nodes are reclaimed.
+// silenceRound is a query to all voters about which of the given sidecar nodes have been silent for
+// leasetable.SilentAfter. A node's retry budget share is reclaimed only after such a round.
 type silenceRound struct {
 	round uint64
-	// leaseEpochs are those of the shares when the round began.
+	// leaseEpochs maps each node to the lease epoch of its share at the start of the round.
 	leaseEpochs map[ident.Node]ident.LeaseEpoch
-	// confirmedBy holds, for each node, the voters that have not heard it either.
-	confirmedBy map[ident.Node]map[ident.Disk]bool
+	// confirmations maps each node to the voters that confirmed that the node is silent.
+	confirmations map[ident.Node]map[ident.Disk]bool
 }
 
-// reclaimShares reclaims the retry budget shares of nodes that a majority has not heard for
-// leasetable.SilentAfter. The voters are asked only about nodes that this core has not heard.
+// reclaimShares reclaims the retry budget shares of nodes that have been silent at a majority of
+// the voters for leasetable.SilentAfter. It queries the voters only about nodes that are also
+// silent at this core.
 func (n *Node) reclaimShares(now monotime.Time, fx *Effects) {
 	n.submitInternal(now, proposer.Operation{Key: quota.Key, Kind: quota.ReadKind}, fx, func(now monotime.Time, result Result, fx *Effects) {
 		var shares quota.State
@@ -38,16 +39,16 @@
 	})
 }
 
-// beginSilenceRound asks all voters which of some nodes they have not heard.
+// beginSilenceRound queries all voters about which of the given nodes are silent.
 func (n *Node) beginSilenceRound(shares quota.State, silent []ident.Node, fx *Effects) {
 	round := silenceRound{
-		round:       n.nextNumber(),
-		leaseEpochs: map[ident.Node]ident.LeaseEpoch{},
-		confirmedBy: map[ident.Node]map[ident.Disk]bool{},
+		round:         n.nextNumber(),
+		leaseEpochs:   map[ident.Node]ident.LeaseEpoch{},
+		confirmations: map[ident.Node]map[ident.Disk]bool{},
 	}
 	for _, node := range silent {
 		round.leaseEpochs[node] = shares.Nodes[node].LeaseEpoch
-		round.confirmedBy[node] = map[ident.Disk]bool{}
+		round.confirmations[node] = map[ident.Disk]bool{}
 	}
 	n.silence = round
 	for _, v := range n.membership.Current.Voters {
@@ -55,9 +56,9 @@
 	}
 }
 
-// onSilenceCheck answers the question of a silence round, or takes a voter's answer. Invariants:
-// a core says that a node is silent only if it has itself run for longer than
-// leasetable.SilentAfter; a share is reclaimed only if a majority of the voters said so.
+// onSilenceCheck handles the query of a silence round or a voter's answer to the query. Invariants:
+// a core reports a node as silent only if the core has run for longer than leasetable.SilentAfter;
+// a share is reclaimed only if a majority of the voters reported its node as silent.
 func (n *Node) onSilenceCheck(now monotime.Time, m message.Message, fx *Effects) bool {
 	check := m.SilenceCheck
 	if check == nil {
@@ -71,7 +72,7 @@
 		return true
 	}
 	for _, node := range check.Nodes {
-		voters := n.silence.confirmedBy[node]
+		voters := n.silence.confirmations[node]
 		if voters == nil || voters[check.Responder] {
 			continue
 		}
@@ -84,7 +85,8 @@
 	return true
 }
 
-// answerSilenceCheck says which of the nodes this core has not heard.
+// answerSilenceCheck answers the query of a silence round with the nodes that are silent at this
+// core.
 func (n *Node) answerSilenceCheck(now monotime.Time, to ident.Addr, check *message.SilenceCheck, fx *Effects) {
 	if now.Since(n.startedAt) <= leasetable.SilentAfter {
 		return
--- a/control/core/node/singletonrole.go
+++ b/control/core/node/singletonrole.go
@@ -13,35 +13,38 @@
 )
 
 const (
-	// singletonRoleKey is the lock of the singleton role: the one core that holds it runs
-	// anti-entropy, the roll-outs and the audit log. A holder that leaves names its successor; if
-	// it fails, its lease expires and another core takes the lock.
+	// singletonRoleKey is the key of the lock that grants the singleton role. The core that holds
+	// the lock runs anti-entropy passes, reconciles rollouts and extends the audit log. A holder
+	// that leaves transfers the lock to its successor. If the holder fails, the lock's lease
+	// expires and another core acquires the lock.
 	singletonRoleKey ident.Key = "lock/cottonarch.duty.sweep"
-	// singletonRoleTTLMs is the lease of that lock in milliseconds, renewed each
-	// singletonRoleRenewInterval.
+	// singletonRoleTTLMs is the lease duration of the singleton role's lock in milliseconds. The
+	// holder renews the lease every singletonRoleRenewInterval.
 	singletonRoleTTLMs         = 3000
 	singletonRoleRenewInterval = time.Second
-	// rolloutReadInterval is how often the holder reads the roll-outs while one is known to
-	// run, and idleRolloutReadInterval how often otherwise: the news of a new one may be lost.
+	// rolloutReadInterval is the interval at which the holder reads the rollouts while a rollout is
+	// known to be active. idleRolloutReadInterval is the interval otherwise; it is needed because
+	// the announcement of a new rollout may be lost.
 	rolloutReadInterval     = 500 * time.Millisecond
 	idleRolloutReadInterval = 2500 * time.Millisecond
-	// auditReadInterval is the least time between two reads of the audit log.
+	// auditReadInterval is the minimum time between two reads of the audit log.
 	auditReadInterval = time.Second
-	// antiEntropyInterval is the time between two anti-entropy passes.
+	// antiEntropyInterval is the time between the starts of two anti-entropy passes.
 	antiEntropyInterval = 5 * time.Second
-	// singletonReadBudget is how long a read of the holder may take.
+	// singletonReadBudget is the time limit of the holder's reads of the rollouts and the audit
+	// log.
 	singletonReadBudget = time.Second
 )
 
-// singletonRole is this core's hold on the singleton role.
+// singletonRole tracks whether this core holds the singleton role.
 type singletonRole struct {
 	held      bool
 	token     uint64 // the fencing token of the lock
 	renewedAt monotime.Time
 }
 
-// tickSingletonRole acquires or renews the singleton role, and does its work while this core holds
-// it.
+// tickSingletonRole acquires or renews the singleton role, and performs the role's tasks while this
+// core holds the role.
 func (n *Node) tickSingletonRole(now monotime.Time, fx *Effects) {
 	if !n.singletonRole.held {
 		n.antiEntropy.result = AntiEntropyPass{}
@@ -54,7 +57,8 @@
 	if renewalDue && (n.singletonRole.held || !n.singletonRoleHeldElsewhere(now)) {
 		n.renewSingletonRole(now, fx)
 	}
-	// Each of these checks again whether the role is held: the one before may have lost it.
+	// Each condition checks again whether this core holds the role, because the previous task may
+	// have lost the role.
 	if n.singletonRole.held && n.rolloutReadDue(now) {
 		n.rollouts.readAt = now
 		n.startRead(now, &pendingRead{deadline: now.Add(singletonReadBudget), onDone: n.reconcileRollouts}, rollout.Prefix, true, "", fx)
@@ -71,8 +75,8 @@
 	}
 }
 
-// renewSingletonRole renews the lock of the role if this core holds it, which writes to no disk, and
-// tries to acquire it otherwise.
+// renewSingletonRole renews the role's lock if this core holds the role, and tries to acquire the
+// lock otherwise. A renewal does not write to any disk.
 func (n *Node) renewSingletonRole(now monotime.Time, fx *Effects) {
 	n.singletonRole.renewedAt = now
 	args := lock.Args{Holder: string(n.Disk), TTL: singletonRoleTTLMs}
@@ -90,8 +94,8 @@
 	})
 }
 
-// passSingletonRole transfers the lock of the role to its next holder, if this core holds it.
-func (n *Node) passSingletonRole(now monotime.Time, disks []ident.Disk, fx *Effects) {
+// transferSingletonRole transfers the role's lock to the next holder, if this core holds the role.
+func (n *Node) transferSingletonRole(now monotime.Time, disks []ident.Disk, fx *Effects) {
 	if !n.singletonRole.held {
 		return
 	}
@@ -102,7 +106,7 @@
 	n.singletonRole.held = false
 }
 
-// singletonRoleHeldElsewhere reports whether another live core reports to hold the role.
+// singletonRoleHeldElsewhere reports whether another live core announces that it holds the role.
 func (n *Node) singletonRoleHeldElsewhere(now monotime.Time) bool {
 	for _, p := range n.peers {
 		if p.heartbeat.HoldsSingletonRole && !p.heartbeat.Leaving && p.live(now) {
--- a/control/core/node/threecores_test.go
+++ b/control/core/node/threecores_test.go
@@ -17,31 +17,31 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// threeCores is three nodes in one process; their messages and disks are kept in memory.
+// threeCores is a cluster of three nodes in one process, with messages and disks kept in memory.
 type threeCores struct {
 	nodes   map[ident.Addr]*node.Node
 	now     monotime.Time
 	results []node.Result
 	mailbox []envelope
 	down    map[ident.Addr]bool
-	// disks holds, for each core, the last record under each key.
+	// disks holds, for each core, the last record of each ring key.
 	disks map[ident.Addr]map[string]ring.Record
 	drop  func(to ident.Addr, m message.Message) bool
-	// confirmed holds, for each core, the configurations that it learned to be confirmed and found
-	// on its own disk.
+	// confirmed holds, for each core, the configurations that the core learned to be confirmed and
+	// found on its own disk.
 	confirmed map[ident.Addr][]string
-	// lastTicket is that of the last operation of a helper.
+	// lastTicket is the last ticket that the helper functions used.
 	lastTicket uint64
 }
 
-// envelope is a message on its way to a core.
+// envelope is a message in transit to a core.
 type envelope struct {
 	to  ident.Addr
 	msg message.Message
 }
 
-// stopWithin is how long a planned stop may last.
-const stopWithin = 3 * time.Second
+// stopLimit is the maximum duration of a planned stop.
+const stopLimit = 3 * time.Second
 
 var coreAddrs = []ident.Addr{"a:1", "b:1", "c:1"}
 
@@ -63,7 +63,7 @@
 	return cluster
 }
 
-// start starts a node on its disk, or on an empty disk of that name.
+// start starts a node with its existing disk, or with an empty disk that has the given identifier.
 func (cluster *threeCores) start(t *testing.T, a ident.Addr, disk ident.Disk, founders []ident.Addr) {
 	var recs []ring.Record
 	for _, tag := range slices.Sorted(maps.Keys(cluster.disks[a])) {
@@ -71,7 +71,7 @@
 	}
 	seeds := slices.DeleteFunc(slices.Sorted(maps.Keys(cluster.nodes)), func(s ident.Addr) bool { return cluster.down[s] })
 	named := 0
-	newDisk := func() ident.Disk { // no name is used twice
+	newDisk := func() ident.Disk { // each identifier is used only once
 		if named++; named > 1 {
 			return ident.Disk(fmt.Sprint(disk, "-", named))
 		}
@@ -90,7 +90,7 @@
 	cluster.apply(a, node.Effects{Records: created})
 }
 
-// apply carries out the effects of a step of one core.
+// apply stores the records and results of a core's step, and queues the messages.
 func (cluster *threeCores) apply(from ident.Addr, fx node.Effects) {
 	cluster.results = append(cluster.results, fx.Results...)
 	if fx.ConfirmedConfig != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// advance advances the time in ticks of 10 ms, and delivers every message at once.
+// advance advances the time in ticks of 10 ms, and delivers every message without delay.
 func (cluster *threeCores) advance(d time.Duration) {
 	for end := cluster.now.Add(d); cluster.now < end; cluster.now = cluster.now.Add(10 * time.Millisecond) {
 		for _, a := range slices.Sorted(maps.Keys(cluster.nodes)) {
@@ -138,12 +138,12 @@
 	cluster.submitOperation(core, ticket, op, 4*time.Second)
 }
 
-// submitOperation starts an operation at a core. Its result is that of the ticket.
+// submitOperation starts an operation at a core. ticketResult returns the result for the ticket.
 func (cluster *threeCores) submitOperation(core ident.Addr, ticket uint64, op proposer.Operation, budget time.Duration) {
 	cluster.apply(core, cluster.nodes[core].Submit(cluster.now, ticket, op, budget))
 }
 
-// ticketResult returns the result of a ticket, nil if there is none yet.
+// ticketResult returns the result for a ticket, or nil if there is no result yet.
 func (cluster *threeCores) ticketResult(ticket uint64) *node.Result {
 	for i := range cluster.results {
 		if cluster.results[i].Ticket == ticket {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// proposerOf returns the core that proposes for a key, empty if there is none.
+// proposerOf returns the core that is the proposer for a key, or an empty address if there is none.
 func (cluster *threeCores) proposerOf(k ident.Key) ident.Addr {
 	for _, a := range coreAddrs {
 		for _, held := range cluster.nodes[a].HeldKeys() {
--- a/control/core/node/tick.go
+++ b/control/core/node/tick.go
@@ -2,7 +2,8 @@
 
 import "cottonarch.example/cottonarch/base/monotime"
 
-// Tick advances everything that depends on time. It is called many times a second.
+// Tick performs the work that depends on time: it sends due messages, expires requests and retries
+// operations. The caller invokes Tick many times per second.
 func (n *Node) Tick(now monotime.Time) (fx Effects) {
 	n.sendLeaseUpdates(now, &fx)
 	if n.heartbeats.checkedAt == 0 || now.Since(n.heartbeats.checkedAt) >= heartbeatCheckInterval {
@@ -18,13 +19,13 @@
 		fx.SidecarViewChanged = true
 	}
 	if !n.diskFailed {
-		n.seekMembership(now, &fx)
+		n.tickMembership(now, &fx)
 		n.tickCatchUp(now, &fx)
 		n.tickSingletonRole(now, &fx)
 	}
 	n.refreshConfigRevision(now, &fx)
 	n.tickJoins(now, &fx)
-	n.trackBehind(now)
+	n.updateBehindSince(now)
 	if stale := n.stale(now); stale != n.freshness.wasStale {
 		n.freshness.wasStale, fx.SidecarViewChanged = stale, true
 	}
--- a/control/core/node/traffic_test.go
+++ b/control/core/node/traffic_test.go
@@ -19,8 +19,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// jsonCluster is three nodes whose messages travel as JSON; bytes counts, by kind of message, what
-// goes from one node to another.
+// jsonCluster is a cluster of three nodes that exchange messages as JSON. bytes counts the bytes
+// sent between nodes by kind of message.
 type jsonCluster struct {
 	nodes        map[ident.Addr]*node.Node
 	now          monotime.Time
@@ -28,8 +28,8 @@
 	results      map[uint64]node.Result
 	bytes        map[string]int
 	lastTicket   int
-	oldCore      ident.Addr // whose heartbeats do not say that it accepts patches
-	patchesToOld int        // patches sent there
+	oldCore      ident.Addr // a core whose heartbeats do not announce that it accepts patches
+	patchesToOld int        // number of patches sent to oldCore
 }
 
 func newJSONCluster(t testing.TB, history time.Duration) *jsonCluster {
@@ -93,7 +93,7 @@
 	}
 }
 
-// deliverAll delivers messages until none is left.
+// deliverAll delivers messages until the mailbox is empty.
 func (cluster *jsonCluster) deliverAll(t testing.TB) {
 	for len(cluster.mailbox) > 0 {
 		next := cluster.mailbox[0]
@@ -123,7 +123,7 @@
 	cluster.execute(t, core, proposer.Operation{Key: "group/g.", Kind: "group/put", Args: operation.Encode(put)})
 }
 
-// execute runs an operation at a core, under the last ticket, which must succeed.
+// execute runs an operation at a core with the last ticket. The operation must succeed.
 func (cluster *jsonCluster) execute(t testing.TB, core ident.Addr, op proposer.Operation) {
 	ticket := uint64(cluster.lastTicket)
 	cluster.apply(t, core, cluster.nodes[core].Submit(cluster.now, ticket, op, time.Second))
@@ -132,9 +132,10 @@
 	delete(cluster.results, ticket)
 }
 
-// A put to a keyspace of 300 entries with 400 past puts takes few bytes between cores that all
-// accept patches. A core that does not is sent none, and has every value all the same.
-func TestPutsAreFewBytes(t *testing.T) {
+// A put to a keyspace of 300 entries with 400 past puts must cause at most 3,500 bytes of traffic
+// between cores that all accept patches. A core that does not accept patches must receive no
+// patches, and must still have every value.
+func TestPutTrafficIsBounded(t *testing.T) {
 	cluster := newJSONCluster(t, 40*time.Second)
 	for range 800 {
 		cluster.put(t, 300)
@@ -153,12 +154,13 @@
 	must.Positive(t, cluster.bytes["patch"])
 	// An earlier release runs at a core that does not propose for the keyspace.
 	oldCore := coreAddrs[0]
-	if cluster.proposes(oldCore) {
+	if cluster.proposesKeyspace(oldCore) {
 		oldCore = coreAddrs[1]
 	}
 	cluster.oldCore = oldCore
-	// What a process accepts is said in its full heartbeat, which comes every ten seconds here
-	// (and at once from a new run, which this one is not).
+	// A process announces in its full heartbeat whether it accepts patches. A full heartbeat is
+	// sent every ten seconds here. A new run would send a full heartbeat immediately, but the run
+	// here is not new.
 	for range 250 {
 		cluster.step(t)
 	}
@@ -172,13 +174,13 @@
 	}
 }
 
-func (cluster *jsonCluster) proposes(a ident.Addr) bool {
+func (cluster *jsonCluster) proposesKeyspace(a ident.Addr) bool {
 	return slices.Contains(cluster.nodes[a].HeldKeys(), "group/g.")
 }
 
-// BenchmarkPut measures puts, ten a second, to a keyspace of 300 entries with 400 past puts, over
-// three cores that exchange JSON. bytes/put is all that is sent for a put, with responses and
-// announcements.
+// BenchmarkPut measures puts at a rate of ten per second to a keyspace of 300 entries with 400 past
+// puts, in a cluster of three cores that exchange JSON. The metric bytes/put includes all messages
+// for a put, including responses and announcements.
 func BenchmarkPut(b *testing.B) {
 	cluster := newJSONCluster(b, 40*time.Second)
 	for range 1000 {
