--- a/control/core/node/votercopy.go
+++ b/control/core/node/votercopy.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// copyBudget is how long a new voter's read of all records may take.
+	// copyBudget is the time limit of a new voter's read of all records.
 	copyBudget = time.Minute
-	// copySyncTimeout is how long a copy may take to be synced before it is begun again.
+	// copySyncTimeout is the time after which a copy that is still not synced is started again.
 	copySyncTimeout = 2 * time.Second
 )
 
-// voterCopy is a new voter's copy of the control state, which it needs before it is counted.
+// voterCopy tracks a new voter's copy of the control state. The copy must be complete before the
+// voter is counted.
 type voterCopy struct {
 	inProgress bool
-	// epoch is that of the membership whose records were copied and synced.
+	// epoch is the epoch of the membership whose records were copied and synced.
 	epoch ident.MembershipEpoch
-	// syncRound numbers the notice that the copy is synced, 0 if none is awaited.
+	// syncRound is the round number of the message that the copy is synced, 0 if no such message is
+	// expected.
 	syncRound uint64
 	writtenAt monotime.Time
 }
 
-// due reports whether a copy is to be begun: none is in progress, or the last was not synced
-// in time.
+// due reports whether a copy must be started: no copy is in progress, or the last copy was not
+// synced within copySyncTimeout.
 func (c *voterCopy) due(now monotime.Time) bool {
 	return !c.inProgress || c.syncRound != 0 && now.Since(c.writtenAt) > copySyncTimeout
 }
 
-// beginCopy reads every record from a majority of the counted voters.
+// beginCopy starts a read of all records from a majority of the counted voters.
 func (n *Node) beginCopy(now monotime.Time, epoch ident.MembershipEpoch, fx *Effects) {
 	n.voterCopy.inProgress = true
 	n.startRead(now, &pendingRead{deadline: now.Add(copyBudget), onDone: n.storeCopies(epoch)}, "", true, n.Disk, fx)
 }
 
-// storeCopies writes every record that a majority of the counted voters of a membership held.
-// The copy is complete only once it is synced: this core sends itself a notice of that, which
-// SplitDurable holds back until then. A disk that counted sooner and then lost power would
-// count without the values that it is counted for.
+// storeCopies returns a readFunc that writes all records read from a majority of the counted
+// voters. The copy is complete only once it is synced. To detect the sync, this core sends a
+// message to itself, which SplitDurable delays until the records are synced. If a disk were counted
+// earlier and then lost power, it would be a counted voter without the confirmed values.
 func (n *Node) storeCopies(epoch ident.MembershipEpoch) readFunc {
 	return func(now monotime.Time, reader *quorumread.Reader, fx *Effects) {
 		if reader == nil || n.membership.Current.Epoch != epoch {
@@ -59,7 +61,7 @@
 	}
 }
 
-// copySynced takes the notice that the copy is synced; it returns false for other responses.
+// copySynced processes the message that the copy is synced. It returns false for other responses.
 func (n *Node) copySynced(r quorum.ScanResponse) bool {
 	if r.Round != n.voterCopy.syncRound || r.Disk != n.Disk || n.voterCopy.syncRound == 0 {
 		return false
--- a/control/core/node/votercopy_test.go
+++ b/control/core/node/votercopy_test.go
@@ -15,9 +15,9 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// A new voter asks to be counted only once its copy is synced. Found by a scripted run of
-// explore/cluster: the requests were sent at once, and a power failure after them left a disk that
-// counted without the values that had been acknowledged.
+// A new voter must request to be counted only after its copy is synced. Guards against a fault that
+// a scripted run of explore/cluster found: the membership requests were sent immediately, and a
+// power failure after them left a counted disk without the acknowledged values.
 func TestCopyIsSyncedBeforeTheDiskCounts(t *testing.T) {
 	members := acceptor.New("d4")
 	members.Adopt(quorum.Membership{Epoch: 2, Voters: []quorum.Voter{
@@ -54,9 +54,9 @@
 		durable.Records, durable.Sends = append(durable.Records, held.Records...), append(durable.Sends, held.Sends...)
 	}
 	must.SliceNotEmpty(t, durable.Records)
-	for range 20 { // the disk is slow
+	for range 20 { // the sync takes a second
 		now = now.Add(50 * time.Millisecond)
-		must.Eq(t, 0, countRequests(n.Tick(now)), must.Sprint("it asks to be counted before its copy is synced"))
+		must.Eq(t, 0, countRequests(n.Tick(now)), must.Sprint("the new voter requested to be counted before its copy was synced"))
 	}
 	for _, s := range durable.Sends {
 		must.Eq(t, ident.Addr("b:1"), s.To)
--- a/control/core/node/voters.go
+++ b/control/core/node/voters.go
@@ -9,16 +9,18 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// HasMajority reports whether enough voters are live to serve requests.
+// HasMajority reports whether a majority of the voters is live, so that this core can serve
+// requests.
 func (n *Node) HasMajority(now monotime.Time) bool {
 	return n.hasMajorityWithin(now, heartbeatTimeout)
 }
 
-// lostMajority reports whether this run once heard a majority and hears none now. A run that
-// has heard none yet has just started, and the live cores may not have sent a heartbeat.
+// lostMajority reports whether this run had a majority earlier and has none now. A run that never
+// had a majority has just started, and heartbeats of live cores may not have arrived yet.
 func (n *Node) lostMajority(now monotime.Time) bool { return n.hasSeenMajority && !n.HasMajority(now) }
 
-// hasMajorityWithin reports whether a majority of the voters was heard in the last window.
+// hasMajorityWithin reports whether a majority of the voters was live within the last window, see
+// peer.heardWithin.
 func (n *Node) hasMajorityWithin(now monotime.Time, window time.Duration) bool {
 	heard := []ident.Disk{n.Disk}
 	for _, p := range n.peers {
@@ -35,8 +37,8 @@
 	return n.membership.Current.Epoch > 0 && votes >= n.membership.Current.Majority()
 }
 
-// liveVoters lists the disks of the counted voters that are live and not leaving, this one
-// included, and the address of each.
+// liveVoters lists the disks of the counted voters that are live, work and are not leaving, and the
+// address of each disk. This core's disk is included under the same conditions.
 func (n *Node) liveVoters(now monotime.Time) ([]ident.Disk, map[ident.Disk]ident.Addr) {
 	var disks []ident.Disk
 	addrOf := map[ident.Disk]ident.Addr{}
@@ -60,8 +62,9 @@
 	return disks, addrOf
 }
 
-// votersByDistance lists the live voters: this disk first, then the others of its zone, which
-// sameZoneCount counts, then the rest. It is empty if this disk is not among them.
+// votersByDistance lists the live voters: this disk first, then the sameZoneCount other disks in
+// this core's zone, then the disks in other zones. The list is empty if this disk is not a live
+// voter.
 func (n *Node) votersByDistance(now monotime.Time) (ordered []ident.Disk, sameZoneCount int) {
 	disks, addrOf := n.liveVoters(now)
 	if !slices.Contains(disks, n.Disk) {
@@ -81,8 +84,9 @@
 	return ordered, sameZoneCount
 }
 
-// heardWithin lists the disks that were heard in the last window, this one included.
-func (n *Node) heardWithin(now monotime.Time, window time.Duration) []ident.Disk {
+// disksHeardWithin lists this disk and the disks of the peers that sent a heartbeat within the last
+// window.
+func (n *Node) disksHeardWithin(now monotime.Time, window time.Duration) []ident.Disk {
 	disks := []ident.Disk{n.Disk}
 	for _, a := range n.peerAddrs() {
 		if p := n.peers[a]; now.Since(p.lastHeard) <= window {
@@ -92,8 +96,9 @@
 	return disks
 }
 
-// healthy lists the disks that are live, work and are not leaving, this one included.
-func (n *Node) healthy(now monotime.Time) []ident.Disk {
+// healthyDisks lists this disk and the disks of the peers that are live, not leaving and have a
+// working disk.
+func (n *Node) healthyDisks(now monotime.Time) []ident.Disk {
 	disks := []ident.Disk{n.Disk}
 	for _, a := range n.peerAddrs() {
 		if p := n.peers[a]; p.live(now) && !p.heartbeat.Leaving && !p.heartbeat.DiskFailed {
@@ -103,10 +108,10 @@
 	return disks
 }
 
-// presumedAlive lists the disks that this one does not presume dead: those heard in the last
-// voterDeadAfter and, while this core has not run for that long itself, all voters.
+// presumedAlive lists the disks that this core does not presume dead: the disks of peers that sent
+// a heartbeat within voterDeadAfter and, until this core has run for voterDeadAfter, all voters.
 func (n *Node) presumedAlive(now monotime.Time) []ident.Disk {
-	disks := n.heardWithin(now, voterDeadAfter)
+	disks := n.disksHeardWithin(now, voterDeadAfter)
 	if now.Since(n.startedAt) > voterDeadAfter {
 		return disks
 	}
@@ -118,10 +123,10 @@
 	return disks
 }
 
-// allVotersHeard reports whether all counted voters but the excluded one were heard within
-// heartbeatTimeout.
+// allVotersHeard reports whether a heartbeat from every counted voter except the excluded voter
+// arrived within heartbeatTimeout.
 func (n *Node) allVotersHeard(now monotime.Time, excluded ident.Disk) bool {
-	heard := n.heardWithin(now, heartbeatTimeout)
+	heard := n.disksHeardWithin(now, heartbeatTimeout)
 	return !slices.ContainsFunc(n.membership.Current.Voters, func(v quorum.Voter) bool {
 		return v.Counted && v.Disk != excluded && !slices.Contains(heard, v.Disk)
 	})
