--- a/control/core/membership/change_test.go
+++ b/control/core/membership/change_test.go
@@ -12,24 +12,25 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// memberChange is one change of the machines. It ends when no machine counts as lost any more.
-type memberChange struct {
+// membershipChange is one change to the machines of a cluster. The change ends when no machine is
+// considered lost.
+type membershipChange struct {
 	name string
-	// apply makes the change to machine a. The time within which all copies must be restored counts
-	// from its return.
-	apply func(c *cluster, a ident.Addr)
+	// applyTo applies the change to machine a. All copies must be restored within catchUpLimit
+	// after applyTo returns.
+	applyTo func(c *cluster, a ident.Addr)
 }
 
-const newcomer ident.Addr = "m90:1"
+const replacementAddr ident.Addr = "m90:1"
 
-func memberChanges() []memberChange {
-	return []memberChange{
-		{"power", func(c *cluster, a ident.Addr) {
+func membershipChanges() []membershipChange {
+	return []membershipChange{
+		{"short power failure", func(c *cluster, a ident.Addr) {
 			c.killProcess(a)
 			c.advance(500 * time.Millisecond)
 			c.startMachine(a)
 		}},
-		{"power, a long while", func(c *cluster, a ident.Addr) {
+		{"long power failure", func(c *cluster, a ident.Addr) {
 			c.killProcess(a)
 			c.advance(5 * time.Second)
 			c.startMachine(a)
@@ -40,84 +41,86 @@
 			c.advance(300 * time.Millisecond)
 			c.startMachine(a)
 		}},
-		{"empty disk that syncs slowly", func(c *cluster, a ident.Addr) {
+		{"empty disk with slow syncs", func(c *cluster, a ident.Addr) {
 			c.killProcess(a)
 			c.wipeDisk(a)
 			c.machines[a].extraSyncTime, c.writing = 250*time.Millisecond, false
 			c.advance(300 * time.Millisecond)
 			c.startMachine(a)
 		}},
-		{"replaced after it was lost", func(c *cluster, a ident.Addr) {
+		{"replaced after its loss", func(c *cluster, a ident.Addr) {
 			c.killProcess(a)
-			c.successorOf[a] = newcomer
+			c.successorOf[a] = replacementAddr
 			c.advance(200 * time.Millisecond)
-			c.startMachine(newcomer)
+			c.startMachine(replacementAddr)
 		}},
-		{"replaced beforehand, stopped as planned", func(c *cluster, a ident.Addr) {
-			c.startMachine(newcomer)
+		{"replacement added first, planned stop", func(c *cluster, a ident.Addr) {
+			c.startMachine(replacementAddr)
 			c.advance(catchUpLimit)
 			c.stopGracefully(a)
-			c.successorOf[a] = newcomer
+			c.successorOf[a] = replacementAddr
 		}},
-		{"replaced beforehand, killed", func(c *cluster, a ident.Addr) {
-			c.startMachine(newcomer)
+		{"replacement added first, killed", func(c *cluster, a ident.Addr) {
+			c.startMachine(replacementAddr)
 			c.advance(catchUpLimit + 4*time.Second)
 			c.killProcess(a)
 			c.advance(100 * time.Millisecond)
 			c.startMachine(a)
 		}},
-		{"stopped as planned, started again", func(c *cluster, a ident.Addr) {
+		{"planned stop, restarted", func(c *cluster, a ident.Addr) {
 			c.stopGracefully(a)
 			c.advance(200 * time.Millisecond)
 			c.startMachine(a)
 		}},
-		{"one comes", func(c *cluster, _ ident.Addr) { c.startMachine(newcomer) }},
-		{"two come", func(c *cluster, _ ident.Addr) {
-			c.startMachine(newcomer)
+		{"one machine added", func(c *cluster, _ ident.Addr) { c.startMachine(replacementAddr) }},
+		{"two machines added", func(c *cluster, _ ident.Addr) {
+			c.startMachine(replacementAddr)
 			c.startMachine("m91:1")
 		}},
 	}
 }
 
-// dropAccepts drops the accepts to one machine, so that a confirmed value is on as few disks as
-// possible.
+// dropAccepts returns a filter that drops the accept requests to one machine, so that a confirmed
+// value is on as few disks as possible.
 func dropAccepts(lagging ident.Addr) func(ident.Addr, message.Message) bool {
 	return func(to ident.Addr, m message.Message) bool {
 		return to == lagging && m.Request != nil && (m.Request.Kind == quorum.Accept || m.Request.Kind == quorum.PatchAccept)
 	}
 }
 
-// forEachSize runs a test for each size of cluster that can tolerate the loss of canLose machines,
-// that is, at least 2*canLose+1. Of fewer machines no majority is left in any case.
-func forEachSize(run func(members, canLose int)) {
+// forEachSize runs a test for each cluster size that can tolerate the loss of toleratedLosses
+// machines, which requires at least 2*toleratedLosses+1 machines. A smaller cluster would not
+// retain a majority.
+func forEachSize(run func(members, toleratedLosses int)) {
 	for _, members := range []int{3, 4, 5, 12} {
-		for _, canLose := range []int{1, 2} {
-			if members >= 2*canLose+1 {
-				run(members, canLose)
+		for _, toleratedLosses := range []int{1, 2} {
+			if members >= 2*toleratedLosses+1 {
+				run(members, toleratedLosses)
 			}
 		}
 	}
 }
 
-// At every sync and every confirmation of every change of the machines, the cluster tolerates the loss
-// of whatever else may be lost then: a majority is left that holds every confirmed value. One machine
-// lags until the change begins, and different voters are changed.
-func TestOneMoreLossAtEveryStep(t *testing.T) {
-	forEachSize(func(members, canLose int) {
-		for _, change := range memberChanges() {
+// At every sync and every confirmation during each membership change, the cluster must tolerate the
+// loss of as many further machines as are still allowed to fail: a majority that holds every
+// confirmed value must remain. One machine lags until the change begins. The changes are applied to
+// different voters.
+func TestFurtherLossIsToleratedAtEveryStep(t *testing.T) {
+	forEachSize(func(members, toleratedLosses int) {
+		for _, change := range membershipChanges() {
 			for _, changed := range []int{0, 1} {
-				t.Run(fmt.Sprint(members, "/", canLose, "/", change.name, "/", changed), func(t *testing.T) {
+				t.Run(fmt.Sprint(members, "/", toleratedLosses, "/", change.name, "/", changed), func(t *testing.T) {
 					t.Parallel()
 					slots := 3
 					if members >= 5 {
 						slots = 5
 					}
-					c := newCluster(t, members, slots, canLose, 12)
+					c := newCluster(t, members, slots, toleratedLosses, 12)
 					c.advance(5 * time.Second)
 					c.writing, c.drop = true, dropAccepts(addrOf(2))
 					c.advance(1500 * time.Millisecond)
-					c.drop, c.writing = nil, changed == 0 // without further writes to its keys, the lagging machine goes on to lag
-					change.apply(c, addrOf(changed))
+					c.drop, c.writing = nil, changed == 0 // without new writes, the lagging machine keeps lagging
+					change.applyTo(c, addrOf(changed))
 					c.advance(catchUpLimit + 3*time.Second)
 					c.writing = false
 					c.advance(2500 * time.Millisecond)
@@ -135,11 +138,11 @@
 	})
 }
 
-// At the first start three cores form the membership and the others join it. After catchUpLimit the
-// cluster tolerates as many failures as later.
-func TestFirstStartToleratesALossInTime(t *testing.T) {
-	forEachSize(func(members, canLose int) {
-		c := newCluster(t, 0, 0, canLose, 0)
+// At the first start three cores form the membership and the other cores join. After catchUpLimit
+// the cluster must tolerate the full number of failures.
+func TestBootstrapToleratesLossAfterCatchUp(t *testing.T) {
+	forEachSize(func(members, toleratedLosses int) {
+		c := newCluster(t, 0, 0, toleratedLosses, 0)
 		c.writtenKeys = []ident.Key{"number/a", "number/b", "number/c"}
 		c.confirmedKeys = c.writtenKeys
 		c.founders = []ident.Addr{addrOf(0), addrOf(1), addrOf(2)}
@@ -153,7 +156,7 @@
 		c.writing = true
 		c.advance(catchUpLimit + 4*time.Second)
 		for _, f := range c.violations[:min(3, len(c.violations))] {
-			t.Error(members, canLose, f)
+			t.Error(members, toleratedLosses, f)
 		}
 		must.Positive(t, c.checks)
 		must.Positive(t, len(c.confirmed))
--- a/control/core/membership/cluster_test.go
+++ b/control/core/membership/cluster_test.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// processStartTime is how long after its machine a process has started, as measured on the
-	// users' bench; catchUpLimit is the users' catchUpS on the small sites.
+	// processStartTime is the time from the boot of a machine to the start of its process, as
+	// measured on the users' bench. catchUpLimit is the users' catchUpS on the small sites.
 	processStartTime = 900 * time.Millisecond
 	catchUpLimit     = 4 * time.Second
-	// leaveLimit is the daemon's bound on a planned stop.
+	// leaveLimit is the daemon's time limit for a planned stop.
 	leaveLimit   = 3 * time.Second
 	messageDelay = time.Millisecond
 	delayPerRow  = 20 * time.Microsecond
@@ -38,68 +38,68 @@
 	addr          ident.Addr
 	node          *node.Node
 	running       bool
-	bootedAt      monotime.Time // when the machine was last started
+	bootedAt      monotime.Time // time of the machine's last boot
 	startedAt     monotime.Time
-	run           int
+	instance      int
 	synced        map[string]ring.Record
 	heldRevisions map[ident.Key]ident.Revision // of the synced records
 	membership    acceptor.State               // as last synced
-	unsynced      []node.Effects               // waiting for the next sync
+	unsynced      []node.Effects               // queued for the next sync
 	syncing       []node.Effects
 	syncEnds      monotime.Time
 	extraSyncTime time.Duration // of each sync
 }
 
-// envelope is a message on its way.
+// envelope is a message in transit.
 type envelope struct {
 	deliverAt monotime.Time
 	to        ident.Addr
 	msg       message.Message
 }
 
-// cluster drives whole nodes with disks under virtual time, one message or one sync at a time, and
-// is deterministic. After every sync and every confirmation it checks its invariants, see
+// cluster runs complete nodes with disks deterministically under virtual time, one message or one
+// sync at a time. After every sync and every confirmation it checks the invariants, see
 // checkInvariants.
 type cluster struct {
-	t        *testing.T
-	now      monotime.Time
-	machines map[ident.Addr]*machine
-	byAddr   []*machine // the same, in the order of their addresses
-	canLose  int
-	voters   int
-	founders []ident.Addr
-	inFlight []envelope
-	// confirmed is the newest revision of each key that was acknowledged to a caller.
+	t               *testing.T
+	now             monotime.Time
+	machines        map[ident.Addr]*machine
+	byAddr          []*machine // all machines, sorted by address
+	toleratedLosses int
+	voters          int
+	founders        []ident.Addr
+	inFlight        []envelope
+	// confirmed maps each key to its newest revision that was acknowledged to a caller.
 	confirmed        map[ident.Key]ident.Revision
 	confirmedKeys    []ident.Key // the keys of confirmed
-	writtenKeys      []ident.Key // the keys that are written
+	writtenKeys      []ident.Key // the keys that incrementNext increments
 	tickets          map[uint64]ident.Key
 	lastTicket       uint64
 	writing          bool
-	everyMillisecond func(ms int) // when set, is called each millisecond
+	everyMillisecond func(ms int) // called each millisecond unless nil
 	drop             func(to ident.Addr, m message.Message) bool
-	// successorOf names the replacement of a machine that is lost for good.
+	// successorOf maps each permanently lost machine to its replacement.
 	successorOf map[ident.Addr]ident.Addr
 	disksMade   int
 	violations  []string
 	checks      int
-	timingOnly  bool // only times are wanted, so no invariant is checked
+	timingOnly  bool // the test measures only times, so no invariant is checked
 }
 
 func addrOf(i int) ident.Addr { return ident.Addr(fmt.Sprintf("m%02d:1", i)) }
 
-// newCluster returns a cluster of so many machines. The first slots of them are voters whose disks
-// hold so many records; the others have just started.
-func newCluster(t *testing.T, machines, slots, canLose, records int) *cluster {
+// newCluster returns a cluster with the given number of machines. The first slots machines are
+// voters whose disks hold the given number of records. The other machines have just started.
+func newCluster(t *testing.T, machines, slots, toleratedLosses, records int) *cluster {
 	c := &cluster{
-		t:           t,
-		now:         monotime.Time(time.Second),
-		machines:    map[ident.Addr]*machine{},
-		canLose:     canLose,
-		voters:      max(5, 2*canLose+1),
-		confirmed:   map[ident.Key]ident.Revision{},
-		tickets:     map[uint64]ident.Key{},
-		successorOf: map[ident.Addr]ident.Addr{},
+		t:               t,
+		now:             monotime.Time(time.Second),
+		machines:        map[ident.Addr]*machine{},
+		toleratedLosses: toleratedLosses,
+		voters:          max(5, 2*toleratedLosses+1),
+		confirmed:       map[ident.Key]ident.Revision{},
+		tickets:         map[uint64]ident.Key{},
+		successorOf:     map[ident.Addr]ident.Addr{},
 	}
 	first := quorum.Membership{Epoch: 1}
 	for i := range slots {
@@ -130,7 +130,7 @@
 	return c
 }
 
-// addMachine adds a machine with an empty disk that does not run.
+// addMachine adds a machine with an empty disk. The machine's process is not started.
 func (c *cluster) addMachine(a ident.Addr) *machine {
 	m := &machine{addr: a, synced: map[string]ring.Record{}, heldRevisions: map[ident.Key]ident.Revision{}}
 	c.machines[a] = m
@@ -138,7 +138,7 @@
 	return m
 }
 
-// store writes records to a disk.
+// store writes records to a machine's disk.
 func (c *cluster) store(m *machine, recs []ring.Record) {
 	for _, r := range recs {
 		m.synced[r.Key] = r
@@ -157,7 +157,7 @@
 	}
 }
 
-// startProcess starts a process on its disk.
+// startProcess starts a machine's process with the records on the machine's disk.
 func (c *cluster) startProcess(a ident.Addr) {
 	m := c.machines[a]
 	var recs []ring.Record
@@ -173,13 +173,13 @@
 	if seeds == nil {
 		seeds = []ident.Addr{addrOf(0), addrOf(1), addrOf(2)}
 	}
-	m.run++
+	m.instance++
 	config := node.Config{
 		Addr:            a,
 		Seeds:           seeds,
 		MaxVoters:       c.voters,
-		InstanceID:      fmt.Sprintf("%s-%d", a, m.run),
-		ToleratedLosses: c.canLose,
+		InstanceID:      fmt.Sprintf("%s-%d", a, m.instance),
+		ToleratedLosses: c.toleratedLosses,
 		Founders:        c.founders,
 		NewDiskID:       c.newDisk,
 	}
@@ -195,19 +195,20 @@
 	return ident.Disk(fmt.Sprint("new", c.disksMade))
 }
 
-// killProcess kills a process; what was not synced is lost, as in a power failure.
+// killProcess kills a machine's process. Records that were not synced are lost, as in a power
+// failure.
 func (c *cluster) killProcess(a ident.Addr) {
 	m := c.machines[a]
 	m.running, m.unsynced, m.syncing = false, nil, nil
 }
 
-// wipeDisk empties a disk.
+// wipeDisk deletes all records on a machine's disk.
 func (c *cluster) wipeDisk(a ident.Addr) {
 	m := c.machines[a]
 	m.synced, m.heldRevisions, m.membership = map[string]ring.Record{}, map[ident.Key]ident.Revision{}, acceptor.State{}
 }
 
-// startMachine starts a machine; its process starts a little later.
+// startMachine boots a machine. The machine's process starts processStartTime later.
 func (c *cluster) startMachine(a ident.Addr) {
 	if c.machines[a] == nil {
 		c.addMachine(a)
@@ -217,8 +218,8 @@
 	c.startProcess(a)
 }
 
-// stopGracefully stops a process as planned. It returns how long that took and whether the process
-// reported that it was done.
+// stopGracefully performs a planned stop of a process. It returns the duration of the stop and
+// whether the process reported that the stop was complete.
 func (c *cluster) stopGracefully(a ident.Addr) (took time.Duration, done bool) {
 	m, from := c.machines[a], c.now
 	c.apply(m, m.node.Leave(c.now, 10*time.Second))
@@ -232,7 +233,8 @@
 	return c.now.Since(from), done
 }
 
-// apply sends what may be sent at once, and queues the rest for the next sync.
+// apply sends the messages that may be sent immediately, and queues the other effects for the next
+// sync.
 func (c *cluster) apply(m *machine, fx node.Effects) {
 	durable := fx.SplitDurable()
 	c.send(m, fx)
@@ -242,7 +244,7 @@
 	c.beginSync(m)
 }
 
-// beginSync begins the next sync if none is in progress.
+// beginSync begins the next sync unless a sync is in progress.
 func (c *cluster) beginSync(m *machine) {
 	if len(m.syncing) == 0 && len(m.unsynced) > 0 {
 		m.syncing, m.unsynced = m.unsynced, nil
@@ -250,7 +252,7 @@
 	}
 }
 
-// send sends the messages of a step and takes its results.
+// send sends the messages of a step and records its results.
 func (c *cluster) send(m *machine, fx node.Effects) {
 	for _, s := range fx.Sends {
 		s.Msg.From = m.addr
@@ -272,12 +274,12 @@
 	}
 }
 
-// advance advances the virtual time by milliseconds.
+// advance advances the virtual time in steps of one millisecond.
 func (c *cluster) advance(d time.Duration) {
 	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(time.Millisecond) {
 		ms := int(c.now / monotime.Time(time.Millisecond))
 		if c.writing && ms%40 == 0 {
-			c.write(ms / 40)
+			c.incrementNext(ms / 40)
 		}
 		if c.everyMillisecond != nil {
 			c.everyMillisecond(ms)
@@ -296,7 +298,7 @@
 	}
 }
 
-// endSync stores the records of the sync that ends and sends the messages that waited for it.
+// endSync stores the records of a completed sync and sends the messages that depended on the sync.
 func (c *cluster) endSync(m *machine) {
 	batch := m.syncing
 	m.syncing = nil
@@ -310,7 +312,7 @@
 	c.checkInvariants()
 }
 
-// deliver delivers the messages that are due.
+// deliver delivers all messages that are due.
 func (c *cluster) deliver() {
 	var later, due []envelope
 	for _, next := range c.inFlight {
@@ -332,19 +334,20 @@
 	}
 }
 
-// write has the running machines, in turn, increment a number.
-func (c *cluster) write(number int) {
+// incrementNext submits an increment of one of writtenKeys at one of the running machines. number
+// selects the key and the machine in turn.
+func (c *cluster) incrementNext(number int) {
 	var up []*machine
 	for _, m := range c.byAddr {
 		if m.running {
 			up = append(up, m)
 		}
 	}
-	c.writeAt(up[number%len(up)], c.writtenKeys[number%len(c.writtenKeys)])
+	c.incrementAt(up[number%len(up)], c.writtenKeys[number%len(c.writtenKeys)])
 }
 
-// writeAt has a machine increment a number.
-func (c *cluster) writeAt(m *machine, k ident.Key) {
+// incrementAt submits an increment of a number at a machine.
+func (c *cluster) incrementAt(m *machine, k ident.Key) {
 	c.lastTicket++
 	c.tickets[c.lastTicket] = k
 	op := proposer.Operation{Op: ident.OperationID(fmt.Sprint("w", c.lastTicket)), Key: k, Kind: "number/next"}
--- a/control/core/membership/doc.go
+++ b/control/core/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership holds the tests of membership changes: whole nodes with disks, driven under
-// virtual time, are checked after each step for whether they tolerate any further failure that they
-// must. The implementation is in control/core/node and control/membership.
+// Package membership contains the tests of membership changes. The tests run complete nodes with
+// disks under virtual time, and check after each step that the cluster tolerates every further
+// failure that it must tolerate. The implementation is in control/core/node and control/membership.
 package membership
--- a/control/core/membership/invariants_test.go
+++ b/control/core/membership/invariants_test.go
@@ -9,8 +9,9 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// lostMachines lists the machines that count as lost: those that are down, and those that have been
-// back for less than catchUpLimit.
+// lostMachines lists the machines that are considered lost: machines that are down, and machines
+// that booted less than catchUpLimit ago. A machine is no longer considered lost once its
+// replacement has been up for catchUpLimit.
 func (c *cluster) lostMachines() (lost []ident.Addr) {
 	for _, m := range c.byAddr {
 		successor := c.machines[c.successorOf[m.addr]]
@@ -23,8 +24,8 @@
 	return lost
 }
 
-// chosenMembership returns the newest membership that any disk holds as chosen, or that a majority
-// has accepted.
+// chosenMembership returns the newest membership that a disk holds as chosen or that a majority has
+// accepted.
 func (c *cluster) chosenMembership() quorum.Membership {
 	var newest quorum.Membership
 	for _, m := range c.machines {
@@ -47,11 +48,11 @@
 // checkInvariants checks the synced state after a step. Two invariants must hold:
 //
 //   - Each majority of the newest membership's disks holds every confirmed value.
-//   - This is still so, and there is such a majority, after any further loss of machines with their
-//     disks that canLose allows, even if every other machine loses power too.
+//   - After any further loss of machines and their disks that toleratedLosses allows, a majority
+//     remains and the first invariant still holds, even if all other machines lose power as well.
 func (c *cluster) checkInvariants() {
 	lost := c.lostMachines()
-	mayStillBeLost := c.canLose - len(lost)
+	remainingLosses := c.toleratedLosses - len(lost)
 	if c.timingOnly || len(c.violations) > 20 {
 		return
 	}
@@ -61,26 +62,27 @@
 		return
 	}
 	violation := func(format string, args ...any) {
-		state := fmt.Sprintf("%v: membership %d of %d slots, lost %v: ", time.Duration(c.now), membership.Epoch, membership.Size(), lost)
+		state := fmt.Sprintf("%v: membership epoch %d with %d slots, lost machines %v: ", time.Duration(c.now), membership.Epoch, membership.Size(), lost)
 		c.violations = append(c.violations, state+fmt.Sprintf(format, args...))
 	}
-	counted, remaining := c.machinesCounted(membership, nil), c.machinesCounted(membership, lost)
+	countedMachines, remainingMachines := c.countedMachines(membership, nil), c.countedMachines(membership, lost)
 	for _, k := range c.confirmedKeys {
-		for _, disks := range [][]*machine{counted, remaining} {
-			// Fewer disks than a majority may lack the value, whichever others are lost.
+		for _, disks := range [][]*machine{countedMachines, remainingMachines} {
+			// The disks that lack the value must be fewer than a majority, whichever disks are
+			// lost.
 			if lacking := c.countLacking(disks, k); lacking >= membership.Majority() {
-				violation("%s at revision %d is not on %d of %d disks that count", k, c.confirmed[k], lacking, len(disks))
+				violation("key %s: revision %d is missing on %d of %d counted disks", k, c.confirmed[k], lacking, len(disks))
 				return
 			}
 		}
 	}
-	if mayStillBeLost >= 0 && len(remaining)-mayStillBeLost < membership.Majority() {
-		violation("%d more, of %d disks that count, leave no majority", mayStillBeLost, len(remaining))
+	if remainingLosses >= 0 && len(remainingMachines)-remainingLosses < membership.Majority() {
+		violation("a further loss of %d of %d counted disks leaves no majority", remainingLosses, len(remainingMachines))
 	}
 }
 
-// machinesCounted lists the machines whose disks are counted, without the excluded ones.
-func (c *cluster) machinesCounted(membership quorum.Membership, excluded []ident.Addr) (counted []*machine) {
+// countedMachines lists the machines whose disks are counted voters, except the excluded machines.
+func (c *cluster) countedMachines(membership quorum.Membership, excluded []ident.Addr) (counted []*machine) {
 	for _, m := range c.byAddr {
 		if membership.Counts(ident.Disk(m.synced["disk"].Data)) && !slices.Contains(excluded, m.addr) {
 			counted = append(counted, m)
@@ -89,7 +91,7 @@
 	return counted
 }
 
-// countLacking counts the disks that lack the confirmed value of a key.
+// countLacking returns the number of disks that lack the confirmed value of a key.
 func (c *cluster) countLacking(disks []*machine, k ident.Key) (n int) {
 	for _, m := range disks {
 		if m.heldRevisions[k] < c.confirmed[k] {
@@ -99,9 +101,9 @@
 	return n
 }
 
-// fullyReplicated reports whether there are so many slots, each with a counted voter whose disk
-// holds every confirmed value.
-func (c *cluster) fullyReplicated(slots int) bool {
+// isFullyReplicated reports whether the membership has the given number of slots and each slot has
+// a running, counted voter whose disk holds every confirmed value.
+func (c *cluster) isFullyReplicated(slots int) bool {
 	membership := c.chosenMembership()
 	if membership.Size() != slots {
 		return false
--- a/control/core/membership/leave_test.go
+++ b/control/core/membership/leave_test.go
@@ -11,13 +11,14 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// A voter that leaves as planned, with no core to replace it, reports that it is done only when each
-// confirmed value is on a majority of the voters that stay. The last writes reach it before all
-// others, and one voter later still, so that its vote is the first of rounds that end after it
-// stopped voting. It leaves at various times of that. Then the same with writes that go on while it
-// leaves, and a voter that misses some accepts.
-func TestLeaverStaysUntilTheOthersHoldAll(t *testing.T) {
-	const leaverAlone, laggingFor = 100 * time.Millisecond, 260 * time.Millisecond
+// A voter leaves as planned without a replacement. The leaver must report that it is done only when
+// each confirmed value is on a majority of the voters that stay. The last writes reach the leaver
+// before the other voters, and reach one voter even later, so the leaver's vote is the first vote
+// in rounds that end after the leaver has stopped voting. The leave begins at various times
+// relative to these writes. Half of the runs instead write continuously during the leave, while one
+// voter misses some accepts.
+func TestLeaveWaitsForReplication(t *testing.T) {
+	const leaverAloneFor, laggingFor = 100 * time.Millisecond, 260 * time.Millisecond
 	for run := range 4 * 41 {
 		slots, steadyWrites, leaveAfter := 3+run%2*2, run/2%2 == 1, time.Duration(run/4)*10*time.Millisecond
 		c := newCluster(t, slots, slots, slots/2, 12)
@@ -35,17 +36,17 @@
 				return false
 			}
 			if steadyWrites {
-				return to == lagging && since/time.Millisecond%37 < 10 // not a multiple of a resend interval
+				return to == lagging && since/time.Millisecond%37 < 10 // 37 ms is not a multiple of a resend interval
 			}
-			return to != leaver && since < leaverAlone || to == lagging && since < laggingFor
+			return to != leaver && since < leaverAloneFor || to == lagging && since < laggingFor
 		}
 		for i := range c.writtenKeys {
-			c.writeAt(c.machines[proposing], c.writtenKeys[i])
+			c.incrementAt(c.machines[proposing], c.writtenKeys[i])
 		}
 		if steadyWrites {
 			c.everyMillisecond = func(ms int) {
 				if ms%5 == 0 {
-					c.writeAt(c.machines[proposing], c.writtenKeys[ms/5%len(c.writtenKeys)])
+					c.incrementAt(c.machines[proposing], c.writtenKeys[ms/5%len(c.writtenKeys)])
 				}
 			}
 		}
@@ -55,7 +56,7 @@
 		must.True(t, done, must.Sprint(slots, leaveAfter))
 		must.Less(t, leaveLimit, took, must.Sprint(slots, leaveAfter))
 		check := func() {
-			staying := c.machinesCounted(c.chosenMembership(), []ident.Addr{leaver})
+			staying := c.countedMachines(c.chosenMembership(), []ident.Addr{leaver})
 			for _, k := range c.confirmedKeys {
 				must.GreaterEq(t, (slots-1)/2+1, len(staying)-c.countLacking(staying, k), must.Sprint(slots, leaveAfter, k))
 			}
@@ -67,8 +68,9 @@
 	}
 }
 
-// A leaver that is killed after its successor was counted in leaves an even number of slots, one of
-// them empty, which tolerates one failure less. The slot is dropped once its voter is presumed dead.
+// A leaver is killed after its successor was counted. The membership then has an even number of
+// slots with one empty slot, and tolerates one failure fewer. The empty slot must be dropped once
+// its voter is presumed dead.
 func TestEmptySlotOfEvenMembershipIsDropped(t *testing.T) {
 	for _, members := range []int{4, 12} {
 		slots := 3 + members/12*2
@@ -85,13 +87,14 @@
 		c.advance(5 * time.Second)
 		r := c.chosenMembership()
 		must.Eq(t, slots, r.Size(), must.Sprint(members))
-		must.SliceLen(t, slots, c.machinesCounted(r, c.lostMachines()), must.Sprint(members))
+		must.SliceLen(t, slots, c.countedMachines(r, c.lostMachines()), must.Sprint(members))
 	}
 }
 
-// A leaver's slot is dropped only when the others hold all values: those that are confirmed between the
-// successor's copy and its being counted may be on the leaver and one other voter alone.
-func TestDropWaitsForTheCopies(t *testing.T) {
+// A leaver's slot must be dropped only when the other voters hold all values. Values that are
+// confirmed after the successor has made its copy and before it is counted may be only on the
+// leaver and one other voter.
+func TestSlotDropWaitsForReplication(t *testing.T) {
 	for lagFor := time.Duration(0); lagFor <= 120*time.Millisecond; lagFor += 5 * time.Millisecond {
 		c := newCluster(t, 4, 3, 1, 12)
 		c.advance(9 * time.Second)
@@ -101,7 +104,7 @@
 		}
 		c.everyMillisecond = func(ms int) {
 			if c.now.Since(began) < lagFor && ms%2 == 0 {
-				c.writeAt(c.machines[addrOf(2)], c.writtenKeys[ms/2%len(c.writtenKeys)])
+				c.incrementAt(c.machines[addrOf(2)], c.writtenKeys[ms/2%len(c.writtenKeys)])
 			}
 		}
 		took, done := c.stopGracefully(leaver)
--- a/control/core/membership/restore_test.go
+++ b/control/core/membership/restore_test.go
@@ -11,9 +11,10 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// The time until all copies are restored after each kind of loss, in virtual time: from the start of
-// the machine or of its replacement, or of the planned stop, until every slot is full and each counted
-// disk holds every confirmed value. It must end before the machine no longer counts as lost.
+// Measures, in virtual time, how long it takes to restore all copies after each kind of loss. The
+// time runs from the boot of the machine or its replacement, or from the beginning of the planned
+// stop, until every slot has a voter and each counted disk holds every confirmed value. The time
+// must be less than catchUpLimit, after which the machine is no longer considered lost.
 func TestCopiesAreRestoredInTime(t *testing.T) {
 	sizes := []int{300}
 	if !testing.Short() {
@@ -28,8 +29,8 @@
 				c.advance(8 * time.Second)
 				c.writing = true
 				c.advance(time.Second)
-				bootedAt := loss.apply(c, addrOf(1))
-				for !c.fullyReplicated(slots) && c.now.Since(bootedAt) < 30*time.Second {
+				bootedAt := loss.applyTo(c, addrOf(1))
+				for !c.isFullyReplicated(slots) && c.now.Since(bootedAt) < 30*time.Second {
 					c.advance(20 * time.Millisecond)
 				}
 				took := c.now.Since(bootedAt)
@@ -40,22 +41,22 @@
 	}
 }
 
-// machineLoss is one kind of loss; apply returns the time from which the users count catchUpS.
+// machineLoss is one kind of loss. applyTo returns the time from which the users count catchUpS.
 type machineLoss struct {
-	name  string
-	apply func(c *cluster, a ident.Addr) monotime.Time
+	name    string
+	applyTo func(c *cluster, a ident.Addr) monotime.Time
 }
 
 func machineLosses() []machineLoss {
 	restartAfter := func(c *cluster, downFor time.Duration, a ident.Addr) monotime.Time {
 		c.advance(downFor - 100*time.Millisecond)
-		c.writing = false // so that no later write restores the copies of its key
+		c.writing = false // a later write would restore the copies of its key
 		c.advance(100 * time.Millisecond)
 		bootedAt := c.now
 		c.startMachine(a)
 		return bootedAt
 	}
-	cutOffFor := func(c *cluster, duration time.Duration, a ident.Addr) monotime.Time {
+	partitionFor := func(c *cluster, duration time.Duration, a ident.Addr) monotime.Time {
 		c.drop = func(to ident.Addr, m message.Message) bool { return (to == a) != (m.From == a) }
 		c.advance(duration - 100*time.Millisecond)
 		c.writing = false
@@ -64,13 +65,13 @@
 		return c.now
 	}
 	return []machineLoss{
-		{"cut off for 1 s", func(c *cluster, a ident.Addr) monotime.Time { return cutOffFor(c, time.Second, a) }},
-		{"cut off for 10 s", func(c *cluster, a ident.Addr) monotime.Time { return cutOffFor(c, 10*time.Second, a) }},
-		{"power, down for 0.5 s", func(c *cluster, a ident.Addr) monotime.Time {
+		{"partitioned for 1 s", func(c *cluster, a ident.Addr) monotime.Time { return partitionFor(c, time.Second, a) }},
+		{"partitioned for 10 s", func(c *cluster, a ident.Addr) monotime.Time { return partitionFor(c, 10*time.Second, a) }},
+		{"power failure, down for 0.5 s", func(c *cluster, a ident.Addr) monotime.Time {
 			c.killProcess(a)
 			return restartAfter(c, 500*time.Millisecond, a)
 		}},
-		{"power, down for 10 s", func(c *cluster, a ident.Addr) monotime.Time {
+		{"power failure, down for 10 s", func(c *cluster, a ident.Addr) monotime.Time {
 			c.killProcess(a)
 			return restartAfter(c, 10*time.Second, a)
 		}},
@@ -79,16 +80,16 @@
 			c.wipeDisk(a)
 			return restartAfter(c, 500*time.Millisecond, a)
 		}},
-		{"replaced at another address 0.5 s later", func(c *cluster, a ident.Addr) monotime.Time {
+		{"replaced at a new address after 0.5 s", func(c *cluster, a ident.Addr) monotime.Time {
 			c.killProcess(a)
-			return restartAfter(c, 500*time.Millisecond, newcomer)
+			return restartAfter(c, 500*time.Millisecond, replacementAddr)
 		}},
-		{"planned stop, started again 0.5 s later", func(c *cluster, a ident.Addr) monotime.Time {
+		{"planned stop, restarted after 0.5 s", func(c *cluster, a ident.Addr) monotime.Time {
 			c.stopGracefully(a)
 			return restartAfter(c, 500*time.Millisecond, a)
 		}},
-		{"planned stop, its successor 4 s beforehand", func(c *cluster, a ident.Addr) monotime.Time {
-			c.startMachine(newcomer)
+		{"planned stop, replacement added 4 s before", func(c *cluster, a ident.Addr) monotime.Time {
+			c.startMachine(replacementAddr)
 			c.advance(catchUpLimit)
 			c.writing = false
 			leaveBegan := c.now
