--- a/control/core/node/freshness.go
+++ b/control/core/node/freshness.go
@@ -23,7 +23,7 @@
 	// maxConfigAge is the age of the known configuration revision beyond which a core is stale.
 	maxConfigAge = 1300 * time.Millisecond
 	// maxMajoritySilence is the time without heartbeats from a majority beyond which a core is
-	// stale.
+	// stale. A voter catches up only while it heard a majority within this time.
 	maxMajoritySilence = 800 * time.Millisecond
 	// maxBehindAge is the time beyond which a core is stale if it knows of a newer configuration
 	// than the configuration that it holds. Such a core receives heartbeats but cannot fetch the
--- a/control/core/node/operations.go
+++ b/control/core/node/operations.go
@@ -61,8 +61,8 @@
 // resultFunc receives the result of an operation that the core itself submitted.
 type resultFunc func(now monotime.Time, result Result, fx *Effects)
 
-// ignoreResult is the resultFunc of operations that need no error handling, because the core
-// submits them again periodically.
+// ignoreResult is the resultFunc of operations whose failures need no handling. Most of these
+// operations are submitted again periodically; a lock that was not transferred expires.
 func ignoreResult(monotime.Time, Result, *Effects) {}
 
 // pending is an operation that this core must answer. Each attempt sends the operation to a
