--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -58,7 +58,7 @@
 // a newer configuration is obtained. Sidecar.mu is held.
 func (d *configWatch) followRegistrar(answered ident.Addr, revision ident.ConfigRevision) {
 	s := d.sidecar
-	registrar := s.lease.Followed()
+	registrar := s.lease.PollTarget()
 	switch {
 	case registrar != d.polled:
 		d.redirectTo(registrar)
@@ -102,7 +102,7 @@
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.polled = s.lease.Followed()
+	d.polled = s.lease.PollTarget()
 	return d.polled, s.config.cache.NewestHeld(s.planner.Revision())
 }
 
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -173,7 +173,7 @@
 ) (endpointResult, admission.Outcome) {
 	if fail.Kind == failure.Unreachable {
 		s.mu.Lock()
-		s.applyEndpointChange(s.endpoints.ConnectFailed(s.clock(), server))
+		s.applyEndpointChange(s.endpoints.HandleConnectFailure(s.clock(), server))
 		s.mu.Unlock()
 	}
 	switch {
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -149,8 +149,8 @@
 	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
 	s.planner.MinRevision = max(s.planner.MinRevision, granted.ConfigRevision)
 	s.config.cache.MarkJoined()
-	s.lease.LeaseGranted()
-	s.budgetShare.Start(s.watchedClock(), granted.BudgetShare)
+	s.lease.HandleLeaseGranted()
+	s.budgetShare.Reset(s.watchedClock(), granted.BudgetShare)
 	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	s.lease.SetCores(granted.CoresVersion, granted.Cores)
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -83,7 +83,7 @@
 	for _, addr := range change.CloseAddrs {
 		s.endpointExchange.Drop(addr)
 	}
-	if change.Updated {
+	if change.WorkloadsChanged {
 		s.slots.sync(s.endpoints.Workloads())
 		s.reportChanged = true
 		s.renewer.wake()
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -55,7 +55,7 @@
 	if s.holdsRevision(notice.Revision) {
 		return RevisionAck{Held: true}
 	}
-	s.sleep(configcache.PullDelay)
+	s.sleep(configcache.PeerFetchDelay)
 	for range maxFetchWaits {
 		if s.holdsRevision(notice.Revision) || s.config.fetching.Load() == 0 {
 			break
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -108,7 +108,7 @@
 	live, lapsed := s.peersByLease()
 	shuffle(live)
 	shuffle(lapsed)
-	peers := live[:min(len(live), configcache.MaxNotified)]
+	peers := live[:min(len(live), configcache.MaxNotifiedPeers)]
 	missing := max(0, configcache.RequiredAcks-len(peers))
 	return append(peers, lapsed[:min(len(lapsed), missing)]...)
 }
@@ -186,11 +186,11 @@
 	defer s.mu.Unlock()
 	if s.planner.Index.Merge(state.Sets) {
 		s.configWatch.resync.Store(true)
-		s.configWatch.redirectTo(s.lease.Followed())
+		s.configWatch.redirectTo(s.lease.PollTarget())
 	}
 	now := s.clock()
 	s.config.cache.HandlePeerAnswer(now, state.NewestKnownRevision, state.Joined)
-	return state.ConfigRevision > s.config.cache.NewestHeld(s.planner.Revision()) && s.config.cache.TrustsPeers(now)
+	return state.ConfigRevision > s.config.cache.NewestHeld(s.planner.Revision()) && s.config.cache.AcceptsPeerConfig(now)
 }
 
 // registryDigest is a hash of a copy of the registry, by which a peer tells whether it has the
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -85,7 +85,7 @@
 	defer s.mu.Unlock()
 	if len(s.endpoints.Workloads()) == 0 {
 		_ = s.takeHeartbeat(heartbeat) // a heartbeat that is rejected is made good by the next one
-		s.applyEndpointChange(s.endpoints.Verified(s.clock(), heartbeat.Server))
+		s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), heartbeat.Server))
 	}
 	return true
 }
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -164,7 +164,7 @@
 	s.lease.HandleResponse(s.clock(), core, result.response)
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
 	s.lastCoreContact = s.clock()
-	s.budgetShare.SetMembers(s.watchedClock(), result.response.Members)
+	s.budgetShare.SetMemberCount(s.watchedClock(), result.response.Members)
 	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	if majorityAsOf := s.lease.MajorityAsOf(); majorityAsOf != 0 {
 		s.planner.RetryBudget.ShareRenewed(majorityAsOf)
@@ -178,7 +178,7 @@
 func (s *Sidecar) handleFailedRenewal(core ident.Addr, request record.Renewal, err error) {
 	s.count(counterRenewalsFailed)
 	if isConflict(err) {
-		s.lease.LeaseEnded()
+		s.lease.HandleLeaseSuperseded()
 		s.endLease(request.LeaseEpoch, err)
 		return
 	}
@@ -208,7 +208,7 @@
 // still there.
 func (s *Sidecar) suspectRegistrar() {
 	s.mu.Lock()
-	s.lease.Suspect()
+	s.lease.ExpediteRenewal()
 	s.mu.Unlock()
 	s.renewer.wake()
 }
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -116,15 +116,15 @@
 		config:          newConfigState(now),
 		cores:           newCoreList(cfg.Seeds, now),
 		lease:           holder.New(),
-		budgetShare:     holder.BudgetShare{Terms: cfg.RetryBudget},
+		budgetShare:     holder.BudgetShare{Limits: cfg.RetryBudget},
 		lastCoreContact: now,
 	}
 	s.renewer = newRenewer(s)
 	s.leaseJoiner = newLeaseJoiner(s)
 	s.configWatch = newConfigWatch(s)
 	s.peerQuerier = &peerQuerier{sidecar: s}
-	s.endpoints.WithHeartbeatInterval(cfg.HeartbeatInterval).Fenced = cfg.EndpointsVerifyTarget
-	s.endpoints.VerifyNewcomers = s.canAskEndpoints()
+	s.endpoints.WithHeartbeatInterval(cfg.HeartbeatInterval).EndpointsVerifyTarget = cfg.EndpointsVerifyTarget
+	s.endpoints.VerifyNewEndpoints = s.canAskEndpoints()
 	s.Metrics.BeforeSnapshot = s.refreshGauges
 	return s
 }
--- a/daemon/sidecar/verification.go
+++ b/daemon/sidecar/verification.go
@@ -26,7 +26,7 @@
 		if config != nil {
 			service, configured := config.Services[newcomer.Service]
 			if configured && service.HealthCheckPath == "" {
-				s.applyEndpointChange(s.endpoints.Verified(s.clock(), newcomer.Server))
+				s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), newcomer.Server))
 				continue
 			}
 		}
@@ -77,6 +77,6 @@
 func (s *Sidecar) markVerified(server ident.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyEndpointChange(s.endpoints.Verified(s.clock(), server))
+	s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), server))
 	s.Log.Info("endpoint verified", zap.String("server", string(server)))
 }
--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -16,13 +16,13 @@
 const (
 	// RequiredAcks is how many peers must hold a configuration before it is enforced.
 	RequiredAcks = 3
-	// MaxNotified is how many peers are notified of a new configuration at once.
-	MaxNotified = 5
+	// MaxNotifiedPeers is how many peers are notified of a new configuration at once.
+	MaxNotifiedPeers = 5
 	// ackTimeout bounds the wait for their acknowledgements: peers may be down or cut off.
 	ackTimeout = 300 * time.Millisecond
-	// PullDelay is after how long a notified peer fetches the configuration from the peer that
+	// PeerFetchDelay is after how long a notified peer fetches the configuration from the peer that
 	// notified it, if it has not come from a core by then.
-	PullDelay = 40 * time.Millisecond
+	PeerFetchDelay = 40 * time.Millisecond
 	// listenBeforeTrust is for how long a sidecar that has not joined collects answers of its
 	// peers before it takes a configuration from them.
 	listenBeforeTrust = 600 * time.Millisecond
@@ -125,8 +125,8 @@
 	}
 }
 
-// TrustsPeers reports whether a configuration may be taken from peers.
-func (c *Cache) TrustsPeers(now monotime.Time) bool {
+// AcceptsPeerConfig reports whether a configuration may be taken from peers.
+func (c *Cache) AcceptsPeerConfig(now monotime.Time) bool {
 	return c.joined || c.Disabled || c.joinedPeers > 0 && now.Since(c.startedAt) >= listenBeforeTrust
 }
 
@@ -179,14 +179,14 @@
 }
 
 // Add takes a confirmed configuration. It reports whether peers are to be notified of it now; peers
-// is how many there are, of whom at most MaxNotified will be.
+// is how many there are, of whom at most MaxNotifiedPeers will be.
 func (c *Cache) Add(now monotime.Time, config *validation.Config, active ident.ConfigRevision, peers int) bool {
 	if config.Revision <= c.NewestHeld(active) {
 		return false
 	}
 	c.newestAdded, c.missingSince = config.Revision, 0
 	c.ObservePeer(now, config.Revision)
-	held := &heldConfig{config: config, heldSince: now, outstanding: min(peers, MaxNotified)}
+	held := &heldConfig{config: config, heldSince: now, outstanding: min(peers, MaxNotifiedPeers)}
 	if c.oldest == nil || c.ExtendWait {
 		c.oldest = held
 	} else {
@@ -230,7 +230,7 @@
 // holds it too, so no acknowledgements are needed.
 func (c *Cache) takeTrusted(now monotime.Time) *validation.Config {
 	config := c.Pending()
-	if config.Revision < c.newestKnown || !c.TrustsPeers(now) {
+	if config.Revision < c.newestKnown || !c.AcceptsPeerConfig(now) {
 		return nil
 	}
 	return c.take(config)
--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -93,7 +93,7 @@
 	for d := time.Duration(0); d <= 2*listenBeforeTrust; d += listenBeforeTrust / 4 {
 		for _, peer := range m.peers {
 			m.sidecar.HandlePeerAnswer(m.now.Add(d), peer.NewestKnown(), true)
-			if m.sidecar.TrustsPeers(m.now.Add(d)) {
+			if m.sidecar.AcceptsPeerConfig(m.now.Add(d)) {
 				m.sidecar.receive(m.now.Add(d), max(peer.active, peer.NewestHeld(peer.active)), 0)
 			}
 		}
@@ -186,7 +186,7 @@
 				if elapsed%gap == 0 {
 					newest++
 					added[newest] = elapsed
-					s.receive(at(elapsed), newest, MaxNotified)
+					s.receive(at(elapsed), newest, MaxNotifiedPeers)
 					for range answering {
 						s.HandleAck(newest, true)
 					}
@@ -203,15 +203,15 @@
 // still waits for a silent peer; what they say of the older one then changes nothing.
 func TestNewestConfigurationPassesAnOlderOneThatWaits(t *testing.T) {
 	s := joinedSidecar(at(0), false)
-	s.receive(at(0), 2, MaxNotified)
-	s.receive(at(10*time.Millisecond), 3, MaxNotified)
+	s.receive(at(0), 2, MaxNotifiedPeers)
+	s.receive(at(10*time.Millisecond), 3, MaxNotifiedPeers)
 	for range RequiredAcks {
 		s.HandleAck(3, true)
 	}
 	s.activate(at(20 * time.Millisecond))
 	must.Eq(t, ident.ConfigRevision(3), s.active)
 	must.Nil(t, s.Pending())
-	for range MaxNotified {
+	for range MaxNotifiedPeers {
 		s.HandleAck(2, true)
 	}
 	s.activate(at(30 * time.Millisecond))
--- a/mesh/endpoint/addresses.go
+++ b/mesh/endpoint/addresses.go
@@ -15,7 +15,7 @@
 		return Change{}
 	}
 	var change Change
-	if t.VerifyNewcomers {
+	if t.VerifyNewEndpoints {
 		change = t.depart(previous, 0)
 	} else {
 		t.evictedAt[previous] = now
--- a/mesh/endpoint/departed_test.go
+++ b/mesh/endpoint/departed_test.go
@@ -119,7 +119,7 @@
 // newVerifyingTracker makes a tracker whose endpoints can be asked.
 func newVerifyingTracker() *Tracker {
 	tracker := New()
-	tracker.VerifyNewcomers, tracker.Fenced = true, true
+	tracker.VerifyNewEndpoints, tracker.EndpointsVerifyTarget = true, true
 	return tracker
 }
 
@@ -135,17 +135,17 @@
 		must.NotNil(t, rejection)
 	}
 	must.Eq(t, []Heartbeat{{Server: "a", Service: "one", Addr: "ip:1", State: Alive, Seq: 7, Weight: 1}}, tracker.Unverified())
-	must.True(t, tracker.Verified(at(time.Second), "a").Updated)
+	must.True(t, tracker.MarkVerified(at(time.Second), "a").WorkloadsChanged)
 	must.SliceEmpty(t, tracker.Unverified())
 	_, _, rejection := tracker.Check(at(time.Second), "a", "one")
 	must.Nil(t, rejection)
-	must.False(t, tracker.Verified(at(time.Second), "a").Updated)
+	must.False(t, tracker.MarkVerified(at(time.Second), "a").WorkloadsChanged)
 
 	take(t, tracker, time.Second, sequenced("a", "ip:1", Leaving, 8))
 	must.Eq(t, record.Draining, tracker.Workloads()[0].Status)
 	take(t, tracker, time.Second, Heartbeat{Server: "a", State: Gone})
 	take(t, tracker, time.Second, sequenced("a", "ip:1", Alive, 9))
-	must.False(t, tracker.Verified(at(time.Second), "a").Updated, must.Sprint("an answer that was given before the sign-off"))
+	must.False(t, tracker.MarkVerified(at(time.Second), "a").WorkloadsChanged, must.Sprint("an answer that was given before the sign-off"))
 	must.SliceEmpty(t, tracker.Workloads())
 }
 
@@ -154,7 +154,7 @@
 func TestOnlyAVerifiedNewcomerTakesAnAddress(t *testing.T) {
 	tracker := newVerifyingTracker()
 	take(t, tracker, 0, sequenced("new", "ip:1", Alive, 1))
-	tracker.Verified(at(0), "new")
+	tracker.MarkVerified(at(0), "new")
 	change, err := tracker.HandleHeartbeat(at(time.Millisecond), sequenced("old", "ip:1", Alive, 90))
 	must.Nil(t, err)
 	must.SliceEmpty(t, change.CloseAddrs)
@@ -169,7 +169,7 @@
 	must.SliceLen(t, 1, tracker.Workloads())
 
 	take(t, tracker, now, sequenced("newer", "ip:1", Alive, 1))
-	must.Eq(t, []ident.Addr{"ip:1"}, tracker.Verified(at(now), "newer").CloseAddrs)
+	must.Eq(t, []ident.Addr{"ip:1"}, tracker.MarkVerified(at(now), "newer").CloseAddrs)
 	take(t, tracker, now, sequenced("new", "ip:1", Alive, 99))
 	must.SliceLen(t, 1, tracker.Workloads())
 	must.Eq(t, "newer", tracker.Workloads()[0].UID)
--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -41,7 +41,7 @@
 // Tracker knows the endpoints of one machine. It reads no clock and does no I/O. Invariants: an
 // address belongs to one server at a time, the one with the newest heartbeat; leaving is never
 // taken back; a server that signed off, or whose address has passed on, is not let in again by a
-// late heartbeat, however late; with VerifyNewcomers no server becomes healthy that this run of the
+// late heartbeat, however late; with VerifyNewEndpoints no server becomes healthy that this run of the
 // sidecar knows by heartbeats alone, which may be older than a sign-off at an earlier run.
 type Tracker struct {
 	endpoints     map[ident.Server]*trackedEndpoint
@@ -51,12 +51,12 @@
 	lastTick      monotime.Time
 	distrustUntil monotime.Time
 	stopping      bool // the machine stops: an endpoint that comes now leaves with the rest
-	// Fenced says that endpoints reject requests that name another server, so a stale heartbeat
+	// EndpointsVerifyTarget says that endpoints reject requests that name another server, so a stale heartbeat
 	// does no harm and a process that was suspended may go on at once.
-	Fenced bool
-	// VerifyNewcomers says that endpoints can be asked: one that is not known yet stays unknown until
-	// Verified is called.
-	VerifyNewcomers bool
+	EndpointsVerifyTarget bool
+	// VerifyNewEndpoints says that endpoints can be asked: one that is not known yet stays unknown until
+	// MarkVerified is called.
+	VerifyNewEndpoints bool
 	// requestedInterval is the heartbeat interval that endpoints are asked for, 0 for
 	// HeartbeatInterval.
 	requestedInterval time.Duration
@@ -71,8 +71,8 @@
 
 // Change is the effect of a step.
 type Change struct {
-	// Updated says that what Workloads lists is different now.
-	Updated bool
+	// WorkloadsChanged says that what Workloads lists is different now.
+	WorkloadsChanged bool
 	// CloseAddrs lists the addresses whose open connections must be closed.
 	CloseAddrs []ident.Addr
 }
@@ -97,7 +97,7 @@
 // stalled reports whether this process was suspended just now, so that what it receives may be old.
 // Invariant: a stale heartbeat never makes a server healthy.
 func (t *Tracker) stalled(now monotime.Time) bool {
-	return !t.Fenced && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
+	return !t.EndpointsVerifyTarget && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
 }
 
 // HandleHeartbeat takes a heartbeat of an endpoint of this machine.
@@ -149,14 +149,14 @@
 	e.accept(now, heartbeat)
 	e.leaving = e.leaving || t.stopping
 	e.status = e.statusAt(now)
-	change.Updated = change.Updated || e.reportDiffers(&before)
+	change.WorkloadsChanged = change.WorkloadsChanged || e.reportDiffers(&before)
 	return change
 }
 
 func (t *Tracker) newEndpoint() *trackedEndpoint {
 	return &trackedEndpoint{
 		status:            record.Unknown,
-		unverified:        t.VerifyNewcomers && !t.ForgetDepartures,
+		unverified:        t.VerifyNewEndpoints && !t.ForgetDepartures,
 		skipChecks:        t.SkipChecks,
 		requestedInterval: t.requestedInterval,
 	}
@@ -174,7 +174,7 @@
 		return t.depart(heartbeat.Server, 0)
 	}
 	if !e.leaving {
-		e.leaving, change.Updated = true, true
+		e.leaving, change.WorkloadsChanged = true, true
 	}
 	e.status = e.statusAt(now)
 	return change
@@ -195,7 +195,7 @@
 	if e == nil {
 		return Change{}
 	}
-	change := Change{Updated: true, CloseAddrs: t.ownAddrs(server, e)}
+	change := Change{WorkloadsChanged: true, CloseAddrs: t.ownAddrs(server, e)}
 	delete(t.endpoints, server)
 	t.releaseAddr(server, e.Addr)
 	return change
@@ -228,7 +228,7 @@
 		e := t.endpoints[server]
 		if now.Since(e.lastHeartbeat) > max(forgetAfter, 2*e.heartbeatTimeout()) && !t.SkipChecks {
 			removed := t.forget(server)
-			change.CloseAddrs, change.Updated = append(change.CloseAddrs, removed.CloseAddrs...), true
+			change.CloseAddrs, change.WorkloadsChanged = append(change.CloseAddrs, removed.CloseAddrs...), true
 			t.Expired++
 			continue
 		}
@@ -236,7 +236,7 @@
 			if status == record.Unhealthy {
 				change.CloseAddrs = append(change.CloseAddrs, t.ownAddrs(server, e)...)
 			}
-			e.status, change.Updated = status, true
+			e.status, change.WorkloadsChanged = status, true
 		}
 	}
 	return change
@@ -282,8 +282,8 @@
 	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
 }
 
-// ConnectFailed notes that an endpoint refused a connection: it is unhealthy for a while.
-func (t *Tracker) ConnectFailed(now monotime.Time, server ident.Server) Change {
+// HandleConnectFailure notes that an endpoint refused a connection: it is unhealthy for a while.
+func (t *Tracker) HandleConnectFailure(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
 		return Change{}
@@ -291,7 +291,7 @@
 	e.unhealthyUntil = now.Add(unhealthyAfterFailure)
 	if status := e.statusAt(now); status != e.status {
 		e.status = status
-		return Change{Updated: true, CloseAddrs: []ident.Addr{e.Addr}}
+		return Change{WorkloadsChanged: true, CloseAddrs: []ident.Addr{e.Addr}}
 	}
 	return Change{}
 }
@@ -303,7 +303,7 @@
 		e.leaving = true
 		e.status = e.statusAt(now)
 	}
-	return Change{Updated: true}
+	return Change{WorkloadsChanged: true}
 }
 
 // Workloads lists the endpoints as the sidecar reports them to the registry.
--- a/mesh/endpoint/tracker_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -112,7 +112,7 @@
 func TestRefusedConnectionIsUnhealthy(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
-	must.True(t, tracker.ConnectFailed(at(10*time.Millisecond), "a").Updated)
+	must.True(t, tracker.HandleConnectFailure(at(10*time.Millisecond), "a").WorkloadsChanged)
 	must.Eq(t, record.Unhealthy, tracker.Workloads()[0].Status)
 	_, _ = tracker.HandleHeartbeat(at(300*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
 	_, _, err := tracker.Check(at(301*time.Millisecond), "a", "one")
@@ -154,7 +154,7 @@
 func TestNoEndpointIsHealthyOnAMachineThatStops(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
-	must.True(t, tracker.DrainAll(at(time.Millisecond)).Updated)
+	must.True(t, tracker.DrainAll(at(time.Millisecond)).WorkloadsChanged)
 	_, _ = tracker.HandleHeartbeat(at(2*time.Millisecond), newHeartbeat("b", "one", "ip:2", Alive))
 	for _, server := range []ident.Server{"a", "b"} {
 		_, _, err := tracker.Check(at(3*time.Millisecond), server, "one")
--- a/mesh/endpoint/verification.go
+++ b/mesh/endpoint/verification.go
@@ -8,7 +8,7 @@
 // Unverified lists the newest heartbeats of the endpoints that are to be asked whether they are
 // healthy.
 func (t *Tracker) Unverified() []Heartbeat {
-	if !t.VerifyNewcomers {
+	if !t.VerifyNewEndpoints {
 		return nil
 	}
 	var heartbeats []Heartbeat
@@ -20,8 +20,8 @@
 	return heartbeats
 }
 
-// Verified notes that a server has answered, after its first heartbeat came, that it is healthy.
-func (t *Tracker) Verified(now monotime.Time, server ident.Server) Change {
+// MarkVerified notes that a server has answered, after its first heartbeat came, that it is healthy.
+func (t *Tracker) MarkVerified(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil || !e.unverified {
 		return Change{}
@@ -29,6 +29,6 @@
 	e.unverified = false
 	change := t.takeAddr(now, server, e.Addr)
 	e.status = e.statusAt(now)
-	change.Updated = true
+	change.WorkloadsChanged = true
 	return change
 }
--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -20,8 +20,8 @@
 // never above what the cores last granted; once a request to lower the share was sent, it is not
 // above the amount of that request until the response to it or to a later one allows more.
 type BudgetShare struct {
-	// Terms are this sidecar's own limits: the smaller of its total and the cores' holds.
-	Terms       retrybudget.Limits
+	// Limits are this sidecar's own limits: the smaller of its total and the cores' holds.
+	Limits      retrybudget.Limits
 	total       int // of the whole mesh
 	granted     int
 	usable      int
@@ -32,10 +32,10 @@
 	requestedAt monotime.Time
 }
 
-// Start takes the grant that comes with a lease.
-func (s *BudgetShare) Start(now monotime.Time, grant quota.Share) {
+// Reset takes the grant that comes with a lease.
+func (s *BudgetShare) Reset(now monotime.Time, grant quota.Share) {
 	*s = BudgetShare{
-		Terms:       s.Terms,
+		Limits:      s.Limits,
 		total:       s.smallerTotal(grant),
 		granted:     grant.Amount,
 		usable:      min(grant.Amount, grant.FairShare),
@@ -47,18 +47,18 @@
 
 // smallerTotal is the smaller of this sidecar's total and the cores'.
 func (s *BudgetShare) smallerTotal(grant quota.Share) int {
-	own := s.Terms.WithDefaults().Extra
+	own := s.Limits.WithDefaults().Extra
 	if grant.Total != 0 {
 		return min(own, grant.Total)
 	}
 	return own
 }
 
-// Usable is how many retries this sidecar may spend within a window of Terms.
+// Usable is how many retries this sidecar may spend within a window of Limits.
 func (s *BudgetShare) Usable() int { return s.usable }
 
-// SetMembers takes how many sidecars a core sees. When there are more, less is used at once.
-func (s *BudgetShare) SetMembers(now monotime.Time, members int) {
+// SetMemberCount takes how many sidecars a core sees. When there are more, less is used at once.
+func (s *BudgetShare) SetMemberCount(now monotime.Time, members int) {
 	s.fair = quota.FairShare(s.total, members)
 	s.lowerToFair(now)
 }
@@ -76,7 +76,7 @@
 	if s.outstanding && now.Since(s.requestedAt) < requestTimeout {
 		return quota.Args{}, false
 	}
-	lower := s.usable < s.granted && now.Since(s.loweredAt) > s.Terms.SettleTime()
+	lower := s.usable < s.granted && now.Since(s.loweredAt) > s.Limits.SettleTime()
 	raise := s.usable == s.granted && s.granted < s.fair && now.Since(s.requestedAt) > raiseInterval
 	if !lower && !raise {
 		return quota.Args{}, false
@@ -84,7 +84,7 @@
 	s.seq++
 	s.outstanding, s.requestedAt = true, now
 	used := s.usable
-	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &used, Seq: s.seq, Total: s.Terms.WithDefaults().Extra}, true
+	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &used, Seq: s.seq, Total: s.Limits.WithDefaults().Extra}, true
 }
 
 // ApplyGrant takes the response to a request; only that to the newest one counts.
--- a/mesh/lease/holder/budgetshare_test.go
+++ b/mesh/lease/holder/budgetshare_test.go
@@ -58,7 +58,7 @@
 		share := &BudgetShare{}
 		grant, ok := r.apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
 		must.True(r.t, ok)
-		share.Start(r.now, grant)
+		share.Reset(r.now, grant)
 		r.shares, r.usable = append(r.shares, share), append(r.usable, nil)
 	}
 }
@@ -79,7 +79,7 @@
 // ask lets a sidecar send the request that is due, if any: it is lost, or arrives once or twice.
 func (r *sharesRun) ask(n int, share *BudgetShare) {
 	if r.rng.IntN(3) == 0 {
-		share.SetMembers(r.now, len(r.shares))
+		share.SetMemberCount(r.now, len(r.shares))
 	}
 	args, ok := share.NextRequest(r.now, ident.Node(fmt.Sprint(n)), 1)
 	for copies := r.rng.IntN(3); ok && copies > 0; copies-- {
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -40,8 +40,8 @@
 type Holder struct {
 	choice
 
-	followed  ident.Addr          // see Followed
-	answering map[ident.Addr]bool // cores that answered a renewal since one last failed to
+	pollTarget ident.Addr          // see PollTarget
+	answering  map[ident.Addr]bool // cores that answered a renewal since one last failed to
 
 	renewNow     bool // the last renewal failed, or did not suffice
 	outstanding  int  // cores that have not answered the last renewal yet
@@ -65,31 +65,31 @@
 	return &Holder{choice: newChoice(), answering: map[ident.Addr]bool{}}
 }
 
-// Followed is the core to poll for changes, "" when there is none. Invariant: it is a registrar
+// PollTarget is the core to poll for changes, "" when there is none. Invariant: it is a registrar
 // that answered in time, or the first that was chosen. A registrar that was chosen because the
 // last one was late is not followed before it answers: over a full link all of them are late,
 // and a poll that is broken off with each choice would never end.
-func (h *Holder) Followed() ident.Addr {
-	if h.followed == "" || h.answering[h.registrar] {
-		h.followed = h.registrar
+func (h *Holder) PollTarget() ident.Addr {
+	if h.pollTarget == "" || h.answering[h.registrar] {
+		h.pollTarget = h.registrar
 	}
-	return h.followed
+	return h.pollTarget
 }
 
-// LeaseGranted takes a new lease: no core is followed yet.
-func (h *Holder) LeaseGranted() {
+// HandleLeaseGranted takes a new lease: no core is followed yet.
+func (h *Holder) HandleLeaseGranted() {
 	clear(h.answering)
-	h.followed = ""
+	h.pollTarget = ""
 }
 
-// LeaseEnded takes the answer of a core that knows a newer lease of this node.
-func (h *Holder) LeaseEnded() {
+// HandleLeaseSuperseded takes the answer of a core that knows a newer lease of this node.
+func (h *Holder) HandleLeaseSuperseded() {
 	h.outstanding--
 	h.reportHeldBy = ""
 }
 
-// Suspect makes the next renewal due at once: the registrar may be gone.
-func (h *Holder) Suspect() { h.renewNow = true }
+// ExpediteRenewal makes the next renewal due at once: the registrar may be gone.
+func (h *Holder) ExpediteRenewal() { h.renewNow = true }
 
 // ReportChanged reports whether a report differs from the one that was sent last.
 func (h *Holder) ReportChanged(leaseEpoch ident.LeaseEpoch, report record.Report) bool {
--- a/mesh/lease/holder/holder_test.go
+++ b/mesh/lease/holder/holder_test.go
@@ -75,7 +75,7 @@
 			result.deliver()
 		}
 		h.holder.ChooseRegistrar(h.now, "n", "y", h.cores)
-		h.holder.Followed()
+		h.holder.PollTarget()
 		if !h.holder.RenewalDue(h.now, false) {
 			continue
 		}
@@ -123,7 +123,7 @@
 		must.Less(t, leasetable.LeaseTTL, h.gap, must.Sprint(how))
 		must.NotEq(t, registrar, h.sent[len(h.sent)-1])
 		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, h.holder.Registrar(), must.Sprint("the other core of the zone"))
-		must.Eq(t, h.holder.Registrar(), h.holder.Followed(), must.Sprint(how))
+		must.Eq(t, h.holder.Registrar(), h.holder.PollTarget(), must.Sprint(how))
 		h.behaviour[registrar] = answers
 		h.run(20 * time.Second)
 		must.Eq(t, registrar, h.holder.Registrar(), must.Sprint(how))
@@ -136,7 +136,7 @@
 func TestFollowedCoreStaysUntilAnotherAnswers(t *testing.T) {
 	h := newHarness()
 	h.run(5 * time.Second)
-	followed := h.holder.Followed()
+	followed := h.holder.PollTarget()
 	must.Eq(t, followed, h.holder.Registrar())
 	for _, core := range h.cores {
 		h.behaviour[core] = silent
@@ -145,7 +145,7 @@
 	for range 100 {
 		h.run(100 * time.Millisecond)
 		changed = changed || h.holder.Registrar() != followed
-		must.Eq(t, followed, h.holder.Followed())
+		must.Eq(t, followed, h.holder.PollTarget())
 	}
 	must.True(t, changed)
 	for _, core := range h.cores {
@@ -154,8 +154,8 @@
 		}
 	}
 	h.run(3 * time.Second)
-	must.NotEq(t, followed, h.holder.Followed())
-	must.Eq(t, h.holder.Registrar(), h.holder.Followed())
+	must.NotEq(t, followed, h.holder.PollTarget())
+	must.Eq(t, h.holder.Registrar(), h.holder.PollTarget())
 }
 
 // When no core is healthy, renewals are not sent faster than usual, to three cores each, and the
--- a/sim/world/forward.go
+++ b/sim/world/forward.go
@@ -49,7 +49,7 @@
 func (s *Sidecar) connect(addr ident.Addr, server ident.Server) (*Endpoint, *failure.Error) {
 	e := s.world.endpoints[addr]
 	if e == nil {
-		s.endpointsChanged(s.tracker.ConnectFailed(s.localTime(), server))
+		s.endpointsChanged(s.tracker.HandleConnectFailure(s.localTime(), server))
 		return nil, failure.New(failure.Unreachable, "no connection")
 	}
 	return e, nil
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -119,8 +119,8 @@
 	s.queue = priorityqueue.New[*queuedCall](w.MaxSenders, w.MaxSenders)
 	s.queue.IgnoreUrgency = w.Mutant == MutantIgnoreUrgency
 	if w.Platform {
-		s.tracker.WithHeartbeatInterval(heartbeatInterval).Fenced = true
-		s.tracker.VerifyNewcomers, s.verifying = true, map[ident.Server]bool{}
+		s.tracker.WithHeartbeatInterval(heartbeatInterval).EndpointsVerifyTarget = true
+		s.tracker.VerifyNewEndpoints, s.verifying = true, map[ident.Server]bool{}
 		s.admission = admission.New(admission.DefaultSettings())
 		s.waiters, s.lastWaiterID, s.admittedEndpoints, s.probed = map[uint64]*waiter{}, 0, nil, false
 	}
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -28,7 +28,7 @@
 		s.showConfig()
 		return
 	}
-	for _, p := range peers[:min(len(peers), configcache.MaxNotified)] {
+	for _, p := range peers[:min(len(peers), configcache.MaxNotifiedPeers)] {
 		rpc(s, &p.process, announceTimeout, func(respond func(struct{}, *failure.Error)) {
 			p.configAnnounced(config, func() { respond(struct{}{}, nil) })
 		}, func(r reply[struct{}]) {
@@ -51,7 +51,7 @@
 		return
 	}
 	generation := s.generation
-	s.world.After(configcache.PullDelay, func() {
+	s.world.After(configcache.PeerFetchDelay, func() {
 		s.runInGeneration(generation, func() {
 			s.applyConfig(config)
 			done()
@@ -115,7 +115,7 @@
 		s.feed.restart()
 	}
 	s.configCache.HandlePeerAnswer(s.localTime(), response.newestKnown, response.hasLease)
-	if s.configCache.TrustsPeers(s.localTime()) {
+	if s.configCache.AcceptsPeerConfig(s.localTime()) {
 		s.applyConfig(response.config)
 	}
 }
--- a/sim/world/sidecarendpoints.go
+++ b/sim/world/sidecarendpoints.go
@@ -63,7 +63,7 @@
 				return
 			}
 			if s.router.Revision() > 0 && s.world.answersAsHealthy(newcomer) {
-				s.endpointsChanged(s.tracker.Verified(s.localTime(), server))
+				s.endpointsChanged(s.tracker.MarkVerified(s.localTime(), server))
 			}
 			s.world.After(verifyPause, ask)
 		})
@@ -90,7 +90,7 @@
 
 // endpointsChanged carries a change of the tracker over to the admission queue.
 func (s *Sidecar) endpointsChanged(change endpoint.Change) {
-	if s.world.Platform && change.Updated && !(s.leaving && s.world.Mutant == MutantQueueInStop) {
+	if s.world.Platform && change.WorkloadsChanged && !(s.leaving && s.world.Mutant == MutantQueueInStop) {
 		s.syncAdmission()
 	}
 }
@@ -142,7 +142,7 @@
 		s.runInGeneration(generation, func() {
 			if len(s.tracker.Workloads()) == 0 && !s.leaving {
 				s.handleHeartbeat(e, heartbeat)
-				s.endpointsChanged(s.tracker.Verified(s.localTime(), e.Server))
+				s.endpointsChanged(s.tracker.MarkVerified(s.localTime(), e.Server))
 			}
 		})
 	})
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -68,8 +68,8 @@
 	s.router.MinRevision = max(s.router.MinRevision, lease.ConfigRevision)
 	s.configCache.MarkJoined()
 	s.coreHeardAt = s.localTime()
-	s.lease.LeaseGranted()
-	s.budgetShare.Start(s.watchedTime(), lease.Share)
+	s.lease.HandleLeaseGranted()
+	s.budgetShare.Reset(s.watchedTime(), lease.Share)
 	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 }
 
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -64,7 +64,7 @@
 			if renewal.LeaseEpoch == s.leaseEpoch {
 				s.hasLease = false
 			}
-			s.lease.LeaseEnded()
+			s.lease.HandleLeaseSuperseded()
 		default:
 			s.leaseRenewed(c, addr, r.value)
 		}
@@ -88,7 +88,7 @@
 	response.Stale = response.Stale && s.world.Mutant != MutantStay
 	s.lease.HandleResponse(s.localTime(), addr, response)
 	s.coreHeardAt = s.localTime()
-	s.budgetShare.SetMembers(s.watchedTime(), response.Members)
+	s.budgetShare.SetMemberCount(s.watchedTime(), response.Members)
 	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 	if asOf := s.lease.MajorityAsOf(); asOf != 0 {
 		s.router.RetryBudget.ShareRenewed(asOf)
@@ -96,7 +96,7 @@
 	s.renew()
 	switch {
 	case response.ConfigRevision <= s.router.Revision():
-	case addr != s.lease.Followed():
+	case addr != s.lease.PollTarget():
 		s.fetchConfig(c)
 	default:
 		s.feed.polling = false // polls again, for this core knows a newer configuration
--- a/sim/world/sidecarpoll.go
+++ b/sim/world/sidecarpoll.go
@@ -53,7 +53,7 @@
 // poll follows the registry and the configuration at a core. Where the daemon polls for long,
 // this polls at each tick.
 func (s *Sidecar) poll() {
-	if followed := s.lease.Followed(); followed != s.feed.core {
+	if followed := s.lease.PollTarget(); followed != s.feed.core {
 		s.feed.follow(followed)
 	}
 	if s.feed.polling || s.world.Mutant == MutantDeaf && s.world.Rng.IntN(deafPolls) > 0 {
@@ -87,7 +87,7 @@
 	s.feed.polling = false
 	if r.lost {
 		s.feed.generation = 0
-		s.lease.Suspect()
+		s.lease.ExpediteRenewal()
 		return
 	}
 	response := r.value
@@ -96,7 +96,7 @@
 	s.router.Index.Merge(response.sets)
 	s.applyConfig(response.config)
 	if response.stale && !s.feed.stale {
-		s.lease.Suspect()
+		s.lease.ExpediteRenewal()
 		s.renew()
 	}
 	s.feed.stale = response.stale
