--- a/mesh/endpoint/tracker.go
+++ b/mesh/endpoint/tracker.go
@@ -1,6 +1,6 @@
-// Package endpoint tracks the endpoints of one machine by their heartbeats. Its Tracker derives
-// their health for the registry and checks, just before a request goes to an endpoint, that the
-// endpoint still is the one that was meant: addresses are reused by other servers and services.
+// Package endpoint tracks the endpoints of one machine by their heartbeats. The Tracker derives
+// their health for the registry. Just before a request is sent, the Tracker checks that the address
+// still belongs to the selected server, because other servers and services reuse addresses.
 package endpoint
 
 import (
@@ -15,69 +15,76 @@
 )
 
 const (
-	// HeartbeatTimeout is how long an endpoint may go without a heartbeat.
+	// HeartbeatTimeout is how long an endpoint may go without a heartbeat before it is unhealthy.
 	HeartbeatTimeout = 1100 * time.Millisecond
-	// MaxHeartbeatTimeout is the same for an endpoint whose heartbeats come at a longer interval
-	// than the one that it is asked to keep.
-	// Invariant: with the longest dial it stays below the shortest reuseAfterS, the time after
-	// which another server may use the address.
+	// MaxHeartbeatTimeout is the longest timeout of an endpoint whose heartbeats arrive at a longer
+	// interval than the requested one.
+	// Invariant: MaxHeartbeatTimeout plus the longest dial stays below the shortest reuseAfterS,
+	// the time after which another server may use the address.
 	MaxHeartbeatTimeout = 1600 * time.Millisecond
 	// HeartbeatInterval is the interval that endpoints are asked to keep.
 	HeartbeatInterval = 300 * time.Millisecond
-	// stallThreshold is how long without a Tick means that this process was suspended.
+	// stallThreshold is the time without a Tick after which this process counts as suspended.
 	stallThreshold = 400 * time.Millisecond
-	// distrustAfterStall is for how long after a stall heartbeats that say alive are ignored:
-	// they may have lain in a socket since before the endpoint ended.
+	// distrustAfterStall is how long after a stall heartbeats with state alive are ignored: they
+	// may have been in a socket buffer since before the endpoint ended.
 	distrustAfterStall = 500 * time.Millisecond
-	// forgetAfter is how long an endpoint without heartbeats is kept as unhealthy.
+	// forgetAfter is how long an endpoint without heartbeats is kept as unhealthy before it is
+	// removed.
 	forgetAfter = 4 * time.Second
-	// evictionRetention is for how long a server can't come back whose address another one has taken
-	// by a heartbeat that was not verified.
-	evictionRetention = 3 * time.Second
-	// unhealthyAfterFailure is for how long an endpoint is unhealthy that refused a connection.
+	// evictionDuration is how long heartbeats of a server are ignored after an unverified heartbeat
+	// of another server has taken over its address.
+	evictionDuration = 3 * time.Second
+	// unhealthyAfterFailure is how long an endpoint is unhealthy after it refused a connection.
 	unhealthyAfterFailure = 700 * time.Millisecond
 )
 
-// Tracker knows the endpoints of one machine. It reads no clock and does no I/O. Invariants: an
-// address belongs to one server at a time, the one with the newest heartbeat; leaving is never
-// taken back; a server that signed off, or whose address has passed on, is not let in again by a
-// late heartbeat, however late; with VerifyNewEndpoints no server becomes healthy that this run of the
-// sidecar knows by heartbeats alone, which may be older than a sign-off at an earlier run.
+// Tracker tracks the endpoints of one machine. Tracker reads no clock and does no I/O.
+//
+// Invariants: an address belongs to one server at a time, the server with the newest heartbeat. A
+// server that is leaving never becomes available again. A late heartbeat, however late, never
+// readmits a server that signed off or whose address was assigned to another server. With
+// VerifyNewEndpoints, a server that this run of the sidecar knows only from heartbeats does not
+// become healthy, because the heartbeats may be older than a sign-off that an earlier run of the
+// sidecar received.
 type Tracker struct {
 	endpoints     map[ident.Server]*trackedEndpoint
 	serverByAddr  map[ident.Addr]ident.Server
 	departed      departedServers
-	evictedAt     map[ident.Server]monotime.Time // by a heartbeat that was not verified
+	evictedAt     map[ident.Server]monotime.Time // evictions by unverified heartbeats
 	lastTick      monotime.Time
 	distrustUntil monotime.Time
-	stopping      bool // the machine stops: an endpoint that comes now leaves with the rest
-	// EndpointsVerifyTarget says that endpoints reject requests that name another server, so a stale heartbeat
-	// does no harm and a process that was suspended may go on at once.
+	stopping      bool // the machine is stopping: new endpoints are marked as leaving too
+	// EndpointsVerifyTarget means that endpoints reject requests addressed to another server. A
+	// stale heartbeat then does no harm, and a process that was suspended may continue at once.
 	EndpointsVerifyTarget bool
-	// VerifyNewEndpoints says that endpoints can be asked: one that is not known yet stays unknown until
-	// MarkVerified is called.
+	// VerifyNewEndpoints means that endpoints can be asked for their health: a new endpoint has
+	// status unknown until MarkVerified is called.
 	VerifyNewEndpoints bool
-	// requestedInterval is the heartbeat interval that endpoints are asked for, 0 for
+	// requestedInterval is the heartbeat interval that endpoints are asked to keep, 0 for
 	// HeartbeatInterval.
 	requestedInterval time.Duration
-	// SkipChecks, when set, switches the checks off; only tests of the checkers do that.
+	// SkipChecks disables the checks. Only tests that verify that the checkers detect a fault set
+	// SkipChecks.
 	SkipChecks bool
-	// ForgetDepartures, when set, lets late heartbeats bring endpoints back; only tests of the
-	// checkers do that.
+	// ForgetDepartures allows late heartbeats to readmit departed endpoints. Only tests that verify
+	// that the checkers detect a fault set ForgetDepartures.
 	ForgetDepartures bool
-	// Counters.
+	// Counters: Accepted and Rejected count the results of Check; Expired counts endpoints removed
+	// for missing heartbeats; StaleHeartbeats counts heartbeats ignored after a stall;
+	// LateHeartbeats counts heartbeats of departed servers.
 	Accepted, Rejected, Expired, StaleHeartbeats, LateHeartbeats uint64
 }
 
-// Change is the effect of a step.
+// Change tells the caller what a call to the Tracker has changed.
 type Change struct {
-	// WorkloadsChanged says that what Workloads lists is different now.
+	// WorkloadsChanged means that Workloads returns a different list now.
 	WorkloadsChanged bool
-	// CloseAddrs lists the addresses whose open connections must be closed.
+	// CloseAddrs lists the addresses whose open connections the caller must close.
 	CloseAddrs []ident.Addr
 }
 
-// New makes a tracker without endpoints.
+// New returns a tracker without endpoints.
 func New() *Tracker {
 	return &Tracker{
 		endpoints:    map[ident.Server]*trackedEndpoint{},
@@ -87,20 +94,21 @@
 	}
 }
 
-// WithHeartbeatInterval sets the heartbeat interval that endpoints are asked for, where it is not
-// HeartbeatInterval; it returns the tracker itself.
+// WithHeartbeatInterval sets the heartbeat interval that endpoints are asked to keep, 0 for
+// HeartbeatInterval, and returns the tracker itself.
 func (t *Tracker) WithHeartbeatInterval(interval time.Duration) *Tracker {
 	t.requestedInterval = interval
 	return t
 }
 
-// stalled reports whether this process was suspended just now, so that what it receives may be old.
-// Invariant: a stale heartbeat never makes a server healthy.
+// stalled reports whether this process was recently suspended, so that received heartbeats may be
+// stale. Invariant: a stale heartbeat never makes a server healthy.
 func (t *Tracker) stalled(now monotime.Time) bool {
 	return !t.EndpointsVerifyTarget && (t.distrustUntil.After(now) || t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold)
 }
 
-// HandleHeartbeat takes a heartbeat of an endpoint of this machine.
+// HandleHeartbeat processes a heartbeat of an endpoint of this machine. Stale, late and repeated
+// heartbeats change nothing; an invalid heartbeat is a failure.
 func (t *Tracker) HandleHeartbeat(now monotime.Time, heartbeat Heartbeat) (Change, *failure.Error) {
 	if heartbeat.State == Alive && t.stalled(now) {
 		t.StaleHeartbeats++
@@ -113,9 +121,9 @@
 		return Change{}, nil
 	}
 	if heartbeat.State == Gone {
-		return t.depart(heartbeat.Server, heartbeat.Seq), nil
+		return t.markDeparted(heartbeat.Server, heartbeat.Seq), nil
 	}
-	if t.departed.sentBefore(heartbeat) {
+	if t.departed.predatesDeparture(heartbeat) {
 		t.LateHeartbeats++
 		return Change{}, nil
 	}
@@ -126,7 +134,7 @@
 }
 
 func (t *Tracker) handleAlive(now monotime.Time, heartbeat Heartbeat) Change {
-	if evictedAt, evicted := t.evictedAt[heartbeat.Server]; evicted && now.Since(evictedAt) < evictionRetention {
+	if evictedAt, evicted := t.evictedAt[heartbeat.Server]; evicted && now.Since(evictedAt) < evictionDuration {
 		return Change{}
 	}
 	if heartbeat.Weight == 0 {
@@ -139,14 +147,14 @@
 	}
 	var change Change
 	if !e.unverified {
-		change = t.takeAddr(now, heartbeat.Server, heartbeat.Addr)
+		change = t.assignAddr(now, heartbeat.Server, heartbeat.Addr)
 	}
 	if e.Addr != "" && e.Addr != heartbeat.Addr {
 		change.CloseAddrs = append(change.CloseAddrs, e.Addr)
 		t.releaseAddr(heartbeat.Server, e.Addr)
 	}
 	before := *e
-	e.accept(now, heartbeat)
+	e.recordHeartbeat(now, heartbeat)
 	e.leaving = e.leaving || t.stopping
 	e.status = e.statusAt(now)
 	change.WorkloadsChanged = change.WorkloadsChanged || e.reportDiffers(&before)
@@ -162,8 +170,9 @@
 	}
 }
 
-// handleLeaving marks an endpoint as leaving, also while heartbeats are not trusted. One that is not
-// known then has left: it must not become healthy by what it sent before.
+// handleLeaving marks an endpoint as leaving, even while alive heartbeats are ignored after a stall.
+// An endpoint that is unknown at that time is recorded as departed, so that an earlier heartbeat
+// that arrives later can't make the endpoint healthy.
 func (t *Tracker) handleLeaving(now monotime.Time, heartbeat Heartbeat) Change {
 	var change Change
 	if !t.stalled(now) {
@@ -171,7 +180,7 @@
 	}
 	e := t.endpoints[heartbeat.Server]
 	if e == nil {
-		return t.depart(heartbeat.Server, 0)
+		return t.markDeparted(heartbeat.Server, 0)
 	}
 	if !e.leaving {
 		e.leaving, change.WorkloadsChanged = true, true
@@ -180,40 +189,40 @@
 	return change
 }
 
-// depart remembers that a server has left, and forgets its endpoint if that is known; seq is that of
-// its sign-off, 0 if there is none.
-func (t *Tracker) depart(server ident.Server, seq uint64) Change {
+// markDeparted records that a server has departed and removes its endpoint, if known; seq is the
+// Seq of the sign-off, 0 if there was none.
+func (t *Tracker) markDeparted(server ident.Server, seq uint64) Change {
 	if !t.ForgetDepartures {
 		t.departed.add(server, seq)
 	}
 	return t.remove(server)
 }
 
-// remove forgets an endpoint, if it is known, and has its connections closed.
+// remove removes an endpoint, if known; the returned Change lists the connections to close.
 func (t *Tracker) remove(server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
 		return Change{}
 	}
-	change := Change{WorkloadsChanged: true, CloseAddrs: t.ownAddrs(server, e)}
+	change := Change{WorkloadsChanged: true, CloseAddrs: t.ownedAddrs(server, e)}
 	delete(t.endpoints, server)
 	t.releaseAddr(server, e.Addr)
 	return change
 }
 
-// Tick notices stalls of this process and endpoints without heartbeats. It is to be called more
-// often than every stallThreshold.
+// Tick detects stalls of this process and endpoints without heartbeats. The caller must call Tick
+// more often than every stallThreshold.
 func (t *Tracker) Tick(now monotime.Time) Change {
 	if t.lastTick != 0 && now.Since(t.lastTick) > stallThreshold {
 		t.recoverFromStall(now)
 	}
 	t.lastTick = now
-	maps.DeleteFunc(t.evictedAt, func(_ ident.Server, evictedAt monotime.Time) bool { return now.Since(evictedAt) > evictionRetention })
+	maps.DeleteFunc(t.evictedAt, func(_ ident.Server, evictedAt monotime.Time) bool { return now.Since(evictedAt) > evictionDuration })
 	return t.refreshStatuses(now)
 }
 
-// recoverFromStall begins the time in which heartbeats are not trusted. The time of the stall does
-// not count as retention of evictions, for nothing was received in it.
+// recoverFromStall starts the period in which alive heartbeats are ignored. The duration of the
+// stall does not count towards evictionDuration, because no heartbeat was received during the stall.
 func (t *Tracker) recoverFromStall(now monotime.Time) {
 	t.distrustUntil = now.Add(distrustAfterStall)
 	for server, evictedAt := range t.evictedAt {
@@ -221,8 +230,9 @@
 	}
 }
 
-// refreshStatuses updates the status of every endpoint and forgets those that are long silent. One
-// that was leaving has left, and does not come back by a heartbeat that it sent before.
+// refreshStatuses updates the status of every endpoint and removes endpoints without heartbeats
+// for forgetAfter or longer. Such an endpoint that was leaving is recorded as departed, so that a
+// late heartbeat does not readmit it.
 func (t *Tracker) refreshStatuses(now monotime.Time) (change Change) {
 	for _, server := range t.sortedServers() {
 		e := t.endpoints[server]
@@ -234,7 +244,7 @@
 		}
 		if status := e.statusAt(now); status != e.status {
 			if status == record.Unhealthy {
-				change.CloseAddrs = append(change.CloseAddrs, t.ownAddrs(server, e)...)
+				change.CloseAddrs = append(change.CloseAddrs, t.ownedAddrs(server, e)...)
 			}
 			e.status, change.WorkloadsChanged = status, true
 		}
@@ -242,21 +252,22 @@
 	return change
 }
 
-// forget removes an endpoint that is silent or whose address is another's. One that was leaving has
-// departed.
+// forget removes an endpoint that sends no heartbeats or whose address was assigned to another
+// server. An endpoint that was leaving is recorded as departed.
 func (t *Tracker) forget(server ident.Server) Change {
 	if e := t.endpoints[server]; e != nil && e.leaving {
-		return t.depart(server, 0)
+		return t.markDeparted(server, 0)
 	}
 	return t.remove(server)
 }
 
-// sortedServers lists the servers in a fixed order, so that runs can be repeated.
+// sortedServers lists the servers in lexical order, so that simulator runs are reproducible.
 func (t *Tracker) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(t.endpoints)) }
 
-// Check is asked just before a request goes to an endpoint, and again just before its first byte.
-// It gives the endpoint's address and until when the first byte may go, or why the request must
-// not go there: then it has not been executed.
+// Check decides whether a request may be sent to an endpoint. Callers call Check just before they
+// connect, and again just before they send the first byte. Check returns the endpoint's address and
+// the time until which the first byte may be sent, or a failure if the request must not be sent;
+// the request has then not been executed.
 func (t *Tracker) Check(
 	now monotime.Time, server ident.Server, service ident.Service,
 ) (addr ident.Addr, validUntil monotime.Time, err *failure.Error) {
@@ -266,11 +277,11 @@
 	}
 	switch {
 	case t.stalled(now):
-		err = failure.New(failure.EndpointRejected, "this process was suspended and awaits new heartbeats")
+		err = failure.New(failure.EndpointRejected, "the sidecar was suspended and waits for a new heartbeat of server %q", server)
 	case e == nil:
-		err = failure.New(failure.EndpointRejected, "server %q is not here", server)
+		err = failure.New(failure.EndpointRejected, "server %q is not an endpoint of this machine", server)
 	case e.Service != service:
-		err = failure.New(failure.EndpointRejected, "server %q does not serve %q", server, service)
+		err = failure.New(failure.EndpointRejected, "server %q does not serve service %q", server, service)
 	case e.statusAt(now) != record.Healthy:
 		err = failure.New(failure.EndpointRejected, "server %q is %s", server, e.statusAt(now))
 	}
@@ -282,7 +293,8 @@
 	return e.Addr, e.lastHeartbeat.Add(e.heartbeatTimeout()), nil
 }
 
-// HandleConnectFailure notes that an endpoint refused a connection: it is unhealthy for a while.
+// HandleConnectFailure records that an endpoint refused a connection. The endpoint is unhealthy for
+// unhealthyAfterFailure.
 func (t *Tracker) HandleConnectFailure(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil {
@@ -296,7 +308,8 @@
 	return Change{}
 }
 
-// DrainAll marks every endpoint as leaving, and those that come later too: the machine stops.
+// DrainAll marks every endpoint as leaving, including endpoints that appear later, because the
+// machine is stopping.
 func (t *Tracker) DrainAll(now monotime.Time) Change {
 	t.stopping = true
 	for _, e := range t.endpoints {
@@ -306,7 +319,7 @@
 	return Change{WorkloadsChanged: true}
 }
 
-// Workloads lists the endpoints as the sidecar reports them to the registry.
+// Workloads lists the endpoints in the form in which the sidecar reports them to the registry.
 func (t *Tracker) Workloads() []record.Workload {
 	workloads := []record.Workload{}
 	for _, server := range t.sortedServers() {
--- a/mesh/endpoint/tracker_test.go
+++ b/mesh/endpoint/tracker_test.go
@@ -18,10 +18,11 @@
 	return Heartbeat{Server: server, Service: service, Addr: addr, State: state}
 }
 
-// Leaving, signing off, late heartbeats and reuse of the address by another service, in every
-// order, in milliseconds and with seconds or a minute between: once a server has left or signed off, or another server's heartbeat has come from its
-// address, no request is let through to it.
-func TestAllOrdersOfLeavingAndReuse(t *testing.T) {
+// A server leaves, signs off, sends late heartbeats, and another service reuses the address, in
+// every order and with milliseconds, seconds or a minute between the heartbeats. No request may be
+// sent to the server once the server has left or signed off, or once a heartbeat of another server
+// has come from its address.
+func TestAllOrdersOfDepartureAndAddressReuse(t *testing.T) {
 	heartbeats := []Heartbeat{
 		newHeartbeat("a", "one", "ip:1", Alive),
 		newHeartbeat("a", "one", "ip:1", Leaving),
@@ -31,20 +32,20 @@
 	}
 	for _, order := range meshtest.Permutations(len(heartbeats)) {
 		for _, gap := range []time.Duration{20 * time.Millisecond, 4 * time.Second, time.Minute} {
-			checkOrderOfLeavingAndReuse(t, heartbeats, order, gap)
+			checkOrderOfDepartureAndReuse(t, heartbeats, order, gap)
 		}
 	}
 }
 
-// checkOrderOfLeavingAndReuse is TestAllOrdersOfLeavingAndReuse in one order, with a gap between two
-// heartbeats.
-func checkOrderOfLeavingAndReuse(t *testing.T, heartbeats []Heartbeat, order []int, gap time.Duration) {
+// checkOrderOfDepartureAndReuse runs TestAllOrdersOfDepartureAndAddressReuse for one order of the
+// heartbeats and one gap between them.
+func checkOrderOfDepartureAndReuse(t *testing.T, heartbeats []Heartbeat, order []int, gap time.Duration) {
 	tracker := New()
 	elapsed := time.Duration(0)
 	left := false
 	var lastAtAddr ident.Server
 	for step, i := range order {
-		elapsed = pass(tracker, elapsed, gap)
+		elapsed = advance(tracker, elapsed, gap)
 		now := at(elapsed)
 		tracker.Tick(now)
 		heartbeat := heartbeats[i]
@@ -56,20 +57,20 @@
 		}
 		addr, _, rejection := tracker.Check(now, "a", "one")
 		if left {
-			must.NotNil(t, rejection, must.Sprintf("order %v step %d, %v apart: passed to a server that left", order, step, gap))
+			must.NotNil(t, rejection, must.Sprintf("order %v step %d, %v apart: request accepted for a server that left", order, step, gap))
 		}
 		if rejection == nil {
-			must.Eq(t, "a", lastAtAddr, must.Sprintf("order %v step %d: address is another's", order, step))
+			must.Eq(t, "a", lastAtAddr, must.Sprintf("order %v step %d: the address belongs to another server", order, step))
 			must.Eq(t, ident.Addr("ip:1"), addr)
 		}
 		_, _, rejection = tracker.Check(now, "b", "one")
-		must.NotNil(t, rejection, must.Sprint("passed as a service it does not serve"))
+		must.NotNil(t, rejection, must.Sprint("request accepted for a service that server b does not serve"))
 	}
 }
 
-// An endpoint without heartbeats is forgotten, and its connections are closed, well before
-// reuseAfterS is over.
-func TestSilentEndpointIsForgottenInTime(t *testing.T) {
+// An endpoint without heartbeats is rejected and removed, and its connections are closed, well
+// before another server may reuse its address (reuseAfterS).
+func TestSilentEndpointIsRemovedBeforeAddressReuse(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
 	closedAfter, rejectedAfter := time.Duration(0), time.Duration(0)
@@ -86,30 +87,31 @@
 	must.SliceEmpty(t, tracker.Workloads())
 }
 
-// After this process was suspended, heartbeats that may have lain in a socket make no endpoint
-// healthy and no request is let through; fresh heartbeats count again after distrustAfterStall.
-func TestHeartbeatsFromBeforeAFreezeAreNotTrusted(t *testing.T) {
+// After this process was suspended, heartbeats that may have waited in a socket buffer make no
+// endpoint healthy, and Check accepts no request. New heartbeats count again after
+// distrustAfterStall.
+func TestHeartbeatsFromBeforeSuspensionAreIgnored(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
 	tracker.Tick(at(0))
-	thaw := 5 * time.Second
-	_, _ = tracker.HandleHeartbeat(at(thaw), newHeartbeat("a", "one", "ip:1", Alive)) // sent long ago
-	_, _, err := tracker.Check(at(thaw), "a", "one")
+	resumedAt := 5 * time.Second
+	_, _ = tracker.HandleHeartbeat(at(resumedAt), newHeartbeat("a", "one", "ip:1", Alive)) // sent long ago
+	_, _, err := tracker.Check(at(resumedAt), "a", "one")
 	must.NotNil(t, err)
-	tracker.Tick(at(thaw + time.Millisecond))
-	_, _ = tracker.HandleHeartbeat(at(thaw+2*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
-	_, _, err = tracker.Check(at(thaw+3*time.Millisecond), "a", "one")
+	tracker.Tick(at(resumedAt + time.Millisecond))
+	_, _ = tracker.HandleHeartbeat(at(resumedAt+2*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err = tracker.Check(at(resumedAt+3*time.Millisecond), "a", "one")
 	must.NotNil(t, err)
 	for elapsed := 40 * time.Millisecond; elapsed < 900*time.Millisecond; elapsed += 40 * time.Millisecond {
-		tracker.Tick(at(thaw + elapsed))
+		tracker.Tick(at(resumedAt + elapsed))
 	}
-	_, _ = tracker.HandleHeartbeat(at(thaw+900*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
-	_, _, err = tracker.Check(at(thaw+901*time.Millisecond), "a", "one")
+	_, _ = tracker.HandleHeartbeat(at(resumedAt+900*time.Millisecond), newHeartbeat("a", "one", "ip:1", Alive))
+	_, _, err = tracker.Check(at(resumedAt+901*time.Millisecond), "a", "one")
 	must.Nil(t, err)
 }
 
-// A refused connection makes the endpoint unhealthy at once, for unhealthyAfterFailure.
-func TestRefusedConnectionIsUnhealthy(t *testing.T) {
+// A refused connection makes the endpoint unhealthy immediately and for unhealthyAfterFailure.
+func TestRefusedConnectionMakesEndpointUnhealthy(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
 	must.True(t, tracker.HandleConnectFailure(at(10*time.Millisecond), "a").WorkloadsChanged)
@@ -123,8 +125,8 @@
 	must.Nil(t, err)
 }
 
-// An endpoint with a heartbeat a second stays healthy; when its heartbeats stop, it is still
-// forgotten before reuseAfterS is over.
+// An endpoint that sends one heartbeat per second stays healthy. When its heartbeats stop, the
+// endpoint is still rejected before another server may reuse its address (reuseAfterS).
 func TestSlowHeartbeatsAreTolerated(t *testing.T) {
 	tracker := New()
 	lastHeartbeat := time.Duration(0)
@@ -143,15 +145,15 @@
 		}
 		if elapsed > 15*time.Second {
 			must.False(t, rejection == nil && elapsed-lastHeartbeat > MaxHeartbeatTimeout,
-				must.Sprintf("passed %v after the last heartbeat", elapsed-lastHeartbeat))
+				must.Sprintf("request accepted %v after the last heartbeat", elapsed-lastHeartbeat))
 		}
 	}
 	must.Eq(t, 0, rejections)
 }
 
-// An endpoint whose first heartbeat comes while its machine stops gets no requests. Found by
-// seed 30185: the stop never ended, since requests went on coming.
-func TestNoEndpointIsHealthyOnAMachineThatStops(t *testing.T) {
+// An endpoint whose first heartbeat arrives while its machine is stopping gets no requests. Found
+// by simulator seed 30185: the stop never finished, because requests kept arriving.
+func TestNewEndpointIsDrainingWhileMachineStops(t *testing.T) {
 	tracker := New()
 	_, _ = tracker.HandleHeartbeat(at(0), newHeartbeat("a", "one", "ip:1", Alive))
 	must.True(t, tracker.DrainAll(at(time.Millisecond)).WorkloadsChanged)
--- a/mesh/endpoint/verification.go
+++ b/mesh/endpoint/verification.go
@@ -5,8 +5,7 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// Unverified lists the newest heartbeats of the endpoints that are to be asked whether they are
-// healthy.
+// Unverified lists the newest heartbeat of each endpoint that the caller has to ask for its health.
 func (t *Tracker) Unverified() []Heartbeat {
 	if !t.VerifyNewEndpoints {
 		return nil
@@ -20,14 +19,14 @@
 	return heartbeats
 }
 
-// MarkVerified notes that a server has answered, after its first heartbeat came, that it is healthy.
+// MarkVerified records that a server reported itself healthy when asked after its first heartbeat.
 func (t *Tracker) MarkVerified(now monotime.Time, server ident.Server) Change {
 	e := t.endpoints[server]
 	if e == nil || !e.unverified {
 		return Change{}
 	}
 	e.unverified = false
-	change := t.takeAddr(now, server, e.Addr)
+	change := t.assignAddr(now, server, e.Addr)
 	e.status = e.statusAt(now)
 	change.WorkloadsChanged = true
 	return change
