--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	// raiseInterval is how often a larger share is asked for.
+	// raiseInterval is how often a sidecar requests a larger share.
 	raiseInterval = 5 * time.Second
-	// requestTimeout is after how long a request that was not answered may be sent again.
+	// requestTimeout is how long a request may go unanswered before a new one may be sent.
 	requestTimeout = 4 * time.Second
 )
 
-// BudgetShare is a sidecar's view of its share of the mesh's retry budget. Invariants: Usable is
-// never above what the cores last granted; once a request to lower the share was sent, it is not
-// above the amount of that request until the response to it or to a later one allows more.
+// BudgetShare is a sidecar's view of its share of the mesh-wide retry budget. Invariants: Usable
+// never exceeds the amount that the cores granted last; once a request to lower the share was sent,
+// Usable does not exceed the amount in that request until the response to that request or to a
+// later one allows more.
 type BudgetShare struct {
-	// Limits are this sidecar's own limits: the smaller of its total and the cores' holds.
+	// Limits are this sidecar's own limits. The smaller of the sidecar's total and the cores' total
+	// applies.
 	Limits      retrybudget.Limits
-	total       int // of the whole mesh
+	total       int // total of the whole mesh
 	granted     int
 	usable      int
-	fair        int // what each sidecar may have, if all have the same
+	fairShare   int // amount of each sidecar if all shares are equal
 	loweredAt   monotime.Time
-	seq         uint64 // of the newest request
-	outstanding bool   // it was not answered yet
+	seq         uint64 // Seq of the newest request
+	outstanding bool   // the newest request was not answered yet
 	requestedAt monotime.Time
 }
 
-// Reset takes the grant that comes with a lease.
+// Reset discards the state of the previous lease and applies the grant of a new lease.
 func (s *BudgetShare) Reset(now monotime.Time, grant quota.Share) {
 	*s = BudgetShare{
 		Limits:      s.Limits,
-		total:       s.smallerTotal(grant),
+		total:       s.effectiveTotal(grant),
 		granted:     grant.Amount,
 		usable:      min(grant.Amount, grant.FairShare),
-		fair:        grant.FairShare,
+		fairShare:   grant.FairShare,
 		requestedAt: now,
 		loweredAt:   now,
 	}
 }
 
-// smallerTotal is the smaller of this sidecar's total and the cores'.
-func (s *BudgetShare) smallerTotal(grant quota.Share) int {
+// effectiveTotal returns the smaller of this sidecar's total and the cores' total.
+func (s *BudgetShare) effectiveTotal(grant quota.Share) int {
 	own := s.Limits.WithDefaults().Extra
 	if grant.Total != 0 {
 		return min(own, grant.Total)
@@ -54,31 +56,33 @@
 	return own
 }
 
-// Usable is how many retries this sidecar may spend within a window of Limits.
+// Usable returns how many retries this sidecar may spend within one window of Limits.
 func (s *BudgetShare) Usable() int { return s.usable }
 
-// SetMemberCount takes how many sidecars a core sees. When there are more, less is used at once.
+// SetMemberCount updates the fair share from the number of sidecars that a core knows. When the
+// number grows, the usable share shrinks immediately.
 func (s *BudgetShare) SetMemberCount(now monotime.Time, members int) {
-	s.fair = quota.FairShare(s.total, members)
-	s.lowerToFair(now)
+	s.fairShare = quota.FairShare(s.total, members)
+	s.capAtFairShare(now)
 }
 
-// lowerToFair uses no more than the fair share from now on.
-func (s *BudgetShare) lowerToFair(now monotime.Time) {
-	if s.fair < s.usable {
-		s.usable, s.loweredAt = s.fair, now
+// capAtFairShare limits the usable share to the fair share from now on.
+func (s *BudgetShare) capAtFairShare(now monotime.Time) {
+	if s.fairShare < s.usable {
+		s.usable, s.loweredAt = s.fairShare, now
 	}
 }
 
-// NextRequest returns the request to send to a core now, if one is due: to lower the grant to what
-// is used, once no retry from before can be in flight, or to raise it.
+// NextRequest returns the request to send to a core now, if a request is due: either to lower the
+// grant to the usable share, once no retry spent under the larger share is left in the window, or
+// to raise the grant.
 func (s *BudgetShare) NextRequest(now monotime.Time, node ident.Node, leaseEpoch ident.LeaseEpoch) (quota.Args, bool) {
 	if s.outstanding && now.Since(s.requestedAt) < requestTimeout {
 		return quota.Args{}, false
 	}
-	lower := s.usable < s.granted && now.Since(s.loweredAt) > s.Limits.SettleTime()
-	raise := s.usable == s.granted && s.granted < s.fair && now.Since(s.requestedAt) > raiseInterval
-	if !lower && !raise {
+	lowerDue := s.usable < s.granted && now.Since(s.loweredAt) > s.Limits.SettleTime()
+	raiseDue := s.usable == s.granted && s.granted < s.fairShare && now.Since(s.requestedAt) > raiseInterval
+	if !lowerDue && !raiseDue {
 		return quota.Args{}, false
 	}
 	s.seq++
@@ -87,16 +91,16 @@
 	return quota.Args{Node: node, LeaseEpoch: leaseEpoch, Used: &used, Seq: s.seq, Total: s.Limits.WithDefaults().Extra}, true
 }
 
-// ApplyGrant takes the response to a request; only that to the newest one counts.
+// ApplyGrant applies the response to a request; responses to older requests are ignored.
 func (s *BudgetShare) ApplyGrant(now monotime.Time, grant quota.Share) {
 	if grant.Seq != s.seq || !s.outstanding {
 		return
 	}
 	s.outstanding, s.granted = false, grant.Amount
-	if total := s.smallerTotal(grant); total != s.total {
-		s.total, s.fair = total, min(grant.FairShare, quota.MaxShare(total))
-		s.lowerToFair(now)
+	if total := s.effectiveTotal(grant); total != s.total {
+		s.total, s.fairShare = total, min(grant.FairShare, quota.MaxShare(total))
+		s.capAtFairShare(now)
 	}
-	s.usable = max(s.usable, min(grant.Amount, s.fair))
+	s.usable = max(s.usable, min(grant.Amount, s.fairShare))
 	s.usable = min(s.usable, grant.Amount)
 }
--- a/mesh/lease/holder/choice.go
+++ b/mesh/lease/holder/choice.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// minAvoidance is how long a core that failed is avoided; each further failure doubles it, up
-	// to maxAvoidance.
+	// minAvoidance is how long a core is avoided after its first failure; each further failure
+	// doubles the duration, up to maxAvoidance.
 	minAvoidance = 2 * time.Second
 	maxAvoidance = 16 * time.Second
-	// maxFallbacks is how many other cores a renewal goes to beside the registrar while that is
-	// in doubt.
+	// maxFallbacks is how many cores besides the registrar a renewal is sent to while the registrar
+	// may be unavailable.
 	maxFallbacks = 2
 )
 
-// Distance ranks the cores by how far they are from a sidecar.
+// Distance ranks cores by their distance from a sidecar.
 type Distance int
 
 // The distances, nearest first.
 const (
 	// SameZone is the distance of a core in the sidecar's zone.
 	SameZone Distance = iota
-	// OtherZone is that of a core in another zone.
+	// OtherZone is the distance of a core in another zone.
 	OtherZone
-	// Unlisted is that of a process that no core lists: it may be gone, or not be a core.
+	// Unlisted is the distance of a process that is not in the list of cores: the process may have
+	// ended, or may not be a core.
 	Unlisted
 )
 
-// Distances returns the distance of a core, by the list that a core has given.
+// Distances returns a function that returns the distance of a core, according to a list of cores.
 func Distances(ownZone ident.Zone, cores []record.CoreLocation) func(ident.Addr) Distance {
 	zones := map[ident.Addr]ident.Zone{}
 	for _, core := range cores {
@@ -53,8 +54,8 @@
 	}
 }
 
-// RendezvousWeight ranks a core for a node by rendezvous hashing: each node has an order of the
-// cores of its own, which changes little when a core comes or goes.
+// RendezvousWeight returns the weight of a core for a node by rendezvous hashing: each node has its
+// own order of the cores, which changes little when a core is added or removed.
 func RendezvousWeight(node ident.Node, core ident.Addr) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(core))
@@ -63,31 +64,32 @@
 	return hashing.Mix(hash.Sum64())
 }
 
-// avoidance is how long a core is avoided.
+// avoidance is the period for which a core is avoided after a failure.
 type avoidance struct {
 	until    monotime.Time
 	duration time.Duration
-	silent   bool // it gave no answer
+	silent   bool // the core did not respond
 }
 
-// choice chooses the registrar. Invariants: it is the first of the cores that are not avoided,
-// by distance and then by weight. While all are avoided, those that were not silent go first, so
-// that one which answers is kept to, and then those that were not tried for longest.
-type choice struct {
+// registrarSelector chooses the registrar. Invariants: the registrar is the first core that is not
+// avoided, ordered by distance and then by weight. While all cores are avoided, cores that responded
+// precede silent ones, so that a core that responds stays the registrar; silent cores are ordered by
+// the time of the last attempt, oldest first.
+type registrarSelector struct {
 	registrar  ident.Addr
-	allAvoided bool         // the registrar is avoided, like every other core
-	lastFailed bool         // the last renewal that ended had failed
-	fallbacks  []ident.Addr // other cores that a renewal goes to
+	allAvoided bool         // every core, including the registrar, is avoided
+	lastFailed bool         // the renewal that completed last had failed
+	fallbacks  []ident.Addr // further cores that a renewal is sent to
 	cores      []record.CoreLocation
 	avoidances map[ident.Addr]avoidance
 	lastTried  map[ident.Addr]monotime.Time
 }
 
-func newChoice() choice {
-	return choice{avoidances: map[ident.Addr]avoidance{}, lastTried: map[ident.Addr]monotime.Time{}}
+func newRegistrarSelector() registrarSelector {
+	return registrarSelector{avoidances: map[ident.Addr]avoidance{}, lastTried: map[ident.Addr]monotime.Time{}}
 }
 
-// The ranks of a candidate by its last answers.
+// The ranks of a candidate by its recent responses, best first.
 const (
 	rankUsable = iota
 	rankAvoided
@@ -98,7 +100,7 @@
 type candidate struct {
 	addr      ident.Addr
 	rank      int
-	lastTried monotime.Time // of a silent one, else 0
+	lastTried monotime.Time // set for silent cores only
 	distance  Distance
 	weight    uint64
 }
@@ -111,9 +113,9 @@
 		cmp.Compare(b.weight, a.weight))
 }
 
-// ChooseRegistrar chooses the registrar of the cores that are known, "" when there is none, and
-// the fallbacks while it is in doubt.
-func (c *choice) ChooseRegistrar(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) ident.Addr {
+// ChooseRegistrar chooses and returns the registrar among the known cores, "" if no core is known.
+// While the registrar may be unavailable, ChooseRegistrar also chooses the fallbacks.
+func (c *registrarSelector) ChooseRegistrar(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) ident.Addr {
 	c.registrar, c.allAvoided, c.fallbacks = "", false, nil
 	candidates := c.candidates(now, node, ownZone, cores)
 	if len(candidates) == 0 {
@@ -127,7 +129,7 @@
 	return c.registrar
 }
 
-func (c *choice) candidates(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) []candidate {
+func (c *registrarSelector) candidates(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) []candidate {
 	distance := Distances(ownZone, c.cores)
 	candidates := make([]candidate, 0, len(cores))
 	for _, addr := range cores {
@@ -143,45 +145,48 @@
 	return candidates
 }
 
-// chooseFallbacks chooses those that were not tried for longest; a core of the own zone goes
-// first, as a network partition between zones leaves it in reach.
-func (c *choice) chooseFallbacks(others []candidate) []ident.Addr {
-	slices.SortStableFunc(others, func(a, b candidate) int {
+// chooseFallbacks chooses the cores whose last attempt is oldest. A core of the sidecar's own zone
+// is placed first, because a network partition between zones leaves that core reachable.
+func (c *registrarSelector) chooseFallbacks(candidates []candidate) []ident.Addr {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Compare(c.lastTried[a.addr], c.lastTried[b.addr])
 	})
-	nearest := slices.IndexFunc(others, func(core candidate) bool { return core.distance == SameZone })
+	nearest := slices.IndexFunc(candidates, func(core candidate) bool { return core.distance == SameZone })
 	if nearest > 0 {
-		moveToFront(others, nearest)
+		moveToFront(candidates, nearest)
 	}
 	var fallbacks []ident.Addr
-	for _, core := range others[:min(len(others), maxFallbacks)] {
+	for _, core := range candidates[:min(len(candidates), maxFallbacks)] {
 		fallbacks = append(fallbacks, core.addr)
 	}
 	return fallbacks
 }
 
-// moveToFront moves the candidate at an index to the front and keeps the order of the others.
+// moveToFront moves the candidate at index to the front and keeps the order of the other candidates.
 func moveToFront(candidates []candidate, index int) {
 	moved := candidates[index]
 	copy(candidates[1:index+1], candidates[:index])
 	candidates[0] = moved
 }
 
-// Registrar is the registrar that was chosen last.
-func (c *choice) Registrar() ident.Addr { return c.registrar }
+// Registrar returns the registrar that was chosen last.
+func (c *registrarSelector) Registrar() ident.Addr { return c.registrar }
 
-// Targets lists the cores that a renewal goes to now: the registrar, and the fallbacks.
-func (c *choice) Targets() []ident.Addr { return append([]ident.Addr{c.registrar}, c.fallbacks...) }
+// Targets lists the cores that a renewal is sent to now: the registrar, then the fallbacks.
+func (c *registrarSelector) Targets() []ident.Addr {
+	return append([]ident.Addr{c.registrar}, c.fallbacks...)
+}
 
-// noteTried notes that a renewal goes to the targets.
-func (c *choice) noteTried(now monotime.Time) {
+// recordAttempt records that a renewal is sent to the targets.
+func (c *registrarSelector) recordAttempt(now monotime.Time) {
 	for _, core := range c.Targets() {
 		c.lastTried[core] = now
 	}
 }
 
-// avoid avoids a core for a while.
-func (c *choice) avoid(now monotime.Time, core ident.Addr, silent bool) {
+// avoid starts or extends the avoidance of a core, with exponential backoff; silent means that the
+// core did not respond.
+func (c *registrarSelector) avoid(now monotime.Time, core ident.Addr, silent bool) {
 	entry := c.avoidances[core]
 	entry.silent = silent
 	entry.duration = min(max(2*entry.duration, minAvoidance), maxAvoidance)
@@ -189,16 +194,16 @@
 	c.avoidances[core] = entry
 }
 
-// notSilent notes that a core that is avoided answers after all.
-func (c *choice) notSilent(core ident.Addr) {
+// markResponsive records that an avoided core has responded after all.
+func (c *registrarSelector) markResponsive(core ident.Addr) {
 	if entry, avoided := c.avoidances[core]; avoided {
 		entry.silent = false
 		c.avoidances[core] = entry
 	}
 }
 
-// trust ends the avoidance of a core that answered well.
-func (c *choice) trust(core ident.Addr) {
+// clearAvoidance ends the avoidance of a core that accepted a renewal.
+func (c *registrarSelector) clearAvoidance(core ident.Addr) {
 	delete(c.avoidances, core)
 	c.lastFailed = false
 }
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -1,8 +1,8 @@
-// Package holder is the sidecar's side of its lease: at which core it is renewed and when, which
-// core is followed, and how much of the retry budget may be spent.
+// Package holder is the sidecar's side of its lease: when the lease is renewed and at which core,
+// which core the sidecar polls for changes, and how much of the retry budget the sidecar may spend.
 //
-// A sidecar renews at one core, its registrar, which tells the other cores. A Holder is a step
-// function: it does no I/O and reads no clock, its callers pass the time in.
+// A sidecar renews its lease at one core, its registrar, which informs the other cores. A Holder is
+// a step function: a Holder does no I/O and reads no clock; callers pass the time in.
 package holder
 
 import (
@@ -16,43 +16,44 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// The timing of renewals. Invariant: RenewInterval, RenewTimeout and one more renewal at another
-// core together take less than leasetable.LeaseTTL.
+// The timing of renewals. Invariant: RenewInterval, RenewTimeout and the duration of one more
+// renewal at another core add up to less than leasetable.LeaseTTL.
 const (
-	// RenewInterval is how often a lease is renewed while nothing changes.
+	// RenewInterval is the interval between renewals while nothing changes.
 	RenewInterval = 400 * time.Millisecond
-	// RenewTimeout bounds one renewal.
+	// RenewTimeout is the timeout of one renewal.
 	RenewTimeout = 600 * time.Millisecond
 )
 
-// maxSentRenewals bounds the renewals that are remembered until a majority has heard of them.
+// maxSentRenewals bounds how many renewals are kept until a majority of the voters knows them.
 const maxSentRenewals = 32
 
-// sentRenewal is a renewal, and when it was sent.
+// sentRenewal is the number of a renewal and the time at which the renewal was sent.
 type sentRenewal struct {
 	number uint64
 	sentAt monotime.Time
 }
 
-// Holder holds a sidecar's lease. Invariants: a renewal is sent only when the one before has
-// ended at every core that it went to; any renewal sent at or before majorityAsOf, or one sent
-// later, is known to a majority of the voters.
+// Holder holds a sidecar's lease. Invariants: a renewal is sent only after the previous renewal has
+// completed at every core to which that renewal was sent; for every renewal sent at or before
+// majorityAsOf, a majority of the voters knows that renewal or a later one.
 type Holder struct {
-	choice
+	registrarSelector
 
-	pollTarget ident.Addr          // see PollTarget
-	answering  map[ident.Addr]bool // cores that answered a renewal since one last failed to
+	pollTarget      ident.Addr          // see PollTarget
+	respondingCores map[ident.Addr]bool // cores that accepted a renewal since the last failure of any core
 
-	renewNow     bool // the last renewal failed, or did not suffice
-	outstanding  int  // cores that have not answered the last renewal yet
+	renewNow     bool // renew before RenewInterval is over: the last renewal failed or was not sufficient
+	outstanding  int  // cores that have not responded to the last renewal yet
 	lastSent     monotime.Time
 	lastNumber   uint64
 	sentRenewals []sentRenewal
 	majorityAsOf monotime.Time
 
-	coresVersion string // of the cores that were listed last
+	coresVersion string // version of the newest list of cores
 
-	// What was sent last; reportHeldBy is the core that has it, "" if none is known to.
+	// The state that was sent last; reportHeldBy is the core that has this state, "" if no core is
+	// known to have it.
 	reportHeldBy  ident.Addr
 	leaseEpoch    ident.LeaseEpoch
 	reportSeq     uint64
@@ -60,35 +61,36 @@
 	attemptCounts map[ident.Service]reconcile.CallCounts
 }
 
-// New makes a holder that has renewed nothing yet.
+// New returns a holder that has sent no renewal yet.
 func New() *Holder {
-	return &Holder{choice: newChoice(), answering: map[ident.Addr]bool{}}
+	return &Holder{registrarSelector: newRegistrarSelector(), respondingCores: map[ident.Addr]bool{}}
 }
 
-// PollTarget is the core to poll for changes, "" when there is none. Invariant: it is a registrar
-// that answered in time, or the first that was chosen. A registrar that was chosen because the
-// last one was late is not followed before it answers: over a full link all of them are late,
-// and a poll that is broken off with each choice would never end.
+// PollTarget returns the core to poll for changes, "" if there is none. Invariant: the poll target
+// is a registrar that responded in time, or the first registrar that was chosen. A registrar that
+// was chosen because the previous one was late becomes the poll target only after responding. On a
+// saturated link all cores are late, and a poll that is aborted at each new choice of a registrar
+// would never finish.
 func (h *Holder) PollTarget() ident.Addr {
-	if h.pollTarget == "" || h.answering[h.registrar] {
+	if h.pollTarget == "" || h.respondingCores[h.registrar] {
 		h.pollTarget = h.registrar
 	}
 	return h.pollTarget
 }
 
-// HandleLeaseGranted takes a new lease: no core is followed yet.
+// HandleLeaseGranted resets the state for a new lease: there is no poll target yet.
 func (h *Holder) HandleLeaseGranted() {
-	clear(h.answering)
+	clear(h.respondingCores)
 	h.pollTarget = ""
 }
 
-// HandleLeaseSuperseded takes the answer of a core that knows a newer lease of this node.
+// HandleLeaseSuperseded processes the response of a core that knows a newer lease of this node.
 func (h *Holder) HandleLeaseSuperseded() {
 	h.outstanding--
 	h.reportHeldBy = ""
 }
 
-// ExpediteRenewal makes the next renewal due at once: the registrar may be gone.
+// ExpediteRenewal makes the next renewal due immediately, because the registrar may be unavailable.
 func (h *Holder) ExpediteRenewal() { h.renewNow = true }
 
 // ReportChanged reports whether a report differs from the one that was sent last.
@@ -96,7 +98,7 @@
 	return leaseEpoch != h.leaseEpoch || !report.EqualExceptLoad(h.lastReport)
 }
 
-// RenewalDue reports whether a renewal is to be sent now.
+// RenewalDue reports whether a renewal has to be sent now.
 func (h *Holder) RenewalDue(now monotime.Time, reportChanged bool) bool {
 	if h.outstanding != 0 {
 		return false
@@ -105,18 +107,18 @@
 	return reportChanged || intervalOver || h.renewNow && !h.allAvoided
 }
 
-// UntilNextRenewal is how long no renewal will be due unless something changes.
+// UntilNextRenewal returns the time until the next renewal is due if nothing changes.
 func (h *Holder) UntilNextRenewal(now monotime.Time) time.Duration {
 	return max(0, RenewInterval-now.Since(h.lastSent))
 }
 
-// BeginRenewal makes the renewal that is sent now to Targets. The report's Seq must have risen
-// if it has changed. The report and the counts are left out for a registrar that has them.
+// BeginRenewal returns the renewal to send to Targets now. If the report has changed, its Seq must
+// have increased. The report and the counts are omitted if the registrar already has them.
 func (h *Holder) BeginRenewal(now monotime.Time, report record.Report, counts map[ident.Service]reconcile.CallCounts) record.Renewal {
 	h.lastNumber++
 	h.outstanding, h.renewNow, h.lastSent = len(h.Targets()), false, now
-	h.noteTried(now)
-	h.remember(sentRenewal{h.lastNumber, now})
+	h.recordAttempt(now)
+	h.recordSent(sentRenewal{h.lastNumber, now})
 	renewal := record.Renewal{
 		Node:           report.Node,
 		LeaseEpoch:     report.LeaseEpoch,
@@ -137,52 +139,52 @@
 	return renewal
 }
 
-// remember keeps a renewal until a majority has heard of it.
-func (h *Holder) remember(sent sentRenewal) {
+// recordSent records when a renewal was sent, for recordMajority.
+func (h *Holder) recordSent(sent sentRenewal) {
 	h.sentRenewals = append(h.sentRenewals, sent)
 	if len(h.sentRenewals) > maxSentRenewals {
 		h.sentRenewals = h.sentRenewals[1:]
 	}
 }
 
-// HandleResponse takes a core's response to the renewal that is out.
+// HandleResponse processes a core's response to the outstanding renewal.
 func (h *Holder) HandleResponse(now monotime.Time, core ident.Addr, response record.RenewalResponse) {
 	h.outstanding--
 	h.SetCores(response.CoresVersion, response.Cores)
-	h.acknowledged(response.AcknowledgedRenewal)
+	h.recordMajority(response.AcknowledgedRenewal)
 	if response.ReportRequired {
 		h.reportHeldBy, h.renewNow = "", true
 	}
 	if response.Stale || response.Leaving {
-		clear(h.answering)
+		clear(h.respondingCores)
 		h.avoid(now, core, false)
 		h.renewNow = true
 		return
 	}
-	h.trust(core)
-	h.answering[core] = true
+	h.clearAvoidance(core)
+	h.respondingCores[core] = true
 }
 
-// HandleFailure takes the failure of the renewal that is out at a core.
+// HandleFailure processes the failure of the outstanding renewal at a core.
 func (h *Holder) HandleFailure(now monotime.Time, core ident.Addr) {
 	h.outstanding--
 	h.reportHeldBy, h.renewNow = "", true
-	clear(h.answering)
+	clear(h.respondingCores)
 	h.avoid(now, core, true)
 	h.lastFailed = true
 }
 
-// HandleLateResponse takes a response that came after its renewal had timed out. The core is not
-// silent, so while all cores are avoided it is preferred to those that are. The renewal that the
-// response says a majority has heard of counts all the same.
+// HandleLateResponse processes a response that arrived after its renewal had timed out. The core is
+// no longer silent, so that while all cores are avoided, this core is preferred to silent ones. The
+// acknowledged renewal in the response counts like that of a timely response.
 func (h *Holder) HandleLateResponse(core ident.Addr, response record.RenewalResponse) {
 	h.SetCores(response.CoresVersion, response.Cores)
-	h.acknowledged(response.AcknowledgedRenewal)
-	h.notSilent(core)
+	h.recordMajority(response.AcknowledgedRenewal)
+	h.markResponsive(core)
 }
 
-// acknowledged notes that a majority has heard of a renewal.
-func (h *Holder) acknowledged(number uint64) {
+// recordMajority records that a majority of the voters knows the renewal with the given number.
+func (h *Holder) recordMajority(number uint64) {
 	for _, sent := range h.sentRenewals {
 		if sent.number == number {
 			h.majorityAsOf = max(h.majorityAsOf, sent.sentAt)
@@ -190,18 +192,18 @@
 	}
 }
 
-// MajorityAsOf is when the newest renewal was sent that a majority of the voters has heard of, 0
-// if there is none.
+// MajorityAsOf returns the time at which the newest renewal that a majority of the voters knows was
+// sent, 0 if there is none.
 func (h *Holder) MajorityAsOf() monotime.Time { return h.majorityAsOf }
 
-// SetCores takes the list of the cores, if a core's response has it.
+// SetCores replaces the list of cores, if a core's response contains a list with a version.
 func (h *Holder) SetCores(version string, cores []record.CoreLocation) {
 	if version != "" && len(cores) > 0 {
 		h.coresVersion, h.cores = version, slices.Clone(cores)
 	}
 }
 
-// CoreAddrs lists the addresses of the cores that were listed last.
+// CoreAddrs returns the addresses of the cores in the newest list.
 func (h *Holder) CoreAddrs() []ident.Addr {
 	addrs := make([]ident.Addr, len(h.cores))
 	for i, core := range h.cores {
@@ -210,5 +212,5 @@
 	return addrs
 }
 
-// CoreLocations lists the cores that were listed last.
+// CoreLocations returns a copy of the newest list of cores.
 func (h *Holder) CoreLocations() []record.CoreLocation { return slices.Clone(h.cores) }
--- a/mesh/lease/holder/holder_test.go
+++ b/mesh/lease/holder/holder_test.go
@@ -12,34 +12,34 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// behaviour is how a core answers renewals.
-type behaviour string
+// behavior is how a core responds to renewals.
+type behavior string
 
 const (
-	answers behaviour = ""
-	refuses behaviour = "refuses"
-	silent  behaviour = "silent"
-	stale   behaviour = "stale"
+	answers behavior = ""
+	refuses behavior = "refuses"
+	silent  behavior = "silent"
+	stale   behavior = "stale"
 )
 
-var failing = []behaviour{refuses, silent, stale}
+var failureBehaviors = []behavior{refuses, silent, stale}
 
-// answerTime is how long a core takes to answer, or to refuse a connection.
-const answerTime = 10 * time.Millisecond
+// responseTime is how long a core takes to respond, or to refuse a connection.
+const responseTime = 10 * time.Millisecond
 
-// harness drives a holder against cores.
+// harness runs a holder against simulated cores.
 type harness struct {
 	holder       *Holder
 	now          monotime.Time
 	cores        []ident.Addr
-	behaviour    map[ident.Addr]behaviour
+	behavior     map[ident.Addr]behavior
 	sent         []ident.Addr
-	lastAccepted monotime.Time // the last renewal that a core accepted
-	gap          time.Duration // the longest time without one
+	lastAccepted monotime.Time // when a core last accepted a renewal
+	longestGap   time.Duration // the longest time without an accepted renewal
 	pending      []delivery
 }
 
-// delivery is the result of a renewal, which the holder gets at a time.
+// delivery is the result of a renewal and the time at which the holder receives the result.
 type delivery struct {
 	at      monotime.Time
 	deliver func()
@@ -47,10 +47,10 @@
 
 func newHarness() *harness {
 	h := &harness{
-		holder:    New(),
-		now:       monotime.Time(time.Second),
-		cores:     []ident.Addr{"a:1", "b:1", "c:1", "d:1"},
-		behaviour: map[ident.Addr]behaviour{},
+		holder:   New(),
+		now:      monotime.Time(time.Second),
+		cores:    []ident.Addr{"a:1", "b:1", "c:1", "d:1"},
+		behavior: map[ident.Addr]behavior{},
 	}
 	h.lastAccepted = h.now
 	return h
@@ -89,20 +89,20 @@
 
 func (h *harness) send(core ident.Addr, renewal record.Renewal) {
 	h.sent = append(h.sent, core)
-	switch h.behaviour[core] {
+	switch h.behavior[core] {
 	case refuses:
-		h.deliverAfter(answerTime, func() { h.holder.HandleFailure(h.now, core) })
+		h.deliverAfter(responseTime, func() { h.holder.HandleFailure(h.now, core) })
 	case silent:
 		h.deliverAfter(RenewTimeout, func() { h.holder.HandleFailure(h.now, core) })
 	default:
-		h.gap, h.lastAccepted = max(h.gap, h.now.Since(h.lastAccepted)), h.now
+		h.longestGap, h.lastAccepted = max(h.longestGap, h.now.Since(h.lastAccepted)), h.now
 		response := record.RenewalResponse{
 			AcknowledgedRenewal: renewal.Number,
-			Stale:               h.behaviour[core] == stale,
+			Stale:               h.behavior[core] == stale,
 			CoresVersion:        "v",
 			Cores:               testCores,
 		}
-		h.deliverAfter(answerTime, func() { h.holder.HandleResponse(h.now, core, response) })
+		h.deliverAfter(responseTime, func() { h.holder.HandleResponse(h.now, core, response) })
 	}
 }
 
@@ -110,77 +110,78 @@
 	h.pending = append(h.pending, delivery{h.now.Add(delay), deliver})
 }
 
-// However a registrar fails, another one takes the renewals before the lease lapses, of the own
-// zone while there is one; the first is the registrar again once it is healthy.
-func TestRegistrarIsReplacedInTime(t *testing.T) {
-	for _, how := range failing {
+// However the registrar fails, another core accepts the renewals before the lease lapses. The new
+// registrar is in the sidecar's own zone while that zone has a healthy core, and the original
+// registrar is chosen again once it is healthy.
+func TestRegistrarIsReplacedBeforeLeaseExpires(t *testing.T) {
+	for _, how := range failureBehaviors {
 		h := newHarness()
 		h.run(5 * time.Second)
 		registrar := h.holder.Registrar()
 		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, registrar)
-		h.behaviour[registrar], h.gap = how, 0
+		h.behavior[registrar], h.longestGap = how, 0
 		h.run(20 * time.Second)
-		must.Less(t, leasetable.LeaseTTL, h.gap, must.Sprint(how))
+		must.Less(t, leasetable.LeaseTTL, h.longestGap, must.Sprint(how))
 		must.NotEq(t, registrar, h.sent[len(h.sent)-1])
 		must.SliceContains(t, []ident.Addr{"c:1", "d:1"}, h.holder.Registrar(), must.Sprint("the other core of the zone"))
 		must.Eq(t, h.holder.Registrar(), h.holder.PollTarget(), must.Sprint(how))
-		h.behaviour[registrar] = answers
+		h.behavior[registrar] = answers
 		h.run(20 * time.Second)
 		must.Eq(t, registrar, h.holder.Registrar(), must.Sprint(how))
-		must.Less(t, leasetable.LeaseTTL, h.gap, must.Sprint(how))
+		must.Less(t, leasetable.LeaseTTL, h.longestGap, must.Sprint(how))
 	}
 }
 
-// The core that is followed stays the same while no core answers in time, whatever registrar is
-// chosen meanwhile, and changes as soon as another one answers.
-func TestFollowedCoreStaysUntilAnotherAnswers(t *testing.T) {
+// The poll target stays the same while no core responds in time, whichever registrar is chosen
+// meanwhile, and changes as soon as another core responds.
+func TestPollTargetStaysUntilAnotherCoreResponds(t *testing.T) {
 	h := newHarness()
 	h.run(5 * time.Second)
-	followed := h.holder.PollTarget()
-	must.Eq(t, followed, h.holder.Registrar())
+	pollTarget := h.holder.PollTarget()
+	must.Eq(t, pollTarget, h.holder.Registrar())
 	for _, core := range h.cores {
-		h.behaviour[core] = silent
+		h.behavior[core] = silent
 	}
 	changed := false
 	for range 100 {
 		h.run(100 * time.Millisecond)
-		changed = changed || h.holder.Registrar() != followed
-		must.Eq(t, followed, h.holder.PollTarget())
+		changed = changed || h.holder.Registrar() != pollTarget
+		must.Eq(t, pollTarget, h.holder.PollTarget())
 	}
 	must.True(t, changed)
 	for _, core := range h.cores {
-		if core != followed {
-			h.behaviour[core] = answers
+		if core != pollTarget {
+			h.behavior[core] = answers
 		}
 	}
 	h.run(3 * time.Second)
-	must.NotEq(t, followed, h.holder.PollTarget())
+	must.NotEq(t, pollTarget, h.holder.PollTarget())
 	must.Eq(t, h.holder.Registrar(), h.holder.PollTarget())
 }
 
-// When no core is healthy, renewals are not sent faster than usual, to three cores each, and the
-// first core that is healthy again is found within a second and a half.
-func TestNobodyIsHealthy(t *testing.T) {
-	for _, how := range failing {
+// While no core is healthy, renewals are sent at most at the usual rate, each to at most three
+// cores, and the first core that is healthy again accepts a renewal within 1.5 seconds.
+func TestRenewalRateAndRecoveryWithoutHealthyCore(t *testing.T) {
+	for _, how := range failureBehaviors {
 		h := newHarness()
 		h.run(5 * time.Second)
 		for _, core := range h.cores {
-			h.behaviour[core] = how
+			h.behavior[core] = how
 		}
 		h.run(60 * time.Second)
 		sentBefore := len(h.sent)
 		h.run(20 * time.Second)
 		must.LessEq(t, 3*51, len(h.sent)-sentBefore, must.Sprint(how))
-		h.behaviour["b:1"], h.lastAccepted = answers, h.now
-		h.gap = 0
+		h.behavior["b:1"], h.lastAccepted = answers, h.now
+		h.longestGap = 0
 		h.run(5 * time.Second)
-		must.Less(t, 1500*time.Millisecond, h.gap, must.Sprint(how))
+		must.Less(t, 1500*time.Millisecond, h.longestGap, must.Sprint(how))
 	}
 }
 
-// MajorityAsOf is the time at which the acknowledged renewal was sent, whatever order the
-// acknowledgements come in, and never goes back.
-func TestMajorityNeverGoesBack(t *testing.T) {
+// MajorityAsOf is the time at which the newest acknowledged renewal was sent, in whatever order the
+// acknowledgements arrive, and never decreases.
+func TestMajorityAsOfNeverDecreases(t *testing.T) {
 	sent := []monotime.Time{}
 	holder := New()
 	for i := range 4 {
@@ -201,9 +202,9 @@
 	}
 }
 
-// While every core is avoided, one that answered too late goes before the silent ones, and stays
-// the registrar.
-func TestLateCoreGoesBeforeSilentOnes(t *testing.T) {
+// While every core is avoided, a core that responded too late is preferred to silent cores, and
+// stays the registrar.
+func TestLateCoreIsPreferredToSilentCores(t *testing.T) {
 	cores := []ident.Addr{"a:1", "b:1", "c:1", "d:1"}
 	for _, late := range cores {
 		holder, now := New(), monotime.Time(time.Second)
--- a/mesh/lease/joiner/jitter_test.go
+++ b/mesh/lease/joiner/jitter_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A simulated day of a seed stays the same as long as these values do.
+// The simulator runs of a seed are reproducible only as long as these values don't change.
 func TestJitterHasKnownValues(t *testing.T) {
 	joiner := New("sidecar-1", "")
 	for attempts, want := range []uint64{11228620, 2423089, 12754449} {
--- a/mesh/lease/joiner/joiner.go
+++ b/mesh/lease/joiner/joiner.go
@@ -1,6 +1,6 @@
-// Package joiner is how a sidecar without a lease obtains one: which core it asks, how long it
-// waits for the answer, and when it asks again. A Joiner is a step function: it does no I/O and
-// reads no clock.
+// Package joiner decides how a sidecar without a lease obtains a lease: which core the sidecar
+// asks, how long the sidecar waits for the response, and when the sidecar retries. A Joiner is a
+// step function: a Joiner does no I/O and reads no clock.
 package joiner
 
 import (
@@ -18,22 +18,23 @@
 )
 
 const (
-	// JoinTimeout bounds one join. It is longer than a core lets a join wait, so that the core's
-	// answer ends it and not this bound.
+	// JoinTimeout is the timeout of one join. JoinTimeout is longer than a core keeps a join
+	// waiting, so that a join normally ends with the core's response instead of the timeout.
 	JoinTimeout = 2 * time.Second
-	// minBackoff is the pause after a core that failed without a time to come back; each further
-	// failure doubles it, up to maxBackoff.
+	// minBackoff is the backoff after the first failure without a Retry-After; each further failure
+	// doubles the backoff, up to maxBackoff.
 	minBackoff = 30 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// rejectionJitter is the part of a core's Retry-After by which joins are spread beyond it.
+	// rejectionJitter is the maximum jitter that is added to a core's Retry-After, as a fraction of
+	// the Retry-After.
 	rejectionJitter = 0.25
-	// jitterBits is how many bits of a hash make a jitter.
+	// jitterBits is how many bits of a hash the jitter uses.
 	jitterBits = 24
 )
 
-// Joiner chooses the core that the next join goes to. Invariants: no join begins before the
-// backoff of the last failure is over; the cores are asked in an order that is the sidecar's own,
-// those that failed last of all.
+// Joiner chooses the core for the next join. Invariants: no join begins before the backoff of the
+// last failure is over; each sidecar asks the cores in its own order, in which cores that failed
+// come last.
 type Joiner struct {
 	Node        ident.Node
 	Zone        ident.Zone
@@ -43,16 +44,17 @@
 	attempts    uint64
 }
 
-// New makes a joiner for a sidecar.
+// New returns a joiner for the sidecar of a node in a zone.
 func New(node ident.Node, zone ident.Zone) *Joiner {
 	return &Joiner{Node: node, Zone: zone, lastFailure: map[ident.Addr]monotime.Time{}}
 }
 
-// Backoff is how long no join may begin.
+// Backoff returns the time until the next join may begin.
 func (j *Joiner) Backoff(now monotime.Time) time.Duration { return max(0, j.notBefore.Since(now)) }
 
-// NextCore chooses the core to ask next, "" if none is known: of those that failed longest ago,
-// or never, the nearest. The locations are those that a core has listed.
+// NextCore chooses the core to ask next, "" if no core is known. Cores that never failed come
+// first, then the cores whose last failure is oldest; among equals, the nearest core comes first.
+// The locations are the list of cores that a core has returned.
 func (j *Joiner) NextCore(cores []ident.Addr, locations []record.CoreLocation) ident.Addr {
 	if len(cores) == 0 {
 		return ""
@@ -66,33 +68,33 @@
 	})
 }
 
-// HandleRejection takes a core's Retry-After: until then no core is asked, as what keeps one from
-// granting leases keeps the others too.
+// HandleRejection applies a core's Retry-After to all cores: whatever prevents one core from
+// granting leases prevents the other cores too.
 func (j *Joiner) HandleRejection(now monotime.Time, core ident.Addr, retryAfter time.Duration) {
-	j.noteFailure(now, core)
+	j.recordFailure(now, core)
 	j.notBefore = now.Add(retryAfter + time.Duration(j.jitter()*float64(retryAfter)*rejectionJitter))
 }
 
-// HandleFailure takes the failure of a core that gave no time to come back.
+// HandleFailure processes the failure of a core that returned no Retry-After.
 func (j *Joiner) HandleFailure(now monotime.Time, core ident.Addr) {
-	j.noteFailure(now, core)
+	j.recordFailure(now, core)
 	j.backoff = min(max(2*j.backoff, minBackoff), maxBackoff)
 	j.notBefore = now.Add(time.Duration((0.5 + j.jitter()) * float64(j.backoff)))
 }
 
-func (j *Joiner) noteFailure(now monotime.Time, core ident.Addr) {
+func (j *Joiner) recordFailure(now monotime.Time, core ident.Addr) {
 	j.attempts++
 	j.lastFailure[core] = now
 }
 
-// Reset forgets the failures.
+// Reset clears the failures and the backoff.
 func (j *Joiner) Reset() {
 	clear(j.lastFailure)
 	j.notBefore, j.backoff = 0, 0
 }
 
-// jitter is a number from 0 to 1 that differs between sidecars and attempts. It is not random, so
-// that a simulated day runs the same again.
+// jitter returns a number from 0 to 1 that differs between sidecars and attempts. The number is
+// derived from a hash instead of a random source, so that simulator runs are reproducible.
 func (j *Joiner) jitter() float64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s %d", j.Node, j.attempts)
--- a/mesh/lease/joiner/joiner_test.go
+++ b/mesh/lease/joiner/joiner_test.go
@@ -23,8 +23,9 @@
 	return addrs, locations
 }
 
-// Many sidecars that start together spread over all cores, whatever order those are listed in.
-func TestHerdSpreadsOverAllCores(t *testing.T) {
+// Many sidecars that start at the same time spread over all cores, although the cores are listed in
+// the same order for all sidecars.
+func TestSimultaneousJoinsSpreadOverAllCores(t *testing.T) {
 	addrs, _ := testCores(12)
 	joins := map[ident.Addr]int{}
 	for n := range 120 {
@@ -35,8 +36,9 @@
 	}
 }
 
-// Cores of the own zone go first; those that failed go last, the longest ago first.
-func TestOwnZoneFirstAndFailedLast(t *testing.T) {
+// Cores of the sidecar's own zone are asked first. Cores that failed are asked last, the core whose
+// failure is oldest first.
+func TestSameZoneCoresFirstAndFailedCoresLast(t *testing.T) {
 	addrs, locations := testCores(12)
 	j := New("node-1", "z2")
 	now := startTime
@@ -52,9 +54,9 @@
 	must.Eq(t, "", New("node-1", "z2").NextCore(nil, nil))
 }
 
-// A core's Retry-After is kept to, and sidecars that were rejected together come back at
+// Sidecars respect a core's Retry-After, and sidecars that were rejected at the same time retry at
 // different times.
-func TestRejectedJoinsReturnSpreadOut(t *testing.T) {
+func TestRetriesOfRejectedJoinsAreJittered(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 100 {
 		j := New(ident.Node(fmt.Sprint("node-", n)), "")
@@ -67,9 +69,9 @@
 	must.Greater(t, 60, len(waits))
 }
 
-// Failures without a Retry-After are followed by a backoff that grows to a bound, and that is
-// forgotten with a join.
-func TestBackoffGrowsToABound(t *testing.T) {
+// The backoff after failures without a Retry-After grows up to a bound, and Reset clears the
+// backoff.
+func TestBackoffIsBounded(t *testing.T) {
 	j := New("node-1", "")
 	j.HandleFailure(startTime, "core")
 	must.LessEq(t, 3*minBackoff/2, j.Backoff(startTime))
