--- a/mesh/configcache/cache_test.go
+++ b/mesh/configcache/cache_test.go
@@ -13,7 +13,7 @@
 
 func at(d time.Duration) monotime.Time { return monotime.Time(time.Second + d) }
 
-// sidecar is a sidecar of the model: its cache and the revision that it enforces.
+// sidecar is a sidecar of the model: its cache and the active revision.
 type sidecar struct {
 	*Cache
 	active ident.ConfigRevision
@@ -25,8 +25,8 @@
 	return s
 }
 
-// joinedSidecar makes a sidecar that enforces revision 1.
-func joinedSidecar(now monotime.Time, disabled bool) *sidecar {
+// newJoinedSidecar returns a sidecar that has joined and enforces revision 1.
+func newJoinedSidecar(now monotime.Time, disabled bool) *sidecar {
 	s := newSidecar(now, disabled)
 	s.MarkJoined()
 	s.receive(now, 1, 0)
@@ -47,29 +47,29 @@
 
 const restartPeers = 3
 
-// restart is the model of TestAllOrdersOfARestartBesideAnIsolatedCore.
-type restart struct {
+// restartModel is the model of TestRestartNeverRegressesConfigInAnyMessageOrder.
+type restartModel struct {
 	now             monotime.Time
 	disabled        bool
-	sidecar         *sidecar // the one that is restarted
+	sidecar         *sidecar // the sidecar that restarts
 	peers           [restartPeers]*sidecar
 	notified, acked [restartPeers]bool
 	restarted       bool
-	activeBefore    ident.ConfigRevision // what it enforced when it ended
+	activeBefore    ident.ConfigRevision // the active revision just before the restart
 }
 
-func newRestart(disabled bool) *restart {
-	m := &restart{now: at(0), disabled: disabled, sidecar: joinedSidecar(at(0), disabled)}
+func newRestartModel(disabled bool) *restartModel {
+	m := &restartModel{now: at(0), disabled: disabled, sidecar: newJoinedSidecar(at(0), disabled)}
 	for i := range m.peers {
-		m.peers[i] = joinedSidecar(m.now, disabled)
+		m.peers[i] = newJoinedSidecar(m.now, disabled)
 	}
 	m.sidecar.receive(m.now, 2, restartPeers)
 	return m
 }
 
-// step takes one of the messages: 0 to 2 notify a peer, 3 to 5 bring its acknowledgement, 6
-// restarts the sidecar.
-func (m *restart) step(step int) {
+// step executes one of the seven steps: 0 to 2 notify a peer, 3 to 5 deliver the acknowledgement of
+// that peer, 6 restarts the sidecar.
+func (m *restartModel) step(step int) {
 	m.now = m.now.Add(time.Millisecond)
 	switch i := step % restartPeers; {
 	case step < restartPeers:
@@ -88,9 +88,9 @@
 	}
 }
 
-// askPeers lets the restarted sidecar ask its peers until it enforces something.
-func (m *restart) askPeers() {
-	for d := time.Duration(0); d <= 2*listenBeforeTrust; d += listenBeforeTrust / 4 {
+// askPeers lets the restarted sidecar ask its peers until the sidecar enforces a configuration.
+func (m *restartModel) askPeers() {
+	for d := time.Duration(0); d <= 2*peerAnswerWindow; d += peerAnswerWindow / 4 {
 		for _, peer := range m.peers {
 			m.sidecar.HandlePeerAnswer(m.now.Add(d), peer.NewestKnown(), true)
 			if m.sidecar.AcceptsPeerConfig(m.now.Add(d)) {
@@ -103,10 +103,10 @@
 	}
 }
 
-// runRestart takes the messages in an order and gives what the sidecar enforced before and after its
-// restart.
+// runRestart executes the steps in the given order and returns the revisions that the sidecar
+// enforced before and after its restart.
 func runRestart(order []int, disabled bool) (before, after ident.ConfigRevision) {
-	m := newRestart(disabled)
+	m := newRestartModel(disabled)
 	for _, step := range order {
 		m.step(step)
 	}
@@ -114,11 +114,11 @@
 	return m.activeBefore, m.sidecar.active
 }
 
-// The core gives revision 2 to one sidecar alone and is cut off from all. The sidecar notifies three
-// peers, whose acknowledgements come back; it restarts, and then asks the three. In every order of
-// these seven messages it enforces nothing older after its restart than before, and in the end it
-// enforces something.
-func TestAllOrdersOfARestartBesideAnIsolatedCore(t *testing.T) {
+// A core delivers revision 2 to a single sidecar and is then cut off from all sidecars. The sidecar
+// notifies three peers, which acknowledge; the sidecar restarts and asks the three peers. In every
+// order of these seven steps, the sidecar enforces no older revision after its restart than before,
+// and in the end it enforces a revision.
+func TestRestartNeverRegressesConfigInAnyMessageOrder(t *testing.T) {
 	regressions, orders, newerActive := 0, 0, 0
 	for _, order := range meshtest.Permutations(2*restartPeers + 1) {
 		before, after := runRestart(order, false)
@@ -134,14 +134,14 @@
 	}
 	must.Eq(t, 5040, orders)
 	must.Positive(t, newerActive, must.Sprint("no order in which revision 2 is enforced before the restart"))
-	must.Positive(t, regressions, must.Sprint("no order in which the revision falls without the rule"))
-	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the revision falls without the rule", orders,
+	must.Positive(t, regressions, must.Sprint("no order in which the active revision decreases with Disabled set"))
+	t.Logf("%d orders: in %d revision 2 was enforced before the restart, in %d the active revision decreases with Disabled set", orders,
 		newerActive, regressions)
 }
 
-// Peers that are out of reach delay nothing for longer than ackTimeout; a sidecar that no joined peer
-// answers enforces nothing until a core lets it in.
-func TestAckTimeoutEndsAndNobodyIsTrusted(t *testing.T) {
+// Unreachable peers delay a configuration by at most ackTimeout. A sidecar that gets no answer from a
+// joined peer enforces no configuration until a core admits the sidecar.
+func TestAckTimeoutAndTrustOfPeersBeforeJoin(t *testing.T) {
 	cache := New(at(0))
 	cache.MarkJoined()
 	must.True(t, cache.Add(at(0), &validation.Config{Revision: 5}, 0, 9))
@@ -151,14 +151,14 @@
 		cache = New(at(0))
 		cache.HandlePeerAnswer(at(0), 5, joined)
 		cache.Add(at(0), &validation.Config{Revision: 5}, 0, 0)
-		must.Nil(t, cache.TakeReady(at(listenBeforeTrust-1)))
-		must.Eq(t, joined, cache.TakeReady(at(listenBeforeTrust)) != nil, must.Sprint("a joined peer answered: ", joined))
+		must.Nil(t, cache.TakeReady(at(peerAnswerWindow-1)))
+		must.Eq(t, joined, cache.TakeReady(at(peerAnswerWindow)) != nil, must.Sprint("a joined peer answered: ", joined))
 	}
 }
 
-// A newer revision that a core confirmed makes a sidecar ask its peers if the configuration has not
-// come after fetchDelay, and not before; it does not raise newestKnown.
-func TestPeersAreAskedForWhatACoreConfirmed(t *testing.T) {
+// If the configuration of a newer confirmed revision has not arrived after fetchDelay, the sidecar
+// asks its peers, and not earlier. The confirmed revision does not raise newestKnown.
+func TestPeersAreAskedForConfirmedRevision(t *testing.T) {
 	cache := New(at(0))
 	cache.MarkJoined()
 	coreContact := at(10 * time.Second)
@@ -166,20 +166,21 @@
 	must.False(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay-1), coreContact))
 	must.True(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay), coreContact))
 	must.Eq(t, ident.ConfigRevision(0), cache.NewestKnown())
-	cache.ObserveCore(coreContact.Add(fetchDelay), 4) // repeated: the time of the first counts
+	cache.ObserveCore(coreContact.Add(fetchDelay), 4) // repeated: the time of the first report counts
 	must.True(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay), coreContact))
 	cache.Add(coreContact.Add(fetchDelay), &validation.Config{Revision: 4}, 3, 5)
 	must.False(t, cache.ShouldAskPeers(coreContact.Add(fetchDelay), coreContact.Add(fetchDelay)))
 }
 
-// Changes that follow quickly while peers are silent (they left, or are dark): a revision is in force
-// at most two waits after it came, however soon the next one comes. Guards against a wait that each
-// newer revision starts anew, so that nothing comes into force as long as changes keep coming.
-func TestQuickChangesDoNotHoldUpActivation(t *testing.T) {
+// Changes follow each other quickly while some peers don't answer, because the peers have left or
+// are unreachable: at most twice ackTimeout after a revision arrived, that revision or a newer one
+// is active, however soon the next revision arrives. Guards against a wait that each newer revision
+// restarts, so that no revision becomes active as long as changes keep arriving.
+func TestFrequentChangesDoNotDelayActivation(t *testing.T) {
 	const changesFor, step = 8 * time.Second, 10 * time.Millisecond
 	for _, gap := range []time.Duration{step, 80 * time.Millisecond, ackTimeout - step, ackTimeout, ackTimeout + step} {
 		for answering := range RequiredAcks {
-			s := joinedSidecar(at(0), false)
+			s := newJoinedSidecar(at(0), false)
 			added := map[ident.ConfigRevision]time.Duration{1: 0}
 			newest := ident.ConfigRevision(1)
 			for elapsed := step; elapsed <= changesFor; elapsed += step {
@@ -193,16 +194,17 @@
 				}
 				s.activate(at(elapsed))
 				must.Less(t, 2*ackTimeout+step, elapsed-added[min(s.active+1, newest)], must.Sprintf(
-					"a change every %v, %d peers answer: at %v revision %d is in force, %d is not", gap, answering, elapsed, s.active, s.active+1))
+					"a change every %v, %d peers answer: at %v revision %d is active, %d is not", gap, answering, elapsed, s.active, s.active+1))
 			}
 		}
 	}
 }
 
-// Peers that answer let the newest configuration come into force at once, past an older one that
-// still waits for a silent peer; what they say of the older one then changes nothing.
-func TestNewestConfigurationPassesAnOlderOneThatWaits(t *testing.T) {
-	s := joinedSidecar(at(0), false)
+// Once enough peers acknowledge the newest configuration, that configuration becomes active at once,
+// before an older one that still waits for a silent peer. Later acknowledgements of the older
+// configuration then change nothing.
+func TestNewestConfigOvertakesPendingOlderConfig(t *testing.T) {
+	s := newJoinedSidecar(at(0), false)
 	s.receive(at(0), 2, MaxNotifiedPeers)
 	s.receive(at(10*time.Millisecond), 3, MaxNotifiedPeers)
 	for range RequiredAcks {
@@ -218,10 +220,10 @@
 	must.Eq(t, ident.ConfigRevision(3), s.active)
 }
 
-// No configuration comes while cores and peers tell of ever newer revisions: after fetchDelay peers are
-// asked. Guards against a time that each newer revision starts anew, so that a sidecar whose fetch
-// from a core hangs asks nobody else as long as changes keep coming.
-func TestPeersAreAskedWhileNewerRevisionsKeepComing(t *testing.T) {
+// No configuration arrives while cores and peers announce ever newer revisions: after fetchDelay,
+// the sidecar asks its peers. Guards against a delay that each newer revision restarts, so that a
+// sidecar whose fetch from a core hangs asks no peer as long as changes keep arriving.
+func TestPeersAreAskedWhileNewerRevisionsKeepArriving(t *testing.T) {
 	const gap = 80 * time.Millisecond
 	for name, observe := range map[string]func(*Cache, monotime.Time, ident.ConfigRevision){
 		"from a core":    (*Cache).ObserveCore,
@@ -231,15 +233,15 @@
 		cache.MarkJoined()
 		revision := ident.ConfigRevision(1)
 		cache.Add(at(0), &validation.Config{Revision: revision}, 0, 0)
-		missingFor := func(elapsed time.Duration) bool { return cache.ShouldAskPeers(at(elapsed), at(elapsed)) }
+		asksPeersAt := func(elapsed time.Duration) bool { return cache.ShouldAskPeers(at(elapsed), at(elapsed)) }
 		for elapsed := gap; elapsed < gap+fetchDelay; elapsed += gap {
 			revision++
 			observe(cache, at(elapsed), revision)
-			must.False(t, missingFor(elapsed), must.Sprint(name, " after ", elapsed))
+			must.False(t, asksPeersAt(elapsed), must.Sprint(name, " after ", elapsed))
 		}
-		must.True(t, missingFor(gap+fetchDelay), must.Sprint(name))
+		must.True(t, asksPeersAt(gap+fetchDelay), must.Sprint(name))
 		cache.Add(at(gap+fetchDelay), &validation.Config{Revision: revision - 1}, 1, 0)
-		must.False(t, missingFor(gap+fetchDelay), must.Sprint(name, ": one that is newer has come"))
-		must.True(t, missingFor(gap+2*fetchDelay), must.Sprint(name, ": the newest has not"))
+		must.False(t, asksPeersAt(gap+fetchDelay), must.Sprint(name, ": a newer configuration was added"))
+		must.True(t, asksPeersAt(gap+2*fetchDelay), must.Sprint(name, ": the configuration of the newest revision is still missing"))
 	}
 }
