--- a/mesh/registry/index.go
+++ b/mesh/registry/index.go
@@ -1,4 +1,4 @@
-// Package registry is a sidecar's copy of the registry's records.
+// Package registry holds a sidecar's copy of the registry's records.
 package registry
 
 import (
@@ -9,32 +9,33 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Entry is one workload, and whether the lease of its sidecar has lapsed.
+// Entry is a workload, and whether the lease of the workload's sidecar has lapsed.
 type Entry struct {
 	*record.Workload
 	Lapsed bool
 }
 
-// Index is the copy, indexed by service and by key. Invariant: a set is replaced only by one that
-// is not older, so whichever core or peer it comes from, each author's records only go forward.
+// Index is the copy of the records, indexed by service and by key. Invariant: a set is never
+// replaced by an older set, so each author's records never regress, whichever core or peer a set
+// comes from.
 type Index struct {
 	sets      map[ident.Node]record.Set // by author
 	services  map[ident.Service][]Entry
 	addresses map[string]record.Address // by key
 }
 
-// New makes an empty index.
+// New returns an empty index.
 func New() *Index {
 	x := &Index{sets: map[ident.Node]record.Set{}}
 	x.rebuild()
 	return x
 }
 
-// Merge takes sets, and reports whether any changed the copy.
+// Merge adds sets and reports whether any of them changed the index.
 func (x *Index) Merge(sets []record.Set) bool {
 	changed := false
 	for _, set := range sets {
-		if old, known := x.sets[set.Author]; known && !replaces(set, old) {
+		if old, known := x.sets[set.Author]; known && !supersedes(set, old) {
 			continue
 		}
 		x.sets[set.Author] = set
@@ -46,9 +47,9 @@
 	return changed
 }
 
-// replaces reports whether a set is to stand in place of the one that is held: it is a newer
-// version, or the same one in another core's view.
-func replaces(set, old record.Set) bool {
+// supersedes reports whether a set replaces the set that is held: the set is a newer version, or the
+// same version with the other value of Lapsed, as another core may report it.
+func supersedes(set, old record.Set) bool {
 	if set.OlderThan(old) {
 		return false
 	}
@@ -78,16 +79,17 @@
 	x.services[workload.Service] = append(x.services[workload.Service], Entry{workload, lapsed})
 }
 
-// Workloads lists a service's workloads by UID.
+// Workloads returns the workloads of a service, sorted by UID.
 func (x *Index) Workloads(service ident.Service) []Entry { return x.services[service] }
 
-// Lookup finds an Address by its server id, namespace/hostname or network/ip:port.
+// Lookup returns the address record with the given key: a server id, namespace/hostname or
+// network/ip:port.
 func (x *Index) Lookup(key string) (record.Address, bool) {
 	address, ok := x.addresses[key]
 	return address, ok
 }
 
-// Sets lists the sets by author.
+// Sets returns all sets, sorted by author.
 func (x *Index) Sets() []record.Set {
 	sets := make([]record.Set, 0, len(x.sets))
 	for _, set := range x.sets {
--- a/mesh/registry/index_test.go
+++ b/mesh/registry/index_test.go
@@ -30,31 +30,32 @@
 	}
 }
 
-// Four versions of one author's records, merged in every order and twice: the copy only goes
-// forward and ends the same, under each of its keys.
-func TestAllOrdersOfSetsEndAlike(t *testing.T) {
+// Four versions of one author's records are merged in every order, with repetitions: the index
+// never regresses, and returns the newest merged version under each of its keys.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	sets := []record.Set{newSet("n", 1, 9, 4, false, record.Healthy), newSet("n", 2, 1, 4, false, record.Healthy),
 		newSet("n", 2, 2, 4, false, record.Draining), newSet("n", 2, 2, 5, false, record.Unhealthy)}
 	for order := range 256 {
-		index, best := New(), record.Set{}
+		index, newest := New(), record.Set{}
 		for _, i := range []int{order % 4, order / 4 % 4, order / 16 % 4, order / 64} {
 			index.Merge([]record.Set{sets[i]})
-			if best.Author == "" || best.OlderThan(sets[i]) {
-				best = sets[i]
+			if newest.Author == "" || newest.OlderThan(sets[i]) {
+				newest = sets[i]
 			}
-			must.False(t, index.Merge([]record.Set{best}), must.Sprint("a set that is held changes nothing"))
+			must.False(t, index.Merge([]record.Set{newest}), must.Sprint("merging a set again must change nothing"))
 			for _, key := range []string{"n-e", record.Network + "/ip:1"} {
 				got, ok := index.Lookup(key)
 				must.True(t, ok)
-				must.Eq(t, best.Records[0].Workload.Identity, got.Workload.Identity, must.Sprintf("order %d", order))
+				must.Eq(t, newest.Records[0].Workload.Identity, got.Workload.Identity, must.Sprintf("order %d", order))
 			}
 			must.Eq(t, 1, len(index.Workloads("a.x")))
 		}
 	}
 }
 
-// Lapsed is the view of the core that gives the set: the same version may lapse and come back.
-func TestLapsedIsTheReportingCoresView(t *testing.T) {
+// Lapsed is the view of the core that reports the set, so Lapsed may change in either direction
+// within the same version.
+func TestLapsedFollowsReportingCore(t *testing.T) {
 	index := New()
 	for _, lapsed := range []bool{false, true, false, true} {
 		must.True(t, index.Merge([]record.Set{newSet("n", 1, 1, 1, lapsed, record.Healthy)}))
--- a/mesh/routetable/table.go
+++ b/mesh/routetable/table.go
@@ -1,4 +1,4 @@
-// Package routetable finds the route of a request: by its host, then by the longest path prefix.
+// Package routetable finds the route of a request by host and then by longest path prefix.
 package routetable
 
 import (
@@ -10,23 +10,23 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// Table holds the routes of one configuration.
+// Table holds the routes of one configuration by host.
 type Table struct{ hosts map[string]*hostRoutes }
 
 // hostRoutes holds the routes of one host. Invariants: routes are sorted by path prefix; parent[i]
-// is the index of the route with the longest other prefix that is a prefix of the one of
-// routes[i], -1 when there is none.
+// is the index of the route with the longest path prefix that is a proper prefix of the path prefix
+// of routes[i], or -1 if there is none.
 //
-// Whatever is sorted between a prefix of a path and the path itself begins with that prefix. So,
-// of the routes that are sorted up to a path, the longest match is the last one or one of its
-// ancestors by parent.
+// Every string that sorts between a prefix of a path and the path itself begins with that prefix.
+// Therefore, the longest match of a path is the last route that does not sort after the path, or one
+// of the ancestors of that route by parent.
 type hostRoutes struct {
 	routes []*validation.Route
 	parent []int32
 }
 
-// New makes the table of a configuration, nil for one without routes. The table refers to the
-// configuration's routes: they must not change.
+// New returns the table of a configuration; a nil configuration has no routes. The table refers to
+// the routes of the configuration, which must not change afterwards.
 func New(config *validation.Config) *Table {
 	table := &Table{hosts: map[string]*hostRoutes{}}
 	if config == nil {
@@ -34,21 +34,21 @@
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		forHost := table.hosts[route.Host]
-		if forHost == nil {
-			forHost = &hostRoutes{}
-			table.hosts[route.Host] = forHost
+		host := table.hosts[route.Host]
+		if host == nil {
+			host = &hostRoutes{}
+			table.hosts[route.Host] = host
 		}
-		forHost.routes = append(forHost.routes, route)
+		host.routes = append(host.routes, route)
 	}
-	for _, forHost := range table.hosts {
-		forHost.link()
+	for _, host := range table.hosts {
+		host.sortAndLink()
 	}
 	return table
 }
 
-// link sorts the routes and finds the parent of each.
-func (h *hostRoutes) link() {
+// sortAndLink sorts the routes and sets the parent of each route.
+func (h *hostRoutes) sortAndLink() {
 	slices.SortFunc(h.routes, func(a, b *validation.Route) int { return strings.Compare(a.PathPrefix, b.PathPrefix) })
 	h.parent = make([]int32, len(h.routes))
 	for i, route := range h.routes {
@@ -56,8 +56,8 @@
 	}
 }
 
-// longestMatch follows the parents from an index until a route's prefix begins the path; -1 when
-// none does.
+// longestMatch follows the parents from an index to the first route whose path prefix matches the
+// path, and returns the index of that route, or -1 if no route matches.
 func (h *hostRoutes) longestMatch(index int32, path string) int32 {
 	for index >= 0 && !strings.HasPrefix(path, h.routes[index].PathPrefix) {
 		index = h.parent[index]
@@ -65,7 +65,7 @@
 	return index
 }
 
-// match finds the route with the longest prefix of a path, nil if there is none.
+// match returns the route with the longest path prefix that matches a path, nil if there is none.
 func (h *hostRoutes) match(path string) *validation.Route {
 	if h == nil {
 		return nil
@@ -78,8 +78,8 @@
 	return h.routes[index]
 }
 
-// Find finds the route of a request. The routes of host "*" serve what no route of the request's
-// own host matches.
+// Find returns the route of a request. The routes of host "*" apply if no route of the request's own
+// host matches.
 func (t *Table) Find(host, path string) (validation.Route, *failure.Error) {
 	host = validation.NormalizeHost(host)
 	for _, name := range [...]string{host, "*"} {
--- a/mesh/routetable/table_test.go
+++ b/mesh/routetable/table_test.go
@@ -11,9 +11,10 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// longestPrefix is the rule itself, by a scan of all routes: of a host's routes the one with the
-// longest prefix of the path, or of those of host "*" where the host has none.
-func longestPrefix(config *validation.Config, host, path string) string {
+// longestPrefixByScan is the reference implementation: a scan of all routes returns the name of the
+// host's route with the longest path prefix that matches the path. If no route of the host matches,
+// the scan covers the routes of host "*".
+func longestPrefixByScan(config *validation.Config, host, path string) string {
 	for _, name := range []string{host, "*"} {
 		best := -1
 		for i, route := range config.Routes {
@@ -29,8 +30,8 @@
 	return ""
 }
 
-// Random paths are found as longestPrefix finds them, in random tables of nested and adjacent
-// prefixes on three hosts, one of them "*".
+// For random paths, Find and longestPrefixByScan return the same route, in random tables of nested
+// and adjacent prefixes on three hosts, of which one is "*".
 func TestLongestPrefixWins(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	randomPath := func() string {
@@ -53,7 +54,7 @@
 		for range 100 {
 			host, path := []string{"h", "g", "x"}[rng.IntN(3)], randomPath()+randomPath()[1:]
 			got, err := table.Find(host, path)
-			want := longestPrefix(config, host, path)
+			want := longestPrefixByScan(config, host, path)
 			if want != got.Name || (want == "") != (err != nil) {
 				t.Fatalf("%s %q: want %q, got %q in %+v", host, path, want, got.Name, config.Routes)
 			}
