--- a/mesh/loadreport/loadreport.go
+++ b/mesh/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport holds the report of an endpoint's load that a sidecar adds to each response, and
-// its form in a header.
+// Package loadreport defines the report of an endpoint's load that a sidecar adds to each response,
+// and the encoding of the report in a header.
 package loadreport
 
 import (
@@ -11,28 +11,30 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Report is the load of one endpoint as the admission queue of its machine sees it. Invariant: no
-// field is negative and all are finite, also in one that was parsed.
+// Report is the load of one endpoint as the admission queue of its machine measures the load.
+// Invariant: every field is finite and not negative, including the fields of a parsed report.
 type Report struct {
-	// Running counts the requests at the endpoint, Waiting those that wait for it in its admission
-	// queue, and Slots is how many it works on at once, 0 for unknown.
+	// Running is the number of requests at the endpoint, Waiting the number of requests in its
+	// admission queue, and Slots the number of requests that the endpoint processes concurrently, 0
+	// if unknown.
 	Running, Waiting, Slots int
-	// RelativeTime is its time for a request over that of the service's mean endpoint.
+	// RelativeTime is the endpoint's time per request, divided by the mean over the endpoints of
+	// the service.
 	RelativeTime float64
-	// FailureRate is the part of its last runs that failed, 0 to 1.
+	// FailureRate is the fraction of the endpoint's recent executions that failed, 0 to 1.
 	FailureRate float64
-	// QueueDelay is how long a new request would wait for a slot, to the millisecond.
+	// QueueDelay is how long a new request would wait for a slot, in whole milliseconds.
 	QueueDelay time.Duration
 }
 
-// maxValue bounds every field of the header form, so that sums of a few do not overflow.
+// maxValue bounds every field of the header encoding, so that sums of a few fields don't overflow.
 const maxValue = 1 << 20
 
-// fieldCount is how many fields the header form has.
+// fieldCount is the number of fields of the header encoding.
 const fieldCount = 6
 
-// Text returns the header form: running, waiting, slots, relative time and failure rate in
-// thousandths, queue delay in milliseconds.
+// Text returns the header encoding, a comma-separated list: running, waiting, slots, relative time
+// and failure rate in thousandths, queue delay in milliseconds.
 func (r Report) Text() string {
 	buf := make([]byte, 0, 40)
 	values := [fieldCount]int64{
@@ -48,7 +50,7 @@
 	return string(buf)
 }
 
-// thousandths rounds a fraction; what is negative or no number is 0.
+// thousandths returns a value in thousandths, rounded; negative values and NaN become 0.
 func thousandths(value float64) int64 {
 	if !(value > 0) {
 		return 0
@@ -56,7 +58,7 @@
 	return int64(math.Round(min(value*1000, maxValue)))
 }
 
-// Parse reads the header form.
+// Parse parses the header encoding.
 func Parse(text string) (Report, *failure.Error) {
 	var values [fieldCount]int
 	rest := text
@@ -64,7 +66,7 @@
 		field, tail, more := strings.Cut(rest, ",")
 		n, err := strconv.ParseUint(field, 10, 32)
 		if err != nil || n > maxValue || more != (i < len(values)-1) {
-			return Report{}, failure.New(failure.Malformed, "a load report is six whole numbers")
+			return Report{}, failure.New(failure.Malformed, "load report %q must be %d integers from 0 to %d, separated by commas", text, fieldCount, maxValue)
 		}
 		values[i], rest = int(n), tail
 	}
--- a/mesh/loadreport/loadreport_test.go
+++ b/mesh/loadreport/loadreport_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A report survives its header form; values out of range are bounded, and other texts malformed.
+// Parse returns the report that Text encoded, with out-of-range values clamped, and rejects
+// malformed texts.
 func TestTextRoundTrip(t *testing.T) {
 	for _, report := range []Report{
 		{},
--- a/mesh/meshtest/permutations.go
+++ b/mesh/meshtest/permutations.go
@@ -1,9 +1,9 @@
-// Package meshtest holds what the tests of several packages of the mesh share.
+// Package meshtest holds helpers that are shared by the tests of several mesh packages.
 package meshtest
 
 import "slices"
 
-// Permutations returns every order of the numbers below n.
+// Permutations returns all permutations of the numbers from 0 to n-1.
 func Permutations(n int) [][]int {
 	if n == 0 {
 		return [][]int{{}}
