--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -74,7 +74,7 @@
 		service:       decision.Entry.Service,
 		call:          queued.outgoing,
 		deadline:      time.Now().Add(decision.Timeout),
-		retryFraction: decision.RepeatChance,
+		retryProbability: decision.RepeatChance,
 		hints:         hintsFor(s.clock(), queued.receivedAt, queued.call, decision),
 	}
 	if decision.Entry.SidecarAddr == s.Settings.Addr {
@@ -126,14 +126,14 @@
 	call.HeaderOverrides = append(call.HeaderOverrides,
 		exchange.HeaderField{Name: TargetHeader, Value: string(request.server)},
 		exchange.HeaderField{Name: ServiceHeader, Value: string(request.service)},
-		exchange.HeaderField{Name: LimitHeader, Value: strconv.FormatInt(peerLimit.Milliseconds(), 10)},
+		exchange.HeaderField{Name: TimeoutHeader, Value: strconv.FormatInt(peerLimit.Milliseconds(), 10)},
 		exchange.HeaderField{Name: AdmissionHintsHeader, Value: request.hints.encode()})
 	if urgent {
 		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: UrgentHeader, Value: "1"})
 	}
-	if request.retryFraction > 0 {
-		fraction := strconv.FormatFloat(request.retryFraction, 'f', 3, 64)
-		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryFractionHeader, Value: fraction})
+	if request.retryProbability > 0 {
+		fraction := strconv.FormatFloat(request.retryProbability, 'f', 3, 64)
+		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: RetryProbabilityHeader, Value: fraction})
 	}
 	return call
 }
--- a/daemon/sidecar/bodies.go
+++ b/daemon/sidecar/bodies.go
@@ -18,7 +18,7 @@
 	inFlight atomic.Int64                      // bytes of the bodies that are held
 }
 
-func (b *bodyBudget) current() validation.Limits {
+func (b *bodyBudget) currentLimits() validation.Limits {
 	if limits := b.limits.Load(); limits != nil {
 		return *limits
 	}
@@ -28,7 +28,7 @@
 // readRequest reads the whole body of a request, within the limits of the configuration and the
 // memory for bodies. release must be called when the request is over.
 func (s *Sidecar) readRequest(r *http.Request) (body []byte, release func(), fail *failure.Error) {
-	limits := s.bodies.current()
+	limits := s.bodies.currentLimits()
 	if headerBytes(r) > limits.MaxHeaderBytes+meshHeaderBytes {
 		return nil, nil, failure.New(failure.Oversize, "the headers have at most %d bytes", limits.MaxHeaderBytes)
 	}
@@ -43,20 +43,20 @@
 		s.count(counterBodiesRejected)
 		return nil, nil, bodyBudgetExceeded()
 	}
-	most := limits.MaxBodyBytes
+	maxBytes := limits.MaxBodyBytes
 	if budget > 0 {
-		most = min(most, max(declared, budget-s.bodies.inFlight.Load()+declared))
+		maxBytes = min(maxBytes, max(declared, budget-s.bodies.inFlight.Load()+declared))
 	}
-	if body, fail = response.ReadBody(r, most); fail != nil {
+	if body, fail = response.ReadBody(r, maxBytes); fail != nil {
 		s.bodies.inFlight.Add(-declared)
-		if fail.Kind == failure.Oversize && most < limits.MaxBodyBytes {
+		if fail.Kind == failure.Oversize && maxBytes < limits.MaxBodyBytes {
 			fail = bodyBudgetExceeded()
 		}
 		return nil, nil, fail
 	}
-	held := int64(len(body))
-	s.bodies.inFlight.Add(held - declared)
-	return body, func() { s.bodies.inFlight.Add(-held) }, nil
+	size := int64(len(body))
+	s.bodies.inFlight.Add(size - declared)
+	return body, func() { s.bodies.inFlight.Add(-size) }, nil
 }
 
 func bodyBudgetExceeded() *failure.Error {
--- a/daemon/sidecar/bodies_test.go
+++ b/daemon/sidecar/bodies_test.go
@@ -14,10 +14,10 @@
 
 // A request is read within the limits of the configuration and the memory for bodies, with a
 // length or in chunks; what is rejected has not run and holds no memory.
-func TestRequestsAreTakenWithinLimits(t *testing.T) {
+func TestReadRequestEnforcesLimits(t *testing.T) {
 	s := New(settings.Sidecar{MaxBodyBytes: 1000}, nil)
 	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
-	for _, pieces := range []bool{false, true} {
+	for _, chunked := range []bool{false, true} {
 		for _, c := range []struct {
 			body, head, held int
 			kind             failure.Kind
@@ -32,19 +32,19 @@
 		} {
 			s.bodies.inFlight.Store(int64(c.held))
 			r := httptest.NewRequest("POST", "/x", strings.NewReader(strings.Repeat("b", c.body)))
-			if pieces {
+			if chunked {
 				r.ContentLength = -1
 			}
 			r.Header.Set("X-Long", strings.Repeat("h", c.head))
 			body, release, fail := s.readRequest(r)
 			if c.kind != "" {
-				must.NotNil(t, fail, must.Sprint(pieces, c))
-				must.Eq(t, c.kind, fail.Kind, must.Sprint(pieces, c))
+				must.NotNil(t, fail, must.Sprint(chunked, c))
+				must.Eq(t, c.kind, fail.Kind, must.Sprint(chunked, c))
 				must.Eq(t, failure.NotExecuted, fail.Outcome)
 				must.Eq(t, int64(c.held), s.bodies.inFlight.Load())
 				continue
 			}
-			must.Nil(t, fail, must.Sprint(pieces, c))
+			must.Nil(t, fail, must.Sprint(chunked, c))
 			must.Eq(t, c.body, len(body))
 			must.Eq(t, int64(c.held+c.body), s.bodies.inFlight.Load())
 			release()
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -39,7 +39,7 @@
 	s.beginRequest()
 	defer s.endRequest()
 	ctx := r.Context()
-	defer s.countIfLeft(ctx, counterCallersLeft)
+	defer s.countIfClientLeft(ctx, counterCallersLeft)
 	if s.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -73,7 +73,7 @@
 }
 
 // countIfLeft counts a request that ends after its client has left.
-func (s *Sidecar) countIfLeft(ctx context.Context, counter string) {
+func (s *Sidecar) countIfClientLeft(ctx context.Context, counter string) {
 	if ctx.Err() != nil {
 		s.count(counter)
 	}
@@ -108,10 +108,10 @@
 	if !strings.HasPrefix(request.outgoing.Target, "/") {
 		request.outgoing.Target = r.URL.RequestURI()
 	}
-	if calling := s.Settings.Headers.CallingService; calling == "" {
+	if callerServiceHeader := s.Settings.Headers.CallingService; callerServiceHeader == "" {
 		request.outgoing.Header.Add(forwardedForHeader, remoteHost)
 	} else {
-		request.outgoing.HeaderOverrides = []exchange.HeaderField{{Name: calling, Value: string(s.Settings.EndpointService)}}
+		request.outgoing.HeaderOverrides = []exchange.HeaderField{{Name: callerServiceHeader, Value: string(s.Settings.EndpointService)}}
 	}
 	return request
 }
@@ -120,7 +120,7 @@
 // mu is held.
 func (s *Sidecar) isNested(request *queuedRequest) bool {
 	header := s.Settings.Headers.RequestID
-	if header == "" || !s.runs.made(firstValue(request.outgoing.Header, header)) {
+	if header == "" || !s.runs.containsParentOf(firstValue(request.outgoing.Header, header)) {
 		return false
 	}
 	s.count(counterNested)
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -28,12 +28,12 @@
 }
 
 func (l *requestLog) serve(c *net.TCPConn) {
-	eachRequest(c, func(_ *bufio.Reader, req *http.Request, body []byte) bool {
+	serveRequests(c, func(_ *bufio.Reader, req *http.Request, body []byte) bool {
 		id := req.Header.Get(testIDHeader)
 		l.mu.Lock()
 		l.requests = append(l.requests, receivedRequest{req.Method, req.RequestURI, id, string(body)})
 		l.mu.Unlock()
-		_, _ = io.WriteString(c, sealedAnswer(id, nil))
+		_, _ = io.WriteString(c, successResponse(id, nil))
 		return true
 	})
 }
@@ -46,16 +46,16 @@
 
 // startCallerServer is a sidecar on the daemon's own server for callers, with one endpoint.
 func startCallerServer(t *testing.T) (*Sidecar, *requestLog, string) {
-	log := &requestLog{}
-	s := newTestSidecar("a", "127.0.0.1:1", listen(t, log.serve))
+	requests := &requestLog{}
+	s := newTestSidecar("a", "127.0.0.1:1", listen(t, requests.serve))
 	s.addWorkloads("a", "127.0.0.1:1", "a0")
-	front := server.New("127.0.0.1:0", s.HandleCaller, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
-	endpointURL, err := front.Endpoint()
+	callerServer := server.New("127.0.0.1:0", s.HandleCaller, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
+	endpointURL, err := callerServer.Endpoint()
 	must.NoError(t, err)
 	done := make(chan struct{})
-	go func() { defer close(done); _ = front.Start(context.Background()) }()
-	t.Cleanup(func() { _ = front.Close(); <-done })
-	return s, log, endpointURL.Host
+	go func() { defer close(done); _ = callerServer.Start(context.Background()) }()
+	t.Cleanup(func() { _ = callerServer.Close(); <-done })
+	return s, requests, endpointURL.Host
 }
 
 func rawRequest(method, path, id, body string) string {
@@ -67,8 +67,8 @@
 
 // connectionCase is what a caller sends on one connection and what comes of it.
 type connectionCase struct {
-	sends     string
-	answers   []string // "status id", in order; then the connection ends or is silent
+	input     string
+	responses   []string // "status id", in order; then the connection ends or is silent
 	runs      []receivedRequest
 	staysOpen bool // the connection takes another request
 	configure func(*Sidecar)
@@ -114,17 +114,17 @@
 // A caller's connection, whatever bytes come on it and however early it is answered: the endpoint
 // runs just the requests that come whole, each once and as it was sent; the answers come in their
 // order; and bytes that can't be parsed end the connection.
-func TestWhatACallerSendsOnOneConnection(t *testing.T) {
+func TestPipelinedAndMalformedCallerRequests(t *testing.T) {
 	for name, c := range connectionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c.play(t)
+			c.run(t)
 		})
 	}
 }
 
 // play sends the bytes to a new sidecar and checks the answers and what the endpoint read.
-func (c connectionCase) play(t *testing.T) {
+func (c connectionCase) run(t *testing.T) {
 	s, received, frontAddr := startCallerServer(t)
 	if c.configure != nil {
 		c.configure(s)
@@ -134,19 +134,19 @@
 	defer func() { _ = conn.Close() }()
 	must.NoError(t, conn.SetDeadline(time.Now().Add(time.Minute)))
 	go func() {
-		_, _ = io.WriteString(conn, c.sends)
+		_, _ = io.WriteString(conn, c.input)
 		if !c.staysOpen {
 			_ = conn.(*net.TCPConn).CloseWrite()
 		}
 	}()
 	r := bufio.NewReader(conn)
-	for _, want := range c.answers {
-		must.Eq(t, want, nextAnswer(t, r))
+	for _, want := range c.responses {
+		must.Eq(t, want, readResponse(t, r))
 	}
 	if c.staysOpen {
 		_, err := io.WriteString(conn, rawRequest("POST", "/once/last", "last", ""))
 		must.NoError(t, err)
-		must.Eq(t, "200 last", nextAnswer(t, r))
+		must.Eq(t, "200 last", readResponse(t, r))
 		c.runs = append(c.runs, receivedRequest{"POST", "/once/last", "last", ""})
 	} else if _, err := r.Peek(1); err == nil {
 		t.Fatal("more answers than requests")
@@ -157,14 +157,14 @@
 
 // nextAnswer reads an answer whole and gives its status and its id; the body of a success
 // must be the one of that id.
-func nextAnswer(t *testing.T, r *bufio.Reader) string {
+func readResponse(t *testing.T, r *bufio.Reader) string {
 	resp, err := http.ReadResponse(r, nil)
 	must.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	must.NoError(t, err)
 	id := resp.Header.Get(testIDHeader)
 	if resp.StatusCode == http.StatusOK {
-		must.Eq(t, ownBody(id), string(body))
+		must.Eq(t, responseBody(id), string(body))
 	}
 	return fmt.Sprint(resp.StatusCode, " ", id)
 }
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -47,7 +47,7 @@
 		{},
 		{
 			priority:        2,
-			expectedTime:    31 * time.Millisecond,
+			expectedServiceTime:    31 * time.Millisecond,
 			earlyRejection:  -time.Second,
 			latencyTarget:   200 * time.Millisecond,
 			peerFailureRate: 0.25,
@@ -62,7 +62,7 @@
 	must.False(t, parseHints("2,1000,2000,3000,250,1,900").repeatable)
 	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
 		hints := parseHints(text)
-		must.True(t, hints.priority >= 0 && hints.expectedTime >= 0 && hints.peerFailureRate >= 0 && hints.peerFailureRate <= 1,
+		must.True(t, hints.priority >= 0 && hints.expectedServiceTime >= 0 && hints.peerFailureRate >= 0 && hints.peerFailureRate <= 1,
 			must.Sprint(text))
 	}
 }
--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -23,13 +23,13 @@
 
 // leaveTimeout bounds what must come about after a client has left. The requests' own time is
 // patientLimit, and nothing but the client's leaving ends them before.
-const leaveTimeout = 15 * time.Second
+const conditionTimeout = 15 * time.Second
 
 // maxQueued is more than any of these tests queues.
 const maxQueued = 64
 
 // heldEndpoint holds every request until it is released, or until its connection is closed.
-type heldEndpoint struct {
+type blockingEndpoint struct {
 	addr     ident.Addr
 	mu       sync.Mutex
 	arrivals []string          // ids, in order of arrival
@@ -37,8 +37,8 @@
 	aborted  map[string]bool   // ids of requests whose connection was closed as they ran
 }
 
-func startHeldEndpoint(t *testing.T) *heldEndpoint {
-	e := &heldEndpoint{running: map[string]func(){}, aborted: map[string]bool{}}
+func startBlockingEndpoint(t *testing.T) *blockingEndpoint {
+	e := &blockingEndpoint{running: map[string]func(){}, aborted: map[string]bool{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	e.addr = ident.Addr(listener.Addr().String())
@@ -48,7 +48,7 @@
 	return e
 }
 
-func (e *heldEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *blockingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(testIDHeader)
 	_, _ = io.Copy(io.Discard, r.Body)
 	released := make(chan struct{})
@@ -65,13 +65,13 @@
 	e.aborted[id] = r.Context().Err() != nil
 	e.mu.Unlock()
 	w.Header().Set(testIDHeader, id)
-	w.Header().Set(testSealHeader, "s")
+	w.Header().Set(testSuccessMarkHeader, "s")
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = io.WriteString(w, ownBody(id))
+	_, _ = io.WriteString(w, responseBody(id))
 }
 
 // state returns copies of what arrived, what runs and what was broken off.
-func (e *heldEndpoint) state() (arrivals []string, running, aborted map[string]bool) {
+func (e *blockingEndpoint) state() (arrivals []string, running, aborted map[string]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	running, aborted = map[string]bool{}, map[string]bool{}
@@ -84,7 +84,7 @@
 	return slices.Clone(e.arrivals), running, aborted
 }
 
-func (e *heldEndpoint) release(id string) {
+func (e *blockingEndpoint) release(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if release := e.running[id]; release != nil {
@@ -93,29 +93,29 @@
 }
 
 // leavingMesh is a sidecar of callers and a held endpoint, beside it or behind another sidecar.
-type leavingMesh struct {
+type disconnectHarness struct {
 	t        *testing.T
-	caller   *Sidecar
-	beside   *Sidecar // the sidecar beside the endpoint
-	endpoint *heldEndpoint
+	callerSidecar   *Sidecar
+	endpointSidecar   *Sidecar // the sidecar beside the endpoint
+	endpoint *blockingEndpoint
 	addr     string // for callers
 }
 
 // startLeavingMesh starts a mesh whose endpoint has some slots, and whose caller's sidecar has some
 // senders.
-func startLeavingMesh(t *testing.T, remote bool, slots, senders int) *leavingMesh {
-	m := &leavingMesh{t: t, endpoint: startHeldEndpoint(t)}
-	m.caller = newTestSidecar("a", "127.0.0.1:1")
-	m.beside = m.caller
+func startDisconnectHarness(t *testing.T, remote bool, slots, senders int) *disconnectHarness {
+	m := &disconnectHarness{t: t, endpoint: startBlockingEndpoint(t)}
+	m.callerSidecar = newTestSidecar("a", "127.0.0.1:1")
+	m.endpointSidecar = m.callerSidecar
 	besideAddr := ident.Addr("127.0.0.1:1")
 	if remote {
-		m.beside = newTestSidecar("b", "127.0.0.1:2")
-		besideAddr = ident.Addr(m.listen(m.beside.ServePeer))
+		m.endpointSidecar = newTestSidecar("b", "127.0.0.1:2")
+		besideAddr = ident.Addr(m.listen(m.endpointSidecar.ServePeer))
 	}
 	onlySlots := admission.DefaultSettings()
 	onlySlots.ExtraRequests = 0
-	m.beside.slots.queue = admission.New(onlySlots)
-	_ = m.beside.Heartbeat(endpoint.Heartbeat{
+	m.endpointSidecar.slots.queue = admission.New(onlySlots)
+	_ = m.endpointSidecar.Heartbeat(endpoint.Heartbeat{
 		Server:  "e0",
 		Service: "s",
 		Addr:    m.endpoint.addr,
@@ -123,14 +123,14 @@
 		Slots:   slots,
 		Seq:     1,
 	})
-	m.caller.sendQueue = priorityqueue.New[*queuedRequest](senders, maxQueued)
-	m.caller.addWorkloads("b", besideAddr, "e0")
-	m.addr = m.listen(m.caller.HandleCaller)
+	m.callerSidecar.sendQueue = priorityqueue.New[*queuedRequest](senders, maxQueued)
+	m.callerSidecar.addWorkloads("b", besideAddr, "e0")
+	m.addr = m.listen(m.callerSidecar.HandleCaller)
 	return m
 }
 
 // listen serves on a server of the kind that the daemon has.
-func (m *leavingMesh) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
+func (m *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
 	front := server.New("127.0.0.1:0", serve, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
 	endpointURL, err := front.Endpoint()
 	must.NoError(m.t, err)
@@ -141,7 +141,7 @@
 }
 
 // send sends a request on a connection of its own.
-func (m *leavingMesh) send(path, id string) net.Conn {
+func (m *disconnectHarness) send(path, id string) net.Conn {
 	c, err := net.Dial("tcp", m.addr)
 	must.NoError(m.t, err)
 	m.t.Cleanup(func() { _ = c.Close() })
@@ -152,19 +152,19 @@
 }
 
 // await waits until a condition holds.
-func (m *leavingMesh) await(what string, condition func() bool) {
+func (m *disconnectHarness) await(description string, condition func() bool) {
 	m.t.Helper()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
-	for deadline := time.Now().Add(leaveTimeout); !condition(); <-ticker.C {
+	for deadline := time.Now().Add(conditionTimeout); !condition(); <-ticker.C {
 		if time.Now().After(deadline) {
 			arrivals, running, aborted := m.endpoint.state()
-			m.t.Fatalf("%s did not come about: arrived %v, running %v, broken off %v", what, arrivals, running, aborted)
+			m.t.Fatalf("%s did not come about: arrived %v, running %v, broken off %v", description, arrivals, running, aborted)
 		}
 	}
 }
 
-func (m *leavingMesh) runs(id string) bool {
+func (m *disconnectHarness) isRunning(id string) bool {
 	_, running, _ := m.endpoint.state()
 	return running[id]
 }
@@ -177,22 +177,22 @@
 }
 
 // awaitInFlight waits until both sidecars hold no more requests than they should.
-func (m *leavingMesh) awaitInFlight(atCaller, beside int) {
+func (m *disconnectHarness) awaitInFlight(atCaller, beside int) {
 	m.t.Helper()
 	m.await(fmt.Sprint("requests in flight: ", atCaller, " and ", beside), func() bool {
-		return inFlight(m.caller) == atCaller && (m.beside == m.caller || inFlight(m.beside) == beside)
+		return inFlight(m.callerSidecar) == atCaller && (m.endpointSidecar == m.callerSidecar || inFlight(m.endpointSidecar) == beside)
 	})
 }
 
 // What becomes of a request whose client leaves, at each stage that it may have reached, with the
 // endpoint beside the caller's sidecar and behind another.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	for stage, test := range map[string]func(t *testing.T, remote bool){
-		"repeatable request at its endpoint":  clientLeavesRepeatableRun,
-		"one-shot request at its endpoint":    clientLeavesOneShotRun,
-		"repeatable request waits for a slot": clientLeavesAdmissionQueue("/again/x"),
-		"one-shot request waits for a slot":   clientLeavesAdmissionQueue("/once/x"),
-		"request waits to be sent":            clientLeavesSendQueue,
+		"repeatable request at its endpoint":  clientDisconnectsDuringRepeatableRun,
+		"one-shot request at its endpoint":    clientDisconnectsDuringOneShotRun,
+		"repeatable request waits for a slot": clientDisconnectsInAdmissionQueue("/again/x"),
+		"one-shot request waits for a slot":   clientDisconnectsInAdmissionQueue("/once/x"),
+		"request waits to be sent":            clientDisconnectsInSendQueue,
 	} {
 		for place, remote := range map[string]bool{"endpoint beside the caller": false, "endpoint behind a peer": true} {
 			t.Run(stage+", "+place, func(t *testing.T) {
@@ -204,10 +204,10 @@
 }
 
 // A repeatable request at work is broken off at its endpoint when its client leaves.
-func clientLeavesRepeatableRun(t *testing.T, remote bool) {
-	m := startLeavingMesh(t, remote, 4, 8)
+func clientDisconnectsDuringRepeatableRun(t *testing.T, remote bool) {
+	m := startDisconnectHarness(t, remote, 4, 8)
 	c := m.send("/again/x", "r0")
-	m.await("the run", func() bool { return m.runs("r0") })
+	m.await("the run", func() bool { return m.isRunning("r0") })
 	must.NoError(t, c.Close())
 	m.await("the end of the run", func() bool { _, _, aborted := m.endpoint.state(); return aborted["r0"] })
 	m.awaitInFlight(0, 0)
@@ -217,16 +217,16 @@
 
 // A request that can't be repeated and has begun goes on to its end, so that it is done once and
 // whole; nobody waits for its response.
-func clientLeavesOneShotRun(t *testing.T, remote bool) {
-	m := startLeavingMesh(t, remote, 1, 8)
+func clientDisconnectsDuringOneShotRun(t *testing.T, remote bool) {
+	m := startDisconnectHarness(t, remote, 1, 8)
 	c := m.send("/once/x", "r0")
-	m.await("the run", func() bool { return m.runs("r0") })
+	m.await("the run", func() bool { return m.isRunning("r0") })
 	other := m.send("/again/x", "other") // it waits for the slot of r0
 	m.awaitInFlight(2, 2)
 	must.NoError(t, c.Close())
 	must.NoError(t, other.Close())
-	m.awaitInFlight(remoteOr(remote, 0, 1), 1)
-	must.True(t, m.runs("r0"))
+	m.awaitInFlight(selectByPlacement(remote, 0, 1), 1)
+	must.True(t, m.isRunning("r0"))
 	m.endpoint.release("r0")
 	m.awaitInFlight(0, 0)
 	arrivals, _, aborted := m.endpoint.state()
@@ -235,10 +235,10 @@
 }
 
 // checkOnlyTheseRun releases runs that come one after the other, and checks that there are no others.
-func (m *leavingMesh) checkOnlyTheseRun(ids ...string) {
+func (m *disconnectHarness) checkRunsInOrder(ids ...string) {
 	m.t.Helper()
 	for _, id := range ids {
-		m.await("the run of "+id, func() bool { return m.runs(id) })
+		m.await("the run of "+id, func() bool { return m.isRunning(id) })
 		m.endpoint.release(id)
 	}
 	m.awaitInFlight(0, 0)
@@ -247,48 +247,48 @@
 }
 
 // remoteOr gives one value for an endpoint behind a peer and another for one beside the caller.
-func remoteOr(remote bool, there, here int) int {
+func selectByPlacement(remote bool, whenRemote, whenLocal int) int {
 	if remote {
-		return there
+		return whenRemote
 	}
-	return here
+	return whenLocal
 }
 
 // A request that waits for a slot of its endpoint never reaches it once its client has left, of
 // whatever kind it is, and those behind it move up.
-func clientLeavesAdmissionQueue(path string) func(t *testing.T, remote bool) {
+func clientDisconnectsInAdmissionQueue(path string) func(t *testing.T, remote bool) {
 	return func(t *testing.T, remote bool) {
-		m := startLeavingMesh(t, remote, 1, 8)
+		m := startDisconnectHarness(t, remote, 1, 8)
 		m.send("/again/x", "first")
-		m.await("the run", func() bool { return m.runs("first") })
-		leaving := m.send(path, "leaving")
+		m.await("the run", func() bool { return m.isRunning("first") })
+		disconnecting := m.send(path, "leaving")
 		m.awaitInFlight(2, 2)
 		m.send("/again/x", "last")
 		m.awaitInFlight(3, 3)
-		must.NoError(t, leaving.Close())
+		must.NoError(t, disconnecting.Close())
 		m.awaitInFlight(2, 2)
-		m.checkOnlyTheseRun("first", "last")
+		m.checkRunsInOrder("first", "last")
 	}
 }
 
 // A request that waits to be sent leaves the queue of its client's sidecar with its client.
-func clientLeavesSendQueue(t *testing.T, remote bool) {
-	m := startLeavingMesh(t, remote, 4, 1)
+func clientDisconnectsInSendQueue(t *testing.T, remote bool) {
+	m := startDisconnectHarness(t, remote, 4, 1)
 	m.send("/again/x", "first")
-	m.await("the run", func() bool { return m.runs("first") })
-	leaving := m.send("/once/x", "leaving")
+	m.await("the run", func() bool { return m.isRunning("first") })
+	disconnecting := m.send("/once/x", "leaving")
 	m.awaitInFlight(2, 1)
-	must.NoError(t, leaving.Close())
+	must.NoError(t, disconnecting.Close())
 	m.awaitInFlight(1, 1)
 	m.send("/again/x", "last")
-	m.checkOnlyTheseRun("first", "last")
+	m.checkRunsInOrder("first", "last")
 }
 
 const (
 	// leavingSeeds is how many seeds TestManyClientsLeave plays.
-	leavingSeeds = 8
+	disconnectSeeds = 8
 	// leavingClients send one request each in playLeavers.
-	leavingClients = 16
+	disconnectClients = 16
 	// minSlots is so many that all the requests may wait: none is rejected.
 	minSlots = 3
 )
@@ -296,59 +296,59 @@
 // Many clients, some of which leave at any moment: what remains is just the requests of those that
 // stay and the runs that can't be repeated. All others have ended without a release, and were not
 // sent again.
-func TestManyClientsLeave(t *testing.T) {
-	for seed := range uint64(leavingSeeds) {
+func TestManyClientsDisconnect(t *testing.T) {
+	for seed := range uint64(disconnectSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 26))
-			m := startLeavingMesh(t, seed%2 == 0, minSlots+rng.IntN(6), 4+rng.IntN(12))
-			m.playLeavers(rng)
+			m := startDisconnectHarness(t, seed%2 == 0, minSlots+rng.IntN(6), 4+rng.IntN(12))
+			m.sendAndDisconnect(rng)
 		})
 	}
 }
 
 // playLeavers sends requests, closes the connections of some of them, and then releases what runs.
-func (m *leavingMesh) playLeavers(rng *rand.Rand) {
-	conns, left, paths := make([]net.Conn, leavingClients), map[string]bool{}, map[string]string{}
+func (m *disconnectHarness) sendAndDisconnect(rng *rand.Rand) {
+	conns, disconnected, paths := make([]net.Conn, disconnectClients), map[string]bool{}, map[string]string{}
 	for i := range conns {
 		id := fmt.Sprint("r", i)
 		paths[id] = []string{"/again/x", "/once/x"}[rng.IntN(2)]
 		conns[i] = m.send(paths[id], id)
 		if j := rng.IntN(i + 1); rng.IntN(3) > 0 {
-			left[fmt.Sprint("r", j)] = true
+			disconnected[fmt.Sprint("r", j)] = true
 			_ = conns[j].Close()
 		}
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
-	m.await("the arrival of all", func() bool { return m.routed() == leavingClients })
+	m.await("the arrival of all", func() bool { return m.routedRequests() == disconnectClients })
 	m.await("the end of what has no client", func() bool {
 		_, running, _ := m.endpoint.state()
-		return m.holdsOnly(leavingClients-len(left), orphanRuns(running, left)) && !needlessRuns(running, left, paths)
+		return m.holdsOnly(disconnectClients-len(disconnected), countAbandonedRuns(running, disconnected)) && !hasAbandonedRepeatableRun(running, disconnected, paths)
 	})
 	released := map[string]bool{}
 	m.await("the end of all", func() bool {
 		_, running, _ := m.endpoint.state()
 		for id := range running {
-			must.False(m.t, left[id] && paths[id] == "/again/x" && !released[id], must.Sprint(id, " began after its client had left"))
+			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !released[id], must.Sprint(id, " began after its client had left"))
 			released[id] = true
 			m.endpoint.release(id)
 		}
-		return inFlight(m.caller) == 0 && inFlight(m.beside) == 0
+		return inFlight(m.callerSidecar) == 0 && inFlight(m.endpointSidecar) == 0
 	})
 	m.checkArrivals(paths)
 }
 
 // routed is how many requests the caller's sidecar has taken.
-func (m *leavingMesh) routed() uint64 {
-	m.caller.mu.Lock()
-	defer m.caller.mu.Unlock()
-	return m.caller.planner.Calls
+func (m *disconnectHarness) routedRequests() uint64 {
+	m.callerSidecar.mu.Lock()
+	defer m.callerSidecar.mu.Unlock()
+	return m.callerSidecar.planner.Calls
 }
 
 // needlessRuns reports whether a repeatable request runs whose client has left.
-func needlessRuns(running, left map[string]bool, paths map[string]string) bool {
+func hasAbandonedRepeatableRun(running, disconnected map[string]bool, paths map[string]string) bool {
 	for id := range running {
-		if left[id] && paths[id] == "/again/x" {
+		if disconnected[id] && paths[id] == "/again/x" {
 			return true
 		}
 	}
@@ -356,9 +356,9 @@
 }
 
 // orphanRuns counts the runs whose clients left.
-func orphanRuns(running, left map[string]bool) (count int) {
+func countAbandonedRuns(running, disconnected map[string]bool) (count int) {
 	for id := range running {
-		if left[id] {
+		if disconnected[id] {
 			count++
 		}
 	}
@@ -367,19 +367,19 @@
 
 // holdsOnly reports whether the sidecars hold just the requests of the clients that stay, and
 // some runs beside the endpoint whose clients left.
-func (m *leavingMesh) holdsOnly(staying, orphans int) bool {
-	if m.beside == m.caller {
-		return inFlight(m.caller) == staying+orphans
+func (m *disconnectHarness) holdsOnly(staying, orphans int) bool {
+	if m.endpointSidecar == m.callerSidecar {
+		return inFlight(m.callerSidecar) == staying+orphans
 	}
-	m.caller.mu.Lock()
-	atCaller, queued := m.caller.inFlight, m.caller.sendQueue.Len()
-	m.caller.mu.Unlock()
-	return atCaller == staying && inFlight(m.beside) == staying-queued+orphans
+	m.callerSidecar.mu.Lock()
+	atCaller, queued := m.callerSidecar.inFlight, m.callerSidecar.sendQueue.Len()
+	m.callerSidecar.mu.Unlock()
+	return atCaller == staying && inFlight(m.endpointSidecar) == staying-queued+orphans
 }
 
 // checkArrivals checks that no request reached the endpoint twice and that none that can't be
 // repeated was broken off.
-func (m *leavingMesh) checkArrivals(paths map[string]string) {
+func (m *disconnectHarness) checkArrivals(paths map[string]string) {
 	arrivals, running, aborted := m.endpoint.state()
 	must.MapEmpty(m.t, running)
 	slices.Sort(arrivals)
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -185,21 +185,21 @@
 	if config == nil {
 		return
 	}
-	taken := s.config.pending[config.Revision]
+	stored := s.config.pending[config.Revision]
 	s.config.dropReplaced()
 	if !s.planner.Enforce(config) {
 		return
 	}
-	s.config.active = taken
+	s.config.active = stored
 	if config.Limits != (validation.Limits{}) {
 		s.bodies.limits.Store(&config.Limits)
 	}
 	s.configActive.Store(true)
-	s.verifyNewcomers() // their services may be configured now
+	s.verifyNewEndpoints() // their services may be configured now
 	s.Log.Info("configuration active",
 		zap.Uint64("revision", uint64(config.Revision)),
 		zap.Int("routes", len(config.Routes)),
-		zap.Duration("waited", now.Since(taken.heldSince)))
+		zap.Duration("waited", now.Since(stored.heldSince)))
 	s.renewer.wake()
 }
 
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -22,7 +22,7 @@
 // configSource is a process that serves parts of a configuration and counts the bytes it sends.
 type configSource struct {
 	source  mesh.ConfigSource
-	old     bool // it knows neither deltas nor compressed parts
+	earlierRelease     bool // it knows neither deltas nor compressed parts
 	bytes   int
 	queries []string
 }
@@ -30,7 +30,7 @@
 func (s *configSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.queries = append(s.queries, r.URL.RawQuery)
 	src := s.source
-	if s.old {
+	if s.earlierRelease {
 		src.Compressed, src.DeltaFrom = nil, nil
 	}
 	rec := httptest.NewRecorder()
@@ -73,7 +73,7 @@
 // A sidecar fetches a configuration whole the first time and then what changed; a delta that does
 // not fit, and a source of an earlier release, cost a whole one. The active configuration is always
 // what was served, to the byte, and one that is held is not fetched again.
-func TestConfigIsFetchedByDelta(t *testing.T) {
+func TestFetchConfigByDelta(t *testing.T) {
 	source := &configSource{}
 	server := httptest.NewServer(source)
 	defer server.Close()
@@ -108,12 +108,12 @@
 	must.Greater(t, wholeBytes/2, fetch())
 	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasRejected).Load())
 
-	source.old = true
+	source.earlierRelease = true
 	change(4, 800)
 	must.Greater(t, len(source.source.Raw), fetch())
 	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasApplied).Load())
 
-	source.old, source.queries = false, nil
+	source.earlierRelease, source.queries = false, nil
 	must.NoError(t, s.fetchConfig(from))
 	must.SliceLen(t, 1, source.queries)
 	revision, _ := activeConfigOf(s)
@@ -122,7 +122,7 @@
 
 // A sidecar serves its peers the delta by which its configuration came, if they have the revision
 // before.
-func TestPeersServeTheDelta(t *testing.T) {
+func TestServeConfigDeltaToPeers(t *testing.T) {
 	source := &configSource{}
 	before, after := source.setConfig(t, 5, 40, 1), source.setConfig(t, 6, 40, 2)
 	change, ok := delta.Between(before, after)
@@ -143,9 +143,9 @@
 
 // A configuration of several parts is fetched while a newer one is confirmed between any two requests:
 // the fetch ends. Guards against a fetch that each newer revision begins anew for ever.
-func TestFetchInPartsEndsWhileChangesFollowQuickly(t *testing.T) {
+func TestFetchInPartsCompletesUnderFrequentChanges(t *testing.T) {
 	const routes, maxRequests = 12000, 20
-	source := &configSource{old: true}
+	source := &configSource{earlierRelease: true}
 	revision := ident.ConfigRevision(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if len(source.queries) == maxRequests {
--- a/daemon/sidecar/configactivation_test.go
+++ b/daemon/sidecar/configactivation_test.go
@@ -39,7 +39,7 @@
 // Configurations come 80 ms apart for four seconds while no peer answers: the one that came two
 // seconds ago, or a newer one, is in force all the while, and what is in force and what is served to
 // peers are whole. Guards against changes that follow quickly and keep anything from coming into force.
-func TestConfigsThatFollowQuicklyComeIntoForce(t *testing.T) {
+func TestFrequentConfigsAreActivated(t *testing.T) {
 	const gap, maxDelay, changes = 80 * time.Millisecond, 2 * time.Second, 50
 	ended := make(chan struct{})
 	silent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-ended }))
@@ -77,8 +77,8 @@
 // Of many peers most have left: those that are still there are told of a configuration first, and others
 // only where there are too few of them. Guards against waits for machines that left, for as long as
 // the registry still lists them.
-func TestPeersThatLeftAreNotWaitedFor(t *testing.T) {
-	left := []ident.Addr{"l1:1", "l2:1", "l3:1", "l4:1", "l5:1", "l6:1"}
+func TestPeersToNotifyPrefersLiveLeases(t *testing.T) {
+	lapsed := []ident.Addr{"l1:1", "l2:1", "l3:1", "l4:1", "l5:1", "l6:1"}
 	for name, x := range map[string]struct {
 		live                        []ident.Addr
 		notifiedLive, notifiedOther int // how many are notified, of those whose lease holds and of the others
@@ -90,13 +90,13 @@
 	} {
 		s := New(settings.Sidecar{Addr: "self:1"}, zap.NewNop())
 		listPeers(s, false, append(x.live, s.Settings.Addr)...)
-		listPeers(s, true, left...)
+		listPeers(s, true, lapsed...)
 		notified := map[bool]int{}
 		for _, peer := range s.peersToNotify() {
 			notified[slices.Contains(x.live, peer)]++
 		}
 		must.Eq(t, x.notifiedLive, notified[true], must.Sprint(name))
 		must.Eq(t, x.notifiedOther, notified[false], must.Sprint(name))
-		must.Len(t, len(x.live)+len(left), s.peerAddrs(), must.Sprint(name, ": all may be asked"))
+		must.Len(t, len(x.live)+len(lapsed), s.peerAddrs(), must.Sprint(name, ": all may be asked"))
 	}
 }
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -74,7 +74,7 @@
 func (d *configWatch) run() {
 	s := d.sidecar
 	var position watchPosition
-	for !s.closing() {
+	for !s.closed() {
 		core, haveRevision := d.next()
 		if !s.leaseHeld.Load() || core == "" {
 			s.sleep(noRegistrarPause)
--- a/daemon/sidecar/configwatch_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -74,7 +74,7 @@
 
 // Behind a full link every core is late with its answers to renewals. The poll goes on at the core
 // where it began: broken off with each renewal, it would never bring anything.
-func TestPollGoesOnWhileAllCoresAreLate(t *testing.T) {
+func TestPollContinuesWhileAllCoresAreLate(t *testing.T) {
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
 	s := startRenewingSidecar(t, a.serve(t), b.serve(t))
@@ -86,12 +86,12 @@
 }
 
 // A core that says nothing more is left as soon as another one answers a renewal.
-func TestPollTurnsToACoreThatAnswers(t *testing.T) {
+func TestPollSwitchesToRespondingCore(t *testing.T) {
 	for range 6 { // which of the two comes first hangs on their ports
-		silent, answers := &slowCore{renewAfter: -1}, &slowCore{}
-		startRenewingSidecar(t, silent.serve(t), answers.serve(t))
+		silent, responding := &slowCore{renewAfter: -1}, &slowCore{}
+		startRenewingSidecar(t, silent.serve(t), responding.serve(t))
 		select {
-		case <-answers.polledSignal:
+		case <-responding.polledSignal:
 		case <-time.After(20 * time.Second):
 			t.Fatal("the core that answers is never polled")
 		}
--- a/daemon/sidecar/cores.go
+++ b/daemon/sidecar/cores.go
@@ -13,7 +13,7 @@
 	// maxCores bounds the list of cores.
 	maxCores = 32
 	// coreForgottenAfter is how long a core stays in the list that no core lists any more.
-	coreForgottenAfter = time.Minute
+	coreListTTL = time.Minute
 	// unknownSeedInterval is how often a seed may be asked as a peer that has not answered as a
 	// sidecar yet, coreSeedInterval the same for one that is known to be a core.
 	unknownSeedInterval = 1500 * time.Millisecond
@@ -30,7 +30,7 @@
 	addrs         []ident.Addr                 // the seeds, and the cores that were listed lately
 	listedAt      map[ident.Addr]monotime.Time // when a core last listed it
 	isSidecar     map[ident.Addr]bool
-	notPeerBefore map[ident.Addr]monotime.Time // when it may be asked as a peer again
+	nextQueryAt map[ident.Addr]monotime.Time // when it may be asked as a peer again
 }
 
 func newCoreList(seeds []ident.Addr, now monotime.Time) coreList {
@@ -39,10 +39,10 @@
 		addrs:         slices.Clone(seeds),
 		listedAt:      map[ident.Addr]monotime.Time{},
 		isSidecar:     map[ident.Addr]bool{},
-		notPeerBefore: map[ident.Addr]monotime.Time{},
+		nextQueryAt: map[ident.Addr]monotime.Time{},
 	}
 	for _, seed := range seeds {
-		list.notPeerBefore[seed] = now.Add(seedGracePeriod)
+		list.nextQueryAt[seed] = now.Add(seedGracePeriod)
 	}
 	return list
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	l.addrs = slices.DeleteFunc(l.addrs, func(addr ident.Addr) bool {
-		if slices.Contains(l.seeds, addr) || now.Since(l.listedAt[addr]) < coreForgottenAfter {
+		if slices.Contains(l.seeds, addr) || now.Since(l.listedAt[addr]) < coreListTTL {
 			return false
 		}
 		delete(l.listedAt, addr)
@@ -77,22 +77,22 @@
 // markCore notes that a process is a core.
 func (l *coreList) markCore(now monotime.Time, addr ident.Addr) {
 	delete(l.isSidecar, addr)
-	l.notPeerBefore[addr] = now.Add(coreSeedInterval)
+	l.nextQueryAt[addr] = now.Add(coreSeedInterval)
 }
 
 // mayQuerySeed reports whether a seed may be asked as a peer now. Until a seed has answered as a
 // sidecar it is asked seldom, as all sidecars that start together ask the same seeds.
 func (l *coreList) mayQuerySeed(now monotime.Time, seed ident.Addr) bool {
-	if !l.isSidecar[seed] && l.notPeerBefore[seed].After(now) {
+	if !l.isSidecar[seed] && l.nextQueryAt[seed].After(now) {
 		return false
 	}
-	l.notPeerBefore[seed] = now.Add(unknownSeedInterval)
+	l.nextQueryAt[seed] = now.Add(unknownSeedInterval)
 	return true
 }
 
 // noteSeedAnswer takes what a seed's answer to a peer's request tells of it: a core has no such
 // path.
-func (l *coreList) noteSeedAnswer(now monotime.Time, seed ident.Addr, err error) {
+func (l *coreList) handleSeedResponse(now monotime.Time, seed ident.Addr, err error) {
 	if !slices.Contains(l.seeds, seed) {
 		return
 	}
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -20,7 +20,7 @@
 	endpointMarginMs = 10
 	// idleTrust is for how long after its last use a connection to an endpoint counts as open:
 	// an endpoint may close one that is idle just as the next request is sent.
-	idleTrust = 2 * time.Second
+	maxIdleAge = 2 * time.Second
 )
 
 // endpointRequest is a request for an endpoint of this machine, of a caller here or of another
@@ -30,7 +30,7 @@
 	service       ident.Service
 	call          exchange.Call
 	deadline      time.Time
-	retryFraction float64 // the probability that it repeats one that ran
+	retryProbability float64 // the probability that it repeats one that ran
 	hints         admissionHints
 }
 
@@ -86,17 +86,17 @@
 		if ctx.Err() != nil {
 			return clientLeft()
 		}
-		return s.checkNotMoved(request, addr)
+		return s.checkAddrUnchanged(request, addr)
 	}
 	sentAt := s.clock()
 	resp, sent, fail := s.endpointExchange.Do(runContext(ctx, request), addr, call)
 	if fail != nil && ctx.Err() != nil && request.hints.repeatable {
-		return s.endpointGivenUp(sent, sentAt)
+		return s.canceledCallResult(sent, sentAt)
 	}
 	if fail != nil {
-		return s.endpointFailed(request.server, fail, sent, sentAt)
+		return s.failedCallResult(request.server, fail, sent, sentAt)
 	}
-	return s.endpointAnswered(resp, sentAt)
+	return s.answeredCallResult(resp, sentAt)
 }
 
 // runContext is the context of a request's run. One that can't be repeated goes on to its end when
@@ -109,7 +109,7 @@
 }
 
 // endpointGivenUp is the result of a call that was broken off as its client left.
-func (s *Sidecar) endpointGivenUp(sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+func (s *Sidecar) canceledCallResult(sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	if !sent {
 		return endpointResult{result: resultRejected, failure: clientLeft()}, admission.GivenUp
 	}
@@ -131,7 +131,7 @@
 	if fail != nil {
 		return "", 0, fail
 	}
-	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryFraction) {
+	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryProbability) {
 		return "", 0, failure.New(failure.Busy, "the retry budget of the services called is used up").WithRetryAfter(retryAfterSeconds)
 	}
 	if config := s.planner.Config(); config != nil {
@@ -145,7 +145,7 @@
 func (s *Sidecar) endEndpointCall(request endpointRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.planner.RetryBudget.EndRun(request.retryFraction)
+	s.planner.RetryBudget.EndRun(request.retryProbability)
 	s.runs.end(s.requestID(request))
 }
 
@@ -159,7 +159,7 @@
 
 // checkNotMoved is the last check before the first byte: while the connection came up, the
 // endpoint may have ended and another may have taken its address.
-func (s *Sidecar) checkNotMoved(request endpointRequest, addr ident.Addr) *failure.Error {
+func (s *Sidecar) checkAddrUnchanged(request endpointRequest, addr ident.Addr) *failure.Error {
 	current, fail := s.checkEndpoint(request)
 	if fail == nil && current != addr {
 		return failure.New(failure.EndpointRejected, "server %q has moved", request.server)
@@ -168,7 +168,7 @@
 }
 
 // endpointFailed is the result of a call that brought no response.
-func (s *Sidecar) endpointFailed(
+func (s *Sidecar) failedCallResult(
 	server ident.Server, fail *failure.Error, sent bool, sentAt monotime.Time,
 ) (endpointResult, admission.Outcome) {
 	if fail.Kind == failure.Unreachable {
@@ -187,7 +187,7 @@
 }
 
 // endpointAnswered is the result of a call that brought a response.
-func (s *Sidecar) endpointAnswered(resp *exchange.Response, sentAt monotime.Time) (endpointResult, admission.Outcome) {
+func (s *Sidecar) answeredCallResult(resp *exchange.Response, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	result := classifyResponse(s.Settings.Headers, resp)
 	switch {
 	case result.result == resultShed:
@@ -229,7 +229,7 @@
 		// that is due: each request has a connection of its own.
 		call.SingleUse = true
 	} else {
-		call.IDHeader, call.ID, call.MaxIdleAge = headers.RequestID, id, idleTrust
+		call.IDHeader, call.ID, call.MaxIdleAge = headers.RequestID, id, maxIdleAge
 	}
 	return call
 }
--- a/daemon/sidecar/endpointcall_test.go
+++ b/daemon/sidecar/endpointcall_test.go
@@ -18,20 +18,20 @@
 
 // Without an id nothing tells a request's answer from another's: it gets a connection of its own to
 // the endpoint, so that a late answer to an older request reaches nobody.
-func TestRequestWithoutAnIdHasAConnectionOfItsOwn(t *testing.T) {
+func TestRequestWithoutIDUsesItsOwnConnection(t *testing.T) {
 	for name, echo := range map[string]string{"echoed": testIDHeader + ": \r\n", "not echoed": ""} {
 		t.Run(name, func(t *testing.T) {
-			answer := func(n int) string {
+			response := func(n int) string {
 				body := fmt.Sprintf(`{"n":%d}`, n)
-				return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%s: s\r\nContent-Length: %d\r\n\r\n%s", echo, testSealHeader, len(body), body)
+				return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%s: s\r\nContent-Length: %d\r\n\r\n%s", echo, testSuccessMarkHeader, len(body), body)
 			}
 			received := make(chan string, 8)
 			var answered atomic.Int64
 			endpointAddr := listen(t, func(c *net.TCPConn) {
 				previous := ""
-				eachRequest(c, func(_ *bufio.Reader, _ *http.Request, body []byte) bool {
+				serveRequests(c, func(_ *bufio.Reader, _ *http.Request, body []byte) bool {
 					received <- string(body)
-					own := answer(int(answered.Add(1)))
+					own := response(int(answered.Add(1)))
 					_, _ = io.WriteString(c, previous+own)
 					previous = own
 					return true
@@ -54,13 +54,13 @@
 func TestEndpointCallsAreIdentifiedOrSingleUse(t *testing.T) {
 	for _, name := range []string{"", testIDHeader} {
 		for _, id := range []string{"", "r"} {
-			headers := settings.Headers{RequestID: name, SuccessMark: testSealHeader, Deadline: "X-Limit-Left-Ms"}
+			headers := settings.Headers{RequestID: name, SuccessMark: testSuccessMarkHeader, Deadline: "X-Limit-Left-Ms"}
 			call := endpointCall(headers, exchange.Call{Header: http.Header{testIDHeader: {id}}}, "e", time.Now().Add(time.Minute))
 			hasID := name != "" && id != ""
 			must.Eq(t, !hasID, call.SingleUse)
 			must.Eq(t, hasID, call.IDHeader == testIDHeader && call.ID == "r")
-			must.Eq(t, hasID, call.MaxIdleAge == idleTrust)
-			must.Eq(t, name != "", call.RequiredHeader == testSealHeader && call.Unencoded)
+			must.Eq(t, hasID, call.MaxIdleAge == maxIdleAge)
+			must.Eq(t, name != "", call.RequiredHeader == testSuccessMarkHeader && call.Unencoded)
 			must.Eq(t, exchange.HeaderField{Name: TargetHeader, Value: "e"}, call.HeaderOverrides[0])
 		}
 	}
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -32,15 +32,15 @@
 var notExecutedStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
 // topology places the two endpoints of a service and gives the sidecar that callers use.
-type topology func(*testStage) *Sidecar
+type topology func(*faultHarness) *Sidecar
 
-func localEndpoints(st *testStage) *Sidecar {
+func localEndpoints(st *faultHarness) *Sidecar {
 	s := newTestSidecar("a", "127.0.0.1:1", st.endpoints...)
 	s.addWorkloads("a", "127.0.0.1:1", "a0", "a1")
 	return s
 }
 
-func remoteEndpoints(st *testStage) *Sidecar {
+func remoteEndpoints(st *faultHarness) *Sidecar {
 	st.peer.Store(newTestSidecar("b", "127.0.0.1:2", st.endpoints...))
 	s := newTestSidecar("a", "127.0.0.1:1")
 	s.addWorkloads("b", st.relayAddr, "b0", "b1")
@@ -49,18 +49,18 @@
 
 // playScript sends requests one after the other against one order of moves. The answers are checked
 // at once, and again at the end of the test: what was rejected never runs.
-func (st *testStage) playScript(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointMove, relays []relayMove) {
-	log, order := newJournal(script, relays), fmt.Sprint(st.orders.Add(1))
-	st.journals.Store(order, log)
+func (st *faultHarness) runScenario(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
+	played, number := newScenario(script, relays), fmt.Sprint(st.scenarioCount.Add(1))
+	st.scenarios.Store(number, played)
 	s := place(st)
 	defer st.closeConnections(s)
-	answers := make([]*httptest.ResponseRecorder, len(paths))
+	responses := make([]*httptest.ResponseRecorder, len(paths))
 	for n, path := range paths {
-		answers[n] = s.sendAsCaller(path, fmt.Sprint(order, "-r", n), limit)
+		responses[n] = s.sendAsCaller(path, fmt.Sprint(number, "-r", n), limit)
 	}
 	checkAll := func() {
 		for n, path := range paths {
-			log.checkAnswer(t, path, fmt.Sprint(order, "-r", n), answers[n], orderText(paths, script, relays))
+			played.checkResponse(t, path, fmt.Sprint(number, "-r", n), responses[n], describeScenario(paths, script, relays))
 		}
 	}
 	checkAll()
@@ -68,7 +68,7 @@
 }
 
 // closeConnections closes the connections that the sidecars kept.
-func (st *testStage) closeConnections(s *Sidecar) {
+func (st *faultHarness) closeConnections(s *Sidecar) {
 	for _, sidecar := range []*Sidecar{s, st.peer.Swap(nil)} {
 		if sidecar == nil {
 			continue
@@ -80,7 +80,7 @@
 	}
 }
 
-func orderText(paths []string, script []endpointMove, relays []relayMove) string {
+func describeScenario(paths []string, script []endpointBehavior, relays []relayBehavior) string {
 	names := []string{strings.Join(paths, " ")}
 	for _, m := range script {
 		names = append(names, m.name)
@@ -92,45 +92,45 @@
 }
 
 // checkAnswer checks the answer to one request against what the endpoints saw of it.
-func (j *journal) checkAnswer(t *testing.T, path, id string, got *httptest.ResponseRecorder, order string) {
+func (j *scenario) checkResponse(t *testing.T, path, id string, got *httptest.ResponseRecorder, description string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	ran, inDoubt := 0, j.inDoubt[id]
-	for n, move := range j.arrivals[id] {
-		if move.runs {
-			ran++
+	executions, unknown := 0, j.outcomeUnknown[id]
+	for n, behavior := range j.arrivals[id] {
+		if behavior.executes {
+			executions++
 		}
-		inDoubt = inDoubt || move.evidence == doubt
+		unknown = unknown || behavior.evidence == unproven
 		if n > 0 && strings.HasPrefix(path, "/once/") {
-			must.Eq(t, refused, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", order, id))
+			must.Eq(t, notExecuted, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", description, id))
 		}
 	}
-	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", order, id, ran, got.Code,
+	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", description, id, executions, got.Code,
 		got.Header().Get(response.OutcomeHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
-		must.LessEq(t, 1, ran, message)
+		must.LessEq(t, 1, executions, message)
 	}
 	outcome := failure.Outcome(got.Header().Get(response.OutcomeHeader))
 	if outcome == "" { // an endpoint's own
-		must.Eq(t, ownBody(id), got.Body.String(), message)
+		must.Eq(t, responseBody(id), got.Body.String(), message)
 		must.Eq(t, []string{id}, got.Header()[testIDHeader], message)
-		must.Greater(t, 0, ran, message)
-		must.True(t, got.Code >= 300 || got.Header().Get(testSealHeader) != "", message)
+		must.Greater(t, 0, executions, message)
+		must.True(t, got.Code >= 300 || got.Header().Get(testSuccessMarkHeader) != "", message)
 		return
 	}
 	must.False(t, got.Code < 300, message)
 	must.Eq(t, outcome == failure.NotExecuted, notExecutedStatuses[got.Code], message)
 	if outcome == failure.NotExecuted {
-		must.Eq(t, 0, ran, message)
+		must.Eq(t, 0, executions, message)
 	} else {
 		must.Eq(t, failure.OutcomeUnknown, outcome, message)
-		must.True(t, inDoubt || j.connectionEnded, message) // not unsure without a cause
+		must.True(t, unknown || j.connectionClosed, message) // not unsure without a cause
 	}
 }
 
 // movesWithoutHang are the moves that end without a time-out.
-func movesWithoutHang() (list []endpointMove) {
-	for _, m := range endpointMoves {
+func behaviorsWithoutHang() (list []endpointBehavior) {
+	for _, m := range endpointBehaviors {
 		if m.end != hangs {
 			list = append(list, m)
 		}
@@ -141,8 +141,8 @@
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
 // movesNamed returns the endpoint moves of these names.
-func movesNamed(names ...string) (list []endpointMove) {
-	for _, m := range endpointMoves {
+func behaviorsNamed(names ...string) (list []endpointBehavior) {
+	for _, m := range endpointBehaviors {
 		if slices.Contains(names, m.name) {
 			list = append(list, m)
 		}
@@ -151,17 +151,17 @@
 }
 
 // All orders of three moves of two endpoints beside the sidecar, against two requests.
-func TestAllOrdersBesideTheSidecar(t *testing.T) {
-	last := movesNamed("answers", "answers an older one late, then this", "refuses", "runs and resets")
+func TestAllScenariosWithLocalEndpoints(t *testing.T) {
+	last := behaviorsNamed("answers", "answers an older one late, then this", "refuses", "runs and resets")
 	must.SliceLen(t, 4, last)
-	for _, first := range movesWithoutHang() {
+	for _, first := range behaviorsWithoutHang() {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newStage(t)
-			for _, second := range movesWithoutHang() {
+			st := newFaultHarness(t)
+			for _, second := range behaviorsWithoutHang() {
 				for _, third := range last {
 					for _, paths := range pathPairs {
-						st.playScript(t, localEndpoints, patientLimit, paths, []endpointMove{first, second, third}, nil)
+						st.runScenario(t, localEndpoints, patientLimit, paths, []endpointBehavior{first, second, third}, nil)
 					}
 				}
 			}
@@ -170,17 +170,17 @@
 }
 
 // All orders of two moves of the hop between sidecars and two of the endpoints behind it.
-func TestAllOrdersBehindAPeer(t *testing.T) {
-	moves := movesNamed("answers", "answers and closes", "answers twice", "refuses", "runs and resets")
-	must.SliceLen(t, 5, moves)
-	for _, first := range relayMoves {
+func TestAllScenariosWithRemoteEndpoints(t *testing.T) {
+	endpoints := behaviorsNamed("answers", "answers and closes", "answers twice", "refuses", "runs and resets")
+	must.SliceLen(t, 5, endpoints)
+	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newStage(t)
-			for _, second := range relayMoves {
-				for _, one := range moves {
-					for _, two := range moves {
-						st.playScript(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointMove{one, two}, []relayMove{first, second})
+			st := newFaultHarness(t)
+			for _, second := range relayBehaviors {
+				for _, one := range endpoints {
+					for _, two := range endpoints {
+						st.runScenario(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointBehavior{one, two}, []relayBehavior{first, second})
 					}
 				}
 			}
@@ -189,17 +189,17 @@
 }
 
 // The same with a request that may run again before one that may not: three moves of the hop.
-func TestAllOrdersOfTheHopForWhatMayRunAgain(t *testing.T) {
-	moves := movesNamed("answers", "runs and resets")
-	must.SliceLen(t, 2, moves)
-	for _, first := range relayMoves {
+func TestAllRelayScenariosForRepeatableRequests(t *testing.T) {
+	endpoints := behaviorsNamed("answers", "runs and resets")
+	must.SliceLen(t, 2, endpoints)
+	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newStage(t)
-			for _, second := range relayMoves {
-				for _, third := range relayMoves {
-					for _, one := range moves {
-						st.playScript(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointMove{one}, []relayMove{first, second, third})
+			st := newFaultHarness(t)
+			for _, second := range relayBehaviors {
+				for _, third := range relayBehaviors {
+					for _, one := range endpoints {
+						st.runScenario(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointBehavior{one}, []relayBehavior{first, second, third})
 					}
 				}
 			}
@@ -209,19 +209,19 @@
 
 // A request to a peer that hangs ends at its deadline: whether it ran is unknown, it is not sent
 // again, and its connection carries nothing after it.
-func TestAllOrdersWithAPeerThatHangs(t *testing.T) {
-	hanging := endpointMoves[len(endpointMoves)-1]
+func TestAllScenariosWithAHangingPeer(t *testing.T) {
+	hanging := endpointBehaviors[len(endpointBehaviors)-1]
 	must.Eq(t, hangs, hanging.end)
-	silent := relayMove{"hangs", true, false, none, hangs, true}
-	for _, other := range endpointMoves {
+	hangingRelay := relayBehavior{"hangs", true, false, noBytes, hangs, true}
+	for _, other := range endpointBehaviors {
 		t.Run(other.name, func(t *testing.T) {
 			t.Parallel()
-			st := newStage(t)
-			for _, script := range [][]endpointMove{{hanging, other}, {other, hanging}} {
+			st := newFaultHarness(t)
+			for _, script := range [][]endpointBehavior{{hanging, other}, {other, hanging}} {
 				for _, paths := range pathPairs {
-					st.playScript(t, localEndpoints, shortLimit, paths, script, nil)
-					st.playScript(t, remoteEndpoints, shortLimit, paths, script, nil)
-					st.playScript(t, remoteEndpoints, shortLimit, paths, script[:1], []relayMove{silent})
+					st.runScenario(t, localEndpoints, shortLimit, paths, script, nil)
+					st.runScenario(t, remoteEndpoints, shortLimit, paths, script, nil)
+					st.runScenario(t, remoteEndpoints, shortLimit, paths, script[:1], []relayBehavior{hangingRelay})
 				}
 			}
 		})
@@ -230,32 +230,32 @@
 
 // Many requests at once, on connections that random moves keep and end: no two of them are mixed
 // up, and each answer is checked as above.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentRequests(t *testing.T) {
 	const callers, each = 8, 30
 	for seed := range uint64(6) {
 		for name, setUp := range map[string]topology{"beside": localEndpoints, "behind": remoteEndpoints} {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				rng := rand.New(rand.NewPCG(seed, 1))
-				var script []endpointMove
-				var relays []relayMove
+				var script []endpointBehavior
+				var relays []relayBehavior
 				for range 2 * callers * each { // half of the moves are well
-					script = append(script, endpointMoves[0], oneOf(rng, movesWithoutHang()))
-					relays = append(relays, relayMoves[0], oneOf(rng, relayMoves))
+					script = append(script, endpointBehaviors[0], randomElement(rng, behaviorsWithoutHang()))
+					relays = append(relays, relayBehaviors[0], randomElement(rng, relayBehaviors))
 				}
-				stage := newStage(t)
-				log := newJournal(script, relays)
-				stage.journals.Store("1", log)
-				s := setUp(stage)
-				defer stage.closeConnections(s)
-				var answers [callers][each]*httptest.ResponseRecorder
+				harness := newFaultHarness(t)
+				played := newScenario(script, relays)
+				harness.scenarios.Store("1", played)
+				s := setUp(harness)
+				defer harness.closeConnections(s)
+				var responses [callers][each]*httptest.ResponseRecorder
 				path := func(n int) string { return []string{"/once/x", "/again/y"}[n%2] }
 				id := func(caller, n int) string { return fmt.Sprintf("1-%d-%d", caller, n) }
 				var senders sync.WaitGroup
 				for caller := range callers {
 					senders.Go(func() {
 						for n := range each {
-							answers[caller][n] = s.sendAsCaller(path(n), id(caller, n), patientLimit)
+							responses[caller][n] = s.sendAsCaller(path(n), id(caller, n), patientLimit)
 						}
 					})
 				}
@@ -263,8 +263,8 @@
 				served := 0
 				for caller := range callers {
 					for n := range each {
-						got := answers[caller][n]
-						log.checkAnswer(t, path(n), id(caller, n), got, fmt.Sprint("seed ", seed))
+						got := responses[caller][n]
+						played.checkResponse(t, path(n), id(caller, n), got, fmt.Sprint("seed ", seed))
 						if got.Code == http.StatusOK {
 							served++
 						}
@@ -276,4 +276,4 @@
 	}
 }
 
-func oneOf[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
+func randomElement[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -29,9 +29,9 @@
 func recordingEndpoint(f *testing.F) (ident.Addr, chan parsedRequest) {
 	requests := make(chan parsedRequest, 8)
 	return listen(f, func(c *net.TCPConn) {
-		eachRequest(c, func(_ *bufio.Reader, req *http.Request, body []byte) bool {
+		serveRequests(c, func(_ *bufio.Reader, req *http.Request, body []byte) bool {
 			requests <- parsedRequest{req, body}
-			raw := answerTo(200, req.Header.Get(testIDHeader), testSealHeader+": s\r\n")
+			raw := rawResponse(200, req.Header.Get(testIDHeader), testSuccessMarkHeader+": s\r\n")
 			if req.Method == http.MethodHead {
 				raw = raw[:strings.Index(raw, "\r\n\r\n")+4]
 			}
@@ -95,7 +95,7 @@
 		if fromPeer {
 			r.Header.Set(TargetHeader, "a0")
 			r.Header.Set(ServiceHeader, "s")
-			r.Header.Set(LimitHeader, "60000")
+			r.Header.Set(TimeoutHeader, "60000")
 			must.True(t, s.ServePeer(w, r))
 			must.NotEq(t, "", w.Header().Get(PeerResultHeader))
 		} else {
--- a/daemon/sidecar/headers.go
+++ b/daemon/sidecar/headers.go
@@ -13,17 +13,17 @@
 	// ServiceHeader names the service that the endpoint is meant to serve.
 	ServiceHeader = "X-Cottonarch-Service"
 	// LimitHeader carries what is left of the request's time, in milliseconds.
-	LimitHeader = "X-Cottonarch-Limit-Ms"
+	TimeoutHeader = "X-Cottonarch-Limit-Ms"
 	// PeerResultHeader carries a peerResult.
 	PeerResultHeader = "X-Cottonarch-Gate"
 	// RetryFractionHeader carries the probability, 0 to 1, that the request repeats one that ran.
-	RetryFractionHeader = "X-Cottonarch-Repeat"
+	RetryProbabilityHeader = "X-Cottonarch-Repeat"
 	// AdmissionHintsHeader carries admissionHints as text.
 	AdmissionHintsHeader = "X-Cottonarch-Want"
 	// LoadReportHeader carries the load of the endpoint with each response, and TookHeader the
 	// microseconds that the endpoint had the request.
 	LoadReportHeader = "X-Cottonarch-Burden"
-	TookHeader       = "X-Cottonarch-Took"
+	ServiceTimeHeader       = "X-Cottonarch-Took"
 	// CallerHeader names the caller for its share of the retry budget.
 	CallerHeader = "X-Caller"
 	// SessionHeader names the session, whose requests stay on one side of a weighted route.
@@ -40,8 +40,8 @@
 // meshHeaders lists the headers that only the mesh sets: none is taken over from a caller or an
 // endpoint.
 var meshHeaders = []string{
-	TargetHeader, ServiceHeader, LimitHeader, PeerResultHeader, UrgentHeader, RetryFractionHeader,
-	AdmissionHintsHeader, LoadReportHeader, TookHeader, response.OutcomeHeader,
+	TargetHeader, ServiceHeader, TimeoutHeader, PeerResultHeader, UrgentHeader, RetryProbabilityHeader,
+	AdmissionHintsHeader, LoadReportHeader, ServiceTimeHeader, response.OutcomeHeader,
 }
 
 // stripMeshHeaders takes the mesh's own headers out. Those that belong to one connection are
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -28,7 +28,7 @@
 // whole numbers, in the order of the fields: times in microseconds, the rate in thousandths.
 type admissionHints struct {
 	priority        int
-	expectedTime    time.Duration // how long the endpoint will take; 0 if that is not known
+	expectedServiceTime    time.Duration // how long the endpoint will take; 0 if that is not known
 	earlyRejection  time.Duration // until when a rejection costs the caller nothing
 	latencyTarget   time.Duration // until when the response is worth most
 	peerFailureRate float64       // how often the other endpoints of the service fail, 0 to 1
@@ -47,7 +47,7 @@
 	}
 	return admissionHints{
 		priority:        call.Route.Priority,
-		expectedTime:    decision.MeanServiceTime,
+		expectedServiceTime:    decision.MeanServiceTime,
 		earlyRejection:  receivedAt.Add(target / earlyRejectionFraction).Since(now),
 		latencyTarget:   receivedAt.Add(target).Since(now),
 		peerFailureRate: decision.PeerFailureRate,
@@ -62,14 +62,14 @@
 func (h admissionHints) encode() string {
 	fields := [hintFields]int64{
 		int64(h.priority),
-		h.expectedTime.Microseconds(),
+		h.expectedServiceTime.Microseconds(),
 		h.earlyRejection.Microseconds(),
 		h.latencyTarget.Microseconds(),
 		int64(h.peerFailureRate * hintRateScale),
-		flag(h.lastResort),
+		boolToInt64(h.lastResort),
 		int64(h.responseBytes),
-		flag(h.repeatable),
-		flag(h.nested),
+		boolToInt64(h.repeatable),
+		boolToInt64(h.nested),
 	}
 	buf := make([]byte, 0, 52)
 	for i, field := range fields {
@@ -92,7 +92,7 @@
 	}
 	return admissionHints{
 		priority:        int(clamp(fields[0], 0, maxHintPriority)),
-		expectedTime:    max(0, hintDuration(fields[1])),
+		expectedServiceTime:    max(0, hintDuration(fields[1])),
 		earlyRejection:  hintDuration(fields[2]),
 		latencyTarget:   hintDuration(fields[3]),
 		peerFailureRate: float64(clamp(fields[4], 0, hintRateScale)) / hintRateScale,
@@ -104,7 +104,7 @@
 }
 
 // flag is a truth value as a field.
-func flag(value bool) int64 {
+func boolToInt64(value bool) int64 {
 	if value {
 		return 1
 	}
@@ -123,7 +123,7 @@
 		ID:              id,
 		Rank:            h.priority,
 		Nested:          h.nested,
-		ServiceTime:     h.expectedTime,
+		ServiceTime:     h.expectedServiceTime,
 		FreeRejectUntil: now.Add(h.earlyRejection),
 		Target:          now.Add(h.latencyTarget),
 		Deadline:        deadline,
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -49,19 +49,19 @@
 // A machine whose inbound link is full does not ask for another large body: the request is answered
 // as not run before its body leaves; a small one is still taken. Once the link is free, the large
 // one is taken too.
-func TestBodyWaitsForRoomOnTheLink(t *testing.T) {
+func TestFullInboundLinkRejectsLargeBodies(t *testing.T) {
 	const large, comingIn = 300 << 10, 2_000_000
-	stage := newStage(t)
-	log := newJournal(nil, nil)
-	stage.journals.Store("1", log)
-	destination := newTestSidecar("b", "127.0.0.1:2", stage.endpoints...)
+	harness := newFaultHarness(t)
+	played := newScenario(nil, nil)
+	harness.scenarios.Store("1", played)
+	destination := newTestSidecar("b", "127.0.0.1:2", harness.endpoints...)
 	destination.inboundLink = bandwidth.NewInbound(11 * settings.BytesPerMegabit)
 	_, ok := destination.inboundLink.Admit(comingIn)
 	must.True(t, ok)
-	stage.peer.Store(destination)
+	harness.peer.Store(destination)
 	bodies := &countedBodies{}
 	s := newTestSidecar("a", "127.0.0.1:1")
-	s.addWorkloads("b", bodies.startPeerServer(t, stage.peer.Load), "b0", "b1")
+	s.addWorkloads("b", bodies.startPeerServer(t, harness.peer.Load), "b0", "b1")
 	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	post := func(id string, size int) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
@@ -81,6 +81,6 @@
 	destination.inboundLink.Received(comingIn)
 	destination.mu.Unlock()
 	must.Eq(t, http.StatusOK, post("1-free", large).Code)
-	must.Eq(t, 0, len(log.arrivals["1-large"]))
-	must.Eq(t, 1, len(log.arrivals["1-free"]))
+	must.Eq(t, 0, len(played.arrivals["1-large"]))
+	must.Eq(t, 1, len(played.arrivals["1-free"]))
 }
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -127,7 +127,7 @@
 // faster.
 func (j *leaseJoiner) complete(addr ident.Addr, granted mesh.JoinResponse) {
 	s := j.sidecar
-	haveRevision := s.takeLease(granted)
+	haveRevision := s.applyLease(granted)
 	j.attemptID = "" // the next join, if there is one, is another
 	j.joiner.Reset()
 	s.leaseHeld.Store(true)
@@ -143,14 +143,14 @@
 
 // takeLease takes what came with a lease, and gives the revision of the newest configuration
 // that is held here.
-func (s *Sidecar) takeLease(granted mesh.JoinResponse) (haveRevision ident.ConfigRevision) {
+func (s *Sidecar) applyLease(granted mesh.JoinResponse) (haveRevision ident.ConfigRevision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseEpoch, s.reportSeq = granted.LeaseEpoch, 1
 	s.planner.MinRevision = max(s.planner.MinRevision, granted.ConfigRevision)
 	s.config.cache.MarkJoined()
 	s.lease.LeaseGranted()
-	s.budgetShare.Start(s.watchedClock(), granted.BudgetShare)
+	s.budgetShare.Start(s.stepLimitedClock(), granted.BudgetShare)
 	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	s.lease.SetCores(granted.CoresVersion, granted.Cores)
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -169,16 +169,16 @@
 
 // A seed is asked as a peer at the usual pace only once it has answered as a sidecar: a core
 // among the seeds would else be asked by every sidecar that waits for it.
-func TestSeedsThatAreCoresAreNotAskedAsPeers(t *testing.T) {
+func TestCoreSeedsAreNotQueriedAsPeers(t *testing.T) {
 	f := newFakeCore(t)
 	s := newUnjoinedSidecar(f.addr)
 	must.False(t, s.peerQuerier.mayQuerySeed(f.addr)) // it may yet answer as a core
-	s.cores.notPeerBefore = map[ident.Addr]monotime.Time{}
+	s.cores.nextQueryAt = map[ident.Addr]monotime.Time{}
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
 	must.False(t, s.peerQuerier.mayQuerySeed(f.addr))
 	s.peerQuerier.query(f.addr, true) // says that it has no such path, as a core does
-	must.Between(t, unknownSeedInterval, s.cores.notPeerBefore[f.addr].Since(s.clock()), coreSeedInterval)
-	s.peerQuerier.noteSeedAnswer(f.addr, nil)
+	must.Between(t, unknownSeedInterval, s.cores.nextQueryAt[f.addr].Since(s.clock()), coreSeedInterval)
+	s.peerQuerier.handleSeedResponse(f.addr, nil)
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
 	s.peerQuerier.query(f.addr, true)
@@ -192,7 +192,7 @@
 		f := newFakeCore(t)
 		f.cores, f.core = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
 		s := newUnjoinedSidecar(f.addr, "127.0.0.1:1")
-		s.cores.notPeerBefore = map[ident.Addr]monotime.Time{}
+		s.cores.nextQueryAt = map[ident.Addr]monotime.Time{}
 		must.True(t, s.leaseJoiner.listCores(f.addr))
 		must.Eq(t, !isCore, s.peerQuerier.mayQuerySeed("127.0.0.1:1"))
 		must.Eq(t, !isCore, s.peerQuerier.mayQuerySeed(f.addr))
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -13,14 +13,14 @@
 
 // A request whose response has no room on this machine's outbound link is rejected before anything
 // else, with a Retry-After; one that ended without a response takes no room.
-func TestFullLinkRejects(t *testing.T) {
+func TestFullOutboundLinkRejects(t *testing.T) {
 	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
 	send := func(bytes int) (result peerResult, retryAfter string) {
 		r := httptest.NewRequest("GET", "/x", nil)
 		r.Header.Set(TargetHeader, "gone")
 		r.Header.Set(ServiceHeader, "s.prairie")
-		r.Header.Set(LimitHeader, "500")
-		r.Header.Set(AdmissionHintsHeader, admissionHints{expectedTime: time.Millisecond, responseBytes: bytes}.encode())
+		r.Header.Set(TimeoutHeader, "500")
+		r.Header.Set(AdmissionHintsHeader, admissionHints{expectedServiceTime: time.Millisecond, responseBytes: bytes}.encode())
 		recorder := httptest.NewRecorder()
 		must.True(t, s.ServePeer(recorder, r))
 		must.Eq(t, 503, recorder.Code)
@@ -43,7 +43,7 @@
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
 	hints := admissionHints{
 		priority:        2,
-		expectedTime:    time.Millisecond,
+		expectedServiceTime:    time.Millisecond,
 		earlyRejection:  2 * time.Millisecond,
 		latencyTarget:   3 * time.Millisecond,
 		peerFailureRate: 0.25,
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -13,7 +13,7 @@
 	// maintenanceInterval is how often time-outs are looked at.
 	maintenanceInterval = 80 * time.Millisecond
 	// tidyEvery is at which of these rounds what is no longer used is dropped.
-	tidyEvery = 100
+	ticksPerPrune = 100
 )
 
 // runMaintenance lets time pass for all that depends on it: endpoints that fell silent, waiting
@@ -29,8 +29,8 @@
 		}
 		s.mu.Lock()
 		s.tick(s.clock())
-		if round%tidyEvery == 0 {
-			s.tidy(s.clock())
+		if round%ticksPerPrune == 0 {
+			s.prune(s.clock())
 		}
 		s.mu.Unlock()
 	}
@@ -40,14 +40,14 @@
 func (s *Sidecar) tick(now monotime.Time) {
 	s.activatePending()
 	s.planner.RetryBudget.Tick(now)
-	s.watchedClock() // it counts only the time between calls that follow closely
+	s.stepLimitedClock() // it counts only the time between calls that follow closely
 	s.applyEndpointChange(s.endpoints.Tick(now))
 	s.slots.deliver(s.slots.queue.Tick(now))
 }
 
 // tidy drops connections that are not used and the statistics of endpoints that are gone; mu is
 // held.
-func (s *Sidecar) tidy(now monotime.Time) {
+func (s *Sidecar) prune(now monotime.Time) {
 	s.endpointExchange.CloseExpired()
 	s.peerExchange.CloseExpired()
 	s.planner.Balancer.Prune(now, func(server ident.Server) bool {
@@ -61,11 +61,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count(counterHeartbeats)
-	return s.takeHeartbeat(heartbeat)
+	return s.applyHeartbeat(heartbeat)
 }
 
 // takeHeartbeat takes an endpoint's heartbeat, and its slots unless it is rejected; mu is held.
-func (s *Sidecar) takeHeartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
+func (s *Sidecar) applyHeartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
 	now := s.clock()
 	change, fail := s.endpoints.HandleHeartbeat(now, heartbeat)
 	s.applyEndpointChange(change)
@@ -73,7 +73,7 @@
 		return fail
 	}
 	s.slots.update(now, heartbeat)
-	s.verifyNewcomers()
+	s.verifyNewEndpoints()
 	return nil
 }
 
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -49,7 +49,7 @@
 // does not come from a core meanwhile; a revision below what may become active here is neither
 // fetched nor acknowledged.
 func (s *Sidecar) ReceiveRevisionNotice(notice RevisionNotice) RevisionAck {
-	if !s.noteRevision(notice.Revision) {
+	if !s.observePeerRevision(notice.Revision) {
 		return RevisionAck{Held: false}
 	}
 	if s.holdsRevision(notice.Revision) {
@@ -69,7 +69,7 @@
 }
 
 // noteRevision notes that a peer holds a revision; it is false if that may not become active here.
-func (s *Sidecar) noteRevision(revision ident.ConfigRevision) bool {
+func (s *Sidecar) observePeerRevision(revision ident.ConfigRevision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision < s.planner.MinRevision {
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -23,7 +23,7 @@
 
 	// peerQueryInterval is how often peers are asked, and maxPeersAsked how many at once.
 	peerQueryInterval = 250 * time.Millisecond
-	maxPeersAsked     = 8
+	maxPeersQueried     = 8
 	// peerQueryTimeout bounds one request to a peer.
 	peerQueryTimeout = 400 * time.Millisecond
 )
@@ -130,11 +130,11 @@
 	return s.cores.mayQuerySeed(s.clock(), seed)
 }
 
-func (d *peerQuerier) noteSeedAnswer(seed ident.Addr, err error) {
+func (d *peerQuerier) handleSeedResponse(seed ident.Addr, err error) {
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cores.noteSeedAnswer(s.clock(), seed, err)
+	s.cores.handleSeedResponse(s.clock(), seed, err)
 }
 
 // queryAll asks some of the peers at random, and waits for their answers. Only one of them is
@@ -142,7 +142,7 @@
 func (d *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
 	shuffle(peers)
 	var queries sync.WaitGroup
-	for i, peer := range peers[:min(len(peers), maxPeersAsked)] {
+	for i, peer := range peers[:min(len(peers), maxPeersQueried)] {
 		queries.Add(1)
 		go func() {
 			defer queries.Done()
@@ -159,11 +159,11 @@
 	defer cancel()
 	var state PeerState
 	err := s.apiClient.Call(ctx, peer, http.MethodGet, s.peerStateQuery(wantRegistry), nil, &state)
-	d.noteSeedAnswer(peer, err)
+	d.handleSeedResponse(peer, err)
 	if err != nil {
 		return
 	}
-	if d.take(state) && s.fetchConfig(peer) == nil {
+	if d.mergeState(state) && s.fetchConfig(peer) == nil {
 		s.count(counterConfigsFromPeers)
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 // take takes a peer's state, and reports whether its configuration is newer and may be taken.
-func (d *peerQuerier) take(state PeerState) (newer bool) {
+func (d *peerQuerier) mergeState(state PeerState) (newer bool) {
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/peerrejection_test.go
+++ b/daemon/sidecar/peerrejection_test.go
@@ -16,16 +16,16 @@
 // A peer that rejects a large request before it has read the body, and closes: its result is read
 // all the same, the request is answered as not run, and the next one is not disturbed.
 func TestPeerRejectsALargeRequestEarly(t *testing.T) {
-	stage := newStage(t)
-	log := newJournal(nil, nil)
-	stage.journals.Store("1", log)
-	accepting, rejecting := newTestSidecar("b", "127.0.0.1:2", stage.endpoints...), newTestSidecar("b", "127.0.0.1:2", stage.endpoints...)
+	harness := newFaultHarness(t)
+	played := newScenario(nil, nil)
+	harness.scenarios.Store("1", played)
+	accepting, rejecting := newTestSidecar("b", "127.0.0.1:2", harness.endpoints...), newTestSidecar("b", "127.0.0.1:2", harness.endpoints...)
 	rejecting.Settings.MaxInFlight = 0
 	s := newTestSidecar("a", "127.0.0.1:1")
-	s.addWorkloads("b", startPeerServer(t, stage.peer.Load), "b0", "b1")
+	s.addWorkloads("b", startPeerServer(t, harness.peer.Load), "b0", "b1")
 	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 32 << 20})
 	for round := range 2 {
-		stage.peer.Store(rejecting)
+		harness.peer.Store(rejecting)
 		for _, size := range []int{100, 300 << 10, 16 << 20} {
 			r := httptest.NewRequest(http.MethodPost, "/once/x", bytes.NewReader(make([]byte, size)))
 			r.Host = "h"
@@ -36,9 +36,9 @@
 			must.Eq(t, http.StatusServiceUnavailable, w.Code, message)
 			must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.OutcomeHeader), message)
 		}
-		stage.peer.Store(accepting)
+		harness.peer.Store(accepting)
 		must.Eq(t, http.StatusOK, s.sendAsCaller("/once/y", "1-small", patientLimit).Code)
 	}
-	must.Eq(t, 0, len(log.arrivals["1-large"]))
-	must.Eq(t, 2, len(log.arrivals["1-small"]))
+	must.Eq(t, 0, len(played.arrivals["1-large"]))
+	must.Eq(t, 2, len(played.arrivals["1-small"]))
 }
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -54,7 +54,7 @@
 	peer := peerResult(resp.Header.Get(PeerResultHeader))
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
 	if peer == resultResponse {
-		microseconds, _ := strconv.ParseInt(resp.Header.Get(TookHeader), 10, 64)
+		microseconds, _ := strconv.ParseInt(resp.Header.Get(ServiceTimeHeader), 10, 64)
 		took := time.Duration(max(0, microseconds)) * time.Microsecond
 		return withSize(call, resp, attempt.Result{Outcome: attempt.Executed, LoadReport: report, Elapsed: took})
 	}
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -33,7 +33,7 @@
 	}
 	defer s.endRequest()
 	ctx := r.Context()
-	defer s.countIfLeft(ctx, counterPeersLeft)
+	defer s.countIfClientLeft(ctx, counterPeersLeft)
 	request, release, rejection := s.readPeerRequest(r)
 	if rejection != nil {
 		writePeerFailure(w, rejection.result, rejection.failure)
@@ -69,7 +69,7 @@
 // readPeerRequest reads the whole request of another sidecar. The body is asked for only when
 // the link has room for it. release must be called when the request is over.
 func (s *Sidecar) readPeerRequest(r *http.Request) (request endpointRequest, release func(), rejection *peerRejection) {
-	limitMs, err := strconv.Atoi(r.Header.Get(LimitHeader))
+	limitMs, err := strconv.Atoi(r.Header.Get(TimeoutHeader))
 	if err != nil || limitMs <= 0 {
 		return request, nil, &peerRejection{resultRejected, failure.New(failure.DeadlineExceeded, "no time is left")}
 	}
@@ -77,7 +77,7 @@
 		server:        ident.Server(r.Header.Get(TargetHeader)),
 		service:       ident.Service(r.Header.Get(ServiceHeader)),
 		deadline:      time.Now().Add(time.Duration(limitMs) * time.Millisecond),
-		retryFraction: parseRetryFraction(r.Header.Get(RetryFractionHeader)),
+		retryProbability: parseRetryProbability(r.Header.Get(RetryProbabilityHeader)),
 		hints:         parseHints(r.Header.Get(AdmissionHintsHeader)),
 	}
 	received, fail := s.reserveInbound(r.ContentLength)
@@ -94,9 +94,9 @@
 }
 
 // parseRetryFraction reads RetryFractionHeader; what is missing or can't be read is 0.
-func parseRetryFraction(text string) float64 {
-	fraction, _ := strconv.ParseFloat(text, 64)
-	return min(1, max(0, fraction))
+func parseRetryProbability(text string) float64 {
+	probability, _ := strconv.ParseFloat(text, 64)
+	return min(1, max(0, probability))
 }
 
 // writePeerFailure writes the result of a request that brought no response.
@@ -115,6 +115,6 @@
 		return
 	}
 	w.Header()[PeerResultHeader] = []string{string(resultResponse)}
-	w.Header()[TookHeader] = []string{strconv.FormatInt(result.duration.Microseconds(), 10)}
+	w.Header()[ServiceTimeHeader] = []string{strconv.FormatInt(result.duration.Microseconds(), 10)}
 	writeResponse(w, result.response)
 }
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -32,7 +32,7 @@
 // good answer counts as a heartbeat. It needs settings that tell the endpoint's address and
 // service, and a configuration that names the path to ask.
 func (s *Sidecar) probeEndpoint() {
-	if s.Settings.EndpointAddr == "" || s.Settings.EndpointService == "" || !s.canAskEndpoints() {
+	if s.Settings.EndpointAddr == "" || s.Settings.EndpointService == "" || !s.canProbeEndpoints() {
 		return
 	}
 	if !s.awaitConfig() {
@@ -46,19 +46,19 @@
 		if s.probe(path) {
 			return
 		}
-		if s.sleep(probeInterval); s.closing() {
+		if s.sleep(probeInterval); s.closed() {
 			return
 		}
 	}
 }
 
 // canAskEndpoints reports whether an endpoint's answer to a probe tells which one it is.
-func (s *Sidecar) canAskEndpoints() bool { return s.Settings.Headers.ServerID != "" }
+func (s *Sidecar) canProbeEndpoints() bool { return s.Settings.Headers.ServerID != "" }
 
 // awaitConfig waits until a configuration is active; it is false if the duties end before.
 func (s *Sidecar) awaitConfig() bool {
 	for !s.configActive.Load() {
-		if s.sleep(configWaitInterval); s.closing() {
+		if s.sleep(configWaitInterval); s.closed() {
 			return false
 		}
 	}
@@ -77,21 +77,21 @@
 
 // probe asks the endpoint once, and reports whether its answer was taken as a heartbeat.
 func (s *Sidecar) probe(path string) bool {
-	heartbeat, ok := s.heartbeatFromProbe(s.askHealth(s.Settings.EndpointAddr, path))
+	heartbeat, ok := s.heartbeatFromProbe(s.checkHealth(s.Settings.EndpointAddr, path))
 	if !ok {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.endpoints.Workloads()) == 0 {
-		_ = s.takeHeartbeat(heartbeat) // a heartbeat that is rejected is made good by the next one
+		_ = s.applyHeartbeat(heartbeat) // a heartbeat that is rejected is made good by the next one
 		s.applyEndpointChange(s.endpoints.Verified(s.clock(), heartbeat.Server))
 	}
 	return true
 }
 
 // askHealth asks an endpoint for its health once; the response is nil if there is none.
-func (s *Sidecar) askHealth(addr ident.Addr, path string) *exchange.Response {
+func (s *Sidecar) checkHealth(addr ident.Addr, path string) *exchange.Response {
 	call := exchange.Call{
 		Method:    http.MethodGet,
 		Target:    path,
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -73,7 +73,7 @@
 	cores := s.usableCores()
 	s.mu.Lock()
 	now := s.clock()
-	budgetRequest, budgetDue := s.budgetShare.NextRequest(s.watchedClock(), s.Settings.Node, s.leaseEpoch)
+	budgetRequest, budgetDue := s.budgetShare.NextRequest(s.stepLimitedClock(), s.Settings.Node, s.leaseEpoch)
 	s.lease.ChooseRegistrar(now, s.Settings.Node, s.Settings.Zone, cores)
 	targets, renewal := d.dueRenewal(now)
 	untilNext := s.lease.UntilNextRenewal(now)
@@ -164,7 +164,7 @@
 	s.lease.HandleResponse(s.clock(), core, result.response)
 	s.cores.add(s.clock(), s.lease.CoreAddrs())
 	s.lastCoreContact = s.clock()
-	s.budgetShare.SetMembers(s.watchedClock(), result.response.Members)
+	s.budgetShare.SetMembers(s.stepLimitedClock(), result.response.Members)
 	s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	if majorityAsOf := s.lease.MajorityAsOf(); majorityAsOf != 0 {
 		s.planner.RetryBudget.ShareRenewed(majorityAsOf)
@@ -228,7 +228,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if request.LeaseEpoch == s.leaseEpoch {
-		s.budgetShare.ApplyGrant(s.watchedClock(), grant)
+		s.budgetShare.ApplyGrant(s.stepLimitedClock(), grant)
 		s.planner.RetryBudget.SetShare(s.budgetShare.Usable())
 	}
 }
--- a/daemon/sidecar/renewal_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -58,7 +58,7 @@
 }
 
 // Of the peers that are asked only one gives its registry, and none while a core does.
-func TestPeersAreAskedBriefly(t *testing.T) {
+func TestPeerStateOmitsRegistryUnlessWanted(t *testing.T) {
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.planner.Index.Merge([]record.Set{{
 		Author:     "n",
--- a/daemon/sidecar/requests_test.go
+++ b/daemon/sidecar/requests_test.go
@@ -9,7 +9,7 @@
 
 // eachRequest reads the requests of a connection to a played endpoint or relay, and closes
 // it once serve says no, or nothing more can be read.
-func eachRequest(c *net.TCPConn, serve func(r *bufio.Reader, req *http.Request, body []byte) (goOn bool)) {
+func serveRequests(c *net.TCPConn, serve func(r *bufio.Reader, req *http.Request, body []byte) (keepOpen bool)) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
--- a/daemon/sidecar/runs.go
+++ b/daemon/sidecar/runs.go
@@ -22,7 +22,7 @@
 }
 
 // made reports whether one of the runs made a call, by the id of the call.
-func (runs activeRuns) made(id string) bool {
+func (runs activeRuns) containsParentOf(id string) bool {
 	if len(runs) == 0 {
 		return false
 	}
--- a/daemon/sidecar/runs_test.go
+++ b/daemon/sidecar/runs_test.go
@@ -12,9 +12,9 @@
 )
 
 // A call belongs to a run if its id is that of the run, a separator, and more.
-func TestCallsOfActiveRuns(t *testing.T) {
+func TestActiveRunsContainParent(t *testing.T) {
 	runs := activeRuns{}
-	must.False(t, runs.made("a1.b"))
+	must.False(t, runs.containsParentOf("a1.b"))
 	runs.begin("a1")
 	runs.begin("a1")
 	runs.begin("")
@@ -22,29 +22,29 @@
 		"a1.b": true, "a1-b": true, "a1.b.c": true, "a1/b": true,
 		"a1": false, "a1.": false, "a1b": false, "a.1": false, "a12.b": false, ".a1": false, "": false, "b.a1": false,
 	} {
-		must.Eq(t, want, runs.made(id), must.Sprint(id))
+		must.Eq(t, want, runs.containsParentOf(id), must.Sprint(id))
 	}
 	runs.end("a1")
-	must.True(t, runs.made("a1.b"))
+	must.True(t, runs.containsParentOf("a1.b"))
 	runs.end("a1")
-	must.False(t, runs.made("a1.b"))
+	must.False(t, runs.containsParentOf("a1.b"))
 	runs.end("never")
 	must.Eq(t, 0, len(runs), must.Sprint(runs))
 }
 
 // A call that the endpoint makes as it runs a request goes before the requests of clients that came
 // earlier, beside its own sidecar and behind a peer.
-func TestNestedCallGoesFirst(t *testing.T) {
+func TestNestedCallIsSentFirst(t *testing.T) {
 	for name, remote := range map[string]bool{"endpoint beside the caller": false, "endpoint behind a peer": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			m := startLeavingMesh(t, remote, 1, 8)
+			m := startDisconnectHarness(t, remote, 1, 8)
 			m.send("/again/x", "run")
-			m.await("the run", func() bool { return m.runs("run") })
+			m.await("the run", func() bool { return m.isRunning("run") })
 			if remote { // the endpoint that makes the call stands beside the caller's sidecar
-				m.caller.mu.Lock()
-				m.caller.runs.begin("run")
-				m.caller.mu.Unlock()
+				m.callerSidecar.mu.Lock()
+				m.callerSidecar.runs.begin("run")
+				m.callerSidecar.mu.Unlock()
 			}
 			m.send("/again/x", "earlier")
 			m.awaitInFlight(2, 2)
@@ -52,9 +52,9 @@
 			m.awaitInFlight(3, 3)
 			m.endpoint.release("run")
 			m.await("the next run", func() bool { _, running, _ := m.endpoint.state(); return len(running) == 1 && !running["run"] })
-			must.True(t, m.runs("run.call"))
+			must.True(t, m.isRunning("run.call"))
 			m.endpoint.release("run.call")
-			m.await("the last run", func() bool { return m.runs("earlier") })
+			m.await("the last run", func() bool { return m.isRunning("earlier") })
 			m.endpoint.release("earlier")
 			m.awaitInFlight(0, 0)
 		})
@@ -63,7 +63,7 @@
 
 // A nested call may wait until its deadline: its route's latency target is not that of the run that
 // waits for it.
-func TestTargetOfANestedCallIsItsDeadline(t *testing.T) {
+func TestNestedCallLatencyTargetIsItsDeadline(t *testing.T) {
 	const now = monotime.Time(time.Hour)
 	call := &attempt.Call{
 		Deadline: now.Add(300 * time.Millisecond),
--- a/daemon/sidecar/sendqueue_test.go
+++ b/daemon/sidecar/sendqueue_test.go
@@ -21,10 +21,10 @@
 func TestDeadlinePassesInQueue(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
 	endpointAddr := listen(t, func(c *net.TCPConn) {
-		eachRequest(c, func(_ *bufio.Reader, req *http.Request, _ []byte) bool {
+		serveRequests(c, func(_ *bufio.Reader, req *http.Request, _ []byte) bool {
 			arrived <- req.Header.Get(testIDHeader)
 			<-release
-			_, _ = io.WriteString(c, sealedAnswer(req.Header.Get(testIDHeader), nil))
+			_, _ = io.WriteString(c, successResponse(req.Header.Get(testIDHeader), nil))
 			return true
 		})
 	})
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -37,7 +37,7 @@
 	dialTimeout = 2 * time.Second
 	// silenceTimeout bounds how long another machine may leave bytes unacknowledged before its
 	// connections are given up: it has lost power or is cut off.
-	silenceTimeout = 700 * time.Millisecond
+	deadPeerTimeout = 700 * time.Millisecond
 )
 
 // Sidecar is the running daemon. Invariants: the revision of the active configuration only
@@ -51,7 +51,7 @@
 	clock monotime.Clock
 	// watchedClock counts only time that this process saw go by, see monotime.LimitSteps: budget
 	// shares do not move because the process was suspended.
-	watchedClock     monotime.Clock
+	stepLimitedClock     monotime.Clock
 	apiClient        *client.Pool   // JSON requests to cores and other sidecars
 	peerExchange     *exchange.Pool // forwarded requests to other sidecars
 	endpointExchange *exchange.Pool // forwarded requests to the endpoints of this machine
@@ -98,10 +98,10 @@
 		Log:              log,
 		Metrics:          metrics.New(),
 		clock:            clock,
-		watchedClock:     monotime.LimitSteps(clock),
+		stepLimitedClock:     monotime.LimitSteps(clock),
 		apiClient:        client.NewWithDialTimeout(cfg.Addr, dialTimeout),
-		peerExchange:     exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}),
-		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: silenceTimeout}),
+		peerExchange:     exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: deadPeerTimeout}),
+		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: deadPeerTimeout}),
 		done:             make(chan struct{}),
 
 		sendQueue:    priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
@@ -124,7 +124,7 @@
 	s.configWatch = newConfigWatch(s)
 	s.peerQuerier = &peerQuerier{sidecar: s}
 	s.endpoints.WithHeartbeatInterval(cfg.HeartbeatInterval).Fenced = cfg.EndpointsVerifyTarget
-	s.endpoints.VerifyNewcomers = s.canAskEndpoints()
+	s.endpoints.VerifyNewcomers = s.canProbeEndpoints()
 	s.Metrics.BeforeSnapshot = s.refreshGauges
 	return s
 }
@@ -162,7 +162,7 @@
 }
 
 // closing reports whether the duties end.
-func (s *Sidecar) closing() bool {
+func (s *Sidecar) closed() bool {
 	select {
 	case <-s.done:
 		return true
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -95,7 +95,7 @@
 	s.mu.Unlock()
 	verdict, ok := awaitVerdict(ctx, verdicts, request.deadline)
 	if !ok {
-		verdict, ok = s.abandonSlot(request.server, id, verdicts)
+		verdict, ok = s.cancelSlotWait(request.server, id, verdicts)
 		if !ok && ctx.Err() != nil {
 			return 0, clientLeft()
 		}
@@ -132,7 +132,7 @@
 
 // abandonSlot takes a request whose time is over, or whose client has left, out of the queue. If its verdict came
 // meanwhile, that is given instead.
-func (s *Sidecar) abandonSlot(server ident.Server, id uint64, verdicts chan admission.Verdict) (verdict admission.Verdict, ok bool) {
+func (s *Sidecar) cancelSlotWait(server ident.Server, id uint64, verdicts chan admission.Verdict) (verdict admission.Verdict, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.slots.waiters, id)
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -31,10 +31,10 @@
 type connectionEnd int
 
 const (
-	stays connectionEnd = iota
+	staysOpen connectionEnd = iota
 	closes
 	resets
-	forgets // resets once the next bytes come, which it does not read
+	resetsOnNextBytes // resets once the next bytes come, which it does not read
 	hangs   // says nothing more until the other end closes
 )
 
@@ -42,85 +42,85 @@
 type evidence int
 
 const (
-	proven  evidence = iota // it ran, and its own answer says so
-	refused                 // it did not run, and its own answer says so
-	doubt                   // nothing was said that proves either
+	executed  evidence = iota // it ran, and its own answer says so
+	notExecuted                 // it did not run, and its own answer says so
+	unproven                   // nothing was said that proves either
 )
 
 // endpointMove is what an endpoint does with one request that it has read whole.
-type endpointMove struct {
+type endpointBehavior struct {
 	name   string
-	runs   bool
-	answer func(id string, past []string) string
+	executes   bool
+	response func(id string, past []string) string
 	end    connectionEnd
 	evidence
 }
 
 const (
 	testIDHeader   = "X-Call-Id"
-	testSealHeader = "X-Sealed"
+	testSuccessMarkHeader = "X-Sealed"
 )
 
-func ownBody(id string) string { return `{"ran":"` + id + `"}` }
+func responseBody(id string) string { return `{"ran":"` + id + `"}` }
 
-func answerTo(status int, id, extra string) string {
+func rawResponse(status int, id, extra string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
-		testIDHeader, id, extra, len(ownBody(id)), ownBody(id))
+		testIDHeader, id, extra, len(responseBody(id)), responseBody(id))
 }
 
-func sealedAnswer(id string, _ []string) string { return answerTo(200, id, testSealHeader+": s\r\n") }
+func successResponse(id string, _ []string) string { return rawResponse(200, id, testSuccessMarkHeader+": s\r\n") }
 
 // newestAnswer is the answer to the request before this one, once more.
-func newestAnswer(past []string) string {
-	if len(past) == 0 {
-		return sealedAnswer("before", nil)
+func previousResponse(previous []string) string {
+	if len(previous) == 0 {
+		return successResponse("before", nil)
 	}
-	return sealedAnswer(past[len(past)-1], nil)
+	return successResponse(previous[len(previous)-1], nil)
 }
 
-var endpointMoves = []endpointMove{
-	{"answers", true, sealedAnswer, stays, proven},
-	{"answers and closes", true, sealedAnswer, closes, proven},
-	{"answers and forgets the connection", true, sealedAnswer, forgets, proven},
-	{"answers twice", true, func(id string, _ []string) string { return sealedAnswer(id, nil) + sealedAnswer(id, nil) }, stays, proven},
-	{"answers an older one late, then this", true, func(id string, past []string) string { return newestAnswer(past) + sealedAnswer(id, nil) }, stays, proven},
-	{"fails", true, func(id string, _ []string) string { return answerTo(500, id, testSealHeader+": s\r\n") }, stays, proven},
-	{"refuses", false, func(id string, _ []string) string { return answerTo(503, id, "X-Not-Run: 1\r\n") }, stays, refused},
-	{"is another", false, func(id string, _ []string) string { return answerTo(421, id, "") }, stays, refused},
-	{"answers an older one only", true, func(_ string, past []string) string { return newestAnswer(past) }, closes, doubt},
-	{"runs and resets", true, func(string, []string) string { return "" }, resets, doubt},
-	{"resets when full", false, func(string, []string) string { return "" }, resets, doubt},
-	{"runs and breaks off", true, func(id string, _ []string) string { return sealedAnswer(id, nil)[:60] }, resets, doubt},
-	{"runs and garbles", true, func(string, []string) string { return "\x00\x01 garbage\r\n\r\n" }, stays, doubt},
-	{"answers without a seal", true, func(id string, _ []string) string { return answerTo(200, id, "") }, stays, doubt},
-	{"runs and hangs", true, func(string, []string) string { return "" }, hangs, doubt},
+var endpointBehaviors = []endpointBehavior{
+	{"answers", true, successResponse, staysOpen, executed},
+	{"answers and closes", true, successResponse, closes, executed},
+	{"answers and forgets the connection", true, successResponse, resetsOnNextBytes, executed},
+	{"answers twice", true, func(id string, _ []string) string { return successResponse(id, nil) + successResponse(id, nil) }, staysOpen, executed},
+	{"answers an older one late, then this", true, func(id string, past []string) string { return previousResponse(past) + successResponse(id, nil) }, staysOpen, executed},
+	{"fails", true, func(id string, _ []string) string { return rawResponse(500, id, testSuccessMarkHeader+": s\r\n") }, staysOpen, executed},
+	{"refuses", false, func(id string, _ []string) string { return rawResponse(503, id, "X-Not-Run: 1\r\n") }, staysOpen, notExecuted},
+	{"is another", false, func(id string, _ []string) string { return rawResponse(421, id, "") }, staysOpen, notExecuted},
+	{"answers an older one only", true, func(_ string, past []string) string { return previousResponse(past) }, closes, unproven},
+	{"runs and resets", true, func(string, []string) string { return "" }, resets, unproven},
+	{"resets when full", false, func(string, []string) string { return "" }, resets, unproven},
+	{"runs and breaks off", true, func(id string, _ []string) string { return successResponse(id, nil)[:60] }, resets, unproven},
+	{"runs and garbles", true, func(string, []string) string { return "\x00\x01 garbage\r\n\r\n" }, staysOpen, unproven},
+	{"answers without a seal", true, func(id string, _ []string) string { return rawResponse(200, id, "") }, staysOpen, unproven},
+	{"runs and hangs", true, func(string, []string) string { return "" }, hangs, unproven},
 }
 
 // journal is what the peers of the sidecars saw in one order of moves. The moves are played in the
 // order in which requests come in, at whichever endpoint and connection; after the last of them, the
 // first move of endpointMoves goes on.
-type journal struct {
+type scenario struct {
 	mu              sync.Mutex
-	script          []endpointMove
-	relayScript     []relayMove
-	pastIDs         []string
-	arrivals        map[string][]endpointMove // at endpoints, by id
-	inDoubt         map[string]bool           // a relay left it in doubt
-	connectionEnded bool                      // a connection was ended by its far end
+	endpointScript          []endpointBehavior
+	relayScript     []relayBehavior
+	previousIDs         []string
+	arrivals        map[string][]endpointBehavior // at endpoints, by id
+	outcomeUnknown         map[string]bool           // a relay left it in doubt
+	connectionClosed bool                      // a connection was ended by its far end
 }
 
-func (j *journal) next(id string) (endpointMove, []string) {
+func (j *scenario) nextBehavior(id string) (endpointBehavior, []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	move := endpointMoves[0]
-	if len(j.script) > 0 {
-		move, j.script = j.script[0], j.script[1:]
+	behavior := endpointBehaviors[0]
+	if len(j.endpointScript) > 0 {
+		behavior, j.endpointScript = j.endpointScript[0], j.endpointScript[1:]
 	}
-	past := slices.Clone(j.pastIDs)
-	j.pastIDs = append(j.pastIDs, id)
-	j.arrivals[id] = append(j.arrivals[id], move)
-	j.connectionEnded = j.connectionEnded || move.end != stays
-	return move, past
+	previous := slices.Clone(j.previousIDs)
+	j.previousIDs = append(j.previousIDs, id)
+	j.arrivals[id] = append(j.arrivals[id], behavior)
+	j.connectionClosed = j.connectionClosed || behavior.end != staysOpen
+	return behavior, previous
 }
 
 // listen serves every connection of a listener of its own until the test ends.
@@ -141,11 +141,11 @@
 }
 
 // endConnection ends a connection as a move asks, and reports whether it stays open.
-func endConnection(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
+func applyConnectionEnd(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
 	switch end {
-	case stays:
+	case staysOpen:
 		return true
-	case forgets:
+	case resetsOnNextBytes:
 		_, _ = r.Peek(1)
 		fallthrough
 	case resets:
@@ -159,111 +159,111 @@
 // testStage holds the sockets of endpoints and peers, which serve one order of moves after the other:
 // each order has a journal and sidecars of its own. Ids of requests begin with the number of their
 // order, so that one which arrives after its order is over is still seen.
-type testStage struct {
-	orders    atomic.Int64
-	journals  sync.Map
+type faultHarness struct {
+	scenarioCount    atomic.Int64
+	scenarios  sync.Map
 	endpoints []ident.Addr
 	peer      atomic.Pointer[Sidecar]
 	relayAddr ident.Addr // the relay before the peer
 }
 
-func newStage(t *testing.T) *testStage {
-	st := &testStage{}
-	st.endpoints = []ident.Addr{st.endpoint(t), st.endpoint(t)}
+func newFaultHarness(t *testing.T) *faultHarness {
+	st := &faultHarness{}
+	st.endpoints = []ident.Addr{st.startEndpoint(t), st.startEndpoint(t)}
 	peer := startPeerServer(t, func() *Sidecar { return st.peer.Load() })
 	restarted := newTestSidecar("b", "127.0.0.1:2")
-	st.relayAddr = st.relay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
+	st.relayAddr = st.startRelay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
 	return st
 }
 
 // journalOf is the journal of the order to which an id belongs.
-func (st *testStage) journalOf(id string) *journal {
-	order, _, _ := strings.Cut(id, "-")
-	log, _ := st.journals.Load(order)
-	return log.(*journal)
+func (st *faultHarness) scenarioOf(id string) *scenario {
+	number, _, _ := strings.Cut(id, "-")
+	played, _ := st.scenarios.Load(number)
+	return played.(*scenario)
 }
 
 // endpoint plays the moves of the journals.
-func (st *testStage) endpoint(t *testing.T) ident.Addr {
+func (st *faultHarness) startEndpoint(t *testing.T) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
-		eachRequest(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
+		serveRequests(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
 			id := req.Header.Get(testIDHeader)
-			move, past := st.journalOf(id).next(id)
-			_, _ = io.WriteString(c, move.answer(id, past))
-			return endConnection(c, r, move.end)
+			behavior, previous := st.scenarioOf(id).nextBehavior(id)
+			_, _ = io.WriteString(c, behavior.response(id, previous))
+			return applyConnectionEnd(c, r, behavior.end)
 		})
 	})
 }
 
 // relayMove is what the hop between two sidecars does with one request.
-type relayMove struct {
+type relayBehavior struct {
 	name      string
 	forwards  bool               // to the sidecar behind
 	restarted bool               // that sidecar was started anew and knows no endpoint yet
 	truncate  func(size int) int // how many bytes of the answer come through
 	end       connectionEnd
-	inDoubt   bool
+	outcomeUnknown   bool
 }
 
-func allOf(size int) int { return size }
-func none(int) int       { return 0 }
-
-var relayMoves = []relayMove{
-	{"passes", true, false, allOf, stays, false},
-	{"passes, then closes", true, false, allOf, closes, false},
-	{"passes, then resets", true, false, allOf, resets, false},
-	{"passes, then forgets the connection", true, false, allOf, forgets, false},
-	{"was started anew", true, true, allOf, stays, false},
-	{"was started anew, connections reset", true, true, allOf, resets, false},
-	{"loses the request", false, false, none, resets, true},
-	{"loses the answer", true, false, none, resets, true},
-	{"closes without an answer", true, false, none, closes, true},
+func wholeResponse(size int) int { return size }
+func noBytes(int) int       { return 0 }
+
+var relayBehaviors = []relayBehavior{
+	{"passes", true, false, wholeResponse, staysOpen, false},
+	{"passes, then closes", true, false, wholeResponse, closes, false},
+	{"passes, then resets", true, false, wholeResponse, resets, false},
+	{"passes, then forgets the connection", true, false, wholeResponse, resetsOnNextBytes, false},
+	{"was started anew", true, true, wholeResponse, staysOpen, false},
+	{"was started anew, connections reset", true, true, wholeResponse, resets, false},
+	{"loses the request", false, false, noBytes, resets, true},
+	{"loses the answer", true, false, noBytes, resets, true},
+	{"closes without an answer", true, false, noBytes, closes, true},
 	{"breaks the answer off", true, false, func(size int) int { return size - 2 }, resets, true},
 	{"breaks the answer's head off", true, false, func(int) int { return 30 }, closes, true},
 }
 
-func (j *journal) nextRelay(id string) relayMove {
+func (j *scenario) nextRelayBehavior(id string) relayBehavior {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	move := relayMoves[0]
+	behavior := relayBehaviors[0]
 	if len(j.relayScript) > 0 {
-		move, j.relayScript = j.relayScript[0], j.relayScript[1:]
+		behavior, j.relayScript = j.relayScript[0], j.relayScript[1:]
 	}
-	j.inDoubt[id] = j.inDoubt[id] || move.inDoubt
-	j.connectionEnded = j.connectionEnded || move.end != stays
-	return move
+	j.outcomeUnknown[id] = j.outcomeUnknown[id] || behavior.outcomeUnknown
+	j.connectionClosed = j.connectionClosed || behavior.end != staysOpen
+	return behavior
 }
 
 // relay is the hop between two sidecars. It forwards to one that knows its endpoints, or to one that
 // was started anew.
-func (st *testStage) relay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
+func (st *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
-		eachRequest(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
+		serveRequests(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
 			req.Body = io.NopCloser(bytes.NewReader(body))
 			id := req.Header.Get(testIDHeader)
-			move := st.journalOf(id).nextRelay(id)
+			behavior := st.scenarioOf(id).nextRelayBehavior(id)
 			target := peer
-			if move.restarted {
+			if behavior.restarted {
 				target = restarted
 			}
-			if move.forwards {
-				answer := forwarded(t, target, req)
-				_, _ = c.Write(answer[:move.truncate(len(answer))])
+			if behavior.forwards {
+				response := forwardRequest(t, target, req)
+				_, _ = c.Write(response[:behavior.truncate(len(response))])
 			}
-			return endConnection(c, r, move.end)
+			return applyConnectionEnd(c, r, behavior.end)
 		})
 	})
 }
 
 // forwarded forwards a request over a connection of its own and gives the bytes of the answer.
-func forwarded(t *testing.T, target ident.Addr, req *http.Request) []byte {
+func forwardRequest(t *testing.T, target ident.Addr, req *http.Request) []byte {
 	c, err := net.Dial("tcp", string(target))
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, req.Write(c))
-	answer, err := http.ReadResponse(bufio.NewReader(c), req)
+	response, err := http.ReadResponse(bufio.NewReader(c), req)
 	must.NoError(t, err)
-	raw, err := httputil.DumpResponse(answer, true)
+	raw, err := httputil.DumpResponse(response, true)
 	must.NoError(t, err)
 	return raw
 }
@@ -292,7 +292,7 @@
 			RequestID:            testIDHeader,
 			Deadline:             "X-Limit-Left-Ms",
 			CallingService:       "X-Calling-Service",
-			SuccessMark:          testSealHeader,
+			SuccessMark:          testSuccessMarkHeader,
 			NotExecuted:          "X-Not-Run",
 			FractionalRetryAfter: true,
 		},
@@ -347,6 +347,6 @@
 	return w
 }
 
-func newJournal(script []endpointMove, relays []relayMove) *journal {
-	return &journal{script: script, relayScript: relays, arrivals: map[string][]endpointMove{}, inDoubt: map[string]bool{}}
+func newScenario(endpointScript []endpointBehavior, relayScript []relayBehavior) *scenario {
+	return &scenario{endpointScript: endpointScript, relayScript: relayScript, arrivals: map[string][]endpointBehavior{}, outcomeUnknown: map[string]bool{}}
 }
--- a/daemon/sidecar/verification.go
+++ b/daemon/sidecar/verification.go
@@ -20,7 +20,7 @@
 // seconds late, and the sign-off that followed it may have been taken by an earlier run of this
 // sidecar, which has no disk: only the endpoint itself knows. One whose service names no path to ask
 // counts as verified, and one whose service is not configured waits. mu is held.
-func (s *Sidecar) verifyNewcomers() {
+func (s *Sidecar) verifyNewEndpoints() {
 	config := s.planner.Config()
 	for _, newcomer := range s.endpoints.Unverified() {
 		if config != nil {
@@ -42,12 +42,12 @@
 	if !s.awaitConfig() {
 		return
 	}
-	for pause := minVerifyPause; !s.closing(); pause = min(2*pause, maxVerifyPause) {
-		newcomer, path, wanted := s.newcomerToVerify(server)
+	for pause := minVerifyPause; !s.closed(); pause = min(2*pause, maxVerifyPause) {
+		newcomer, path, wanted := s.endpointToVerify(server)
 		if !wanted {
 			return
 		}
-		if s.healthyServer(s.askHealth(newcomer.Addr, path)) == server {
+		if s.healthyServer(s.checkHealth(newcomer.Addr, path)) == server {
 			s.markVerified(server)
 			continue // there is nothing more to ask
 		}
@@ -58,7 +58,7 @@
 // newcomerToVerify returns the newest heartbeat of a server that is to be asked, and the path to ask. If
 // it is not to be asked now, its verification has ended; the next configuration or heartbeat may begin
 // it again.
-func (s *Sidecar) newcomerToVerify(server ident.Server) (newcomer endpoint.Heartbeat, path string, wanted bool) {
+func (s *Sidecar) endpointToVerify(server ident.Server) (newcomer endpoint.Heartbeat, path string, wanted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, newcomer = range s.endpoints.Unverified() {
--- a/daemon/sidecar/verification_test.go
+++ b/daemon/sidecar/verification_test.go
@@ -19,26 +19,26 @@
 )
 
 // healthAnswer is how an endpoint answers when it is asked whether it is healthy.
-type healthAnswer struct {
+type healthResponse struct {
 	status int
 	server string
 }
 
 // askedEndpoint is an endpoint that gives the newest healthAnswer and counts the questions.
-type askedEndpoint struct {
+type probedEndpoint struct {
 	addr   ident.Addr
-	answer atomic.Pointer[healthAnswer]
-	asked  atomic.Int64
+	response atomic.Pointer[healthResponse]
+	probes  atomic.Int64
 }
 
-func newAskedEndpoint(t *testing.T, answer healthAnswer) *askedEndpoint {
-	e := &askedEndpoint{}
-	e.answer.Store(&answer)
+func newProbedEndpoint(t *testing.T, answer healthResponse) *probedEndpoint {
+	e := &probedEndpoint{}
+	e.response.Store(&answer)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		current := e.answer.Load()
+		current := e.response.Load()
 		w.Header().Set("X-Who", current.server)
 		w.WriteHeader(current.status)
-		e.asked.Add(1)
+		e.probes.Add(1)
 	}))
 	t.Cleanup(server.Close)
 	e.addr = ident.Addr(strings.TrimPrefix(server.URL, "http://"))
@@ -71,7 +71,7 @@
 }
 
 // awaitThat waits until a condition holds, however busy the machine is.
-func awaitThat(t *testing.T, description string, condition func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); !condition(); time.Sleep(time.Millisecond) {
 		must.True(t, time.Now().Before(deadline), must.Sprint(description))
@@ -85,8 +85,8 @@
 // A heartbeat of an endpoint that signed off comes to a sidecar that was restarted since: the endpoint
 // gets no requests unless it says itself that it is healthy. Guards against a late heartbeat that brings
 // an endpoint back, its sign-off forgotten with the earlier run.
-func TestLateHeartbeatAfterARestartBringsNothingBack(t *testing.T) {
-	for name, answer := range map[string]healthAnswer{
+func TestLateHeartbeatAfterRestartIsNotTrusted(t *testing.T) {
+	for name, answer := range map[string]healthResponse{
 		"it says that it leaves":            {http.StatusServiceUnavailable, "e1"},
 		"another server is there now":       {http.StatusOK, "e2"},
 		"what answers there has no name":    {http.StatusOK, ""},
@@ -94,12 +94,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			left := newAskedEndpoint(t, answer)
+			target := newProbedEndpoint(t, answer)
 			s := newRestartedSidecar(t)
-			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", left.addr, 7)))
-			awaitThat(t, "it is asked twice", func() bool { return left.asked.Load() >= 2 })
-			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", left.addr, 8)))
-			awaitThat(t, "it is asked again", func() bool { return left.asked.Load() >= 3 })
+			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 7)))
+			waitFor(t, "it is asked twice", func() bool { return target.probes.Load() >= 2 })
+			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 8)))
+			waitFor(t, "it is asked again", func() bool { return target.probes.Load() >= 3 })
 			must.Eq(t, record.Unknown, s.statusOf("e1"))
 		})
 	}
@@ -107,37 +107,37 @@
 
 // An endpoint that lives is found by its first heartbeat after a restart: once it answers, or at once
 // where its service names no path to ask. One of a service that is not configured waits.
-func TestLivingEndpointIsVerifiedAfterARestart(t *testing.T) {
-	living := newAskedEndpoint(t, healthAnswer{http.StatusServiceUnavailable, "e1"})
+func TestHealthyEndpointIsVerifiedAfterRestart(t *testing.T) {
+	target := newProbedEndpoint(t, healthResponse{http.StatusServiceUnavailable, "e1"})
 	s := newRestartedSidecar(t)
-	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", living.addr, 7)))
-	awaitThat(t, "it is asked", func() bool { return living.asked.Load() >= 1 })
+	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 7)))
+	waitFor(t, "it is asked", func() bool { return target.probes.Load() >= 1 })
 	must.Eq(t, record.Unknown, s.statusOf("e1"))
-	living.answer.Store(&healthAnswer{http.StatusOK, "e1"})
-	awaitThat(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
-	asked := living.asked.Load()
-	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", living.addr, 8)))
+	target.response.Store(&healthResponse{http.StatusOK, "e1"})
+	waitFor(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
+	probes := target.probes.Load()
+	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 8)))
 	must.Eq(t, record.Healthy, s.statusOf("e1"))
-	must.Eq(t, asked, living.asked.Load(), must.Sprint("it is not asked again"))
+	must.Eq(t, probes, target.probes.Load(), must.Sprint("it is not asked again"))
 
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e3", "silent", "127.0.0.1:1", 1)))
-	awaitThat(t, "a service without a path", func() bool { return s.statusOf("e3") == record.Healthy })
+	waitFor(t, "a service without a path", func() bool { return s.statusOf("e3") == record.Healthy })
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e4", "unconfigured", "127.0.0.1:2", 1)))
 	must.Eq(t, record.Unknown, s.statusOf("e4"))
 }
 
 // The service of an endpoint is configured after its first heartbeat has come: it is asked at once, not
 // at its next heartbeat.
-func TestNewcomerIsVerifiedWhenItsServiceIsConfigured(t *testing.T) {
-	living := newAskedEndpoint(t, healthAnswer{http.StatusOK, "e1"})
+func TestNewEndpointIsVerifiedWhenItsServiceIsConfigured(t *testing.T) {
+	target := newProbedEndpoint(t, healthResponse{http.StatusOK, "e1"})
 	s := newRestartedSidecar(t)
 	s.config.cache.MarkJoined()
-	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "later.prairie", living.addr, 1)))
-	awaitThat(t, "its verification ends", func() bool { return !s.isVerifying("e1") })
+	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "later.prairie", target.addr, 1)))
+	waitFor(t, "its verification ends", func() bool { return !s.isVerifying("e1") })
 	must.Eq(t, record.Unknown, s.statusOf("e1"))
-	must.Eq(t, 0, living.asked.Load())
+	must.Eq(t, 0, target.probes.Load())
 	must.NoError(t, s.acceptWhole(2, []byte(`{"services":{"later.prairie":{"checkPath":"/health"}}}`)))
-	awaitThat(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
+	waitFor(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
 }
 
 func (s *Sidecar) isVerifying(server ident.Server) bool {
