--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// PartBytes is the size of a part of a configuration.
-	PartBytes = 256 << 10
+	// DefaultPartBytes is the default and the minimum size of a configuration part.
+	DefaultPartBytes = 256 << 10
 	// MaxPartBytes is the size of the largest part that may be asked for.
 	MaxPartBytes = 2 * validation.MaxBytes
 )
@@ -82,9 +82,9 @@
 func partBytes(wanted string) int {
 	size, err := strconv.Atoi(wanted)
 	if err != nil {
-		return PartBytes
+		return DefaultPartBytes
 	}
-	return min(max(size, PartBytes), MaxPartBytes)
+	return min(max(size, DefaultPartBytes), MaxPartBytes)
 }
 
 // delta returns the delta from a revision to the one that is served, nil if there is none.
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -29,15 +29,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c, srv, err := CoreOnFolder(options, log, folder)
+	c, srv, err := CoreWithFolder(options, log, folder)
 	if err != nil {
 		_ = folder.Close()
 	}
 	return c, srv, err
 }
 
-// CoreOnFolder opens a core on any folder, for tests and measurements.
-func CoreOnFolder(options settings.Core, log *zap.Logger, folder core.Folder) (*core.Core, *server.Server, error) {
+// CoreWithFolder is like Core, with a data folder supplied by the caller. Tests use CoreWithFolder to
+// inject disk faults.
+func CoreWithFolder(options settings.Core, log *zap.Logger, folder core.Folder) (*core.Core, *server.Server, error) {
 	warnDeprecated(log, options.DeprecatedKeys)
 	c, err := core.Open(options, log, folder)
 	if err != nil {
--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -130,7 +130,7 @@
 		RingFileBytes: 1 << 20,
 		RingFiles:     4,
 	}
-	coreDaemon, coreServer, err := daemon.CoreOnFolder(config, zap.NewNop(), c.disks[i])
+	coreDaemon, coreServer, err := daemon.CoreWithFolder(config, zap.NewNop(), c.disks[i])
 	must.NoError(c.t, err)
 	stop, kill := startServers(c.t, coreServer)
 	coreDaemon.Start()
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -79,7 +79,7 @@
 	s.config.fetching.Add(1)
 	defer s.config.fetching.Add(-1)
 	haveRevision := s.newestRevision()
-	assembly := configAssembly{partBytes: mesh.PartBytes}
+	assembly := configAssembly{partBytes: mesh.DefaultPartBytes}
 	for !assembly.complete() {
 		part, err := s.fetchPart(from, assembly, haveRevision)
 		if err != nil {
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -160,7 +160,7 @@
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.config.cache.MarkJoined()
 	must.NoError(t, s.fetchConfig(ident.Addr(strings.TrimPrefix(server.URL, "http://"))), must.Sprint(len(source.queries), " requests"))
-	must.Greater(t, 2*mesh.PartBytes, len(source.source.Raw), must.Sprint("it takes several parts"))
+	must.Greater(t, 2*mesh.DefaultPartBytes, len(source.source.Raw), must.Sprint("it takes several parts"))
 	active, raw := activeConfigOf(s)
 	must.Eq(t, revision, active)
 	must.Eq(t, string(source.source.Raw), string(raw))
