--- a/cmd/cottonarch/daemon.go
+++ b/cmd/cottonarch/daemon.go
@@ -74,7 +74,7 @@
 	}
 	app := kratos.New(
 		kratos.Name("cottonarch-"+name),
-		kratos.Logger(server.Logger(log)),
+		kratos.Logger(server.InstallLogger(log)),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
 		kratos.StopTimeout(stopTimeout),
 		kratos.BeforeStop(func(context.Context) error {
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -222,7 +222,7 @@
 	if headers.RequestID != "" {
 		limitMs := max(1, time.Until(deadline).Milliseconds()-endpointMarginMs)
 		call.HeaderOverrides = append(call.HeaderOverrides, exchange.HeaderField{Name: headers.Deadline, Value: strconv.FormatInt(limitMs, 10)})
-		call.RequiredHeader, call.Unencoded = headers.SuccessMark, true
+		call.RequiredHeader, call.RejectEncoded = headers.SuccessMark, true
 	}
 	if id := firstValue(call.Header, headers.RequestID); id == "" {
 		// Without an id nothing tells an unasked response on a kept connection from the one
--- a/daemon/sidecar/endpointcall_test.go
+++ b/daemon/sidecar/endpointcall_test.go
@@ -60,7 +60,7 @@
 			must.Eq(t, !hasID, call.SingleUse)
 			must.Eq(t, hasID, call.IDHeader == testIDHeader && call.ID == "r")
 			must.Eq(t, hasID, call.MaxIdleAge == idleTrust)
-			must.Eq(t, name != "", call.RequiredHeader == testSealHeader && call.Unencoded)
+			must.Eq(t, name != "", call.RequiredHeader == testSealHeader && call.RejectEncoded)
 			must.Eq(t, exchange.HeaderField{Name: TargetHeader, Value: "e"}, call.HeaderOverrides[0])
 		}
 	}
--- a/wire/exchange/actions_test.go
+++ b/wire/exchange/actions_test.go
@@ -261,7 +261,7 @@
 				}
 			})
 			call := identifiedCall("POST", "r")
-			call.RequiredHeader, call.Unencoded = "X-Seal", true
+			call.RequiredHeader, call.RejectEncoded = "X-Seal", true
 			response, sent, fail := doCall(t, exchange.New("", patientSettings), addr, call)
 			must.True(t, sent)
 			if strings.HasPrefix(name, "valid") || name == "lengths that agree" {
--- a/wire/exchange/body.go
+++ b/wire/exchange/body.go
@@ -104,7 +104,7 @@
 		return failure.NewUnknown(failure.BadResponse, "the response has no %s", call.RequiredHeader)
 	}
 	encoding := h.Get("Content-Encoding")
-	if call.Unencoded && encoding != "" && !strings.EqualFold(encoding, "identity") {
+	if call.RejectEncoded && encoding != "" && !strings.EqualFold(encoding, "identity") {
 		return failure.NewUnknown(failure.BadResponse, "the response is encoded, which was not asked for")
 	}
 	if call.Method == http.MethodHead || len(data) == 0 && !framing.untilClose {
--- a/wire/exchange/call.go
+++ b/wire/exchange/call.go
@@ -26,9 +26,9 @@
 	IDHeader, ID string
 	// RequiredHeader is a header without which a 2xx response is invalid.
 	RequiredHeader string
-	// Unencoded says that the client asked for no content encoding: an encoded response is
-	// invalid.
-	Unencoded bool
+	// RejectEncoded makes a response with a content encoding other than identity invalid, for
+	// a client that has not asked for an encoding.
+	RejectEncoded bool
 	// SingleUse asks for a connection that carries this call only and is closed after it.
 	SingleUse bool
 	// MaxIdleAge asks for a connection that was in use within this time, or else a new one:
--- a/wire/server/log.go
+++ b/wire/server/log.go
@@ -16,9 +16,9 @@
 	return nil
 }
 
-// Logger makes a kratos logger that writes warnings and errors to zap, and installs it as
-// kratos' global one.
-func Logger(logger *zap.Logger) log.Logger {
+// InstallLogger makes a kratos logger that writes warnings and errors to logger, and installs
+// the new logger as kratos' global logger.
+func InstallLogger(logger *zap.Logger) log.Logger {
 	adapter := warningLogger{logger}
 	log.SetLogger(adapter)
 	return adapter
