--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -68,7 +68,7 @@
 
 // Run sends requests and prints how many had which outcome.
 func (c clientCmd) Run() error {
-	results := &client.Log{}
+	results := &client.ResultLog{}
 	ctx, cancel := context.WithTimeout(context.Background(), c.For)
 	defer cancel()
 	client.Run(ctx, client.Options{
@@ -78,7 +78,7 @@
 		Log:         results,
 		Seed:        1,
 		Timeout:     clientTimeout,
-		Kinds: []client.Kind{{
+		RequestKinds: []client.RequestKind{{
 			Name:    "one",
 			Method:  c.Method,
 			Host:    c.Host,
--- a/fleet/run/faults_endpoint.go
+++ b/fleet/run/faults_endpoint.go
@@ -62,7 +62,7 @@
 	if e == nil {
 		return
 	}
-	confirmed, deliverLate := e.SignOff()
+	confirmed, deliverLate := e.Deregister()
 	if confirmed {
 		f.mu.Lock()
 		f.leftAt[e.Server] = time.Now()
@@ -96,7 +96,7 @@
 	if e == nil {
 		return
 	}
-	e.Hang(true)
+	e.SetHung(true)
 	// Its last heartbeat may have been sent just before: then its loss shows only after the timeout.
 	f.sleep(ctx, endpoint.MaxHeartbeatTimeout)
 	f.mu.Lock()
@@ -108,7 +108,7 @@
 	f.mu.Lock()
 	hang.to, e.unavailable = time.Now(), false
 	f.mu.Unlock()
-	e.Hang(false)
+	e.SetHung(false)
 }
 
 // endpointBad makes the newest endpoint lose, garble or truncate most responses.
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -50,7 +50,7 @@
 	Checker     *invariant.Checker
 	network     *linkproxy.Network
 	clients     *coordinationClients
-	clientLog   *client.Log            // results of the clients' requests
+	clientLog   *client.ResultLog      // results of the clients' requests
 	endpointLog *endpoint.ExecutionLog // requests that the endpoints executed
 	began       time.Time
 	rng         *rand.Rand // of the faults; its source is locked
@@ -101,7 +101,7 @@
 		Options:         options,
 		network:         linkproxy.New(),
 		Checker:         invariant.New(),
-		clientLog:       &client.Log{},
+		clientLog:       &client.ResultLog{},
 		endpointLog:     &endpoint.ExecutionLog{},
 		began:           time.Now(),
 		rng:             rand.New(&lockedSource{source: rand.NewPCG(options.Seed, 5)}),
@@ -215,25 +215,25 @@
 	for i, sidecar := range f.Sidecars {
 		running.Go(func() {
 			client.Run(ctx, client.Options{
-				Name:        sidecar.Name + options.suffix,
-				SidecarAddr: ident.Addr(sidecar.ClientAddr),
-				Kinds:       f.requestKinds(),
-				Rate:        rate,
-				Log:         f.clientLog,
-				Seed:        options.seed + uint64(i),
-				Timeout:     requestTimeout,
-				LeaveShare:  f.LeaveShare,
-				MaxStay:     maxStay,
+				Name:            sidecar.Name + options.suffix,
+				SidecarAddr:     ident.Addr(sidecar.ClientAddr),
+				RequestKinds:    f.requestKinds(),
+				Rate:            rate,
+				Log:             f.clientLog,
+				Seed:            options.seed + uint64(i),
+				Timeout:         requestTimeout,
+				AbandonShare:    f.LeaveShare,
+				MaxAbandonDelay: maxStay,
 			})
 		})
 	}
 }
 
 // requestKinds are the deployment's kinds of request, as the stand-in clients take them.
-func (f *Fleet) requestKinds() []client.Kind {
-	var kinds []client.Kind
+func (f *Fleet) requestKinds() []client.RequestKind {
+	var kinds []client.RequestKind
 	for _, kind := range f.Deployment.RequestKinds {
-		kinds = append(kinds, client.Kind{
+		kinds = append(kinds, client.RequestKind{
 			Name:    kind.Name,
 			Method:  kind.Method,
 			Host:    kind.Host,
--- a/fleet/run/judge.go
+++ b/fleet/run/judge.go
@@ -24,16 +24,16 @@
 	client.Unknown:     invariant.Unknown,
 	client.Dropped:     invariant.Unknown,
 	client.Wrong:       invariant.Unknown,
-	client.Left:        invariant.Unknown,
+	client.Abandoned:   invariant.Unknown,
 }
 
 // judge fills the checker from the logs of the clients and the endpoints, and finishes it.
 func (f *Fleet) judge(startedAt, endedAt monotime.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kinds := map[string]*client.Kind{}
+	kinds := map[string]*client.RequestKind{}
 	for _, call := range f.clientLog.All() {
-		kinds[call.ID] = call.Kind
+		kinds[call.ID] = call.RequestKind
 		f.judgeCall(call)
 	}
 	for _, execution := range f.endpointLog.All() {
@@ -44,25 +44,25 @@
 }
 
 // atMostOnce tells whether requests of a kind must not be executed twice.
-func atMostOnce(kind *client.Kind) bool { return kind != nil && kind.Method != http.MethodGet }
+func atMostOnce(kind *client.RequestKind) bool { return kind != nil && kind.Method != http.MethodGet }
 
 // judgeCall gives the checker the result of one client's request. The caller holds mu.
 func (f *Fleet) judgeCall(call client.Result) {
 	began := f.sinceStart(call.Start)
 	f.Checker.Calls = append(f.Checker.Calls, &invariant.Call{
 		ID:         call.ID,
-		Service:    call.Kind.Service,
-		AtMostOnce: atMostOnce(call.Kind),
+		Service:    call.RequestKind.Service,
+		AtMostOnce: atMostOnce(call.RequestKind),
 		Began:      began,
 		Ended:      f.sinceStart(call.Start.Add(call.Duration)),
 		Outcome:    outcomes[call.Outcome],
-		Reason:     call.Note,
+		Reason:     call.Detail,
 		Complete:   true,
 	})
 	f.Counts["calls "+string(call.Outcome)]++
 	f.countFailure(call)
 	if call.Outcome == client.Wrong {
-		f.Checker.Violate(began, ruleWrongResponse, "%s got %d %.200s", call.ID, call.Status, call.Note)
+		f.Checker.Violate(began, ruleWrongResponse, "%s got %d %.200s", call.ID, call.Status, call.Detail)
 	}
 	f.judgeDropped(call)
 }
@@ -76,7 +76,7 @@
 	var cause struct {
 		Kind failure.Kind `json:"defect"`
 	}
-	if json.Unmarshal([]byte(call.Note), &cause) == nil {
+	if json.Unmarshal([]byte(call.Detail), &cause) == nil {
 		f.Counts["  "+string(call.Outcome)+" "+string(cause.Kind)]++
 	}
 }
@@ -84,7 +84,7 @@
 // judgeExecution gives the checker one request that an endpoint executed. kinds are those of the clients'
 // requests by id. Calls that endpoints make themselves have an id that ends with
 // endpoint.ForwardedIDSuffix and go to the first kind's service. The caller holds mu.
-func (f *Fleet) judgeExecution(execution endpoint.Execution, kinds map[string]*client.Kind) {
+func (f *Fleet) judgeExecution(execution endpoint.Execution, kinds map[string]*client.RequestKind) {
 	var requested ident.Service
 	kind := kinds[execution.ID]
 	switch {
@@ -133,7 +133,7 @@
 // is excused only while that sidecar was killed, frozen or, for one that came after a planned
 // stop, had no listener to take it. The caller holds mu.
 func (f *Fleet) judgeDropped(call client.Result) {
-	if call.Outcome == client.Left {
+	if call.Outcome == client.Abandoned {
 		return
 	}
 	if call.Outcome != client.Dropped {
@@ -147,10 +147,10 @@
 		f.Checker.Excuse(ruleDropped, causeKilled)
 	case causes[causeFrozen]:
 		f.Checker.Excuse(ruleDropped, causeFrozen)
-	case causes[causeStopped] && strings.Contains(call.Note, ": connect: "): // no connection: nothing was taken
+	case causes[causeStopped] && strings.Contains(call.Detail, ": connect: "): // no connection: nothing was taken
 		f.Checker.Excuse(ruleDropped, excuseAfterStopping)
 	default:
 		f.Checker.Observe(ruleDropped)
-		f.Checker.Violate(f.sinceStart(call.Start), ruleDropped, "%s was dropped: %s", call.ID, call.Note)
+		f.Checker.Violate(f.sinceStart(call.Start), ruleDropped, "%s was dropped: %s", call.ID, call.Detail)
 	}
 }
--- a/fleet/run/judge_left.go
+++ b/fleet/run/judge_left.go
@@ -40,7 +40,7 @@
 func (f *Fleet) judgeLeft() {
 	left := map[string]client.Result{}
 	for _, call := range f.clientLog.All() {
-		if call.Outcome == client.Left {
+		if call.Outcome == client.Abandoned {
 			left[call.ID] = call
 		}
 	}
@@ -74,7 +74,7 @@
 	if execution.ReceivedAt.After(bound) {
 		tally.sentLate++
 	}
-	if atMostOnce(call.Kind) || !execution.ReceivedAt.Add(execution.Work).After(bound) || execution.ReceivedAt.After(bound) {
+	if atMostOnce(call.RequestKind) || !execution.ReceivedAt.Add(execution.WorkTime).After(bound) || execution.ReceivedAt.After(bound) {
 		return
 	}
 	tally.longRuns++
--- a/fleet/run/judge_test.go
+++ b/fleet/run/judge_test.go
@@ -37,8 +37,8 @@
 }
 
 var (
-	readKind  = &client.Kind{Name: "balance", Method: http.MethodGet, Service: "accounts.prairie"}
-	writeKind = &client.Kind{Name: "move", Method: http.MethodPost, Service: "payments.prairie"}
+	readKind  = &client.RequestKind{Name: "balance", Method: http.MethodGet, Service: "accounts.prairie"}
+	writeKind = &client.RequestKind{Name: "move", Method: http.MethodPost, Service: "payments.prairie"}
 )
 
 // instant is that many seconds after the fleet began.
@@ -52,14 +52,14 @@
 }
 
 // recordCall logs the result of the request sidecar1-1.
-func recordCall(f *Fleet, kind *client.Kind, outcome client.Outcome, seconds float64, note string) {
+func recordCall(f *Fleet, kind *client.RequestKind, outcome client.Outcome, seconds float64, note string) {
 	f.clientLog.Add(client.Result{
-		ID:       "sidecar1-1",
-		Kind:     kind,
-		Outcome:  outcome,
-		Start:    instant(f, seconds),
-		Duration: 20 * time.Millisecond,
-		Note:     note,
+		ID:          "sidecar1-1",
+		RequestKind: kind,
+		Outcome:     outcome,
+		Start:       instant(f, seconds),
+		Duration:    20 * time.Millisecond,
+		Detail:      note,
 	})
 }
 
@@ -273,7 +273,7 @@
 // A loss after which less than a quarter of the normal rate is served 15 s later is caught;
 // one after which more is served is not.
 func TestJudgeCatchesASlowRecovery(t *testing.T) {
-	kind := &client.Kind{Name: "balance", Method: "GET", Service: "accounts.prairie"}
+	kind := &client.RequestKind{Name: "balance", Method: "GET", Service: "accounts.prairie"}
 	for _, after := range []int{1, 5} { // calls a second after the loss, of ten before
 		f := newFleet(Options{Deployment: scenario.Deployments["prairie"]})
 		n := 0
@@ -286,7 +286,7 @@
 				n++
 				id := fmt.Sprint("sidecar1-", n)
 				at := f.began.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/time.Duration(rate))
-				f.clientLog.Add(client.Result{ID: id, Kind: kind, Outcome: client.Served, Start: at, Duration: time.Millisecond})
+				f.clientLog.Add(client.Result{ID: id, RequestKind: kind, Outcome: client.Served, Start: at, Duration: time.Millisecond})
 				f.endpointLog.Add(endpoint.Execution{ID: id, Server: "e", Service: "accounts.prairie", ReceivedAt: at})
 			}
 		}
@@ -306,7 +306,7 @@
 	const clients, leftAt = 20, 1.0
 	for _, c := range []struct {
 		name      string
-		kind      *client.Kind
+		kind      *client.RequestKind
 		arrivesAt func(n int) float64 // of request n
 		endsAt    func(n int) float64
 		out       bool // the caller's sidecar is killed meanwhile
@@ -324,8 +324,8 @@
 			f := newFleet(Options{Deployment: scenario.Deployments["prairie"]})
 			for n := range clients {
 				id := fmt.Sprint("sidecar1-", n)
-				f.clientLog.Add(client.Result{ID: id, Kind: c.kind, Outcome: client.Left, Start: instant(f, 0), Duration: time.Second})
-				execution := endpoint.Execution{ID: id, Server: "e", Service: c.kind.Service, Work: 3 * time.Second}
+				f.clientLog.Add(client.Result{ID: id, RequestKind: c.kind, Outcome: client.Abandoned, Start: instant(f, 0), Duration: time.Second})
+				execution := endpoint.Execution{ID: id, Server: "e", Service: c.kind.Service, WorkTime: 3 * time.Second}
 				execution.ReceivedAt, execution.EndedAt = instant(f, c.arrivesAt(n)), instant(f, c.endsAt(n))
 				f.endpointLog.Add(execution)
 			}
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -27,8 +27,9 @@
 	randomStream = 99
 )
 
-// Kind is one kind of request. Weight is its share among the kinds.
-type Kind struct {
+// RequestKind describes one kind of request. Weight is the relative frequency of the kind among all
+// kinds of the client.
+type RequestKind struct {
 	Name    string
 	Method  string
 	Host    string
@@ -39,17 +40,17 @@
 
 // Options describe the clients of one machine. Rate is in requests per second.
 type Options struct {
-	Name        string
-	SidecarAddr ident.Addr
-	Kinds       []Kind
-	Rate        float64
-	Log         *Log
-	Seed        uint64
-	Timeout     time.Duration
-	// LeaveShare of the requests, from 0 to 1, are given up after a random time below MaxStay: the
-	// client closes the connection.
-	LeaveShare float64
-	MaxStay    time.Duration
+	Name         string
+	SidecarAddr  ident.Addr
+	RequestKinds []RequestKind
+	Rate         float64
+	Log          *ResultLog
+	Seed         uint64
+	Timeout      time.Duration
+	// AbandonShare is the share of the requests, from 0 to 1, that are abandoned after a random time
+	// below MaxAbandonDelay: the client closes the connection.
+	AbandonShare    float64
+	MaxAbandonDelay time.Duration
 }
 
 // Run sends requests at the rate until ctx ends, then waits for those in flight.
@@ -74,11 +75,11 @@
 			return
 		case <-ticker.C:
 		}
-		kind := drawKind(rng, options.Kinds)
+		kind := drawKind(rng, options.RequestKinds)
 		id := fmt.Sprintf("%s-%d", options.Name, n)
-		if options.LeaveShare > 0 && rng.Float64() < options.LeaveShare {
-			stay := time.Duration(rng.Int64N(int64(options.MaxStay)))
-			pending.Go(func() { options.Log.Add(SendAndLeave(client, options, kind, id, stay)) })
+		if options.AbandonShare > 0 && rng.Float64() < options.AbandonShare {
+			stay := time.Duration(rng.Int64N(int64(options.MaxAbandonDelay)))
+			pending.Go(func() { options.Log.Add(SendAndAbandon(client, options, kind, id, stay)) })
 			continue
 		}
 		pending.Go(func() { options.Log.Add(Send(client, options, kind, id)) })
@@ -86,7 +87,7 @@
 }
 
 // drawKind draws a kind by weight.
-func drawKind(rng *rand.Rand, kinds []Kind) *Kind {
+func drawKind(rng *rand.Rand, kinds []RequestKind) *RequestKind {
 	total := 0
 	for _, kind := range kinds {
 		total += kind.Weight
@@ -102,19 +103,19 @@
 }
 
 // Send sends one request, whose timeout is that of the options, and checks its response.
-func Send(client *http.Client, options Options, kind *Kind, id string) Result {
-	result := Result{ID: id, Kind: kind, Start: time.Now()}
+func Send(client *http.Client, options Options, kind *RequestKind, id string) Result {
+	result := Result{ID: id, RequestKind: kind, Start: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), options.Timeout)
 	defer cancel()
 	request, err := newRequest(ctx, options, kind, id)
 	if err != nil {
-		result.Outcome, result.Note = Dropped, err.Error()
+		result.Outcome, result.Detail = Dropped, err.Error()
 		return result
 	}
 	httpResponse, err := client.Do(request)
 	result.Duration = time.Since(result.Start)
 	if err != nil {
-		result.Outcome, result.Note = Dropped, err.Error()
+		result.Outcome, result.Detail = Dropped, err.Error()
 		return result
 	}
 	data, err := io.ReadAll(httpResponse.Body)
@@ -122,28 +123,29 @@
 	result.Duration = time.Since(result.Start)
 	result.Status = httpResponse.StatusCode
 	if err != nil {
-		result.Outcome, result.Note = Dropped, "truncated: "+err.Error()
+		result.Outcome, result.Detail = Dropped, "truncated: "+err.Error()
 		return result
 	}
 	result.Outcome = outcome(httpResponse.Header.Get(response.OutcomeHeader), data, kind, id)
 	if result.Outcome != Served {
-		result.Note = string(data)
+		result.Detail = string(data)
 	}
 	return result
 }
 
-// SendAndLeave sends one request and closes its connection if there is no response after a while.
-func SendAndLeave(client *http.Client, options Options, kind *Kind, id string, stay time.Duration) Result {
-	options.Timeout = stay
+// SendAndAbandon sends one request, and closes the connection if no response has arrived when the
+// delay has passed.
+func SendAndAbandon(client *http.Client, options Options, kind *RequestKind, id string, delay time.Duration) Result {
+	options.Timeout = delay
 	result := Send(client, options, kind, id)
-	if result.Outcome == Dropped && result.Duration >= stay {
-		result.Outcome = Left
+	if result.Outcome == Dropped && result.Duration >= delay {
+		result.Outcome = Abandoned
 	}
 	return result
 }
 
 // newRequest makes a request of a kind, whose id is in its header and, if it has one, its body.
-func newRequest(ctx context.Context, options Options, kind *Kind, id string) (*http.Request, error) {
+func newRequest(ctx context.Context, options Options, kind *RequestKind, id string) (*http.Request, error) {
 	var body io.Reader
 	if kind.Method != http.MethodGet {
 		body = strings.NewReader(`{"id":"` + id + `"}`)
@@ -160,7 +162,7 @@
 }
 
 // outcome is that of a complete response with an outcome header and a body.
-func outcome(header string, body []byte, kind *Kind, id string) Outcome {
+func outcome(header string, body []byte, kind *RequestKind, id string) Outcome {
 	switch header {
 	case string(failure.NotExecuted):
 		return NotExecuted
--- a/standin/client/result.go
+++ b/standin/client/result.go
@@ -17,36 +17,37 @@
 	Dropped Outcome = "dropped"
 	// Wrong is a request whose response belongs to another one.
 	Wrong Outcome = "wrong"
-	// Left is a request whose client closed its connection before a response came.
-	Left Outcome = "left"
+	// Abandoned is the outcome of a request whose client closed the connection before a response
+	// arrived.
+	Abandoned Outcome = "left"
 )
 
 // Result is what a client knows of one request.
 type Result struct {
-	ID       string
-	Kind     *Kind
-	Outcome  Outcome
-	Status   int
-	Note     string
-	Start    time.Time
-	Duration time.Duration
+	ID          string
+	RequestKind *RequestKind
+	Outcome     Outcome
+	Status      int
+	Detail      string
+	Start       time.Time
+	Duration    time.Duration
 }
 
-// Log keeps the results of all clients.
-type Log struct {
+// ResultLog collects the results of all clients.
+type ResultLog struct {
 	mu      sync.Mutex
 	results []Result
 }
 
 // Add appends a result.
-func (l *Log) Add(result Result) {
+func (l *ResultLog) Add(result Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.results = append(l.results, result)
 }
 
 // All returns a copy of the results.
-func (l *Log) All() []Result {
+func (l *ResultLog) All() []Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Result(nil), l.results...)
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -94,8 +94,8 @@
 // InFlight returns the number of requests in flight.
 func (e *Endpoint) InFlight() int64 { return e.inFlight.Load() }
 
-// Mute stops or resumes the heartbeats; requests are still served.
-func (e *Endpoint) Mute(on bool) { e.muted.Store(on) }
+// SetHeartbeatsMuted stops or resumes the heartbeats. The endpoint serves requests in both cases.
+func (e *Endpoint) SetHeartbeatsMuted(on bool) { e.muted.Store(on) }
 
 // Leave reports that the endpoint will leave, and tells whether the sidecar confirmed it.
 func (e *Endpoint) Leave() bool {
@@ -103,12 +103,13 @@
 	return e.sendHeartbeat(endpoint.Leaving)
 }
 
-// SignOff reports that the endpoint is gone while it serves on, and tells whether the sidecar
-// confirmed it. No heartbeat follows but the one that deliverLate sends, which was made before: it comes
-// as one that was held up on its way.
-func (e *Endpoint) SignOff() (confirmed bool, deliverLate func()) {
+// Deregister reports to the sidecar that the endpoint is gone, and returns whether the sidecar
+// confirmed the report. The endpoint continues to serve requests and sends no further heartbeat,
+// except when deliverLate is called: deliverLate sends a heartbeat that was made before the report,
+// as if the network had delayed that heartbeat.
+func (e *Endpoint) Deregister() (confirmed bool, deliverLate func()) {
 	late := e.newHeartbeat(endpoint.Alive)
-	e.Mute(true)
+	e.SetHeartbeatsMuted(true)
 	e.state.Store(endpoint.Gone)
 	return e.sendHeartbeat(endpoint.Gone), func() { e.deliver(late) }
 }
--- a/standin/endpoint/endpoint_test.go
+++ b/standin/endpoint/endpoint_test.go
@@ -51,9 +51,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, options := started(t, c.behavior)
-			kind := &client.Kind{Method: http.MethodPost, Host: "h", Path: "/p", Service: "a.x"}
+			kind := &client.RequestKind{Method: http.MethodPost, Host: "h", Path: "/p", Service: "a.x"}
 			result := client.Send(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, options, kind, "r1")
-			must.Eq(t, c.want, result.Outcome, must.Sprint(result.Note))
+			must.Eq(t, c.want, result.Outcome, must.Sprint(result.Detail))
 			must.SliceLen(t, 1, e.Executions.All())
 			must.Eq(t, "r1", e.Executions.All()[0].ID)
 		})
@@ -63,7 +63,7 @@
 // A client does not take another request's response, nor another service's, for its own.
 func TestWrongResponse(t *testing.T) {
 	e, options := started(t, endpoint.Behavior{})
-	kind := &client.Kind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "other.x"}
+	kind := &client.RequestKind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "other.x"}
 	must.Eq(t, client.Wrong, client.Send(http.DefaultClient, options, kind, "r1").Outcome)
 	response, err := http.Get("http://" + string(e.Addr) + "/p")
 	must.NoError(t, err)
@@ -79,13 +79,13 @@
 func TestStopAndHang(t *testing.T) {
 	release := make(chan struct{})
 	e, options := started(t, endpoint.Behavior{Release: release})
-	kind := &client.Kind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "a.x"}
+	kind := &client.RequestKind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "a.x"}
 	outcomes := make(chan client.Outcome, 1)
-	e.Hang(true)
+	e.SetHung(true)
 	go func() { outcomes <- client.Send(http.DefaultClient, options, kind, "r1").Outcome }()
 	time.Sleep(20 * time.Millisecond)
 	must.Eq(t, 0, e.InFlight())
-	e.Hang(false)
+	e.SetHung(false)
 	for e.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/standin/endpoint/execution.go
+++ b/standin/endpoint/execution.go
@@ -7,15 +7,15 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Execution is one request that an endpoint executed; ReceivedAt is when it reached the endpoint. Work
-// is how long it was to take, and EndedAt when it ended, zero for one that did not: an endpoint stops
-// at the close of the connection.
+// Execution is one request that an endpoint executed. ReceivedAt is when the request reached the
+// endpoint and WorkTime how long the execution was meant to take. EndedAt is when the execution ended,
+// zero while it goes on; the close of the client's connection ends an execution early.
 type Execution struct {
 	ID         string
 	Server     ident.Server
 	Service    ident.Service
 	ReceivedAt time.Time
-	Work       time.Duration
+	WorkTime   time.Duration
 	EndedAt    time.Time
 }
 
--- a/standin/endpoint/hang.go
+++ b/standin/endpoint/hang.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Hang makes the endpoint hang or wake: connections are still accepted, and what comes on them
-// is read when it wakes; it sends no heartbeats.
-func (e *Endpoint) Hang(on bool) {
-	e.Mute(on)
+// SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, reads from them
+// only after it resumes, and sends no heartbeats.
+func (e *Endpoint) SetHung(on bool) {
+	e.SetHeartbeatsMuted(on)
 	e.hangMu.Lock()
 	defer e.hangMu.Unlock()
 	switch {
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -54,7 +54,7 @@
 	behavior := e.behavior.Load()
 	work := behavior.drawWorkTime()
 	if e.Executions != nil {
-		index := e.Executions.Add(Execution{ID: id, Server: e.Server, Service: e.Service, ReceivedAt: receivedAt(r), Work: work})
+		index := e.Executions.Add(Execution{ID: id, Server: e.Server, Service: e.Service, ReceivedAt: receivedAt(r), WorkTime: work})
 		defer func() { e.Executions.End(index, time.Now()) }()
 	}
 	if !behavior.work(r.Context(), work) {
