--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -70,12 +70,12 @@
 // endpoint's machine.
 func (s *Sidecar) sendOnce(ctx context.Context, queued *queuedRequest, decision attempt.Decision) (*exchange.Response, attempt.Result) {
 	request := endpointRequest{
-		server:        decision.Entry.UID,
-		service:       decision.Entry.Service,
-		call:          queued.outgoing,
-		deadline:      time.Now().Add(decision.Timeout),
+		server:           decision.Entry.UID,
+		service:          decision.Entry.Service,
+		call:             queued.outgoing,
+		deadline:         time.Now().Add(decision.Timeout),
 		retryProbability: decision.RepeatChance,
-		hints:         hintsFor(s.clock(), queued.receivedAt, queued.call, decision),
+		hints:            hintsFor(s.clock(), queued.receivedAt, queued.call, decision),
 	}
 	if decision.Entry.SidecarAddr == s.Settings.Addr {
 		return s.sendLocally(ctx, request)
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -68,7 +68,7 @@
 // connectionCase is what a caller sends on one connection and what comes of it.
 type connectionCase struct {
 	input     string
-	responses   []string // "status id", in order; then the connection ends or is silent
+	responses []string // "status id", in order; then the connection ends or is silent
 	runs      []receivedRequest
 	staysOpen bool // the connection takes another request
 	configure func(*Sidecar)
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -46,13 +46,13 @@
 	for _, hints := range []admissionHints{
 		{},
 		{
-			priority:        2,
-			expectedServiceTime:    31 * time.Millisecond,
-			earlyRejection:  -time.Second,
-			latencyTarget:   200 * time.Millisecond,
-			peerFailureRate: 0.25,
-			lastResort:      true,
-			responseBytes:   1 << 10,
+			priority:            2,
+			expectedServiceTime: 31 * time.Millisecond,
+			earlyRejection:      -time.Second,
+			latencyTarget:       200 * time.Millisecond,
+			peerFailureRate:     0.25,
+			lastResort:          true,
+			responseBytes:       1 << 10,
 		},
 		{repeatable: true},
 	} {
--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -94,11 +94,11 @@
 
 // leavingMesh is a sidecar of callers and a held endpoint, beside it or behind another sidecar.
 type disconnectHarness struct {
-	t        *testing.T
+	t               *testing.T
 	callerSidecar   *Sidecar
-	endpointSidecar   *Sidecar // the sidecar beside the endpoint
-	endpoint *blockingEndpoint
-	addr     string // for callers
+	endpointSidecar *Sidecar // the sidecar beside the endpoint
+	endpoint        *blockingEndpoint
+	addr            string // for callers
 }
 
 // startLeavingMesh starts a mesh whose endpoint has some slots, and whose caller's sidecar has some
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -21,10 +21,10 @@
 
 // configSource is a process that serves parts of a configuration and counts the bytes it sends.
 type configSource struct {
-	source  mesh.ConfigSource
-	earlierRelease     bool // it knows neither deltas nor compressed parts
-	bytes   int
-	queries []string
+	source         mesh.ConfigSource
+	earlierRelease bool // it knows neither deltas nor compressed parts
+	bytes          int
+	queries        []string
 }
 
 func (s *configSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/daemon/sidecar/cores.go
+++ b/daemon/sidecar/cores.go
@@ -26,19 +26,19 @@
 // coreList is the cores that this sidecar knows, and which seeds are sidecars. A seed may be
 // either, which only its answers tell. Sidecar.mu guards it.
 type coreList struct {
-	seeds         []ident.Addr
-	addrs         []ident.Addr                 // the seeds, and the cores that were listed lately
-	listedAt      map[ident.Addr]monotime.Time // when a core last listed it
-	isSidecar     map[ident.Addr]bool
+	seeds       []ident.Addr
+	addrs       []ident.Addr                 // the seeds, and the cores that were listed lately
+	listedAt    map[ident.Addr]monotime.Time // when a core last listed it
+	isSidecar   map[ident.Addr]bool
 	nextQueryAt map[ident.Addr]monotime.Time // when it may be asked as a peer again
 }
 
 func newCoreList(seeds []ident.Addr, now monotime.Time) coreList {
 	list := coreList{
-		seeds:         seeds,
-		addrs:         slices.Clone(seeds),
-		listedAt:      map[ident.Addr]monotime.Time{},
-		isSidecar:     map[ident.Addr]bool{},
+		seeds:       seeds,
+		addrs:       slices.Clone(seeds),
+		listedAt:    map[ident.Addr]monotime.Time{},
+		isSidecar:   map[ident.Addr]bool{},
 		nextQueryAt: map[ident.Addr]monotime.Time{},
 	}
 	for _, seed := range seeds {
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -26,12 +26,12 @@
 // endpointRequest is a request for an endpoint of this machine, of a caller here or of another
 // sidecar.
 type endpointRequest struct {
-	server        ident.Server
-	service       ident.Service
-	call          exchange.Call
-	deadline      time.Time
+	server           ident.Server
+	service          ident.Service
+	call             exchange.Call
+	deadline         time.Time
 	retryProbability float64 // the probability that it repeats one that ran
-	hints         admissionHints
+	hints            admissionHints
 }
 
 // endpointResult is what became of a request at an endpoint of this machine. Invariant: response
--- a/daemon/sidecar/headers.go
+++ b/daemon/sidecar/headers.go
@@ -22,8 +22,8 @@
 	AdmissionHintsHeader = "X-Cottonarch-Want"
 	// LoadReportHeader carries the load of the endpoint with each response, and TookHeader the
 	// microseconds that the endpoint had the request.
-	LoadReportHeader = "X-Cottonarch-Burden"
-	ServiceTimeHeader       = "X-Cottonarch-Took"
+	LoadReportHeader  = "X-Cottonarch-Burden"
+	ServiceTimeHeader = "X-Cottonarch-Took"
 	// CallerHeader names the caller for its share of the retry budget.
 	CallerHeader = "X-Caller"
 	// SessionHeader names the session, whose requests stay on one side of a weighted route.
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -27,15 +27,15 @@
 // request. All times are what is left, as the clocks of two machines differ. The text is nine
 // whole numbers, in the order of the fields: times in microseconds, the rate in thousandths.
 type admissionHints struct {
-	priority        int
-	expectedServiceTime    time.Duration // how long the endpoint will take; 0 if that is not known
-	earlyRejection  time.Duration // until when a rejection costs the caller nothing
-	latencyTarget   time.Duration // until when the response is worth most
-	peerFailureRate float64       // how often the other endpoints of the service fail, 0 to 1
-	lastResort      bool          // there is no other endpoint to send it to
-	responseBytes   int           // the mean size of such responses
-	repeatable      bool          // a run of it may be broken off when its client leaves
-	nested          bool          // the run of another request waits for it
+	priority            int
+	expectedServiceTime time.Duration // how long the endpoint will take; 0 if that is not known
+	earlyRejection      time.Duration // until when a rejection costs the caller nothing
+	latencyTarget       time.Duration // until when the response is worth most
+	peerFailureRate     float64       // how often the other endpoints of the service fail, 0 to 1
+	lastResort          bool          // there is no other endpoint to send it to
+	responseBytes       int           // the mean size of such responses
+	repeatable          bool          // a run of it may be broken off when its client leaves
+	nested              bool          // the run of another request waits for it
 }
 
 // hintsFor returns the hints of a call for the endpoint that was chosen. The target of a nested call
@@ -46,15 +46,15 @@
 		target = call.Deadline.Since(receivedAt)
 	}
 	return admissionHints{
-		priority:        call.Route.Priority,
-		expectedServiceTime:    decision.MeanServiceTime,
-		earlyRejection:  receivedAt.Add(target / earlyRejectionFraction).Since(now),
-		latencyTarget:   receivedAt.Add(target).Since(now),
-		peerFailureRate: decision.PeerFailureRate,
-		lastResort:      decision.LastResort,
-		responseBytes:   decision.MeanResponseBytes,
-		repeatable:      call.Repeatable(),
-		nested:          call.Nested,
+		priority:            call.Route.Priority,
+		expectedServiceTime: decision.MeanServiceTime,
+		earlyRejection:      receivedAt.Add(target / earlyRejectionFraction).Since(now),
+		latencyTarget:       receivedAt.Add(target).Since(now),
+		peerFailureRate:     decision.PeerFailureRate,
+		lastResort:          decision.LastResort,
+		responseBytes:       decision.MeanResponseBytes,
+		repeatable:          call.Repeatable(),
+		nested:              call.Nested,
 	}
 }
 
@@ -91,15 +91,15 @@
 		text = rest
 	}
 	return admissionHints{
-		priority:        int(clamp(fields[0], 0, maxHintPriority)),
-		expectedServiceTime:    max(0, hintDuration(fields[1])),
-		earlyRejection:  hintDuration(fields[2]),
-		latencyTarget:   hintDuration(fields[3]),
-		peerFailureRate: float64(clamp(fields[4], 0, hintRateScale)) / hintRateScale,
-		lastResort:      fields[5] == 1,
-		responseBytes:   int(clamp(fields[6], 0, maxHintBytes)),
-		repeatable:      fields[7] == 1,
-		nested:          fields[8] == 1,
+		priority:            int(clamp(fields[0], 0, maxHintPriority)),
+		expectedServiceTime: max(0, hintDuration(fields[1])),
+		earlyRejection:      hintDuration(fields[2]),
+		latencyTarget:       hintDuration(fields[3]),
+		peerFailureRate:     float64(clamp(fields[4], 0, hintRateScale)) / hintRateScale,
+		lastResort:          fields[5] == 1,
+		responseBytes:       int(clamp(fields[6], 0, maxHintBytes)),
+		repeatable:          fields[7] == 1,
+		nested:              fields[8] == 1,
 	}
 }
 
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -42,13 +42,13 @@
 // The hints of a release that wrote six fields are read as before.
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
 	hints := admissionHints{
-		priority:        2,
-		expectedServiceTime:    time.Millisecond,
-		earlyRejection:  2 * time.Millisecond,
-		latencyTarget:   3 * time.Millisecond,
-		peerFailureRate: 0.25,
-		lastResort:      true,
-		responseBytes:   77,
+		priority:            2,
+		expectedServiceTime: time.Millisecond,
+		earlyRejection:      2 * time.Millisecond,
+		latencyTarget:       3 * time.Millisecond,
+		peerFailureRate:     0.25,
+		lastResort:          true,
+		responseBytes:       77,
 	}
 	must.Eq(t, hints, parseHints(hints.encode()))
 	hints.responseBytes = 0
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -23,7 +23,7 @@
 
 	// peerQueryInterval is how often peers are asked, and maxPeersAsked how many at once.
 	peerQueryInterval = 250 * time.Millisecond
-	maxPeersQueried     = 8
+	maxPeersQueried   = 8
 	// peerQueryTimeout bounds one request to a peer.
 	peerQueryTimeout = 400 * time.Millisecond
 )
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -74,11 +74,11 @@
 		return request, nil, &peerRejection{resultRejected, failure.New(failure.DeadlineExceeded, "no time is left")}
 	}
 	request = endpointRequest{
-		server:        ident.Server(r.Header.Get(TargetHeader)),
-		service:       ident.Service(r.Header.Get(ServiceHeader)),
-		deadline:      time.Now().Add(time.Duration(limitMs) * time.Millisecond),
+		server:           ident.Server(r.Header.Get(TargetHeader)),
+		service:          ident.Service(r.Header.Get(ServiceHeader)),
+		deadline:         time.Now().Add(time.Duration(limitMs) * time.Millisecond),
 		retryProbability: parseRetryProbability(r.Header.Get(RetryProbabilityHeader)),
-		hints:         parseHints(r.Header.Get(AdmissionHintsHeader)),
+		hints:            parseHints(r.Header.Get(AdmissionHintsHeader)),
 	}
 	received, fail := s.reserveInbound(r.ContentLength)
 	if fail != nil {
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -51,7 +51,7 @@
 	clock monotime.Clock
 	// watchedClock counts only time that this process saw go by, see monotime.LimitSteps: budget
 	// shares do not move because the process was suspended.
-	stepLimitedClock     monotime.Clock
+	stepLimitedClock monotime.Clock
 	apiClient        *client.Pool   // JSON requests to cores and other sidecars
 	peerExchange     *exchange.Pool // forwarded requests to other sidecars
 	endpointExchange *exchange.Pool // forwarded requests to the endpoints of this machine
@@ -98,7 +98,7 @@
 		Log:              log,
 		Metrics:          metrics.New(),
 		clock:            clock,
-		stepLimitedClock:     monotime.LimitSteps(clock),
+		stepLimitedClock: monotime.LimitSteps(clock),
 		apiClient:        client.NewWithDialTimeout(cfg.Addr, dialTimeout),
 		peerExchange:     exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: deadPeerTimeout}),
 		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: deadPeerTimeout}),
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -35,29 +35,29 @@
 	closes
 	resets
 	resetsOnNextBytes // resets once the next bytes come, which it does not read
-	hangs   // says nothing more until the other end closes
+	hangs             // says nothing more until the other end closes
 )
 
 // evidence is what the answer to a request proves of its run.
 type evidence int
 
 const (
-	executed  evidence = iota // it ran, and its own answer says so
+	executed    evidence = iota // it ran, and its own answer says so
 	notExecuted                 // it did not run, and its own answer says so
-	unproven                   // nothing was said that proves either
+	unproven                    // nothing was said that proves either
 )
 
 // endpointMove is what an endpoint does with one request that it has read whole.
 type endpointBehavior struct {
-	name   string
-	executes   bool
+	name     string
+	executes bool
 	response func(id string, past []string) string
-	end    connectionEnd
+	end      connectionEnd
 	evidence
 }
 
 const (
-	testIDHeader   = "X-Call-Id"
+	testIDHeader          = "X-Call-Id"
 	testSuccessMarkHeader = "X-Sealed"
 )
 
@@ -68,7 +68,9 @@
 		testIDHeader, id, extra, len(responseBody(id)), responseBody(id))
 }
 
-func successResponse(id string, _ []string) string { return rawResponse(200, id, testSuccessMarkHeader+": s\r\n") }
+func successResponse(id string, _ []string) string {
+	return rawResponse(200, id, testSuccessMarkHeader+": s\r\n")
+}
 
 // newestAnswer is the answer to the request before this one, once more.
 func previousResponse(previous []string) string {
@@ -100,13 +102,13 @@
 // order in which requests come in, at whichever endpoint and connection; after the last of them, the
 // first move of endpointMoves goes on.
 type scenario struct {
-	mu              sync.Mutex
-	endpointScript          []endpointBehavior
-	relayScript     []relayBehavior
-	previousIDs         []string
-	arrivals        map[string][]endpointBehavior // at endpoints, by id
-	outcomeUnknown         map[string]bool           // a relay left it in doubt
-	connectionClosed bool                      // a connection was ended by its far end
+	mu               sync.Mutex
+	endpointScript   []endpointBehavior
+	relayScript      []relayBehavior
+	previousIDs      []string
+	arrivals         map[string][]endpointBehavior // at endpoints, by id
+	outcomeUnknown   map[string]bool               // a relay left it in doubt
+	connectionClosed bool                          // a connection was ended by its far end
 }
 
 func (j *scenario) nextBehavior(id string) (endpointBehavior, []string) {
@@ -160,11 +162,11 @@
 // each order has a journal and sidecars of its own. Ids of requests begin with the number of their
 // order, so that one which arrives after its order is over is still seen.
 type faultHarness struct {
-	scenarioCount    atomic.Int64
-	scenarios  sync.Map
-	endpoints []ident.Addr
-	peer      atomic.Pointer[Sidecar]
-	relayAddr ident.Addr // the relay before the peer
+	scenarioCount atomic.Int64
+	scenarios     sync.Map
+	endpoints     []ident.Addr
+	peer          atomic.Pointer[Sidecar]
+	relayAddr     ident.Addr // the relay before the peer
 }
 
 func newFaultHarness(t *testing.T) *faultHarness {
@@ -197,16 +199,16 @@
 
 // relayMove is what the hop between two sidecars does with one request.
 type relayBehavior struct {
-	name      string
-	forwards  bool               // to the sidecar behind
-	restarted bool               // that sidecar was started anew and knows no endpoint yet
-	truncate  func(size int) int // how many bytes of the answer come through
-	end       connectionEnd
-	outcomeUnknown   bool
+	name           string
+	forwards       bool               // to the sidecar behind
+	restarted      bool               // that sidecar was started anew and knows no endpoint yet
+	truncate       func(size int) int // how many bytes of the answer come through
+	end            connectionEnd
+	outcomeUnknown bool
 }
 
 func wholeResponse(size int) int { return size }
-func noBytes(int) int       { return 0 }
+func noBytes(int) int            { return 0 }
 
 var relayBehaviors = []relayBehavior{
 	{"passes", true, false, wholeResponse, staysOpen, false},
--- a/daemon/sidecar/verification_test.go
+++ b/daemon/sidecar/verification_test.go
@@ -26,9 +26,9 @@
 
 // askedEndpoint is an endpoint that gives the newest healthAnswer and counts the questions.
 type probedEndpoint struct {
-	addr   ident.Addr
+	addr     ident.Addr
 	response atomic.Pointer[healthResponse]
-	probes  atomic.Int64
+	probes   atomic.Int64
 }
 
 func newProbedEndpoint(t *testing.T, answer healthResponse) *probedEndpoint {
