--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -10,8 +10,8 @@
 	"cottonarch.example/cottonarch/control/config/decode"
 )
 
-// Whatever stands in a settings file: it is rejected as bad settings, or its addresses can be
-// listened at and its sizes are above zero.
+// Any content of a settings file is either rejected, or gives addresses that a process can listen at
+// and positive sizes.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{`{}`, `{"address":"127.0.0.1:1","caller":"127.0.0.1:2","district":"d","seeds":["127.0.0.1:3"]}`,
 		`{"address":"127.0.0.1:1","district":"d","data":"/x","founders":["127.0.0.1:1"],"ringFileMiB":1024,"ringFiles":64,"historyS":0.5}`,
@@ -19,7 +19,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		tree, fail := decode.Parse(raw)
+		values, fail := decode.Parse(raw)
 		if fail != nil {
 			must.Eq(t, failure.Malformed, fail.Kind)
 			return
@@ -29,13 +29,13 @@
 			must.NoError(t, err)
 			must.True(t, addrPort.Port() != 0 && !addrPort.Addr().IsUnspecified())
 		}
-		core, fail := ReadCore(tree)
+		core, fail := ReadCore(values)
 		if fail == nil {
 			mustBeListenable(string(core.Addr))
 			mustBeListenable(string(core.Listen))
 			must.True(t, core.Voters > 0 && core.RingFileBytes > 0 && core.RingFiles > 2 && core.WatchHistory > 0 && core.Zone != "" && core.Data != "")
 		}
-		sidecar, fail := ReadSidecar(tree)
+		sidecar, fail := ReadSidecar(values)
 		if fail == nil {
 			mustBeListenable(string(sidecar.Addr))
 			mustBeListenable(string(sidecar.ClientAddr))
--- a/settings/oldsample_test.go
+++ b/settings/oldsample_test.go
@@ -6,16 +6,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// loadFile reads the values of a settings file.
+// loadFile returns the values of a settings file.
 func loadFile(t *testing.T, file string) map[string]any {
 	values, fail := Flags{}.Load(file)
 	must.Nil(t, fail, must.Sprint(file))
 	return values
 }
 
-// Settings files with the keys of earlier releases give the same settings as the samples, which
-// bear the present keys, and each old key is reported.
-func TestOldSamplesAreRead(t *testing.T) {
+// Settings files with deprecated keys of earlier releases give the same settings as the samples,
+// which use the current keys, and each deprecated key is reported.
+func TestDeprecatedSamplesAreRead(t *testing.T) {
 	core, fail := ReadCore(loadFile(t, "testdata/old/core.json"))
 	must.Nil(t, fail)
 	must.Eq(t, []DeprecatedKey{{Old: "district", New: keyZone}}, core.DeprecatedKeys)
--- a/settings/read.go
+++ b/settings/read.go
@@ -17,7 +17,7 @@
 	maxFounders = 9
 )
 
-// ReadCore reads a core's settings. The failure is a BadSettings that lists every fault.
+// ReadCore reads the settings of a core. The failure has kind BadSettings and lists all faults.
 func ReadCore(values map[string]any) (Core, *failure.Error) {
 	faults := &decode.Faults{}
 	s := newSource(values, faults, keyAddress, keyListen, keyZone, keySeeds, keyFounders, keyData, keyVoters,
@@ -40,18 +40,18 @@
 		core.Listen = core.Addr
 	}
 	if len(core.Founders) > 0 && len(core.Founders)%2 == 0 {
-		s.fault(keyFounders, "an odd number of cores forms the first membership")
+		s.fault(keyFounders, "the number of founders must be odd")
 	}
 	if len(core.Founders) == 0 && slices.Contains(core.Seeds, core.Addr) {
 		core.Founders = slices.Clone(core.Seeds)
 	}
 	if len(core.Founders) == 0 && len(core.Seeds) == 0 {
-		s.fault(keySeeds, "a core needs seeds or founders")
+		s.fault(keySeeds, "seeds or founders must be given for a core")
 	}
 	return core, faults.Err(failure.BadSettings)
 }
 
-// ReadSidecar reads a sidecar's settings. The failure is a BadSettings that lists every fault.
+// ReadSidecar reads the settings of a sidecar. The failure has kind BadSettings and lists all faults.
 func ReadSidecar(values map[string]any) (Sidecar, *failure.Error) {
 	faults := &decode.Faults{}
 	s := newSource(values, faults, keyNode, keyAddress, keyListen, keyClientAddress, keyZone, keySeeds,
@@ -83,16 +83,16 @@
 		sidecar.Listen = sidecar.Addr
 	}
 	if sidecar.Addr != "" && sidecar.Addr == sidecar.ClientAddr {
-		s.fault(keyClientAddress, "must differ from address")
+		s.fault(keyClientAddress, "must differ from address %q", sidecar.Addr)
 	}
 	if len(sidecar.Seeds) == 0 {
-		s.fault(keySeeds, "a sidecar needs at least one seed")
+		s.fault(keySeeds, "must contain at least one address for a sidecar")
 	}
 	return sidecar, faults.Err(failure.BadSettings)
 }
 
-// retryBudget reads the limits of the retries; a ratio of 0 is stored as -1, since 0 stands for
-// the default there.
+// retryBudget reads the limits of the retry budget. A ratio of 0 is stored as -1, because in
+// retrybudget.Limits 0 means the default.
 func (s source) retryBudget() retrybudget.Limits {
 	limits := retrybudget.Limits{
 		Extra:       s.retryLimit(),
@@ -106,7 +106,7 @@
 	return limits
 }
 
-// retryLimit reads how many retries the whole mesh may have in a window; none is -1.
+// retryLimit reads how many retries the whole mesh may make in a window; -1 means none.
 func (s source) retryLimit() int {
 	if limit := int(s.integer(keyRetryExtra, quota.DefaultTotal, 0, 1_000_000)); limit > 0 {
 		return limit
@@ -118,7 +118,7 @@
 	return time.Duration(s.number(key, fallback, low, high) * float64(time.Second))
 }
 
-// requiredAddr reads an address that has to be given.
+// requiredAddr reads an address that must be given.
 func (s source) requiredAddr(key string) ident.Addr {
 	text := s.text(key)
 	if text == "" {
@@ -128,7 +128,7 @@
 	return s.checkAddr(key, text)
 }
 
-// addr reads an address, "" if it is not given.
+// addr reads an optional address, "" if the address is not given.
 func (s source) addr(key string) ident.Addr {
 	text := s.text(key)
 	if text == "" {
@@ -140,23 +140,23 @@
 func (s source) addrs(key string, limit int) []ident.Addr {
 	list := s.texts(key)
 	if len(list) > limit {
-		s.fault(key, "at most %d addresses", limit)
+		s.fault(key, "must contain at most %d addresses", limit)
 	}
 	var addrs []ident.Addr
 	for _, text := range list {
 		addr := s.checkAddr(key, text)
 		if slices.Contains(addrs, addr) {
-			s.fault(key, "%q stands twice", text)
+			s.fault(key, "address %q is listed twice", text)
 		}
 		addrs = append(addrs, addr)
 	}
 	return addrs
 }
 
-// checkAddr adds a fault unless the text is an address that can be dialled.
+// checkAddr adds a fault unless the text is an address that other processes can dial.
 func (s source) checkAddr(key, text string) ident.Addr {
 	if addrPort, err := netip.ParseAddrPort(text); err != nil || addrPort.Port() == 0 || addrPort.Addr().IsUnspecified() {
-		s.fault(key, "%q is no ip:port", text)
+		s.fault(key, "%q is not a valid ip:port address", text)
 	}
 	return ident.Addr(text)
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Bad settings name every fault with its path, all at once.
-func TestEveryFaultIsNamed(t *testing.T) {
+// The failure for invalid settings reports all faults, each with its path.
+func TestEveryFaultIsReported(t *testing.T) {
 	_, fail := ReadCore(map[string]any{
 		"address":  "host:1",
 		"district": "",
@@ -29,7 +29,7 @@
 		for _, fault := range fail.Faults {
 			found = found || fault.Path == path
 		}
-		must.True(t, found, must.Sprintf("%s is not named in %v", path, fail.Faults))
+		must.True(t, found, must.Sprintf("no fault with path %s in %v", path, fail.Faults))
 	}
 	_, fail = ReadSidecar(map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:1", "data": "x"})
 	must.NotNil(t, fail)
@@ -44,10 +44,10 @@
 	for _, file := range files {
 		values, fail := Flags{}.Load(file)
 		must.Nil(t, fail, must.Sprint(file))
-		if _, is := values["ways"]; is {
+		if _, found := values["ways"]; found {
 			continue
 		}
-		if _, is := values[keyClientAddress]; is {
+		if _, found := values[keyClientAddress]; found {
 			_, fail = ReadSidecar(values)
 		} else {
 			_, fail = ReadCore(values)
@@ -76,19 +76,19 @@
 	must.NotNil(t, fail)
 }
 
-// The limits of the retries come from the settings, and have defaults.
+// The limits of the retry budget are read from the settings and have defaults.
 func TestRetryBudgetSettings(t *testing.T) {
-	base := func(overrides map[string]any) map[string]any {
+	withDefaults := func(overrides map[string]any) map[string]any {
 		values := map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:2", "district": "d", "seeds": []any{"127.0.0.1:3"}}
 		for k, v := range overrides {
 			values[k] = v
 		}
 		return values
 	}
-	sidecar, fail := ReadSidecar(base(nil))
+	sidecar, fail := ReadSidecar(withDefaults(nil))
 	must.Nil(t, fail)
 	must.Eq(t, retrybudget.Limits{Extra: 60, Window: 10 * time.Second, Ratio: 0.2}, sidecar.RetryBudget)
-	sidecar, fail = ReadSidecar(base(map[string]any{
+	sidecar, fail = ReadSidecar(withDefaults(map[string]any{
 		"allowanceExtra":   json.Number("208"),
 		"allowanceWindowS": json.Number("4.5"),
 		"allowanceRatio":   json.Number("0"),
@@ -96,7 +96,7 @@
 	}))
 	must.Nil(t, fail)
 	must.Eq(t, retrybudget.Limits{Extra: 208, Window: 4500 * time.Millisecond, Ratio: -1, CountNested: true}, sidecar.RetryBudget)
-	_, fail = ReadSidecar(base(map[string]any{
+	_, fail = ReadSidecar(withDefaults(map[string]any{
 		"allowanceWindowS": json.Number("0"),
 		"allowanceRatio":   json.Number("2"),
 		"allowanceExtra":   json.Number("-1"),
@@ -113,17 +113,19 @@
 	must.Eq(t, -1, core.RetryLimit)
 }
 
-// newKeys and oldKeys are the same settings under the keys of this release and of the last.
+// currentSettings and deprecatedSettings are the same settings under the current keys and under the
+// deprecated keys of the last release.
 var (
-	newKeys = map[string]any{"address": "127.0.0.1:1", "clientAddress": "127.0.0.1:2", "zone": "z", "seeds": []any{"127.0.0.1:3"}, "maxInFlight": json.Number("7"),
+	currentSettings = map[string]any{"address": "127.0.0.1:1", "clientAddress": "127.0.0.1:2", "zone": "z", "seeds": []any{"127.0.0.1:3"}, "maxInFlight": json.Number("7"),
 		"retryExtra": json.Number("8"), "retryWindowS": json.Number("9"), "retryRatio": json.Number("0.5"), "retryNested": true, "crossZoneMsPerKB": json.Number("10"), "maxBodyMiB": json.Number("11")}
-	oldKeys = map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:2", "district": "z", "seeds": []any{"127.0.0.1:3"}, "hand": json.Number("7"),
+	deprecatedSettings = map[string]any{"address": "127.0.0.1:1", "caller": "127.0.0.1:2", "district": "z", "seeds": []any{"127.0.0.1:3"}, "hand": json.Number("7"),
 		"allowanceExtra": json.Number("8"), "allowanceWindowS": json.Number("9"), "allowanceRatio": json.Number("0.5"), "allowanceInner": true, "crossMsPerKB": json.Number("10"), "bulkMiB": json.Number("11")}
 )
 
-// A key is read under its old name as under its new one, and each old name is reported.
+// A setting is read under its deprecated key as under its current one, and each deprecated key is
+// reported.
 func TestDeprecatedKeysAreRead(t *testing.T) {
-	want, fail := ReadSidecar(newKeys)
+	want, fail := ReadSidecar(currentSettings)
 	must.Nil(t, fail)
 	must.SliceEmpty(t, want.DeprecatedKeys)
 	must.Eq(t, 7, want.MaxInFlight)
@@ -131,7 +133,7 @@
 	must.Eq(t, 10*time.Millisecond, want.CrossZoneCostPerKB)
 	must.Eq(t, 11<<20, want.MaxBodyBytes)
 
-	got, fail := ReadSidecar(oldKeys)
+	got, fail := ReadSidecar(deprecatedSettings)
 	must.Nil(t, fail)
 	must.Len(t, len(deprecatedNames), got.DeprecatedKeys)
 	for _, key := range got.DeprecatedKeys {
@@ -145,18 +147,18 @@
 	must.Eq(t, []DeprecatedKey{{Old: "district", New: "zone"}}, core.DeprecatedKeys)
 }
 
-// A fault stands under the name that the file gives, and a key that is given under both of
-// its names is one; a flag takes the place of either.
+// A fault is reported under the name that the file uses for the key, and a key that is given under
+// both its current and its deprecated name is a fault. A flag overrides the key under either name.
 func TestFaultsOfDeprecatedKeys(t *testing.T) {
 	for _, old := range deprecatedNames {
-		values := maps.Clone(oldKeys)
+		values := maps.Clone(deprecatedSettings)
 		values[old] = json.Number("-1")
 		_, fail := ReadSidecar(values)
 		must.NotNil(t, fail, must.Sprint(old))
 		must.Eq(t, old, fail.Faults[0].Path)
 	}
 	for key, old := range deprecatedNames {
-		values := maps.Clone(newKeys)
+		values := maps.Clone(currentSettings)
 		values[old] = values[key]
 		_, fail := ReadSidecar(values)
 		must.NotNil(t, fail, must.Sprint(old))
@@ -166,7 +168,7 @@
 	must.NotNil(t, fail)
 	must.StrContains(t, fail.Error(), `zone: must be given ("district" until the last release)`)
 	must.StrContains(t, fail.Error(), `clientAddress: must be given ("caller" until the last release)`)
-	values := maps.Clone(oldKeys)
+	values := maps.Clone(deprecatedSettings)
 	override(values, keyZone, "flag")
 	sidecar, fail := ReadSidecar(values)
 	must.Nil(t, fail)
--- a/settings/source.go
+++ b/settings/source.go
@@ -32,7 +32,7 @@
 	keyZone             = "zone"
 )
 
-// deprecatedNames are the old names of keys; this release reads them still.
+// deprecatedNames maps each renamed key to its deprecated name, which this release still accepts.
 var deprecatedNames = map[string]string{
 	keyBodyMiB:          "bulkMiB",
 	keyClientAddress:    "caller",
@@ -45,22 +45,22 @@
 	keyZone:             "district",
 }
 
-// DeprecatedKey is a key that a settings file gave under its old name.
+// DeprecatedKey is a key that a settings file gives under its deprecated name Old.
 type DeprecatedKey struct {
 	Old, New string
 }
 
-// source is a settings file as read. Invariant: each key is read, and its faults are named,
-// under the name that the file gives it.
+// source is the content of a settings file. Invariant: each key is read, and its faults are
+// reported, under the name that the file uses for the key.
 type source struct {
-	object     decode.Object
-	givenAs    map[string]string // old names, by key
-	deprecated []DeprecatedKey
+	object           decode.Object
+	deprecatedNameOf map[string]string // for each key that the file gives under its deprecated name
+	deprecated       []DeprecatedKey
 }
 
-// newSource reads the names of the keys; those that are not known are faults.
+// newSource determines the name that the file uses for each known key; unknown keys are faults.
 func newSource(values map[string]any, faults *decode.Faults, known ...string) source {
-	s := source{object: decode.Root(values, faults), givenAs: map[string]string{}}
+	s := source{object: decode.Root(values, faults), deprecatedNameOf: map[string]string{}}
 	allowed := known
 	for _, key := range known {
 		old, renamed := deprecatedNames[key]
@@ -75,45 +75,45 @@
 			s.object.Fault(old, "is the old name of %q, which is given too", key)
 			continue
 		}
-		s.givenAs[key] = old
+		s.deprecatedNameOf[key] = old
 		s.deprecated = append(s.deprecated, DeprecatedKey{Old: old, New: key})
 	}
 	s.object.RejectUnknown(allowed...)
 	return s
 }
 
-// name is the name that the file gives a key.
-func (s source) name(key string) string {
-	if old, ok := s.givenAs[key]; ok {
+// nameInFile returns the name that the file uses for a key.
+func (s source) nameInFile(key string) string {
+	if old, ok := s.deprecatedNameOf[key]; ok {
 		return old
 	}
 	return key
 }
 
 func (s source) fault(key, format string, args ...any) {
-	s.object.Fault(s.name(key), format, args...)
+	s.object.Fault(s.nameInFile(key), format, args...)
 }
 
-func (s source) text(key string) string { return s.object.String(s.name(key), "") }
+func (s source) text(key string) string { return s.object.String(s.nameInFile(key), "") }
 
-// requiredText reads a text that has to be given. A fault of a key that is not there names its
-// old name too, which scripts and operators of the last release look for.
+// requiredText reads a string that must be given. The fault for a missing key also contains the
+// deprecated name, because scripts and operators of the last release look for that name.
 func (s source) requiredText(key string) string {
-	if old, renamed := deprecatedNames[key]; renamed && !s.object.Has(s.name(key)) {
+	if old, renamed := deprecatedNames[key]; renamed && !s.object.Has(s.nameInFile(key)) {
 		s.fault(key, "must be given (%q until the last release)", old)
 		return ""
 	}
-	return s.object.RequiredString(s.name(key))
+	return s.object.RequiredString(s.nameInFile(key))
 }
 
-func (s source) texts(key string) []string { return s.object.Strings(s.name(key)) }
+func (s source) texts(key string) []string { return s.object.Strings(s.nameInFile(key)) }
 
 func (s source) integer(key string, fallback, low, high int64) int64 {
-	return s.object.Int(s.name(key), fallback, low, high)
+	return s.object.Int(s.nameInFile(key), fallback, low, high)
 }
 
 func (s source) number(key string, fallback, low, high float64) float64 {
-	return s.object.Float(s.name(key), fallback, low, high)
+	return s.object.Float(s.nameInFile(key), fallback, low, high)
 }
 
-func (s source) flag(key string) bool { return s.object.Bool(s.name(key), false) }
+func (s source) flag(key string) bool { return s.object.Bool(s.nameInFile(key), false) }
