--- a/mesh/configcache/cache.go
+++ b/mesh/configcache/cache.go
@@ -48,8 +48,8 @@
 
 // ready reports whether enough peers hold the configuration, all notified peers have answered or
 // failed, or ackTimeout is over.
-func (h *pendingConfig) ready(now monotime.Time) bool {
-	return h.acks >= RequiredAcks || h.outstanding <= 0 || now.Since(h.addedAt) >= ackTimeout
+func (p *pendingConfig) ready(now monotime.Time) bool {
+	return p.acks >= RequiredAcks || p.outstanding <= 0 || now.Since(p.addedAt) >= ackTimeout
 }
 
 // Cache decides which configuration a sidecar may enforce. Cache reads no clock and does no I/O.
--- a/mesh/lease/holder/budgetshare_test.go
+++ b/mesh/lease/holder/budgetshare_test.go
@@ -44,64 +44,64 @@
 )
 
 // apply executes a request at the cores.
-func (r *budgetShareModel) apply(args quota.Args) (grant quota.Share, ok bool) {
-	result := quota.Handlers().Apply(proposer.Context{}, r.value, proposer.Operation{Kind: "share/take", Args: operation.Encode(args)})
+func (m *budgetShareModel) apply(args quota.Args) (grant quota.Share, ok bool) {
+	result := quota.Handlers().Apply(proposer.Context{}, m.value, proposer.Operation{Kind: "share/take", Args: operation.Encode(args)})
 	if result.Changed {
-		r.value = result.Value
+		m.value = result.Value
 	}
 	return grant, result.Failure == nil && json.Unmarshal(result.Body, &grant) == nil
 }
 
 // join lets the next sidecar join at a random step.
-func (r *budgetShareModel) join(index int) {
-	if n := len(r.shares); n < nodeCount && index%(1+r.rng.IntN(40)) == 0 {
+func (m *budgetShareModel) join(index int) {
+	if n := len(m.shares); n < nodeCount && index%(1+m.rng.IntN(40)) == 0 {
 		share := &BudgetShare{}
-		grant, ok := r.apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
-		must.True(r.t, ok)
-		share.Reset(r.now, grant)
-		r.shares, r.usable = append(r.shares, share), append(r.usable, nil)
+		grant, ok := m.apply(quota.Args{Node: ident.Node(fmt.Sprint(n)), LeaseEpoch: 1})
+		must.True(m.t, ok)
+		share.Reset(m.now, grant)
+		m.shares, m.usable = append(m.shares, share), append(m.usable, nil)
 	}
 }
 
 // deliver delivers the messages that are due; delivering a request may add its response.
-func (r *budgetShareModel) deliver() {
-	due := r.inFlight
-	r.inFlight = nil
+func (m *budgetShareModel) deliver() {
+	due := m.inFlight
+	m.inFlight = nil
 	for _, msg := range due {
-		if msg.deliverAt <= r.now {
+		if msg.deliverAt <= m.now {
 			msg.deliver()
 		} else {
-			r.inFlight = append(r.inFlight, msg)
+			m.inFlight = append(m.inFlight, msg)
 		}
 	}
 }
 
 // sendDueRequest lets a sidecar send its request, if one is due. The request is lost, or arrives
 // once or twice.
-func (r *budgetShareModel) sendDueRequest(n int, share *BudgetShare) {
-	if r.rng.IntN(3) == 0 {
-		share.SetMemberCount(r.now, len(r.shares))
+func (m *budgetShareModel) sendDueRequest(n int, share *BudgetShare) {
+	if m.rng.IntN(3) == 0 {
+		share.SetMemberCount(m.now, len(m.shares))
 	}
-	args, ok := share.NextRequest(r.now, ident.Node(fmt.Sprint(n)), 1)
-	for copies := r.rng.IntN(3); ok && copies > 0; copies-- {
-		arrivesAt := r.now.Add(time.Duration(r.rng.IntN(6000)) * time.Millisecond)
-		r.inFlight = append(r.inFlight, message{arrivesAt, func() { r.handleRequest(arrivesAt, share, args) }})
+	args, ok := share.NextRequest(m.now, ident.Node(fmt.Sprint(n)), 1)
+	for copies := m.rng.IntN(3); ok && copies > 0; copies-- {
+		arrivesAt := m.now.Add(time.Duration(m.rng.IntN(6000)) * time.Millisecond)
+		m.inFlight = append(m.inFlight, message{arrivesAt, func() { m.handleRequest(arrivesAt, share, args) }})
 	}
 }
 
 // handleRequest executes a request at the cores; one response in four is lost.
-func (r *budgetShareModel) handleRequest(arrivesAt monotime.Time, share *BudgetShare, args quota.Args) {
-	if grant, ok := r.apply(args); ok && r.rng.IntN(4) > 0 {
-		returnsAt := arrivesAt.Add(time.Duration(r.rng.IntN(3000)) * time.Millisecond)
-		r.inFlight = append(r.inFlight, message{returnsAt, func() { share.ApplyGrant(returnsAt, grant) }})
+func (m *budgetShareModel) handleRequest(arrivesAt monotime.Time, share *BudgetShare, args quota.Args) {
+	if grant, ok := m.apply(args); ok && m.rng.IntN(4) > 0 {
+		returnsAt := arrivesAt.Add(time.Duration(m.rng.IntN(3000)) * time.Millisecond)
+		m.inFlight = append(m.inFlight, message{returnsAt, func() { share.ApplyGrant(returnsAt, grant) }})
 	}
 }
 
 // usableInWindow sums the maximum that each sidecar could use within the window that ends now.
-func (r *budgetShareModel) usableInWindow() (sum int) {
-	for n, share := range r.shares {
-		r.usable[n] = append(r.usable[n], share.Usable())
-		sum += slices.Max(r.usable[n][max(0, len(r.usable[n])-windowSteps):])
+func (m *budgetShareModel) usableInWindow() (sum int) {
+	for n, share := range m.shares {
+		m.usable[n] = append(m.usable[n], share.Usable())
+		sum += slices.Max(m.usable[n][max(0, len(m.usable[n])-windowSteps):])
 	}
 	return sum
 }
@@ -111,19 +111,19 @@
 // every sidecar has its fair share.
 func TestUsableSharesNeverExceedTotal(t *testing.T) {
 	for seed := range uint64(40) {
-		r := &budgetShareModel{t: t, rng: rand.New(rand.NewPCG(seed, 9))}
+		m := &budgetShareModel{t: t, rng: rand.New(rand.NewPCG(seed, 9))}
 		for index := range stepCount {
-			r.now = monotime.Time(index+10) * monotime.Time(step)
-			r.join(index)
-			r.deliver()
-			for n, share := range r.shares {
-				r.sendDueRequest(n, share)
+			m.now = monotime.Time(index+10) * monotime.Time(step)
+			m.join(index)
+			m.deliver()
+			for n, share := range m.shares {
+				m.sendDueRequest(n, share)
 			}
-			sum := r.usableInWindow()
+			sum := m.usableInWindow()
 			must.LessEq(t, quota.DefaultTotal, sum, must.Sprintf("seed %d: %d usable within one window", seed, sum))
 		}
-		must.Len(t, nodeCount, r.shares)
-		for n, share := range r.shares {
+		must.Len(t, nodeCount, m.shares)
+		for n, share := range m.shares {
 			must.Eq(t, quota.FairShare(quota.DefaultTotal, nodeCount), share.Usable(), must.Sprintf("seed %d node %d", seed, n))
 		}
 	}
--- a/mesh/lease/holder/choice.go
+++ b/mesh/lease/holder/choice.go
@@ -115,29 +115,29 @@
 
 // ChooseRegistrar chooses and returns the registrar among the known cores, "" if no core is known.
 // While the registrar may be unavailable, ChooseRegistrar also chooses the fallbacks.
-func (c *registrarSelector) ChooseRegistrar(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) ident.Addr {
-	c.registrar, c.allAvoided, c.fallbacks = "", false, nil
-	candidates := c.candidates(now, node, ownZone, cores)
+func (s *registrarSelector) ChooseRegistrar(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) ident.Addr {
+	s.registrar, s.allAvoided, s.fallbacks = "", false, nil
+	candidates := s.candidates(now, node, ownZone, cores)
 	if len(candidates) == 0 {
 		return ""
 	}
 	slices.SortFunc(candidates, compareCandidates)
-	c.registrar, c.allAvoided = candidates[0].addr, candidates[0].rank != rankUsable
-	if c.allAvoided || c.lastFailed {
-		c.fallbacks = c.chooseFallbacks(candidates[1:])
+	s.registrar, s.allAvoided = candidates[0].addr, candidates[0].rank != rankUsable
+	if s.allAvoided || s.lastFailed {
+		s.fallbacks = s.chooseFallbacks(candidates[1:])
 	}
-	return c.registrar
+	return s.registrar
 }
 
-func (c *registrarSelector) candidates(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) []candidate {
-	distance := Distances(ownZone, c.cores)
+func (s *registrarSelector) candidates(now monotime.Time, node ident.Node, ownZone ident.Zone, cores []ident.Addr) []candidate {
+	distance := Distances(ownZone, s.cores)
 	candidates := make([]candidate, 0, len(cores))
 	for _, addr := range cores {
 		core := candidate{addr: addr, distance: distance(addr), weight: RendezvousWeight(node, addr)}
-		if avoidance := c.avoidances[addr]; avoidance.until.After(now) {
+		if avoidance := s.avoidances[addr]; avoidance.until.After(now) {
 			core.rank = rankAvoided
 			if avoidance.silent {
-				core.rank, core.lastTried = rankSilent, c.lastTried[addr]
+				core.rank, core.lastTried = rankSilent, s.lastTried[addr]
 			}
 		}
 		candidates = append(candidates, core)
@@ -147,9 +147,9 @@
 
 // chooseFallbacks chooses the cores whose last attempt is oldest. A core of the sidecar's own zone
 // is placed first, because a network partition between zones leaves that core reachable.
-func (c *registrarSelector) chooseFallbacks(candidates []candidate) []ident.Addr {
+func (s *registrarSelector) chooseFallbacks(candidates []candidate) []ident.Addr {
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Compare(c.lastTried[a.addr], c.lastTried[b.addr])
+		return cmp.Compare(s.lastTried[a.addr], s.lastTried[b.addr])
 	})
 	nearest := slices.IndexFunc(candidates, func(core candidate) bool { return core.distance == SameZone })
 	if nearest > 0 {
@@ -170,40 +170,40 @@
 }
 
 // Registrar returns the registrar that was chosen last.
-func (c *registrarSelector) Registrar() ident.Addr { return c.registrar }
+func (s *registrarSelector) Registrar() ident.Addr { return s.registrar }
 
 // Targets lists the cores that a renewal is sent to now: the registrar, then the fallbacks.
-func (c *registrarSelector) Targets() []ident.Addr {
-	return append([]ident.Addr{c.registrar}, c.fallbacks...)
+func (s *registrarSelector) Targets() []ident.Addr {
+	return append([]ident.Addr{s.registrar}, s.fallbacks...)
 }
 
 // recordAttempt records that a renewal is sent to the targets.
-func (c *registrarSelector) recordAttempt(now monotime.Time) {
-	for _, core := range c.Targets() {
-		c.lastTried[core] = now
+func (s *registrarSelector) recordAttempt(now monotime.Time) {
+	for _, core := range s.Targets() {
+		s.lastTried[core] = now
 	}
 }
 
 // avoid starts or extends the avoidance of a core, with exponential backoff; silent means that the
 // core did not respond.
-func (c *registrarSelector) avoid(now monotime.Time, core ident.Addr, silent bool) {
-	entry := c.avoidances[core]
+func (s *registrarSelector) avoid(now monotime.Time, core ident.Addr, silent bool) {
+	entry := s.avoidances[core]
 	entry.silent = silent
 	entry.duration = min(max(2*entry.duration, minAvoidance), maxAvoidance)
 	entry.until = now.Add(entry.duration)
-	c.avoidances[core] = entry
+	s.avoidances[core] = entry
 }
 
 // markResponsive records that an avoided core has responded after all.
-func (c *registrarSelector) markResponsive(core ident.Addr) {
-	if entry, avoided := c.avoidances[core]; avoided {
+func (s *registrarSelector) markResponsive(core ident.Addr) {
+	if entry, avoided := s.avoidances[core]; avoided {
 		entry.silent = false
-		c.avoidances[core] = entry
+		s.avoidances[core] = entry
 	}
 }
 
 // clearAvoidance ends the avoidance of a core that accepted a renewal.
-func (c *registrarSelector) clearAvoidance(core ident.Addr) {
-	delete(c.avoidances, core)
-	c.lastFailed = false
+func (s *registrarSelector) clearAvoidance(core ident.Addr) {
+	delete(s.avoidances, core)
+	s.lastFailed = false
 }
