--- a/wire/client/client.go
+++ b/wire/client/client.go
@@ -1,4 +1,5 @@
-// Package client sends JSON requests between the mesh's own processes, over kratos' client.
+// Package client sends JSON requests between the processes of the mesh through the HTTP client of
+// kratos.
 package client
 
 import (
@@ -19,18 +20,18 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Pool keeps one kratos client for each address.
+// Pool holds one kratos client for each address.
 type Pool struct {
 	mu        sync.Mutex
 	clients   map[ident.Addr]*khttp.Client
 	transport minimalTransport
 }
 
-// minimalTransport omits the headers that no process of the mesh reads: many requests are
-// smaller than their heads.
+// minimalTransport omits the User-Agent header, which no process of the mesh reads: the bodies of
+// many requests are smaller than their heads.
 type minimalTransport struct{ *http.Transport }
 
-// RoundTrip sends one request.
+// RoundTrip sends r without a User-Agent header.
 func (t minimalTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r.Header["User-Agent"] = []string{""}
 	return t.Transport.RoundTrip(r)
@@ -38,20 +39,21 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// ackTimeout is how long sent bytes may stay unacknowledged: a machine that is partitioned
-	// or without power would otherwise hold a connection for minutes.
+	// ackTimeout is how long sent bytes may stay unacknowledged before the kernel closes the
+	// connection. Without the limit, a connection to a machine that is partitioned or without
+	// power would stay open for minutes.
 	ackTimeout = 3 * time.Second
-	// maxIdleConnsPerHost and idleConnTimeout bound the unused connections that are kept.
+	// maxIdleConnsPerHost and idleConnTimeout limit the number and the age of idle connections.
 	maxIdleConnsPerHost = 16
 	idleConnTimeout     = 30 * time.Second
-	// maxErrorBytes bounds the error response that is read.
+	// maxErrorBytes is how much of the body of an error response is read.
 	maxErrorBytes = 1 << 20
 )
 
-// keepAlive detects that a machine is unreachable while nothing is sent to it.
+// keepAlive configures the probes that detect an unreachable machine while a connection is idle.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
-// setUserTimeout bounds how long the kernel waits for acknowledgements.
+// setUserTimeout sets TCP_USER_TIMEOUT to ackTimeout on a socket before the socket connects.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
@@ -62,12 +64,12 @@
 	return err
 }
 
-// New makes a pool that dials from the machine's own IP. Each call has a time limit of its own,
-// so kratos' is switched off.
+// New returns a pool that dials from the IP of localAddr. The pool disables the request timeout of
+// kratos, because each call brings its own deadline.
 func New(localAddr ident.Addr) *Pool { return NewWithDialTimeout(localAddr, dialTimeout) }
 
-// NewWithDialTimeout is New with another dial timeout. A connection that is established after
-// its call has ended serves the next call.
+// NewWithDialTimeout is New with the given dial timeout. A connection that is established after
+// its call has ended is kept for the next call.
 func NewWithDialTimeout(localAddr ident.Addr, timeout time.Duration) *Pool {
 	dialer := net.Dialer{
 		Timeout:         timeout,
@@ -96,13 +98,13 @@
 		khttp.WithTransport(p.transport),
 		khttp.WithErrorDecoder(decodeError))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "client")
+		return nil, failure.Wrap(err, failure.Internal, "create client for "+string(addr))
 	}
 	p.clients[addr] = c
 	return c, nil
 }
 
-// decodeError turns an error response back into its failure.
+// decodeError returns nil for a 2xx response, and the failure in the body of any other response.
 func decodeError(_ context.Context, response *http.Response) error {
 	if response.StatusCode >= 200 && response.StatusCode < 300 {
 		return nil
@@ -110,16 +112,16 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.LostResponse, "read response")
+		return failure.Wrap(err, failure.LostResponse, "read error response")
 	}
 	fail := &failure.Error{}
 	if json.Unmarshal(data, fail) != nil || fail.Kind == "" {
-		return failure.NewUnknown(failure.BadResponse, "the response has status %d and no failure", response.StatusCode)
+		return failure.NewUnknown(failure.BadResponse, "the response has status %d, and its body is not a failure in JSON", response.StatusCode)
 	}
 	return fail
 }
 
-// Call sends one JSON request and reads its JSON response into result, which may be nil.
+// Call sends args as a JSON request and decodes the JSON response into result, which may be nil.
 func (p *Pool) Call(ctx context.Context, addr ident.Addr, method, path string, args, result any) error {
 	c, err := p.client(addr)
 	if err != nil {
--- a/wire/client/client_test.go
+++ b/wire/client/client_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A refused connection can be told apart from other failures through every layer: cores take
-// it as a hint that a process is gone.
+// Call keeps ECONNREFUSED in the error chain of a refused connection: cores take a refused
+// connection as a hint that the process has ended.
 func TestRefusedConnectionIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -28,9 +28,9 @@
 	must.Eq(t, failure.OutcomeUnknown, failure.From(err).Outcome)
 }
 
-// The kernel gives up an unresponsive machine within seconds, whether sent bytes stay
-// unacknowledged or nothing is sent.
-func TestUnresponsiveMachinesAreGivenUp(t *testing.T) {
+// Connections carry the kernel timeouts that close a connection to an unresponsive machine within
+// seconds, both for unacknowledged bytes and for idle connections.
+func TestUnresponsivePeerTimeouts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
--- a/wire/idletimeout/idletimeout.go
+++ b/wire/idletimeout/idletimeout.go
@@ -1,4 +1,4 @@
-// Package idletimeout bounds how long a connection waits for an unresponsive peer.
+// Package idletimeout limits how long a TCP connection waits for an unresponsive peer.
 package idletimeout
 
 import (
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is how many keep-alive probes may stay unanswered; together with the wait before the
-// first they take about the timeout.
+// probes is how many keep-alive probes may stay unanswered. The idle time before the first probe
+// and the intervals between the probes add up to about the timeout.
 const probes = 3
 
-// Set makes a socket notice within about timeout that its peer is unreachable, whether bytes
-// are in flight (TCP_USER_TIMEOUT) or not (keep-alive probes). Accepted connections inherit it
-// from their listener.
+// Set makes the kernel close the connection of a socket when the peer is unreachable for about
+// timeout, whether bytes are in flight (TCP_USER_TIMEOUT) or not (keep-alive probes). Accepted
+// connections inherit the options from their listening socket.
 func Set(raw syscall.RawConn, timeout time.Duration) error {
 	probeSeconds := max(int(timeout/time.Second)/probes, 1)
 	var err error
--- a/wire/response/response.go
+++ b/wire/response/response.go
@@ -11,14 +11,14 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// OutcomeHeader tells a client whether its operation took effect: "no", "yes" or "unknown".
+// OutcomeHeader tells a client whether its operation was executed: "no", "yes" or "unknown".
 const OutcomeHeader = "X-Cottonarch-Fate"
 
-// WriteJSON writes a value as the whole response.
+// WriteJSON writes a response with the given status and with value, encoded as JSON, as its body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		WriteError(w, failure.New(failure.Internal, "encode: %v", err))
+		WriteError(w, failure.New(failure.Internal, "encode response as JSON: %v", err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -27,8 +27,8 @@
 	_, _ = w.Write(data)
 }
 
-// WriteError writes a failure with its status, its outcome and, in whole seconds, its
-// Retry-After.
+// WriteError writes fail as a JSON response with the status of fail, the outcome in OutcomeHeader
+// and, if fail has a retry delay, Retry-After in whole seconds, rounded up.
 func WriteError(w http.ResponseWriter, fail *failure.Error) {
 	if fail.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(fail.RetryAfter))))
@@ -37,9 +37,9 @@
 	WriteJSON(w, fail.Status(), fail)
 }
 
-// WriteErrorFractional is WriteError for clients that read fractions of a second in Retry-After
-// and take a 503 as proof that the request was not executed. Invariant: a failure that was not
-// executed has a 4xx or 503, any other never has 503.
+// WriteErrorFractional is WriteError for clients that accept fractions of a second in Retry-After
+// and take a 503 as proof that the request was not executed. Invariant: the response to a request
+// that was not executed has a status of 4xx or 503, and no other failure has status 503.
 func WriteErrorFractional(w http.ResponseWriter, fail *failure.Error) {
 	if fail.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(fail.RetryAfter, 'f', -1, 64))
@@ -55,32 +55,32 @@
 	WriteJSON(w, status, fail)
 }
 
-// ReadBody reads a complete body of at most limit bytes.
+// ReadBody reads the whole body of a request. A body of more than limit bytes fails as Oversize.
 func ReadBody(r *http.Request, limit int64) ([]byte, *failure.Error) {
 	if r.Body == nil {
 		return nil, nil
 	}
 	if r.ContentLength > limit {
-		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", limit)
+		return nil, failure.New(failure.Oversize, "the request body of %d bytes exceeds the limit of %d bytes", r.ContentLength, limit)
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, failure.New(failure.Malformed, "the body was interrupted: %v", err)
+		return nil, failure.New(failure.Malformed, "the request body can't be read: %v", err)
 	}
 	if int64(len(data)) > limit {
-		return nil, failure.New(failure.Oversize, "a body is at most %d bytes", limit)
+		return nil, failure.New(failure.Oversize, "the request body exceeds the limit of %d bytes", limit)
 	}
 	return data, nil
 }
 
-// DecodeBody reads a body of one JSON value of at most limit bytes into target.
+// DecodeBody decodes the body of a request, one JSON value of at most limit bytes, into target.
 func DecodeBody(r *http.Request, limit int64, target any) *failure.Error {
 	data, fail := ReadBody(r, limit)
 	if fail != nil {
 		return fail
 	}
 	if err := json.Unmarshal(data, target); err != nil {
-		return failure.New(failure.Malformed, "%v", err)
+		return failure.New(failure.Malformed, "the request body can't be decoded: %v", err)
 	}
 	return nil
 }
--- a/wire/response/response_test.go
+++ b/wire/response/response_test.go
@@ -10,7 +10,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// notExecutedStatuses are those that a client takes as proof that its request was not executed.
+// notExecutedStatuses are the statuses that a client takes as proof that its request was not
+// executed.
 var notExecutedStatuses = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -18,9 +19,9 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// Whatever the kind of a failure: one that is proved not to have been executed has such a
-// status, and no other has.
-func TestNotExecutedIsSaidOnlyWhenProved(t *testing.T) {
+// For every kind of failure, the status is a 4xx or 503 if the request was not executed, and
+// otherwise no status that a client takes as proof that the request was not executed.
+func TestStatusMatchesNotExecutedOutcome(t *testing.T) {
 	kinds := []failure.Kind{"a kind of a later release", failure.Malformed, failure.Invalid, failure.Oversize, failure.Conflict, failure.NoRoute, failure.NoEndpoint, failure.Busy, failure.DeadlineExceeded, failure.EndpointRejected,
 		failure.Unreachable, failure.BadResponse, failure.LostResponse, failure.NoMajority, failure.UnknownOutcome, failure.NotFound, failure.LockHeld, failure.NotHolder, failure.Compacted, failure.Stopping,
 		failure.NotReady, failure.Corrupted, failure.DiskFailed, failure.BadSettings, failure.MethodNotAllowed, failure.Internal, failure.Exhausted}
