--- a/wire/exchange/actions_test.go
+++ b/wire/exchange/actions_test.go
@@ -16,21 +16,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// expectation is what must become of a request that an endpoint has read.
+// expectation is the result that the caller must get for a request that an endpoint has read.
 type expectation int
 
 const (
-	ownResponse expectation = iota // the caller gets its own response
-	noResponse                     // it gets none, and what became of it is unknown
+	ownResponse expectation = iota // the response to the request
+	noResponse                     // no response, and an unknown outcome
 )
 
-// action is what an endpoint does with one request that it has read completely; past holds the
-// ids of the requests before. then says whether it ends the connection after that, and how.
+// action is how an endpoint answers one request that the endpoint has read completely. The argument
+// pastIDs of respond holds the ids of the earlier requests. connEnd is what the endpoint does with
+// the connection after the response.
 type action struct {
 	name    string
 	respond func(id string, past []string) string
 	expect  expectation
-	then    connEnd
+	connEnd connEnd
 }
 
 type connEnd int
@@ -39,7 +40,7 @@
 	keepOpen connEnd = iota
 	closeConn
 	resetConn
-	resetOnNextBytes // resets once the next bytes come, which are not read
+	resetOnNextBytes // resets when the next bytes arrive, without reading them
 )
 
 func repeatLast(past []string) string {
@@ -51,14 +52,14 @@
 
 func respondOwn(id string, _ []string) string { return responseTo(id) }
 
-func truncated(part func(text string) int) func(string, []string) string {
+func respondTruncated(part func(text string) int) func(string, []string) string {
 	return func(id string, _ []string) string { return responseTo(id)[:part(responseTo(id))] }
 }
 
 var actions = []action{
 	{"own", respondOwn, ownResponse, keepOpen},
-	{"late copy first", func(id string, past []string) string { return repeatLast(past) + responseTo(id) }, ownResponse, keepOpen},
-	{"late copy after", func(id string, past []string) string { return responseTo(id) + repeatLast(past) }, ownResponse, keepOpen},
+	{"stale response first", func(id string, past []string) string { return repeatLast(past) + responseTo(id) }, ownResponse, keepOpen},
+	{"stale response after", func(id string, past []string) string { return responseTo(id) + repeatLast(past) }, ownResponse, keepOpen},
 	{"doubled", func(id string, _ []string) string { return responseTo(id) + responseTo(id) }, ownResponse, keepOpen},
 	{"foreign first", func(id string, _ []string) string { return responseTo("foreign") + responseTo(id) }, ownResponse, keepOpen},
 	{"foreign only", func(string, []string) string { return responseTo("foreign") }, noResponse, closeConn},
@@ -67,24 +68,24 @@
 	}, noResponse, keepOpen},
 	{"garbage after", func(id string, _ []string) string { return responseTo(id) + "\x00\x01 garbage\r\n" }, ownResponse, keepOpen},
 	{"garbage instead", func(string, []string) string { return "\x00\x01 garbage\r\n" }, noResponse, keepOpen},
-	{"cut in the head", truncated(func(text string) int { return strings.Index(text, "Content-Length") + 4 }), noResponse, closeConn},
-	{"cut in the body", truncated(func(text string) int { return len(text) - 3 }), noResponse, resetConn},
+	{"cut in the head", respondTruncated(func(text string) int { return strings.Index(text, "Content-Length") + 4 }), noResponse, closeConn},
+	{"cut in the body", respondTruncated(func(text string) int { return len(text) - 3 }), noResponse, resetConn},
 	{"early close", func(string, []string) string { return "" }, noResponse, closeConn},
 	{"closed after", respondOwn, ownResponse, closeConn},
 	{"reset when idle", respondOwn, ownResponse, resetConn},
-	{"forgotten when idle", respondOwn, ownResponse, resetOnNextBytes},
+	{"reset on next bytes", respondOwn, ownResponse, resetOnNextBytes},
 }
 
-// endpoint performs one action for each request, in the order of its script, on whatever
-// connection the request comes.
+// endpoint performs one action of its script for each request, in order, on whichever connection the
+// request arrives.
 type endpoint struct {
-	mu     sync.Mutex
-	script []action
-	past   []string
-	read   map[string]int
+	mu         sync.Mutex
+	script     []action
+	pastIDs    []string
+	readCounts map[string]int
 }
 
-func (e *endpoint) play(c *net.TCPConn) {
+func (e *endpoint) serve(c *net.TCPConn) {
 	r := bufio.NewReader(c)
 	for {
 		id, ok := readID(r)
@@ -92,14 +93,14 @@
 			return
 		}
 		e.mu.Lock()
-		e.read[id]++
+		e.readCounts[id]++
 		next := e.script[0]
 		e.script = e.script[1:]
-		text := next.respond(id, e.past)
-		e.past = append(e.past, id)
+		text := next.respond(id, e.pastIDs)
+		e.pastIDs = append(e.pastIDs, id)
 		e.mu.Unlock()
 		_, _ = c.Write([]byte(text))
-		switch next.then {
+		switch next.connEnd {
 		case closeConn:
 			return
 		case resetOnNextBytes:
@@ -112,28 +113,28 @@
 	}
 }
 
-// All orders of three of an endpoint's actions, on pooled connections: each caller gets its
-// own response or none; a complete response with the caller's id always reaches it; no request
-// is written twice, and what is reported as not sent was not read.
-func TestAllOrdersOfAnEndpointsActions(t *testing.T) {
+// Every sequence of three endpoint actions runs on pooled connections. Each caller gets the response
+// to its own request or none; a complete response with the id of the request always reaches the
+// caller; no request is written twice, and no request that is reported as not sent was read.
+func TestEndpointActionSequences(t *testing.T) {
 	for a := range actions {
 		t.Run(actions[a].name, func(t *testing.T) {
 			t.Parallel()
 			for b := range actions {
 				for c := range actions {
-					testOrder(t, []action{actions[a], actions[b], actions[c]})
+					testSequence(t, []action{actions[a], actions[b], actions[c]})
 				}
 			}
 		})
 	}
 }
 
-func testOrder(t *testing.T, script []action) {
+func testSequence(t *testing.T, script []action) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := &endpoint{script: append(script[:len(script):len(script)], actions[0], actions[0], actions[0]), read: map[string]int{}}
-	go acceptAll(l, server.play)
-	pool := exchange.New("", patientSettings)
+	server := &endpoint{script: append(script[:len(script):len(script)], actions[0], actions[0], actions[0]), readCounts: map[string]int{}}
+	go acceptAll(l, server.serve)
+	pool := exchange.New("", longDialTimeout)
 	addr := ident.Addr(l.Addr().String())
 	defer func() { pool.Drop(addr); _ = l.Close() }()
 	for n := range script {
@@ -143,7 +144,7 @@
 		server.mu.Unlock()
 		response, sent, fail := doCall(t, pool, addr, identifiedCall([]string{"POST", "GET"}[n%2], id))
 		server.mu.Lock()
-		read := server.read[id]
+		read := server.readCounts[id]
 		server.mu.Unlock()
 		detail := must.Sprintf("%s, %s, %s: request %d: %v", script[0].name, script[1].name, script[2].name, n, fail)
 		must.LessEq(t, 1, read, detail)
@@ -162,24 +163,25 @@
 			must.Eq(t, next.expect == ownResponse, response != nil, detail)
 			continue
 		}
-		// It met a connection whose close was still in flight: the last action ended one.
-		last := server.last(script)
-		must.True(t, last != nil && last.then != keepOpen, detail)
+		// The request was not read, because the last action ended the connection and the close
+		// was still in flight when the connection was taken.
+		last := server.lastAction(script)
+		must.True(t, last != nil && last.connEnd != keepOpen, detail)
 	}
 }
 
-// last is the last action that was performed, or nil.
-func (e *endpoint) last(played []action) *action {
+// lastAction returns the action that was performed last, or nil.
+func (e *endpoint) lastAction(played []action) *action {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.past) == 0 {
+	if len(e.pastIDs) == 0 {
 		return nil
 	}
-	return &played[len(e.past)-1]
+	return &played[len(e.pastIDs)-1]
 }
 
-// A response that is cut off at any byte is rejected, a complete one passes: with either way to
-// mark its end, and either way to cut it off.
+// A response that is truncated at any byte is rejected, and the complete response is accepted, for
+// each body framing and for a connection that is closed or reset.
 func TestResponseTruncatedAtEachByte(t *testing.T) {
 	const first = "HTTP/1.1 200 OK\r\n" + requestIDHeader + ": r\r\nContent-Type: text/plain\r\n"
 	for name, whole := range map[string]string{
@@ -203,7 +205,7 @@
 						}
 					}
 				})
-				pool := exchange.New("", patientSettings)
+				pool := exchange.New("", longDialTimeout)
 				for n := range len(whole) + 1 {
 					at <- n
 					response, sent, fail := doCall(t, pool, addr, identifiedCall("POST", "r"))
@@ -221,37 +223,38 @@
 	}
 }
 
-// What could be read in two ways, or is not what was asked for, passes nowhere.
-func TestStrictness(t *testing.T) {
+// A response that is malformed, that two parsers could read differently, that is encoded or that
+// lacks the required header is rejected.
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	const id = requestIDHeader + ": r\r\n"
 	const ok = "HTTP/1.1 200 OK\r\n" + id
 	for name, text := range map[string]string{
-		"valid":                     ok + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
-		"lengths that agree":        ok + "X-Seal: s\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
-		"no seal":                   ok + "Content-Length: 2\r\n\r\nhi",
-		"encoded":                   ok + "X-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
-		"a line that goes on":       ok + "X-Seal: s\r\n more\r\nContent-Length: 2\r\n\r\nhi",
-		"a bare line end":           ok + "X-Seal: s\nContent-Length: 2\r\n\r\nhi",
-		"a bare CR":                 ok + "X-Seal: s\rContent-Length: 2\r\n\r\nhi",
-		"a control byte":            ok + "X-Seal: s\x01\r\nContent-Length: 2\r\n\r\nhi",
-		"a space before the colon":  ok + "X-Seal: s\r\nContent-Length : 2\r\n\r\nhi",
-		"no colon":                  ok + "X-Seal: s\r\nContent-Length 2\r\n\r\nhi",
-		"a signed length":           ok + "X-Seal: s\r\nContent-Length: +2\r\n\r\nhi",
-		"lengths in a list":         ok + "X-Seal: s\r\nContent-Length: 2, 2\r\n\r\nhi",
-		"an empty length":           ok + "X-Seal: s\r\nContent-Length:\r\n\r\nhi",
-		"a length beyond all":       ok + "X-Seal: s\r\nContent-Length: 99999999999999999999\r\n\r\nhi",
-		"a length beyond the bound": ok + "X-Seal: s\r\nContent-Length: 99999999999\r\n\r\nhi",
-		"chunks and a length":       ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-		"another coding":            ok + "X-Seal: s\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-		"a bad chunk":               ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\nz\r\nhi\r\n0\r\n\r\n",
-		"a chunk too long":          ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhiya\r\n0\r\n\r\n",
-		"chunks of HTTP/1.0":        "HTTP/1.0 200 OK\r\n" + id + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-		"another protocol":          "HTTP/2.0 200 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
-		"no status":                 "HTTP/1.1 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
-		"a status of four":          "HTTP/1.1 2000 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
-		"a status below 100":        "HTTP/1.1 020 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
-		"a change of protocol":      "HTTP/1.1 101 Go\r\n" + id + "X-Seal: s\r\n\r\n",
-		"a head beyond the bound":   ok + "X-Seal: " + strings.Repeat("s", 20<<10) + "\r\nContent-Length: 2\r\n\r\nhi",
+		"valid":                    ok + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+		"equal lengths":            ok + "X-Seal: s\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nhi",
+		"no required header":       ok + "Content-Length: 2\r\n\r\nhi",
+		"encoded":                  ok + "X-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nhi",
+		"folded line":              ok + "X-Seal: s\r\n more\r\nContent-Length: 2\r\n\r\nhi",
+		"bare LF":                  ok + "X-Seal: s\nContent-Length: 2\r\n\r\nhi",
+		"a bare CR":                ok + "X-Seal: s\rContent-Length: 2\r\n\r\nhi",
+		"a control byte":           ok + "X-Seal: s\x01\r\nContent-Length: 2\r\n\r\nhi",
+		"a space before the colon": ok + "X-Seal: s\r\nContent-Length : 2\r\n\r\nhi",
+		"no colon":                 ok + "X-Seal: s\r\nContent-Length 2\r\n\r\nhi",
+		"a signed length":          ok + "X-Seal: s\r\nContent-Length: +2\r\n\r\nhi",
+		"lengths in a list":        ok + "X-Seal: s\r\nContent-Length: 2, 2\r\n\r\nhi",
+		"an empty length":          ok + "X-Seal: s\r\nContent-Length:\r\n\r\nhi",
+		"length above int64":       ok + "X-Seal: s\r\nContent-Length: 99999999999999999999\r\n\r\nhi",
+		"length above limit":       ok + "X-Seal: s\r\nContent-Length: 99999999999\r\n\r\nhi",
+		"chunks and a length":      ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+		"another coding":           ok + "X-Seal: s\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+		"a bad chunk":              ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\nz\r\nhi\r\n0\r\n\r\n",
+		"a chunk too long":         ok + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhiya\r\n0\r\n\r\n",
+		"chunks in HTTP/1.0":       "HTTP/1.0 200 OK\r\n" + id + "X-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+		"another protocol":         "HTTP/2.0 200 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+		"no status":                "HTTP/1.1 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+		"four-digit status":        "HTTP/1.1 2000 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+		"a status below 100":       "HTTP/1.1 020 OK\r\n" + id + "X-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
+		"protocol switch":          "HTTP/1.1 101 Go\r\n" + id + "X-Seal: s\r\n\r\n",
+		"head above limit":         ok + "X-Seal: " + strings.Repeat("s", 20<<10) + "\r\nContent-Length: 2\r\n\r\nhi",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -262,9 +265,9 @@
 			})
 			call := identifiedCall("POST", "r")
 			call.RequiredHeader, call.RejectEncoded = "X-Seal", true
-			response, sent, fail := doCall(t, exchange.New("", patientSettings), addr, call)
+			response, sent, fail := doCall(t, exchange.New("", longDialTimeout), addr, call)
 			must.True(t, sent)
-			if strings.HasPrefix(name, "valid") || name == "lengths that agree" {
+			if strings.HasPrefix(name, "valid") || name == "equal lengths" {
 				must.Nil(t, fail)
 				must.Eq(t, "hi", string(response.Body))
 				return
@@ -276,9 +279,9 @@
 	}
 }
 
-// What is written is exactly the call's own: no hop-by-hop headers, nothing that a
-// header could smuggle in.
-func TestWhatIsWritten(t *testing.T) {
+// The written request contains exactly the parts of the call, without hop-by-hop headers. A part
+// that could inject a header or a request is Malformed, and nothing is sent.
+func TestWrittenRequest(t *testing.T) {
 	got := make(chan string, 1)
 	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
 		var all strings.Builder
@@ -309,11 +312,11 @@
 		"X-Gone":            {"1"},
 	}
 	call.HeaderOverrides = []exchange.HeaderField{{Name: "X-Calling", Value: "real"}, {Name: "X-Gone"}}
-	pool := exchange.New("", patientSettings)
+	pool := exchange.New("", longDialTimeout)
 	_, _, fail := doCall(t, pool, addr, call)
 	must.Nil(t, fail)
 	must.Eq(t, "GET //x//y/../z?q=%2F&a=;b HTTP/1.1\r\nHost: h.x\r\n"+requestIDHeader+": r\r\nX-Calling: real\r\n\r\n", <-got)
-	for name, spoil := range map[string]func(*exchange.Call){
+	for name, corrupt := range map[string]func(*exchange.Call){
 		"target": func(call *exchange.Call) { call.Target = "/a b" },
 		"empty":  func(call *exchange.Call) { call.Target = "" },
 		"host":   func(call *exchange.Call) { call.Host = "a\r\nb" },
@@ -324,7 +327,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			call := identifiedCall("GET", "r")
-			spoil(&call)
+			corrupt(&call)
 			_, sent, fail := doCall(t, pool, addr, call)
 			must.False(t, sent)
 			must.Eq(t, failure.Malformed, fail.Kind)
@@ -332,9 +335,9 @@
 	}
 }
 
-// The response of an endpoint that rejects a long request before it is complete is read, if it
-// names the request.
-func TestRejectedBeforeTheRequestIsComplete(t *testing.T) {
+// If an endpoint rejects a long request before the request is complete, the response is read,
+// provided that the response carries the id of the request.
+func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, _ func() (string, bool)) {
 		_, _ = r.Peek(1)
 		_, _ = c.Write([]byte(responseTo("r")))
@@ -343,7 +346,7 @@
 	call.Body = make([]byte, 64<<20)
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	response, sent, fail := exchange.New("", patientSettings).Do(ctx, addr, call)
+	response, sent, fail := exchange.New("", longDialTimeout).Do(ctx, addr, call)
 	must.True(t, sent)
 	must.Nil(t, fail)
 	must.Eq(t, jsonBody("r"), string(response.Body))
--- a/wire/exchange/bench_test.go
+++ b/wire/exchange/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkDo sends over one pooled connection to a net/http server of the same process,
-// whose own cost is in the figures.
+// BenchmarkDo sends requests over one pooled connection to a net/http server in the same process.
+// The results include the cost of the server.
 func BenchmarkDo(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 64 << 10} {
 		text := strings.Repeat("x", size)
@@ -42,7 +42,8 @@
 	}
 }
 
-// BenchmarkDoAlone has a server that only counts bytes, so most of the figure is Do's own.
+// BenchmarkDoAlone measures Do with a server that only looks for the end of a request, so that Do
+// causes most of the measured cost.
 func BenchmarkDoAlone(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
@@ -88,7 +89,7 @@
 
 const idHeader = "X-Bench-Id"
 
-// identify asks for what a call to an endpoint asks for.
+// identify sets the id and the required header, as a sidecar does for a call to an endpoint.
 func identify(call *exchange.Call) {
 	call.IDHeader, call.ID, call.RequiredHeader = idHeader, "9c41d07be2a35f68", "X-Seal"
 }
--- a/wire/exchange/body.go
+++ b/wire/exchange/body.go
@@ -12,15 +12,15 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// bodyFraming says how a response's end is marked. Invariant: length counts only when neither
-// chunked nor untilClose is set.
+// bodyFraming is how the end of a response body is marked: by a length, by chunks or by the close
+// of the connection. Invariant: length is valid only if neither chunked nor untilClose is set.
 type bodyFraming struct {
 	length              int64
 	chunked, untilClose bool
 }
 
-// framing finds out where the response ends, and rejects what two readers could understand
-// differently (RFC 9112, section 6.3).
+// framing returns the framing of the body of a response to a request with the given method. ok is
+// false if two readers could determine the end of the response differently (RFC 9112, section 6.3).
 func (h *responseHead) framing(method string) (framing bodyFraming, ok bool) {
 	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
 	for _, length := range lengths {
@@ -48,7 +48,7 @@
 	return framing, true
 }
 
-// readBody reads a complete body.
+// readBody reads a complete body of at most limit bytes.
 func (r *responseReader) readBody(framing bodyFraming, limit int) ([]byte, error) {
 	switch {
 	case framing.chunked:
@@ -69,7 +69,7 @@
 	return data, err
 }
 
-// skipTrailer consumes the trailer section after the last chunk.
+// skipTrailer reads and discards the trailer section after the last chunk.
 func (r *responseReader) skipTrailer() error {
 	next, err := r.Peek(2)
 	if err != nil {
@@ -96,16 +96,17 @@
 	return data, err
 }
 
-// validate rejects a response that may be incomplete or not the endpoint's own: invalid JSON, a
-// body without a marked end (except JSON, which marks its own), and a 2xx without the required
-// header.
+// validate rejects a response that may be incomplete or may not come from the endpoint: invalid
+// JSON, a body that only the close of the connection ends (except a JSON object or array, which
+// marks its own end), a 2xx response without call.RequiredHeader, and, if call.RejectEncoded is
+// set, an encoded response.
 func (h *responseHead) validate(call *Call, framing bodyFraming, data []byte) *failure.Error {
 	if call.RequiredHeader != "" && h.status < 300 && len(h.Header[textproto.CanonicalMIMEHeaderKey(call.RequiredHeader)]) == 0 {
-		return failure.NewUnknown(failure.BadResponse, "the response has no %s", call.RequiredHeader)
+		return failure.NewUnknown(failure.BadResponse, "the response with status %d has no %s header", h.status, call.RequiredHeader)
 	}
 	encoding := h.Get("Content-Encoding")
 	if call.RejectEncoded && encoding != "" && !strings.EqualFold(encoding, "identity") {
-		return failure.NewUnknown(failure.BadResponse, "the response is encoded, which was not asked for")
+		return failure.NewUnknown(failure.BadResponse, "the response has a content encoding that the client has not asked for")
 	}
 	if call.Method == http.MethodHead || len(data) == 0 && !framing.untilClose {
 		return nil
@@ -113,10 +114,10 @@
 	unencoded := encoding == ""
 	isJSON := isJSON(h.Get("Content-Type"))
 	if isJSON && unencoded && len(data) > 0 && !json.Valid(data) {
-		return failure.NewUnknown(failure.BadResponse, "the response is declared as JSON and is not")
+		return failure.NewUnknown(failure.BadResponse, "the response body is declared as JSON but is not valid JSON")
 	}
 	if framing.untilClose && !(len(data) > 0 && isJSON && unencoded && (data[0] == '{' || data[0] == '[')) {
-		return failure.NewUnknown(failure.BadResponse, "nothing marks where the response ends")
+		return failure.NewUnknown(failure.BadResponse, "the response body has neither a length nor chunks that mark its end")
 	}
 	return nil
 }
--- a/wire/exchange/exchange.go
+++ b/wire/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange sends one HTTP/1.1 request exactly once and reads its complete response.
-// It parses heads with net/textproto and chunks with net/http/httputil, but does not use
-// net/http's client: that one silently sends a request again when a pooled connection broke,
-// which here would be a retry outside the retry budget, or a second execution.
+// Package exchange sends an HTTP/1.1 request at most once and reads the complete response. The
+// package parses heads with net/textproto and chunks with net/http/httputil, but does not use the
+// client of net/http: that client silently resends a request when a pooled connection fails, which
+// would be a retry outside the retry budget or a second execution of the request.
 package exchange
 
 import (
@@ -12,18 +12,20 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// result is the outcome of a call on one connection. Invariant: sent is false only if no
-// byte left; connClosed implies not sent and says that the connection took nothing.
+// result is the result of a call on one connection. Invariant: sent is false only if no byte of
+// the request was sent. connClosed means that the connection was closed, or had unread bytes,
+// before the request was sent, and implies that sent is false.
 type result struct {
 	response                   *Response
 	sent, reusable, connClosed bool
 	fail                       *failure.Error
 }
 
-// Do sends the call once. sent is false only when no byte of it left this process; any
-// failure after a byte left has an unknown outcome. Failures by kind: Malformed,
-// Unreachable, Busy and those of BeforeSend were not sent; DeadlineExceeded may be either;
-// LostResponse and BadResponse were sent.
+// Do sends the call once and returns the complete response. sent is false only if no byte of the
+// request was sent; any failure after the first byte has an unknown outcome. A call that fails as
+// Malformed, Unreachable or Busy, or with the failure of BeforeSend, was not sent. A call that fails
+// as LostResponse or BadResponse was sent. A call that fails as DeadlineExceeded may or may not have
+// been sent.
 func (pool *Pool) Do(ctx context.Context, addr ident.Addr, call Call) (response *Response, sent bool, fail *failure.Error) {
 	if deadline, ok := ctx.Deadline(); ok && (call.Deadline.IsZero() || deadline.Before(call.Deadline)) {
 		call.Deadline = deadline
@@ -41,13 +43,13 @@
 		res := c.roundTrip(ctx, &call, request)
 		pool.release(c, res.reusable)
 		if reused && res.connClosed {
-			continue // no byte left: another connection may carry the call
+			continue // no byte was sent, so the call may use another connection
 		}
 		return res.response, res.sent, res.fail
 	}
 }
 
-// roundTrip calls BeforeSend, writes the request and reads its response.
+// roundTrip calls BeforeSend, writes the request and reads the response.
 func (c *conn) roundTrip(ctx context.Context, call *Call, request *encodedRequest) (res result) {
 	if ctx.Done() != nil {
 		stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
@@ -60,7 +62,7 @@
 	}
 	sent, fail, closed := 0, (*failure.Error)(nil), false
 	if call.ExpectContinue && len(request.body) > 0 {
-		if res, wanted := c.sendHeadFirst(call, request); !wanted {
+		if res, proceed := c.sendHeadFirst(call, request); !proceed {
 			return res
 		}
 		sent, fail = c.write(request.body, nil)
@@ -76,9 +78,10 @@
 	return c.receive(call, fail)
 }
 
-// receive reads the response to a request of which a part at least was written; sendFail is
-// what ended the writing early. A server may reject a request before it has read all of it
-// and close: its response can still be read, and the id tells that it belongs to this call.
+// receive reads the response to a request that was written at least in part. sendFail is the failure
+// that interrupted the write, or nil. A server may reject a request and close the connection before
+// the server has read the whole request; the response can still be read, and its id shows that the
+// response belongs to this call.
 func (c *conn) receive(call *Call, sendFail *failure.Error) result {
 	identified := call.IDHeader != "" || !call.SingleUse
 	if sendFail != nil && !identified {
@@ -86,9 +89,9 @@
 	}
 	c.attachReader()
 	defer c.detachReader()
-	response, reusable, fail := c.reader.readResponse(call, c.host.settings.MaxBodyBytes, c.limitIdle)
+	response, reusable, fail := c.reader.readResponse(call, c.host.settings.MaxBodyBytes, c.applyKeepAlive)
 	if fail == nil && call.SingleUse && call.IDHeader == "" {
-		fail = c.checkNothingFollows()
+		fail = c.checkNoTrailingData()
 	}
 	if fail != nil {
 		if sendFail != nil {
--- a/wire/exchange/expect_test.go
+++ b/wire/exchange/expect_test.go
@@ -26,24 +26,25 @@
 	bodyTimeout      = 200 * time.Millisecond
 )
 
-// continueServer is a server that answers the head of each request with early, reads the body if
-// reads is set, and then answers with late. It counts connections and bytes of bodies.
+// continueServer is a server that writes early after the head of each request and, if readsBody is
+// set, reads the body and then writes late. The counters hold the number of connections, of body
+// bytes and of requests with an Expect header.
 type continueServer struct {
-	early, late string
-	reads       bool
-	conns       atomic.Int64
-	bodyBytes   atomic.Int64
-	expected    atomic.Int64
+	early, late   string
+	readsBody     bool
+	conns         atomic.Int64
+	bodyBytes     atomic.Int64
+	expectHeaders atomic.Int64
 }
 
 func (s *continueServer) serve(t *testing.T) ident.Addr {
 	return serveEach(t, func(c *net.TCPConn) {
 		s.conns.Add(1)
-		s.talk(c)
+		s.serveConn(c)
 	})
 }
 
-func (s *continueServer) talk(c net.Conn) {
+func (s *continueServer) serveConn(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadString('\n')
@@ -55,11 +56,11 @@
 			return
 		}
 		if head.Get("Expect") != "" {
-			s.expected.Add(1)
+			s.expectHeaders.Add(1)
 		}
 		_, _ = io.WriteString(c, s.early)
-		if !s.reads {
-			if s.early == "" { // says nothing, and keeps the connection open for a while
+		if !s.readsBody {
+			if s.early == "" { // send nothing, and count the bytes until the client closes the connection
 				n, _ := io.Copy(io.Discard, r)
 				s.bodyBytes.Add(n)
 			}
@@ -75,7 +76,7 @@
 	}
 }
 
-// expectingCall is a call with a body of so many bytes, which asks for 100 Continue if they are many.
+// expectingCall returns a call with a body of bodyBytes bytes and with ExpectContinue set.
 func expectingCall(bodyBytes int) exchange.Call {
 	return exchange.Call{
 		Method:         http.MethodPost,
@@ -86,27 +87,27 @@
 	}
 }
 
-// A body is sent only after 100 Continue. Whatever ends the call before that is known not to have
-// been executed, and a rejection is passed on as it came.
-func TestBodyLeavesOnlyWhenWanted(t *testing.T) {
+// A body is sent only after 100 Continue. A call that fails before 100 Continue is known not to have
+// been executed, and a final response before 100 Continue is returned unchanged.
+func TestBodyIsSentOnlyAfterContinue(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *continueServer
-		status int // 0 for none
+		status int // 0 if the call fails without a response
 		sent   bool
 		body   int64
 	}{
-		"wanted": {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 200, true, largeBody},
+		"wanted": {&continueServer{early: continueResponse, late: acceptedResponse, readsBody: true}, 200, true, largeBody},
 		"wanted after other 1xx": {&continueServer{
-			early: "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse,
-			late:  acceptedResponse,
-			reads: true,
+			early:     "HTTP/1.1 102 Processing\r\n\r\n" + continueResponse,
+			late:      acceptedResponse,
+			readsBody: true,
 		}, 200, true, largeBody},
-		"refused":               {&continueServer{early: refusedResponse}, 503, true, 0},
-		"refused in one breath": {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
-		"silent":                {&continueServer{}, 0, false, 0},
-		"garbled":               {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
-		"half a refusal":        {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
-		"endless 1xx":           {&continueServer{early: manyProcessing()}, 0, false, 0},
+		"refused":                 {&continueServer{early: refusedResponse}, 503, true, 0},
+		"100 and refusal at once": {&continueServer{early: continueResponse + refusedResponse}, 503, true, 0},
+		"silent":                  {&continueServer{}, 0, false, 0},
+		"garbled":                 {&continueServer{early: "what is this\r\n\r\n"}, 0, false, 0},
+		"truncated refusal":       {&continueServer{early: refusedResponse[:50]}, 0, false, 0},
+		"endless 1xx":             {&continueServer{early: manyInformational()}, 0, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := c.server.serve(t)
@@ -115,7 +116,7 @@
 			req.Deadline = time.Now().Add(bodyTimeout)
 			response, sent, fail := doCall(t, pool, addr, req)
 			must.Eq(t, c.sent, sent)
-			must.Eq(t, 1, c.server.expected.Load())
+			must.Eq(t, 1, c.server.expectHeaders.Load())
 			if c.status != 0 {
 				must.Nil(t, fail)
 				must.Eq(t, c.status, response.Status)
@@ -128,21 +129,21 @@
 	}
 }
 
-func manyProcessing() (text string) {
+func manyInformational() (text string) {
 	for range 20 {
 		text += "HTTP/1.1 102 Processing\r\n\r\n"
 	}
 	return text
 }
 
-// A connection on which a body was asked for, and sent, is reused; one on which it was refused
-// is not, since the peer may still wait for the body.
-func TestConnectionReuseAfterContinue(t *testing.T) {
+// A connection is reused after 100 Continue and a sent body, but not after a refusal, because the
+// peer may still expect the body.
+func TestConnectionReuseAfterExpectContinue(t *testing.T) {
 	for name, c := range map[string]struct {
 		server *continueServer
 		conns  int64
 	}{
-		"wanted":  {&continueServer{early: continueResponse, late: acceptedResponse, reads: true}, 1},
+		"wanted":  {&continueServer{early: continueResponse, late: acceptedResponse, readsBody: true}, 1},
 		"refused": {&continueServer{early: refusedResponse}, 3},
 	} {
 		addr := c.server.serve(t)
@@ -155,8 +156,8 @@
 	}
 }
 
-// A body that was asked for and is broken off has an unknown outcome; a small body is not
-// asked for at all.
+// A request whose body is interrupted after 100 Continue has an unknown outcome. A request with a
+// small body is sent without an Expect header.
 func TestExpectContinueOfInterruptedAndSmallBodies(t *testing.T) {
 	pool := exchange.New("")
 	interrupted := &continueServer{early: continueResponse}
@@ -164,8 +165,8 @@
 	must.True(t, sent)
 	must.NotNil(t, fail)
 	must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
-	small := &continueServer{late: acceptedResponse, reads: true}
+	small := &continueServer{late: acceptedResponse, readsBody: true}
 	_, _, fail = doCall(t, pool, small.serve(t), expectingCall(100))
 	must.Nil(t, fail)
-	must.Eq(t, 0, small.expected.Load())
+	must.Eq(t, 0, small.expectHeaders.Load())
 }
--- a/wire/exchange/fuzz_test.go
+++ b/wire/exchange/fuzz_test.go
@@ -12,12 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// fuzzBodyMax bounds the bodies of fuzzed answers.
+// fuzzBodyMax is the limit of the response bodies in FuzzResponse, in bytes.
 const fuzzBodyMax = 1 << 10
 
-// readFrom reads one answer off the bytes as a connection would bring them; used tells
-// how many of them were taken.
-func readFrom(raw []byte, call *Call) (response *Response, reusable bool, used int) {
+// readResponseFrom reads the response to call from raw. used is the number of bytes that were read.
+func readResponseFrom(raw []byte, call *Call) (response *Response, reusable bool, used int) {
 	source := bytes.NewReader(raw)
 	r := responseReaders.Get().(*responseReader)
 	defer responseReaders.Put(r)
@@ -29,9 +28,9 @@
 	return response, reusable, len(raw) - source.Len() - r.Buffered()
 }
 
-// Whatever bytes a peer sends as an answer: reading ends, what is accepted carries the
-// call's own id, is within the bound, is read the same by net/http's own reader, and is
-// not accepted when its last byte is missing.
+// FuzzResponse reads arbitrary bytes as a response. Reading must end. An accepted response must
+// carry the id of the call, respect the body limit, equal the response that net/http reads, and be
+// rejected without its last byte.
 func FuzzResponse(f *testing.F) {
 	const id = "X-Id: i\r\n"
 	for _, seed := range []string{
@@ -46,29 +45,30 @@
 			f.Add(method, false, []byte(seed))
 		}
 	}
-	f.Fuzz(func(t *testing.T, method string, named bool, raw []byte) {
+	f.Fuzz(func(t *testing.T, method string, identified bool, raw []byte) {
 		call := &Call{Method: method}
-		if named {
+		if identified {
 			call.IDHeader, call.ID = "X-Id", "i"
 		}
-		response, reusable, used := readFrom(raw, call)
+		response, reusable, used := readResponseFrom(raw, call)
 		if response == nil {
 			return
 		}
 		must.LessEq(t, fuzzBodyMax, len(response.Body))
 		must.True(t, response.Status >= 200 && response.Status <= 999)
-		if named {
+		if identified {
 			must.Eq(t, []string{"i"}, response.Header["X-Id"])
 		}
 		if reusable {
-			cut, _, _ := readFrom(raw[:used-1], call)
+			cut, _, _ := readResponseFrom(raw[:used-1], call)
 			must.Nil(t, cut, must.Sprint("accepted without its last byte"))
 		}
 		compareWithNetHTTP(t, raw, call, response)
 	})
 }
 
-// compareWithNetHTTP reads the same bytes with net/http, past what the exchange reads past.
+// compareWithNetHTTP reads raw with net/http, skips the responses that readResponse skips, and
+// compares the first other response with the given response.
 func compareWithNetHTTP(t *testing.T, raw []byte, call *Call, response *Response) {
 	source := bufio.NewReader(bytes.NewReader(raw))
 	for {
@@ -85,24 +85,24 @@
 	}
 }
 
-// Whatever a call is made of: it is refused before anything is written, or net/http's own
-// reader finds exactly one request in what is written, with that method, target, host,
-// header and body.
+// FuzzRequest encodes a call with arbitrary parts. The call must be rejected before any byte is
+// written, or net/http must read exactly one request from the written bytes, with the method, target,
+// host, id and body of the call.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET", "/x//y?z=1", "h.x", "X-A", "b", "r", []byte(nil), false)
 	f.Add("POST", "/", "h", "Transfer-Encoding", "chunked", "r", []byte("GET /smuggled HTTP/1.1\r\n\r\n"), true)
 	f.Add("PUT", "/a b", "h\r\nX: y", "A: b\r\nC", "d\r\nE: f", "r\n", []byte("x"), false)
 	f.Add("GET /", "", "", "", "\x00", "", []byte{}, true)
 	f.Add("DELETE", "/", "h", "Connection", "X-Id, Content-Length", "r", []byte("body"), false)
-	f.Fuzz(func(t *testing.T, method, target, host, name, value, id string, body []byte, fresh bool) {
-		call := &Call{Method: method, Target: target, Host: host, Header: http.Header{name: {value}}, Body: body, IDHeader: "X-Id", ID: id, SingleUse: fresh}
+	f.Fuzz(func(t *testing.T, method, target, host, name, value, id string, body []byte, singleUse bool) {
+		call := &Call{Method: method, Target: target, Host: host, Header: http.Header{name: {value}}, Body: body, IDHeader: "X-Id", ID: id, SingleUse: singleUse}
 		out := &encodedRequest{}
 		if out.encode(call) != nil {
 			return
 		}
 		written := append(bytes.Clone(out.head), out.body...)
 		must.StrHasPrefix(t, method+" "+target+" HTTP/1.1\r\nHost: "+host+"\r\n", string(written))
-		// A target in a form that net/http does not read is not the writer's to refuse.
+		// encode accepts targets in forms that net/http does not parse unchanged.
 		if !strings.HasPrefix(target, "/") || strings.Contains(target, "%") || strings.HasPrefix(target, "//") {
 			return
 		}
@@ -115,7 +115,7 @@
 		must.NoError(t, err)
 		must.Eq(t, method, got.Method)
 		must.Eq(t, target, got.RequestURI)
-		must.Eq(t, fresh, got.Close)
+		must.Eq(t, singleUse, got.Close)
 		must.Eq(t, []string{strings.Trim(id, " \t")}, got.Header["X-Id"])
 		must.True(t, bytes.Equal(body, data))
 		_, err = source.ReadByte()
--- a/wire/exchange/head.go
+++ b/wire/exchange/head.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// responseHead is the status line and the header of a response.
+// responseHead holds the status, the version and the header of a response.
 type responseHead struct {
 	status int
-	http10 bool // HTTP/1.0
+	http10 bool // the version is HTTP/1.0, not HTTP/1.1
 	http.Header
 }
 
@@ -21,10 +21,10 @@
 	headEnd       = []byte("\r\n\r\n")
 )
 
-// readHead waits for a complete head and reads it. Bytes that begin no head fail as soon as
-// they are seen.
+// readHead waits for a complete head and parses the head. Bytes that can't begin a head cause an
+// error as soon as they arrive.
 func (r *responseReader) readHead() (h responseHead, err error) {
-	raw, err := r.peekHead(beginsResponse)
+	raw, err := r.peekHead(isResponsePrefix)
 	if err != nil {
 		return h, err
 	}
@@ -43,7 +43,8 @@
 	return h, nil
 }
 
-// parseStatusLine reads "HTTP/1.x NNN" and an optional reason. The prefix is checked already.
+// parseStatusLine parses "HTTP/1.x NNN" and an optional reason phrase. The caller has checked the
+// prefix "HTTP/1.".
 func (h *responseHead) parseStatusLine(line []byte) bool {
 	const (
 		minor  = len("HTTP/1.")
@@ -63,19 +64,20 @@
 	return h.status >= http.StatusContinue
 }
 
-// beginsResponse reports whether the bytes may be the beginning of a response.
-func beginsResponse(b []byte) bool {
+// isResponsePrefix reports whether b can be the beginning of a response.
+func isResponsePrefix(b []byte) bool {
 	n := min(len(b), len(versionPrefix))
 	return bytes.Equal(b[:n], versionPrefix[:n])
 }
 
-// peekHead waits for an empty line and returns the bytes up to it, if they are well-formed. It
-// consumes nothing. begins reports whether the bytes so far may begin a head.
-func (r *responseReader) peekHead(begins func([]byte) bool) ([]byte, error) {
+// peekHead waits for an empty line and returns the bytes up to and including the empty line, if
+// they are well-formed. The bytes remain unread. isPrefix reports whether the bytes received so far
+// can be the beginning of a head.
+func (r *responseReader) peekHead(isPrefix func([]byte) bool) ([]byte, error) {
 	for seen := 0; ; {
 		_, err := r.Peek(seen + 1)
 		raw, _ := r.Peek(r.Buffered())
-		if !begins(raw) {
+		if !isPrefix(raw) {
 			return nil, errMalformedHead
 		}
 		if n := bytes.Index(raw[max(seen-3, 0):], headEnd); n >= 0 {
@@ -94,8 +96,8 @@
 	}
 }
 
-// isWellFormed reports whether a head, which ends with CR LF CR LF, has no control bytes, no bare
-// line ends and no folded lines.
+// isWellFormed reports whether a head, which ends with CR LF CR LF, has no control bytes except
+// tabs, no bare CR or LF and no folded lines.
 func isWellFormed(raw []byte) bool {
 	for n := 0; n < len(raw); n++ {
 		b := raw[n]
@@ -113,20 +115,21 @@
 	return true
 }
 
-// hasSingle reports whether the response has a header once, with that value.
-func (h *responseHead) hasSingle(name, value string) bool {
+// hasSingleValue reports whether the response has the named header exactly once, with that value.
+func (h *responseHead) hasSingleValue(name, value string) bool {
 	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
 	return len(values) == 1 && values[0] == value
 }
 
-// namesOneRequest reports whether the response has one request id, as a stray response does.
-func (h *responseHead) namesOneRequest(name string) bool {
+// hasSingleID reports whether the response has the named request id header exactly once and not
+// empty, as the response to another request has.
+func (h *responseHead) hasSingleID(name string) bool {
 	values := h.Header[textproto.CanonicalMIMEHeaderKey(name)]
 	return len(values) == 1 && values[0] != ""
 }
 
-// keepAlive returns how long the peer keeps an unused connection, which it gives in whole
-// seconds.
+// keepAlive returns the timeout in whole seconds that the peer announces in Keep-Alive, and whether
+// the response has such a timeout.
 func (h *responseHead) keepAlive() (time.Duration, bool) {
 	for _, field := range h.Header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(field, ",") {
@@ -142,7 +145,7 @@
 	return 0, false
 }
 
-// removeHopByHop removes the headers that belong to the connection, except the length.
+// removeHopByHop removes the hop-by-hop fields except Content-Length.
 func (h *responseHead) removeHopByHop() {
 	if connectionFields := h.Header["Connection"]; connectionFields != nil {
 		for name := range h.Header {
--- a/wire/exchange/header.go
+++ b/wire/exchange/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// IsHopByHop reports whether a header, by its canonical name, belongs to one connection only.
-// Content-Length counts among them: each hop writes its own.
+// IsHopByHop reports whether the header with the given canonical name applies to a single connection
+// only. Content-Length is such a header, because each hop writes its own.
 func IsHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
@@ -18,7 +18,7 @@
 
 func equalNames(a, b string) bool { return len(a) == len(b) && strings.EqualFold(a, b) }
 
-// listContains reports whether a name is among the comma-separated items of some fields.
+// listContains reports whether name is an item of one of the comma-separated lists in fields.
 func listContains(fields []string, name string) bool {
 	for _, field := range fields {
 		for item := range strings.SplitSeq(field, ",") {
@@ -30,7 +30,8 @@
 	return false
 }
 
-// tokenBytes holds the bytes of a token (RFC 9110, section 5.6.2): of a header name or method.
+// tokenBytes marks the bytes that a token, such as a header name or a method, may contain (RFC 9110,
+// section 5.6.2).
 var tokenBytes = func() (table [256]bool) {
 	for _, b := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
 		table[b] = true
@@ -47,7 +48,7 @@
 	return s != ""
 }
 
-// isVisible reports whether a text is not empty and holds neither spaces nor control bytes.
+// isVisible reports whether s is not empty and contains neither spaces nor control bytes.
 func isVisible(s string) bool {
 	for n := range len(s) {
 		if s[n] <= ' ' || s[n] == 0x7f {
@@ -57,7 +58,7 @@
 	return s != ""
 }
 
-// isFieldValue reports whether a text holds no control bytes except tabs.
+// isFieldValue reports whether s contains no control bytes except tabs.
 func isFieldValue(s string) bool {
 	for n := range len(s) {
 		if s[n] < ' ' && s[n] != '\t' || s[n] == 0x7f {
--- a/wire/exchange/hostpool.go
+++ b/wire/exchange/hostpool.go
@@ -7,22 +7,24 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// hostPool holds the connections of one address; the Pool's lock guards it. Invariants:
-// openCount counts those in use, idle and being dialled; idle is ordered by last use, the
-// most recent last; there are waiters only while openCount is at the limit.
+// hostPool holds the connections to one address. Pool.mu guards all fields. Invariants: openCount
+// is the number of connections that are in use, idle or being dialed; idle is ordered by last use,
+// the most recently used connection last; calls wait only while openCount is at the limit.
 type hostPool struct {
 	addr      ident.Addr
 	settings  *Settings
 	idle      []*conn
 	openCount int
-	// waiters receive a connection, or nil for the slot to dial one; they are closed when the
-	// address is dropped.
+	// waiters has one channel for each waiting call, in the order of arrival. A waiting call
+	// receives a connection, or nil for a slot in which the call may dial. The channels are
+	// closed when the address is dropped.
 	waiters []chan *conn
 	dropped bool
 }
 
-// popIdle takes the most recently used connection that the call may use, and moves those
-// that have expired to expired.
+// popIdle removes and returns the most recently used idle connection that the call may use, or
+// nil. Expired connections found on the way are removed and appended to expired, and their slots
+// are released.
 func (h *hostPool) popIdle(now time.Time, call *Call, expired *[]*conn) *conn {
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
@@ -41,8 +43,8 @@
 	return nil
 }
 
-// evictIdle removes the least recently used idle connections until a new one fits within the
-// limit, or none is idle.
+// evictIdle removes the least recently used idle connections until a new connection fits within
+// the limit or no idle connection is left.
 func (h *hostPool) evictIdle(limit int) (evicted []*conn) {
 	for limit > 0 && h.openCount >= limit && len(h.idle) > 0 {
 		evicted = append(evicted, h.popOldest())
@@ -57,9 +59,9 @@
 	return oldest
 }
 
-// takeExpired removes the idle connections that exceeded their idle time. They still count
-// in openCount.
-func (h *hostPool) takeExpired(now time.Time) (expired []*conn) {
+// removeExpired removes and returns the idle connections that have exceeded their idle time.
+// openCount still includes the returned connections.
+func (h *hostPool) removeExpired(now time.Time) (expired []*conn) {
 	fresh := h.idle[:0]
 	for _, c := range h.idle {
 		if now.Sub(c.lastUsed) < c.maxIdle {
@@ -73,8 +75,8 @@
 	return expired
 }
 
-// put takes a reusable connection back: for the first waiter, or as idle. It returns the one
-// that had to give way, if any.
+// put passes a reusable connection to the first waiting call or adds the connection to the idle
+// ones. put returns the connection that was evicted for this, or nil.
 func (h *hostPool) put(c *conn) (evicted *conn) {
 	if len(h.waiters) > 0 {
 		h.waiters[0] <- c
@@ -88,7 +90,7 @@
 	return evicted
 }
 
-// releaseSlot hands the slot of one connection to the first waiter, or frees it.
+// releaseSlot passes the slot of a closed connection to the first waiting call, or frees the slot.
 func (h *hostPool) releaseSlot() {
 	if len(h.waiters) > 0 {
 		h.waiters[0] <- nil
@@ -98,7 +100,7 @@
 	h.openCount--
 }
 
-// removeWaiter reports whether the waiter was still in the queue.
+// removeWaiter removes a waiting call from the queue and reports whether the call was still queued.
 func (h *hostPool) removeWaiter(waiter chan *conn) bool {
 	n := slices.Index(h.waiters, waiter)
 	if n < 0 {
--- a/wire/exchange/listen_test.go
+++ b/wire/exchange/listen_test.go
@@ -9,8 +9,8 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// serveEach listens until the test ends and serves each connection in a goroutine of its own; it
-// closes the connection afterwards.
+// serveEach listens until the test ends, and calls serve for each connection in a separate goroutine.
+// The connection is closed when serve returns.
 func serveEach(t *testing.T, serve func(c *net.TCPConn)) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -19,7 +19,7 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// acceptAll serves the connections of a listener until it is closed.
+// acceptAll accepts and serves the connections of l until l is closed.
 func acceptAll(l net.Listener, serve func(c *net.TCPConn)) {
 	for {
 		c, err := l.Accept()
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -12,9 +12,9 @@
 	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
-// Pool keeps connections for reuse. Invariants: a pooled connection has not exceeded its idle
-// time when it is taken; before the first byte of a request is written it is seen to be open
-// with nothing to read.
+// Pool keeps connections for reuse. Invariants: a connection that has exceeded its idle time is not
+// reused; the first byte of a request is written only after a check that the connection is open and
+// has no unread bytes.
 type Pool struct {
 	mu        sync.Mutex
 	settings  Settings
@@ -23,32 +23,31 @@
 	dialCount int
 }
 
-// New makes a pool that dials from the machine's own IP. The last of the given settings
-// counts.
+// New returns a pool that dials from the IP of localAddr. The last of the settings applies.
 func New(localAddr ident.Addr, settings ...Settings) *Pool {
 	pool := &Pool{hosts: map[ident.Addr]*hostPool{}}
-	for _, given := range settings {
-		pool.settings = given
+	for _, configured := range settings {
+		pool.settings = configured
 	}
 	pool.settings = pool.settings.withDefaults()
 	timeout := pool.settings.DeadPeerTimeout
 	pool.dialer = net.Dialer{
 		Timeout:   pool.settings.DialTimeout,
 		LocalAddr: localAddr.DialSource(),
-		KeepAlive: -1, // idletimeout sets its own probes
+		KeepAlive: -1, // idletimeout.Set configures the probes
 		Control:   func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, timeout) },
 	}
 	return pool
 }
 
-// Dials returns how many connections were dialled so far.
+// Dials returns the number of dial attempts so far.
 func (pool *Pool) Dials() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.dialCount
 }
 
-// OpenConns returns how many connections to an address are open, idle ones included.
+// OpenConns returns the number of connections to an address that are in use, idle or being dialed.
 func (pool *Pool) OpenConns(addr ident.Addr) int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -58,8 +57,8 @@
 	return 0
 }
 
-// Drop closes the idle connections of an address, lets those in use end after their call and
-// fails the calls that wait for one. Those still in use no longer count against the limit.
+// Drop closes the idle connections to an address and fails the calls that wait for a connection.
+// Connections in use are closed after their call and no longer count against the limit.
 func (pool *Pool) Drop(addr ident.Addr) {
 	pool.mu.Lock()
 	host := pool.hosts[addr]
@@ -79,8 +78,8 @@
 	}
 }
 
-// CloseExpired closes the connections that exceeded their idle time. A connection that the
-// peer has closed holds a file descriptor until it is taken or expires.
+// CloseExpired closes the connections that have exceeded their idle time. An idle connection that
+// the peer has closed holds a file descriptor until the connection is taken for a call or expires.
 func (pool *Pool) CloseExpired() {
 	now := time.Now()
 	var expired []*conn
@@ -90,7 +89,7 @@
 			delete(pool.hosts, addr)
 			continue
 		}
-		expired = append(expired, host.takeExpired(now)...)
+		expired = append(expired, host.removeExpired(now)...)
 	}
 	pool.mu.Unlock()
 	for _, c := range expired {
@@ -107,12 +106,12 @@
 	return host
 }
 
-// acquire finds a connection for the call, or dials one within the limit. reused says that
-// it was in use before.
+// acquire returns an idle connection for the call, or dials one within the limit. reused reports
+// whether the connection has already carried a call.
 func (pool *Pool) acquire(ctx context.Context, addr ident.Addr, call *Call) (c *conn, reused bool, fail *failure.Error) {
 	now := time.Now()
 	if ctx.Err() != nil || !call.Deadline.IsZero() && !now.Before(call.Deadline) {
-		return nil, false, failure.New(failure.DeadlineExceeded, "no time is left")
+		return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed before a connection to %s was acquired", addr)
 	}
 	reserved := pool.reserve(now, addr, call)
 	abortAll(reserved.evicted)
@@ -128,17 +127,18 @@
 	return nil, false, failure.New(failure.Busy, "the connection limit of %s is reached", addr)
 }
 
-// reservation is what a call gets of the connections of an address: an idle one, the slot to
-// dial one, a place in the queue for one, or, at the limit, nothing.
+// reservation is what a call receives from the host pool of an address: an idle connection, a slot
+// in which the call may dial, a place in the queue, or, at the connection limit, nothing.
 type reservation struct {
 	host    *hostPool
 	idle    *conn
 	mayDial bool
 	waiter  chan *conn
-	evicted []*conn // connections that gave way; they are to be closed
+	evicted []*conn // connections that the caller must close
 }
 
-// reserve finds what a call gets. Invariant: a slot that it may dial in is counted in openCount.
+// reserve makes the reservation of a call. Invariant: if mayDial is set, openCount includes the
+// connection to be dialed.
 func (pool *Pool) reserve(now time.Time, addr ident.Addr, call *Call) (r reservation) {
 	limit := call.MaxConns
 	if limit <= 0 {
@@ -164,7 +164,7 @@
 	return r
 }
 
-// waitForConn waits in the host's queue for a connection, or for a free slot to dial one.
+// waitForConn waits until the call receives a connection, or a slot in which the call may dial.
 func (pool *Pool) waitForConn(ctx context.Context, host *hostPool, call *Call, waiter chan *conn) (*conn, bool, *failure.Error) {
 	var deadline <-chan time.Time
 	if !call.Deadline.IsZero() {
@@ -174,24 +174,24 @@
 	}
 	select {
 	case c, ok := <-waiter:
-		return pool.useHandover(ctx, host, call, c, ok)
+		return pool.acceptHandoff(ctx, host, call, c, ok)
 	case <-deadline:
 	case <-ctx.Done():
 	}
 	pool.mu.Lock()
-	left := host.removeWaiter(waiter)
+	removed := host.removeWaiter(waiter)
 	pool.mu.Unlock()
-	if !left {
-		pool.returnHandover(host, waiter)
+	if !removed {
+		pool.releaseHandoff(host, waiter)
 	}
-	return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
+	return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed while waiting for a connection to %s", host.addr)
 }
 
-// useHandover uses what a waiting call was handed: a connection, or, if c is nil, the slot
-// for one. served is false when the address was dropped.
-func (pool *Pool) useHandover(ctx context.Context, host *hostPool, call *Call, c *conn, served bool) (*conn, bool, *failure.Error) {
-	if !served {
-		return nil, false, failure.New(failure.Unreachable, "%s is no longer served", host.addr)
+// acceptHandoff returns the connection for a call that has waited. c is the connection that the call
+// received, or nil for a slot in which the call may dial. ok is false if the address was dropped.
+func (pool *Pool) acceptHandoff(ctx context.Context, host *hostPool, call *Call, c *conn, ok bool) (*conn, bool, *failure.Error) {
+	if !ok {
+		return nil, false, failure.New(failure.Unreachable, "the connection pool of %s was dropped", host.addr)
 	}
 	if c != nil {
 		if !call.SingleUse {
@@ -203,8 +203,9 @@
 	return pool.dialConn(ctx, host, call)
 }
 
-// returnHandover gives back what a call was handed as it stopped waiting.
-func (pool *Pool) returnHandover(host *hostPool, waiter chan *conn) {
+// releaseHandoff returns the connection or the slot that a call received while the call stopped
+// waiting.
+func (pool *Pool) releaseHandoff(host *hostPool, waiter chan *conn) {
 	c, ok := <-waiter
 	switch {
 	case !ok:
@@ -215,7 +216,7 @@
 	}
 }
 
-// dialConn dials. Invariant: the new connection is counted in openCount already.
+// dialConn dials a connection for the call. Invariant: openCount already includes the connection.
 func (pool *Pool) dialConn(ctx context.Context, host *hostPool, call *Call) (*conn, bool, *failure.Error) {
 	pool.mu.Lock()
 	pool.dialCount++
@@ -226,28 +227,29 @@
 	if err != nil {
 		pool.releaseSlot(host)
 		if ctx.Err() != nil || !call.Deadline.IsZero() && !time.Now().Before(call.Deadline) {
-			return nil, false, failure.New(failure.DeadlineExceeded, "no connection to %s in time", host.addr)
+			return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed while dialing %s", host.addr)
 		}
-		return nil, false, failure.New(failure.Unreachable, "can't connect to %s", host.addr)
+		return nil, false, failure.New(failure.Unreachable, "can't connect to %s: %v", host.addr, err)
 	}
 	c, err := newConn(raw.(*net.TCPConn), host)
 	if err != nil {
 		pool.releaseSlot(host)
 		_ = raw.Close()
-		return nil, false, failure.New(failure.Unreachable, "can't connect to %s", host.addr)
+		return nil, false, failure.New(failure.Unreachable, "can't access the socket of the connection to %s: %v", host.addr, err)
 	}
 	_ = c.SetDeadline(call.Deadline)
 	return c, false, nil
 }
 
-// releaseSlot hands the slot of one connection to the first waiter.
+// releaseSlot passes the slot of a closed connection to the first waiting call, or frees the slot.
 func (pool *Pool) releaseSlot(host *hostPool) {
 	pool.mu.Lock()
 	host.releaseSlot()
 	pool.mu.Unlock()
 }
 
-// release takes a connection back: it goes to the first waiter, becomes idle, or is closed.
+// release ends the use of a connection. A reusable connection is passed to the first waiting call or
+// becomes idle; any other connection is closed.
 func (pool *Pool) release(c *conn, reusable bool) {
 	host := c.host
 	pool.mu.Lock()
--- a/wire/exchange/request.go
+++ b/wire/exchange/request.go
@@ -9,31 +9,33 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// encodedRequest is a request as it is written to the connection. Invariant: either body is
-// empty and head holds everything, or body is the call's own bytes, which are not copied.
+// encodedRequest is the wire format of a request. Invariant: either body is empty and head holds the
+// whole request, or body is the uncopied Body of the call.
 type encodedRequest struct {
 	head []byte
 	body []byte
 }
 
-// headCapacity is the initial capacity of a pooled head, in bytes.
+// headCapacity is the initial capacity of the head of a pooled encodedRequest, in bytes.
 const headCapacity = 2 << 10
 
 var encodedRequests = sync.Pool{New: func() any { return &encodedRequest{head: make([]byte, 0, headCapacity)} }}
 
-// recycle returns the request to the pool, unless its buffer has grown large.
+// recycle returns r to the pool unless the buffer of the head has grown beyond four times
+// singleWriteMaxBytes.
 func (r *encodedRequest) recycle() {
 	r.body = nil
-	if cap(r.head) <= 4*singleWriteMax {
+	if cap(r.head) <= 4*singleWriteMaxBytes {
 		encodedRequests.Put(r)
 	}
 }
 
-// encode writes the head, and a small body behind it. The target is copied as it is. A call
-// that would not be read back as one request with these parts is Malformed.
+// encode sets r to the wire format of the call: the head, followed by a body of up to
+// singleWriteMaxBytes. The target is written unchanged. encode fails as Malformed if a server could
+// not parse the result as one request with the parts of the call.
 func (r *encodedRequest) encode(call *Call) *failure.Error {
 	if !isToken(call.Method) || !isVisible(call.Target) || !isVisible(call.Host) {
-		return failure.New(failure.Malformed, "the method, target or host can't be sent")
+		return failure.New(failure.Malformed, "the request method, target or host contains an invalid character or is empty")
 	}
 	b := r.head[:0]
 	b = append(b, call.Method...)
@@ -46,19 +48,19 @@
 	b = appendFraming(b, call)
 	b = append(b, '\r', '\n')
 	r.body = nil
-	if len(call.Body) <= singleWriteMax {
+	if len(call.Body) <= singleWriteMaxBytes {
 		b = append(b, call.Body...)
 	} else {
 		r.body = call.Body
 	}
 	r.head = b
 	if !valid {
-		return failure.New(failure.Malformed, "a header can't be sent")
+		return failure.New(failure.Malformed, "a request header contains an invalid character or has an empty name")
 	}
 	return nil
 }
 
-// appendHeader appends the call's header fields, and reports whether all of them are valid.
+// appendHeader appends the header fields of the call to b and reports whether all fields are valid.
 func appendHeader(b []byte, call *Call) (out []byte, valid bool) {
 	valid = true
 	appendField := func(name, value string) {
@@ -89,14 +91,14 @@
 	return b, valid
 }
 
-// appendFraming appends the fields of this connection: length, expectation, close.
+// appendFraming appends the fields Content-Length, Expect and Connection that the request needs.
 func appendFraming(b []byte, call *Call) []byte {
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut || call.Method == http.MethodPatch {
 		b = append(b, "Content-Length: "...)
 		b = strconv.AppendInt(b, int64(len(call.Body)), 10)
 		b = append(b, '\r', '\n')
 	}
-	if call.ExpectContinue && len(call.Body) > singleWriteMax {
+	if call.ExpectContinue && len(call.Body) > singleWriteMaxBytes {
 		b = append(b, "Expect: 100-continue\r\n"...)
 	}
 	if call.SingleUse {
--- a/wire/exchange/response.go
+++ b/wire/exchange/response.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// maxInformational is how many 1xx responses may precede the final one.
+	// maxInformational is how many 1xx responses may precede the final response.
 	maxInformational = 8
-	// maxStrayResponses is how many complete responses with other ids may precede a call's own.
+	// maxStrayResponses is how many complete responses with other ids may precede the response to
+	// a call.
 	maxStrayResponses = 4
-	// maxHeadBytes is the largest head of a response.
+	// maxHeadBytes is the largest size of a response head.
 	maxHeadBytes = 16 << 10
 )
 
 var (
-	errMalformedHead = errors.New("the head is malformed")
-	errBodyTooLarge  = errors.New("the body is too large")
+	errMalformedHead = errors.New("the response head is malformed")
+	errBodyTooLarge  = errors.New("the response body exceeds the limit")
 )
 
-// responseReader reads responses from one connection.
+// responseReader reads responses from a connection. textReader reads from the same bufio.Reader.
 type responseReader struct {
 	*bufio.Reader
 	textReader textproto.Reader
@@ -39,8 +40,9 @@
 	return &responseReader{Reader: r, textReader: textproto.Reader{R: r}}
 }}
 
-// readResponse reads the call's own response. reusable says whether the connection may carry
-// another call; setKeepAlive gets the keep-alive timeout if the peer sent one.
+// readResponse reads the response to the call, with a body of at most limit bytes. reusable reports
+// whether the connection may carry another call. If so, setKeepAlive is called with the keep-alive
+// timeout that the peer sent, if any.
 func (r *responseReader) readResponse(
 	call *Call, limit int, setKeepAlive func(time.Duration),
 ) (response *Response, reusable bool, fail *failure.Error) {
@@ -51,11 +53,11 @@
 		}
 		framing, ok := h.framing(call.Method)
 		if !ok {
-			return nil, false, failure.NewUnknown(failure.BadResponse, "the response's length is ambiguous")
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the framing of the response with status %d is invalid or ambiguous", h.status)
 		}
-		isOwn := call.IDHeader == "" || h.hasSingle(call.IDHeader, call.ID)
+		isOwn := call.IDHeader == "" || h.hasSingleValue(call.IDHeader, call.ID)
 		if !isOwn && (strayCount == maxStrayResponses || !h.isSkippable(call, framing)) {
-			return nil, false, failure.NewUnknown(failure.BadResponse, "the response is not to this request")
+			return nil, false, failure.NewUnknown(failure.BadResponse, "the response does not carry the %s of the request", call.IDHeader)
 		}
 		body, err := r.readBody(framing, limit)
 		if err != nil {
@@ -67,7 +69,7 @@
 		if fail := h.validate(call, framing, body); fail != nil {
 			return nil, false, fail
 		}
-		reusable := strayCount == 0 && h.leavesReusable(call, framing)
+		reusable := strayCount == 0 && h.allowsReuse(call, framing)
 		if keepAlive, ok := h.keepAlive(); ok && reusable {
 			setKeepAlive(keepAlive)
 		}
@@ -76,19 +78,19 @@
 	}
 }
 
-// isSkippable reports whether a response with another id may be skipped: it is certain where it ends
-// and that it belongs to another request.
+// isSkippable reports whether a response with another id may be skipped, because both the end of the
+// response and the fact that the response belongs to another request are certain.
 func (h *responseHead) isSkippable(call *Call, framing bodyFraming) bool {
-	return !framing.untilClose && h.namesOneRequest(call.IDHeader) && call.Method != http.MethodHead
+	return !framing.untilClose && h.hasSingleID(call.IDHeader) && call.Method != http.MethodHead
 }
 
-// leavesReusable reports whether the connection may carry another call after this response.
-func (h *responseHead) leavesReusable(call *Call, framing bodyFraming) bool {
+// allowsReuse reports whether the connection may carry another call after this response.
+func (h *responseHead) allowsReuse(call *Call, framing bodyFraming) bool {
 	return !h.http10 && !framing.untilClose && call.Method != http.MethodHead && !listContains(h.Header["Connection"], "close")
 }
 
-// readFinalHead reads the head of the next final response. It skips informational ones and
-// counts them over the whole call.
+// readFinalHead reads the head of the next final response and skips informational responses.
+// informational counts the skipped responses of the whole call.
 func (r *responseReader) readFinalHead(informational *int, sawStray bool) (responseHead, *failure.Error) {
 	for {
 		h, err := r.readHead()
@@ -96,36 +98,37 @@
 		case err != nil:
 			return h, readFailure(err, sawStray)
 		case h.status == http.StatusSwitchingProtocols:
-			return h, failure.NewUnknown(failure.BadResponse, "the response changes the protocol")
+			return h, failure.NewUnknown(failure.BadResponse, "the response with status %d switches the protocol", h.status)
 		case h.status >= http.StatusOK:
 			return h, nil
 		}
 		if *informational++; *informational > maxInformational {
-			return h, failure.NewUnknown(failure.BadResponse, "more than %d informational responses", maxInformational)
+			return h, failure.NewUnknown(failure.BadResponse, "more than %d informational responses preceded the final response", maxInformational)
 		}
 	}
 }
 
-// readFailure is the failure of a response whose head did not arrive.
+// readFailure converts an error that occurred before a complete response head was read. sawStray
+// reports whether a response to another request was skipped before.
 func readFailure(err error, sawStray bool) *failure.Error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure.NewUnknown(failure.DeadlineExceeded, "no response in time")
+		return failure.NewUnknown(failure.DeadlineExceeded, "the deadline passed before the response head arrived")
 	case sawStray:
-		return failure.NewUnknown(failure.BadResponse, "the last response is not to this request")
+		return failure.NewUnknown(failure.BadResponse, "no response to this request follows the responses to other requests")
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		return failure.NewUnknown(failure.LostResponse, "the connection ended before the response")
+		return failure.NewUnknown(failure.LostResponse, "the connection ended before the response head was complete")
 	}
-	return failure.NewUnknown(failure.BadResponse, "the response can't be read")
+	return failure.NewUnknown(failure.BadResponse, "the response head can't be read: %v", err)
 }
 
-// bodyFailure is the failure of a response whose body did not arrive complete.
+// bodyFailure converts an error that occurred while a response body was read.
 func bodyFailure(err error, limit int) *failure.Error {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		return failure.NewUnknown(failure.BadResponse, "the response is over %d bytes", limit)
+		return failure.NewUnknown(failure.BadResponse, "the response body exceeds the limit of %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure.NewUnknown(failure.DeadlineExceeded, "the response was not complete in time")
+		return failure.NewUnknown(failure.DeadlineExceeded, "the deadline passed before the response body was complete")
 	}
-	return failure.NewUnknown(failure.BadResponse, "the response was interrupted")
+	return failure.NewUnknown(failure.BadResponse, "the response body can't be read: %v", err)
 }
--- a/wire/exchange/reuse_test.go
+++ b/wire/exchange/reuse_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// harness is an endpoint that answers each request by a function, and the pool that calls it.
-// Time passes by setting back when an idle connection was last used.
+// harness is an endpoint that answers each request by calling a function, and a pool that calls the
+// endpoint. A test simulates idle time by moving lastUsed of the idle connections into the past.
 type harness struct {
 	*testing.T
 	addr         ident.Addr
@@ -85,30 +85,31 @@
 	return nil
 }
 
-// ageIdle makes the idle connections unused for that long.
-func (r *harness) ageIdle(unused time.Duration) {
+// ageIdle makes all idle connections appear to have been idle for the given time.
+func (r *harness) ageIdle(age time.Duration) {
 	for _, c := range r.idle() {
-		c.lastUsed = time.Now().Add(-unused)
+		c.lastUsed = time.Now().Add(-age)
 	}
 }
 
-// awaitInput waits until the only idle connection is closed or has bytes to read.
+// awaitInput waits until the only idle connection is closed or has unread bytes.
 func (r *harness) awaitInput() {
 	list := r.idle()
 	must.SliceLen(r, 1, list)
 	c := list[0]
 	must.NoError(r, c.SetDeadline(time.Now().Add(time.Minute)))
-	must.NoError(r, c.rawConn.Read(func(fd uintptr) bool { c.visit.peek(fd); return !c.visit.nothingWaits() }))
+	must.NoError(r, c.rawConn.Read(func(fd uintptr) bool { c.op.peek(fd); return !c.op.wouldBlock() }))
 }
 
-// An idle connection that was closed or reset, or has bytes to read, is noticed before the
-// first byte: nothing is sent on it, and another carries the call.
+// An idle connection that was closed or reset, or that has unread bytes, is detected before the first
+// byte of a request is written: nothing is sent on that connection, and another connection carries
+// the call.
 func TestIdleConnectionIsCheckedBeforeUse(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn){
-		"closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
-		"reset":  func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
-		"spoken": func(c *net.TCPConn) { _, _ = c.Write([]byte(okResponse)) },
-		"noise":  func(c *net.TCPConn) { _, _ = c.Write([]byte{0}) },
+		"closed":   func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"reset":    func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
+		"response": func(c *net.TCPConn) { _, _ = c.Write([]byte(okResponse)) },
+		"noise":    func(c *net.TCPConn) { _, _ = c.Write([]byte{0}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan *net.TCPConn, 8)
@@ -124,9 +125,9 @@
 	}
 }
 
-// A connection is reused for the peer's keep-alive timeout, less a margin, or else for the
-// settings' idle timeout.
-func TestKeepAliveIsHeeded(t *testing.T) {
+// A connection is reused until the keep-alive timeout of the peer, less KeepAliveMargin, or, without
+// a keep-alive timeout, until Settings.IdleTimeout.
+func TestKeepAliveTimeoutIsHonored(t *testing.T) {
 	withField := func(field string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: i\r\n" + field + "Content-Length: 2\r\n\r\nhi"
 	}
@@ -159,12 +160,12 @@
 	}
 }
 
-// A connection is not reused after a response whose end is not certain.
-func TestConnectionIsNotReusedAfterAnUncertainEnd(t *testing.T) {
+// A connection is not reused after a response whose end is ambiguous.
+func TestConnectionIsNotReusedAfterAmbiguousEnd(t *testing.T) {
 	for name, c := range map[string]struct {
-		say    string
-		method string
-		reused bool
+		response string
+		method   string
+		reused   bool
 	}{
 		"valid":           {okResponse, "GET", true},
 		"HTTP/1.0":        {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi", "GET", false},
@@ -176,15 +177,15 @@
 		"304 with length": {"HTTP/1.1 304 Not Modified\r\nX-Id: i\r\nContent-Length: 2\r\n\r\n", "GET", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, Settings{}, respondAlways(c.say))
+			r := newHarness(t, Settings{}, respondAlways(c.response))
 			r.mustSucceed(func(call *Call) { call.Method = c.method })
 			must.Eq(t, map[bool]int{true: 1, false: 0}[c.reused], r.pool.OpenConns(r.addr))
 		})
 	}
 }
 
-// A call with MaxIdleAge takes a connection that was in use within it, or a new one; an older
-// one stays for others.
+// A call with MaxIdleAge uses a connection that has been idle for less than MaxIdleAge, or a new
+// connection. Older connections remain available to other calls.
 func TestMaxIdleAge(t *testing.T) {
 	r := newHarness(t, Settings{}, respondAlways(okResponse))
 	recentOnly := func(call *Call) { call.MaxIdleAge = time.Second }
@@ -199,7 +200,7 @@
 	r.ageIdle(2 * time.Second)
 	r.mustSucceed()
 	must.Eq(t, 2, r.pool.Dials())
-	// At the bound an older one makes room.
+	// At the connection limit, an older connection is evicted for a new one.
 	r.ageIdle(2 * time.Second)
 	r.mustSucceed(recentOnly, func(call *Call) { call.MaxConns = 2 })
 	must.Eq(t, 3, r.pool.Dials())
@@ -210,24 +211,24 @@
 
 func waitForConn(call *Call) { call.WaitForConn = true }
 
-// newBusyHarness makes a harness whose only connection is in use until goOn is closed; its first
-// call reports to first.
-func newBusyHarness(t *testing.T, response string) (r *harness, goOn chan struct{}, first chan *failure.Error) {
-	goOn, read := make(chan struct{}), make(chan struct{}, 8)
+// newBusyHarness returns a harness whose only connection is in use until release is closed. The
+// failure of the call that uses the connection is sent to first.
+func newBusyHarness(t *testing.T, response string) (r *harness, release chan struct{}, first chan *failure.Error) {
+	release, read := make(chan struct{}), make(chan struct{}, 8)
 	r = newHarness(t, oneConn, func(c *net.TCPConn, n int64) {
 		read <- struct{}{}
 		if n == 1 {
-			<-goOn
+			<-release
 		}
 		_, _ = c.Write([]byte(response))
 	})
 	first = make(chan *failure.Error, 1)
 	go func() { _, fail := r.do(); first <- fail }()
 	<-read
-	return r, goOn, first
+	return r, release, first
 }
 
-// startWaiting starts a call that waits for a connection, and returns when it does.
+// startWaiting starts a call that waits for a connection, and returns when the call is in the queue.
 func (r *harness) startWaiting(change ...func(*Call)) chan *failure.Error {
 	ended := make(chan *failure.Error, 1)
 	go func() {
@@ -243,33 +244,34 @@
 	return ended
 }
 
-// The connection limit of an address holds; a call that finds it reached is rejected, not sent,
-// or waits for a connection, for a slot, for its deadline, or for the address to be dropped.
-func TestBoundOfAnAddress(t *testing.T) {
+// The pool never exceeds the connection limit of an address. A call at the limit is rejected without
+// being sent or, with WaitForConn, waits until the call receives a connection or a slot, the deadline
+// passes or the address is dropped.
+func TestConnectionLimitOfAnAddress(t *testing.T) {
 	t.Run("rejected", testBusyAddressRejects)
 	t.Run("gets the connection", testWaiterGetsTheConnection)
 	t.Run("gets the slot", testWaiterGetsTheSlot)
 	t.Run("a single-use call gets the slot", testSingleUseWaiterGetsTheSlot)
-	t.Run("until its deadline", testWaiterGivesUpAtItsDeadline)
+	t.Run("until its deadline", testWaiterFailsAtItsDeadline)
 	t.Run("dropped", testWaiterOfADroppedAddressFails)
 	t.Run("no listener", testFailedDialFreesItsSlot)
 }
 
 func testBusyAddressRejects(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, okResponse)
+	r, release, first := newBusyHarness(t, okResponse)
 	sent, fail := r.do()
 	must.False(t, sent)
 	must.Eq(t, failure.Busy, fail.Kind)
 	must.Eq(t, failure.NotExecuted, fail.Outcome)
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Eq(t, 1, r.requestsRead.Load())
 }
 
 func testWaiterGetsTheConnection(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, okResponse)
+	r, release, first := newBusyHarness(t, okResponse)
 	next := r.startWaiting()
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Nil(t, <-next)
 	must.Eq(t, 1, r.pool.Dials())
@@ -277,9 +279,9 @@
 }
 
 func testWaiterGetsTheSlot(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
+	r, release, first := newBusyHarness(t, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Id: i\r\nContent-Length: 2\r\n\r\nhi")
 	next := r.startWaiting()
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Nil(t, <-next)
 	must.Eq(t, 2, r.pool.Dials())
@@ -287,21 +289,21 @@
 }
 
 func testSingleUseWaiterGetsTheSlot(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, okResponse)
+	r, release, first := newBusyHarness(t, okResponse)
 	next := r.startWaiting(func(call *Call) { call.SingleUse = true })
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Nil(t, <-next)
 	must.Eq(t, 2, r.pool.Dials())
 	must.Eq(t, 0, r.pool.OpenConns(r.addr))
 }
 
-func testWaiterGivesUpAtItsDeadline(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, okResponse)
+func testWaiterFailsAtItsDeadline(t *testing.T) {
+	r, release, first := newBusyHarness(t, okResponse)
 	sent, fail := r.do(waitForConn, func(call *Call) { call.Deadline = time.Now().Add(time.Millisecond) })
 	must.False(t, sent)
 	must.Eq(t, failure.DeadlineExceeded, fail.Kind)
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Eq(t, 1, r.pool.OpenConns(r.addr))
 	must.SliceLen(t, 1, r.idle())
@@ -309,14 +311,14 @@
 }
 
 func testWaiterOfADroppedAddressFails(t *testing.T) {
-	r, goOn, first := newBusyHarness(t, okResponse)
+	r, release, first := newBusyHarness(t, okResponse)
 	next := r.startWaiting()
 	r.pool.mu.Lock()
 	old := r.pool.hosts[r.addr]
 	r.pool.mu.Unlock()
 	r.pool.Drop(r.addr)
 	must.Eq(t, failure.Unreachable, (<-next).Kind)
-	close(goOn)
+	close(release)
 	must.Nil(t, <-first)
 	must.Eq(t, 0, r.pool.OpenConns(r.addr))
 	must.Eq(t, 0, old.openCount)
@@ -337,9 +339,9 @@
 	}
 }
 
-// A rejection by BeforeSend leaves the connection to others; a deadline that has passed is
-// reported as not sent.
-func TestNothingIsSentAfterARejection(t *testing.T) {
+// After a rejection by BeforeSend, the connection remains available to other calls. A call whose
+// deadline has passed is reported as not sent.
+func TestNothingIsSentAfterRejection(t *testing.T) {
 	r := newHarness(t, Settings{}, respondAlways(okResponse))
 	r.mustSucceed()
 	sent, fail := r.do(func(call *Call) {
@@ -355,8 +357,8 @@
 	must.Eq(t, 2, r.requestsRead.Load())
 }
 
-// A body above the limit is rejected, whichever way its end is marked.
-func TestBoundOfABody(t *testing.T) {
+// A response body above the limit is rejected, whether the body has a length or chunks.
+func TestResponseBodyLimit(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nX-Id: i\r\nContent-Length: 4\r\n\r\nhigh",
 		"chunks": "HTTP/1.1 200 OK\r\nX-Id: i\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n2\r\ngh\r\n0\r\n\r\n",
@@ -372,7 +374,7 @@
 	}
 }
 
-// Every connection has the timeout for unresponsive peers.
+// Every dialed connection has the socket options for unresponsive peers.
 func TestDeadPeerTimeoutIsSet(t *testing.T) {
 	r := newHarness(t, Settings{DeadPeerTimeout: 6 * time.Second}, respondAlways(okResponse))
 	r.mustSucceed()
--- a/wire/exchange/settings.go
+++ b/wire/exchange/settings.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Settings bound a Pool. A zero value stands for the default named with the field.
+// Settings are the timeouts and limits of a Pool. A field that is zero has the default that its
+// comment states.
 type Settings struct {
-	// DialTimeout is the longest a new connection may take: 300 ms.
+	// DialTimeout is the longest time that dialing a connection may take. Default: 300 ms.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept when the peer sent no Keep-Alive
-	// timeout: 8 s.
+	// IdleTimeout is how long an idle connection is kept if the peer has sent no Keep-Alive
+	// timeout. Default: 8 s.
 	IdleTimeout time.Duration
-	// KeepAliveMargin is subtracted from the peer's Keep-Alive timeout, so that a request does
-	// not cross the peer's close: 0.5 s.
+	// KeepAliveMargin is subtracted from the Keep-Alive timeout of the peer, so that no request
+	// is in flight when the peer closes the connection. Default: 0.5 s.
 	KeepAliveMargin time.Duration
 	// DeadPeerTimeout is how long sent bytes may stay unacknowledged, or probes unanswered,
-	// before the connection is closed: 3 s. Probes are sent in whole seconds.
+	// before the connection is closed. The probe interval is in whole seconds. Default: 3 s.
 	DeadPeerTimeout time.Duration
-	// MaxConns is the limit of open connections to one address; 0 sets none.
+	// MaxConns is the limit of open connections to one address; 0 means no limit.
 	MaxConns int
-	// MaxIdleConns is the limit of unused connections kept for one address: 64.
+	// MaxIdleConns is the limit of idle connections to one address. Default: 64.
 	MaxIdleConns int
-	// MaxBodyBytes is the largest response body: DefaultMaxBodyBytes.
+	// MaxBodyBytes is the largest size of a response body. Default: DefaultMaxBodyBytes.
 	MaxBodyBytes int
 }
 
-// DefaultMaxBodyBytes is the largest response body when the settings give none.
+// DefaultMaxBodyBytes is the default of Settings.MaxBodyBytes.
 const DefaultMaxBodyBytes = 16 << 20
 
-// The defaults of Settings.
+// The defaults of the other Settings.
 const (
 	defaultDialTimeout     = 300 * time.Millisecond
 	defaultIdleTimeout     = 8 * time.Second
--- a/wire/exchange/socketvisit.go
+++ b/wire/exchange/socketvisit.go
@@ -5,30 +5,31 @@
 	"unsafe"
 )
 
-// socketVisit is the state of one visit to a socket through syscall.RawConn. Raw system calls
-// spare the scheduler's bookkeeping: none of them blocks.
-type socketVisit struct {
-	request   []byte // what is to be written
-	attempted bool   // whether the write was tried
-	sent      int    // bytes that the socket took
-	waiting   int    // bytes that the peek saw
-	errno     syscall.Errno
+// socketOp is the state of one operation on a socket through syscall.RawConn. The operation uses raw
+// system calls, which do not block and so need no bookkeeping by the scheduler.
+type socketOp struct {
+	request        []byte // the bytes to write
+	writeAttempted bool   // whether the write was attempted
+	sent           int    // number of bytes written
+	peeked         int    // number of bytes that the last peek returned
+	errno          syscall.Errno
 }
 
-// peek looks at what waits in the socket without consuming it.
-func (v *socketVisit) peek(fd uintptr) {
+// peek checks for an unread byte in the socket without consuming the byte, and sets peeked and errno.
+func (v *socketOp) peek(fd uintptr) {
 	var buffer [1]byte
 	for {
 		n, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd,
 			uintptr(unsafe.Pointer(&buffer[0])), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
-		if v.waiting, v.errno = int(n), errno; errno != syscall.EINTR {
+		if v.peeked, v.errno = int(n), errno; errno != syscall.EINTR {
 			return
 		}
 	}
 }
 
-// write writes what the socket takes at once, and reports whether that was all.
-func (v *socketVisit) write(fd uintptr) bool {
+// write writes as many bytes of the request as the socket accepts without blocking, and reports
+// whether the whole request was written.
+func (v *socketOp) write(fd uintptr) bool {
 	for {
 		n, _, errno := syscall.RawSyscall6(syscall.SYS_SENDTO, fd,
 			uintptr(unsafe.Pointer(&v.request[0])), uintptr(len(v.request)), syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, 0, 0)
@@ -41,23 +42,24 @@
 	}
 }
 
-// nothingWaits tells, after a peek, whether the connection is open with nothing to read.
-func (v *socketVisit) nothingWaits() bool {
+// wouldBlock reports whether the last peek found the connection open and without unread bytes.
+func (v *socketOp) wouldBlock() bool {
 	return v.errno == syscall.EAGAIN || v.errno == syscall.EWOULDBLOCK
 }
 
-// peekAndWrite writes the request if nothing waits to be read. It tells the runtime's poller
-// whether the visit is over; false makes it wait until the socket is readable.
+// peekAndWrite writes the request if the connection is open and has no unread bytes. The result
+// tells the poller of the runtime whether the operation is complete; after false, the poller waits
+// until the socket is readable and calls peekAndWrite again.
 //
-// Invariant: the runtime forgets earlier wake-ups before it calls this first, so what arrives
-// after the peek ends the wait that begins when it returns false.
-func (v *socketVisit) peekAndWrite(fd uintptr) bool {
-	if v.attempted {
+// Invariant: the runtime discards earlier readiness events before the first call, so bytes that
+// arrive after the peek end the wait that begins when peekAndWrite returns false.
+func (v *socketOp) peekAndWrite(fd uintptr) bool {
+	if v.writeAttempted {
 		return true
 	}
-	if v.peek(fd); !v.nothingWaits() {
+	if v.peek(fd); !v.wouldBlock() {
 		return true
 	}
-	v.attempted = true
+	v.writeAttempted = true
 	return !v.write(fd)
 }
--- a/wire/exchange/unsolicited_test.go
+++ b/wire/exchange/unsolicited_test.go
@@ -19,12 +19,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// serveConns serves every connection by a script; next reads one request and
-// gives its X-Request-Id, r what is left of the connection.
-func serveConns(t *testing.T, play func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
+// serveConns starts a server that calls serve for each connection. next reads one request and returns
+// its X-Request-Id; r reads the remaining bytes of the connection.
+func serveConns(t *testing.T, serve func(c net.Conn, r *bufio.Reader, next func() (id string, ok bool))) ident.Addr {
 	return serveEach(t, func(c *net.TCPConn) {
 		r := bufio.NewReader(c)
-		play(c, r, func() (string, bool) {
+		serve(c, r, func() (string, bool) {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return "", false
@@ -37,10 +37,10 @@
 
 const requestIDHeader = "X-Request-Id"
 
-// patientSettings are for tests on a machine under load: nothing times out.
-var patientSettings = exchange.Settings{DialTimeout: time.Minute}
+// longDialTimeout prevents dial timeouts in tests on a machine under load.
+var longDialTimeout = exchange.Settings{DialTimeout: time.Minute}
 
-// identifiedCall is a call whose id the response must echo.
+// identifiedCall returns a call with an id that the response must echo.
 func identifiedCall(method, id string) exchange.Call {
 	call := newCall(method)
 	call.Header, call.IDHeader, call.ID = nil, requestIDHeader, id
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", requestIDHeader, id, len(jsonBody(id)), jsonBody(id))
 }
 
-// respondEach answers every request of a connection by a function of its id.
+// respondEach answers every request of a connection with the text for the id of the request.
 func respondEach(text func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
 	return func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
@@ -62,8 +62,8 @@
 	}
 }
 
-// respondEarly answers each request with first as soon as its first byte is here, and then by a
-// function of its id; it closes the connection if that returns nothing.
+// respondEarly writes first as soon as the first byte of a request arrives, and writes then(id) after
+// the whole request. The connection is closed if then returns an empty text.
 func respondEarly(first string, then func(id string) string) func(net.Conn, *bufio.Reader, func() (string, bool)) {
 	return func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
 		for {
@@ -83,25 +83,25 @@
 	}
 }
 
-// The parts of a case's calls that succeed.
+// The values of unsolicitedCase.succeeding.
 const (
 	allSucceed  = "all"
 	noneSucceed = "none"
-	someSucceed = "some" // how many is up to timing
+	someSucceed = "some" // the number depends on timing
 )
 
-// unsolicitedCase is how an endpoint answers, which calls succeed for all that, and the size of the
-// calls' bodies, in bytes, 0 for none.
+// unsolicitedCase describes how an endpoint answers, how many of the calls succeed, and the size of
+// the request bodies in bytes. 0 keeps the default body.
 type unsolicitedCase struct {
-	play  func(net.Conn, *bufio.Reader, func() (string, bool))
-	good  string
-	large int
+	serve      func(net.Conn, *bufio.Reader, func() (string, bool))
+	succeeding string
+	bodyBytes  int
 }
 
-// unsolicitedCases are the cases of TestOnlyTheOwnResponseReachesACaller by name.
+// unsolicitedCases returns the cases of TestCallerGetsOnlyItsOwnResponse by name.
 func unsolicitedCases() map[string]unsolicitedCase {
 	const all, none, some = allSucceed, noneSucceed, someSucceed
-	bare := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
+	responseWithoutID := func(id string) string { return strings.Replace(responseTo(id), requestIDHeader, "X-Other", 1) }
 	nothing := func(string) string { return "" }
 	return map[string]unsolicitedCase{
 		"valid":                             {respondEach(responseTo), all, 0},
@@ -113,8 +113,8 @@
 				_, _ = c.Write([]byte(responseTo("other")))
 			}
 		}, none, 0},
-		"no id":                     {respondEach(bare), none, 0},
-		"no id, then its own":       {respondEach(func(id string) string { return bare(id) + responseTo(id) }), none, 0},
+		"no id":                     {respondEach(responseWithoutID), none, 0},
+		"no id, then its own":       {respondEach(func(id string) string { return responseWithoutID(id) + responseTo(id) }), none, 0},
 		"an empty id, then its own": {respondEach(func(id string) string { return responseTo("") + responseTo(id) }), none, 0},
 		"two ids": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), requestIDHeader, requestIDHeader+": other\r\n"+requestIDHeader, 1)
@@ -139,12 +139,13 @@
 		}, some, 0},
 		"a response before the request is complete":               {respondEarly(responseTo("other"), nothing), none, 1 << 20},
 		"a response before the request is complete, then its own": {respondEarly(responseTo("other"), responseTo), all, 1 << 20},
-		"no id before the request is complete, then its own":      {respondEarly(bare("other"), responseTo), none, 1 << 20},
+		"no id before the request is complete, then its own":      {respondEarly(responseWithoutID("other"), responseTo), none, 1 << 20},
 	}
 }
 
-// badEndCases are further ones, of responses whose head or end is wrong, by name.
-func badEndCases() map[string]unsolicitedCase {
+// malformedCases returns further cases of TestCallerGetsOnlyItsOwnResponse by name, in which the head
+// or the framing of a response is malformed or unusual.
+func malformedCases() map[string]unsolicitedCase {
 	const all, none = allSucceed, noneSucceed
 	return map[string]unsolicitedCase{
 		"a length below the body's": {respondEach(func(id string) string {
@@ -170,47 +171,47 @@
 	}
 }
 
-// Whatever an endpoint sends unsolicited, twice, too early or with a wrong end, a caller gets
-// the response to its own request or none, and so does the next one. Each case runs over
-// single-use connections and over pooled ones.
-func TestOnlyTheOwnResponseReachesACaller(t *testing.T) {
+// An endpoint sends unsolicited, duplicate, early or wrongly framed responses. Each caller gets the
+// response to its own request or none. Each case runs over single-use and over pooled connections.
+func TestCallerGetsOnlyItsOwnResponse(t *testing.T) {
 	cases := unsolicitedCases()
-	maps.Copy(cases, badEndCases())
+	maps.Copy(cases, malformedCases())
 	for name, c := range cases {
-		for _, fresh := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, "/fresh ", fresh), func(t *testing.T) { c.check(t, fresh) })
+		for _, singleUse := range []bool{true, false} {
+			t.Run(fmt.Sprint(name, "/single use ", singleUse), func(t *testing.T) { c.run(t, singleUse) })
 		}
 	}
 }
 
-// check makes the calls of a case, each over a connection of its own if fresh.
-func (c unsolicitedCase) check(t *testing.T, fresh bool) {
-	good := 0
-	pool := exchange.New("", patientSettings)
-	addr := serveConns(t, c.play)
+// run makes the calls of a case, each over a connection of its own if singleUse is set.
+func (c unsolicitedCase) run(t *testing.T, singleUse bool) {
+	succeeded := 0
+	pool := exchange.New("", longDialTimeout)
+	addr := serveConns(t, c.serve)
 	for n := range 30 {
 		id := fmt.Sprintf("r%d", n)
 		call := identifiedCall([]string{"GET", "POST"}[n%2], id)
-		call.SingleUse = fresh
-		if c.large > 0 {
-			call.Body = bytes.Repeat([]byte("x"), c.large)
+		call.SingleUse = singleUse
+		if c.bodyBytes > 0 {
+			call.Body = bytes.Repeat([]byte("x"), c.bodyBytes)
 		}
 		response, sent, fail := doCall(t, pool, addr, call)
 		if fail == nil {
-			good++
+			succeeded++
 			must.Eq(t, jsonBody(id), string(response.Body))
 			continue
 		}
 		must.Nil(t, response)
 		must.Eq(t, sent, fail.Outcome == failure.OutcomeUnknown)
 	}
-	must.True(t, c.good == someSucceed || c.good == allSucceed && good == 30 || c.good == noneSucceed && good == 0,
-		must.Sprintf("%d of 30 came through", good))
+	must.True(t, c.succeeding == someSucceed || c.succeeding == allSucceed && succeeded == 30 || c.succeeding == noneSucceed && succeeded == 0,
+		must.Sprintf("%d of 30 calls succeeded", succeeded))
 }
 
-// Without an id only the connection tells to which request a response belongs: bytes that follow
-// it at once, or that come before the last byte of a long request is sent, make it invalid.
-func TestWithoutAnIDOnlyASingleResponsePasses(t *testing.T) {
+// Without an id, only the connection shows which request a response belongs to. A response is
+// rejected if further bytes follow immediately, or if the response arrives before the last byte of a
+// long request is sent.
+func TestResponseWithoutIDMustBeTheOnlyData(t *testing.T) {
 	for name, c := range map[string]struct {
 		play  func(net.Conn, *bufio.Reader, func() (string, bool))
 		large int
@@ -219,8 +220,8 @@
 		"a length below the body's": {respondEach(func(id string) string {
 			return strings.Replace(responseTo(id), "application/json", "text/plain", 1) + "more"
 		}), 0},
-		// The buffers between hold less than the request: its last byte can't leave before
-		// the peer, which has sent its response by then, reads on.
+		// The socket buffers hold less than the request, so the last byte can't be sent before
+		// the peer continues to read, and the peer writes the response before that.
 		"a response before the request is complete": {func(c net.Conn, _ *bufio.Reader, _ func() (string, bool)) {
 			_ = c.(*net.TCPConn).SetReadBuffer(256 << 10)
 			_, _ = c.Read(make([]byte, 1))
@@ -230,7 +231,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := serveConns(t, c.play)
-			pool := exchange.New("", patientSettings)
+			pool := exchange.New("", longDialTimeout)
 			for n := range 3 {
 				call := newCall("POST")
 				call.SingleUse, call.Header = true, http.Header{requestIDHeader: {fmt.Sprintf("r%d", n)}}
@@ -246,14 +247,14 @@
 	}
 }
 
-// On pooled connections without ids the second response does reach the next caller: what the
-// test above looks for can happen.
-func TestReusedConnectionsWouldMixResponses(t *testing.T) {
+// On pooled connections without ids, an unsolicited response does reach the next caller. The test
+// shows that the failure that TestResponseWithoutIDMustBeTheOnlyData guards against can occur.
+func TestReusedConnectionsWithoutIDsMixResponses(t *testing.T) {
 	step := make(chan struct{})
 	addr := serveConns(t, func(c net.Conn, _ *bufio.Reader, next func() (string, bool)) {
 		for id, ok := next(); ok; id, ok = next() {
 			_, _ = c.Write([]byte(responseTo(id)))
-			id, ok = next() // the next request is here: the unsolicited response comes first
+			id, ok = next() // the next request has arrived: the unsolicited response is written first
 			if !ok {
 				return
 			}
@@ -272,12 +273,13 @@
 	<-step
 }
 
-// A response that comes after the deadline reaches nobody: neither the caller that gave up nor
-// the next one. An endpoint that hung may still execute the request, so its outcome is unknown.
-func TestLateResponseReachesNobody(t *testing.T) {
-	wake := make(chan struct{})
+// A response that arrives after the deadline reaches neither the caller that timed out nor the next
+// caller. An endpoint that has not responded may still execute the request, so the outcome is
+// unknown.
+func TestLateResponseIsDiscarded(t *testing.T) {
+	release := make(chan struct{})
 	addr := serveConns(t, func(c net.Conn, r *bufio.Reader, next func() (string, bool)) {
-		<-wake
+		<-release
 		respondEach(responseTo)(c, r, next)
 	})
 	pool := exchange.New("")
@@ -290,7 +292,7 @@
 	must.True(t, sent)
 	must.Eq(t, failure.DeadlineExceeded, fail.Kind)
 	must.Eq(t, failure.OutcomeUnknown, fail.Outcome)
-	close(wake)
+	close(release)
 	for _, id := range []string{"a", "b", "c"} {
 		call.Header = http.Header{"X-Request-Id": {id}}
 		response, _, fail := doCall(t, pool, addr, call)
