--- a/wire/server/bench_test.go
+++ b/wire/server/bench_test.go
@@ -17,8 +17,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkIntercept serves requests on one connection by the intercept function alone; the
-// client only counts bytes, so most of the figure is the server's own.
+// BenchmarkIntercept measures a server whose intercept function serves the requests of a single
+// connection. The client only looks for the end of each response, so the server causes most of the
+// measured cost.
 func BenchmarkIntercept(b *testing.B) {
 	for name, request := range map[string]string{
 		"get":  "GET /lepu270/2f HTTP/1.1\r\nHost: jepu9.example\r\nX-Id: 9c41d07be2a35f68\r\nX-Left: 500\r\nAccept: */*\r\n\r\n",
@@ -36,7 +37,7 @@
 						body := make([]byte, r.ContentLength)
 						_, _ = io.ReadFull(r.Body, body)
 					}
-					for range 3 { // another goroutine serves: a request takes a while
+					for range 3 { // yield to other goroutines, as a longer request does
 						runtime.Gosched()
 					}
 					h := w.Header()
--- a/wire/server/closedetection.go
+++ b/wire/server/closedetection.go
@@ -5,20 +5,23 @@
 	"unsafe"
 )
 
-// noCloseDetection is a connection that does not read while its request is served. net/http
-// detects a close by reading into a single byte of its own, apart from the buffer into which it
-// reads requests; a read of no bytes ends that at once, and does no harm.
+// noCloseDetectionConn is a connection that does not read while a request is served. net/http
+// detects a close with a read into a separate single byte, which is not part of the buffer for
+// requests. A read that returns no bytes ends the close detection immediately and has no other
+// effect.
 //
-// Invariant: lastEnd is where the buffer of the last read ended. The rest of a buffer, when it
-// is a single byte, ends there too, and is read; net/http's own byte, which lives as long as
-// the connection, never does.
-type noCloseDetection struct {
+// Invariant: lastEnd is the address of the last byte of the buffer of the last read. If the unfilled
+// rest of the request buffer is a single byte, the address of that byte is lastEnd, so the byte is
+// read. The separate byte of net/http, which lives as long as the connection, never has the address
+// lastEnd.
+type noCloseDetectionConn struct {
 	*net.TCPConn
 	lastEnd uintptr
 }
 
-// Read reads into a request buffer, and nothing into net/http's single byte.
-func (c *noCloseDetection) Read(buffer []byte) (int, error) {
+// Read reads into a request buffer. A read into the separate single byte of net/http returns no
+// bytes.
+func (c *noCloseDetectionConn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
 	}
--- a/wire/server/closedetection_test.go
+++ b/wire/server/closedetection_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The last byte of a buffer is read even when it comes on its own; into a separate byte nothing
-// is read, and the byte is still there for the buffer.
+// The last byte of a request buffer is read even if that byte arrives alone. A read into a separate
+// byte reads nothing and leaves the byte unread for the request buffer.
 func TestNoCloseDetectionReadsABuffersLastByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -22,7 +22,7 @@
 	must.NoError(t, err)
 	defer func() { _ = accepted.Close() }()
 	must.NoError(t, accepted.SetDeadline(time.Now().Add(time.Minute)))
-	c := &noCloseDetection{TCPConn: accepted.(*net.TCPConn)}
+	c := &noCloseDetectionConn{TCPConn: accepted.(*net.TCPConn)}
 	const size = 32
 	r := bufio.NewReaderSize(c, size)
 	var separate [1]byte
--- a/wire/server/closewatch.go
+++ b/wire/server/closewatch.go
@@ -10,28 +10,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// closePollInterval is how often the connections whose requests are being served are polled for
-// a close by their clients.
+// closePollInterval is the interval at which the connections whose requests are being served are
+// polled for a close by the client.
 const closePollInterval = 50 * time.Millisecond
 
-// closeWatch ends the context of a request when its client closes the connection. It polls all
-// connections that are being served in one system call, in place of net/http's close detection,
-// which takes a goroutine, a timer and a read for each request.
+// closeWatcher cancels the context of a request when the client closes the connection. One system
+// call polls all connections whose requests are being served. closeWatcher replaces the close
+// detection of net/http, which needs a goroutine, a timer and a read for each request.
 //
-// Invariant: a connection is in served exactly while its request is being served and its client
-// was not seen to leave.
-type closeWatch struct {
+// Invariant: active contains a connection exactly while a request on the connection is being served
+// and no close by the client was detected.
+type closeWatcher struct {
 	mu     sync.Mutex
-	served map[*conn]context.CancelFunc
-	// polling tells that the goroutine of poll runs; it ends when nothing is served.
+	active map[*conn]context.CancelFunc
+	// polling is true while the goroutine of poll runs. The goroutine ends when active is empty.
 	polling bool
 }
 
-func newCloseWatch() *closeWatch {
-	return &closeWatch{served: map[*conn]context.CancelFunc{}}
+func newCloseWatcher() *closeWatcher {
+	return &closeWatcher{active: map[*conn]context.CancelFunc{}}
 }
 
-// connContextKey is the key of a request's *conn in its context.
+// connContextKey is the key of the *conn in the context of a request.
 type connContextKey struct{}
 
 // connContext is a hook for http.Server.ConnContext.
@@ -39,8 +39,8 @@
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// filter gives each request a context that ends when its client leaves.
-func (w *closeWatch) filter(next http.Handler) http.Handler {
+// filter gives each request a context that is canceled when the client closes the connection.
+func (w *closeWatcher) filter(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(connContextKey{}).(*conn)
 		if !ok || c.rawConn == nil {
@@ -55,24 +55,24 @@
 	})
 }
 
-func (w *closeWatch) add(c *conn, cancel context.CancelFunc) {
+func (w *closeWatcher) add(c *conn, cancel context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.served[c] = cancel
+	w.active[c] = cancel
 	if !w.polling {
 		w.polling = true
 		go w.poll()
 	}
 }
 
-func (w *closeWatch) remove(c *conn) {
+func (w *closeWatcher) remove(c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.served, c)
+	delete(w.active, c)
 }
 
-// poll looks for closes until nothing is served.
-func (w *closeWatch) poll() {
+// poll polls the active connections until none is left.
+func (w *closeWatcher) poll() {
 	ticker := time.NewTicker(closePollInterval)
 	defer ticker.Stop()
 	var set pollSet
@@ -84,37 +84,38 @@
 	}
 }
 
-// pollOnce ends the contexts of the requests whose clients have left. It is false when nothing is
-// served.
-func (w *closeWatch) pollOnce(set *pollSet) bool {
+// pollOnce cancels the contexts of the requests whose clients have closed the connection. pollOnce
+// returns false if no connection is active.
+func (w *closeWatcher) pollOnce(set *pollSet) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.served) == 0 {
+	if len(w.active) == 0 {
 		w.polling = false
 		return false
 	}
 	set.reset()
-	for c := range w.served {
+	for c := range w.active {
 		set.add(c)
 	}
 	for _, c := range set.readable() {
-		if c.clientLeft() {
-			w.served[c]()
-			delete(w.served, c)
+		if c.clientClosed() {
+			w.active[c]()
+			delete(w.active, c)
 		}
 	}
 	return true
 }
 
-// pollSet is the argument of one poll; it is used again to spare allocations.
+// pollSet holds the arguments and the result of one poll. poll reuses a single pollSet to save
+// allocations.
 type pollSet struct {
-	files []unix.PollFd
+	fds   []unix.PollFd
 	conns []*conn
 	ready []*conn
 }
 
 func (s *pollSet) reset() {
-	s.files = s.files[:0]
+	s.fds = s.fds[:0]
 	clear(s.conns)
 	s.conns = s.conns[:0]
 	clear(s.ready)
@@ -122,46 +123,46 @@
 }
 
 func (s *pollSet) add(c *conn) {
-	s.files = append(s.files, unix.PollFd{Fd: c.descriptor, Events: unix.POLLIN})
+	s.fds = append(s.fds, unix.PollFd{Fd: c.descriptor, Events: unix.POLLIN})
 	s.conns = append(s.conns, c)
 }
 
-// readable returns the connections on which something waits: data, the end or an error. If the
-// poll itself fails, that is any of them.
+// readable returns the connections that have unread data, a close or an error. If the poll fails,
+// readable returns all connections.
 func (s *pollSet) readable() []*conn {
-	if n, err := unix.Poll(s.files, 0); err != nil {
+	if n, err := unix.Poll(s.fds, 0); err != nil {
 		return s.conns
 	} else if n == 0 {
 		return nil
 	}
-	for i, file := range s.files {
-		if file.Revents != 0 {
+	for i, fd := range s.fds {
+		if fd.Revents != 0 {
 			s.ready = append(s.ready, s.conns[i])
 		}
 	}
 	return s.ready
 }
 
-// clientLeft reports whether the client has closed or reset the connection, as far as that can be
-// seen: bytes that wait to be read hide a close behind them.
-func (c *conn) clientLeft() bool {
-	left := false
+// clientClosed reports whether the client has closed or reset the connection. A close that follows
+// unread bytes is not detected.
+func (c *conn) clientClosed() bool {
+	closed := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch err {
 		case nil:
-			left = n == 0
+			closed = n == 0
 		case unix.EAGAIN, unix.EINTR:
 		default:
-			left = true
+			closed = true
 		}
 	})
-	return left || err != nil
+	return closed || err != nil
 }
 
-// watch prepares an accepted connection for the close watch.
-func (c *conn) watch() {
+// initCloseWatch sets rawConn and descriptor of an accepted connection for closeWatcher.
+func (c *conn) initCloseWatch() {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
--- a/wire/server/closewatch_test.go
+++ b/wire/server/closewatch_test.go
@@ -16,25 +16,27 @@
 
 const (
 	plainRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-	// patience bounds what must come about; no test may fail because the machine is busy.
-	patience = time.Minute
-	// quietTime is how long it is watched that something does not come about.
-	quietTime = 300 * time.Millisecond
+	// awaitTimeout limits the wait for an expected event. The timeout is long, so that no test
+	// fails because the machine is busy.
+	awaitTimeout = time.Minute
+	// quietPeriod is how long a test checks that an event does not occur.
+	quietPeriod = 300 * time.Millisecond
 )
 
-// heldServer is a server whose handler tells of each request on begun and holds it until its
-// context ends, or until release is closed; ended tells which it was.
-type heldServer struct {
+// blockingServer is a server whose handler sends a value on started for each request and blocks until
+// the context of the request ends or release is closed. The handler then sends the error of the
+// context on ended.
+type blockingServer struct {
 	addr    string
-	begun   chan struct{}
+	started chan struct{}
 	release chan struct{}
 	ended   chan error
 }
 
-func startHeldServer(t *testing.T, options ...server.Option) *heldServer {
-	h := &heldServer{begun: make(chan struct{}, 1000), release: make(chan struct{}), ended: make(chan error, 1000)}
+func startBlockingServer(t *testing.T, options ...server.Option) *blockingServer {
+	h := &blockingServer{started: make(chan struct{}, 1000), release: make(chan struct{}), ended: make(chan error, 1000)}
 	h.addr = startServer(t, func(w http.ResponseWriter, r *http.Request) bool {
-		h.begun <- struct{}{}
+		h.started <- struct{}{}
 		select {
 		case <-r.Context().Done():
 		case <-h.release:
@@ -46,7 +48,7 @@
 	return h
 }
 
-func (h *heldServer) dial(t *testing.T) *net.TCPConn {
+func (h *blockingServer) dial(t *testing.T) *net.TCPConn {
 	c, err := net.Dial("tcp", h.addr)
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -57,26 +59,26 @@
 	t.Helper()
 	select {
 	case value = <-from:
-	case <-time.After(patience):
-		t.Fatalf("%s did not come", what)
+	case <-time.After(awaitTimeout):
+		t.Fatalf("%s did not arrive within %v", what, awaitTimeout)
 	}
 	return value
 }
 
-// The context of a request ends when its client closes or resets the connection, in both ways of
-// detection, and also on a connection that has carried requests before.
-func TestContextEndsWhenClientLeaves(t *testing.T) {
+// The context of a request ends when the client closes or resets the connection, with the close
+// detection of net/http and with polled close detection.
+func TestContextEndsWhenClientCloses(t *testing.T) {
 	for name, options := range map[string][]server.Option{
 		"net/http's detection": nil,
 		"polled":               {server.PolledCloseDetection(), server.DeadPeerTimeout(3 * time.Second)},
 	} {
 		for _, linger := range []int{-1, 0} {
 			t.Run(fmt.Sprint(name, ", linger ", linger), func(t *testing.T) {
-				h := startHeldServer(t, options...)
+				h := startBlockingServer(t, options...)
 				c := h.dial(t)
 				must.NoError(t, c.SetLinger(linger))
 				_, _ = io.WriteString(c, plainRequest)
-				await(t, "the request", h.begun)
+				await(t, "the request", h.started)
 				must.NoError(t, c.Close())
 				must.Error(t, await(t, "the end of the context", h.ended))
 			})
@@ -84,20 +86,21 @@
 	}
 }
 
-// A client that stays is not taken for one that left: not while it only waits, nor when it has
-// sent its next request already, nor on the later requests of a connection.
-func TestContextOfAClientThatStays(t *testing.T) {
-	h := startHeldServer(t, server.PolledCloseDetection())
+// The context of a request does not end while the client stays connected: neither while the client
+// waits, nor if the client has already sent the next request, nor for later requests on the
+// connection.
+func TestContextLastsWhileClientIsConnected(t *testing.T) {
+	h := startBlockingServer(t, server.PolledCloseDetection())
 	c := h.dial(t)
 	const requests = 3
 	for range requests {
 		_, _ = io.WriteString(c, plainRequest)
 	}
-	await(t, "the request", h.begun)
+	await(t, "the request", h.started)
 	select {
 	case err := <-h.ended:
 		t.Fatal("the request ended: ", err)
-	case <-time.After(quietTime):
+	case <-time.After(quietPeriod):
 	}
 	close(h.release)
 	for range requests {
@@ -105,9 +108,9 @@
 	}
 }
 
-// Of many clients that leave and stay in any order, just those that leave are seen to.
-func TestManyClientsLeave(t *testing.T) {
-	h := startHeldServer(t, server.PolledCloseDetection())
+// If some of many clients close the connection, only the contexts of their requests end.
+func TestOnlyContextsOfClosedClientsEnd(t *testing.T) {
+	h := startBlockingServer(t, server.PolledCloseDetection())
 	const clients = 40
 	var connecting sync.WaitGroup
 	conns := make([]*net.TCPConn, clients)
@@ -117,7 +120,7 @@
 	}
 	connecting.Wait()
 	for range clients {
-		await(t, "a request", h.begun)
+		await(t, "a request", h.started)
 	}
 	for i := 0; i < clients; i += 2 {
 		must.NoError(t, conns[i].Close())
@@ -127,8 +130,8 @@
 	}
 	select {
 	case err := <-h.ended:
-		t.Fatal("the request of a client that stays ended: ", err)
-	case <-time.After(quietTime):
+		t.Fatal("the context of a connected client ended: ", err)
+	case <-time.After(quietPeriod):
 	}
 	close(h.release)
 	for range clients / 2 {
--- a/wire/server/conn.go
+++ b/wire/server/conn.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// firstRequestTimeout is how long a connection that has sent nothing yet is kept while the
-	// server stops: its first request is on the way. net/http waits as long.
+	// firstRequestTimeout is how long a stopping server keeps a new connection on which no bytes
+	// have arrived, because the first request may be in flight. net/http waits equally long.
 	firstRequestTimeout = 5 * time.Second
-	// finalReadTimeout is how long an idle connection is read once more before it is closed, so
-	// that a request which has arrived already is not lost.
+	// finalReadTimeout limits the last read from an unused connection before the close, so that a
+	// request that has already arrived is not lost.
 	finalReadTimeout = time.Millisecond
 )
 
-// conn is an accepted connection. It knows whether a part of a request was read, which
-// http.ConnState does not tell: net/http calls a connection new or idle until it has read a
-// complete head.
+// conn is an accepted connection. conn records whether a part of a request was read, which
+// http.ConnState does not show: net/http reports a connection as new or idle until net/http has read
+// a complete head.
 type conn struct {
 	*net.TCPConn
-	source   io.Reader // what Read reads from: the TCPConn, or one without close detection
+	source   io.Reader // source of Read: TCPConn, or a noCloseDetectionConn on TCPConn
 	accepted time.Time
-	// requestBegun tells that a part of a request was read since the connection was last idle.
-	requestBegun atomic.Bool
-	// rawConn and descriptor are for the close watch; rawConn is nil when there is none.
+	// requestStarted is true if a part of a request was read since the connection was last idle.
+	requestStarted atomic.Bool
+	// rawConn and descriptor are used by closeWatcher. rawConn is nil if the connection is not
+	// watched.
 	rawConn    syscall.RawConn
 	descriptor int32
 
 	mu    sync.Mutex
 	state http.ConnState
-	// woken tells that wakeIfUnused has set a read deadline. Only a new or idle connection is
+	// woken is true after wakeIfUnused has set a read deadline. Only a new or idle connection is
 	// woken.
 	woken bool
 }
 
-// Read reads from the connection. If it was woken and no part of a request has come, it fails
-// and so ends the connection: the goroutine that reads decides that, so no request is lost
-// between the check and the close.
+// Read reads from the connection. If the connection was woken and no part of a request has arrived,
+// Read returns an error, which makes net/http close the connection. The reading goroutine makes this
+// decision, so that no request is lost between the check and the close.
 func (c *conn) Read(buffer []byte) (int, error) {
 	for {
 		n, err := c.source.Read(buffer)
 		if n > 0 {
-			c.requestBegun.Store(true)
+			c.requestStarted.Store(true)
 			return n, err
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !c.consumeWake() {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !c.takeWake() {
 			return n, err
 		}
-		if c.requestBegun.Load() {
-			// The wake replaced net/http's deadline for the head.
+		if c.requestStarted.Load() {
+			// wakeIfUnused has replaced the deadline that net/http set for the head.
 			_ = c.SetReadDeadline(time.Now().Add(readHeaderTimeout))
 			continue
 		}
 		_ = c.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		if n, err = c.source.Read(buffer); n > 0 {
-			c.requestBegun.Store(true)
+			c.requestStarted.Store(true)
 			_ = c.SetReadDeadline(time.Now().Add(readHeaderTimeout))
 		}
 		return n, err
 	}
 }
 
-// consumeWake reports whether the connection was woken, and forgets it.
-func (c *conn) consumeWake() bool {
+// takeWake clears woken and returns its previous value.
+func (c *conn) takeWake() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	woken := c.woken
@@ -77,28 +78,28 @@
 	return woken
 }
 
-// setState follows net/http's state of the connection.
+// setState records the state that net/http reports for the connection.
 func (c *conn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = state
 	switch state {
 	case http.StateIdle:
-		c.requestBegun.Store(false)
+		c.requestStarted.Store(false)
 	case http.StateActive:
-		if c.woken { // net/http has no deadline now: it has read the head
+		if c.woken { // net/http has read the head and has cleared its deadline
 			c.woken = false
 			_ = c.SetReadDeadline(time.Time{})
 		}
 	}
 }
 
-// wakeIfUnused interrupts the read of an unused connection, which ends it.
+// wakeIfUnused interrupts the read from an unused connection, which closes the connection.
 func (c *conn) wakeIfUnused(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	unused := c.state == http.StateIdle || c.state == http.StateNew && now.Sub(c.accepted) >= firstRequestTimeout
-	if !unused || c.requestBegun.Load() {
+	if !unused || c.requestStarted.Load() {
 		return
 	}
 	c.woken = true
--- a/wire/server/conntracker.go
+++ b/wire/server/conntracker.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// connTracker knows the open connections of a server.
+// connTracker tracks the open connections of a server.
 type connTracker struct {
 	mu        sync.Mutex
 	openConns map[*conn]struct{}
-	// changed receives a value when a connection may have become unused or has ended.
+	// changed receives a value when a connection may have become unused or was closed.
 	changed chan struct{}
 }
 
@@ -19,8 +19,8 @@
 	return &connTracker{openConns: map[*conn]struct{}{}, changed: make(chan struct{}, 1)}
 }
 
-// connStateHook makes a hook for http.Server.ConnState. It calls next, when given, with the TCP
-// connection.
+// connStateHook returns a hook for http.Server.ConnState. The hook calls next, if next is not nil,
+// with the TCP connection.
 func (t *connTracker) connStateHook(next func(net.Conn, http.ConnState)) func(net.Conn, http.ConnState) {
 	return func(raw net.Conn, state http.ConnState) {
 		if c, ok := raw.(*conn); ok {
@@ -53,7 +53,7 @@
 	}
 }
 
-// wakeUnused wakes every unused connection and returns how many are open.
+// wakeUnused wakes every unused connection and returns the number of open connections.
 func (t *connTracker) wakeUnused() int {
 	now := time.Now()
 	t.mu.Lock()
--- a/wire/server/listener.go
+++ b/wire/server/listener.go
@@ -14,11 +14,12 @@
 	"cottonarch.example/cottonarch/wire/idletimeout"
 )
 
-// acceptGrace bounds how long a stopped listener goes on accepting the connections that wait. It
-// ends as soon as none waits; the limit is for a flood of them, or a machine under load.
+// acceptGrace limits how long a stopped listener accepts pending connections. The listener stops
+// accepting when no connection is pending; the limit applies to a flood of connections or a machine
+// under load.
 const acceptGrace = time.Second
 
-// listener listens from its first use on, as kratos' own does.
+// listener opens the socket at the first call of open, as the listener of kratos does.
 type listener struct {
 	addr                 ident.Addr
 	deadPeerTimeout      time.Duration
@@ -28,7 +29,8 @@
 	err error
 
 	mu sync.Mutex
-	// acceptUntil is until when a stopped listener still accepts; zero before the stop.
+	// acceptUntil is the time until which a stopped listener accepts connections; zero before
+	// the stop.
 	acceptUntil time.Time
 }
 
@@ -36,7 +38,7 @@
 	l.once.Do(func() {
 		config := net.ListenConfig{}
 		if l.deadPeerTimeout > 0 {
-			// Accepted connections inherit this from the listening socket.
+			// Accepted connections inherit the options of the listening socket.
 			config.KeepAlive = -1
 			config.Control = func(_, _ string, raw syscall.RawConn) error { return idletimeout.Set(raw, l.deadPeerTimeout) }
 		}
@@ -50,8 +52,8 @@
 	return l.err
 }
 
-// stop makes Accept take the connections that wait and then end, and reports whether the listener
-// was opened. One that was not never will be.
+// stop makes Accept return the pending connections and then http.ErrServerClosed. stop reports
+// whether the listener was open. A listener that was not open can't be opened after stop.
 func (l *listener) stop() bool {
 	l.once.Do(func() { l.err = http.ErrServerClosed })
 	if l.err != nil {
@@ -67,9 +69,10 @@
 	return true
 }
 
-// Accept takes a connection. Once the listener was stopped and no connection waits, it returns
-// http.ErrServerClosed. Those that wait are accepted before that, because the kernel resets a
-// connection that waits as its listener closes, with the request that was sent on it.
+// Accept returns the next connection, or http.ErrServerClosed if the listener was stopped and no
+// connection is pending. A stopped listener accepts the pending connections, because the kernel
+// resets a pending connection when the listening socket closes, and the request that was sent on
+// the connection would be lost.
 func (l *listener) Accept() (net.Conn, error) {
 	tcp, err := l.acceptTCP()
 	if err != nil {
@@ -77,8 +80,8 @@
 	}
 	c := &conn{TCPConn: tcp, source: tcp, accepted: time.Now()}
 	if l.polledCloseDetection {
-		c.source = &noCloseDetection{TCPConn: tcp}
-		c.watch()
+		c.source = &noCloseDetectionConn{TCPConn: tcp}
+		c.initCloseWatch()
 	}
 	return c, nil
 }
@@ -90,7 +93,7 @@
 			return c, err
 		}
 	}
-	if time.Now().After(l.acceptUntil) || !l.pending() {
+	if time.Now().After(l.acceptUntil) || !l.hasPending() {
 		return nil, http.ErrServerClosed
 	}
 	c, err := l.AcceptTCP()
@@ -100,15 +103,15 @@
 	return c, nil
 }
 
-// stopped reports whether the listener was stopped; acceptUntil is fixed from then on.
+// stopped reports whether the listener was stopped. acceptUntil does not change after the stop.
 func (l *listener) stopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.acceptUntil.IsZero()
 }
 
-// pending reports whether a connection waits to be accepted.
-func (l *listener) pending() bool {
+// hasPending reports whether a connection is waiting to be accepted.
+func (l *listener) hasPending() bool {
 	_ = l.SetDeadline(l.acceptUntil.Add(acceptGrace))
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/wire/server/listener_test.go
+++ b/wire/server/listener_test.go
@@ -18,10 +18,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A server with polled close detection reads every request as it came, however the reads split it:
-// heads of all lengths around net/http's buffer and its double, small bodies, the last byte of
-// a buffer on its own, several requests at once.
-func TestServerPolledCloseDetectionReadsAll(t *testing.T) {
+// A server with polled close detection reads every request completely, however the reads split the
+// request: heads of all lengths around the size of the net/http buffer and around twice that size,
+// small bodies, the last byte of a buffer alone, and several requests at once.
+func TestPolledCloseDetectionReadsWholeRequests(t *testing.T) {
 	addr := startServer(t, func(w http.ResponseWriter, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
 		_, _ = fmt.Fprint(w, len(r.Header.Get("X-Pad")), " ", len(body), " ", err)
@@ -48,7 +48,7 @@
 		for pad := edge - head - 3; pad <= edge-head+3; pad++ {
 			for size := range 3 {
 				requestBytes := request(pad, size)
-				// Also cut one byte before the edge, so that one byte of the buffer is left.
+				// A cut one byte before the edge leaves one byte of the buffer free.
 				for _, cut := range []int{len(requestBytes), edge - 1, edge, len(requestBytes) - 1} {
 					cut = min(cut, len(requestBytes))
 					_, _ = io.WriteString(c, requestBytes[:cut])
@@ -69,7 +69,7 @@
 	mustRespond(40, 40)
 }
 
-// Accepted connections inherit the timeout for unresponsive peers from the listening socket.
+// Accepted connections inherit the socket options for unresponsive peers from the listening socket.
 func TestDeadPeerTimeoutIsInherited(t *testing.T) {
 	got := make(chan int, 3)
 	s := server.New("127.0.0.1:0", func(http.ResponseWriter, *http.Request) bool { return true }, server.DeadPeerTimeout(6*time.Second))
@@ -98,8 +98,8 @@
 	must.Eq(t, 2, <-got)
 }
 
-// A server whose address is taken reports it when it starts.
-func TestTakenAddressIsReported(t *testing.T) {
+// Start returns an error if the address is already in use.
+func TestAddressInUseIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
--- a/wire/server/log.go
+++ b/wire/server/log.go
@@ -5,13 +5,13 @@
 	"go.uber.org/zap"
 )
 
-// warningLogger passes kratos' log entries on to zap, from warnings up.
+// warningLogger writes the log entries of kratos with the level warning or above to zap.
 type warningLogger struct{ logger *zap.Logger }
 
-// Log implements kratos' log.Logger.
+// Log implements log.Logger of kratos.
 func (w warningLogger) Log(level log.Level, keyValues ...any) error {
 	if level >= log.LevelWarn {
-		w.logger.Warn("warning of the HTTP library", zap.Any("fields", keyValues))
+		w.logger.Warn("kratos warning or error", zap.Any("fields", keyValues))
 	}
 	return nil
 }
--- a/wire/server/options.go
+++ b/wire/server/options.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Option changes how a server takes connections.
+// Option configures how a server accepts and watches connections.
 type Option func(*listener)
 
-// DeadPeerTimeout closes a connection whose peer is gone: its sent bytes stay unacknowledged for
-// that long, or its probes unanswered. Probes are sent in whole seconds.
+// DeadPeerTimeout closes a connection when sent bytes stay unacknowledged, or keep-alive probes
+// unanswered, for about timeout. The probe interval is in whole seconds.
 func DeadPeerTimeout(timeout time.Duration) Option {
 	return func(l *listener) { l.deadPeerTimeout = timeout }
 }
 
-// PolledCloseDetection finds out that a client has closed its connection while its request is
-// served by polling all such connections at once, every 50 ms. net/http's own detection takes a
-// goroutine, a timer and a read for each request. Either way the context of the request ends.
+// PolledCloseDetection detects that a client has closed the connection while a request is served, by
+// polling all connections with active requests together every 50 ms. The close detection of net/http
+// needs a goroutine, a timer and a read for each request. Both cancel the context of the request.
 func PolledCloseDetection() Option { return func(l *listener) { l.polledCloseDetection = true } }
--- a/wire/server/paths.go
+++ b/wire/server/paths.go
@@ -10,12 +10,13 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// Paths maps path patterns to their methods, and these to handlers.
+// Paths maps path patterns to HTTP methods, and HTTP methods to handlers.
 type Paths map[string]map[string]http.HandlerFunc
 
-// Register adds the paths to a server.
+// Register adds the handlers to a server.
 func (p Paths) Register(s *Server) {
-	// Longer patterns first: a variable at the end of a pattern may match more of a path.
+	// Longer patterns come first, because a variable at the end of a shorter pattern may match a
+	// longer part of the path.
 	patterns := slices.SortedFunc(maps.Keys(p), func(a, b string) int {
 		if len(a) != len(b) {
 			return len(b) - len(a)
@@ -35,7 +36,7 @@
 	}
 }
 
-// writeMethodNotAllowed answers a request whose path has no handler for its method.
+// writeMethodNotAllowed writes the response to a request whose path has no handler for the method.
 func writeMethodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	response.WriteError(w, failure.New(failure.MethodNotAllowed, "method %s is not allowed for %s", r.Method, r.URL.Path))
 }
--- a/wire/server/server.go
+++ b/wire/server/server.go
@@ -1,4 +1,5 @@
-// Package server makes HTTP servers on kratos' transport that stop without losing a request.
+// Package server provides HTTP servers on the HTTP transport of kratos that stop without losing a
+// request.
 package server
 
 import (
@@ -17,37 +18,39 @@
 )
 
 const (
-	// maxHeaderBytes is the largest head that is read at all; a configuration allows less.
+	// maxHeaderBytes is the largest request head that the server reads. A configuration sets a
+	// lower limit.
 	maxHeaderBytes = 256 << 10
-	// readHeaderTimeout bounds the reading of a request's head.
+	// readHeaderTimeout limits the time to read the head of a request.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout is how long an unused connection is kept.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 90 * time.Second
 )
 
-// kratosServer keeps kratos' Server out of the way of the field of that name in it, which is
-// net/http's.
+// kratosServer renames Server of kratos: embedded under the name Server, the type would hide the
+// field Server of net/http that the type itself embeds.
 type kratosServer = khttp.Server
 
-// Server is a kratos server whose Stop answers every request of which it has read a part.
+// Server is a kratos server whose Stop lets every request that was read at least in part be answered.
 type Server struct {
 	*kratosServer
-	listener *listener
-	conns    *connTracker
-	stopping atomic.Bool
-	started  chan struct{} // closed when Start begins to accept
-	served   chan struct{} // closed when Start has returned
+	listener      *listener
+	conns         *connTracker
+	stopping      atomic.Bool
+	accepting     chan struct{} // closed when Start is about to accept connections
+	startReturned chan struct{} // closed when Start has returned
 }
 
-// New makes a server. kratos' own time limit of one second is switched off: requests carry
-// their own. intercept, when given, sees every request before it is routed and before its path
-// is cleaned, and returns true when it has served it.
+// New returns a server that listens at addr. The default request timeout of kratos, one second, is
+// disabled, because requests carry their own deadlines. intercept, if not nil, is called for every
+// request before the request is routed and before the path is cleaned, and returns true if intercept
+// has served the request.
 func New(addr ident.Addr, intercept func(http.ResponseWriter, *http.Request) bool, options ...Option) *Server {
 	s := &Server{
-		listener: &listener{addr: addr},
-		conns:    newConnTracker(),
-		started:  make(chan struct{}),
-		served:   make(chan struct{}),
+		listener:      &listener{addr: addr},
+		conns:         newConnTracker(),
+		accepting:     make(chan struct{}),
+		startReturned: make(chan struct{}),
 	}
 	for _, option := range options {
 		option(s.listener)
@@ -58,13 +61,13 @@
 		khttp.Timeout(0),
 		khttp.StrictSlash(false),
 		khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			response.WriteError(w, failure.New(failure.NotFound, "there is nothing at %s", r.URL.Path))
+			response.WriteError(w, failure.New(failure.NotFound, "no resource exists at %s", r.URL.Path))
 		})),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(writeMethodNotAllowed)),
 	}
 	filters := []khttp.FilterFunc{s.closeWhileStopping}
 	if s.listener.polledCloseDetection {
-		filters = append(filters, newCloseWatch().filter)
+		filters = append(filters, newCloseWatcher().filter)
 	}
 	if intercept != nil {
 		filters = append(filters, interceptor(intercept))
@@ -76,7 +79,7 @@
 	return s
 }
 
-// interceptor makes a filter of an intercept function.
+// interceptor returns a filter that calls intercept, and the next handler if intercept returns false.
 func interceptor(intercept func(http.ResponseWriter, *http.Request) bool) khttp.FilterFunc {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,7 +90,7 @@
 	}
 }
 
-// Endpoint returns the address that the server listens at, and begins to listen.
+// Endpoint opens the listener and returns the URL of the server.
 func (s *Server) Endpoint() (*url.URL, error) {
 	if err := s.listener.open(); err != nil {
 		return nil, err
@@ -95,7 +98,7 @@
 	return s.kratosServer.Endpoint()
 }
 
-// Start accepts connections until Stop. It is called once.
+// Start accepts connections until Stop is called. Start may be called only once.
 func (s *Server) Start(ctx context.Context) error {
 	switch err := s.listener.open(); {
 	case errors.Is(err, http.ErrServerClosed):
@@ -103,8 +106,8 @@
 	case err != nil:
 		return err
 	}
-	defer close(s.served)
+	defer close(s.startReturned)
 	s.ConnState = s.conns.connStateHook(s.ConnState)
-	close(s.started)
+	close(s.accepting)
 	return s.kratosServer.Start(ctx)
 }
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// stopPollShortest and stopPollLongest bound the interval at which unused connections are looked for
-	// while the server stops. It doubles from one to the other, as in http.Server.Shutdown.
-	stopPollShortest = time.Millisecond
-	stopPollLongest  = 500 * time.Millisecond
-	// startGrace is how long Stop waits for a concurrent Start.
+	// minStopPollInterval and maxStopPollInterval limit the interval at which a stopping server
+	// looks for unused connections. The interval doubles from the minimum to the maximum, as in
+	// http.Server.Shutdown.
+	minStopPollInterval = time.Millisecond
+	maxStopPollInterval = 500 * time.Millisecond
+	// startGrace is how long Stop waits for a concurrent call of Start.
 	startGrace = time.Second
 )
 
-// Stop stops the server gracefully: it accepts no more connections, answers every request of
-// which a part was read, closes each connection after its response and the unused ones at once,
-// and returns when none is open. If ctx ends first, Stop returns its error: connections that
-// are unused or on which a part of a head was read are closed, handlers go on.
+// Stop stops the server gracefully. The server accepts no more connections, answers every request of
+// which a part was read, closes each connection after the response, closes unused connections
+// immediately, and Stop returns when no connection is open. If ctx ends first, Stop returns the error
+// of ctx: connections that are unused or on which only a part of a head was read are closed, and
+// handlers continue to run.
 //
-// http.Server.Shutdown alone would end a connection without an answer when its request is
-// read after Shutdown began, so it comes last, when no connection is open.
+// Shutdown of http.Server closes a connection without a response if the request is read after
+// Shutdown has begun. Therefore Stop calls Shutdown last, when no connection is open.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	var err error
@@ -34,13 +36,13 @@
 	return err
 }
 
-// awaitStart reports whether Start was called. Connections can be made from Endpoint on, so a
-// concurrent Start is waited for.
+// awaitStart waits for a concurrent call of Start and reports whether Start was called. Clients can
+// connect as soon as Endpoint has opened the listener, so pending connections may exist before Start.
 func (s *Server) awaitStart(ctx context.Context) bool {
 	timeout := time.NewTimer(startGrace)
 	defer timeout.Stop()
 	select {
-	case <-s.started:
+	case <-s.accepting:
 		return true
 	case <-timeout.C:
 	case <-ctx.Done():
@@ -48,15 +50,16 @@
 	return false
 }
 
-// drain waits until no connection is open and none is accepted any more, or ctx ends.
+// drain waits until Start has returned, so that no connection is accepted any more, and no connection
+// is open. If ctx ends first, drain returns the error of ctx.
 func (s *Server) drain(ctx context.Context) error {
 	select {
-	case <-s.served:
+	case <-s.startReturned:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	wait := stopPollShortest
-	poll := time.NewTimer(wait)
+	interval := minStopPollInterval
+	poll := time.NewTimer(interval)
 	defer poll.Stop()
 	for s.conns.wakeUnused() > 0 {
 		select {
@@ -64,14 +67,14 @@
 			return ctx.Err()
 		case <-s.conns.changed:
 		case <-poll.C:
-			wait = min(2*wait, stopPollLongest)
-			poll.Reset(wait)
+			interval = min(2*interval, maxStopPollInterval)
+			poll.Reset(interval)
 		}
 	}
 	return nil
 }
 
-// closeWhileStopping marks each response of a stopping server as the last on its connection.
+// closeWhileStopping adds Connection: close to each response of a stopping server.
 func (s *Server) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
--- a/wire/server/stop_test.go
+++ b/wire/server/stop_test.go
@@ -14,9 +14,10 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// A connection was accepted before a planned stop; its request comes as the server stops. It is
-// answered, since its client can't know whether it was executed when the connection just ends.
-func TestRequestThatComesAsTheServerStopsIsAnswered(t *testing.T) {
+// A request that is completed while the server stops, on a connection that was accepted before, is
+// answered: if the connection ended without a response, the client could not know whether the request
+// was executed.
+func TestRequestDuringStopIsAnswered(t *testing.T) {
 	s := server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
@@ -28,12 +29,12 @@
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	must.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
-	// The first bytes show that the connection is not an unused one, which a stop may close.
+	// The first bytes mark the connection as used; Stop may close an unused connection.
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\n")
 	must.NoError(t, err)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	for { // the stop has begun once no connection is accepted any more
+	for { // the stop has begun when no more connections are accepted
 		more, err := net.Dial("tcp", endpoint.Host)
 		if err != nil {
 			break
@@ -51,7 +52,7 @@
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// startNoContentServer runs a server that answers 204.
+// startNoContentServer starts a server that answers every request with 204.
 func startNoContentServer(t *testing.T, options ...server.Option) (s *server.Server, addr string) {
 	s = server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusNoContent)
@@ -71,7 +72,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// readResponse reads one response and reports whether it closes its connection.
+// readResponse reads one response and reports whether the response has Connection: close.
 func readResponse(t *testing.T, from *bufio.Reader) bool {
 	response, err := http.ReadResponse(from, nil)
 	must.NoError(t, err, must.Sprint("the connection ended without a response"))
@@ -80,38 +81,39 @@
 	return response.Close
 }
 
-// Each kind of connection that is open as the server stops: a request that was begun is answered,
-// and its connection ends with the response; an unused one ends without a wait.
-func TestStopEndsEachConnectionInOrder(t *testing.T) {
-	for name, with := range map[string][]server.Option{
+// Stop with each kind of open connection: a request that was read in part is answered and its
+// connection is closed after the response, a new connection may still carry a request, and an idle
+// connection is closed without delay.
+func TestStopClosesEachKindOfConnection(t *testing.T) {
+	for name, options := range map[string][]server.Option{
 		"plain":                  nil,
 		"polled close detection": {server.PolledCloseDetection(), server.DeadPeerTimeout(3 * time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, addr := startNoContentServer(t, with...)
+			s, addr := startNoContentServer(t, options...)
 			fresh, fromFresh := dial(t, addr)
 			idle, fromIdle := dial(t, addr)
-			begun, fromBegun := dial(t, addr)
+			partial, fromPartial := dial(t, addr)
 			for _, c := range []struct {
 				net.Conn
 				from *bufio.Reader
-			}{{idle, fromIdle}, {begun, fromBegun}} {
+			}{{idle, fromIdle}, {partial, fromPartial}} {
 				_, err := io.WriteString(c, request)
 				must.NoError(t, err)
 				must.False(t, readResponse(t, c.from))
 			}
-			_, err := io.WriteString(begun, request[:9])
+			_, err := io.WriteString(partial, request[:9])
 			must.NoError(t, err)
 
-			began := time.Now()
+			stopStarted := time.Now()
 			stopped := make(chan error, 1)
 			go func() { stopped <- s.Stop(context.Background()) }()
 			_, err = fromIdle.ReadByte()
 			must.ErrorIs(t, err, io.EOF)
-			must.Less(t, time.Second, time.Since(began))
-			_, err = io.WriteString(begun, request[9:])
+			must.Less(t, time.Second, time.Since(stopStarted))
+			_, err = io.WriteString(partial, request[9:])
 			must.NoError(t, err)
-			must.True(t, readResponse(t, fromBegun))
+			must.True(t, readResponse(t, fromPartial))
 			_, err = io.WriteString(fresh, request)
 			must.NoError(t, err)
 			must.True(t, readResponse(t, fromFresh))
@@ -122,32 +124,32 @@
 	}
 }
 
-// Connections that wait to be accepted as the server stops are answered too.
-func TestWaitingConnectionsAreAnsweredInAStop(t *testing.T) {
+// Requests on connections that are pending when the server stops are answered.
+func TestPendingConnectionsAreServedDuringStop(t *testing.T) {
 	s := server.New("127.0.0.1:0", func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusNoContent)
 		return true
 	})
 	endpoint, err := s.Endpoint()
 	must.NoError(t, err)
-	var waiting []*bufio.Reader
+	var pending []*bufio.Reader
 	for range 100 {
 		c, from := dial(t, endpoint.Host)
 		_, err := io.WriteString(c, request)
 		must.NoError(t, err)
-		waiting = append(waiting, from)
+		pending = append(pending, from)
 	}
 	go func() { _ = s.Start(context.Background()) }()
-	readResponse(t, waiting[0])
+	readResponse(t, pending[0])
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	for _, from := range waiting[1:] {
+	for _, from := range pending[1:] {
 		readResponse(t, from)
 	}
 	must.NoError(t, <-stopped)
 }
 
-// A request that never becomes complete delays a stop until its context ends, not longer.
+// A request that is never completed delays Stop only until the context of Stop ends.
 func TestStopIsBoundedByItsContext(t *testing.T) {
 	s, addr := startNoContentServer(t)
 	c, from := dial(t, addr)
