--- a/wire/exchange/conn.go
+++ b/wire/exchange/conn.go
@@ -78,7 +78,7 @@
 	case c.op.sent == len(request.head):
 		return c.op.sent, nil, false // the next read reports an error of the wait
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return 0, failure.New(failure.DeadlineExceeded, "the deadline passed before the request was sent to %s", c.host.addr), false
+		return 0, failure.New(failure.DeadlineExceeded, "the call timed out or was canceled before the request was sent to %s", c.host.addr), false
 	case err != nil || !c.op.wouldBlock():
 		return 0, nil, true
 	}
@@ -129,9 +129,9 @@
 	case err == nil:
 		return sent, nil
 	case errors.Is(err, os.ErrDeadlineExceeded) && sent == 0:
-		return 0, failure.New(failure.DeadlineExceeded, "the deadline passed before the request was sent to %s", c.host.addr)
+		return 0, failure.New(failure.DeadlineExceeded, "the call timed out or was canceled before the request was sent to %s", c.host.addr)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return sent, failure.NewUnknown(failure.DeadlineExceeded, "the deadline passed while the request was being sent to %s", c.host.addr)
+		return sent, failure.NewUnknown(failure.DeadlineExceeded, "the call timed out or was canceled while the request was being sent to %s", c.host.addr)
 	}
 	return sent, failure.NewUnknown(failure.LostResponse, "the connection to %s ended while the request was being sent", c.host.addr)
 }
--- a/wire/exchange/pool.go
+++ b/wire/exchange/pool.go
@@ -111,7 +111,7 @@
 func (pool *Pool) acquire(ctx context.Context, addr ident.Addr, call *Call) (c *conn, reused bool, fail *failure.Error) {
 	now := time.Now()
 	if ctx.Err() != nil || !call.Deadline.IsZero() && !now.Before(call.Deadline) {
-		return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed before a connection to %s was acquired", addr)
+		return nil, false, failure.New(failure.DeadlineExceeded, "the call timed out or was canceled before a connection to %s was acquired", addr)
 	}
 	reserved := pool.reserve(now, addr, call)
 	abortAll(reserved.evicted)
@@ -184,7 +184,7 @@
 	if !removed {
 		pool.releaseHandoff(host, waiter)
 	}
-	return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed while waiting for a connection to %s", host.addr)
+	return nil, false, failure.New(failure.DeadlineExceeded, "the call timed out or was canceled while waiting for a connection to %s", host.addr)
 }
 
 // acceptHandoff returns the connection for a call that has waited. c is the connection that the call
@@ -227,7 +227,7 @@
 	if err != nil {
 		pool.releaseSlot(host)
 		if ctx.Err() != nil || !call.Deadline.IsZero() && !time.Now().Before(call.Deadline) {
-			return nil, false, failure.New(failure.DeadlineExceeded, "the deadline passed while dialing %s", host.addr)
+			return nil, false, failure.New(failure.DeadlineExceeded, "the call timed out or was canceled while dialing %s", host.addr)
 		}
 		return nil, false, failure.New(failure.Unreachable, "can't connect to %s: %v", host.addr, err)
 	}
--- a/wire/exchange/response.go
+++ b/wire/exchange/response.go
@@ -113,7 +113,7 @@
 func readFailure(err error, sawStray bool) *failure.Error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure.NewUnknown(failure.DeadlineExceeded, "the deadline passed before the response head arrived")
+		return failure.NewUnknown(failure.DeadlineExceeded, "the call timed out or was canceled before the response head arrived")
 	case sawStray:
 		return failure.NewUnknown(failure.BadResponse, "no response to this request follows the responses to other requests")
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
@@ -128,7 +128,7 @@
 	case errors.Is(err, errBodyTooLarge):
 		return failure.NewUnknown(failure.BadResponse, "the response body exceeds the limit of %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure.NewUnknown(failure.DeadlineExceeded, "the deadline passed before the response body was complete")
+		return failure.NewUnknown(failure.DeadlineExceeded, "the call timed out or was canceled before the response body was complete")
 	}
 	return failure.NewUnknown(failure.BadResponse, "the response body can't be read: %v", err)
 }
