--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -47,7 +47,7 @@
 		response.WriteError(w, failure.New(failure.NotReady, "no configuration is known here").WithRetryAfter(retryAfterSeconds))
 		return
 	}
-	ServeConfigPart(w, r, ConfigSource{Revision: held.Revision, Raw: held.Document, Compressed: held.Packed, DeltaFrom: h.core.ConfigDelta})
+	ServeConfigPart(w, r, ConfigSource{Revision: held.Revision, Raw: held.Document, Compressed: held.Compressed, DeltaFrom: h.core.ConfigDelta})
 }
 
 // ServeConfigPart serves one part of a configuration: a delta to one who names a revision from
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -78,8 +78,8 @@
 	response.WriteJSON(w, http.StatusOK, JoinResponse{
 		LeaseEpoch:     joined.LeaseEpoch,
 		BudgetShare:    joined.Share,
-		Cores:          view.Places,
-		CoresVersion:   view.PlacesDigest,
+		Cores:          view.CoreLocations,
+		CoresVersion:   view.CoreLocationsDigest,
 		ConfigRevision: joined.ConfigRevision,
 	})
 }
--- a/daemon/api/mesh/renew.go
+++ b/daemon/api/mesh/renew.go
@@ -40,9 +40,9 @@
 		return
 	}
 	renewed, view := result.response, h.core.View()
-	renewed.CoresVersion = view.PlacesDigest
-	if request.CoresVersion != view.PlacesDigest {
-		renewed.Cores = view.Places
+	renewed.CoresVersion = view.CoreLocationsDigest
+	if request.CoresVersion != view.CoreLocationsDigest {
+		renewed.Cores = view.CoreLocations
 	}
 	if held := h.core.Config(); held != nil {
 		renewed.ConfigRevision = held.Revision
--- a/daemon/core/changes.go
+++ b/daemon/core/changes.go
@@ -7,12 +7,13 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// changeSignals wakes those who wait for a change. A channel is closed at the change that it
-// stands for, and a new one takes its place.
+// changeSignals notifies goroutines that wait for a change. Each channel is closed when its change
+// occurs, and a new channel replaces the closed channel. The new channel of a single key is created
+// by the next call of KeyChanged.
 type changeSignals struct {
 	mu       sync.Mutex
 	anyKey   chan struct{}
-	keys     map[ident.Key]chan struct{} // of the keys that somebody waits for
+	keys     map[ident.Key]chan struct{} // only for keys that KeyChanged was called for
 	registry chan struct{}
 }
 
@@ -20,7 +21,7 @@
 	return changeSignals{anyKey: make(chan struct{}), keys: map[ident.Key]chan struct{}{}, registry: make(chan struct{})}
 }
 
-// notifyKeys wakes those who wait for one of the keys or for any.
+// notifyKeys wakes the goroutines that wait for a change of any key or of one of the learned keys.
 func (s *changeSignals) notifyKeys(learned []message.Learned) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// notifyRegistry wakes those who wait for the registry.
+// notifyRegistry wakes the goroutines that wait for a change of the registry.
 func (s *changeSignals) notifyRegistry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,15 +43,15 @@
 	s.registry = make(chan struct{})
 }
 
-// KeysChanged is closed when any key is learned to have changed.
+// KeysChanged returns a channel that is closed when this core next learns of a change of any key.
 func (c *Core) KeysChanged() <-chan struct{} {
 	c.changes.mu.Lock()
 	defer c.changes.mu.Unlock()
 	return c.changes.anyKey
 }
 
-// KeyChanged is closed when that key is learned to have changed; call it before reading the
-// key.
+// KeyChanged returns a channel that is closed when this core next learns of a change of the key.
+// Callers must call KeyChanged before they read the key, or a change between the two is missed.
 func (c *Core) KeyChanged(key ident.Key) <-chan struct{} {
 	c.changes.mu.Lock()
 	defer c.changes.mu.Unlock()
@@ -60,7 +61,8 @@
 	return c.changes.keys[key]
 }
 
-// RegistryChanged is closed at the next change of the registry or the configuration.
+// RegistryChanged returns a channel that is closed at the next change of the registry or the
+// configuration.
 func (c *Core) RegistryChanged() <-chan struct{} {
 	c.changes.mu.Lock()
 	defer c.changes.mu.Unlock()
--- a/daemon/core/config.go
+++ b/daemon/core/config.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	// configRetryInterval is how often a configuration that is missing here is read again, and
-	// configReadBudget bounds one read.
+	// configRetryInterval is the time between two attempts to read a configuration that this core
+	// lacks, and configReadBudget the time budget of one read.
 	configRetryInterval = 250 * time.Millisecond
 	configReadBudget    = time.Second
 )
 
-// Config is a confirmed configuration, with its parsed form and its compressed one.
+// Config is a confirmed configuration with its parsed form and its compressed form.
 type Config struct {
 	proposal.State
-	Parsed *validation.Config
-	Packed *delta.Compressed
+	Parsed     *validation.Config
+	Compressed *delta.Compressed
 }
 
-// configHistory keeps the newest configurations for deltas between them.
+// configHistory holds the newest configurations, from which deltas are computed.
 type configHistory struct {
 	mu sync.Mutex
 	delta.History
 }
 
-// ConfigDelta returns the delta from a revision to the newest configuration here, nil if there is
-// none.
+// ConfigDelta returns the delta from a revision to the newest configuration that this core holds.
+// ConfigDelta returns nil if there is no such delta.
 func (c *Core) ConfigDelta(from ident.ConfigRevision) *delta.Delta {
-	c.configVersions.mu.Lock()
-	defer c.configVersions.mu.Unlock()
-	return c.configVersions.Since(from)
+	c.configHistory.mu.Lock()
+	defer c.configHistory.mu.Unlock()
+	return c.configHistory.Since(from)
 }
 
-// rememberConfig keeps a configuration for deltas from it and to it.
-func (c *Core) rememberConfig(version delta.Snapshot) {
-	c.configVersions.mu.Lock()
-	defer c.configVersions.mu.Unlock()
-	c.configVersions.Add(version)
+// addToConfigHistory stores a configuration for deltas from and to that configuration.
+func (c *Core) addToConfigHistory(snapshot delta.Snapshot) {
+	c.configHistory.mu.Lock()
+	defer c.configHistory.mu.Unlock()
+	c.configHistory.Add(snapshot)
 }
 
-// wakeConfigFollower has followConfig read the newest configuration.
+// wakeConfigFollower makes followConfig read the newest configuration.
 func (c *Core) wakeConfigFollower() {
 	select {
 	case c.configWake <- struct{}{}:
@@ -62,51 +62,53 @@
 	}
 }
 
-// Config is the newest configuration that this core knows to be confirmed, nil if none. It only
-// moves to higher revisions.
+// Config returns the newest configuration that this core holds, or nil if there is none. The
+// revision never decreases.
 func (c *Core) Config() *Config { return c.config.Load() }
 
-// NewestConfig reads the configuration through its proposer, so it is not older than any that
-// was confirmed before the call. Its revision is 0 when there is none yet.
+// NewestConfig reads the configuration through its proposer, so the result is not older than any
+// configuration that was confirmed before the call. The revision of the result is 0 if no
+// configuration has been confirmed yet.
 func (c *Core) NewestConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}, budget)
-	if end.Failure != nil {
-		return nil, end.Failure
+	result := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadRevisionKind}, budget)
+	if result.Failure != nil {
+		return nil, result.Failure
 	}
-	var answer proposal.Accepted
-	if err := json.Unmarshal(end.Body, &answer); err != nil {
-		return nil, failure.New(failure.Corrupted, "configuration revision: %v", err)
+	var accepted proposal.Accepted
+	if err := json.Unmarshal(result.Body, &accepted); err != nil {
+		return nil, failure.New(failure.Corrupted, "cannot decode the configuration revision: %v", err)
 	}
-	if have := c.config.Load(); have != nil && have.Revision >= answer.Revision {
-		return have, nil
+	if current := c.config.Load(); current != nil && current.Revision >= accepted.Revision {
+		return current, nil
 	}
-	if answer.Revision == 0 {
+	if accepted.Revision == 0 {
 		return &Config{Parsed: &validation.Config{}}, nil
 	}
 	return c.readConfig(ctx, budget)
 }
 
-// readConfig reads the newest configuration whole, through its proposer, and installs it.
+// readConfig reads the complete newest configuration through its proposer and installs the result.
 func (c *Core) readConfig(ctx context.Context, budget time.Duration) (*Config, *failure.Error) {
-	end := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, budget)
-	if end.Failure != nil {
-		return nil, end.Failure
+	result := c.Execute(ctx, proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, budget)
+	if result.Failure != nil {
+		return nil, result.Failure
 	}
-	return c.installConfig(end.Body)
+	return c.installConfig(result.Body)
 }
 
-// installConfig parses a confirmed configuration and makes it the newest here, unless a newer
-// one is known. It returns the newest.
+// installConfig parses a confirmed configuration and installs the configuration as the newest of
+// this core, unless the current configuration is at least as new. installConfig returns the newest
+// configuration.
 func (c *Core) installConfig(raw json.RawMessage) (*Config, *failure.Error) {
-	var taken proposal.State
-	if err := json.Unmarshal(raw, &taken); err != nil {
-		return nil, failure.New(failure.Corrupted, "configuration: %v", err)
+	var state proposal.State
+	if err := json.Unmarshal(raw, &state); err != nil {
+		return nil, failure.New(failure.Corrupted, "cannot decode the configuration: %v", err)
 	}
-	taken.AuditEntries, taken.Log = nil, nil
-	if have := c.config.Load(); have != nil && have.Revision >= taken.Revision {
-		return have, nil
+	state.AuditEntries, state.Log = nil, nil
+	if current := c.config.Load(); current != nil && current.Revision >= state.Revision {
+		return current, nil
 	}
-	tree, fail := decode.Parse(taken.Document)
+	tree, fail := decode.Parse(state.Document)
 	if fail != nil {
 		return nil, fail
 	}
@@ -114,9 +116,9 @@
 	if fail != nil {
 		return nil, fail
 	}
-	parsed.Revision = taken.Revision
-	config := &Config{State: taken, Parsed: parsed, Packed: delta.NewCompressed(taken.Document)}
-	c.rememberConfig(delta.Snapshot{Revision: taken.Revision, Tree: tree, Raw: taken.Document})
+	parsed.Revision = state.Revision
+	config := &Config{State: state, Parsed: parsed, Compressed: delta.NewCompressed(state.Document)}
+	c.addToConfigHistory(delta.Snapshot{Revision: state.Revision, Tree: tree, Raw: state.Document})
 	if newer := c.replaceConfig(config); newer != nil {
 		return newer, nil
 	}
@@ -131,8 +133,8 @@
 	return config, nil
 }
 
-// replaceConfig makes a configuration the newest here; it returns the one that is not older
-// instead, if there is one.
+// replaceConfig sets the newest configuration of this core and returns nil. If the current
+// configuration is at least as new, replaceConfig returns the current configuration instead.
 func (c *Core) replaceConfig(config *Config) *Config {
 	for {
 		old := c.config.Load()
@@ -145,8 +147,10 @@
 	}
 }
 
-// followConfig keeps the newest confirmed configuration that the node knows of: it installs
-// one at once when it is notified, and tries again at every tick while it lacks it.
+// followConfig installs confirmed configurations. A configuration that arrives on the channel
+// confirmedConfigs is installed immediately. When followConfig is woken, and at every tick while
+// the node knows of a newer revision, followConfig reads the newest configuration through its
+// proposer if this core has a majority.
 func (c *Core) followConfig() {
 	ticker := time.NewTicker(configRetryInterval)
 	defer ticker.Stop()
@@ -154,7 +158,7 @@
 		select {
 		case raw := <-c.confirmedConfigs:
 			if _, fail := c.installConfig(raw); fail != nil {
-				c.Log.Error("confirmed configuration cannot be read", zap.Error(fail))
+				c.Log.Error("cannot install confirmed configuration", zap.Error(fail))
 			}
 			continue
 		case <-c.configWake:
@@ -168,15 +172,15 @@
 		if view := c.View(); view == nil || !view.Majority {
 			continue
 		}
-		// It is known that there is a newer one, so its revision need not be asked for first.
+		// A newer configuration is known to exist, so a read of the revision first is unnecessary.
 		if _, fail := c.readConfig(context.Background(), configReadBudget); fail != nil {
 			c.Metrics.Add("manifest_reads_failed", 1)
 		}
 	}
 }
 
-// configIsBehind reports whether the node knows of a newer configuration than the one here.
+// configIsBehind reports whether the node knows of a newer configuration than this core holds.
 func (c *Core) configIsBehind() bool {
-	known, have := c.knownConfigRevision.Load(), c.config.Load()
-	return known != 0 && (have == nil || uint64(have.Revision) < known)
+	known, current := c.knownConfigRevision.Load(), c.config.Load()
+	return known != 0 && (current == nil || uint64(current.Revision) < known)
 }
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -1,9 +1,9 @@
-// Package core is the core daemon: it drives the node's step function with real time, a real
-// disk and real messages.
+// Package core implements the core daemon, which runs the steps of a node with a real clock, a
+// real disk and a real network.
 //
-// Goroutines and what they own: loop owns the node and runs every step; journalLoop owns the
-// ring and makes records durable; one sendTo for each peer sends messages; followConfig keeps
-// the newest confirmed configuration; discover looks for cores while there is no majority.
+// The daemon has these goroutines: loop owns the node and runs every step; journalLoop owns the
+// ring and makes records durable; one sendLoop per peer sends messages; followConfig keeps the
+// newest confirmed configuration; discover searches for cores while this core has no majority.
 package core
 
 import (
@@ -27,23 +27,26 @@
 )
 
 const (
-	// tickInterval is how often the node is told the time.
+	// tickInterval is the time between two ticks of the node.
 	tickInterval = 25 * time.Millisecond
-	// The queues hold this many steps, batches of effects for the journal, and messages for a peer.
+	// stepQueueSize is the capacity of the step queue, journalQueueSize the number of effects that
+	// can wait for the journal, and peerQueueSize the number of messages that can wait for one peer.
 	stepQueueSize    = 8192
 	journalQueueSize = 4096
 	peerQueueSize    = 4096
-	// maxBatch bounds the items that the journal and the senders take at once.
-	maxBatch      = 256
+	// maxBatchItems is the largest number of items that the journal or a sender handles as one batch.
+	maxBatchItems = 256
+	// maxBatchBytes is the estimated size at which a request to a peer takes no further message.
 	maxBatchBytes = 4 << 20
-	// confirmedConfigQueueSize bounds the confirmed configurations that wait to be installed.
+	// confirmedConfigQueueSize is the largest number of confirmed configurations that wait to be
+	// installed.
 	confirmedConfigQueueSize = 4
 )
 
-// Core is the running daemon. Invariants: only the loop touches the node; only the journal
-// touches the ring; a message that speaks of this disk's state is sent only once the records
-// that it rests on are synced. clock advances by bounded steps, so that neither a clock that
-// jumps nor a pause of the process makes a lease look older than it is.
+// Core is the core daemon. Invariants: only loop accesses the node; only journalLoop accesses the
+// ring; a message that states what this disk holds is sent only after the records that the message
+// depends on are synced. clock advances in bounded steps, so that neither a jump of the clock nor a
+// pause of the process makes a lease look older than the lease is.
 type Core struct {
 	Settings settings.Core
 	Log      *zap.Logger
@@ -54,7 +57,7 @@
 	ring   *ring.Ring
 	folder Folder
 	pool   *client.Pool
-	done   chan struct{} // closed when the daemon ends
+	done   chan struct{} // closed when the daemon stops
 
 	steps        *queue.Queue[func(monotime.Time) node.Effects]
 	journalQueue *queue.Queue[node.Effects]
@@ -66,8 +69,8 @@
 	peers   map[ident.Addr]*peerQueue
 
 	config              atomic.Pointer[Config]
-	configVersions      configHistory
-	knownConfigRevision atomic.Uint64 // newest revision that the node knows of
+	configHistory       configHistory
+	knownConfigRevision atomic.Uint64 // the newest revision that the node knows to exist
 	configWake          chan struct{}
 	confirmedConfigs    chan json.RawMessage
 
@@ -76,18 +79,18 @@
 
 	diskFailed     atomic.Bool
 	diskFull       atomic.Bool
-	diskBusySince  atomic.Int64 // when the journal began its batch, 0 between batches
-	pendingEffects atomic.Int64 // effects that the journal has not released yet
+	diskBusySince  atomic.Int64 // when the journal began the current batch; 0 between batches
+	pendingEffects atomic.Int64 // number of effects that the journal has not dispatched yet
 }
 
-// Folder is the data folder; closing it releases it to other processes.
+// Folder is the data folder of a core. Close allows other processes to open the folder.
 type Folder interface {
 	ring.Folder
 	io.Closer
 }
 
-// Open recovers the core from its data folder, which the core closes when it ends. Start
-// starts it.
+// Open recovers a core from its data folder. Close closes the folder. The returned core does
+// nothing until Start is called.
 func Open(options settings.Core, log *zap.Logger, folder Folder) (*Core, error) {
 	c := &Core{
 		Settings:         options,
@@ -113,8 +116,8 @@
 	return c, nil
 }
 
-// recover opens the ring, makes the node of what it holds, and syncs the records that a new
-// disk begins with.
+// recover opens the ring, restores the node from the records in the ring, and syncs the initial
+// records of a new disk.
 func (c *Core) recover() error {
 	var err error
 	options := ring.Options{FileCount: c.Settings.RingFiles, FileSize: c.Settings.RingFileBytes}
@@ -122,17 +125,17 @@
 		return err
 	}
 	records := c.ring.Records()
-	var firstRecords []ring.Record
-	if c.node, firstRecords, err = node.New(c.clock(), c.nodeConfig(), records); err != nil {
+	var initialRecords []ring.Record
+	if c.node, initialRecords, err = node.New(c.clock(), c.nodeConfig(), records); err != nil {
 		return err
 	}
-	if err := c.ring.Append(firstRecords); err != nil {
+	if err := c.ring.Append(initialRecords); err != nil {
 		return err
 	}
 	if err := c.ring.Sync(); err != nil {
 		return err
 	}
-	c.Log.Info("disk read", zap.String("disk", string(c.node.Disk)), zap.Int("records", len(records)), membershipEpoch(c.node))
+	c.Log.Info("state recovered from disk", zap.String("disk", string(c.node.Disk)), zap.Int("records", len(records)), membershipEpoch(c.node))
 	return nil
 }
 
@@ -151,7 +154,7 @@
 	}
 }
 
-// Start starts the daemon's goroutines; Close ends them.
+// Start starts the daemon's goroutines. Close stops them.
 func (c *Core) Start() {
 	go c.loop()
 	go c.journalLoop()
@@ -159,22 +162,22 @@
 	go c.discover()
 }
 
-// Close ends the daemon at once and releases its data folder. Leave comes before it in a
-// planned stop. Close does not wait for the goroutines, which end as soon as they see done: the
-// journal may be within a sync of a disk that has stalled, and a sender within a request.
+// Close stops the daemon immediately and closes its data folder. A planned stop calls Leave before
+// Close. Close does not wait for the goroutines, which return when they next check done: the
+// journal may be blocked in a sync of a stalled disk, and a sender in a request.
 func (c *Core) Close() {
 	close(c.done)
 	c.pool.Close()
 	_ = c.folder.Close()
 }
 
-// Done is closed when the daemon ends.
+// Done returns a channel that is closed when the daemon stops.
 func (c *Core) Done() <-chan struct{} { return c.done }
 
-// Leases is the node's lease table; only steps that RunStep runs may touch it.
+// Leases returns the node's lease table. Only steps passed to RunStep may access the table.
 func (c *Core) Leases() *leasetable.Table { return c.node.Leases }
 
-// Node is the node; only steps that RunStep runs may touch it.
+// Node returns the node. Only steps passed to RunStep may access the node.
 func (c *Core) Node() *node.Node { return c.node }
 
 func membershipEpoch(n *node.Node) zap.Field {
--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -10,25 +10,26 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// CoresPath answers with KnownCores; cores and sidecars serve it.
+// CoresPath is the path that returns KnownCores. Cores and sidecars serve CoresPath.
 const CoresPath = "/cottonarch/v1/cores"
 
 const (
-	// discoveryInterval is how often the seeds are asked, and discoveryTimeout bounds one answer.
+	// discoveryInterval is the time between two queries of the seeds, and discoveryTimeout the
+	// timeout of one query.
 	discoveryInterval = 500 * time.Millisecond
 	discoveryTimeout  = 500 * time.Millisecond
 )
 
-// KnownCores is the response at CoresPath: the cores that a process knows.
+// KnownCores is the response to a request at CoresPath: the cores that a process knows.
 type KnownCores struct {
 	Cores []ident.Addr `json:"cores"`
-	// FromCore says that the answer is a core's own, so all of Cores are cores; a sidecar may
-	// list seeds that it has not met.
+	// FromCore reports that the response is from a core, so every address in Cores is that of a
+	// core. The response of a sidecar may contain seeds that the sidecar has not contacted yet.
 	FromCore bool `json:"core,omitempty"`
 }
 
-// discover asks the seeds, which may be cores or sidecars, for the cores that they know, while
-// this core has no majority.
+// discover periodically queries the seeds, which may be cores or sidecars, for the cores that they
+// know, while this core has no majority.
 func (c *Core) discover() {
 	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
@@ -43,21 +44,21 @@
 		}
 		for _, seed := range c.Settings.Seeds {
 			if seed != c.Settings.Addr {
-				c.askSeed(seed)
+				c.querySeed(seed)
 			}
 		}
 	}
 }
 
-func (c *Core) askSeed(seed ident.Addr) {
+func (c *Core) querySeed(seed ident.Addr) {
 	ctx, cancel := context.WithTimeout(context.Background(), discoveryTimeout)
 	defer cancel()
-	var known KnownCores
-	if c.pool.Call(ctx, seed, http.MethodGet, CoresPath, nil, &known) != nil {
-		return // it is asked again at the next tick
+	var response KnownCores
+	if c.pool.Call(ctx, seed, http.MethodGet, CoresPath, nil, &response) != nil {
+		return // discover queries the seed again at the next tick
 	}
 	c.RunStep(func(now monotime.Time) node.Effects {
-		c.node.AddKnownCores(now, known.Cores)
+		c.node.AddKnownCores(now, response.Cores)
 		return node.Effects{}
 	})
 }
--- a/daemon/core/disk_compatibility_test.go
+++ b/daemon/core/disk_compatibility_test.go
@@ -21,15 +21,15 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// earlierDisk is the data folder of a core that was built from commit 3e0ca6c: one core at
-// earlierAddr, formed alone, with two configurations, a lock, a sequence, keys and the
-// entries of a keyspace written by its command line and its HTTP paths.
+// earlierDisk is the data folder of a core built from commit 3e0ca6c. The core had the address
+// earlierAddr and was the only founder. Two configurations, a lock, a sequence, keys and the entries
+// of a keyspace were written through the command line and the HTTP API.
 const (
 	earlierDisk = "testdata/disk-3e0ca6c"
 	earlierAddr = ident.Addr("127.0.0.1:39471")
 )
 
-// earlierConfig is the second configuration of earlierDisk, which revises the first.
+// earlierConfig is the second configuration of earlierDisk, a revision of the first.
 const earlierConfig = `{
 	"services": {
 		"accounts.prairie": {"namespace": "prairie", "drainS": 2, "reuseAfterS": 2, "allowance": {"part": 0.2}},
@@ -41,7 +41,7 @@
 	}
 }`
 
-// unpackDisk unpacks the files of a data folder into a new one.
+// unpackDisk decompresses the files of a data folder into a new folder and returns its path.
 func unpackDisk(t *testing.T, packed string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(packed, "ring-*.gz"))
@@ -63,7 +63,7 @@
 	return data
 }
 
-// openEarlierDisk starts a core on a copy of earlierDisk and waits until it serves.
+// openEarlierDisk starts a core on a copy of earlierDisk and waits until the core is ready.
 func openEarlierDisk(t *testing.T) *core.Core {
 	t.Helper()
 	folder, err := ring.OpenDiskFolder(unpackDisk(t, earlierDisk))
@@ -74,14 +74,14 @@
 	c.Start()
 	t.Cleanup(c.Close)
 	for deadline := time.Now().Add(10 * time.Second); !c.Ready(); time.Sleep(10 * time.Millisecond) {
-		must.True(t, time.Now().Before(deadline), must.Sprint("the core does not serve"))
+		must.True(t, time.Now().Before(deadline), must.Sprint("the core is not ready"))
 	}
 	return c
 }
 
-// A data folder written by an earlier release holds after an upgrade what it held before:
-// the configuration, locks, sequences, keys and entries, each at its revision; and each
-// goes on from there.
+// Guards against a change of the stored format that loses data on upgrade. A core must recover from
+// a data folder written by an earlier release the configuration, locks, sequences, keys and entries,
+// each at its revision, and later operations must continue from there.
 func TestDiskOfAnEarlierReleaseIsRead(t *testing.T) {
 	c := openEarlierDisk(t)
 	ctx := context.Background()
--- a/daemon/core/journal.go
+++ b/daemon/core/journal.go
@@ -6,11 +6,12 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// minFreeFraction is the free part of the ring below which the disk counts as full.
+// minFreeFraction is the free fraction of the ring below which the disk counts as full.
 const minFreeFraction = 0.25
 
-// journalLoop writes the records of a batch of effects, syncs once, and only then releases
-// what rests on them.
+// journalLoop writes the records of queued effects in batches. Each batch is synced once, and its
+// effects are dispatched only after the sync succeeds. After a failed write or sync, journalLoop
+// dispatches no effects any more.
 func (c *Core) journalLoop() {
 	var batch []node.Effects
 	for {
@@ -21,7 +22,7 @@
 		case <-c.done:
 			return
 		}
-		batch = c.journalQueue.Drain(batch, maxBatch)
+		batch = c.journalQueue.Drain(batch, maxBatchItems)
 		c.diskBusySince.Store(int64(c.clock()))
 		if err := c.writeBatch(batch); err != nil && !c.diskFailed.Swap(true) {
 			c.Log.Error("disk failed; this core no longer votes", zap.Error(err))
@@ -29,34 +30,34 @@
 		c.diskBusySince.Store(0)
 		for _, effects := range batch {
 			if !c.diskFailed.Load() {
-				c.release(effects)
+				c.dispatch(effects)
 			}
 		}
 		c.pendingEffects.Add(-int64(len(batch)))
-		c.reportRing()
+		c.updateRingMetrics()
 	}
 }
 
-// writeBatch appends the records of a batch and syncs them, if there are any.
+// writeBatch appends the records of a batch and syncs the ring if the batch has any records.
 func (c *Core) writeBatch(batch []node.Effects) error {
-	wrote := false
+	appended := false
 	for _, effects := range batch {
 		if len(effects.Records) == 0 {
 			continue
 		}
-		wrote = true
+		appended = true
 		if err := c.ring.Append(effects.Records); err != nil {
 			return err
 		}
 	}
-	if !wrote {
+	if !appended {
 		return nil
 	}
 	c.Metrics.Add("syncs", 1)
 	return c.ring.Sync()
 }
 
-func (c *Core) reportRing() {
+func (c *Core) updateRingMetrics() {
 	free := c.ring.FreeFraction()
 	c.diskFull.Store(free < minFreeFraction)
 	c.Metrics.Set("ring_room_percent", int64(free*100))
--- a/daemon/core/loop.go
+++ b/daemon/core/loop.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// viewInterval is how often the View is refreshed.
-	viewInterval = 200 * time.Millisecond
-	// stallTimeout is how long a batch may take before the disk counts as stalled.
+	// viewRefreshInterval is the time between two refreshes of the View.
+	viewRefreshInterval = 200 * time.Millisecond
+	// stallTimeout is the duration of a journal batch after which the disk counts as stalled.
 	stallTimeout = 1500 * time.Millisecond
 )
 
-// RunStep has the loop run a step; it returns false when the step queue is full.
+// RunStep queues a step for execution by loop. RunStep returns false if the step queue is full.
 func (c *Core) RunStep(step func(monotime.Time) node.Effects) bool {
 	if c.steps.TryPut(step) {
 		return true
@@ -26,11 +26,11 @@
 	return false
 }
 
-// loop runs the steps one after the other until the daemon ends.
+// loop runs the queued steps and the ticks, one at a time, until the daemon stops.
 func (c *Core) loop() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	viewedAt := c.clock()
+	refreshedAt := c.clock()
 	for {
 		var effects node.Effects
 		select {
@@ -39,8 +39,8 @@
 		case <-ticker.C:
 			now := c.clock()
 			effects = c.tick(now)
-			if now.Since(viewedAt) > viewInterval {
-				viewedAt = now
+			if now.Since(refreshedAt) > viewRefreshInterval {
+				refreshedAt = now
 				c.refreshView(now)
 			}
 		case <-c.done:
@@ -52,7 +52,7 @@
 	}
 }
 
-// tick tells the node of the disk's health and of the time.
+// tick updates the node's disk health and advances the node to the current time.
 func (c *Core) tick(now monotime.Time) node.Effects {
 	stalled, failed := c.diskStalled(now), c.diskFailed.Load()
 	if c.node.SetDiskFailed(stalled || failed) {
@@ -63,36 +63,35 @@
 	return effects
 }
 
-// diskStalled reports whether the journal's batch takes too long. Such a disk is not used until
-// the batch ends; one that failed is not used again.
+// diskStalled reports whether the current journal batch exceeds stallTimeout. A stalled disk is not
+// used until the batch ends; a failed disk is not used again while the process runs.
 func (c *Core) diskStalled(now monotime.Time) bool {
 	since := c.diskBusySince.Load()
 	return since != 0 && now.Since(monotime.Time(since)) > stallTimeout
 }
 
-// apply releases what rests on nothing, and hands the rest to the journal. It returns false
-// when the daemon ends.
+// apply dispatches the effects that don't depend on unsynced records, and queues the other effects
+// for the journal. apply returns false if the daemon stops.
 func (c *Core) apply(effects node.Effects) bool {
 	durable := effects.SplitDurable()
-	c.release(effects)
+	c.dispatch(effects)
 	switch {
 	case len(durable.Records) == 0 && len(durable.Sends) == 0:
 		return true
 	case len(durable.Records) == 0 && c.allSynced():
-		c.release(durable)
+		c.dispatch(durable)
 		return true
 	}
 	c.pendingEffects.Add(1)
 	return c.journalQueue.Put(durable, c.done)
 }
 
-// allSynced reports whether the disk holds all that the steps wrote so far; only the loop may
-// ask.
+// allSynced reports whether all records of earlier steps are synced. Only loop may call allSynced.
 func (c *Core) allSynced() bool { return c.pendingEffects.Load() == 0 && !c.diskFailed.Load() }
 
-// release sends the messages of effects, ends the requests that they answer and wakes those
-// who wait for a change. The records of the effects are already synced, or there are none.
-func (c *Core) release(effects node.Effects) {
+// dispatch sends the messages, delivers the results and signals the changes of effects. Any records
+// of the effects must already be synced.
+func (c *Core) dispatch(effects node.Effects) {
 	for _, send := range effects.Sends {
 		c.send(send)
 	}
@@ -105,11 +104,11 @@
 	if effects.SidecarViewChanged {
 		c.changes.notifyRegistry()
 	}
-	c.passConfig(effects)
+	c.deliverConfig(effects)
 }
 
-// send queues a message for its peer, or for the loop when it is for this core. A message that
-// finds a full queue is dropped: the steps repeat what they need.
+// send queues a message for a peer, or as a step if this core is the receiver. If the queue is
+// full, the message is dropped: the node sends again whatever is still needed.
 func (c *Core) send(outgoing node.Send) {
 	msg := outgoing.Msg
 	msg.From = c.Settings.Addr
@@ -117,14 +116,14 @@
 		c.RunStep(func(now monotime.Time) node.Effects { return c.node.Step(now, msg) })
 		return
 	}
-	if !c.queueTo(outgoing.To).push(msg) {
+	if !c.peerQueueFor(outgoing.To).push(msg) {
 		c.Metrics.Add("messages_dropped", 1)
 	}
 }
 
-// passConfig hands a confirmed configuration to followConfig, or wakes it when it has to read
-// the configuration itself.
-func (c *Core) passConfig(effects node.Effects) {
+// deliverConfig passes a confirmed configuration to followConfig. If the configuration is not part
+// of the effects, or the channel is full, followConfig is woken to read the configuration itself.
+func (c *Core) deliverConfig(effects node.Effects) {
 	if effects.ConfirmedConfig == nil {
 		for _, learned := range effects.Learned {
 			if learned.Key == proposal.Key {
--- a/daemon/core/messages.go
+++ b/daemon/core/messages.go
@@ -13,28 +13,30 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// MessagesPath takes a Batch of another core.
+// MessagesPath is the path at which a core receives a Batch from another core.
 const MessagesPath = "/cottonarch/v1/messages"
 
-// sendTimeout bounds one request that carries a batch.
+// sendTimeout is the timeout of a request that carries a batch.
 const sendTimeout = 1500 * time.Millisecond
 
-// What a message takes in a batch besides its values, roughly, in bytes.
+// Estimated sizes in bytes, used by approximateSize: messageOverhead is the size of a message
+// without its value, otherMessageSize that of a message of any other type or of a patch without its
+// content, and scanResponseEstimate that of a scan response.
 const (
 	messageOverhead      = 200
 	otherMessageSize     = 400
 	scanResponseEstimate = 1 << 20
 )
 
-// Batch is what one core posts to another, and the reply to it. From is the sender of every
-// message that names none.
+// Batch holds the messages that one core posts to another, or the messages of the reply. From is
+// the sender of every message whose own From is empty.
 type Batch struct {
 	From     ident.Addr        `json:"from,omitempty"`
 	Messages []message.Message `json:"messages,omitempty"`
 }
 
-// sendTo sends what waits for one peer until the daemon ends.
-func (c *Core) sendTo(addr ident.Addr, q *peerQueue) {
+// sendLoop sends the queued messages of one peer in batches until the daemon stops.
+func (c *Core) sendLoop(addr ident.Addr, q *peerQueue) {
 	var messages []message.Message
 	for {
 		messages = messages[:0]
@@ -44,10 +46,10 @@
 		case <-c.done:
 			return
 		}
-		messages = q.Drain(messages, maxBatch)
+		messages = q.Drain(messages, maxBatchItems)
 		q.attachHeartbeat(messages)
 		for i := range messages {
-			messages[i].From = "" // the batch names the sender
+			messages[i].From = "" // Batch.From names the sender
 		}
 		for len(messages) > 0 {
 			count := batchLength(messages)
@@ -57,8 +59,8 @@
 	}
 }
 
-// batchLength is how many of the messages go into one request: at least one, and no more once
-// maxBatchBytes are reached.
+// batchLength returns the number of messages to send in one request: at least one, and no further
+// message once the estimated size reaches maxBatchBytes.
 func batchLength(messages []message.Message) int {
 	count, size := 0, 0
 	for count < len(messages) && (count == 0 || size < maxBatchBytes) {
@@ -68,8 +70,9 @@
 	return count
 }
 
-// postBatch sends one batch and takes in the reply. A batch that may have been lost is not
-// sent again: the steps repeat what they need.
+// postBatch sends one batch and queues the messages of the reply as steps. A batch that may have
+// been lost is not sent again: the node sends again whatever is still needed. A refused connection
+// marks the peer as unreachable.
 func (c *Core) postBatch(addr ident.Addr, messages []message.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
@@ -87,7 +90,7 @@
 	c.Metrics.Add("posts", 1)
 }
 
-// approximateSize is about how many bytes a message takes in a batch.
+// approximateSize returns the estimated size of a message in a batch, in bytes.
 func approximateSize(m message.Message) int {
 	switch {
 	case m.Request != nil && m.Request.Patch != nil:
@@ -106,8 +109,8 @@
 	return otherMessageSize
 }
 
-// Receive has the loop take in a batch of messages. The reply holds what the steps want sent
-// to the batch's senders at once; what has to wait for the disk is posted later.
+// Receive runs a step for each message of a batch. The reply holds the messages of these steps to
+// the senders that don't depend on unsynced records; the messages that do are posted after the sync.
 func (c *Core) Receive(ctx context.Context, batch Batch) (reply Batch) {
 	replies := make(chan []message.Message, len(batch.Messages))
 	pending := 0
@@ -136,15 +139,15 @@
 	return reply
 }
 
-// takeReplies takes out of the effects the messages to one core that rest on nothing unsynced;
-// it runs in the loop.
+// takeReplies removes from the effects, and returns, the messages to one core that don't depend on
+// unsynced records. Only loop may call takeReplies.
 func (c *Core) takeReplies(to ident.Addr, effects *node.Effects) (replies []message.Message) {
 	durable := effects.SplitDurable()
-	var others []node.Send
+	var otherSends []node.Send
 	split := func(sends []node.Send) {
 		for _, send := range sends {
 			if send.To != to || to == c.Settings.Addr {
-				others = append(others, send)
+				otherSends = append(otherSends, send)
 				continue
 			}
 			replies = append(replies, send.Msg)
@@ -155,6 +158,6 @@
 		split(durable.Sends)
 		durable.Sends = nil
 	}
-	effects.Records, effects.Sends = durable.Records, append(others, durable.Sends...)
+	effects.Records, effects.Sends = durable.Records, append(otherSends, durable.Sends...)
 	return replies
 }
--- a/daemon/core/peer_queue.go
+++ b/daemon/core/peer_queue.go
@@ -8,16 +8,17 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// peerQueue is what waits to be sent to one peer. Invariant: of heartbeats only the newest
-// waits, merged with what the ones before it said; an empty message in the queue holds its
-// place.
+// peerQueue holds the messages that wait to be sent to one peer. Invariant: at most one heartbeat
+// waits, the newest, merged with the waiting heartbeats of the same run that the newest replaced; an
+// empty message in the queue is the placeholder of the waiting heartbeat.
 type peerQueue struct {
 	*queue.Queue[message.Message]
 	mu        sync.Mutex
 	heartbeat *message.Heartbeat
 }
 
-// push puts a message in; it returns false when there is no room.
+// push appends a message, or merges a heartbeat into the waiting heartbeat. push returns false if
+// the queue is full.
 func (q *peerQueue) push(m message.Message) bool {
 	if m.Heartbeat == nil {
 		return q.TryPut(m)
@@ -39,7 +40,7 @@
 	return true
 }
 
-// attachHeartbeat puts the waiting heartbeat into the message that holds its place.
+// attachHeartbeat moves the waiting heartbeat into its placeholder among messages.
 func (q *peerQueue) attachHeartbeat(messages []message.Message) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -50,15 +51,16 @@
 	}
 }
 
-// queueTo returns the queue of a peer, and starts its sender when the peer is new.
-func (c *Core) queueTo(addr ident.Addr) *peerQueue {
+// peerQueueFor returns the queue of a peer. For a new peer, peerQueueFor creates the queue and
+// starts a sendLoop.
+func (c *Core) peerQueueFor(addr ident.Addr) *peerQueue {
 	c.peersMu.Lock()
 	defer c.peersMu.Unlock()
 	q := c.peers[addr]
 	if q == nil {
 		q = &peerQueue{Queue: queue.New[message.Message](peerQueueSize)}
 		c.peers[addr] = q
-		go c.sendTo(addr, q)
+		go c.sendLoop(addr, q)
 	}
 	return q
 }
--- a/daemon/core/peer_queue_test.go
+++ b/daemon/core/peer_queue_test.go
@@ -9,13 +9,16 @@
 	"cottonarch.example/cottonarch/control/core/message"
 )
 
-// Whole and brief heartbeats of two runs, other messages and drains, in all orders: only the
-// newest heartbeat is ever sent, and a brief one never hides what a whole one still had to say.
-func TestAllOrdersOfWaitingHeartbeats(t *testing.T) {
+// Pushes full and brief heartbeats of two runs and other messages, and drains the queue, in every
+// order of six steps. Only the newest heartbeat must be sent, and a brief heartbeat must not
+// discard the fields of a full heartbeat of the same run that waits.
+func TestPendingHeartbeatsMergeInAnyOrder(t *testing.T) {
 	for order := range 5 * 5 * 5 * 5 * 5 * 5 {
 		q := &peerQueue{Queue: queue.New[message.Message](64)}
 		lastNumber, othersPushed := uint64(0), 0
-		var whole, pending bool // what was pushed since the last drain
+		// Whether a full heartbeat of the current run, and whether any heartbeat, was pushed since the
+		// last drain.
+		var full, pending bool
 		var run uint64
 		for rest, i := order, 0; i < 6; rest, i = rest/5, i+1 {
 			pushHeartbeat := func(r uint64, brief bool) {
@@ -25,7 +28,7 @@
 					heartbeat.Disk = "d"
 				}
 				must.True(t, q.push(message.Message{Heartbeat: &heartbeat}))
-				whole = !brief || whole && pending && r == run
+				full = !brief || full && pending && r == run
 				pending, run = true, r
 			}
 			switch rest % 5 {
@@ -50,12 +53,12 @@
 					}
 					heartbeats++
 					must.Eq(t, lastNumber, m.Heartbeat.Seq, must.Sprintf("order %d", order))
-					must.Eq(t, whole, !m.Heartbeat.Brief, must.Sprintf("order %d", order))
-					must.Eq(t, whole, m.Heartbeat.Disk == "d", must.Sprintf("order %d", order))
+					must.Eq(t, full, !m.Heartbeat.Brief, must.Sprintf("order %d", order))
+					must.Eq(t, full, m.Heartbeat.Disk == "d", must.Sprintf("order %d", order))
 				}
 				must.Eq(t, pending, heartbeats == 1, must.Sprintf("order %d", order))
 				must.Eq(t, othersPushed, others)
-				pending, whole, othersPushed = false, false, 0
+				pending, full, othersPushed = false, false, 0
 			}
 		}
 	}
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -12,11 +12,11 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// resultMargin is how much longer than its budget a request is waited for: the node itself
-// ends it in time unless the loop is held up.
+// resultMargin is how long after the end of its budget a request is abandoned. The node ends every
+// request within its budget unless loop is delayed.
 const resultMargin = time.Second
 
-// resultWaiters holds the channels of the requests whose results are out, by their tickets.
+// resultWaiters holds the result channels of the pending requests, by ticket.
 type resultWaiters struct {
 	mu       sync.Mutex
 	last     uint64
@@ -27,7 +27,7 @@
 	return resultWaiters{byTicket: map[uint64]chan node.Result{}}
 }
 
-// add returns a new ticket, and the channel that its result comes on.
+// add returns a new ticket and the channel that receives the result.
 func (w *resultWaiters) add() (uint64, <-chan node.Result) {
 	result := make(chan node.Result, 1)
 	w.mu.Lock()
@@ -37,14 +37,14 @@
 	return w.last, result
 }
 
-// remove forgets a ticket whose result nobody waits for any more.
+// remove deletes a ticket whose result is no longer awaited.
 func (w *resultWaiters) remove(ticket uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.byTicket, ticket)
 }
 
-// resolve hands a result to its waiter, if there is one still.
+// resolve delivers a result to its waiter. A result without a waiter is discarded.
 func (w *resultWaiters) resolve(result node.Result) {
 	w.mu.Lock()
 	waiter := w.byTicket[result.Ticket]
@@ -55,7 +55,7 @@
 	}
 }
 
-// await runs a step that starts a request, and waits for the request's result.
+// await runs a step that starts a request, and waits for the result of the request.
 func (c *Core) await(ctx context.Context, start func(now monotime.Time, ticket uint64) node.Effects) node.Result {
 	ticket, result := c.waiters.add()
 	if !c.RunStep(func(now monotime.Time) node.Effects { return start(now, ticket) }) {
@@ -67,15 +67,15 @@
 		return r
 	case <-ctx.Done():
 		c.waiters.remove(ticket)
-		return node.Result{Failure: failure.NewUnknown(failure.UnknownOutcome, "no response came in time")}
+		return node.Result{Failure: failure.NewUnknown(failure.UnknownOutcome, "no response within the time limit")}
 	case <-c.done:
 		c.waiters.remove(ticket)
-		return node.Result{Failure: failure.NewUnknown(failure.Stopping, "the core stops")}
+		return node.Result{Failure: failure.NewUnknown(failure.Stopping, "the core is stopping")}
 	}
 }
 
-// Execute runs one operation and waits for its result, at most budget. Time in the step queue
-// counts, so a process that was held up does not begin what nobody waits for any more.
+// Execute runs one operation and waits for its result. The time in the step queue counts against
+// budget, so that a delayed process does not start an operation whose caller has given up.
 func (c *Core) Execute(ctx context.Context, operation proposer.Operation, budget time.Duration) node.Result {
 	c.Metrics.Add("deeds", 1)
 	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
@@ -83,16 +83,16 @@
 	clock := monotime.ProcessClock()
 	start := clock()
 	return c.await(ctx, func(now monotime.Time, ticket uint64) node.Effects {
-		left := budget - clock().Since(start)
-		if left <= 0 {
-			tooLate := failure.New(failure.Busy, "the time for the operation ended in the step queue").WithRetryAfter(1)
-			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: tooLate}}}
+		remaining := budget - clock().Since(start)
+		if remaining <= 0 {
+			expired := failure.New(failure.Busy, "the time budget of the operation expired in the step queue").WithRetryAfter(1)
+			return node.Effects{Results: []node.Result{{Ticket: ticket, Failure: expired}}}
 		}
-		return c.node.Submit(now, ticket, operation, left)
+		return c.node.Submit(now, ticket, operation, remaining)
 	})
 }
 
-// Join lets a sidecar join and waits for the result.
+// Join submits the join of a sidecar and waits for the result.
 func (c *Core) Join(ctx context.Context, request joinqueue.Request) node.Result {
 	ctx, cancel := context.WithTimeout(ctx, node.JoinBudget+resultMargin)
 	defer cancel()
@@ -103,7 +103,8 @@
 	})
 }
 
-// QuorumRead reads the records below a prefix from a majority, with their values or without.
+// QuorumRead reads the records of all keys with a prefix from a majority, with or without their
+// values.
 func (c *Core) QuorumRead(ctx context.Context, prefix string, values bool, budget time.Duration) node.Result {
 	c.Metrics.Add("surveys", 1)
 	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
--- a/daemon/core/stop.go
+++ b/daemon/core/stop.go
@@ -7,20 +7,21 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// leaveInterval is how often a planned stop is carried on.
-const leaveInterval = 30 * time.Millisecond
+// leavePollInterval is the time between two calls of continueLeave during a planned stop.
+const leavePollInterval = 30 * time.Millisecond
 
-// Leave is the planned stop: it names successors for this core's keys, finishes the requests
-// that are out, and returns when that is done, or after the limit.
+// Leave performs a planned stop: the core hands its keys over to successors and completes the
+// requests in progress. Leave returns when both are done, or after the limit. A second call returns
+// immediately.
 func (c *Core) Leave(limit time.Duration) {
 	if c.leaving.Swap(true) {
 		return
 	}
-	c.Log.Info("planned stop began")
+	c.Log.Info("planned stop started")
 	close(c.stopping)
 	c.RunStep(func(now monotime.Time) node.Effects { return c.node.Leave(now, limit) })
 	deadline := time.Now().Add(limit)
-	ticker := time.NewTicker(leaveInterval)
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for time.Now().Before(deadline) {
 		<-ticker.C
@@ -30,24 +31,24 @@
 	}
 }
 
-// continueLeave carries the planned stop on, and reports whether it is done.
+// continueLeave advances the planned stop and reports whether the stop is complete.
 func (c *Core) continueLeave() bool {
-	finished := make(chan bool, 1)
+	result := make(chan bool, 1)
 	queued := c.RunStep(func(now monotime.Time) node.Effects {
-		left, effects := c.node.ContinueLeave(now)
-		finished <- left
+		finished, effects := c.node.ContinueLeave(now)
+		result <- finished
 		return effects
 	})
-	return queued && <-finished
+	return queued && <-result
 }
 
 // Leaving reports whether a planned stop has begun.
 func (c *Core) Leaving() bool { return c.leaving.Load() }
 
-// Stopping is closed when a planned stop begins: long polls end then.
+// Stopping returns a channel that is closed when a planned stop begins, so that long polls end.
 func (c *Core) Stopping() <-chan struct{} { return c.stopping }
 
-// Ready reports whether the core serves.
+// Ready reports whether the core can serve requests: it has a majority and is not leaving.
 func (c *Core) Ready() bool {
 	view := c.View()
 	return view != nil && view.Majority && !c.leaving.Load()
--- a/daemon/core/view.go
+++ b/daemon/core/view.go
@@ -15,26 +15,26 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// View is a copy of the node's state for status pages and the mesh; it is never changed.
+// View is an immutable copy of the node's state, used by the status path and the mesh API.
 type View struct {
-	Disk            ident.Disk            `json:"disk"`
-	Membership      quorum.Membership     `json:"roster"`
-	Votes           bool                  `json:"votes"`
-	Voters          int                   `json:"voters"`
-	Majority        bool                  `json:"majority"`
-	HeldKeys        int                   `json:"owned"`
-	Records         int                   `json:"cells"`
-	AntiEntropyDuty bool                  `json:"duty"`
-	Cores           []ident.Addr          `json:"cores"`
-	Places          []record.CoreLocation `json:"-"`
-	PlacesDigest    string                `json:"-"` // equal for equal Places
-	ConfigRevision  ident.ConfigRevision  `json:"epoch,omitempty"`
-	Members         []leasetable.Member   `json:"members"`
-	AntiEntropy     *AntiEntropyPass      `json:"sweep,omitempty"` // set while this core holds the anti-entropy duty
+	Disk                ident.Disk            `json:"disk"`
+	Membership          quorum.Membership     `json:"roster"`
+	Votes               bool                  `json:"votes"`
+	Voters              int                   `json:"voters"`
+	Majority            bool                  `json:"majority"`
+	HeldKeys            int                   `json:"owned"`
+	Records             int                   `json:"cells"`
+	HoldsSingletonRole  bool                  `json:"duty"`
+	Cores               []ident.Addr          `json:"cores"`
+	CoreLocations       []record.CoreLocation `json:"-"`
+	CoreLocationsDigest string                `json:"-"` // equal for equal CoreLocations
+	ConfigRevision      ident.ConfigRevision  `json:"epoch,omitempty"`
+	Members             []leasetable.Member   `json:"members"`
+	AntiEntropy         *AntiEntropyPass      `json:"sweep,omitempty"` // set while this core holds the singleton role
 }
 
-// AntiEntropyPass is what the last anti-entropy pass found. Invariant: it is Complete if and
-// only if every disk that counts was compared and no key differed.
+// AntiEntropyPass is the result of the last anti-entropy pass. Invariant: Complete is true if and
+// only if every counted disk was read and no key differed.
 type AntiEntropyPass struct {
 	Complete      bool  `json:"whole"`
 	DisksRead     int   `json:"read"`
@@ -43,49 +43,51 @@
 	AgeMillis     int64 `json:"agoMs"`
 }
 
-// View is the newest copy of the node's state.
+// View returns the newest copy of the node's state.
 func (c *Core) View() *View { return c.view.Load() }
 
-// refreshView copies the node's state, and logs when it changed; only the loop may call it.
+// refreshView replaces the View with a copy of the node's current state, and logs a change of this
+// core's role. After Start, only loop may call refreshView.
 func (c *Core) refreshView(now monotime.Time) {
 	view := newView(c.node, now)
 	if config := c.config.Load(); config != nil {
 		view.ConfigRevision = config.Revision
 	}
 	old := c.view.Swap(view)
-	c.reportNode(view)
+	c.updateNodeMetrics(view)
 	if old != nil && old.roleDiffers(view) {
-		c.Log.Info("state changed",
+		c.Log.Info("core role changed",
 			zap.String("disk", string(view.Disk)),
 			zap.Bool("votes", view.Votes),
 			zap.Bool("majority", view.Majority),
-			zap.Bool("anti_entropy_duty", view.AntiEntropyDuty),
+			zap.Bool("anti_entropy_duty", view.HoldsSingletonRole),
 			membershipEpoch(c.node))
 	}
 }
 
-// roleDiffers reports whether what this core does for the others differs between two views.
+// roleDiffers reports whether this core's voting, majority, singleton role or disk differs between
+// two views.
 func (v *View) roleDiffers(other *View) bool {
 	return v.Votes != other.Votes || v.Majority != other.Majority ||
-		v.AntiEntropyDuty != other.AntiEntropyDuty || v.Disk != other.Disk
+		v.HoldsSingletonRole != other.HoldsSingletonRole || v.Disk != other.Disk
 }
 
 func newView(n *node.Node, now monotime.Time) *View {
-	membership, places := n.Membership(), n.CoreLocations(now)
+	membership, locations := n.Membership(), n.CoreLocations(now)
 	return &View{
-		Disk:            n.Disk,
-		Membership:      membership,
-		Votes:           n.IsVoter(),
-		Voters:          len(membership.Voters),
-		Majority:        n.HasMajority(now),
-		HeldKeys:        len(n.HeldKeys()),
-		Records:         n.RecordCount(),
-		AntiEntropyDuty: n.HoldsSingletonRole(),
-		Cores:           n.ActiveCores(now),
-		Places:          places,
-		PlacesDigest:    placesDigest(places),
-		Members:         n.Leases.Members(),
-		AntiEntropy:     newAntiEntropyPass(n, now),
+		Disk:                n.Disk,
+		Membership:          membership,
+		Votes:               n.IsVoter(),
+		Voters:              len(membership.Voters),
+		Majority:            n.HasMajority(now),
+		HeldKeys:            len(n.HeldKeys()),
+		Records:             n.RecordCount(),
+		HoldsSingletonRole:  n.HoldsSingletonRole(),
+		Cores:               n.ActiveCores(now),
+		CoreLocations:       locations,
+		CoreLocationsDigest: locationsDigest(locations),
+		Members:             n.Leases.Members(),
+		AntiEntropy:         newAntiEntropyPass(n, now),
 	}
 }
 
@@ -103,8 +105,8 @@
 	}
 }
 
-// reportNode sets the node's counters.
-func (c *Core) reportNode(view *View) {
+// updateNodeMetrics sets the metrics of the node.
+func (c *Core) updateNodeMetrics(view *View) {
 	proposer := c.node.Proposer()
 	for name, value := range map[string]uint64{
 		"takes":           proposer.Prepares,
@@ -124,11 +126,11 @@
 	}
 }
 
-// placesDigest returns equal digests for equal lists of places.
-func placesDigest(places []record.CoreLocation) string {
+// locationsDigest returns a digest that is equal for equal lists of locations.
+func locationsDigest(locations []record.CoreLocation) string {
 	hash := fnv.New64a()
-	for _, place := range places {
-		_, _ = fmt.Fprintf(hash, "%s %s\n", place.Addr, place.Zone)
+	for _, location := range locations {
+		_, _ = fmt.Fprintf(hash, "%s %s\n", location.Addr, location.Zone)
 	}
 	return strconv.FormatUint(hash.Sum64(), 36)
 }
