--- a/daemon/api/apitest/apitest.go
+++ b/daemon/api/apitest/apitest.go
@@ -1,4 +1,4 @@
-// Package apitest serves the API of a core in tests, without processes and sockets.
+// Package apitest serves the API of a core in tests, without separate processes or sockets.
 package apitest
 
 import (
@@ -20,23 +20,24 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// ReadyTimeout bounds how long a core may take until it serves operations.
+// ReadyTimeout is the maximum time until a started core must execute operations.
 const ReadyTimeout = time.Minute
 
-// memoryFolder is a disk in memory.
+// memoryFolder is an in-memory data folder.
 type memoryFolder struct{ *ring.MemoryFolder }
 
 // Close does nothing.
 func (memoryFolder) Close() error { return nil }
 
-// API is the API of the only core of a mesh.
+// API is the API of the only core in a mesh.
 type API struct{ router *mux.Router }
 
-// Start starts the core, on a disk in memory, and waits until it serves operations: until a
-// GET of probe, a path that names nothing, gives 404. The core ends with the test.
+// Start starts a core with an in-memory data folder and waits until the core executes operations:
+// until a GET request for probe, the path of an object that does not exist, returns 404. The core is
+// closed at the end of the test.
 func Start(t *testing.T, paths func(*core.Core) server.Paths, probe string) API {
 	t.Helper()
-	const addr = ident.Addr("127.0.0.1:1") // a single core connects to nobody
+	const addr = ident.Addr("127.0.0.1:1") // a single core opens no connections
 	options := settings.Core{
 		Addr: addr, Listen: addr, Zone: "z",
 		Seeds: []ident.Addr{addr}, Founders: []ident.Addr{addr}, Voters: 1,
@@ -61,7 +62,7 @@
 	}
 }
 
-// Request returns the status and the body of the response to a request.
+// Request sends a request and returns the status and the body of the response.
 func (a API) Request(method, path, body string) (int, string) {
 	recorder := httptest.NewRecorder()
 	a.router.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
--- a/daemon/api/coordination/api_test.go
+++ b/daemon/api/coordination/api_test.go
@@ -13,15 +13,15 @@
 	"cottonarch.example/cottonarch/daemon/api/coordination"
 )
 
-// apiCall is one request and the expected response.
+// apiCall is a request with the expected response.
 type apiCall struct {
 	method, path, body string
 	code               int
-	want               string // the body without the cursor; of a failure, what it contains
+	want               string // the body without the cursor; for a failure, a substring of the body
 }
 
-// operationCalls go over every path of the API, one after the other. CURSOR stands for the cursor of
-// the last watch.
+// operationCalls covers every path of the API. The calls depend on each other and run in sequence.
+// CURSOR stands for the cursor in the response to the latest watch.
 var operationCalls = []apiCall{
 	{"POST", "/locks/l/claim", `{"holder":"a","ttlMs":600000}`, 200, `{"fence":1,"held":true,"holder":"a","revision":1,"ttlMs":600000}`},
 	{"POST", "/locks/l/claim", `{"holder":"b","ttlMs":600000}`, 409, `"defect":"held"`},
@@ -72,8 +72,8 @@
 	{"GET", "/groups/g.?after=2&waitMs=x", ``, 400, `"defect":"malformed"`},
 }
 
-// The operations of the API, one after the other: the whole body of an accepted one, the kind
-// of failure of a rejected one.
+// Runs operationCalls in sequence. Each accepted operation must get the expected body, and each
+// rejected operation the expected kind of failure.
 func TestOperations(t *testing.T) {
 	api := apitest.Start(t, coordination.Paths, "/keys/none")
 	cursor := ""
@@ -98,7 +98,8 @@
 	}
 }
 
-// A watch returns as soon as a key below its prefix changes, long before its time is over.
+// Guards against a missed signal, after which a watch would wait for its full time. A watch of keys
+// and a watch of a keyspace must respond as soon as a watched key changes.
 func TestWatchReturnsOnAChange(t *testing.T) {
 	api := apitest.Start(t, coordination.Paths, "/keys/none")
 	code, _ := api.Request("PUT", "/keys/a", "1")
--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -15,33 +15,33 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// stoppingRetrySeconds is when to retry a watch that a stopping core ended.
+// stoppingRetrySeconds is the Retry-After of a watch that ended because the core is stopping.
 const stoppingRetrySeconds = 1
 
-// Entry is an entry of a keyspace under its whole key.
+// Entry is an entry of a keyspace. Name is the full key, including the name of the keyspace.
 type Entry struct {
 	Name     string          `json:"name"`
 	Value    json.RawMessage `json:"value"`
 	Revision ident.Revision  `json:"revision"`
 }
 
-// Changes is the response to a watch of a keyspace: the puts after the requested revision, up
-// to Revision.
+// Changes is the response to a watch of a keyspace: the puts after the requested revision, up to and
+// including Revision.
 type Changes struct {
 	Events   []Entry        `json:"events"`
 	Revision ident.Revision `json:"revision"`
 }
 
-// Put sets the value of an entry. It fails with Conflict, which has the entry's revision, with
-// Invalid, Oversize or Busy, and as core.Execute does.
+// Put sets the value of an entry. Put fails with Conflict, which contains the entry's revision, with
+// Invalid, Oversize or Busy, and with the failures of core.Execute.
 func Put(
 	ctx context.Context, c *core.Core, key string, value json.RawMessage, ifRevision *ident.Revision, budget time.Duration,
 ) (Entry, *failure.Error) {
 	return executeOnEntry(ctx, c, key, keyspace.PutKind, keyspace.Args{Value: value, IfRevision: ifRevision}, budget)
 }
 
-// Get returns an entry, no older than any put that was confirmed before the call. It fails
-// with NotFound if the entry does not exist, and as core.Execute does.
+// Get returns an entry that is no older than any put confirmed before the call. Get fails with
+// NotFound if the entry does not exist, and with the failures of core.Execute.
 func Get(ctx context.Context, c *core.Core, key string, budget time.Duration) (Entry, *failure.Error) {
 	return executeOnEntry(ctx, c, key, keyspace.ReadKind, keyspace.Args{}, budget)
 }
@@ -55,20 +55,21 @@
 	}
 	var put keyspace.Put
 	if err := json.Unmarshal(result.Body, &put); err != nil {
-		return Entry{}, failure.NewUnknown(failure.Corrupted, "entry: %v", err)
+		return Entry{}, failure.NewUnknown(failure.Corrupted, "cannot decode entry %q: %v", key, err)
 	}
 	return Entry{key, put.Value, put.Revision}, nil
 }
 
-// Watch waits for puts of a keyspace after a revision, for at most wait; after 0 returns the
-// current revision at once. Each read takes at most budget and is no older than its beginning;
-// the response at the end of the wait is older by at most one read and one poll interval. It
-// fails with Compacted or Stopping, and as core.Execute does; it never changes anything.
+// Watch waits for puts to a keyspace after a revision, for at most wait. If after is 0, Watch returns
+// the current revision immediately. Each read takes at most budget and includes every put confirmed
+// before the read began; a response at the end of the wait is out of date by at most one read and
+// one poll interval. Watch fails with Compacted or Stopping, and with the failures of core.Execute.
+// Watch never changes any state.
 func Watch(ctx context.Context, c *core.Core, name string, after ident.Revision, wait, budget time.Duration) (Changes, *failure.Error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		// The signal is taken before the read, so that no change between them is missed.
+		// KeyChanged is called before the read, so that no change between the two is missed.
 		changed := c.KeyChanged(keyspace.ControlKey(name))
 		changes, err := changesAfter(ctx, c, name, after, budget)
 		if err != nil {
@@ -82,14 +83,15 @@
 		case wakeDeadline:
 			return changes, nil
 		case wakeStopping:
-			return Changes{}, failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetrySeconds)
+			return Changes{}, failure.New(failure.Stopping, "the core is stopping").WithRetryAfter(stoppingRetrySeconds)
 		case wakeCanceled:
-			return Changes{}, failure.New(failure.DeadlineExceeded, "the client is gone")
+			return Changes{}, failure.New(failure.DeadlineExceeded, "the request ended before a change to keyspace %q", name)
 		}
 	}
 }
 
-// changesAfter reads the puts of a keyspace after a revision, none if it is 0.
+// changesAfter reads the puts to a keyspace after a revision. For revision 0, changesAfter reads only
+// the current revision and no puts.
 func changesAfter(ctx context.Context, c *core.Core, name string, after ident.Revision, budget time.Duration) (Changes, *failure.Error) {
 	var args keyspace.Args
 	if after > 0 {
@@ -105,7 +107,7 @@
 	}
 	var decoded keyspace.Changes
 	if err := json.Unmarshal(result.Body, &decoded); err != nil {
-		return Changes{}, failure.New(failure.Corrupted, "changes: %v", err)
+		return Changes{}, failure.New(failure.Corrupted, "cannot decode the changes of keyspace %q: %v", name, err)
 	}
 	changes := Changes{Events: make([]Entry, len(decoded.Events)), Revision: decoded.Revision}
 	for i, put := range decoded.Events {
@@ -124,14 +126,14 @@
 	respond(w, entry, err)
 }
 
-// putEntry sets the value of an entry to the body.
+// putEntry sets the value of an entry to the body of the request.
 func (h handlers) putEntry(w http.ResponseWriter, r *http.Request) {
 	key, err := PathName(r)
 	if err != nil {
 		response.WriteError(w, err)
 		return
 	}
-	value, required, err := readWrite(r)
+	value, required, err := parseWrite(r)
 	if err != nil {
 		response.WriteError(w, err)
 		return
@@ -155,7 +157,7 @@
 	respond(w, changes, err)
 }
 
-// respond sends a value, or the failure if there is one.
+// respond writes the failure if there is one, and otherwise the value.
 func respond(w http.ResponseWriter, value any, err *failure.Error) {
 	if err != nil {
 		response.WriteError(w, err)
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	// keyPrefix begins the control keys of the applications' keys.
+	// keyPrefix is the prefix of the control keys that hold the keys of applications.
 	keyPrefix = "key/"
-	// maxListedKeys bounds the keys of a list and of a watch.
+	// maxListedKeys is the maximum number of keys in a list and in a watch.
 	maxListedKeys = 10000
 )
 
-// ListedKey is one key of a list.
+// ListedKey is one key in a list of keys, with its revision and value.
 type ListedKey struct {
 	Key ident.Key `json:"key"`
 	keyvalue.Response
 }
 
-// keyList is the response to a list of keys.
+// keyList is the response to a request for a list of keys.
 type keyList struct {
 	Keys []ListedKey `json:"keys"`
 }
 
-// writeKey sets the value of a key to the body.
-func (h handlers) writeKey(w http.ResponseWriter, r *http.Request) {
-	value, required, err := readWrite(r)
+// putKey sets the value of a key to the body of the request.
+func (h handlers) putKey(w http.ResponseWriter, r *http.Request) {
+	value, required, err := parseWrite(r)
 	if err != nil {
 		response.WriteError(w, err)
 		return
@@ -44,8 +44,8 @@
 	h.execute(w, r, keyvalue.WriteKind, keyvalue.Args{Value: value, IfRevision: required})
 }
 
-func (h handlers) removeKey(w http.ResponseWriter, r *http.Request) {
-	required, err := ifRevision(r)
+func (h handlers) deleteKey(w http.ResponseWriter, r *http.Request) {
+	required, err := requiredRevision(r)
 	if err != nil {
 		response.WriteError(w, err)
 		return
@@ -53,7 +53,7 @@
 	h.execute(w, r, keyvalue.DeleteKind, keyvalue.Args{IfRevision: required})
 }
 
-// listKeys responds with all keys below a prefix, in order, from a quorum read.
+// listKeys responds with all keys that begin with a prefix, in ascending order, from a quorum read.
 func (h handlers) listKeys(w http.ResponseWriter, r *http.Request) {
 	result := h.core.QuorumRead(r.Context(), keyPrefix+r.URL.Query().Get("prefix"), true, requestTimeout)
 	if result.Failure != nil {
@@ -79,8 +79,8 @@
 	response.WriteJSON(w, http.StatusOK, keyList{listed})
 }
 
-// currentValue returns the value of a key from a quorum read, or through the key's proposer
-// if the majority does not agree on it.
+// currentValue returns the value of a key from a quorum read. If the majority does not agree on the
+// record, currentValue reads the key through its proposer.
 func (h handlers) currentValue(ctx context.Context, controlKey ident.Key, found quorumread.Entry) (keyvalue.Response, *failure.Error) {
 	if !found.Agreed {
 		return h.readThroughProposer(ctx, controlKey, nil)
@@ -95,7 +95,8 @@
 	return keyvalue.Response{Revision: latest.Revision, Value: latest.Value, Deleted: latest.Deleted}, nil
 }
 
-// readThroughProposer reads a key, with its changes after a revision if one is given.
+// readThroughProposer reads a key through its proposer. If since is set, the response includes the
+// changes after that revision.
 func (h handlers) readThroughProposer(
 	ctx context.Context, controlKey ident.Key, since *ident.Revision,
 ) (keyvalue.Response, *failure.Error) {
@@ -112,5 +113,5 @@
 }
 
 func tooManyKeys() *failure.Error {
-	return failure.New(failure.Oversize, "more than %d keys: name a longer prefix", maxListedKeys)
+	return failure.New(failure.Oversize, "more than %d keys match the prefix: use a longer prefix", maxListedKeys)
 }
--- a/daemon/api/coordination/paths.go
+++ b/daemon/api/coordination/paths.go
@@ -1,5 +1,5 @@
-// Package coordination is the API of a core for applications: locks, rising numbers, keys and
-// keyspaces with watches.
+// Package coordination implements the API of a core for applications: locks, sequences, keys, and
+// keyspaces, with watches of keys and keyspaces.
 package coordination
 
 import (
@@ -29,52 +29,52 @@
 	requestTimeout = 4 * time.Second
 )
 
-// reservedPrefix begins the names that only the mesh itself uses.
+// reservedPrefix is the prefix of names that are reserved for the mesh itself.
 const reservedPrefix = "cottonarch."
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,255}$`)
 
-// handlers serve the API of one core.
+// handlers serves the API of one core.
 type handlers struct{ core *core.Core }
 
 // Paths returns the handlers of the API.
 func Paths(c *core.Core) server.Paths {
 	h := handlers{c}
 	return server.Paths{
-		"/locks/{name:.+}/claim":   {"POST": h.operation(lock.AcquireKind)},
-		"/locks/{name:.+}/renew":   {"POST": h.operation(lock.RenewKind)},
-		"/locks/{name:.+}/release": {"POST": h.operation(lock.ReleaseKind)},
-		"/locks/{name:.+}/pass":    {"POST": h.operation(lock.TransferKind)},
-		"/locks/{name:.+}":         {"GET": h.read(lock.ReadKind)},
-		"/numbers/{name:.+}/next":  {"POST": h.operation(sequence.NextKind)},
-		"/numbers/{name:.+}":       {"GET": h.read(sequence.ReadKind)},
+		"/locks/{name:.+}/claim":   {"POST": h.operationHandler(lock.AcquireKind)},
+		"/locks/{name:.+}/renew":   {"POST": h.operationHandler(lock.RenewKind)},
+		"/locks/{name:.+}/release": {"POST": h.operationHandler(lock.ReleaseKind)},
+		"/locks/{name:.+}/pass":    {"POST": h.operationHandler(lock.TransferKind)},
+		"/locks/{name:.+}":         {"GET": h.readHandler(lock.ReadKind)},
+		"/numbers/{name:.+}/next":  {"POST": h.operationHandler(sequence.NextKind)},
+		"/numbers/{name:.+}":       {"GET": h.readHandler(sequence.ReadKind)},
 		"/keys":                    {"GET": h.listKeys},
-		"/keys/{name:.+}":          {"GET": h.read(keyvalue.ReadKind), "PUT": h.writeKey, "DELETE": h.removeKey},
+		"/keys/{name:.+}":          {"GET": h.readHandler(keyvalue.ReadKind), "PUT": h.putKey, "DELETE": h.deleteKey},
 		"/watch":                   {"GET": h.watchKeys},
 		"/cells/{name:.+}":         {"GET": h.getEntry, "PUT": h.putEntry},
 		"/groups/{name:.+}":        {"GET": h.watchKeyspace},
 	}
 }
 
-// PathName returns the name in the path. Invalid says that it is malformed or reserved for
-// the mesh itself.
+// PathName returns the name in the path of a request. PathName fails with Invalid if the name is
+// malformed or reserved for the mesh itself.
 func PathName(r *http.Request) (string, *failure.Error) {
 	name := mux.Vars(r)["name"]
 	if !validName.MatchString(name) || strings.HasPrefix(name, reservedPrefix) {
 		return "", failure.New(failure.Invalid,
-			"%q is not a valid name: letters, digits and ._:/- up to 256, not beginning with cottonarch.", name)
+			"name %q is invalid: a name has 1 to 256 letters, digits and characters of ._:/-, begins with a letter or digit, and not with cottonarch.", name)
 	}
 	return name, nil
 }
 
-// operation returns a handler that executes operations of a kind, whose arguments are the JSON
-// body; an empty body gives none.
-func (h handlers) operation(kind string) http.HandlerFunc {
+// operationHandler returns a handler that executes operations of a kind with the JSON body as the
+// arguments. An empty body means no arguments.
+func (h handlers) operationHandler(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		args := json.RawMessage("{}")
 		body, err := response.ReadBody(r, maxBodyBytes)
 		if err == nil && len(body) > 0 {
-			args, err = body, checkJSON(body)
+			args, err = body, validateJSON(body)
 		}
 		if err != nil {
 			response.WriteError(w, err)
@@ -84,16 +84,17 @@
 	}
 }
 
-// read returns a handler that executes operations of a kind without arguments.
-func (h handlers) read(kind string) http.HandlerFunc {
+// readHandler returns a handler that executes operations of a kind without arguments.
+func (h handlers) readHandler(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		h.execute(w, r, kind, json.RawMessage("{}"))
 	}
 }
 
-// execute executes an operation on the name in the path and responds with the body of its
-// result, to which it adds the revision. Idempotency-Key makes a repeat harmless. The control
-// key is the name below the first part of the kind.
+// execute executes an operation on the object named in the path and responds with the body of the
+// result, to which the revision is added if absent. The header Idempotency-Key makes the request
+// safe to repeat. The control key consists of the part of kind before the slash, a slash, and the
+// name.
 func (h handlers) execute(w http.ResponseWriter, r *http.Request, kind string, args any) {
 	name, err := PathName(r)
 	if err != nil {
@@ -113,11 +114,11 @@
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(result.Body, &fields); err != nil {
-		response.WriteError(w, failure.New(failure.Corrupted, "response: %v", err))
+		response.WriteError(w, failure.New(failure.Corrupted, "cannot decode the result of %s for %q: %v", kind, name, err))
 		return
 	}
 	if kind == keyvalue.ReadKind && fields["deleted"] == true {
-		response.WriteError(w, failure.New(failure.NotFound, "there is no such key"))
+		response.WriteError(w, failure.New(failure.NotFound, "key %q does not exist", name))
 		return
 	}
 	if _, ok := fields["revision"]; !ok {
--- a/daemon/api/coordination/poll.go
+++ b/daemon/api/coordination/poll.go
@@ -7,24 +7,24 @@
 	"cottonarch.example/cottonarch/daemon/core"
 )
 
-// pollInterval is how often a watch reads when it learns of no change.
+// pollInterval is the time between two reads of a watch while no change is signaled.
 const pollInterval = time.Second
 
-// wakeReason is why a watch stopped waiting.
+// wakeReason is the reason why a watch stopped waiting.
 type wakeReason int
 
 const (
-	// wakeRead means that a change was learned of or that the poll interval is over.
+	// wakeRead means that a change was signaled or that the poll interval elapsed.
 	wakeRead wakeReason = iota
-	// wakeDeadline means that the time of the watch is over.
+	// wakeDeadline means that the wait time of the watch elapsed.
 	wakeDeadline
-	// wakeStopping means that the core stops.
+	// wakeStopping means that a planned stop of the core began.
 	wakeStopping
-	// wakeCanceled means that the client is gone.
+	// wakeCanceled means that the context of the request ended.
 	wakeCanceled
 )
 
-// awaitChange waits until a watch has to read again or ends.
+// awaitChange waits until a watch must read again or end.
 func awaitChange(ctx context.Context, c *core.Core, changed <-chan struct{}, deadline <-chan time.Time) wakeReason {
 	nextPoll := time.NewTimer(pollInterval)
 	defer nextPoll.Stop()
--- a/daemon/api/coordination/watch.go
+++ b/daemon/api/coordination/watch.go
@@ -12,24 +12,24 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// watchResponse is the response to a watch of keys: the events, and the cursor to continue
-// after them at any core.
+// watchResponse is the response to a watch of keys: the events, and the cursor with which the next
+// watch, at any core, continues after these events.
 type watchResponse struct {
 	Events []watch.Event `json:"events"`
 	Cursor string        `json:"place"`
 }
 
-// keyWatch is one request to watch the keys below a prefix.
+// keyWatch is one request to watch the keys that begin with a prefix.
 type keyWatch struct {
 	handlers
 	prefix string
 	cursor watch.Cursor
-	// initial says that the watcher has seen nothing, so it first receives the current values.
+	// initial is true if the request has no cursor, so the watcher first receives the current values.
 	initial bool
 }
 
-// watchKeys waits for changes of the keys below a prefix after a cursor. Without a cursor it
-// responds with the current values first.
+// watchKeys waits for changes after a cursor to the keys that begin with a prefix. Without a cursor,
+// watchKeys first responds with the current values.
 func (h handlers) watchKeys(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	cursor, err := watch.Decode(query.Get("place"))
@@ -46,14 +46,14 @@
 	request.serve(w, r, wait)
 }
 
-// serve responds as soon as there are events, and with none at the end of the wait.
+// serve responds as soon as there are events, or with no events at the end of the wait.
 func (k keyWatch) serve(w http.ResponseWriter, r *http.Request, wait time.Duration) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		// The signal is taken before the read, so that no change between them is missed.
+		// KeysChanged is called before the read, so that no change between the two is missed.
 		changed := k.core.KeysChanged()
-		events, err := k.events(r.Context())
+		events, err := k.pendingEvents(r.Context())
 		if err != nil {
 			response.WriteError(w, err)
 			return
@@ -68,7 +68,7 @@
 			response.WriteJSON(w, http.StatusOK, watchResponse{[]watch.Event{}, k.cursor.Encode()})
 			return
 		case wakeStopping:
-			response.WriteError(w, failure.New(failure.Stopping, "the core stops").WithRetryAfter(stoppingRetrySeconds))
+			response.WriteError(w, failure.New(failure.Stopping, "the core is stopping").WithRetryAfter(stoppingRetrySeconds))
 			return
 		case wakeCanceled:
 			return
@@ -76,8 +76,8 @@
 	}
 }
 
-// events returns what changed after the cursor and moves the cursor on.
-func (k keyWatch) events(ctx context.Context) ([]watch.Event, *failure.Error) {
+// pendingEvents returns the events after the cursor and advances the cursor past these events.
+func (k keyWatch) pendingEvents(ctx context.Context) ([]watch.Event, *failure.Error) {
 	result := k.core.QuorumRead(ctx, k.prefix, false, requestTimeout)
 	if result.Failure != nil {
 		return nil, result.Failure
@@ -89,7 +89,7 @@
 	if len(revisions) > maxListedKeys {
 		return nil, tooManyKeys()
 	}
-	// A watcher that has seen a key by now is not new any more.
+	// A watcher that has received any key is no longer new.
 	initial := k.initial && len(k.cursor) == 0
 	var events []watch.Event
 	for _, key := range k.cursor.StaleKeys(revisions) {
@@ -106,7 +106,7 @@
 	return events, nil
 }
 
-// initialEvents returns the value of a key as one event, none if the key was deleted.
+// initialEvents returns the current value of a key as one event, or no event if the key is deleted.
 func (k keyWatch) initialEvents(ctx context.Context, key ident.Key) ([]watch.Event, *failure.Error) {
 	current, err := k.readThroughProposer(ctx, keyPrefix+key, nil)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return []watch.Event{{Key: key, Change: change}}, nil
 }
 
-// changeEvents returns the changes of a key after the cursor.
+// changeEvents returns the changes of a key after the cursor as events.
 func (k keyWatch) changeEvents(ctx context.Context, key ident.Key) ([]watch.Event, *failure.Error) {
 	since := k.cursor[key]
 	current, err := k.readThroughProposer(ctx, keyPrefix+key, &since)
--- a/daemon/api/health/health.go
+++ b/daemon/api/health/health.go
@@ -1,5 +1,5 @@
-// Package health serves what the platform and operators may ask of any daemon: whether it is
-// ready, whether it is alive, its counters and its status.
+// Package health implements the health API that every daemon offers to the platform and to
+// operators: readiness, liveness, counters and status.
 package health
 
 import (
@@ -11,17 +11,18 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// readyResponse is the body of /ready; a daemon that is not ready answers with a failure.
+// readyResponse is the body of the response at /ready. A daemon that is not ready responds with a
+// failure instead.
 type readyResponse struct {
 	Ready bool `json:"ready"`
 }
 
-// liveResponse is the body of /live.
+// liveResponse is the body of the response at /live.
 type liveResponse struct {
 	Live bool `json:"live"`
 }
 
-// Paths returns the handlers of a daemon's health paths.
+// Paths returns the handlers of the health API.
 func Paths(ready func() bool, counters *metrics.Registry, status func() any) server.Paths {
 	return server.Paths{
 		"/ready": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
--- a/daemon/api/mesh/configpart.go
+++ b/daemon/api/mesh/configpart.go
@@ -15,12 +15,13 @@
 const (
 	// DefaultPartBytes is the default and the minimum size of a configuration part.
 	DefaultPartBytes = 256 << 10
-	// MaxPartBytes is the size of the largest part that may be asked for.
+	// MaxPartBytes is the maximum size of a part that a client can request.
 	MaxPartBytes = 2 * validation.MaxBytes
 )
 
-// ConfigPart is a bounded part of a configuration, or a delta to it in place of all its parts.
-// Size, Offset and Data are of the compressed form if Compressed is set.
+// ConfigPart is a part of a configuration, limited to MaxPartBytes, or a delta that replaces all
+// parts. Size is the size of the whole configuration. Size, Offset and Data refer to the compressed
+// form if Compressed is set.
 type ConfigPart struct {
 	Revision   ident.ConfigRevision `json:"epoch"`
 	Size       int                  `json:"size"`
@@ -30,8 +31,8 @@
 	Delta      *delta.Delta         `json:"delta,omitempty"`
 }
 
-// ConfigSource is a configuration that is served. DeltaFrom, if set, gives the delta from an older
-// revision, nil if there is none.
+// ConfigSource is a configuration to serve. DeltaFrom, if set, returns the delta from an older
+// revision, or nil if there is no such delta.
 type ConfigSource struct {
 	Revision   ident.ConfigRevision
 	Raw        json.RawMessage
@@ -39,24 +40,25 @@
 	DeltaFrom  func(from ident.ConfigRevision) *delta.Delta
 }
 
-// configPart serves the newest configuration that this core holds.
+// configPart serves one part of the newest configuration that this core holds.
 func (h handlers) configPart(w http.ResponseWriter, r *http.Request) {
-	held := h.core.Config()
-	if held == nil {
-		// Only a majority can tell that there is none.
-		response.WriteError(w, failure.New(failure.NotReady, "no configuration is known here").WithRetryAfter(retryAfterSeconds))
+	config := h.core.Config()
+	if config == nil {
+		// Only a majority can determine that no configuration exists, so the response is not NotFound.
+		response.WriteError(w, failure.New(failure.NotReady, "this core does not hold a configuration yet").WithRetryAfter(retryAfterSeconds))
 		return
 	}
-	ServeConfigPart(w, r, ConfigSource{Revision: held.Revision, Raw: held.Document, Compressed: held.Compressed, DeltaFrom: h.core.ConfigDelta})
+	ServeConfigPart(w, r, ConfigSource{Revision: config.Revision, Raw: config.Document, Compressed: config.Compressed, DeltaFrom: h.core.ConfigDelta})
 }
 
-// ServeConfigPart serves one part of a configuration: a delta to one who names a revision from
-// which there is one, and the compressed form to one who can read it.
+// ServeConfigPart serves one part of a configuration. A request for offset 0 that names a revision
+// for which a delta exists gets the delta instead. A request that accepts the compressed form gets a
+// part of the compressed form if there is one.
 func ServeConfigPart(w http.ResponseWriter, r *http.Request, source ConfigSource) {
 	query := r.URL.Query()
 	offset, err := strconv.Atoi(query.Get("at"))
 	if err != nil || offset < 0 {
-		response.WriteError(w, badOffset())
+		response.WriteError(w, invalidOffset())
 		return
 	}
 	if offset == 0 {
@@ -71,23 +73,23 @@
 		data = source.Compressed.Bytes()
 	}
 	if offset > len(data) {
-		response.WriteError(w, badOffset())
+		response.WriteError(w, invalidOffset())
 		return
 	}
-	part.Size, part.Data = len(data), data[offset:min(len(data), offset+partBytes(query.Get("bytes")))]
+	part.Size, part.Data = len(data), data[offset:min(len(data), offset+partSize(query.Get("bytes")))]
 	response.WriteJSON(w, http.StatusOK, part)
 }
 
-// partBytes is the size of the part to serve to one who asks for a size, which may be "".
-func partBytes(wanted string) int {
-	size, err := strconv.Atoi(wanted)
+// partSize returns the size of the part to serve for a requested size, which may be "".
+func partSize(requested string) int {
+	size, err := strconv.Atoi(requested)
 	if err != nil {
 		return DefaultPartBytes
 	}
 	return min(max(size, DefaultPartBytes), MaxPartBytes)
 }
 
-// delta returns the delta from a revision to the one that is served, nil if there is none.
+// delta returns the delta from a revision to the served revision, or nil if there is no such delta.
 func (s ConfigSource) delta(from string) *delta.Delta {
 	revision, err := strconv.ParseUint(from, 10, 64)
 	if err != nil || s.DeltaFrom == nil {
@@ -100,6 +102,6 @@
 	return change
 }
 
-func badOffset() *failure.Error {
-	return failure.New(failure.Malformed, "at is not an offset in the configuration")
+func invalidOffset() *failure.Error {
+	return failure.New(failure.Malformed, "the parameter at is not an offset within the configuration")
 }
--- a/daemon/api/mesh/join.go
+++ b/daemon/api/mesh/join.go
@@ -16,23 +16,23 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// budgetShareTimeout bounds the operation that changes a share of the retry budget.
+// budgetShareTimeout is the time budget of the operation that changes a share of the retry budget.
 const budgetShareTimeout = 3 * time.Second
 
-// JoinRequest asks for a lease. A repeat with the same AttemptID is the same join, at whichever
-// core.
+// JoinRequest requests a lease. A repeated request with the same AttemptID is the same join, even
+// at another core.
 type JoinRequest struct {
 	Node      ident.Node `json:"node"`
 	AttemptID string     `json:"run,omitempty"`
 }
 
-// validate tells what is wrong with a request.
+// validate returns an error if the request is invalid.
 func (r JoinRequest) validate() *failure.Error {
 	switch {
 	case r.Node == "":
 		return failure.New(failure.Invalid, "a join needs a node")
 	case len(r.AttemptID) > quota.MaxRunIDBytes:
-		return failure.New(failure.Invalid, "the id of a join has at most %d bytes", quota.MaxRunIDBytes)
+		return failure.New(failure.Invalid, "the attempt identifier of node %q is longer than %d bytes", r.Node, quota.MaxRunIDBytes)
 	default:
 		return nil
 	}
@@ -43,12 +43,12 @@
 	LeaseEpoch     ident.LeaseEpoch      `json:"claim"`
 	BudgetShare    quota.Share           `json:"share"`
 	Cores          []record.CoreLocation `json:"cores"`
-	CoresVersion   string                `json:"view"` // of Cores
+	CoresVersion   string                `json:"view"` // version of Cores
 	ConfigRevision ident.ConfigRevision  `json:"manifest"`
 }
 
-// join grants a lease. Joins that come at the same time go together: the lease's epoch, the share
-// of the retry budget and the newest configuration revision are read from a majority of disks.
+// join grants a lease. Concurrent joins are handled as one batch. The lease epoch, the share of the
+// retry budget and the newest configuration revision are read from a majority of disks.
 func (h handlers) join(w http.ResponseWriter, r *http.Request) {
 	var request JoinRequest
 	fail := response.DecodeBody(r, maxRequestBytes, &request)
@@ -59,18 +59,18 @@
 		response.WriteError(w, fail)
 		return
 	}
-	answer := h.core.Join(r.Context(), joinqueue.Request{
+	result := h.core.Join(r.Context(), joinqueue.Request{
 		Node:       request.Node,
 		Run:        request.AttemptID,
 		RetryTotal: h.core.Settings.RetryLimit,
 	})
-	if answer.Failure != nil {
-		response.WriteError(w, answer.Failure)
+	if result.Failure != nil {
+		response.WriteError(w, result.Failure)
 		return
 	}
 	var joined node.JoinResult
-	if err := json.Unmarshal(answer.Body, &joined); err != nil {
-		response.WriteError(w, failure.New(failure.Corrupted, "join: %v", err))
+	if err := json.Unmarshal(result.Body, &joined); err != nil {
+		response.WriteError(w, failure.New(failure.Corrupted, "cannot decode the result of the join of node %q: %v", request.Node, err))
 		return
 	}
 	h.core.Metrics.Add("claims", 1)
@@ -84,18 +84,18 @@
 	})
 }
 
-// budgetShare lowers or raises a sidecar's share of the retry budget.
+// budgetShare changes a sidecar's share of the retry budget.
 func (h handlers) budgetShare(w http.ResponseWriter, r *http.Request) {
 	var args quota.Args
 	if fail := response.DecodeBody(r, maxRequestBytes, &args); fail != nil {
 		response.WriteError(w, fail)
 		return
 	}
-	take := proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
-	answer := h.core.Execute(r.Context(), take, budgetShareTimeout)
-	if answer.Failure != nil {
-		response.WriteError(w, answer.Failure)
+	op := proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: operation.Encode(args.CappedBy(h.core.Settings.RetryLimit))}
+	result := h.core.Execute(r.Context(), op, budgetShareTimeout)
+	if result.Failure != nil {
+		response.WriteError(w, result.Failure)
 		return
 	}
-	response.WriteJSON(w, http.StatusOK, json.RawMessage(answer.Body))
+	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
--- a/daemon/api/mesh/lookup.go
+++ b/daemon/api/mesh/lookup.go
@@ -13,20 +13,20 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// registryState is the registry as this core has it.
+// registryState is this core's copy of the registry.
 type registryState struct {
 	sets  []record.Set
-	stale bool // no majority is heard: the records may be old
+	stale bool // the records may be outdated, because this core may lack the newest state
 }
 
-// lookup looks a record of the registry up, by its server id, namespace/hostname or
-// network/ip:port. A core that hears no majority says neither that it is there nor that it is not.
+// lookup returns a record of the registry by its server ID, namespace/hostname or network/ip:port.
+// A stale core responds with NoMajority whether or not its registry contains the record.
 func (h handlers) lookup(w http.ResponseWriter, r *http.Request) {
 	state, fail := runStep(h.core, func(now monotime.Time) (registryState, node.Effects) {
 		return registryState{sets: h.core.Leases().ChangesSince(0), stale: h.core.Node().StaleAt(now)}, node.Effects{}
 	})
 	if fail == nil && state.stale {
-		fail = failure.New(failure.NoMajority, "this core hears no majority").WithRetryAfter(retryAfterSeconds)
+		fail = failure.New(failure.NoMajority, "this core has no connection to a majority of the cores").WithRetryAfter(retryAfterSeconds)
 	}
 	if fail != nil {
 		response.WriteError(w, fail)
@@ -37,7 +37,7 @@
 	index.Merge(state.sets)
 	address, ok := index.Lookup(key)
 	if !ok {
-		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "the registry contains no address %q", key))
 		return
 	}
 	response.WriteJSON(w, http.StatusOK, address)
--- a/daemon/api/mesh/mesh.go
+++ b/daemon/api/mesh/mesh.go
@@ -1,5 +1,5 @@
-// Package mesh is the API of a core for sidecars and other cores: joins, renewals of leases, the
-// feed of the registry and the configuration, and the messages between cores.
+// Package mesh implements the API of a core for sidecars and other cores: joins, lease renewals, the
+// feed of registry and configuration changes, and the messages between cores.
 package mesh
 
 import (
@@ -13,41 +13,43 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// The paths of the API. Sidecars serve CoresPath and ConfigPartPath too.
+// Paths of the API. Sidecars also serve CoresPath and ConfigPartPath.
 const (
-	// MessagesPath takes the messages of other cores.
+	// MessagesPath receives the messages of other cores.
 	MessagesPath = core.MessagesPath
 	// CoresPath lists the cores.
 	CoresPath = core.CoresPath
 	// JoinPath grants a lease.
 	JoinPath = "/cottonarch/v1/claim"
-	// RenewPath renews one.
+	// RenewPath renews a lease.
 	RenewPath = "/cottonarch/v1/renew"
 	// BudgetSharePath changes a sidecar's share of the retry budget.
 	BudgetSharePath = "/cottonarch/v1/share"
-	// WatchPath is polled for changes of the registry and the configuration.
+	// WatchPath is long-polled for changes of the registry and the configuration.
 	WatchPath = "/cottonarch/v1/news"
-	// ConfigPartPath gives the configuration in parts.
+	// ConfigPartPath returns the configuration in parts.
 	ConfigPartPath = "/cottonarch/v1/part"
 
 	addressPath = "/address/{key:.+}"
 )
 
 const (
-	// maxBodyBytes bounds messages and renewals, and maxRequestBytes the smaller requests.
+	// maxBodyBytes is the maximum size of the body of a message batch or a renewal, and
+	// maxRequestBytes that of the other requests.
 	maxBodyBytes    = 32 << 20
 	maxRequestBytes = 1 << 16
-	// retryAfterSeconds is when a request may come again that this core can't answer now.
+	// retryAfterSeconds is the Retry-After of a request that this core cannot answer yet.
 	retryAfterSeconds = 1
 )
 
-// handlers serves the API of one core. instanceID names this run of it.
+// handlers serves the API of one core. instanceID identifies the run of the core.
 type handlers struct {
 	core       *core.Core
 	instanceID string
 }
 
-// Paths is the API of a core. instanceID names its run: positions in its feed hold for that only.
+// Paths returns the handlers of the API. instanceID identifies the run of the core: a position in
+// the feed is valid only for the same run.
 func Paths(c *core.Core, instanceID string) server.Paths {
 	h := handlers{core: c, instanceID: instanceID}
 	return server.Paths{
@@ -75,28 +77,29 @@
 	response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: h.core.View().Cores, FromCore: true})
 }
 
-// writeWithoutDate writes a response without the Date header, which would be a large part of it.
+// writeWithoutDate writes a response without the Date header, which would make up a large part of a
+// short response.
 func writeWithoutDate(w http.ResponseWriter, v any) {
 	w.Header()["Date"] = nil
 	response.WriteJSON(w, http.StatusOK, v)
 }
 
-// runStep runs a step in the core's loop, where its state may be read and changed, and waits for
-// its result.
+// runStep runs a step in the core's loop, where the core's state may be read and changed, and waits
+// for the result of the step.
 func runStep[T any](c *core.Core, step func(now monotime.Time) (T, node.Effects)) (result T, fail *failure.Error) {
 	done := make(chan T, 1)
-	taken := c.RunStep(func(now monotime.Time) node.Effects {
+	queued := c.RunStep(func(now monotime.Time) node.Effects {
 		value, effects := step(now)
 		done <- value
 		return effects
 	})
-	if !taken {
+	if !queued {
 		return result, failure.New(failure.Busy, "the core's step queue is full").WithRetryAfter(retryAfterSeconds)
 	}
 	select {
 	case result = <-done:
 		return result, nil
 	case <-c.Done():
-		return result, failure.New(failure.Stopping, "the core stops").WithRetryAfter(retryAfterSeconds)
+		return result, failure.New(failure.Stopping, "the core is stopping").WithRetryAfter(retryAfterSeconds)
 	}
 }
--- a/daemon/api/mesh/mesh_test.go
+++ b/daemon/api/mesh/mesh_test.go
@@ -18,11 +18,12 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-type memFolder struct{ *ring.MemoryFolder }
+type memoryFolder struct{ *ring.MemoryFolder }
 
-func (memFolder) Close() error { return nil }
+func (memoryFolder) Close() error { return nil }
 
-// startCore starts a core that looks for the other founders, and gives its API.
+// startCore starts a core with the given other founders, which are not running, and returns the core
+// and its API.
 func startCore(t *testing.T, founders ...ident.Addr) (*core.Core, http.Handler) {
 	addr := ident.Addr("127.0.0.1:9")
 	config := settings.Core{
@@ -34,7 +35,7 @@
 		RingFileBytes: 1 << 20,
 		RingFiles:     4,
 	}
-	c, err := core.Open(config, zap.NewNop(), memFolder{ring.NewMemoryFolder()})
+	c, err := core.Open(config, zap.NewNop(), memoryFolder{ring.NewMemoryFolder()})
 	must.NoError(t, err)
 	r := mux.NewRouter()
 	for path, methods := range mesh.Paths(c, "mark") {
@@ -47,22 +48,23 @@
 	return c, r
 }
 
-func get(h http.Handler, path string) int {
+func getStatus(h http.Handler, path string) int {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", path, strings.NewReader("")))
 	return w.Code
 }
 
-// A core that hears no majority says neither that a record is there nor that it is not, and not
-// that there is no configuration: 503. With a majority the same record is missing: 404.
-func TestNoMajorityIsNoMissing(t *testing.T) {
+// Guards against a core without a majority that responds from incomplete state. Such a core must
+// respond with 503, not 404, to a lookup of a missing record and to a request for a configuration.
+// A core with a majority responds to the same lookup with 404.
+func TestCoreWithoutMajorityDoesNotReportNotFound(t *testing.T) {
 	_, isolated := startCore(t, "127.0.0.1:7", "127.0.0.1:8")
 	_, connected := startCore(t)
 	deadline := time.Now().Add(2 * time.Minute)
-	for get(connected, "/address/none") != http.StatusNotFound && time.Now().Before(deadline) {
+	for getStatus(connected, "/address/none") != http.StatusNotFound && time.Now().Before(deadline) {
 		<-time.After(10 * time.Millisecond)
 	}
-	must.Eq(t, http.StatusNotFound, get(connected, "/address/none"))
-	must.Eq(t, http.StatusServiceUnavailable, get(isolated, "/address/none"))
-	must.Eq(t, http.StatusServiceUnavailable, get(isolated, mesh.ConfigPartPath+"?at=0"))
+	must.Eq(t, http.StatusNotFound, getStatus(connected, "/address/none"))
+	must.Eq(t, http.StatusServiceUnavailable, getStatus(isolated, "/address/none"))
+	must.Eq(t, http.StatusServiceUnavailable, getStatus(isolated, mesh.ConfigPartPath+"?at=0"))
 }
--- a/daemon/api/mesh/renew.go
+++ b/daemon/api/mesh/renew.go
@@ -10,14 +10,14 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// renewalResult is what the core's step makes of a renewal.
+// renewalResult is the result of the core's step for a renewal.
 type renewalResult struct {
 	response record.RenewalResponse
 	failure  *failure.Error
 }
 
-// renew renews a sidecar's lease. The list of the cores is sent only if the sidecar has another
-// version of it.
+// renew renews a sidecar's lease. The list of the cores is sent only if the sidecar has a different
+// version of the list.
 func (h handlers) renew(w http.ResponseWriter, r *http.Request) {
 	var request record.Renewal
 	if fail := response.DecodeBody(r, maxBodyBytes, &request); fail != nil {
@@ -44,8 +44,8 @@
 	if request.CoresVersion != view.CoreLocationsDigest {
 		renewed.Cores = view.CoreLocations
 	}
-	if held := h.core.Config(); held != nil {
-		renewed.ConfigRevision = held.Revision
+	if config := h.core.Config(); config != nil {
+		renewed.ConfigRevision = config.Revision
 	}
 	writeWithoutDate(w, renewed)
 }
--- a/daemon/api/mesh/watch.go
+++ b/daemon/api/mesh/watch.go
@@ -15,43 +15,46 @@
 )
 
 const (
-	// maxPollWait bounds a long poll, and defaultPollWait is that of a poll which names no time.
+	// maxPollWait is the maximum duration of a long poll, and defaultPollWait the duration of a poll
+	// that does not specify a duration.
 	maxPollWait     = 30 * time.Second
 	defaultPollWait = time.Second
-	// batchDelay is how long a change waits for others, so that they go out together.
+	// batchDelay is how long the response to a change is delayed, so that it includes further changes.
 	batchDelay = 20 * time.Millisecond
-	// burstBatchDelay is the same for a sidecar whose last poll was answered less than
-	// recentPollAge ago: while many sidecars join, each would else be told of every other one by
-	// itself.
+	// burstBatchDelay is the delay for a sidecar whose last poll was answered less than recentPollAge
+	// ago. Without the longer delay, while many sidecars join, each sidecar would get a separate
+	// response for every other sidecar.
 	burstBatchDelay = 100 * time.Millisecond
 	recentPollAge   = 200 * time.Millisecond
 )
 
-// WatchResponse tells a sidecar what changed. FeedVersion is the position in the feed of the run
-// of a core that InstanceID names.
+// WatchResponse is the response to a long poll of a sidecar. FeedVersion is a position in the feed
+// and is valid only for the run of a core that InstanceID identifies.
 type WatchResponse struct {
 	InstanceID     string               `json:"mark"`
 	FeedVersion    uint64               `json:"place"`
 	Sets           []record.Set         `json:"sets"`
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	Leaving        bool                 `json:"leaving,omitempty"`
-	// Stale says that this core has just lost sight of the newest configuration.
+	// Stale reports that this core became stale during the poll: the core can no longer determine or
+	// obtain the newest configuration.
 	Stale bool `json:"stale,omitempty"`
-	// Delta turns the configuration that the sidecar has into the newest one. It is left out where
-	// a fetch of the whole costs less.
+	// Delta transforms the configuration that the sidecar has into the newest configuration. Delta is
+	// omitted if fetching the whole configuration costs less.
 	Delta *delta.Delta `json:"delta,omitempty"`
 }
 
-// watchRequest is what a poll asks for: changes after a version of the feed, or a configuration
-// newer than the one that the sidecar has.
+// watchRequest holds the parameters of a long poll: the sidecar waits for registry changes after
+// feedVersion or a configuration newer than haveRevision.
 type watchRequest struct {
 	feedVersion  uint64
 	haveRevision ident.ConfigRevision
 	wait         time.Duration
 }
 
-// parseWatch reads a poll. A version of the feed of another run is none.
-func (h handlers) parseWatch(r *http.Request) watchRequest {
+// parseWatchRequest parses the query of a long poll. A position in the feed of another run is
+// replaced by 0, the beginning of the feed.
+func (h handlers) parseWatchRequest(r *http.Request) watchRequest {
 	query := r.URL.Query()
 	feedVersion, _ := strconv.ParseUint(query.Get("place"), 10, 64)
 	haveRevision, _ := strconv.ParseUint(query.Get("manifest"), 10, 64)
@@ -65,47 +68,48 @@
 	return watchRequest{feedVersion: feedVersion, haveRevision: ident.ConfigRevision(haveRevision), wait: wait}
 }
 
-// answeredBy reports whether an update brings anything for the sidecar.
-func (r watchRequest) answeredBy(update WatchResponse) bool {
+// satisfiedBy reports whether an update contains anything that the sidecar waits for.
+func (r watchRequest) satisfiedBy(update WatchResponse) bool {
 	return update.Leaving || update.Stale || len(update.Sets) > 0 || update.ConfigRevision > r.haveRevision
 }
 
-// watch answers a long poll: once there is a change, or when its time is over.
+// watch responds to a long poll when there is a change, when the wait time ends or when the core
+// stops.
 func (h handlers) watch(w http.ResponseWriter, r *http.Request) {
-	request := h.parseWatch(r)
+	request := h.parseWatchRequest(r)
 	timeout := time.NewTimer(request.wait)
 	defer timeout.Stop()
 	startedAt := time.Now()
-	wasStale := true // only a core that becomes stale meanwhile tells so
-	for last := false; ; {
+	wasStale := true // so that Stale is set only if the core becomes stale during the poll
+	for final := false; ; {
 		changed := h.core.RegistryChanged()
-		update, fail := h.update(request)
+		update, fail := h.currentUpdate(request)
 		if fail != nil {
 			response.WriteError(w, fail)
 			return
 		}
 		wasStale, update.Stale = update.Stale, update.Stale && !wasStale
-		if last || request.answeredBy(update) {
+		if final || request.satisfiedBy(update) {
 			response.WriteJSON(w, http.StatusOK, update)
 			return
 		}
 		select {
 		case <-changed:
-			time.Sleep(batchDelayFor(time.Since(startedAt), h.holdsNewer(request.haveRevision)))
+			time.Sleep(batchDelayFor(time.Since(startedAt), h.hasNewerConfig(request.haveRevision)))
 		case <-timeout.C:
-			last = true
+			final = true
 		case <-h.core.Stopping():
-			last = true
+			final = true
 		case <-h.core.Done():
-			last = true
+			final = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// update is what this core can answer to a poll now.
-func (h handlers) update(request watchRequest) (WatchResponse, *failure.Error) {
+// currentUpdate returns the response to a poll from the current state of this core.
+func (h handlers) currentUpdate(request watchRequest) (WatchResponse, *failure.Error) {
 	update, fail := runStep(h.core, func(monotime.Time) (WatchResponse, node.Effects) {
 		leases := h.core.Leases()
 		return WatchResponse{
@@ -119,8 +123,8 @@
 		return update, fail
 	}
 	update.Leaving = h.core.Leaving()
-	if held := h.core.Config(); held != nil {
-		update.ConfigRevision = held.Revision
+	if config := h.core.Config(); config != nil {
+		update.ConfigRevision = config.Revision
 	}
 	if update.ConfigRevision > request.haveRevision {
 		update.Delta = h.core.ConfigDelta(request.haveRevision)
@@ -128,17 +132,17 @@
 	return update, nil
 }
 
-// holdsNewer reports whether this core holds a configuration newer than a revision.
-func (h handlers) holdsNewer(revision ident.ConfigRevision) bool {
-	held := h.core.Config()
-	return held != nil && held.Revision > revision
+// hasNewerConfig reports whether this core holds a configuration newer than a revision.
+func (h handlers) hasNewerConfig(revision ident.ConfigRevision) bool {
+	config := h.core.Config()
+	return config != nil && config.Revision > revision
 }
 
-// batchDelayFor is how long a change waits for others. A sidecar polls again as soon as a poll was
-// answered, so the age of its poll is about the time since the last answer. A configuration does
-// not wait for the registry.
-func batchDelayFor(age time.Duration, configChanged bool) time.Duration {
-	if age < recentPollAge && !configChanged {
+// batchDelayFor returns how long the response to a change is delayed. A sidecar polls again as soon
+// as its previous poll was answered, so pollAge is approximately the time since the last response. A
+// new configuration never gets the longer delay, which serves registry changes only.
+func batchDelayFor(pollAge time.Duration, configChanged bool) time.Duration {
+	if pollAge < recentPollAge && !configChanged {
 		return burstBatchDelay
 	}
 	return batchDelay
--- a/daemon/api/mesh/watch_test.go
+++ b/daemon/api/mesh/watch_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A lone change goes out soon; changes that follow one another closely are batched for longer,
-// but never a configuration.
+// A single change is sent after the short delay. Changes in quick succession get the longer delay,
+// except a new configuration.
 func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	must.Eq(t, batchDelay, batchDelayFor(time.Second, false))
 	must.Eq(t, batchDelay, batchDelayFor(recentPollAge, false))
--- a/daemon/api/operator/api_test.go
+++ b/daemon/api/operator/api_test.go
@@ -14,8 +14,8 @@
 	"cottonarch.example/cottonarch/daemon/api/operator"
 )
 
-// The operations of the API, one after the other: the whole body of an accepted one, the kind
-// of failure or the first fault of a rejected one.
+// Runs requests to every path of the API in sequence. Each accepted request must get the expected
+// body, and each rejected request the expected kind of failure or first fault.
 func TestOperations(t *testing.T) {
 	api := apitest.Start(t, operator.Paths, "/rollouts/none")
 	for _, call := range []struct {
@@ -60,8 +60,8 @@
 	}
 }
 
-// The audit log comes to hold an entry for each accepted configuration, and continues what it
-// was before.
+// The audit log must eventually contain one entry for each accepted configuration, and each read
+// must be consistent with the checkpoint of the read before.
 func TestAuditLogFollowsConfigurations(t *testing.T) {
 	api := apitest.Start(t, operator.Paths, "/rollouts/none")
 	older := ""
@@ -74,7 +74,7 @@
 	}
 }
 
-// awaitAuditLog returns the audit log once it has a number of entries.
+// awaitAuditLog waits until the audit log has the given number of entries and returns the log.
 func awaitAuditLog(t *testing.T, api apitest.API, entries int) (log tree.Log) {
 	t.Helper()
 	for deadline := time.Now().Add(apitest.ReadyTimeout); ; time.Sleep(10 * time.Millisecond) {
--- a/daemon/api/operator/config.go
+++ b/daemon/api/operator/config.go
@@ -15,18 +15,19 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// maxBodyBytes leaves room for white space around a configuration of the largest size.
+// maxBodyBytes is the maximum size of a body. The body of a configuration of the maximum size may
+// contain up to 64 KiB of additional white space.
 const maxBodyBytes = validation.MaxBytes + 64<<10
 
 // proposeConfig proposes the body as the whole configuration.
 func (h handlers) proposeConfig(w http.ResponseWriter, r *http.Request) { h.propose(w, r, false) }
 
-// patchConfig proposes the body as a merge patch of the configuration.
+// patchConfig proposes the body as a merge patch to the configuration.
 func (h handlers) patchConfig(w http.ResponseWriter, r *http.Request) { h.propose(w, r, true) }
 
-// propose proposes a configuration or a merge patch and responds with its revision. baseEpoch
-// in the query may name the revision that it builds on; Idempotency-Key makes a repeat
-// harmless.
+// propose proposes a configuration or a merge patch and responds with the new revision. The query
+// parameter baseEpoch may name the revision on which the proposal is based. The header
+// Idempotency-Key makes the request safe to repeat.
 func (h handlers) propose(w http.ResponseWriter, r *http.Request, isPatch bool) {
 	args, err := readProposal(r, isPatch)
 	if err != nil {
@@ -48,8 +49,8 @@
 	response.WriteJSON(w, http.StatusOK, json.RawMessage(result.Body))
 }
 
-// readProposal reads a proposal from a request. What is invalid whatever configuration is in
-// force is rejected here, before it costs a round of messages.
+// readProposal parses a proposal. A proposal that is invalid regardless of the current configuration
+// is rejected here, without the cost of a consensus round.
 func readProposal(r *http.Request, isPatch bool) (proposal.Args, *failure.Error) {
 	body, err := response.ReadBody(r, maxBodyBytes)
 	if err != nil {
@@ -74,7 +75,7 @@
 	}, nil
 }
 
-// baseRevision returns the revision that a proposal builds on, nil if it names none.
+// baseRevision returns the revision on which a proposal is based, or nil if the request names none.
 func baseRevision(r *http.Request) (*ident.ConfigRevision, *failure.Error) {
 	text := r.URL.Query().Get("baseEpoch")
 	if text == "" {
@@ -82,13 +83,13 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return nil, failure.New(failure.Malformed, "baseEpoch is no whole number")
+		return nil, failure.New(failure.Malformed, "baseEpoch must be a whole number, not %q", text)
 	}
 	revision := ident.ConfigRevision(number)
 	return &revision, nil
 }
 
-// readConfig responds with the configuration in force, read through its proposer.
+// readConfig responds with the current configuration, read through its proposer.
 func (h handlers) readConfig(w http.ResponseWriter, r *http.Request) {
 	config, err := h.core.NewestConfig(r.Context(), requestTimeout)
 	if err != nil {
@@ -96,7 +97,7 @@
 		return
 	}
 	if config.Revision == 0 {
-		response.WriteError(w, failure.New(failure.NotFound, "there is no configuration yet"))
+		response.WriteError(w, failure.New(failure.NotFound, "no configuration has been confirmed yet"))
 		return
 	}
 	response.WriteJSON(w, http.StatusOK, config.State)
--- a/daemon/api/operator/paths.go
+++ b/daemon/api/operator/paths.go
@@ -1,5 +1,5 @@
-// Package operator is the API of a core for operators: configurations, rollouts and the audit
-// log.
+// Package operator implements the API of a core for operators: configurations, rollouts and the
+// audit log.
 package operator
 
 import (
@@ -22,13 +22,13 @@
 
 const (
 	requestTimeout = 4 * time.Second
-	// auditAttempts bounds the reads of an audit log that is being appended to.
+	// auditAttempts is the maximum number of reads of an audit log to which a core is appending.
 	auditAttempts = 5
-	// auditRetrySeconds is when to retry if all of them failed.
+	// auditRetrySeconds is the Retry-After if none of the reads returned a complete log.
 	auditRetrySeconds = 1
 )
 
-// handlers serve the API of one core.
+// handlers serves the API of one core.
 type handlers struct{ core *core.Core }
 
 // Paths returns the handlers of the API.
@@ -41,8 +41,8 @@
 	}
 }
 
-// execute executes an operation and responds with its result. Idempotency-Key makes a repeat
-// harmless.
+// execute executes an operation and responds with its result. The header Idempotency-Key makes the
+// request safe to repeat.
 func (h handlers) execute(w http.ResponseWriter, r *http.Request, op proposer.Operation) {
 	op.Op = ident.OperationID(r.Header.Get("Idempotency-Key"))
 	result := h.core.Execute(r.Context(), op, requestTimeout)
@@ -56,8 +56,9 @@
 // routeName returns the name of the route in the path.
 func routeName(r *http.Request) string { return mux.Vars(r)["way"] }
 
-// readAuditLog responds with the audit log and its checkpoint. A read of several segments may
-// miss an entry between them, so it is repeated.
+// readAuditLog responds with the audit log and its checkpoint. The log is read in several segments,
+// and an entry that is appended during the read can be missing between two segments. In that case
+// readAuditLog reads again.
 func (h handlers) readAuditLog(w http.ResponseWriter, r *http.Request) {
 	for range auditAttempts {
 		result := h.core.QuorumRead(r.Context(), segment.Prefix, true, requestTimeout)
@@ -77,5 +78,5 @@
 		response.WriteJSON(w, http.StatusOK, log)
 		return
 	}
-	response.WriteError(w, failure.New(failure.Busy, "the audit log is being appended to").WithRetryAfter(auditRetrySeconds))
+	response.WriteError(w, failure.New(failure.Busy, "no complete read of the audit log in %d attempts: entries are being appended", auditAttempts).WithRetryAfter(auditRetrySeconds))
 }
--- a/daemon/api/operator/rollouts.go
+++ b/daemon/api/operator/rollouts.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// maxRolloutBytes bounds the body that starts a rollout.
+// maxRolloutBytes is the maximum size of the body of a request that starts a rollout.
 const maxRolloutBytes = 64 << 10
 
 // readRollout responds with the newest rollout of a route.
@@ -19,7 +19,7 @@
 	h.execute(w, r, proposer.Operation{Key: rollout.Key(routeName(r)), Kind: rollout.ReadKind})
 }
 
-// startRollout starts a rollout of a route from its service to another one.
+// startRollout starts a rollout of a route from its current service to another service.
 func (h handlers) startRollout(w http.ResponseWriter, r *http.Request) {
 	var requested rollout.Rollout
 	if err := response.DecodeBody(r, maxRolloutBytes, &requested); err != nil {
@@ -38,13 +38,13 @@
 		}
 	}
 	if _, ok := config.Parsed.Services[requested.To]; requested.From == "" || !ok {
-		response.WriteError(w, failure.New(failure.NotFound, "there is no route %q or no service %q", requested.Route, requested.To))
+		response.WriteError(w, failure.New(failure.NotFound, "route %q or service %q does not exist", requested.Route, requested.To))
 		return
 	}
 	h.execute(w, r, proposer.Operation{Key: rollout.Key(requested.Route), Kind: rollout.StartKind, Args: operation.Encode(requested)})
 }
 
-// rollBack starts to give a route back to its old service.
+// rollBack begins to roll a route back to its previous service.
 func (h handlers) rollBack(w http.ResponseWriter, r *http.Request) {
 	key := rollout.Key(routeName(r))
 	result := h.core.Execute(r.Context(), proposer.Operation{Key: key, Kind: rollout.ReadKind}, requestTimeout)
@@ -54,7 +54,7 @@
 	}
 	var current rollout.Rollout
 	if err := json.Unmarshal(result.Body, &current); err != nil {
-		response.WriteError(w, failure.New(failure.Corrupted, "rollout: %v", err))
+		response.WriteError(w, failure.New(failure.Corrupted, "cannot decode the state of rollout %q: %v", key, err))
 		return
 	}
 	h.execute(w, r, proposer.Operation{Key: key, Kind: rollout.TransitionKind, Args: operation.Encode(rollout.Transition{
