--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles a core or a sidecar with the HTTP servers that it is reached by.
+// Package daemon assembles a core or a sidecar with its HTTP servers.
 package daemon
 
 import (
@@ -18,12 +18,12 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// deadPeerTimeout is how long the other end of a connection may leave bytes unacknowledged
-// before the connection is closed.
+// deadPeerTimeout is how long sent bytes may remain unacknowledged by the peer before the connection
+// is closed.
 const deadPeerTimeout = 3 * time.Second
 
-// Core opens a core on its data folder, and makes the server that it is reached by. Neither is
-// started yet.
+// Core opens a core with the data folder from the settings and creates the HTTP server of the core.
+// The caller starts the core and the server.
 func Core(options settings.Core, log *zap.Logger) (*core.Core, *server.Server, error) {
 	folder, err := ring.OpenDiskFolder(options.Data)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return c, srv, nil
 }
 
-// Sidecar makes a sidecar with its server towards the mesh and the one for clients. None of
-// them is started yet.
+// Sidecar creates a sidecar, its server for cores and other sidecars, and its server for clients. The
+// caller starts the sidecar and the servers.
 func Sidecar(options settings.Sidecar, log *zap.Logger) (s *sidecar.Sidecar, meshServer, clientServer *server.Server) {
 	warnDeprecated(log, options.DeprecatedKeys)
 	s = sidecar.New(options, log)
@@ -69,7 +69,7 @@
 	return s, meshServer, clientServer
 }
 
-// warnDeprecated logs the keys that the settings file gave under their old names.
+// warnDeprecated logs a warning for each deprecated key in the settings file.
 func warnDeprecated(log *zap.Logger, keys []settings.DeprecatedKey) {
 	for _, key := range keys {
 		log.Warn("deprecated settings key", zap.String("key", key.Old), zap.String("use", key.New))
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -10,8 +10,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// Each key that the settings file gave under its old name is warned of, with the new one.
-func TestDeprecatedKeysAreWarnedOf(t *testing.T) {
+// Each deprecated key in the settings file must produce a warning with the old and the new name.
+func TestDeprecatedKeysAreLogged(t *testing.T) {
 	logged, logs := observer.New(zap.InfoLevel)
 	options := settings.Sidecar{Addr: "127.0.0.1:1", Listen: "127.0.0.1:1", ClientAddr: "127.0.0.1:2", Node: "n", Zone: "z", Senders: 1, QueueCapacity: 1,
 		DeprecatedKeys: []settings.DeprecatedKey{{Old: "district", New: "zone"}, {Old: "caller", New: "clientAddress"}}}
--- a/daemon/integration/cluster_test.go
+++ b/daemon/integration/cluster_test.go
@@ -1,5 +1,5 @@
-// Package integration tests the real daemons, several in one process, over folders with faults
-// and loopback.
+// Package integration tests complete daemons, several in one process, on data folders with injected
+// faults and over loopback connections.
 package integration
 
 import (
@@ -27,26 +27,27 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// process is one daemon with its servers.
+// process is a running daemon with its servers.
 type process struct {
 	addr ident.Addr
 	core *core.Core // nil for a sidecar
-	stop func()     // the planned stop
-	kill func()     // ends it at once
+	stop func()     // performs a planned stop
+	kill func()     // stops the daemon immediately
 }
 
-// stopTimeout bounds the planned stop of a server.
+// stopTimeout is the timeout of the planned stop of a server.
 const stopTimeout = 2 * time.Minute
 
-// addrsGiven counts the addresses that freeAddr has given.
-var addrsGiven atomic.Uint32
+// allocatedAddrs is the number of addresses that freeAddr has returned.
+var allocatedAddrs atomic.Uint32
 
-// freeAddr is an address that nobody listens at. Its IP is one of loopback that is given once in this
-// process and to no other test process at the same time: on 127.0.0.1 an outgoing connection of anybody
-// could take the port before the server listens, or while it is down.
+// freeAddr returns an address on which no process listens. The IP is a loopback address that freeAddr
+// returns only once in this process and not in another test process that runs at the same time. On
+// 127.0.0.1 an outgoing connection of any process could occupy the port before the server listens or
+// while the server is down.
 func freeAddr(t *testing.T) ident.Addr {
 	const perByte = 250
-	n, pid := int(addrsGiven.Add(1)), os.Getpid()
+	n, pid := int(allocatedAddrs.Add(1)), os.Getpid()
 	must.Less(t, perByte, n, must.Sprint("too many addresses"))
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid/perByte%64, pid%perByte, n)
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -55,12 +56,13 @@
 	return ident.Addr(listener.Addr().String())
 }
 
-// startServers starts servers; stop is their planned stop, and kill ends them at once. An address
-// that another process has taken since it was found free ends the test.
+// startServers starts servers. stop performs their planned stop, and kill closes them immediately.
+// The test fails if another process has occupied the address of a server since freeAddr returned the
+// address.
 func startServers(t *testing.T, servers ...*server.Server) (stop, kill func()) {
 	t.Helper()
 	for _, srv := range servers {
-		_, err := srv.Endpoint() // it listens from now on
+		_, err := srv.Endpoint() // the server listens from now on
 		must.NoError(t, err)
 		go func() { _ = srv.Start(context.Background()) }()
 	}
@@ -85,7 +87,8 @@
 	_ = srv.Stop(ctx)
 }
 
-// coreCluster is the cores of one test, each on its own disk. A process is nil while it is down.
+// coreCluster holds the cores of one test, each with its own disk. The entry of a core in processes
+// is nil while the core is down.
 type coreCluster struct {
 	t         *testing.T
 	addrs     []ident.Addr
@@ -94,7 +97,7 @@
 	rng       *rand.Rand
 }
 
-// startCores starts cores and waits until each of them votes and hears a majority.
+// startCores starts cores and waits until each core is a voter and has a majority.
 func startCores(t *testing.T, n int) *coreCluster {
 	c := &coreCluster{t: t, rng: rand.New(rand.NewPCG(7, 7))}
 	for range n {
@@ -149,7 +152,8 @@
 	}
 }
 
-// powerOff turns a core's power off: only its disk is left, without what was not synced.
+// powerOff simulates a power loss of a core: the process is killed, and unsynced writes to the disk
+// are lost or torn.
 func (c *coreCluster) powerOff(i int) {
 	if running := c.processes[i]; running != nil {
 		c.processes[i] = nil
@@ -160,7 +164,7 @@
 
 var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// request sends a request and decodes the response; the status is 0 when there is no whole one.
+// request sends a request and decodes the response. The status is 0 if no complete response arrives.
 func request(method string, addr ident.Addr, host, path string, body []byte, out any) (int, http.Header) {
 	ctx, cancel := context.WithTimeout(context.Background(), eventualTimeout)
 	defer cancel()
@@ -184,11 +188,11 @@
 	return httpResponse.StatusCode, httpResponse.Header
 }
 
-// eventualTimeout bounds what has no bound of its own: no test may fail because the machine is
-// busy.
+// eventualTimeout is the timeout of every wait and request without a specific timeout. The value is
+// large so that no test fails because the machine is busy.
 const eventualTimeout = 2 * time.Minute
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and fails the test after eventualTimeout.
 func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(20 * time.Millisecond)
@@ -198,7 +202,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s did not come about", description)
+	t.Fatalf("timed out waiting for: %s", description)
 }
 
 // awaitStatus waits until a field of a core's status has a value.
@@ -217,17 +221,18 @@
 	Outcome string `json:"fate"` // of a request that failed
 }
 
-// nextNumber asks a core once for the next number of a sequence.
+// nextNumber requests the next number of a sequence from a core, without retries.
 func (c *coreCluster) nextNumber(i int) (status int, got numberResponse) {
 	status, _ = request(http.MethodPost, c.addrs[i], "", "/numbers/n/next", nil, &got)
 	return status, got
 }
 
-// takeNumber asks the cores for the next number until one gives it. It must be above the last one.
-func (c *coreCluster) takeNumber(last *uint64, askedCores ...int) {
+// awaitNumber requests the next number of a sequence from the cores until a request succeeds. The
+// number must be greater than last, which awaitNumber then updates.
+func (c *coreCluster) awaitNumber(last *uint64, cores ...int) {
 	c.t.Helper()
 	eventually(c.t, "a number", func() bool {
-		for _, i := range askedCores {
+		for _, i := range cores {
 			if status, got := c.nextNumber(i); status == http.StatusOK {
 				must.Greater(c.t, *last, got.Number)
 				*last = got.Number
--- a/daemon/integration/corestop_test.go
+++ b/daemon/integration/corestop_test.go
@@ -13,13 +13,13 @@
 	"cottonarch.example/cottonarch/daemon/api/mesh"
 )
 
-// sendCounts counts how operations ended that were sent to one core until it was gone.
-type sendCounts struct {
-	highest                         atomic.Uint64 // number that was given
+// operationCounts counts the operations sent to one core by their result.
+type operationCounts struct {
+	highest                         atomic.Uint64 // highest number issued
 	succeeded, failed, disconnected atomic.Int64
 }
 
-func (s *sendCounts) succeed(number uint64) {
+func (s *operationCounts) succeed(number uint64) {
 	s.succeeded.Add(1)
 	for old := s.highest.Load(); number > old; old = s.highest.Load() {
 		if s.highest.CompareAndSwap(old, number) {
@@ -28,9 +28,9 @@
 	}
 }
 
-// sendOperations sends operations to a core, one after the other, until it is told to stop or the
-// core gives no whole response.
-func (c *coreCluster) sendOperations(i int, counts *sendCounts, stop <-chan struct{}) {
+// sendOperations sends operations to a core, one at a time, until stop is closed or a request gets no
+// complete response.
+func (c *coreCluster) sendOperations(i int, counts *operationCounts, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -43,21 +43,21 @@
 			counts.succeed(got.Number)
 		case status > 0 && got.Outcome != "":
 			counts.failed.Add(1)
-		case status == 0: // nobody took it, or it was dropped
+		case status == 0: // the connection was refused, or closed before the response was complete
 			counts.disconnected.Add(1)
 			return
 		}
 	}
 }
 
-// watchEnd is how a watch ended.
-type watchEnd struct {
+// watchResult is the status and the kind of failure with which a watch ended.
+type watchResult struct {
 	status int
 	kind   failure.Kind
 }
 
-// openWatches opens watches at a core that nothing ends but their time or the core's stop.
-func (c *coreCluster) openWatches(i, n int) <-chan watchEnd {
+// startWatches starts watches at a core that end only when their wait time elapses or the core stops.
+func (c *coreCluster) startWatches(i, n int) <-chan watchResult {
 	var first struct {
 		Position string `json:"place"`
 	}
@@ -65,7 +65,7 @@
 		status, _ := request(http.MethodGet, c.addrs[i], "", "/watch?prefix=&waitMs=2000", nil, &first)
 		return status == http.StatusOK && first.Position != ""
 	})
-	ends := make(chan watchEnd, n)
+	results := make(chan watchResult, n)
 	var started sync.WaitGroup
 	for range n {
 		started.Add(1)
@@ -75,15 +75,15 @@
 				Kind failure.Kind `json:"defect"`
 			}
 			status, _ := request(http.MethodGet, c.addrs[i], "", "/watch?prefix=&waitMs=15000&place="+first.Position, nil, &got)
-			ends <- watchEnd{status, got.Kind}
+			results <- watchResult{status, got.Kind}
 		}()
 	}
 	started.Wait()
-	return ends
+	return results
 }
 
-// openPoll polls a core as a sidecar does that has everything.
-func (c *coreCluster) openPoll(i int) <-chan int {
+// startPoll starts a long poll at a core like that of a sidecar whose configuration is up to date.
+func (c *coreCluster) startPoll(i int) <-chan int {
 	statuses := make(chan int, 1)
 	go func() {
 		var got json.RawMessage
@@ -93,20 +93,21 @@
 	return statuses
 }
 
-// A core's planned stop: watches, a sidecar's long poll and operations in flight all get a whole
-// response, and what was acknowledged holds at the other cores.
+// Guards against a planned stop of a core that drops requests. Watches, the long poll of a sidecar and
+// operations in flight must all get a complete response, and acknowledged operations must be visible
+// at the other cores.
 func TestCoreStopWithWatchesAndOperationsInFlight(t *testing.T) {
 	t.Parallel()
 	const watchCount, senderCount = 4, 8
 	c := startCores(t, 3)
 	last := uint64(0)
-	c.takeNumber(&last, 0)
+	c.awaitNumber(&last, 0)
 	eventually(t, "a key", func() bool {
 		status, _ := request(http.MethodPut, c.addrs[0], "", "/keys/k", []byte(`1`), nil)
 		return status == http.StatusOK
 	})
-	watches, poll := c.openWatches(0, watchCount), c.openPoll(0)
-	var counts sendCounts
+	watches, poll := c.startWatches(0, watchCount), c.startPoll(0)
+	var counts operationCounts
 	var senders sync.WaitGroup
 	stopSending := make(chan struct{})
 	for range senderCount {
@@ -118,12 +119,12 @@
 	close(stopSending)
 	senders.Wait()
 	for range watchCount {
-		end := <-watches
-		stopped := end.status == http.StatusServiceUnavailable && end.kind == failure.Stopping
-		must.True(t, stopped || end.status == http.StatusOK, must.Sprint(end))
+		result := <-watches
+		stopped := result.status == http.StatusServiceUnavailable && result.kind == failure.Stopping
+		must.True(t, stopped || result.status == http.StatusOK, must.Sprint(result))
 	}
 	must.Eq(t, http.StatusOK, <-poll)
-	must.LessEq(t, senderCount, counts.disconnected.Load()) // each sender finds only once that nobody listens
+	must.LessEq(t, senderCount, counts.disconnected.Load()) // each sender ends at its first disconnection
 	last = counts.highest.Load()
-	c.takeNumber(&last, 1, 2)
+	c.awaitNumber(&last, 1, 2)
 }
--- a/daemon/integration/faultydisk_test.go
+++ b/daemon/integration/faultydisk_test.go
@@ -12,15 +12,15 @@
 
 var _ core.Folder = (*faultyDisk)(nil)
 
-// faultyDisk is a folder in memory whose operations can be made slow, stalled or failing, and
-// which can lose power. Invariant: once the power is off, nothing of the old process reaches it.
+// faultyDisk is an in-memory data folder that simulates a power loss and slow, stalled or failing
+// writes and syncs. Invariant: after a power loss, no operation of the old process changes the data.
 type faultyDisk struct {
 	mu         sync.Mutex
 	mem        *ring.MemoryFolder
 	poweredOff bool
 	delay      time.Duration
-	stalled    chan struct{} // operations wait until it is closed, unless it is nil
-	failure    error         // of every operation, unless it is nil
+	stalled    chan struct{} // if not nil, operations wait until the channel is closed
+	failure    error         // if not nil, every operation fails with this error
 }
 
 func newFaultyDisk() *faultyDisk { return &faultyDisk{mem: ring.NewMemoryFolder()} }
@@ -32,7 +32,7 @@
 	change(d)
 }
 
-// run runs an operation on the disk, with the faults that are configured.
+// run performs an operation on the disk with the configured faults.
 func (d *faultyDisk) run(operation func() error) error {
 	d.mu.Lock()
 	delay, stalled := d.delay, d.stalled
@@ -66,8 +66,8 @@
 // Close implements core.Folder.
 func (d *faultyDisk) Close() error { return nil }
 
-// losePower turns the power off: what was not synced is lost or torn. The disk that is given holds
-// the rest.
+// losePower simulates a power loss: unsynced writes are lost or torn. losePower returns a disk with
+// the surviving data.
 func (d *faultyDisk) losePower(rng *rand.Rand) *faultyDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +80,7 @@
 	return &faultyDisk{mem: d.mem}
 }
 
-// faultyFile is a file on a faultyDisk; reads have no faults.
+// faultyFile is a file on a faultyDisk. Faults do not apply to reads.
 type faultyFile struct {
 	disk  *faultyDisk
 	inner ring.File
--- a/daemon/integration/keyvalue_test.go
+++ b/daemon/integration/keyvalue_test.go
@@ -14,13 +14,14 @@
 	"cottonarch.example/cottonarch/daemon/api/coordination"
 )
 
-// keyspaceBudget bounds one operation on a keyspace.
+// keyspaceBudget is the time budget of one operation on a keyspace.
 const keyspaceBudget = 900 * time.Millisecond
 
 func testValue(i int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`"v%d"`, i)) }
 
-// keyspaceClient uses the keyspace "g." at any core. An operation that a busy machine kept from
-// the proposer is asked again, as clients do; a put that was done keeps its revision.
+// keyspaceClient uses the keyspace "g." at any core. keyspaceClient retries a put or get that fails,
+// for example because a busy machine delays the message to the proposer, as clients do. A retried put
+// that was already executed keeps its revision.
 type keyspaceClient struct {
 	*coreCluster
 	ctx context.Context
@@ -48,8 +49,8 @@
 	return coordination.Watch(k.ctx, k.processes[i].core, "g.", after, wait, keyspaceBudget)
 }
 
-// openWatch watches for the changes after a revision.
-func (k keyspaceClient) openWatch(i int, after ident.Revision) <-chan coordination.Changes {
+// startWatch starts a watch for the changes after a revision.
+func (k keyspaceClient) startWatch(i int, after ident.Revision) <-chan coordination.Changes {
 	results := make(chan coordination.Changes, 1)
 	go func() {
 		var changes coordination.Changes
@@ -64,10 +65,11 @@
 	return results
 }
 
-// Values at three cores: a put at one is read at every other at once and wakes a watch there,
-// whichever core is the keyspace's proposer; a watch goes on at another core from its position,
-// over the loss of the proposer, and skips nothing.
-func TestKeyValuesAtEveryCore(t *testing.T) {
+// Guards against stale reads and skipped changes in a keyspace used through three cores. A put at one
+// core must immediately be visible at every core and must wake a watch at another core, whichever core
+// is the proposer of the keyspace. After the loss of a core, which may be the proposer, a watch must
+// continue from its position at another core without skipping a change.
+func TestKeyspaceAcrossCores(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*eventualTimeout)
 	defer cancel()
 	k := keyspaceClient{coreCluster: startCores(t, 3), ctx: ctx}
@@ -83,7 +85,7 @@
 		}
 	}
 	for i := range 3 {
-		watch := k.openWatch(i, last)
+		watch := k.startWatch(i, last)
 		stored := k.put((i+1)%3, "g.b", testValue(100+i))
 		changes := <-watch
 		must.Eq(t, stored.Revision, changes.Revision)
--- a/daemon/integration/partition_test.go
+++ b/daemon/integration/partition_test.go
@@ -7,10 +7,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// A core that was the proposer, or knew all, loses the others: whatever it answered or rejected
-// with a majority, it answers 503 now, or 504 where a change may have been begun, on every path of
-// a core. With the majority back it gives the same answers.
-func TestCoreLeftAloneNeitherAnswersNorRefuses(t *testing.T) {
+// Guards against a core that responds from its local state after losing its majority, for example as
+// the former proposer. On every path of the core's API the core must respond with 503, or with 504 if a
+// change may have started, to requests that were accepted or rejected with a majority. When the
+// majority returns, the core must give the original responses again.
+func TestCoreWithoutMajorityRespondsUnavailable(t *testing.T) {
 	c := startCores(t, 3)
 	calls := []struct {
 		method, path, body string
--- a/daemon/integration/powerloss_test.go
+++ b/daemon/integration/powerloss_test.go
@@ -9,76 +9,78 @@
 	"github.com/shoenig/test/must"
 )
 
-// givenNumbers is the numbers that cores gave to several senders.
-type givenNumbers struct {
+// issuedNumbers records the numbers of a sequence that the cores issued to several senders.
+type issuedNumbers struct {
 	mu         sync.Mutex
 	seen       map[uint64]bool
 	highest    uint64
 	violations []string
 }
 
-func (g *givenNumbers) count() int {
+func (g *issuedNumbers) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.seen)
 }
 
-func (g *givenNumbers) highestSoFar() uint64 {
+func (g *issuedNumbers) highestNumber() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.highest
 }
 
-// take notes a number that was asked for when highestBefore was the highest.
-func (g *givenNumbers) take(number, highestBefore uint64) {
+// record records a number. highestBefore was the highest recorded number when the request for the
+// number was sent.
+func (g *issuedNumbers) record(number, highestBefore uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.seen[number] || number <= highestBefore {
-		g.violations = append(g.violations, fmt.Sprintf("%d was given after %d, twice %v", number, highestBefore, g.seen[number]))
+		g.violations = append(g.violations, fmt.Sprintf("number %d was issued after number %d, issued twice: %v", number, highestBefore, g.seen[number]))
 	}
 	g.seen[number], g.highest = true, max(g.highest, number)
 }
 
-// collect asks a core for numbers until it is told to stop.
-func (g *givenNumbers) collect(c *coreCluster, i int, stop <-chan struct{}) {
+// collect requests and records numbers from a core until stop is closed.
+func (g *issuedNumbers) collect(c *coreCluster, i int, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		highestBefore := g.highestSoFar()
+		highestBefore := g.highestNumber()
 		if status, got := c.nextNumber(i); status == http.StatusOK {
-			g.take(got.Number, highestBefore)
+			g.record(got.Number, highestBefore)
 		}
 	}
 }
 
-// Every core loses power in the middle of operations, again and again: no number is given twice,
-// and none below one that was acknowledged.
-func TestPowerLossOfAll(t *testing.T) {
+// Guards against acknowledged writes that are lost in a power failure. All cores repeatedly lose power
+// at the same time during operations. No number may be issued twice, and no number may be less than a
+// number that was acknowledged before the request.
+func TestPowerLossOfAllCores(t *testing.T) {
 	t.Parallel()
 	const coreCount, rounds, numbersPerRound = 3, 4, 40
 	c := startCores(t, coreCount)
-	given := &givenNumbers{seen: map[uint64]bool{}}
+	issued := &issuedNumbers{seen: map[uint64]bool{}}
 	for range rounds {
 		var senders sync.WaitGroup
 		stop := make(chan struct{})
 		for i := range coreCount {
-			senders.Go(func() { given.collect(c, i, stop) })
+			senders.Go(func() { issued.collect(c, i, stop) })
 		}
-		before := given.count() + 1
-		eventually(t, "forty numbers", func() bool { return given.count() > before+numbersPerRound })
+		before := issued.count() + 1
+		eventually(t, "forty numbers", func() bool { return issued.count() > before+numbersPerRound })
 		for i := range coreCount {
 			c.powerOff(i)
 		}
 		close(stop)
 		senders.Wait()
-		must.SliceEmpty(t, given.violations)
+		must.SliceEmpty(t, issued.violations)
 		for i := range coreCount {
 			c.start(i)
 		}
 	}
-	c.takeNumber(&given.highest, 0, 1, 2)
-	must.Greater(t, rounds*numbersPerRound, len(given.seen))
+	c.awaitNumber(&issued.highest, 0, 1, 2)
+	must.Greater(t, rounds*numbersPerRound, len(issued.seen))
 }
--- a/daemon/integration/sidecarprocess_test.go
+++ b/daemon/integration/sidecarprocess_test.go
@@ -12,19 +12,19 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// sidecarProcess is a sidecar with its servers.
+// sidecarProcess is a running sidecar with its servers.
 type sidecarProcess struct {
 	*process
-	callerAddr ident.Addr
+	clientAddr ident.Addr
 }
 
 func startSidecar(t *testing.T, seeds []ident.Addr, stopTimeout time.Duration) *sidecarProcess {
-	addr, callerAddr := freeAddr(t), freeAddr(t)
+	addr, clientAddr := freeAddr(t), freeAddr(t)
 	config := settings.Sidecar{
 		Node:          ident.Node(addr),
 		Addr:          addr,
 		Listen:        addr,
-		ClientAddr:    callerAddr,
+		ClientAddr:    clientAddr,
 		Zone:          "d0",
 		Seeds:         seeds,
 		Senders:       32,
@@ -32,8 +32,8 @@
 		MaxInFlight:   64,
 		StopTimeout:   stopTimeout,
 	}
-	s, meshServer, callerServer := daemon.Sidecar(config, zap.NewNop())
-	stopServers, kill := startServers(t, meshServer, callerServer)
+	s, meshServer, clientServer := daemon.Sidecar(config, zap.NewNop())
+	stopServers, kill := startServers(t, meshServer, clientServer)
 	s.Start()
 	closeOnce := sync.OnceFunc(s.Close)
 	stop := func() {
@@ -43,6 +43,6 @@
 	}
 	return &sidecarProcess{
 		process:    &process{addr: addr, stop: stop, kill: func() { kill(); closeOnce() }},
-		callerAddr: callerAddr,
+		clientAddr: clientAddr,
 	}
 }
