--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -47,9 +47,9 @@
 }
 
 func executeOnEntry(ctx context.Context, c *core.Core, key, kind string, args keyspace.Args, budget time.Duration) (Entry, *failure.Error) {
-	space, name := keyspace.SplitKey(key)
+	keyspaceName, name := keyspace.SplitKey(key)
 	args.Name = name
-	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(space), Kind: kind, Args: operation.Encode(args)}, budget)
+	result := c.Execute(ctx, proposer.Operation{Key: keyspace.ControlKey(keyspaceName), Kind: kind, Args: operation.Encode(args)}, budget)
 	if result.Failure != nil {
 		return Entry{}, result.Failure
 	}
--- a/daemon/api/mesh/watch.go
+++ b/daemon/api/mesh/watch.go
@@ -140,7 +140,7 @@
 
 // batchDelayFor returns how long the response to a change is delayed. A sidecar polls again as soon
 // as its previous poll was answered, so pollAge is approximately the time since the last response. A
-// new configuration never gets the longer delay, which serves registry changes only.
+// new configuration never gets the longer delay, which applies to registry changes only.
 func batchDelayFor(pollAge time.Duration, configChanged bool) time.Duration {
 	if pollAge < recentPollAge && !configChanged {
 		return burstBatchDelay
--- a/daemon/core/core.go
+++ b/daemon/core/core.go
@@ -52,14 +52,14 @@
 	Log      *zap.Logger
 	Metrics  *metrics.Registry
 
-	clock  monotime.Clock
-	node   *node.Node
-	ring   *ring.Ring
-	folder Folder
-	pool   *client.Pool
-	done   chan struct{} // closed when the daemon stops
-
-	steps        *queue.Queue[func(monotime.Time) node.Effects]
+	clock      monotime.Clock
+	node       *node.Node
+	ring       *ring.Ring
+	folder     Folder
+	peerClient *client.Pool
+	done       chan struct{} // closed when the daemon stops
+
+	stepQueue    *queue.Queue[func(monotime.Time) node.Effects]
 	journalQueue *queue.Queue[node.Effects]
 	waiters      resultWaiters
 	changes      changeSignals
@@ -98,9 +98,9 @@
 		Metrics:          metrics.New(),
 		clock:            monotime.LimitSteps(monotime.ProcessClock()),
 		folder:           folder,
-		pool:             client.New(options.Addr),
+		peerClient:       client.New(options.Addr),
 		done:             make(chan struct{}),
-		steps:            queue.New[func(monotime.Time) node.Effects](stepQueueSize),
+		stepQueue:        queue.New[func(monotime.Time) node.Effects](stepQueueSize),
 		journalQueue:     queue.New[node.Effects](journalQueueSize),
 		waiters:          newResultWaiters(),
 		changes:          newChangeSignals(),
@@ -109,16 +109,16 @@
 		confirmedConfigs: make(chan json.RawMessage, confirmedConfigQueueSize),
 		stopping:         make(chan struct{}),
 	}
-	if err := c.recover(); err != nil {
+	if err := c.recoverState(); err != nil {
 		return nil, err
 	}
 	c.refreshView(c.clock())
 	return c, nil
 }
 
-// recover opens the ring, restores the node from the records in the ring, and syncs the initial
+// recoverState opens the ring, restores the node from the records in the ring, and syncs the initial
 // records of a new disk.
-func (c *Core) recover() error {
+func (c *Core) recoverState() error {
 	var err error
 	options := ring.Options{FileCount: c.Settings.RingFiles, FileSize: c.Settings.RingFileBytes}
 	if c.ring, err = ring.Open(c.folder, options); err != nil {
@@ -167,7 +167,7 @@
 // journal may be blocked in a sync of a stalled disk, and a sender in a request.
 func (c *Core) Close() {
 	close(c.done)
-	c.pool.Close()
+	c.peerClient.Close()
 	_ = c.folder.Close()
 }
 
--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// CoresPath is the path that returns KnownCores. Cores and sidecars serve CoresPath.
+// CoresPath is the path at which cores and sidecars return their KnownCores.
 const CoresPath = "/cottonarch/v1/cores"
 
 const (
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), discoveryTimeout)
 	defer cancel()
 	var response KnownCores
-	if c.pool.Call(ctx, seed, http.MethodGet, CoresPath, nil, &response) != nil {
+	if c.peerClient.Call(ctx, seed, http.MethodGet, CoresPath, nil, &response) != nil {
 		return // discover queries the seed again at the next tick
 	}
 	c.RunStep(func(now monotime.Time) node.Effects {
--- a/daemon/core/loop.go
+++ b/daemon/core/loop.go
@@ -19,7 +19,7 @@
 
 // RunStep queues a step for execution by loop. RunStep returns false if the step queue is full.
 func (c *Core) RunStep(step func(monotime.Time) node.Effects) bool {
-	if c.steps.TryPut(step) {
+	if c.stepQueue.TryPut(step) {
 		return true
 	}
 	c.Metrics.Add("inbox_turned_away", 1)
@@ -34,7 +34,7 @@
 	for {
 		var effects node.Effects
 		select {
-		case step := <-c.steps.Out():
+		case step := <-c.stepQueue.Out():
 			effects = step(c.clock())
 		case <-ticker.C:
 			now := c.clock()
--- a/daemon/core/messages.go
+++ b/daemon/core/messages.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	var reply Batch
-	if err := c.pool.Call(ctx, addr, http.MethodPost, MessagesPath, Batch{c.Settings.Addr, messages}, &reply); err != nil {
+	if err := c.peerClient.Call(ctx, addr, http.MethodPost, MessagesPath, Batch{c.Settings.Addr, messages}, &reply); err != nil {
 		c.Metrics.Add("posts_failed", 1)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.RunStep(func(now monotime.Time) node.Effects { return c.node.MarkUnreachable(now, addr) })
@@ -109,8 +109,9 @@
 	return otherMessageSize
 }
 
-// Receive runs a step for each message of a batch. The reply holds the messages of these steps to
-// the senders that don't depend on unsynced records; the messages that do are posted after the sync.
+// Receive runs a step for each message of a batch. The reply holds the messages from these steps to
+// the batch's senders, except messages that depend on unsynced records. The excepted messages are
+// posted after the sync.
 func (c *Core) Receive(ctx context.Context, batch Batch) (reply Batch) {
 	replies := make(chan []message.Message, len(batch.Messages))
 	pending := 0
@@ -144,7 +145,7 @@
 func (c *Core) takeReplies(to ident.Addr, effects *node.Effects) (replies []message.Message) {
 	durable := effects.SplitDurable()
 	var otherSends []node.Send
-	split := func(sends []node.Send) {
+	collectReplies := func(sends []node.Send) {
 		for _, send := range sends {
 			if send.To != to || to == c.Settings.Addr {
 				otherSends = append(otherSends, send)
@@ -153,9 +154,9 @@
 			replies = append(replies, send.Msg)
 		}
 	}
-	split(effects.Sends)
+	collectReplies(effects.Sends)
 	if len(durable.Records) == 0 && c.allSynced() {
-		split(durable.Sends)
+		collectReplies(durable.Sends)
 		durable.Sends = nil
 	}
 	effects.Records, effects.Sends = durable.Records, append(otherSends, durable.Sends...)
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// Execute runs one operation and waits for its result. The time in the step queue counts against
-// budget, so that a delayed process does not start an operation whose caller has given up.
+// Execute runs one operation and waits for its result, for at most budget plus resultMargin. The time
+// in the step queue counts against budget, so that a delayed process does not start an operation whose
+// caller has given up.
 func (c *Core) Execute(ctx context.Context, operation proposer.Operation, budget time.Duration) node.Result {
 	c.Metrics.Add("deeds", 1)
 	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
--- a/daemon/core/stop.go
+++ b/daemon/core/stop.go
@@ -48,7 +48,7 @@
 // Stopping returns a channel that is closed when a planned stop begins, so that long polls end.
 func (c *Core) Stopping() <-chan struct{} { return c.stopping }
 
-// Ready reports whether the core can serve requests: it has a majority and is not leaving.
+// Ready reports whether the core can serve requests, that is, has a majority and is not leaving.
 func (c *Core) Ready() bool {
 	view := c.View()
 	return view != nil && view.Majority && !c.leaving.Load()
