--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// approxHeaderBytes is about what the headers of a request and its response take between
+	// approxHeaderBytes approximates the size of the headers of a request and its response between
 	// sidecars.
 	approxHeaderBytes = 800
-	// A peer gives up a request by a tenth of its time sooner than this side, at most by
-	// maxPeerMargin, so that its answer is still heard.
+	// The timeout sent to a peer is shorter than the attempt's timeout by a tenth of the latter,
+	// but by at most maxPeerMargin, so that the peer's response to a timeout still arrives in time.
 	peerMarginFraction = 10
 	maxPeerMargin      = 20 * time.Millisecond
 )
 
-// sendWithRetries sends a request to one endpoint after the other until there is a response, or
-// no further attempt is allowed. A response that says that the endpoint failed is given if the
-// attempts after it bring nothing better. Without a response there is a failure. No attempt begins
-// after ctx has ended, as the client has left.
+// sendWithRetries sends a request to one endpoint after another until a response arrives or no
+// further attempt is allowed. A response that reports an endpoint failure is returned if no later
+// attempt yields another response; without any response a failure is returned. No attempt starts
+// after ctx is done, because the client has disconnected by then.
 func (s *Sidecar) sendWithRetries(ctx context.Context, request *queuedRequest) (*exchange.Response, *failure.Error) {
 	var failedResponse *exchange.Response
 	for {
@@ -47,15 +47,16 @@
 	}
 }
 
-// nextAttempt chooses the endpoint of the next attempt.
+// nextAttempt selects the endpoint of the next attempt.
 func (s *Sidecar) nextAttempt(call *attempt.Call) attempt.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.planner.Next(s.clock(), call)
 }
 
-// finishAttempt takes the result of an attempt, and reports whether to try again. If not, and the
-// attempt brought no response, it gives the failure of the whole call.
+// finishAttempt records the result of an attempt and reports whether to retry. When there is no
+// retry and the attempt yielded no response, finishAttempt also returns the failure of the whole
+// call.
 func (s *Sidecar) finishAttempt(call *attempt.Call, result attempt.Result) (retry bool, fail *failure.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +67,8 @@
 	return retry, fail
 }
 
-// sendOnce makes one attempt: at an endpoint of this machine, or through the sidecar of the
-// endpoint's machine.
+// sendOnce makes one attempt, either directly at an endpoint of this machine or through the sidecar
+// of the endpoint's machine.
 func (s *Sidecar) sendOnce(ctx context.Context, queued *queuedRequest, decision attempt.Decision) (*exchange.Response, attempt.Result) {
 	request := endpointRequest{
 		server:           decision.Entry.UID,
@@ -83,7 +84,7 @@
 	return s.sendToPeer(ctx, decision, request, queued.urgent())
 }
 
-// sendLocally makes an attempt at an endpoint of this machine.
+// sendLocally makes one attempt at an endpoint of this machine.
 func (s *Sidecar) sendLocally(ctx context.Context, request endpointRequest) (*exchange.Response, attempt.Result) {
 	local := s.sendToEndpoint(ctx, request)
 	result := attemptResultFor(local.failure, local.result)
@@ -92,8 +93,8 @@
 	return withSize(request.call, local.response, result)
 }
 
-// sendToPeer makes an attempt through the sidecar of the endpoint's machine. When ctx ends it closes
-// the connection, by which that sidecar knows that the client has left.
+// sendToPeer makes one attempt through the sidecar of the endpoint's machine. When ctx is done, the
+// connection is closed, which tells that sidecar that the client has disconnected.
 func (s *Sidecar) sendToPeer(ctx context.Context, decision attempt.Decision, request endpointRequest, urgent bool) (*exchange.Response, attempt.Result) {
 	call := peerCall(request, decision.Timeout, urgent)
 	resp, sent, fail := s.peerExchange.Do(ctx, decision.Entry.SidecarAddr, call)
@@ -108,7 +109,8 @@
 	return parsePeerResponse(request.call, resp)
 }
 
-// clientLeftResult is the result of an attempt that was given up as its client left.
+// clientLeftResult returns the result of an attempt that was canceled because its client
+// disconnected.
 func clientLeftResult(sent bool) attempt.Result {
 	if !sent {
 		return attempt.Result{Outcome: attempt.NotExecuted, Failure: clientLeft(), ClientLeft: true}
@@ -117,7 +119,7 @@
 	return attempt.Result{Outcome: attempt.Unknown, Failure: fail, ClientLeft: true}
 }
 
-// peerCall makes the call to the sidecar of the endpoint's machine.
+// peerCall builds the call to the sidecar of the endpoint's machine.
 func peerCall(request endpointRequest, limit time.Duration, urgent bool) exchange.Call {
 	call := request.call
 	call.Deadline, call.ExpectContinue = request.deadline, true
@@ -138,7 +140,7 @@
 	return call
 }
 
-// withSize adds to the result of an attempt what the response itself tells.
+// withSize adds the response's status class and size to the result of an attempt.
 func withSize(call exchange.Call, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
 	if resp != nil {
 		result.EndpointFailed = resp.Status >= 500
--- a/daemon/sidecar/bodies.go
+++ b/daemon/sidecar/bodies.go
@@ -9,13 +9,14 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// headerFieldBytes is what a header field takes beside its name and its value: ": " and CRLF.
+// headerFieldBytes is the size of a header field beyond its name and value: ": " and CRLF.
 const headerFieldBytes = 4
 
-// bodyBudget bounds the requests that are held in memory.
+// bodyBudget bounds the size of single requests and the memory that all request bodies take
+// together.
 type bodyBudget struct {
-	limits   atomic.Pointer[validation.Limits] // of the active configuration; nil means the default
-	inFlight atomic.Int64                      // bytes of the bodies that are held
+	limits   atomic.Pointer[validation.Limits] // limits of the active configuration; nil means the defaults
+	inFlight atomic.Int64                      // total bytes of the request bodies in memory
 }
 
 func (b *bodyBudget) currentLimits() validation.Limits {
@@ -25,17 +26,17 @@
 	return validation.DefaultLimits
 }
 
-// readRequest reads the whole body of a request, within the limits of the configuration and the
-// memory for bodies. release must be called when the request is over.
+// readRequest reads the whole body of a request within the limits of the configuration and the
+// memory budget for bodies. The caller must call release when the request has ended.
 func (s *Sidecar) readRequest(r *http.Request) (body []byte, release func(), fail *failure.Error) {
 	limits := s.bodies.currentLimits()
 	if headerBytes(r) > limits.MaxHeaderBytes+meshHeaderBytes {
-		return nil, nil, failure.New(failure.Oversize, "the headers have at most %d bytes", limits.MaxHeaderBytes)
+		return nil, nil, failure.New(failure.Oversize, "the request headers exceed the limit of %d bytes", limits.MaxHeaderBytes)
 	}
-	// A body of unknown length may be as large as the limit; it is counted once it is read.
+	// A body of unknown length may be as large as the limit; its size is counted after reading.
 	declared := max(0, r.ContentLength)
 	if declared > limits.MaxBodyBytes {
-		return nil, nil, failure.New(failure.Oversize, "a body has at most %d bytes", limits.MaxBodyBytes)
+		return nil, nil, failure.New(failure.Oversize, "the request body exceeds the limit of %d bytes", limits.MaxBodyBytes)
 	}
 	budget := s.Settings.MaxBodyBytes
 	if s.bodies.inFlight.Add(declared) > budget && budget > 0 && declared > 0 {
@@ -60,10 +61,10 @@
 }
 
 func bodyBudgetExceeded() *failure.Error {
-	return failure.New(failure.Busy, "the memory for bodies is full").WithRetryAfter(retryAfterSeconds)
+	return failure.New(failure.Busy, "the memory budget for request bodies is exhausted").WithRetryAfter(retryAfterSeconds)
 }
 
-// headerBytes is about the size of a request's line and headers.
+// headerBytes approximates the size of a request's request line and headers.
 func headerBytes(r *http.Request) int64 {
 	size := int64(len(r.RequestURI))
 	for name, values := range r.Header {
--- a/daemon/sidecar/bodies_test.go
+++ b/daemon/sidecar/bodies_test.go
@@ -12,8 +12,9 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// A request is read within the limits of the configuration and the memory for bodies, with a
-// length or in chunks; what is rejected has not run and holds no memory.
+// readRequest enforces the limits of the configuration and the memory budget for bodies, both with
+// a Content-Length and with chunked encoding. A rejected request has not been executed and holds no
+// memory.
 func TestReadRequestEnforcesLimits(t *testing.T) {
 	s := New(settings.Sidecar{MaxBodyBytes: 1000}, nil)
 	s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 500, MaxBodyBytes: 800})
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -14,27 +14,29 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// queuedRequest is a caller's request on its way through the stages. Invariant: dispatched is
-// closed once, when the request may be sent; the goroutine that waits for it then sends it.
+// queuedRequest is a caller's request while it is queued and sent. Invariant: dispatched is closed
+// exactly once, when the request may be sent; the goroutine that waits on dispatched then sends the
+// request.
 type queuedRequest struct {
 	call       *attempt.Call
 	receivedAt monotime.Time
 	outgoing   exchange.Call
-	urgentSlot bool // it was dispatched as urgent
+	urgentSlot bool // the request was dispatched from the queue of urgent requests
 	dispatched chan struct{}
 }
 
-// urgent says that the request goes before others: its route says so, or a run waits for it.
+// urgent reports whether the request takes precedence in the queue: its route is urgent, or the
+// execution of another request waits for its response.
 func (r *queuedRequest) urgent() bool { return r.call.Route.Urgent || r.call.Nested }
 
-// HandleCaller serves the address for callers: every request there is one for the mesh.
+// HandleCaller handles a request on the listener for callers, where every request is for the mesh.
 func (s *Sidecar) HandleCaller(w http.ResponseWriter, r *http.Request) bool {
 	s.ServeCaller(w, r)
 	return true
 }
 
-// ServeCaller takes a caller's request through the stages: it is read within the limits, routed,
-// queued until it may be sent, and sent with retries.
+// ServeCaller processes a caller's request: read it within the limits, route it, queue it until it
+// may be sent, and send it with retries.
 func (s *Sidecar) ServeCaller(w http.ResponseWriter, r *http.Request) {
 	s.beginRequest()
 	defer s.endRequest()
@@ -72,7 +74,7 @@
 	writeResponse(w, resp)
 }
 
-// countIfLeft counts a request that ends after its client has left.
+// countIfClientLeft increments counter if the client of the request has disconnected.
 func (s *Sidecar) countIfClientLeft(ctx context.Context, counter string) {
 	if ctx.Err() != nil {
 		s.count(counter)
@@ -91,8 +93,8 @@
 	s.inFlight--
 }
 
-// newQueuedRequest makes of a caller's request the one that is sent on. A caller that does not
-// name itself is known by its address.
+// newQueuedRequest builds the outgoing request from a caller's request. A caller without a
+// CallerHeader is identified by its IP address.
 func (s *Sidecar) newQueuedRequest(r *http.Request, body []byte, receivedAt monotime.Time) *queuedRequest {
 	remoteHost, _, _ := net.SplitHostPort(r.RemoteAddr)
 	caller := r.Header.Get(CallerHeader)
@@ -116,8 +118,8 @@
 	return request
 }
 
-// isNested reports, and counts, whether this machine's endpoint made the request as it ran another;
-// mu is held.
+// isNested reports whether this machine's endpoint made the request while executing another one,
+// and counts such requests; the caller must hold mu.
 func (s *Sidecar) isNested(request *queuedRequest) bool {
 	header := s.Settings.Headers.RequestID
 	if header == "" || !s.runs.containsParentOf(firstValue(request.outgoing.Header, header)) {
@@ -127,8 +129,8 @@
 	return true
 }
 
-// route finds the request's route and deadline; limitMs is the time that the caller allows, "" if
-// it names none.
+// route determines the request's route and deadline. limitMs is the timeout that the caller asks
+// for, in milliseconds, or "" if the caller sets none.
 func (s *Sidecar) route(request *queuedRequest, limitMs string) *failure.Error {
 	requested, _ := strconv.Atoi(limitMs)
 	s.mu.Lock()
@@ -137,7 +139,8 @@
 	return s.planner.Route(request.receivedAt, request.call, time.Duration(requested)*time.Millisecond)
 }
 
-// awaitDispatch queues a request and waits until it may be sent, or ctx ends as its client leaves.
+// awaitDispatch queues a request and waits until it may be sent, its deadline passes, or ctx is
+// done because its client disconnected.
 func (s *Sidecar) awaitDispatch(ctx context.Context, request *queuedRequest) *failure.Error {
 	s.mu.Lock()
 	queued := s.sendQueue.Enqueue(s.clock(), request, request.urgent(), request.call.Deadline)
@@ -145,7 +148,7 @@
 	s.mu.Unlock()
 	if !queued {
 		s.count(counterQueueFull)
-		return failure.New(failure.Busy, "too many requests are queued").WithRetryAfter(retryAfterSeconds)
+		return failure.New(failure.Busy, "the send queue is full").WithRetryAfter(retryAfterSeconds)
 	}
 	if s.dispatchedInTime(ctx, request) {
 		return nil
@@ -157,13 +160,14 @@
 	return failure.New(failure.DeadlineExceeded, "the deadline passed while the request was queued").WithRetryAfter(retryAfterSeconds)
 }
 
-// clientLeft is the failure of a request that no endpoint has begun when its client leaves.
+// clientLeft returns the failure of a request whose client disconnected before any endpoint began
+// to execute the request.
 func clientLeft() *failure.Error {
 	return failure.New(failure.ClientDisconnected, "the client closed its connection")
 }
 
-// dispatchQueued dispatches the queued requests for which there is room; mu is held. It goes on
-// when the duties end, as a planned stop waits for what is queued.
+// dispatchQueued dispatches queued requests while there are free senders; the caller must hold mu.
+// Dispatching continues after Close, because a planned stop waits for the queued requests.
 func (s *Sidecar) dispatchQueued() {
 	for {
 		request, urgent, ok := s.sendQueue.Dequeue()
@@ -175,8 +179,9 @@
 	}
 }
 
-// dispatchedInTime waits until a request is dispatched; it is false when its time was over or its
-// client left before, and then it has left the queue and will not be dispatched.
+// dispatchedInTime waits until a request is dispatched. It returns false if the request's deadline
+// passed or its client disconnected first; the request is then removed from the queue and is never
+// dispatched.
 func (s *Sidecar) dispatchedInTime(ctx context.Context, request *queuedRequest) bool {
 	select {
 	case <-request.dispatched:
@@ -197,8 +202,8 @@
 	return !removed
 }
 
-// sendDispatched sends a request that was dispatched, and dispatches those that waited for its
-// end.
+// sendDispatched sends a dispatched request and, when the request has ended, dispatches requests
+// that waited for its sender.
 func (s *Sidecar) sendDispatched(ctx context.Context, request *queuedRequest) (*exchange.Response, *failure.Error) {
 	sentAt := s.clock()
 	resp, fail := s.sendWithRetries(ctx, request)
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -18,10 +18,10 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// receivedRequest is one request as an endpoint read it.
+// receivedRequest is a request as read by an endpoint.
 type receivedRequest struct{ method, target, id, body string }
 
-// requestLog keeps what an endpoint read, in its order.
+// requestLog records the requests that an endpoint read, in order.
 type requestLog struct {
 	mu       sync.Mutex
 	requests []receivedRequest
@@ -44,7 +44,8 @@
 	return append([]receivedRequest(nil), l.requests...)
 }
 
-// startCallerServer is a sidecar on the daemon's own server for callers, with one endpoint.
+// startCallerServer starts a sidecar with one endpoint behind the server that the daemon uses for
+// callers.
 func startCallerServer(t *testing.T) (*Sidecar, *requestLog, string) {
 	requests := &requestLog{}
 	s := newTestSidecar("a", "127.0.0.1:1", listen(t, requests.serve))
@@ -62,19 +63,20 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, path, testIDHeader, id, len(body), body)
 }
 
-// smuggled is a request in the place of a body: no endpoint may run it.
+// smuggled is a complete request placed inside a body: no endpoint may execute it.
 var smuggled = rawRequest("POST", "/once/smuggled", "smuggled", "s")
 
-// connectionCase is what a caller sends on one connection and what comes of it.
+// connectionCase is the input that a caller sends on one connection, with the expected responses
+// and requests.
 type connectionCase struct {
 	input     string
-	responses []string // "status id", in order; then the connection ends or is silent
+	responses []string // "status id" in order; afterwards the connection is closed or stays silent
 	runs      []receivedRequest
-	staysOpen bool // the connection takes another request
+	staysOpen bool // the connection accepts another request
 	configure func(*Sidecar)
 }
 
-// connectionCases are the cases of TestWhatACallerSendsOnOneConnection by name.
+// connectionCases returns the cases of TestPipelinedAndMalformedCallerRequests by name.
 func connectionCases() map[string]connectionCase {
 	one, two := rawRequest("POST", "/once/x", "r1", "one"), rawRequest("POST", "/again/y", "r2", "two")
 	first, second := receivedRequest{"POST", "/once/x", "r1", "one"}, receivedRequest{"POST", "/again/y", "r2", "two"}
@@ -83,37 +85,37 @@
 		s.bodies.limits.Store(&validation.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 10})
 	}
 	return map[string]connectionCase{
-		"one":                       {one, []string{"200 r1"}, []receivedRequest{first}, true, nil},
-		"two in one piece":          {one + two, []string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
-		"the same twice":            {one + one, []string{"200 r1", "200 r1"}, []receivedRequest{first, first}, true, nil},
-		"bytes behind a body":       {one + "garbage\r\n\r\n", []string{"200 r1", "400 "}, []receivedRequest{first}, false, nil},
-		"empty lines behind a body": {one + "\r\n\r\n" + two, []string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
-		"a request inside a body":   {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"200 r1", "200 r2"}, []receivedRequest{{"POST", "/once/x", "r1", smuggled}, second}, true, nil},
-		"a body broken off":         {one[:len(one)-1], []string{"400 "}, nil, false, nil},
-		"a head broken off":         {one + two[:20], []string{"200 r1", "400 "}, []receivedRequest{first}, false, nil},
-		"a bad chunk, a request behind": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + smuggled,
+		"one request":              {one, []string{"200 r1"}, []receivedRequest{first}, true, nil},
+		"two pipelined requests":   {one + two, []string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
+		"the same request twice":   {one + one, []string{"200 r1", "200 r1"}, []receivedRequest{first, first}, true, nil},
+		"garbage after a body":     {one + "garbage\r\n\r\n", []string{"200 r1", "400 "}, []receivedRequest{first}, false, nil},
+		"empty lines after a body": {one + "\r\n\r\n" + two, []string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
+		"a request inside a body":  {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"200 r1", "200 r2"}, []receivedRequest{{"POST", "/once/x", "r1", smuggled}, second}, true, nil},
+		"truncated body":           {one[:len(one)-1], []string{"400 "}, nil, false, nil},
+		"truncated header":         {one + two[:20], []string{"200 r1", "400 "}, []receivedRequest{first}, false, nil},
+		"invalid chunk, then a request": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n" + smuggled,
 			[]string{"400 "}, nil, false, nil},
-		"chunks, a request behind": {"POST /once/x HTTP/1.1\r\nHost: h\r\n" + testIDHeader + ": r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n" + two,
+		"chunked body, then a request": {"POST /once/x HTTP/1.1\r\nHost: h\r\n" + testIDHeader + ": r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n" + two,
 			[]string{"200 r1", "200 r2"}, []receivedRequest{first, second}, true, nil},
-		"two lengths":    {"POST /once/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n" + smuggled, []string{"400 "}, nil, false, nil},
-		"another coding": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + smuggled, []string{"501 "}, nil, false, nil},
-		"too large, small enough to be read past": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"413 ", "200 r2"}, []receivedRequest{second}, true,
+		"two content lengths":           {"POST /once/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n" + smuggled, []string{"400 "}, nil, false, nil},
+		"unsupported transfer encoding": {"POST /once/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n" + smuggled, []string{"501 "}, nil, false, nil},
+		"body over the limit, small enough to discard": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"413 ", "200 r2"}, []receivedRequest{second}, true,
 			smallBodies},
-		"too large by far": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"413 "}, nil, false,
+		"body far over the limit": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"413 "}, nil, false,
 			smallBodies},
-		"no room for the body": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"503 ", "200 r2"}, []receivedRequest{second}, true,
+		"no memory for the body": {rawRequest("POST", "/once/x", "r1", smuggled) + two, []string{"503 ", "200 r2"}, []receivedRequest{second}, true,
 			func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
-		"no room for a large body": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"503 "}, nil, false, func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
-		"no route":                 {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
-		"rejected before it sends its body": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
+		"no memory for a large body": {rawRequest("POST", "/once/x", "r1", large) + two, []string{"503 "}, nil, false, func(s *Sidecar) { s.Settings.MaxBodyBytes = 10 }},
+		"no route":                   {rawRequest("POST", "/nowhere", "r1", smuggled) + two, []string{"404 ", "200 r2"}, []receivedRequest{second}, true, nil},
+		"rejected before the body is sent": {"POST /once/x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9999\r\n\r\n" + smuggled, []string{"413 "}, nil, false,
 			smallBodies},
-		"it asks to close": {strings.Replace(one, "Host", "Connection: close\r\nHost", 1) + two, []string{"200 r1"}, []receivedRequest{first}, false, nil},
+		"connection close requested": {strings.Replace(one, "Host", "Connection: close\r\nHost", 1) + two, []string{"200 r1"}, []receivedRequest{first}, false, nil},
 	}
 }
 
-// A caller's connection, whatever bytes come on it and however early it is answered: the endpoint
-// runs just the requests that come whole, each once and as it was sent; the answers come in their
-// order; and bytes that can't be parsed end the connection.
+// Whatever bytes arrive on a caller's connection, and however early a response is sent: the
+// endpoint executes exactly the requests that arrive complete, each once and as sent; the responses
+// arrive in the order of the requests; and bytes that can't be parsed close the connection.
 func TestPipelinedAndMalformedCallerRequests(t *testing.T) {
 	for name, c := range connectionCases() {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +125,8 @@
 	}
 }
 
-// play sends the bytes to a new sidecar and checks the answers and what the endpoint read.
+// run sends the input to a new sidecar, and checks the responses and the requests that the endpoint
+// read.
 func (c connectionCase) run(t *testing.T) {
 	s, received, frontAddr := startCallerServer(t)
 	if c.configure != nil {
@@ -149,14 +152,14 @@
 		must.Eq(t, "200 last", readResponse(t, r))
 		c.runs = append(c.runs, receivedRequest{"POST", "/once/last", "last", ""})
 	} else if _, err := r.Peek(1); err == nil {
-		t.Fatal("more answers than requests")
+		t.Fatal("more responses than requests")
 	}
 	must.Eq(t, c.runs, received.list())
 	must.Eq(t, 0, s.bodies.inFlight.Load())
 }
 
-// nextAnswer reads an answer whole and gives its status and its id; the body of a success
-// must be the one of that id.
+// readResponse reads a complete response and returns its status and id; the body of a successful
+// response must belong to that id.
 func readResponse(t *testing.T, r *bufio.Reader) string {
 	resp, err := http.ReadResponse(r, nil)
 	must.NoError(t, err)
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -12,8 +12,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// Only an endpoint's own statement that it did not run a request proves that, in all combinations
-// of status and header.
+// Only an endpoint's own statement proves that a request was not executed, for all combinations of
+// status and header.
 func TestClassifyResponse(t *testing.T) {
 	for _, status := range []int{200, 204, 400, 421, 500, 503, 504} {
 		for _, name := range []string{"", "X-Not"} {
@@ -29,8 +29,8 @@
 	}
 }
 
-// Only the results that say so prove that a request did not run; one that is not known proves
-// nothing.
+// Only certain results prove that a request was not executed; an unrecognized result proves
+// nothing. Admission hints survive encoding, and malformed hints stay within their bounds.
 func TestPeerResults(t *testing.T) {
 	for result, want := range map[peerResult]attempt.Outcome{
 		resultResponse:   attempt.Executed,
@@ -58,7 +58,8 @@
 	} {
 		must.Eq(t, hints, parseHints(hints.encode()))
 	}
-	// Earlier releases do not say whether a request may be broken off: then it may not.
+	// Earlier releases do not say whether an execution may be canceled: the default is that it may
+	// not.
 	must.False(t, parseHints("2,1000,2000,3000,250,1,900").repeatable)
 	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
 		hints := parseHints(text)
--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -21,20 +21,21 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// leaveTimeout bounds what must come about after a client has left. The requests' own time is
-// patientLimit, and nothing but the client's leaving ends them before.
+// conditionTimeout bounds the wait for a condition after a client has disconnected. The requests
+// have a timeout of patientLimit, so nothing but the disconnect can end them earlier.
 const conditionTimeout = 15 * time.Second
 
 // maxQueued is more than any of these tests queues.
 const maxQueued = 64
 
-// heldEndpoint holds every request until it is released, or until its connection is closed.
+// blockingEndpoint holds each request until the test releases the request or its connection is
+// closed.
 type blockingEndpoint struct {
 	addr     ident.Addr
 	mu       sync.Mutex
-	arrivals []string          // ids, in order of arrival
-	running  map[string]func() // by id; each releases its request
-	aborted  map[string]bool   // ids of requests whose connection was closed as they ran
+	arrivals []string          // ids in order of arrival
+	running  map[string]func() // release function of each running request, by id
+	aborted  map[string]bool   // ids of requests, true if the connection was closed during the execution
 }
 
 func startBlockingEndpoint(t *testing.T) *blockingEndpoint {
@@ -70,7 +71,7 @@
 	_, _ = io.WriteString(w, responseBody(id))
 }
 
-// state returns copies of what arrived, what runs and what was broken off.
+// state returns copies of the arrived, running and aborted requests.
 func (e *blockingEndpoint) state() (arrivals []string, running, aborted map[string]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,17 +93,18 @@
 	}
 }
 
-// leavingMesh is a sidecar of callers and a held endpoint, beside it or behind another sidecar.
+// disconnectHarness is a sidecar for callers and a blocking endpoint, either behind the same
+// sidecar or behind another one.
 type disconnectHarness struct {
 	t               *testing.T
 	callerSidecar   *Sidecar
-	endpointSidecar *Sidecar // the sidecar beside the endpoint
+	endpointSidecar *Sidecar // the sidecar on the endpoint's machine
 	endpoint        *blockingEndpoint
-	addr            string // for callers
+	addr            string // address for callers
 }
 
-// startLeavingMesh starts a mesh whose endpoint has some slots, and whose caller's sidecar has some
-// senders.
+// startDisconnectHarness starts a harness with the given number of slots at the endpoint and of
+// senders at the caller's sidecar.
 func startDisconnectHarness(t *testing.T, remote bool, slots, senders int) *disconnectHarness {
 	m := &disconnectHarness{t: t, endpoint: startBlockingEndpoint(t)}
 	m.callerSidecar = newTestSidecar("a", "127.0.0.1:1")
@@ -129,7 +131,7 @@
 	return m
 }
 
-// listen serves on a server of the kind that the daemon has.
+// listen starts a server with the options that the daemon uses.
 func (m *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
 	front := server.New("127.0.0.1:0", serve, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
 	endpointURL, err := front.Endpoint()
@@ -140,7 +142,7 @@
 	return endpointURL.Host
 }
 
-// send sends a request on a connection of its own.
+// send sends a request on a new connection.
 func (m *disconnectHarness) send(path, id string) net.Conn {
 	c, err := net.Dial("tcp", m.addr)
 	must.NoError(m.t, err)
@@ -159,7 +161,7 @@
 	for deadline := time.Now().Add(conditionTimeout); !condition(); <-ticker.C {
 		if time.Now().After(deadline) {
 			arrivals, running, aborted := m.endpoint.state()
-			m.t.Fatalf("%s did not come about: arrived %v, running %v, broken off %v", description, arrivals, running, aborted)
+			m.t.Fatalf("%s did not happen: arrived %v, running %v, aborted %v", description, arrivals, running, aborted)
 		}
 	}
 }
@@ -169,14 +171,14 @@
 	return running[id]
 }
 
-// inFlight is how many requests a sidecar holds.
+// inFlight returns the number of requests in flight at a sidecar.
 func inFlight(s *Sidecar) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// awaitInFlight waits until both sidecars hold no more requests than they should.
+// awaitInFlight waits until both sidecars have the given numbers of requests in flight.
 func (m *disconnectHarness) awaitInFlight(atCaller, beside int) {
 	m.t.Helper()
 	m.await(fmt.Sprint("requests in flight: ", atCaller, " and ", beside), func() bool {
@@ -184,8 +186,8 @@
 	})
 }
 
-// What becomes of a request whose client leaves, at each stage that it may have reached, with the
-// endpoint beside the caller's sidecar and behind another.
+// A client disconnects at each stage of its request, with the endpoint behind the caller's sidecar
+// and behind another one.
 func TestClientDisconnects(t *testing.T) {
 	for stage, test := range map[string]func(t *testing.T, remote bool){
 		"repeatable request at its endpoint":  clientDisconnectsDuringRepeatableRun,
@@ -194,7 +196,7 @@
 		"one-shot request waits for a slot":   clientDisconnectsInAdmissionQueue("/once/x"),
 		"request waits to be sent":            clientDisconnectsInSendQueue,
 	} {
-		for place, remote := range map[string]bool{"endpoint beside the caller": false, "endpoint behind a peer": true} {
+		for place, remote := range map[string]bool{"local endpoint": false, "remote endpoint": true} {
 			t.Run(stage+", "+place, func(t *testing.T) {
 				t.Parallel()
 				test(t, remote)
@@ -203,7 +205,7 @@
 	}
 }
 
-// A repeatable request at work is broken off at its endpoint when its client leaves.
+// When the client of a repeatable request disconnects, the execution is canceled at the endpoint.
 func clientDisconnectsDuringRepeatableRun(t *testing.T, remote bool) {
 	m := startDisconnectHarness(t, remote, 4, 8)
 	c := m.send("/again/x", "r0")
@@ -215,13 +217,13 @@
 	must.Eq(t, []string{"r0"}, arrivals)
 }
 
-// A request that can't be repeated and has begun goes on to its end, so that it is done once and
-// whole; nobody waits for its response.
+// A non-repeatable request that is being executed continues to its end after its client
+// disconnects, so that it takes effect exactly once and completely; its response is discarded.
 func clientDisconnectsDuringOneShotRun(t *testing.T, remote bool) {
 	m := startDisconnectHarness(t, remote, 1, 8)
 	c := m.send("/once/x", "r0")
 	m.await("the run", func() bool { return m.isRunning("r0") })
-	other := m.send("/again/x", "other") // it waits for the slot of r0
+	other := m.send("/again/x", "other") // waits for the slot of r0
 	m.awaitInFlight(2, 2)
 	must.NoError(t, c.Close())
 	must.NoError(t, other.Close())
@@ -234,7 +236,8 @@
 	must.False(t, aborted["r0"])
 }
 
-// checkOnlyTheseRun releases runs that come one after the other, and checks that there are no others.
+// checkRunsInOrder waits for and releases the given runs one after another, and checks that the
+// endpoint received no other requests.
 func (m *disconnectHarness) checkRunsInOrder(ids ...string) {
 	m.t.Helper()
 	for _, id := range ids {
@@ -246,7 +249,7 @@
 	must.Eq(m.t, ids, arrivals)
 }
 
-// remoteOr gives one value for an endpoint behind a peer and another for one beside the caller.
+// selectByPlacement returns whenRemote if the endpoint is behind a peer, otherwise whenLocal.
 func selectByPlacement(remote bool, whenRemote, whenLocal int) int {
 	if remote {
 		return whenRemote
@@ -254,8 +257,8 @@
 	return whenLocal
 }
 
-// A request that waits for a slot of its endpoint never reaches it once its client has left, of
-// whatever kind it is, and those behind it move up.
+// A request that waits for a slot at its endpoint leaves the admission queue when its client
+// disconnects, whether or not the request is repeatable, and the requests behind it move up.
 func clientDisconnectsInAdmissionQueue(path string) func(t *testing.T, remote bool) {
 	return func(t *testing.T, remote bool) {
 		m := startDisconnectHarness(t, remote, 1, 8)
@@ -271,7 +274,8 @@
 	}
 }
 
-// A request that waits to be sent leaves the queue of its client's sidecar with its client.
+// A request that waits to be sent leaves the send queue of the caller's sidecar when its client
+// disconnects.
 func clientDisconnectsInSendQueue(t *testing.T, remote bool) {
 	m := startDisconnectHarness(t, remote, 4, 1)
 	m.send("/again/x", "first")
@@ -285,17 +289,17 @@
 }
 
 const (
-	// leavingSeeds is how many seeds TestManyClientsLeave plays.
+	// disconnectSeeds is the number of seeds of TestManyClientsDisconnect.
 	disconnectSeeds = 8
-	// leavingClients send one request each in playLeavers.
+	// disconnectClients is the number of clients, with one request each, in sendAndDisconnect.
 	disconnectClients = 16
-	// minSlots is so many that all the requests may wait: none is rejected.
+	// minSlots is high enough that all requests may wait: none is rejected.
 	minSlots = 3
 )
 
-// Many clients, some of which leave at any moment: what remains is just the requests of those that
-// stay and the runs that can't be repeated. All others have ended without a release, and were not
-// sent again.
+// Many clients send requests, and some of them disconnect at random times. Afterwards only the
+// requests of the remaining clients and the non-repeatable executions are in flight. All other
+// requests have ended without being released by the endpoint, and are not sent again.
 func TestManyClientsDisconnect(t *testing.T) {
 	for seed := range uint64(disconnectSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -307,7 +311,8 @@
 	}
 }
 
-// playLeavers sends requests, closes the connections of some of them, and then releases what runs.
+// sendAndDisconnect sends requests, closes the connections of some of them, and then releases the
+// running ones.
 func (m *disconnectHarness) sendAndDisconnect(rng *rand.Rand) {
 	conns, disconnected, paths := make([]net.Conn, disconnectClients), map[string]bool{}, map[string]string{}
 	for i := range conns {
@@ -320,16 +325,16 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
-	m.await("the arrival of all", func() bool { return m.routedRequests() == disconnectClients })
-	m.await("the end of what has no client", func() bool {
+	m.await("the arrival of all requests", func() bool { return m.routedRequests() == disconnectClients })
+	m.await("the end of the abandoned requests", func() bool {
 		_, running, _ := m.endpoint.state()
 		return m.holdsOnly(disconnectClients-len(disconnected), countAbandonedRuns(running, disconnected)) && !hasAbandonedRepeatableRun(running, disconnected, paths)
 	})
 	released := map[string]bool{}
-	m.await("the end of all", func() bool {
+	m.await("the end of all requests", func() bool {
 		_, running, _ := m.endpoint.state()
 		for id := range running {
-			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !released[id], must.Sprint(id, " began after its client had left"))
+			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !released[id], must.Sprint(id, " started after its client disconnected"))
 			released[id] = true
 			m.endpoint.release(id)
 		}
@@ -338,14 +343,15 @@
 	m.checkArrivals(paths)
 }
 
-// routed is how many requests the caller's sidecar has taken.
+// routedRequests returns the number of requests that the caller's sidecar has routed.
 func (m *disconnectHarness) routedRequests() uint64 {
 	m.callerSidecar.mu.Lock()
 	defer m.callerSidecar.mu.Unlock()
 	return m.callerSidecar.planner.Calls
 }
 
-// needlessRuns reports whether a repeatable request runs whose client has left.
+// hasAbandonedRepeatableRun reports whether a repeatable request is running although its client has
+// disconnected.
 func hasAbandonedRepeatableRun(running, disconnected map[string]bool, paths map[string]string) bool {
 	for id := range running {
 		if disconnected[id] && paths[id] == "/again/x" {
@@ -355,7 +361,7 @@
 	return false
 }
 
-// orphanRuns counts the runs whose clients left.
+// countAbandonedRuns counts the running requests whose clients have disconnected.
 func countAbandonedRuns(running, disconnected map[string]bool) (count int) {
 	for id := range running {
 		if disconnected[id] {
@@ -365,8 +371,8 @@
 	return count
 }
 
-// holdsOnly reports whether the sidecars hold just the requests of the clients that stay, and
-// some runs beside the endpoint whose clients left.
+// holdsOnly reports whether the sidecars hold exactly the requests of the remaining clients and, at
+// the endpoint's sidecar, the given number of executions without a client.
 func (m *disconnectHarness) holdsOnly(staying, orphans int) bool {
 	if m.endpointSidecar == m.callerSidecar {
 		return inFlight(m.callerSidecar) == staying+orphans
@@ -377,14 +383,14 @@
 	return atCaller == staying && inFlight(m.endpointSidecar) == staying-queued+orphans
 }
 
-// checkArrivals checks that no request reached the endpoint twice and that none that can't be
-// repeated was broken off.
+// checkArrivals checks that no request reached the endpoint twice and that no non-repeatable
+// execution was canceled.
 func (m *disconnectHarness) checkArrivals(paths map[string]string) {
 	arrivals, running, aborted := m.endpoint.state()
 	must.MapEmpty(m.t, running)
 	slices.Sort(arrivals)
 	must.Eq(m.t, slices.Compact(slices.Clone(arrivals)), arrivals)
 	for id, was := range aborted {
-		must.False(m.t, was && paths[id] == "/once/x", must.Sprint(id, " was broken off"))
+		must.False(m.t, was && paths[id] == "/once/x", must.Sprint(id, " was canceled"))
 	}
 }
--- a/daemon/sidecar/config.go
+++ b/daemon/sidecar/config.go
@@ -21,30 +21,30 @@
 	"cottonarch.example/cottonarch/mesh/configcache"
 )
 
-// partTimeout bounds how long one part of a configuration may take to come.
+// partTimeout bounds the fetch of one part of a configuration.
 const partTimeout = 2 * time.Second
 
-// configState is the configuration that this sidecar holds. Sidecar.mu guards it, but for
-// fetching. A configuration is held as pending first, and becomes active when the cache says so.
-// Invariant: pending has the revisions that are pending in the cache, and no others.
+// configState holds the configurations of this sidecar. Sidecar.mu guards all fields but fetching.
+// A received configuration is pending first and becomes active when the cache allows it. Invariant:
+// pending has exactly the revisions that are pending in the cache.
 type configState struct {
 	cache    *configcache.Cache
 	active   storedConfig
 	pending  map[ident.ConfigRevision]storedConfig
-	fetching atomic.Int64 // fetches under way
+	fetching atomic.Int64 // number of fetches in progress
 }
 
 func newConfigState(now monotime.Time) configState {
 	return configState{cache: configcache.New(now), pending: map[ident.ConfigRevision]storedConfig{}}
 }
 
-// dropReplaced drops what is no longer pending in the cache.
+// dropReplaced drops the configurations that are no longer pending in the cache.
 func (c *configState) dropReplaced() {
 	maps.DeleteFunc(c.pending, func(revision ident.ConfigRevision, _ storedConfig) bool { return !c.cache.IsPending(revision) })
 }
 
-// storedConfig is a configuration as it was stored, its compressed form for peers, the delta that
-// it came by, nil if it came whole, and when it came.
+// storedConfig is a configuration as stored, with the time of its arrival, its compressed form for
+// peers, and the delta through which it arrived, nil if it was fetched whole.
 type storedConfig struct {
 	heldSince  monotime.Time
 	raw        json.RawMessage
@@ -52,8 +52,8 @@
 	delta      *delta.Delta
 }
 
-// deltaFrom returns the delta that this configuration came by, to those who have the revision
-// before it.
+// deltaFrom returns the delta from the given revision to this configuration, or nil if this
+// configuration did not arrive as a delta from that revision.
 func (c storedConfig) deltaFrom(revision ident.ConfigRevision) *delta.Delta {
 	if c.delta == nil || c.delta.From != revision {
 		return nil
@@ -61,8 +61,8 @@
 	return c.delta
 }
 
-// fetchConfigOrCount fetches the configuration from another process; it counts a failure, and
-// reports whether there was none.
+// fetchConfigOrCount fetches the configuration from another process and reports whether the fetch
+// succeeded; a failure is counted.
 func (s *Sidecar) fetchConfigOrCount(from ident.Addr) bool {
 	if err := s.fetchConfig(from); err != nil {
 		s.count(counterConfigFetchesFailed)
@@ -71,10 +71,10 @@
 	return true
 }
 
-// fetchConfig fetches the configuration from another process: as a delta to what is held here if
-// the process has one, else whole, in bounded parts. A part of another revision begins it anew, in
-// larger parts: at the latest when one part holds all, changes that follow quickly no longer keep it
-// from coming.
+// fetchConfig fetches the configuration from another process: as a delta to the newest
+// configuration held here if the process has such a delta, otherwise whole, in parts of bounded
+// size. A part of another revision restarts the fetch with larger parts. The fetch therefore ends
+// even while the configuration changes frequently, at the latest when one part holds all of it.
 func (s *Sidecar) fetchConfig(from ident.Addr) error {
 	s.config.fetching.Add(1)
 	defer s.config.fetching.Add(-1)
@@ -86,14 +86,14 @@
 			return err
 		}
 		if part.Revision <= s.newestRevision() {
-			return nil // it came from elsewhere meanwhile
+			return nil // another source delivered the configuration in the meantime
 		}
 		if part.Delta != nil {
 			if fail := s.applyDelta(*part.Delta); fail == nil {
 				return nil
 			}
 			s.count(counterDeltasRejected)
-			haveRevision = 0 // ask for the whole
+			haveRevision = 0 // fetch the whole configuration instead
 			continue
 		}
 		if fail := assembly.add(part); fail != nil {
@@ -107,8 +107,8 @@
 	return s.acceptWhole(assembly.revision, raw)
 }
 
-// fetchPart fetches the next part of an assembly. haveRevision names the configuration that a delta
-// may start from, 0 if no delta is wanted.
+// fetchPart fetches the next part of an assembly. haveRevision is the revision to which a delta is
+// accepted; 0 requests the whole configuration.
 func (s *Sidecar) fetchPart(from ident.Addr, assembly configAssembly, haveRevision ident.ConfigRevision) (part mesh.ConfigPart, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), partTimeout)
 	defer cancel()
@@ -120,8 +120,7 @@
 	return part, err
 }
 
-// applyDelta applies a delta to the newest configuration that is held here, and accepts the
-// result.
+// applyDelta applies a delta to the newest configuration held here and accepts the result.
 func (s *Sidecar) applyDelta(update delta.Delta) *failure.Error {
 	s.mu.Lock()
 	haveRevision, base := s.newestConfig()
@@ -130,7 +129,7 @@
 		return nil
 	}
 	if update.From != haveRevision {
-		return failure.New(failure.BadResponse, "a delta from revision %d, not from %d", update.From, haveRevision)
+		return failure.New(failure.BadResponse, "the delta applies to revision %d, but revision %d is held", update.From, haveRevision)
 	}
 	version, fail := update.Apply(base.raw)
 	if fail != nil {
@@ -140,7 +139,7 @@
 	return s.acceptVersion(version, &update)
 }
 
-// acceptWhole accepts a configuration that came whole.
+// acceptWhole accepts a configuration that was fetched whole.
 func (s *Sidecar) acceptWhole(revision ident.ConfigRevision, raw []byte) error {
 	tree, fail := decode.Parse(raw)
 	if fail != nil {
@@ -152,8 +151,8 @@
 	return nil
 }
 
-// acceptVersion holds a confirmed configuration and tells peers of it; update is the delta that
-// it came by, nil if it came whole.
+// acceptVersion stores a confirmed configuration as pending and notifies peers of it. update is the
+// delta through which the configuration arrived, nil if it was fetched whole.
 func (s *Sidecar) acceptVersion(version delta.Snapshot, update *delta.Delta) *failure.Error {
 	config, fail := validation.Lenient(version.Tree)
 	if fail != nil {
@@ -177,8 +176,8 @@
 	return nil
 }
 
-// activatePending makes the newest pending configuration active that enough peers hold too; mu is
-// held.
+// activatePending activates the newest pending configuration that the cache releases, because
+// enough peers hold it or the wait for their acknowledgements has ended; the caller must hold mu.
 func (s *Sidecar) activatePending() {
 	now := s.clock()
 	config := s.config.cache.TakeReady(now)
@@ -195,15 +194,15 @@
 		s.bodies.limits.Store(&config.Limits)
 	}
 	s.configActive.Store(true)
-	s.verifyNewEndpoints() // their services may be configured now
-	s.Log.Info("configuration active",
+	s.verifyNewEndpoints() // the new configuration may include services of endpoints that are not verified yet
+	s.Log.Info("configuration activated",
 		zap.Uint64("revision", uint64(config.Revision)),
 		zap.Int("routes", len(config.Routes)),
 		zap.Duration("waited", now.Since(stored.heldSince)))
 	s.renewer.wake()
 }
 
-// newestRevision is the revision of the newest configuration that is held here.
+// newestRevision returns the revision of the newest configuration held here.
 func (s *Sidecar) newestRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +210,8 @@
 	return revision
 }
 
-// newestConfig is the newest configuration that is held here, active or pending; mu is held.
+// newestConfig returns the newest configuration held here, pending or active; the caller must hold
+// mu.
 func (s *Sidecar) newestConfig() (ident.ConfigRevision, storedConfig) {
 	if config := s.config.cache.Pending(); config != nil {
 		return config.Revision, s.config.pending[config.Revision]
@@ -219,7 +219,7 @@
 	return s.planner.Revision(), s.config.active
 }
 
-// minRevision is the revision below which no configuration may become active here.
+// minRevision returns the lowest revision that may become active here.
 func (s *Sidecar) minRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -19,10 +19,10 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// configSource is a process that serves parts of a configuration and counts the bytes it sends.
+// configSource serves parts of a configuration and counts the bytes sent.
 type configSource struct {
 	source         mesh.ConfigSource
-	earlierRelease bool // it knows neither deltas nor compressed parts
+	earlierRelease bool // supports neither deltas nor compressed parts
 	bytes          int
 	queries        []string
 }
@@ -43,7 +43,7 @@
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
-// setConfig makes a configuration with that many routes, of which one has its own timeout.
+// setConfig sets a configuration with routeCount routes, the first of which has the given timeout.
 func (s *configSource) setConfig(t *testing.T, revision ident.ConfigRevision, routeCount, timeout int) delta.Snapshot {
 	t.Helper()
 	routes := map[string]any{}
@@ -63,16 +63,17 @@
 	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
 }
 
-// activeConfigOf is the active configuration of a sidecar.
+// activeConfigOf returns the active configuration of a sidecar.
 func activeConfigOf(s *Sidecar) (ident.ConfigRevision, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.planner.Revision(), s.config.active.raw
 }
 
-// A sidecar fetches a configuration whole the first time and then what changed; a delta that does
-// not fit, and a source of an earlier release, cost a whole one. The active configuration is always
-// what was served, to the byte, and one that is held is not fetched again.
+// A sidecar fetches the first configuration whole and later ones as deltas. After a delta that does
+// not apply, and from a source of an earlier release, it fetches the whole configuration. The
+// active configuration is always byte for byte what was served, and a configuration that is held is
+// not fetched again.
 func TestFetchConfigByDelta(t *testing.T) {
 	source := &configSource{}
 	server := httptest.NewServer(source)
@@ -96,7 +97,7 @@
 
 	change(1, 500)
 	wholeBytes := fetch()
-	must.Less(t, len(source.source.Raw)/2, wholeBytes) // compressed
+	must.Less(t, len(source.source.Raw)/2, wholeBytes) // the parts are compressed
 	change(2, 600)
 	must.Less(t, 400, fetch())
 	must.Eq(t, int64(1), s.Metrics.Counter(counterDeltasApplied).Load())
@@ -120,8 +121,8 @@
 	must.Eq(t, ident.ConfigRevision(4), revision)
 }
 
-// A sidecar serves its peers the delta by which its configuration came, if they have the revision
-// before.
+// A sidecar serves the delta through which its configuration arrived to peers that hold the
+// preceding revision.
 func TestServeConfigDeltaToPeers(t *testing.T) {
 	source := &configSource{}
 	before, after := source.setConfig(t, 5, 40, 1), source.setConfig(t, 6, 40, 2)
@@ -141,8 +142,8 @@
 	}
 }
 
-// A configuration of several parts is fetched while a newer one is confirmed between any two requests:
-// the fetch ends. Guards against a fetch that each newer revision begins anew for ever.
+// Each request during a fetch in several parts finds a newer revision, and the fetch still
+// completes. Guards against a fetch that never completes because every newer revision restarts it.
 func TestFetchInPartsCompletesUnderFrequentChanges(t *testing.T) {
 	const routes, maxRequests = 12000, 20
 	source := &configSource{earlierRelease: true}
@@ -160,7 +161,7 @@
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.config.cache.MarkJoined()
 	must.NoError(t, s.fetchConfig(ident.Addr(strings.TrimPrefix(server.URL, "http://"))), must.Sprint(len(source.queries), " requests"))
-	must.Greater(t, 2*mesh.DefaultPartBytes, len(source.source.Raw), must.Sprint("it takes several parts"))
+	must.Greater(t, 2*mesh.DefaultPartBytes, len(source.source.Raw), must.Sprint("the configuration must need several parts"))
 	active, raw := activeConfigOf(s)
 	must.Eq(t, revision, active)
 	must.Eq(t, string(source.source.Raw), string(raw))
--- a/daemon/sidecar/configactivation_test.go
+++ b/daemon/sidecar/configactivation_test.go
@@ -19,14 +19,14 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// steppedClock is a clock that only the test moves.
+// steppedClock is a clock that only the test advances.
 type steppedClock struct{ now atomic.Int64 }
 
 func (c *steppedClock) read() monotime.Time { return monotime.Time(c.now.Load()) }
 
 func (c *steppedClock) advance(step time.Duration) { c.now.Add(int64(step)) }
 
-// listPeers has the registry of a sidecar name a peer at each address.
+// listPeers adds one peer per address to a sidecar's registry.
 func listPeers(s *Sidecar, lapsed bool, addrs ...ident.Addr) {
 	for _, addr := range addrs {
 		workload := &record.Workload{UID: ident.Server("e-" + addr), SidecarAddr: addr, Service: "s.prairie"}
@@ -36,9 +36,10 @@
 	}
 }
 
-// Configurations come 80 ms apart for four seconds while no peer answers: the one that came two
-// seconds ago, or a newer one, is in force all the while, and what is in force and what is served to
-// peers are whole. Guards against changes that follow quickly and keep anything from coming into force.
+// Configurations arrive every 80 ms for four seconds while no peer responds. At any time, the
+// active configuration is at most two seconds behind the newest one, and the active configuration
+// and the one served to peers are complete. Guards against frequent changes that keep every
+// configuration from becoming active.
 func TestFrequentConfigsAreActivated(t *testing.T) {
 	const gap, maxDelay, changes = 80 * time.Millisecond, 2 * time.Second, 50
 	ended := make(chan struct{})
@@ -64,29 +65,29 @@
 		s.mu.Unlock()
 		active, raw := activeConfigOf(s)
 		due := int(revision) - int(maxDelay/gap)
-		must.GreaterEq(t, due, int(active), must.Sprintf("revision %d came %v ago, %d is in force", due, maxDelay, active))
+		must.GreaterEq(t, due, int(active), must.Sprintf("revision %d arrived %v ago, but %d is active", due, maxDelay, active))
 		must.Eq(t, documents[active], string(raw))
 		must.Eq(t, revision, newest)
 		must.Eq(t, documents[revision], string(held.raw), must.Sprint(fmt.Sprint("served to peers: ", revision)))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	must.LessEq(t, 2, len(s.config.pending), must.Sprint("of those that wait, all but the oldest and the newest are dropped"))
+	must.LessEq(t, 2, len(s.config.pending), must.Sprint("only the oldest and the newest pending configurations are kept"))
 }
 
-// Of many peers most have left: those that are still there are told of a configuration first, and others
-// only where there are too few of them. Guards against waits for machines that left, for as long as
-// the registry still lists them.
+// Most of many peers have left: peers with a valid lease are notified of a configuration first, and
+// others only if there are too few of the former. Guards against waiting for machines that left but
+// are still listed in the registry.
 func TestPeersToNotifyPrefersLiveLeases(t *testing.T) {
 	lapsed := []ident.Addr{"l1:1", "l2:1", "l3:1", "l4:1", "l5:1", "l6:1"}
 	for name, x := range map[string]struct {
 		live                        []ident.Addr
-		notifiedLive, notifiedOther int // how many are notified, of those whose lease holds and of the others
+		notifiedLive, notifiedOther int // expected numbers of notified peers with a valid lease and with a lapsed one
 	}{
-		"none is there":   {nil, 0, 3},
-		"one is there":    {[]ident.Addr{"a:1"}, 1, 2},
-		"three are there": {[]ident.Addr{"a:1", "b:1", "c:1"}, 3, 0},
-		"six are there":   {[]ident.Addr{"a:1", "b:1", "c:1", "d:1", "e:1", "f:1"}, 5, 0},
+		"no live peer":     {nil, 0, 3},
+		"one live peer":    {[]ident.Addr{"a:1"}, 1, 2},
+		"three live peers": {[]ident.Addr{"a:1", "b:1", "c:1"}, 3, 0},
+		"six live peers":   {[]ident.Addr{"a:1", "b:1", "c:1", "d:1", "e:1", "f:1"}, 5, 0},
 	} {
 		s := New(settings.Sidecar{Addr: "self:1"}, zap.NewNop())
 		listPeers(s, false, append(x.live, s.Settings.Addr)...)
@@ -97,6 +98,6 @@
 		}
 		must.Eq(t, x.notifiedLive, notified[true], must.Sprint(name))
 		must.Eq(t, x.notifiedOther, notified[false], must.Sprint(name))
-		must.Len(t, len(x.live)+len(lapsed), s.peerAddrs(), must.Sprint(name, ": all may be asked"))
+		must.Len(t, len(x.live)+len(lapsed), s.peerAddrs(), must.Sprint(name, ": all peers may be queried"))
 	}
 }
--- a/daemon/sidecar/configassembly.go
+++ b/daemon/sidecar/configassembly.go
@@ -9,23 +9,24 @@
 	"cottonarch.example/cottonarch/daemon/api/mesh"
 )
 
-// maxConfigBytes bounds a configuration that is taken from another process.
+// maxConfigBytes bounds the size of a configuration that is fetched from another process.
 const maxConfigBytes = mesh.MaxPartBytes
 
-// configAssembly puts the parts of a configuration together. Invariant: data is the beginning of
-// one form, compressed or not, of one revision.
+// configAssembly reassembles a configuration from its parts. Invariant: data is a prefix of one
+// revision in one form, either compressed or uncompressed.
 type configAssembly struct {
 	revision   ident.ConfigRevision
 	compressed bool
 	size       int
 	data       []byte
-	// partBytes is the size of the parts to ask for; a process of an earlier release serves its own.
+	// partBytes is the part size to request. A process of an earlier release ignores the request
+	// and serves parts of its own size.
 	partBytes int
 }
 
 func (a *configAssembly) complete() bool { return a.revision != 0 && len(a.data) == a.size }
 
-// add takes the next part; one of another revision, or in another form, begins it anew.
+// add appends the next part. A part of another revision, or in another form, restarts the assembly.
 func (a *configAssembly) add(part mesh.ConfigPart) *failure.Error {
 	if part.Revision != a.revision || part.Compressed != a.compressed {
 		if part.Offset != 0 {
@@ -33,20 +34,20 @@
 			return nil
 		}
 		if part.Revision == 0 || part.Size <= 0 || part.Size > maxConfigBytes {
-			return failure.New(failure.BadResponse, "a configuration can't have %d bytes", part.Size)
+			return failure.New(failure.BadResponse, "the configuration has no revision or an invalid size of %d bytes", part.Size)
 		}
 		*a = configAssembly{
 			revision: part.Revision, compressed: part.Compressed, size: part.Size, data: make([]byte, 0, part.Size), partBytes: a.partBytes,
 		}
 	}
 	if part.Offset != len(a.data) || part.Size != a.size || len(part.Data) == 0 || len(a.data)+len(part.Data) > a.size {
-		return failure.New(failure.BadResponse, "a part of the configuration does not fit")
+		return failure.New(failure.BadResponse, "the configuration part does not continue the parts received before")
 	}
 	a.data = append(a.data, part.Data...)
 	return nil
 }
 
-// bytes returns the configuration as it is stored.
+// bytes returns the configuration in its stored, uncompressed form.
 func (a *configAssembly) bytes() (json.RawMessage, *failure.Error) {
 	if !a.compressed {
 		return a.data, nil
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// watchTimeout is how long a core holds a poll that it has nothing to answer to. Whether the
-	// core is still there, the renewals tell.
+	// watchTimeout is how long a core holds a poll without changes to report. The renewals of the
+	// lease, not the polls, detect a failed core.
 	watchTimeout = 10 * time.Second
-	// watchMargin is how much longer the response is waited for.
+	// watchMargin is how much longer than watchTimeout the sidecar waits for the response.
 	watchMargin = 2 * time.Second
-	// watchRetryPause is the pause after a poll that failed or brought nothing, and
-	// noRegistrarPause the one while there is no core to poll.
+	// watchRetryPause is the pause after a poll that failed or yielded nothing usable, and
+	// noRegistrarPause is the pause between checks while there is no core to poll.
 	watchRetryPause  = 20 * time.Millisecond
 	noRegistrarPause = 10 * time.Millisecond
 )
 
-// configWatch is the duty that keeps the copy of the registry and the configuration up to date,
-// by long polls at the registrar.
+// configWatch is the background loop that keeps the registry copy and the configuration up to date
+// through long polls at the registrar.
 type configWatch struct {
 	sidecar *Sidecar
-	// redirect breaks off the poll that is out: it brings the core that is to be polled, or that
-	// knows a newer configuration.
+	// redirect cancels the poll in progress. Its value is the core to poll, or the core that has a
+	// newer configuration.
 	redirect chan ident.Addr
-	resync   atomic.Bool // the registry was changed by a peer: the next poll asks for all of it
-	polled   ident.Addr  // the core that is polled; Sidecar.mu guards it
+	resync   atomic.Bool // a peer changed the registry copy: the next poll requests the whole registry
+	polled   ident.Addr  // the core being polled; guarded by Sidecar.mu
 }
 
-// watchPosition is where in a core's feed the next poll goes on.
+// watchPosition is the position in a core's change feed at which the next poll continues.
 type watchPosition struct {
 	core        ident.Addr
-	instanceID  string // of the core's run to which feedVersion belongs
+	instanceID  string // identifies the process of the core that feedVersion belongs to
 	feedVersion uint64
 }
 
@@ -46,7 +46,7 @@
 	return &configWatch{sidecar: s, redirect: make(chan ident.Addr, 1)}
 }
 
-// redirectTo makes the duty turn to a core.
+// redirectTo cancels the poll in progress in favor of core, unless a redirect is already waiting.
 func (d *configWatch) redirectTo(core ident.Addr) {
 	select {
 	case d.redirect <- core:
@@ -54,8 +54,9 @@
 	}
 }
 
-// followRegistrar takes the answer of a core to a renewal: the duty turns to a new registrar, and
-// a newer configuration is obtained. Sidecar.mu is held.
+// followRegistrar handles the revision and the registrar after a core's response to a renewal: the
+// loop switches to a new registrar, and a newer configuration is fetched. The caller must hold
+// Sidecar.mu.
 func (d *configWatch) followRegistrar(answered ident.Addr, revision ident.ConfigRevision) {
 	s := d.sidecar
 	registrar := s.lease.PollTarget()
@@ -70,7 +71,7 @@
 	}
 }
 
-// run is the duty's loop.
+// run polls the registrar until Close.
 func (d *configWatch) run() {
 	s := d.sidecar
 	var position watchPosition
@@ -97,7 +98,7 @@
 	}
 }
 
-// next returns the core to poll now, and the revision of the newest configuration that is held.
+// next returns the core to poll and the revision of the newest configuration held here.
 func (d *configWatch) next() (core ident.Addr, haveRevision ident.ConfigRevision) {
 	s := d.sidecar
 	s.mu.Lock()
@@ -106,8 +107,8 @@
 	return d.polled, s.config.cache.NewestHeld(s.planner.Revision())
 }
 
-// poll asks a core for what changed after a position. redirected tells that it was broken off to
-// poll anew.
+// poll requests the changes after a position from a core. redirected reports whether the poll was
+// canceled in order to poll again.
 func (d *configWatch) poll(position watchPosition, haveRevision ident.ConfigRevision) (update mesh.WatchResponse, redirected bool, err error) {
 	s := d.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+watchMargin)
@@ -141,7 +142,7 @@
 	return mesh.WatchPath + "?" + query.Encode()
 }
 
-// apply takes what a poll brought.
+// apply applies the response to a poll.
 func (d *configWatch) apply(core ident.Addr, update mesh.WatchResponse, haveRevision ident.ConfigRevision) {
 	s := d.sidecar
 	s.mu.Lock()
@@ -159,8 +160,8 @@
 	}
 }
 
-// obtainConfig gets the configuration that a poll tells of: by the delta that came with it, else
-// by a fetch from the core.
+// obtainConfig obtains the configuration announced in the response to a poll: from the included
+// delta, or else by a fetch from the core.
 func (d *configWatch) obtainConfig(core ident.Addr, update mesh.WatchResponse) {
 	s := d.sidecar
 	s.mu.Lock()
@@ -180,8 +181,8 @@
 	d.pauseIfBehind(update.ConfigRevision)
 }
 
-// pauseIfBehind keeps a core that is behind from being polled without a pause: its configuration
-// is below what may become active here.
+// pauseIfBehind pauses if the core's configuration is older than any that may become active here,
+// so that a core that lags behind is not polled without a pause.
 func (d *configWatch) pauseIfBehind(revision ident.ConfigRevision) {
 	if revision < d.sidecar.minRevision() {
 		d.sidecar.sleep(watchRetryPause)
--- a/daemon/sidecar/configwatch_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -19,8 +19,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// slowCore is a core that answers renewals after a while, never if it is negative, and holds each
-// poll until it is broken off.
+// slowCore is a core that responds to renewals after a delay, or never if the delay is negative,
+// and holds each poll until the poll is canceled.
 type slowCore struct {
 	renewAfter    time.Duration
 	renewals      atomic.Int64
@@ -62,7 +62,7 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// startRenewingSidecar runs the duties that renew the lease and poll for changes.
+// startRenewingSidecar starts the background loops that renew the lease and poll for changes.
 func startRenewingSidecar(t *testing.T, cores ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{Node: "n", Seeds: cores}, zap.NewNop())
 	s.leaseHeld.Store(true)
@@ -72,8 +72,8 @@
 	return s
 }
 
-// Behind a full link every core is late with its answers to renewals. The poll goes on at the core
-// where it began: broken off with each renewal, it would never bring anything.
+// Over a saturated link, all cores respond late to renewals. The poll continues at the first core;
+// canceled with each renewal, it would never return anything.
 func TestPollContinuesWhileAllCoresAreLate(t *testing.T) {
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
@@ -85,16 +85,16 @@
 	must.Eq(t, 0, a.pollsCanceled.Load()+b.pollsCanceled.Load())
 }
 
-// A core that says nothing more is left as soon as another one answers a renewal.
+// The sidecar leaves a core that no longer responds as soon as another core responds to a renewal.
 func TestPollSwitchesToRespondingCore(t *testing.T) {
-	for range 6 { // which of the two comes first hangs on their ports
+	for range 6 { // the ports determine which of the two cores comes first
 		silent, responding := &slowCore{renewAfter: -1}, &slowCore{}
 		startRenewingSidecar(t, silent.serve(t), responding.serve(t))
 		select {
 		case <-responding.polledSignal:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the core that answers is never polled")
+			t.Fatal("the responding core is never polled")
 		}
-		must.Less(t, 3, silent.renewals.Load()) // it took no more than two of its renewals
+		must.Less(t, 3, silent.renewals.Load()) // the silent core received at most two renewals
 	}
 }
--- a/daemon/sidecar/cores.go
+++ b/daemon/sidecar/cores.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// maxCores bounds the list of cores.
+	// maxCores bounds the length of the core list.
 	maxCores = 32
-	// coreForgottenAfter is how long a core stays in the list that no core lists any more.
+	// coreListTTL is how long a core stays in the list after a core last listed it.
 	coreListTTL = time.Minute
-	// unknownSeedInterval is how often a seed may be asked as a peer that has not answered as a
-	// sidecar yet, coreSeedInterval the same for one that is known to be a core.
+	// unknownSeedInterval is the minimum interval between peer queries to a seed that has not yet
+	// responded as a sidecar; coreSeedInterval is the interval for a seed known to be a core.
 	unknownSeedInterval = 1500 * time.Millisecond
 	coreSeedInterval    = 30 * time.Second
-	// seedGracePeriod is how long after the start no seed is asked as a peer: it may yet answer
-	// as a core.
+	// seedGracePeriod is how long after startup no seed is queried as a peer, because the seed may
+	// still respond as a core.
 	seedGracePeriod = 600 * time.Millisecond
 )
 
-// coreList is the cores that this sidecar knows, and which seeds are sidecars. A seed may be
-// either, which only its answers tell. Sidecar.mu guards it.
+// coreList holds the known cores and which of the seeds are sidecars. A seed may be a core or a
+// sidecar; only its responses tell which. Sidecar.mu guards the list.
 type coreList struct {
 	seeds       []ident.Addr
-	addrs       []ident.Addr                 // the seeds, and the cores that were listed lately
-	listedAt    map[ident.Addr]monotime.Time // when a core last listed it
+	addrs       []ident.Addr                 // the seeds and the recently listed cores
+	listedAt    map[ident.Addr]monotime.Time // when a core last listed the address
 	isSidecar   map[ident.Addr]bool
-	nextQueryAt map[ident.Addr]monotime.Time // when it may be asked as a peer again
+	nextQueryAt map[ident.Addr]monotime.Time // when the seed may next be queried as a peer
 }
 
 func newCoreList(seeds []ident.Addr, now monotime.Time) coreList {
@@ -47,7 +47,7 @@
 	return list
 }
 
-// usable lists the cores; seeds that are sidecars are listed only while there is nothing else.
+// usable returns the cores. Seeds that are sidecars are included only if nothing else is known.
 func (l *coreList) usable() []ident.Addr {
 	cores := slices.DeleteFunc(slices.Clone(l.addrs), func(addr ident.Addr) bool { return l.isSidecar[addr] })
 	if len(cores) == 0 {
@@ -56,8 +56,8 @@
 	return cores
 }
 
-// add takes the cores as a core lists them. Those that no core has listed for a while are
-// dropped, but for the seeds.
+// add adds the cores listed by a core. Cores other than the seeds are dropped if no core has listed
+// them for coreListTTL.
 func (l *coreList) add(now monotime.Time, listed []ident.Addr) {
 	for _, addr := range listed {
 		l.listedAt[addr] = now
@@ -74,14 +74,14 @@
 	})
 }
 
-// markCore notes that a process is a core.
+// markCore records that the process at addr is a core.
 func (l *coreList) markCore(now monotime.Time, addr ident.Addr) {
 	delete(l.isSidecar, addr)
 	l.nextQueryAt[addr] = now.Add(coreSeedInterval)
 }
 
-// mayQuerySeed reports whether a seed may be asked as a peer now. Until a seed has answered as a
-// sidecar it is asked seldom, as all sidecars that start together ask the same seeds.
+// mayQuerySeed reports whether a seed may be queried as a peer now. A seed that has not responded
+// as a sidecar is queried rarely, because all sidecars that start together query the same seeds.
 func (l *coreList) mayQuerySeed(now monotime.Time, seed ident.Addr) bool {
 	if !l.isSidecar[seed] && l.nextQueryAt[seed].After(now) {
 		return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-// noteSeedAnswer takes what a seed's answer to a peer's request tells of it: a core has no such
-// path.
+// handleSeedResponse derives from the result of a peer query whether the seed is a sidecar or a
+// core: a core has no such path.
 func (l *coreList) handleSeedResponse(now monotime.Time, seed ident.Addr, err error) {
 	if !slices.Contains(l.seeds, seed) {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-// usableCores is coreList.usable for those who do not hold mu.
+// usableCores calls coreList.usable for callers that do not hold mu.
 func (s *Sidecar) usableCores() []ident.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// endpointMarginMs is how many milliseconds before this sidecar gives up the endpoint is
-	// told to end, so that its own answer is heard.
+	// endpointMarginMs is how many milliseconds the timeout sent to the endpoint is shorter than
+	// the sidecar's own, so that the endpoint's response to a timeout still arrives in time.
 	endpointMarginMs = 10
-	// idleTrust is for how long after its last use a connection to an endpoint counts as open:
-	// an endpoint may close one that is idle just as the next request is sent.
+	// maxIdleAge is how long after its last use a kept connection to an endpoint is reused. An
+	// endpoint may close an idle connection just as the next request is sent.
 	maxIdleAge = 2 * time.Second
 )
 
-// endpointRequest is a request for an endpoint of this machine, of a caller here or of another
+// endpointRequest is a request for an endpoint of this machine, from a local caller or from another
 // sidecar.
 type endpointRequest struct {
 	server           ident.Server
 	service          ident.Service
 	call             exchange.Call
 	deadline         time.Time
-	retryProbability float64 // the probability that it repeats one that ran
+	retryProbability float64 // probability that the request repeats one that was executed
 	hints            admissionHints
 }
 
-// endpointResult is what became of a request at an endpoint of this machine. Invariant: response
-// is set if and only if result is resultResponse, failure if and only if it is not.
+// endpointResult is the outcome of a request at an endpoint of this machine. Invariant: response is
+// set if and only if result is resultResponse, and failure is set if and only if result is not.
 type endpointResult struct {
 	response   *exchange.Response
 	result     peerResult
 	failure    *failure.Error
-	loadReport string        // the endpoint's load when the request was over, as text
-	duration   time.Duration // how long the endpoint had it
+	loadReport string        // the endpoint's encoded load report at the end of the request
+	duration   time.Duration // how long the endpoint took
 }
 
-// sendToEndpoint sends a request to an endpoint of this machine. It checks that the endpoint is
-// still the one that is meant, waits for a slot, and checks again right before the first byte. ctx
-// ends when the client leaves: what waits is then dropped, and a run is broken off if it is
-// repeatable.
+// sendToEndpoint sends a request to an endpoint of this machine. It checks that the address still
+// belongs to the intended endpoint, waits for a slot, and checks again right before the first byte.
+// ctx is done when the client disconnects: a waiting request is then dropped, and an execution is
+// canceled if it is repeatable.
 func (s *Sidecar) sendToEndpoint(ctx context.Context, request endpointRequest) (result endpointResult) {
 	if _, fail := s.checkEndpoint(request); fail != nil {
 		return endpointResult{result: resultRejected, failure: fail}
@@ -65,7 +65,8 @@
 	return result
 }
 
-// checkEndpoint returns the address of the endpoint that is meant, or why it may not be sent to.
+// checkEndpoint returns the address of the intended endpoint, or the reason why the request must
+// not be sent.
 func (s *Sidecar) checkEndpoint(request endpointRequest) (ident.Addr, *failure.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,8 @@
 	return addr, fail
 }
 
-// sendWithSlot sends a request that has a slot, and tells the admission queue how it ended.
+// sendWithSlot sends a request that was admitted, and returns its result and its outcome for the
+// admission queue.
 func (s *Sidecar) sendWithSlot(ctx context.Context, request endpointRequest) (endpointResult, admission.Outcome) {
 	addr, connections, fail := s.beginEndpointCall(request)
 	if fail != nil {
@@ -99,8 +101,9 @@
 	return s.answeredCallResult(resp, sentAt)
 }
 
-// runContext is the context of a request's run. One that can't be repeated goes on to its end when
-// its client leaves: broken off, it may be half done, and nobody could tell.
+// runContext returns the context of a request's execution. A request that can't be repeated is
+// executed to its end even if its client disconnects, because a canceled execution may have taken
+// effect in part, and nobody could tell.
 func runContext(ctx context.Context, request endpointRequest) context.Context {
 	if request.hints.repeatable {
 		return ctx
@@ -108,7 +111,8 @@
 	return context.WithoutCancel(ctx)
 }
 
-// endpointGivenUp is the result of a call that was broken off as its client left.
+// canceledCallResult returns the result of a call that was canceled because its client
+// disconnected.
 func (s *Sidecar) canceledCallResult(sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	if !sent {
 		return endpointResult{result: resultRejected, failure: clientLeft()}, admission.GivenUp
@@ -121,9 +125,9 @@
 	return result, admission.GivenUp
 }
 
-// beginEndpointCall checks the endpoint a second time and charges the request to the retry
-// budget. It gives the endpoint's address, and the bound of its connections that the
-// configuration sets, 0 if none.
+// beginEndpointCall checks the endpoint a second time and charges the request to the retry budget.
+// It returns the endpoint's address and the configured maximum of connections to the endpoint, 0 if
+// none is set.
 func (s *Sidecar) beginEndpointCall(request endpointRequest) (addr ident.Addr, connections int, fail *failure.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +136,7 @@
 		return "", 0, fail
 	}
 	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryProbability) {
-		return "", 0, failure.New(failure.Busy, "the retry budget of the services called is used up").WithRetryAfter(retryAfterSeconds)
+		return "", 0, failure.New(failure.Busy, "the retry budget of the called services is exhausted").WithRetryAfter(retryAfterSeconds)
 	}
 	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
@@ -141,7 +145,7 @@
 	return addr, connections, nil
 }
 
-// endEndpointCall ends what beginEndpointCall began.
+// endEndpointCall reverses the accounting of beginEndpointCall.
 func (s *Sidecar) endEndpointCall(request endpointRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +153,8 @@
 	s.runs.end(s.requestID(request))
 }
 
-// requestID is the id by which the endpoint knows a request, "" if it has none.
+// requestID returns the id by which the endpoint identifies a request, or "" if the request has
+// none.
 func (s *Sidecar) requestID(request endpointRequest) string {
 	if s.Settings.Headers.RequestID == "" {
 		return ""
@@ -157,17 +162,17 @@
 	return firstValue(request.call.Header, s.Settings.Headers.RequestID)
 }
 
-// checkNotMoved is the last check before the first byte: while the connection came up, the
-// endpoint may have ended and another may have taken its address.
+// checkAddrUnchanged is the last check before the first byte: while the connection was being
+// established, the endpoint may have stopped and another one may have taken over its address.
 func (s *Sidecar) checkAddrUnchanged(request endpointRequest, addr ident.Addr) *failure.Error {
 	current, fail := s.checkEndpoint(request)
 	if fail == nil && current != addr {
-		return failure.New(failure.EndpointRejected, "server %q has moved", request.server)
+		return failure.New(failure.EndpointRejected, "the address of server %q has changed", request.server)
 	}
 	return fail
 }
 
-// endpointFailed is the result of a call that brought no response.
+// failedCallResult returns the result of a call without a response.
 func (s *Sidecar) failedCallResult(
 	server ident.Server, fail *failure.Error, sent bool, sentAt monotime.Time,
 ) (endpointResult, admission.Outcome) {
@@ -186,7 +191,7 @@
 	}
 }
 
-// endpointAnswered is the result of a call that brought a response.
+// answeredCallResult returns the result of a call with a response.
 func (s *Sidecar) answeredCallResult(resp *exchange.Response, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	result := classifyResponse(s.Settings.Headers, resp)
 	switch {
@@ -203,8 +208,9 @@
 	}
 }
 
-// classifyResponse tells the endpoint's response to the request from its statement that it did not
-// run it. That the response is whole and belongs to this request, the exchange has checked.
+// classifyResponse distinguishes the endpoint's response to the request from its statement that it
+// did not execute the request. The exchange has already checked that the response is complete and
+// belongs to this request.
 func classifyResponse(headers settings.Headers, resp *exchange.Response) endpointResult {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
 		fail := failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)
@@ -213,8 +219,8 @@
 	return endpointResult{result: resultResponse, response: resp}
 }
 
-// endpointCall makes the call of one endpoint: it names the endpoint and the time that is left,
-// and says how the response is known as this call's own.
+// endpointCall builds the call to an endpoint. The call names the endpoint and the remaining time,
+// and says how to recognize the response as the response to this call.
 func endpointCall(headers settings.Headers, call exchange.Call, server ident.Server, deadline time.Time) exchange.Call {
 	call.Deadline = deadline
 	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 4), call.HeaderOverrides...)
@@ -225,8 +231,8 @@
 		call.RequiredHeader, call.RejectEncoded = headers.SuccessMark, true
 	}
 	if id := firstValue(call.Header, headers.RequestID); id == "" {
-		// Without an id nothing tells an unasked response on a kept connection from the one
-		// that is due: each request has a connection of its own.
+		// Without an id, a stray response on a kept connection can't be told apart from the
+		// response to this request, so each request gets a connection of its own.
 		call.SingleUse = true
 	} else {
 		call.IDHeader, call.ID, call.MaxIdleAge = headers.RequestID, id, maxIdleAge
--- a/daemon/sidecar/endpointcall_test.go
+++ b/daemon/sidecar/endpointcall_test.go
@@ -16,8 +16,9 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// Without an id nothing tells a request's answer from another's: it gets a connection of its own to
-// the endpoint, so that a late answer to an older request reaches nobody.
+// Without an id, the response to one request can't be told apart from the response to another. Such
+// a request therefore uses its own connection to the endpoint, so that a late response to an
+// earlier request reaches nobody.
 func TestRequestWithoutIDUsesItsOwnConnection(t *testing.T) {
 	for name, echo := range map[string]string{"echoed": testIDHeader + ": \r\n", "not echoed": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -26,12 +27,12 @@
 				return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%s: s\r\nContent-Length: %d\r\n\r\n%s", echo, testSuccessMarkHeader, len(body), body)
 			}
 			received := make(chan string, 8)
-			var answered atomic.Int64
+			var sent atomic.Int64
 			endpointAddr := listen(t, func(c *net.TCPConn) {
 				previous := ""
 				serveRequests(c, func(_ *bufio.Reader, _ *http.Request, body []byte) bool {
 					received <- string(body)
-					own := response(int(answered.Add(1)))
+					own := response(int(sent.Add(1)))
 					_, _ = io.WriteString(c, previous+own)
 					previous = own
 					return true
@@ -49,8 +50,8 @@
 	}
 }
 
-// Every call of an endpoint either has a connection of its own, or has an id and asks for a
-// connection that was used within idleTrust, never for any that is open.
+// Every call to an endpoint either uses a connection of its own, or has an id and accepts only a
+// connection that was used within maxIdleAge, never just any open connection.
 func TestEndpointCallsAreIdentifiedOrSingleUse(t *testing.T) {
 	for _, name := range []string{"", testIDHeader} {
 		for _, id := range []string{"", "r"} {
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -17,21 +17,22 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// These tests play all orders of what the far ends of a request's hops may do, over the daemon's
-// own code and real sockets, and check every answer against what the endpoints saw. The faulty
-// builds that they catch are listed in docs/design/control-safety/exactly-once.md.
+// These tests run all sequences of behaviors of endpoints and relays over the daemon's own code and
+// real sockets, and check every response against the requests that the endpoints received. The
+// faulty builds that the tests detect are listed in docs/design/control-safety/exactly-once.md.
 
-// patientLimit is the time of a request that must not time out, shortLimit that of one which meets
-// a peer that hangs.
+// patientLimit is the timeout of a request that must not time out; shortLimit is the timeout of a
+// request to a peer that hangs.
 const (
 	patientLimit = time.Minute
 	shortLimit   = 60 * time.Millisecond
 )
 
-// notExecutedStatuses are the statuses of a request that has not run and never will.
+// notExecutedStatuses are the response statuses of a request that has not been and never will be
+// executed.
 var notExecutedStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// topology places the two endpoints of a service and gives the sidecar that callers use.
+// topology places the two endpoints of a service and returns the sidecar for callers.
 type topology func(*faultHarness) *Sidecar
 
 func localEndpoints(st *faultHarness) *Sidecar {
@@ -47,8 +48,9 @@
 	return s
 }
 
-// playScript sends requests one after the other against one order of moves. The answers are checked
-// at once, and again at the end of the test: what was rejected never runs.
+// runScenario sends requests one after another against one sequence of behaviors. The responses are
+// checked immediately and again at the end of the test, because a rejected request must never be
+// executed later.
 func (st *faultHarness) runScenario(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
 	played, number := newScenario(script, relays), fmt.Sprint(st.scenarioCount.Add(1))
 	st.scenarios.Store(number, played)
@@ -67,7 +69,7 @@
 	t.Cleanup(checkAll)
 }
 
-// closeConnections closes the connections that the sidecars kept.
+// closeConnections closes the kept connections of the sidecars.
 func (st *faultHarness) closeConnections(s *Sidecar) {
 	for _, sidecar := range []*Sidecar{s, st.peer.Swap(nil)} {
 		if sidecar == nil {
@@ -82,16 +84,17 @@
 
 func describeScenario(paths []string, script []endpointBehavior, relays []relayBehavior) string {
 	names := []string{strings.Join(paths, " ")}
-	for _, m := range script {
-		names = append(names, m.name)
+	for _, behavior := range script {
+		names = append(names, behavior.name)
 	}
-	for _, m := range relays {
-		names = append(names, "hop "+m.name)
+	for _, behavior := range relays {
+		names = append(names, "relay "+behavior.name)
 	}
 	return strings.Join(names, "; ")
 }
 
-// checkAnswer checks the answer to one request against what the endpoints saw of it.
+// checkResponse checks the response to one request against what the endpoints received of the
+// request.
 func (j *scenario) checkResponse(t *testing.T, path, id string, got *httptest.ResponseRecorder, description string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -102,16 +105,16 @@
 		}
 		unknown = unknown || behavior.evidence == unproven
 		if n > 0 && strings.HasPrefix(path, "/once/") {
-			must.Eq(t, notExecuted, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent on after one that may have run", description, id))
+			must.Eq(t, notExecuted, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent again after an attempt that may have executed it", description, id))
 		}
 	}
-	message := must.Sprintf("%s: %s ran %d times, was answered %d %s %s", description, id, executions, got.Code,
+	message := must.Sprintf("%s: %s was executed %d times, response: %d %s %s", description, id, executions, got.Code,
 		got.Header().Get(response.OutcomeHeader), got.Body)
 	if strings.HasPrefix(path, "/once/") {
 		must.LessEq(t, 1, executions, message)
 	}
 	outcome := failure.Outcome(got.Header().Get(response.OutcomeHeader))
-	if outcome == "" { // an endpoint's own
+	if outcome == "" { // the endpoint's own response
 		must.Eq(t, responseBody(id), got.Body.String(), message)
 		must.Eq(t, []string{id}, got.Header()[testIDHeader], message)
 		must.Greater(t, 0, executions, message)
@@ -124,15 +127,15 @@
 		must.Eq(t, 0, executions, message)
 	} else {
 		must.Eq(t, failure.OutcomeUnknown, outcome, message)
-		must.True(t, unknown || j.connectionClosed, message) // not unsure without a cause
+		must.True(t, unknown || j.connectionClosed, message) // an unknown outcome must have a cause
 	}
 }
 
-// movesWithoutHang are the moves that end without a time-out.
+// behaviorsWithoutHang returns the behaviors that end without a timeout.
 func behaviorsWithoutHang() (list []endpointBehavior) {
-	for _, m := range endpointBehaviors {
-		if m.end != hangs {
-			list = append(list, m)
+	for _, behavior := range endpointBehaviors {
+		if behavior.end != hangs {
+			list = append(list, behavior)
 		}
 	}
 	return list
@@ -140,19 +143,19 @@
 
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
-// movesNamed returns the endpoint moves of these names.
+// behaviorsNamed returns the endpoint behaviors with the given names.
 func behaviorsNamed(names ...string) (list []endpointBehavior) {
-	for _, m := range endpointBehaviors {
-		if slices.Contains(names, m.name) {
-			list = append(list, m)
+	for _, behavior := range endpointBehaviors {
+		if slices.Contains(names, behavior.name) {
+			list = append(list, behavior)
 		}
 	}
 	return list
 }
 
-// All orders of three moves of two endpoints beside the sidecar, against two requests.
+// All sequences of three behaviors of two endpoints behind the caller's sidecar, with two requests.
 func TestAllScenariosWithLocalEndpoints(t *testing.T) {
-	last := behaviorsNamed("answers", "answers an older one late, then this", "refuses", "runs and resets")
+	last := behaviorsNamed("responds", "sends the previous response, then its own", "rejects as not executed", "executes and resets")
 	must.SliceLen(t, 4, last)
 	for _, first := range behaviorsWithoutHang() {
 		t.Run(first.name, func(t *testing.T) {
@@ -169,9 +172,10 @@
 	}
 }
 
-// All orders of two moves of the hop between sidecars and two of the endpoints behind it.
+// All sequences of two behaviors of the relay between sidecars and two of the endpoints behind the
+// relay.
 func TestAllScenariosWithRemoteEndpoints(t *testing.T) {
-	endpoints := behaviorsNamed("answers", "answers and closes", "answers twice", "refuses", "runs and resets")
+	endpoints := behaviorsNamed("responds", "responds and closes", "responds twice", "rejects as not executed", "executes and resets")
 	must.SliceLen(t, 5, endpoints)
 	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
@@ -188,9 +192,10 @@
 	}
 }
 
-// The same with a request that may run again before one that may not: three moves of the hop.
+// All sequences of three behaviors of the relay, with a repeatable request before a non-repeatable
+// one.
 func TestAllRelayScenariosForRepeatableRequests(t *testing.T) {
-	endpoints := behaviorsNamed("answers", "runs and resets")
+	endpoints := behaviorsNamed("responds", "executes and resets")
 	must.SliceLen(t, 2, endpoints)
 	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
@@ -207,8 +212,8 @@
 	}
 }
 
-// A request to a peer that hangs ends at its deadline: whether it ran is unknown, it is not sent
-// again, and its connection carries nothing after it.
+// A request to a peer that hangs ends at its deadline: the outcome is unknown, the request is not
+// sent again, and its connection is not reused.
 func TestAllScenariosWithAHangingPeer(t *testing.T) {
 	hanging := endpointBehaviors[len(endpointBehaviors)-1]
 	must.Eq(t, hangs, hanging.end)
@@ -228,18 +233,18 @@
 	}
 }
 
-// Many requests at once, on connections that random moves keep and end: no two of them are mixed
-// up, and each answer is checked as above.
+// Concurrent requests on connections that random behaviors keep or close: no two requests are
+// confused, and each response is checked as in the other tests.
 func TestConcurrentRequests(t *testing.T) {
 	const callers, each = 8, 30
 	for seed := range uint64(6) {
-		for name, setUp := range map[string]topology{"beside": localEndpoints, "behind": remoteEndpoints} {
+		for name, setUp := range map[string]topology{"local": localEndpoints, "remote": remoteEndpoints} {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				rng := rand.New(rand.NewPCG(seed, 1))
 				var script []endpointBehavior
 				var relays []relayBehavior
-				for range 2 * callers * each { // half of the moves are well
+				for range 2 * callers * each { // half of the behaviors are faultless
 					script = append(script, endpointBehaviors[0], randomElement(rng, behaviorsWithoutHang()))
 					relays = append(relays, relayBehaviors[0], randomElement(rng, relayBehaviors))
 				}
@@ -270,7 +275,7 @@
 						}
 					}
 				}
-				must.Greater(t, callers*each/4, served) // or the moves leave nothing to be seen
+				must.Greater(t, callers*each/4, served) // otherwise the faults leave too few successful responses to check
 			})
 		}
 	}
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -19,13 +19,13 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// parsedRequest is a request as the endpoint read it.
+// parsedRequest is a request as read by the endpoint.
 type parsedRequest struct {
 	*http.Request
 	body []byte
 }
 
-// recordingEndpoint is an endpoint that hands on every request that it can read.
+// recordingEndpoint starts an endpoint that sends every request it reads to the returned channel.
 func recordingEndpoint(f *testing.F) (ident.Addr, chan parsedRequest) {
 	requests := make(chan parsedRequest, 8)
 	return listen(f, func(c *net.TCPConn) {
@@ -41,7 +41,7 @@
 	}), requests
 }
 
-// catchAllConfig sends every request to the service s.
+// catchAllConfig routes every request to the service s.
 var catchAllConfig = &validation.Config{
 	Revision: 2,
 	Services: testConfig.Services,
@@ -56,9 +56,9 @@
 	}},
 }
 
-// Whatever a caller or another sidecar sends that net/http reads as a request: it is
-// answered and leaves nothing in flight; the endpoint reads at most one request of it, and
-// that one is the caller's own, with the mesh's own headers and no other's in their place.
+// A caller or another sidecar sends anything that net/http parses as a request: the request gets a
+// response and leaves nothing in flight. The endpoint reads at most one request, which is the
+// caller's own, with the mesh's own headers and without forged ones.
 func FuzzIntake(f *testing.F) {
 	for _, seed := range []string{
 		rawRequest("POST", "/once/x", "r1", "one"), rawRequest("HEAD", "//x//y/../z?q=%2F&a=;b", "r1", ""), "GET http://other.example/x HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -84,7 +84,7 @@
 			r.Body = io.NopCloser(bytes.NewReader(sent))
 		}
 		r.RemoteAddr = "10.0.0.1:1"
-		r.Header.Del("X-Limit-Left-Ms") // an early end is no answer to what this asks
+		r.Header.Del("X-Limit-Left-Ms") // an early timeout would not exercise the code under test
 		sentHeader := r.Header.Clone()
 		s := newTestSidecar("a", "127.0.0.1:1", endpointAddr)
 		s.Settings.EndpointService = "own"
@@ -107,7 +107,7 @@
 		must.NotEq(t, http.StatusBadGateway, w.Code, must.Sprintf("%s", w.Body))
 		select {
 		case got := <-requests:
-			must.NoError(t, err) // a body that broke off goes nowhere
+			must.NoError(t, err) // a request with a truncated body is not forwarded
 			must.Eq(t, http.StatusOK, w.Code)
 			requireSameRequest(t, r, sentHeader, sent, got, fromPeer)
 		default:
@@ -117,12 +117,12 @@
 	})
 }
 
-// failingBody is a body that breaks off.
+// failingBody is a request body whose read fails.
 type failingBody struct{ error }
 
 func (body *failingBody) Read([]byte) (int, error) { return 0, body.error }
 
-// requireSameRequest holds what the endpoint read against what was sent.
+// requireSameRequest compares the request that the endpoint read with the request that was sent.
 func requireSameRequest(t *testing.T, r *http.Request, sentHeader http.Header, sent []byte, received parsedRequest, fromPeer bool) {
 	must.Eq(t, r.Method, received.Method)
 	must.Eq(t, r.Host, received.Host)
--- a/daemon/sidecar/handlers.go
+++ b/daemon/sidecar/handlers.go
@@ -15,23 +15,23 @@
 	"github.com/gorilla/mux"
 )
 
-// maxMessageBytes bounds the bodies that these handlers read.
+// maxMessageBytes bounds the request bodies that these handlers read.
 const maxMessageBytes = 1 << 16
 
-// heartbeatAck tells an endpoint how often to send heartbeats, and after how long without one it
-// counts as unhealthy.
+// heartbeatAck tells an endpoint the interval between heartbeats and how long after the last
+// heartbeat the endpoint counts as unhealthy.
 type heartbeatAck struct {
 	IntervalMs    int64 `json:"beatEveryMs"`
 	SilentAfterMs int64 `json:"silentAfterMs"`
 }
 
-// activeConfig is the active configuration, as operators read it.
+// activeConfig is the active configuration as shown to operators.
 type activeConfig struct {
 	Revision ident.ConfigRevision `json:"epoch"`
 	Config   json.RawMessage      `json:"manifest"`
 }
 
-// Paths is what endpoints, peers and operators may ask a sidecar.
+// Paths returns the handlers for requests of endpoints, peers and operators.
 func (s *Sidecar) Paths() server.Paths {
 	return server.Paths{
 		"/beat":             {http.MethodPost: s.handleHeartbeat},
@@ -60,7 +60,7 @@
 	})
 }
 
-// handleConfig shows the active configuration.
+// handleConfig returns the active configuration.
 func (s *Sidecar) handleConfig(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	config := activeConfig{Revision: s.planner.Revision(), Config: s.config.active.raw}
@@ -72,14 +72,14 @@
 	response.WriteJSON(w, http.StatusOK, config)
 }
 
-// handleAddress looks a record of the registry up by its key.
+// handleAddress looks up a registry record by its key.
 func (s *Sidecar) handleAddress(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
 	s.mu.Lock()
 	address, ok := s.planner.Index.Lookup(key)
 	s.mu.Unlock()
 	if !ok {
-		response.WriteError(w, failure.New(failure.NotFound, "no address %q", key))
+		response.WriteError(w, failure.New(failure.NotFound, "no registry record has the key %q", key))
 		return
 	}
 	response.WriteJSON(w, http.StatusOK, address)
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	// hintFields is the number of fields of the hints as text; earlier releases wrote fewer.
+	// hintFields is the number of fields of the encoded hints; earlier releases wrote fewer.
 	hintFields = 9
-	// The bounds of what is read: other sidecars are not trusted with a larger value.
+	// Upper bounds of decoded values: larger values from other sidecars are not trusted.
 	maxHintPriority     = 1000
 	maxHintMicroseconds = 1 << 40
 	maxHintBytes        = 1 << 30
 	hintRateScale       = 1000
-	// earlyRejectionFraction: a request that is rejected within this part of its latency target
-	// (one in four) can still be answered in time by another endpoint.
+	// earlyRejectionFraction is the divisor of the latency target within which a rejection costs
+	// the caller nothing: after a rejection in the first quarter of the target, another endpoint
+	// can still respond in time.
 	earlyRejectionFraction = 4
 )
 
-// admissionHints is what the caller's sidecar tells the admission queue beside the endpoint of a
-// request. All times are what is left, as the clocks of two machines differ. The text is nine
-// whole numbers, in the order of the fields: times in microseconds, the rate in thousandths.
+// admissionHints is the information about a request that the caller's sidecar sends to the
+// admission queue at the endpoint. All times are relative to now, because the clocks of two
+// machines differ. The encoded form has nine integers in the order of the fields: times in
+// microseconds, the rate in thousandths.
 type admissionHints struct {
 	priority            int
-	expectedServiceTime time.Duration // how long the endpoint will take; 0 if that is not known
-	earlyRejection      time.Duration // until when a rejection costs the caller nothing
-	latencyTarget       time.Duration // until when the response is worth most
-	peerFailureRate     float64       // how often the other endpoints of the service fail, 0 to 1
-	lastResort          bool          // there is no other endpoint to send it to
-	responseBytes       int           // the mean size of such responses
-	repeatable          bool          // a run of it may be broken off when its client leaves
-	nested              bool          // the run of another request waits for it
+	expectedServiceTime time.Duration // expected service time at the endpoint; 0 if unknown
+	earlyRejection      time.Duration // how long from now a rejection costs the caller nothing
+	latencyTarget       time.Duration // how long from now a response has its full value
+	peerFailureRate     float64       // failure rate of the service's other endpoints, 0 to 1
+	lastResort          bool          // no other endpoint is left to send the request to
+	responseBytes       int           // mean size of the responses to such requests
+	repeatable          bool          // an execution may be canceled when the client disconnects
+	nested              bool          // the execution of another request waits for this one
 }
 
-// hintsFor returns the hints of a call for the endpoint that was chosen. The target of a nested call
-// is its deadline: until then its response lets the run that waits for it end well.
+// hintsFor returns the hints of a call for the selected endpoint. The latency target of a nested
+// call is its deadline: any response before the deadline lets the waiting execution succeed.
 func hintsFor(now, receivedAt monotime.Time, call *attempt.Call, decision attempt.Decision) admissionHints {
 	target := call.Route.TargetLatency
 	if target <= 0 || call.Nested {
@@ -58,7 +60,7 @@
 	}
 }
 
-// encode writes the hints as the text of a header.
+// encode encodes the hints as a header value.
 func (h admissionHints) encode() string {
 	fields := [hintFields]int64{
 		int64(h.priority),
@@ -81,8 +83,8 @@
 	return string(buf)
 }
 
-// parseHints reads the text of a header. A field that is missing or can't be read is 0, and each
-// is bounded.
+// parseHints decodes a header value. A missing or malformed field is 0, and each field is limited
+// to its bounds.
 func parseHints(text string) admissionHints {
 	var fields [hintFields]int64
 	for i := range fields {
@@ -103,7 +105,7 @@
 	}
 }
 
-// flag is a truth value as a field.
+// boolToInt64 encodes a bool as a field.
 func boolToInt64(value bool) int64 {
 	if value {
 		return 1
@@ -117,7 +119,7 @@
 	return time.Duration(clamp(microseconds, -maxHintMicroseconds, maxHintMicroseconds)) * time.Microsecond
 }
 
-// request makes the request to the admission queue.
+// request builds the request to the admission queue.
 func (h admissionHints) request(now monotime.Time, id uint64, deadline monotime.Time) admission.Request {
 	return admission.Request{
 		ID:              id,
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -20,7 +20,7 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// countedBodies counts the bytes of bodies that a peer reads.
+// countedBodies counts the bytes that a peer reads from request bodies.
 type countedBodies struct{ bytes atomic.Int64 }
 
 type countedBody struct {
@@ -34,10 +34,11 @@
 	return n, err
 }
 
-// startPeerServer is the stage's startPeerServer, with the bodies counted that the sidecar reads.
+// startPeerServer is like the function startPeerServer, but counts the bytes that the sidecar reads
+// from bodies.
 func (c *countedBodies) startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
 	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool {
-		counted := *r // the server must go on to see its own body
+		counted := *r // a copy, because the server must keep its own body
 		counted.Body = countedBody{r.Body, &c.bytes}
 		return s().ServePeer(w, &counted)
 	})
@@ -46,9 +47,9 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// A machine whose inbound link is full does not ask for another large body: the request is answered
-// as not run before its body leaves; a small one is still taken. Once the link is free, the large
-// one is taken too.
+// A machine whose inbound link is full does not request another large body: the request is rejected
+// as not executed before its body is sent, while a small request is still accepted. Once the link
+// is free, the large request is accepted too.
 func TestFullInboundLinkRejectsLargeBodies(t *testing.T) {
 	const large, comingIn = 300 << 10, 2_000_000
 	harness := newFaultHarness(t)
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -18,19 +18,20 @@
 const (
 	// coresTimeout bounds how long a process may take to list the cores.
 	coresTimeout = 500 * time.Millisecond
-	// coresInterval is how often a sidecar without a lease asks for the list.
+	// coresInterval is the minimum interval between requests for the list of cores from a sidecar
+	// without a lease.
 	coresInterval = time.Second
-	// joinAttemptIDLength is the length of the id of a join, which the cores keep for every node.
+	// joinAttemptIDLength is the length of the id of a join, which the cores store for every node.
 	joinAttemptIDLength = 12
 )
 
-// leaseJoiner is how a sidecar without a lease obtains one. Only the renewer's goroutine uses it.
+// leaseJoiner obtains a lease for a sidecar without one. Only the renewer's goroutine uses it.
 type leaseJoiner struct {
 	sidecar       *Sidecar
 	joiner        *joiner.Joiner
 	coresListedAt monotime.Time // when a process last listed the cores, 0 if none has
-	// attemptID tells the joins of one node apart: a repeat under the same id is the same join,
-	// at whichever core. It is "" while no join is tried.
+	// attemptID distinguishes the joins of one node: a request repeated under the same id, at any
+	// core, is the same join. attemptID is "" while no join is in progress.
 	attemptID string
 }
 
@@ -38,12 +39,12 @@
 	return &leaseJoiner{sidecar: s, joiner: joiner.New(s.Settings.Node, s.Settings.Zone)}
 }
 
-// backoff is how long the next try has to wait.
+// backoff returns how long the next attempt must wait.
 func (j *leaseJoiner) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
 
-// try asks one core for a lease, and reports whether it granted one. Before any process has listed
-// the cores one of the seeds is asked for them, so that sidecars that start together do not all
-// join at the seeds.
+// try requests a lease from one core and reports whether the core granted the lease. Until some
+// process has listed the cores, try first requests the list from a seed, so that sidecars that
+// start together do not all join at the seeds.
 func (j *leaseJoiner) try() bool {
 	s := j.sidecar
 	if j.attemptID == "" {
@@ -69,7 +70,7 @@
 	return s.leaseHeld.Load()
 }
 
-// nextCore is the core to ask for a lease.
+// nextCore returns the core from which to request a lease.
 func (j *leaseJoiner) nextCore() ident.Addr {
 	s := j.sidecar
 	s.mu.Lock()
@@ -77,7 +78,7 @@
 	return j.joiner.NextCore(s.cores.usable(), s.lease.CoreLocations())
 }
 
-// handleFailure takes a core's rejection, or its silence.
+// handleFailure handles a rejection by a core, or a request without a response.
 func (j *leaseJoiner) handleFailure(addr ident.Addr, err error) {
 	s := j.sidecar
 	s.count(counterJoinsFailed)
@@ -89,7 +90,7 @@
 		j.joiner.HandleFailure(s.clock(), addr)
 	}
 	answered := fail != nil && fail.Kind != failure.LostResponse
-	isSidecar := fail != nil && fail.Kind == failure.NotFound // it has no such path, but it knows cores
+	isSidecar := fail != nil && fail.Kind == failure.NotFound // a sidecar has no such path, but knows the cores
 	if answered {
 		s.mu.Lock()
 		s.cores.isSidecar[addr] = isSidecar
@@ -100,8 +101,8 @@
 	}
 }
 
-// listCores asks a core, or a seed that is a sidecar, for the cores that it knows. It reports
-// whether there was an answer.
+// listCores requests the list of known cores from a core, or from a seed that is a sidecar, and
+// reports whether the list arrived.
 func (j *leaseJoiner) listCores(addr ident.Addr) bool {
 	s := j.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), coresTimeout)
@@ -123,12 +124,12 @@
 	return true
 }
 
-// complete takes a lease, and the configuration from the core that granted it unless a peer was
-// faster.
+// complete applies a granted lease, and fetches the configuration from the core that granted the
+// lease unless a peer has already delivered the configuration.
 func (j *leaseJoiner) complete(addr ident.Addr, granted mesh.JoinResponse) {
 	s := j.sidecar
 	haveRevision := s.applyLease(granted)
-	j.attemptID = "" // the next join, if there is one, is another
+	j.attemptID = "" // a later join is a new one
 	j.joiner.Reset()
 	s.leaseHeld.Store(true)
 	if granted.ConfigRevision > haveRevision {
@@ -141,8 +142,8 @@
 	s.configWatch.redirectTo(addr)
 }
 
-// takeLease takes what came with a lease, and gives the revision of the newest configuration
-// that is held here.
+// applyLease applies a granted lease and returns the newest revision of the configuration held
+// here.
 func (s *Sidecar) applyLease(granted mesh.JoinResponse) (haveRevision ident.ConfigRevision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -23,13 +23,13 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// fakeCore answers joins by a table; it tells of the cores that it is given.
+// fakeCore responds to joins with answerJoin and lists the given cores.
 type fakeCore struct {
 	addr          ident.Addr
 	mu            sync.Mutex
 	cores         []ident.Addr
-	core          bool
-	answerJoin    func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error)
+	isCore        bool
+	handleJoin    func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error)
 	joinRequests  []mesh.JoinRequest
 	otherRequests int
 }
@@ -47,12 +47,12 @@
 	defer f.mu.Unlock()
 	switch {
 	case strings.HasSuffix(r.URL.Path, "/cores"):
-		response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: f.cores, FromCore: f.core})
+		response.WriteJSON(w, http.StatusOK, core.KnownCores{Cores: f.cores, FromCore: f.isCore})
 	case strings.HasSuffix(r.URL.Path, "/claim"):
 		var joinRequest mesh.JoinRequest
 		_ = json.NewDecoder(r.Body).Decode(&joinRequest)
 		f.joinRequests = append(f.joinRequests, joinRequest)
-		if granted, fail := f.answerJoin(joinRequest); fail != nil {
+		if granted, fail := f.handleJoin(joinRequest); fail != nil {
 			response.WriteError(w, fail)
 		} else {
 			response.WriteJSON(w, http.StatusOK, granted)
@@ -81,7 +81,7 @@
 	return New(settings.Sidecar{Addr: "127.0.0.1:9", Node: "node-1", Seeds: seeds}, zap.NewNop())
 }
 
-// refusingAddr is an address that refuses connections.
+// refusingAddr returns an address that refuses connections.
 func refusingAddr(t *testing.T) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -89,13 +89,14 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// A sidecar asks a seed for the cores before it joins, so that many with one seed spread.
+// A sidecar requests the list of cores from a seed before it joins, so that many sidecars with one
+// seed spread their joins over all cores.
 func TestJoinsSpreadFromOneSeed(t *testing.T) {
 	var fakes []*fakeCore
 	var addrs []ident.Addr
 	for range 4 {
 		f := newFakeCore(t)
-		f.answerJoin = grantJoin
+		f.handleJoin = grantJoin
 		fakes, addrs = append(fakes, f), append(addrs, f.addr)
 	}
 	fakes[0].cores = addrs
@@ -110,16 +111,16 @@
 	}
 }
 
-// A busy core's Retry-After is kept to, and the repeat has the same attempt id; after a lease was
-// granted the next join has another.
+// A sidecar waits for a busy core's Retry-After, and the repeated join has the same attempt id; the
+// next join after a granted lease has another one.
 func TestRepeatedJoinKeepsAttemptIDAndRetryAfter(t *testing.T) {
 	f := newFakeCore(t)
-	f.answerJoin = rejectJoin
+	f.handleJoin = rejectJoin
 	s := newUnjoinedSidecar(f.addr)
 	s.leaseJoiner.try()
 	must.False(t, s.leaseHeld.Load())
 	must.Between(t, 200*time.Millisecond, s.leaseJoiner.joiner.Backoff(s.clock()), 375*time.Millisecond)
-	f.answerJoin = grantJoin
+	f.handleJoin = grantJoin
 	s.leaseJoiner.try()
 	must.True(t, s.leaseHeld.Load())
 	s.handleSuperseded(7, nil)
@@ -129,12 +130,13 @@
 	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
 
-// After a core that refuses connections, or a seed that is a sidecar, the next one is asked soon.
+// After a core that refuses connections, or a seed that is a sidecar, the next process is tried
+// soon.
 func TestJoinSkipsProcessesThatAreNotCores(t *testing.T) {
 	f, sidecarSeed := newFakeCore(t), newFakeCore(t)
-	f.answerJoin = grantJoin
+	f.handleJoin = grantJoin
 	sidecarSeed.cores = []ident.Addr{f.addr}
-	sidecarSeed.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+	sidecarSeed.handleJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
 		return mesh.JoinResponse{}, failure.New(failure.NotFound, "no such path")
 	}
 	s := newUnjoinedSidecar(refusingAddr(t), sidecarSeed.addr)
@@ -146,11 +148,11 @@
 	must.Eq(t, 1, f.joins())
 }
 
-// A configuration that is held is not fetched again with a join; a newer one is, and the lowest
-// revision that the join allows is kept.
+// After a join, a configuration that is already held is not fetched again, but a newer one is, and
+// the lowest revision that the join allows is kept.
 func TestJoinFetchesOnlyWhatIsNewer(t *testing.T) {
 	f := newFakeCore(t)
-	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+	f.handleJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
 		return mesh.JoinResponse{LeaseEpoch: 7, ConfigRevision: 5}, nil
 	}
 	s := newUnjoinedSidecar(f.addr)
@@ -159,7 +161,7 @@
 	must.True(t, s.leaseHeld.Load())
 	must.Eq(t, 5, s.minRevision())
 	must.Eq(t, 0, f.otherRequests)
-	f.answerJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
+	f.handleJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
 		return mesh.JoinResponse{LeaseEpoch: 8, ConfigRevision: 6}, nil
 	}
 	s.leaseJoiner.try()
@@ -167,16 +169,16 @@
 	must.Eq(t, 1, f.otherRequests)
 }
 
-// A seed is asked as a peer at the usual pace only once it has answered as a sidecar: a core
-// among the seeds would else be asked by every sidecar that waits for it.
+// A seed is queried as a peer at the regular interval only after it has responded as a sidecar.
+// Otherwise every waiting sidecar would query a core among the seeds at that interval.
 func TestCoreSeedsAreNotQueriedAsPeers(t *testing.T) {
 	f := newFakeCore(t)
 	s := newUnjoinedSidecar(f.addr)
-	must.False(t, s.peerQuerier.mayQuerySeed(f.addr)) // it may yet answer as a core
+	must.False(t, s.peerQuerier.mayQuerySeed(f.addr)) // the seed may still respond as a core
 	s.cores.nextQueryAt = map[ident.Addr]monotime.Time{}
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
 	must.False(t, s.peerQuerier.mayQuerySeed(f.addr))
-	s.peerQuerier.query(f.addr, true) // says that it has no such path, as a core does
+	s.peerQuerier.query(f.addr, true) // responds that it has no such path, as a core does
 	must.Between(t, unknownSeedInterval, s.cores.nextQueryAt[f.addr].Since(s.clock()), coreSeedInterval)
 	s.peerQuerier.handleSeedResponse(f.addr, nil)
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
@@ -186,11 +188,11 @@
 	must.Eq(t, 2, f.otherRequests)
 }
 
-// The list of a core says who else is one; the list of a sidecar does not.
+// A list from a core marks all listed addresses as cores; a list from a sidecar does not.
 func TestCoreListMarksCores(t *testing.T) {
 	for _, isCore := range []bool{false, true} {
 		f := newFakeCore(t)
-		f.cores, f.core = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
+		f.cores, f.isCore = []ident.Addr{"127.0.0.1:1", f.addr}, isCore
 		s := newUnjoinedSidecar(f.addr, "127.0.0.1:1")
 		s.cores.nextQueryAt = map[ident.Addr]monotime.Time{}
 		must.True(t, s.leaseJoiner.listCores(f.addr))
--- a/daemon/sidecar/link.go
+++ b/daemon/sidecar/link.go
@@ -5,8 +5,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// reserveOutbound reserves this machine's link for the response to another sidecar's request. A
-// reservation must be ended with releaseOutbound.
+// reserveOutbound reserves capacity of this machine's outbound link for the response to another
+// sidecar's request. Each reservation must be released with releaseOutbound.
 func (s *Sidecar) reserveOutbound(hints admissionHints) *failure.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +18,7 @@
 	return failure.New(failure.Busy, "the outbound link of %s is full", s.Settings.Node).WithRetryAfter(retryAfter.Seconds())
 }
 
-// releaseOutbound ends a reservation, and counts the response that goes out now; resp is nil if
+// releaseOutbound releases a reservation and accounts for the response being sent; resp is nil if
 // there is none.
 func (s *Sidecar) releaseOutbound(hints admissionHints, resp *exchange.Response) {
 	sent := 0
@@ -30,8 +30,9 @@
 	s.outboundLink.Sent(s.clock(), hints.responseBytes, sent)
 }
 
-// reserveInbound reserves this machine's link for the body of another sidecar's request, before
-// any of it is read. received must be called once the body was read, or reading it failed.
+// reserveInbound reserves capacity of this machine's inbound link for the body of another sidecar's
+// request, before any of the body is read. The caller must call received when the body has been
+// read, or reading the body has failed.
 func (s *Sidecar) reserveInbound(size int64) (received func(), fail *failure.Error) {
 	size = max(0, size)
 	s.mu.Lock()
--- a/daemon/sidecar/link_test.go
+++ b/daemon/sidecar/link_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// A request whose response has no room on this machine's outbound link is rejected before anything
-// else, with a Retry-After; one that ended without a response takes no room.
+// A request whose response does not fit on this machine's outbound link is rejected before any
+// other check, with a Retry-After; a request that ends without a response takes no link capacity.
 func TestFullOutboundLinkRejects(t *testing.T) {
 	s := New(settings.Sidecar{MaxInFlight: 8, LinkBytesPerSecond: 11 * settings.BytesPerMegabit}, zap.NewNop())
 	send := func(bytes int) (result peerResult, retryAfter string) {
@@ -27,7 +27,7 @@
 		return peerResult(recorder.Header().Get(PeerResultHeader)), recorder.Header().Get("Retry-After")
 	}
 	for range 20 {
-		result, _ := send(90_000) // there is no such endpoint: nothing was sent
+		result, _ := send(90_000) // there is no such endpoint: no bytes were sent
 		must.Eq(t, resultRejected, result)
 	}
 	s.outboundLink.Sent(s.clock(), 0, 1_000_000)
@@ -39,7 +39,7 @@
 	must.Eq(t, resultRejected, result)
 }
 
-// The hints of a release that wrote six fields are read as before.
+// Hints of a release that wrote six fields are still decoded.
 func TestAdmissionHintsOfAnEarlierRelease(t *testing.T) {
 	hints := admissionHints{
 		priority:            2,
--- a/daemon/sidecar/lookup.go
+++ b/daemon/sidecar/lookup.go
@@ -5,8 +5,8 @@
 	"cottonarch.example/cottonarch/mesh/registry"
 )
 
-// Lookup returns what this sidecar's copy of the registry holds of an endpoint of a service; it is
-// false when the copy does not hold it.
+// Lookup returns the entry for an endpoint of a service in this sidecar's copy of the registry, and
+// reports whether the copy has such an entry.
 func (s *Sidecar) Lookup(service ident.Service, server ident.Server) (registry.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +18,7 @@
 	return registry.Entry{}, false
 }
 
-// ConfigRevision is the revision of the active configuration, 0 if there is none.
+// ConfigRevision returns the revision of the active configuration, 0 if there is none.
 func (s *Sidecar) ConfigRevision() ident.ConfigRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maintenanceInterval is how often time-outs are looked at.
+	// maintenanceInterval is the interval between checks of all timeouts.
 	maintenanceInterval = 80 * time.Millisecond
-	// tidyEvery is at which of these rounds what is no longer used is dropped.
+	// ticksPerPrune is how many maintenance ticks pass between calls of prune.
 	ticksPerPrune = 100
 )
 
-// runMaintenance lets time pass for all that depends on it: endpoints that fell silent, waiting
-// requests, the retry budget, a configuration whose wait is over.
+// runMaintenance periodically advances everything that depends on time: timeouts of endpoints,
+// waiting requests, the retry budget, and pending configurations.
 func (s *Sidecar) runMaintenance() {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -36,17 +36,17 @@
 	}
 }
 
-// tick lets time pass; mu is held.
+// tick advances everything that depends on time to now; the caller must hold mu.
 func (s *Sidecar) tick(now monotime.Time) {
 	s.activatePending()
 	s.planner.RetryBudget.Tick(now)
-	s.stepLimitedClock() // it counts only the time between calls that follow closely
+	s.stepLimitedClock() // this clock advances by a bounded step per reading and so must be read often
 	s.applyEndpointChange(s.endpoints.Tick(now))
 	s.slots.deliver(s.slots.queue.Tick(now))
 }
 
-// tidy drops connections that are not used and the statistics of endpoints that are gone; mu is
-// held.
+// prune closes unused connections and drops the statistics of endpoints that no longer exist; the
+// caller must hold mu.
 func (s *Sidecar) prune(now monotime.Time) {
 	s.endpointExchange.CloseExpired()
 	s.peerExchange.CloseExpired()
@@ -56,7 +56,7 @@
 	})
 }
 
-// Heartbeat takes an endpoint's heartbeat.
+// Heartbeat handles a heartbeat of an endpoint.
 func (s *Sidecar) Heartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,8 @@
 	return s.applyHeartbeat(heartbeat)
 }
 
-// takeHeartbeat takes an endpoint's heartbeat, and its slots unless it is rejected; mu is held.
+// applyHeartbeat applies an endpoint's heartbeat and, unless the heartbeat is rejected, its number
+// of slots; the caller must hold mu.
 func (s *Sidecar) applyHeartbeat(heartbeat endpoint.Heartbeat) *failure.Error {
 	now := s.clock()
 	change, fail := s.endpoints.HandleHeartbeat(now, heartbeat)
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// applyEndpointChange carries out what a change of the endpoints of this machine asks for; mu
-// is held.
+// applyEndpointChange carries out the consequences of a change of this machine's endpoints; the
+// caller must hold mu.
 func (s *Sidecar) applyEndpointChange(change endpoint.Change) {
 	for _, addr := range change.CloseAddrs {
 		s.endpointExchange.Drop(addr)
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
-// The counters and gauges of a sidecar. Those whose name ends with a separator are followed by a
-// reason, a kind of failure or a service.
+// The counters and gauges of a sidecar. Names that end with a separator are prefixes and are
+// followed by a reason, a kind of failure or a service.
 const (
 	counterHeartbeats           = "heartbeats"
 	counterProbes               = "endpoint_probes"
 	counterResponses            = "responses"
 	counterRequestsFailedPrefix = "requests_failed_"
-	// Requests of callers, and of other sidecars, that ended after their client had left.
+	// Requests of callers, and of other sidecars, that ended after their client had disconnected.
 	counterCallersLeft = "callers_left"
 	counterPeersLeft   = "peers_left"
-	// Calls that this machine's endpoint made as it ran a request, and how those without a response
-	// ended, by kind of failure. Each of these may have wasted the run.
+	// Calls that this machine's endpoint made while executing a request, and those of them that
+	// ended without a response, by kind of failure. Each of the latter may have wasted the
+	// execution.
 	counterNested                  = "nested_calls"
 	counterNestedFailedPrefix      = "nested_calls_failed_"
 	counterQueueFull               = "rejected_queue_full"
@@ -51,8 +52,8 @@
 	gaugeQueued                 = "queued"
 )
 
-// deprecatedNames gives the names under which earlier releases published counters and gauges. They
-// are published under both for one release, as the tools of operators read the old ones.
+// deprecatedNames maps counters and gauges to their names in earlier releases. Each is published
+// under both names for one release, because operators' tools read the old names.
 var deprecatedNames = map[string]string{
 	counterHeartbeats:              "beats",
 	counterProbes:                  "greetings",
@@ -86,7 +87,8 @@
 // deprecatedPrefixes lists the prefixes in deprecatedNames.
 var deprecatedPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
 
-// deprecatedName returns the deprecated name of a counter or gauge; it is false when it has none.
+// deprecatedName returns the deprecated name of a counter or gauge and reports whether there is
+// one.
 func deprecatedName(name string) (string, bool) {
 	if deprecated, ok := deprecatedNames[name]; ok {
 		return deprecated, true
@@ -99,7 +101,7 @@
 	return "", false
 }
 
-// count counts an event.
+// count increments a counter, also under its deprecated name.
 func (s *Sidecar) count(counter string) {
 	s.Metrics.Add(counter, 1)
 	if deprecated, ok := deprecatedName(counter); ok {
@@ -114,7 +116,7 @@
 	}
 }
 
-// refreshGauges brings the gauges up to date; it runs before they are read.
+// refreshGauges updates the gauges; it runs before each snapshot of the metrics.
 func (s *Sidecar) refreshGauges() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/metrics_test.go
+++ b/daemon/sidecar/metrics_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// Counters, also those with a reason, and gauges are published under the names of earlier releases
-// too, with the same values.
+// Gauges and counters, including those with a reason, are also published under their names of
+// earlier releases, with the same values.
 func TestMetricsHaveTheirDeprecatedNames(t *testing.T) {
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.count(counterResponses)
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// RevisionNoticePath is where a sidecar takes the RevisionNotice of a peer.
+	// RevisionNoticePath is the path for a RevisionNotice from a peer.
 	RevisionNoticePath = "/cottonarch/v1/heard"
 
 	// noticeTimeout bounds the notice to one peer.
 	noticeTimeout = 250 * time.Millisecond
-	// A notice waits for a fetch that is under way, fetchWaitInterval at a time, at most
-	// maxFetchWaits times.
+	// The handler of a notice waits for a fetch in progress: it checks every fetchWaitInterval, at
+	// most maxFetchWaits times.
 	fetchWaitInterval = 10 * time.Millisecond
 	maxFetchWaits     = 15
 )
 
-// RevisionNotice tells a peer that a sidecar holds a revision and is about to make it active.
+// RevisionNotice tells a peer that a sidecar holds a revision and is about to activate it.
 type RevisionNotice struct {
 	Revision ident.ConfigRevision `json:"epoch"`
 	From     ident.Addr           `json:"from"`
 }
 
-// RevisionAck is the answer: whether the peer holds that revision too, or a newer one.
+// RevisionAck is the response to a RevisionNotice. Held reports whether the peer holds the revision
+// too, or a newer one.
 type RevisionAck struct {
 	Held bool `json:"held"`
 }
 
-// notifyPeer sends a notice to one peer.
+// notifyPeer sends a notice to one peer and records the acknowledgement.
 func (s *Sidecar) notifyPeer(peer ident.Addr, revision ident.ConfigRevision) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
@@ -45,9 +46,9 @@
 	s.activatePending()
 }
 
-// ReceiveRevisionNotice takes a peer's notice. The configuration is fetched from that peer if it
-// does not come from a core meanwhile; a revision below what may become active here is neither
-// fetched nor acknowledged.
+// ReceiveRevisionNotice handles a notice from a peer. The configuration is fetched from that peer
+// unless it arrives from a core in the meantime. A revision older than any that may become active
+// here is neither fetched nor acknowledged.
 func (s *Sidecar) ReceiveRevisionNotice(notice RevisionNotice) RevisionAck {
 	if !s.observePeerRevision(notice.Revision) {
 		return RevisionAck{Held: false}
@@ -68,7 +69,8 @@
 	return RevisionAck{Held: s.holdsRevision(notice.Revision)}
 }
 
-// noteRevision notes that a peer holds a revision; it is false if that may not become active here.
+// observePeerRevision records that a peer holds a revision, and reports whether the revision may
+// become active here.
 func (s *Sidecar) observePeerRevision(revision ident.ConfigRevision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +81,7 @@
 	return true
 }
 
-// holdsRevision reports whether that revision or a newer one is held here.
+// holdsRevision reports whether the revision or a newer one is held here.
 func (s *Sidecar) holdsRevision(revision ident.ConfigRevision) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// PeerStatePath is where a sidecar tells peers its PeerState.
+	// PeerStatePath is the path at which a sidecar serves its PeerState to peers.
 	PeerStatePath = "/cottonarch/v1/peer"
 
-	// peerQueryInterval is how often peers are asked, and maxPeersAsked how many at once.
+	// peerQueryInterval is how often peers are queried, and maxPeersQueried how many at a time.
 	peerQueryInterval = 250 * time.Millisecond
 	maxPeersQueried   = 8
-	// peerQueryTimeout bounds one request to a peer.
+	// peerQueryTimeout bounds one query to a peer.
 	peerQueryTimeout = 400 * time.Millisecond
 )
 
-// PeerState is what a sidecar tells a peer that hears no core. Sets is left out when the peer has
-// the same, or does not want them.
+// PeerState is a sidecar's state as reported to a peer that can't reach the cores. Sets is omitted
+// if the peer has the same sets or does not want them.
 type PeerState struct {
-	// ConfigRevision is the newest revision that it holds.
+	// ConfigRevision is the newest revision that the sidecar holds.
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
-	// NewestKnownRevision is the newest that it knows some sidecar to hold.
+	// NewestKnownRevision is the newest revision known to be held by some sidecar.
 	NewestKnownRevision ident.ConfigRevision `json:"heard"`
 	Joined              bool                 `json:"entered"`
 	Sets                []record.Set         `json:"sets,omitempty"`
 }
 
-// peerQuerier is the duty that asks peers for a newer configuration, and for their copy of the
-// registry, while no core is heard.
+// peerQuerier is the background loop that queries peers for a newer configuration, and for their
+// copy of the registry, while no core responds.
 type peerQuerier struct{ sidecar *Sidecar }
 
-// run is the duty's loop.
+// run queries peers whenever a query is due, until Close.
 func (d *peerQuerier) run() {
 	ticker := time.NewTicker(peerQueryInterval)
 	defer ticker.Stop()
@@ -59,8 +59,8 @@
 	}
 }
 
-// due reports whether peers are to be asked now, which ones are known, and whether their registry
-// is wanted.
+// due reports whether peers should be queried now, and returns the known peers and whether their
+// registry is wanted.
 func (d *peerQuerier) due() (peers []ident.Addr, wantRegistry, due bool) {
 	s := d.sidecar
 	now := s.clock()
@@ -72,14 +72,15 @@
 	return s.peerAddrs(), s.config.cache.CoresSilent(now, s.lastCoreContact), true
 }
 
-// peerAddrs lists the other sidecars that the registry names; mu is held.
+// peerAddrs returns the addresses of the other sidecars in the registry; the caller must hold mu.
 func (s *Sidecar) peerAddrs() []ident.Addr {
 	live, lapsed := s.peersByLease()
 	return append(live, lapsed...)
 }
 
-// peersByLease lists the other sidecars that the registry names: those whose lease holds, and those
-// whose lease has lapsed, which may have left for good. mu is held.
+// peersByLease returns the addresses of the other sidecars in the registry: live holds those with a
+// valid lease, lapsed those whose lease has lapsed and which may be gone for good. The caller must
+// hold mu.
 func (s *Sidecar) peersByLease() (live, lapsed []ident.Addr) {
 	lapsedByAddr := map[ident.Addr]bool{}
 	for _, set := range s.planner.Index.Sets() {
@@ -102,8 +103,9 @@
 	return live, lapsed
 }
 
-// peersToNotify chooses, at random, the peers that are told of a new configuration: those whose lease
-// holds, and others only as far as enough acknowledgements can't come without them; mu is held.
+// peersToNotify randomly selects the peers to notify of a new configuration: peers with a valid
+// lease, and peers with a lapsed lease only as far as the former are too few for the required
+// acknowledgements. The caller must hold mu.
 func (s *Sidecar) peersToNotify() []ident.Addr {
 	live, lapsed := s.peersByLease()
 	shuffle(live)
@@ -113,7 +115,7 @@
 	return append(peers, lapsed[:min(len(lapsed), missing)]...)
 }
 
-// withSeeds adds the seeds that may be asked as peers now.
+// withSeeds appends the seeds that may be queried as peers now.
 func (d *peerQuerier) withSeeds(peers []ident.Addr) []ident.Addr {
 	for _, seed := range d.sidecar.Settings.Seeds {
 		if !slices.Contains(peers, seed) && d.mayQuerySeed(seed) {
@@ -137,8 +139,8 @@
 	s.cores.handleSeedResponse(s.clock(), seed, err)
 }
 
-// queryAll asks some of the peers at random, and waits for their answers. Only one of them is
-// asked for its registry: that of all would fill a small link.
+// queryAll queries randomly selected peers and waits for the responses. Only one of the peers is
+// asked for its registry, because the copies of all of them would fill a slow link.
 func (d *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
 	shuffle(peers)
 	var queries sync.WaitGroup
@@ -152,7 +154,7 @@
 	queries.Wait()
 }
 
-// query asks one peer for its state, and takes what is newer.
+// query requests the state of one peer and applies the parts of it that are newer.
 func (d *peerQuerier) query(peer ident.Addr, wantRegistry bool) {
 	s := d.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
@@ -168,8 +170,8 @@
 	}
 }
 
-// peerStateQuery is the path of a request for a peer's state. With the registry, it names the
-// copy that is here, so that the same is not sent again.
+// peerStateQuery returns the path of a request for a peer's state. If the registry is wanted, the
+// path includes the digest of the local copy, so that an identical copy is not sent.
 func (s *Sidecar) peerStateQuery(wantRegistry bool) string {
 	if !wantRegistry {
 		return PeerStatePath + "?brief=1"
@@ -179,7 +181,8 @@
 	return PeerStatePath + "?have=" + registryDigest(s.planner.Index.Sets())
 }
 
-// take takes a peer's state, and reports whether its configuration is newer and may be taken.
+// mergeState merges a peer's state and reports whether the peer's configuration is newer and may be
+// fetched.
 func (d *peerQuerier) mergeState(state PeerState) (newer bool) {
 	s := d.sidecar
 	s.mu.Lock()
@@ -193,8 +196,8 @@
 	return state.ConfigRevision > s.config.cache.NewestHeld(s.planner.Revision()) && s.config.cache.AcceptsPeerConfig(now)
 }
 
-// registryDigest is a hash of a copy of the registry, by which a peer tells whether it has the
-// same.
+// registryDigest returns a hash of a copy of the registry, which tells a peer whether its own copy
+// is the same.
 func registryDigest(sets []record.Set) string {
 	digest := fnv.New64a()
 	for _, set := range sets {
--- a/daemon/sidecar/peerrejection_test.go
+++ b/daemon/sidecar/peerrejection_test.go
@@ -13,8 +13,9 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// A peer that rejects a large request before it has read the body, and closes: its result is read
-// all the same, the request is answered as not run, and the next one is not disturbed.
+// A peer rejects a large request before reading its body, and closes the connection: the sidecar
+// still reads the peer's result, the request is answered as not executed, and the next request is
+// unaffected.
 func TestPeerRejectsALargeRequestEarly(t *testing.T) {
 	harness := newFaultHarness(t)
 	played := newScenario(nil, nil)
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -11,25 +11,26 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// peerResult is what became of a request at the endpoint's machine, as PeerResultHeader names it.
+// peerResult is the result of a request at the endpoint's machine, as sent in PeerResultHeader.
 type peerResult string
 
-// The results. Only resultResponse comes with the endpoint's response, the others with a
-// failure.Error.
+// The results of a request. Only resultResponse comes with the endpoint's response; the others come
+// with a failure.Error.
 const (
-	// resultResponse: this is the endpoint's response.
+	// resultResponse: the response is the endpoint's own.
 	resultResponse peerResult = "return"
 	// resultRejected: no byte of the request was sent to the endpoint.
 	resultRejected peerResult = "turned-away"
-	// resultNoCapacity: the same, as the endpoint or the link has no capacity in time.
+	// resultNoCapacity: no byte of the request was sent, because the endpoint or the link would not
+	// have had capacity in time.
 	resultNoCapacity peerResult = "bay"
-	// resultShed: the endpoint itself says that it did not run the request.
+	// resultShed: the endpoint itself stated that it did not execute the request.
 	resultShed peerResult = "shed"
-	// resultUnknown: the endpoint may have run the request.
+	// resultUnknown: the endpoint may have executed the request.
 	resultUnknown peerResult = "unsure"
 )
 
-// attemptResults says what each of them tells of the attempt.
+// attemptResults maps each peerResult to what it proves about the attempt.
 var attemptResults = map[peerResult]attempt.Result{
 	resultResponse:   {Outcome: attempt.Executed},
 	resultRejected:   {Outcome: attempt.NotExecuted, Rejected: true},
@@ -38,7 +39,7 @@
 	resultUnknown:    {Outcome: attempt.Unknown},
 }
 
-// attemptResultFor returns the result of an attempt; a peerResult that is not known proves nothing.
+// attemptResultFor returns the result of an attempt; an unrecognized peerResult proves nothing.
 func attemptResultFor(fail *failure.Error, peer peerResult) attempt.Result {
 	result, known := attemptResults[peer]
 	if !known {
@@ -48,8 +49,8 @@
 	return result
 }
 
-// parsePeerResponse tells an endpoint's response that a sidecar passes on from the sidecar's own
-// result.
+// parsePeerResponse distinguishes an endpoint's response that a sidecar passes on from a result of
+// the sidecar itself.
 func parsePeerResponse(call exchange.Call, resp *exchange.Response) (*exchange.Response, attempt.Result) {
 	peer := peerResult(resp.Header.Get(PeerResultHeader))
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
@@ -60,7 +61,7 @@
 	}
 	fail, ok := peerFailure(call, resp, peer)
 	if !ok {
-		unreadable := failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar can't be read")
+		unreadable := failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar is malformed")
 		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: unreadable}
 	}
 	result := attemptResultFor(fail, peer)
@@ -68,8 +69,8 @@
 	return nil, result
 }
 
-// peerFailure reads the failure that comes with a result; it is false if there is none that can
-// be read. The response to a HEAD has no body: there the result alone tells.
+// peerFailure decodes the failure that comes with a result, and reports whether there is a valid
+// one. The response to a HEAD request has no body, so its failure follows from the result alone.
 func peerFailure(call exchange.Call, resp *exchange.Response, peer peerResult) (*failure.Error, bool) {
 	if _, known := attemptResults[peer]; known && call.Method == http.MethodHead {
 		return failureWithoutBody(peer), true
@@ -81,10 +82,10 @@
 	return fail, true
 }
 
-// failureWithoutBody is the failure for a result that came without one.
+// failureWithoutBody returns the failure for a result that came without a body.
 func failureWithoutBody(peer peerResult) *failure.Error {
 	if attemptResults[peer].Outcome == attempt.NotExecuted {
 		return failure.New(failure.Busy, "the endpoint's sidecar rejected the request").WithRetryAfter(retryAfterSeconds)
 	}
-	return failure.NewUnknown(failure.LostResponse, "the endpoint's sidecar can't tell whether the request ran")
+	return failure.NewUnknown(failure.LostResponse, "the endpoint's sidecar does not know whether the request was executed")
 }
--- a/daemon/sidecar/peerresult_test.go
+++ b/daemon/sidecar/peerresult_test.go
@@ -14,8 +14,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// The result of a HEAD comes without a body: the header alone tells. With any other method a result
-// without a body that can be read proves nothing.
+// The response to a HEAD request has no body, so the result in its header is sufficient. With any
+// other method, a result without a readable body proves nothing.
 func TestPeerResultWithoutABody(t *testing.T) {
 	for method, wantByResult := range map[string]map[peerResult]attempt.Outcome{
 		http.MethodHead: {
@@ -43,9 +43,10 @@
 	}
 }
 
-// A one-shot HEAD that a peer rejects goes on to another endpoint, or is answered as not run.
+// A non-repeatable HEAD request that a peer rejects is sent to another endpoint or answered as not
+// executed.
 func TestHeadIsRejectedByAPeer(t *testing.T) {
-	peer := newTestSidecar("b", "127.0.0.1:2") // it knows no endpoint
+	peer := newTestSidecar("b", "127.0.0.1:2") // has no endpoint
 	s := newTestSidecar("a", "127.0.0.1:1")
 	s.addWorkloads("b", startPeerServer(t, func() *Sidecar { return peer }), "b0")
 	r := httptest.NewRequest(http.MethodHead, "/once/x", strings.NewReader(""))
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -11,18 +11,18 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// urgentReserveFraction: a quarter of the requests that may be in flight is kept for urgent
-// routes.
+// urgentReserveFraction reserves one in this many of the requests that may be in flight, a quarter,
+// for urgent requests.
 const urgentReserveFraction = 4
 
-// peerRejection is why a request of another sidecar does not go to the endpoint.
+// peerRejection is the reason why a request of another sidecar is not sent to the endpoint.
 type peerRejection struct {
 	result  peerResult
 	failure *failure.Error
 }
 
-// ServePeer serves another sidecar's request for an endpoint of this machine; it is false when
-// the request is none.
+// ServePeer handles another sidecar's request for an endpoint of this machine. It returns false if
+// the request is not such a request.
 func (s *Sidecar) ServePeer(w http.ResponseWriter, r *http.Request) bool {
 	if r.Header.Get(TargetHeader) == "" || r.Header.Get(ServiceHeader) == "" {
 		return false
@@ -51,7 +51,8 @@
 	return true
 }
 
-// beginPeerRequest counts a request of another sidecar; it is false when too many are in flight.
+// beginPeerRequest counts a request of another sidecar as in flight; it returns false if too many
+// requests are in flight.
 func (s *Sidecar) beginPeerRequest(urgent bool) bool {
 	limit := s.Settings.MaxInFlight
 	if !urgent {
@@ -66,12 +67,12 @@
 	return true
 }
 
-// readPeerRequest reads the whole request of another sidecar. The body is asked for only when
-// the link has room for it. release must be called when the request is over.
+// readPeerRequest reads another sidecar's request. The body is requested only when the inbound link
+// has capacity for it. The caller must call release when the request has ended.
 func (s *Sidecar) readPeerRequest(r *http.Request) (request endpointRequest, release func(), rejection *peerRejection) {
 	limitMs, err := strconv.Atoi(r.Header.Get(TimeoutHeader))
 	if err != nil || limitMs <= 0 {
-		return request, nil, &peerRejection{resultRejected, failure.New(failure.DeadlineExceeded, "no time is left")}
+		return request, nil, &peerRejection{resultRejected, failure.New(failure.DeadlineExceeded, "the request has no valid remaining time")}
 	}
 	request = endpointRequest{
 		server:           ident.Server(r.Header.Get(TargetHeader)),
@@ -93,19 +94,19 @@
 	return request, release, nil
 }
 
-// parseRetryFraction reads RetryFractionHeader; what is missing or can't be read is 0.
+// parseRetryProbability decodes RetryProbabilityHeader; a missing or malformed value is 0.
 func parseRetryProbability(text string) float64 {
 	probability, _ := strconv.ParseFloat(text, 64)
 	return min(1, max(0, probability))
 }
 
-// writePeerFailure writes the result of a request that brought no response.
+// writePeerFailure writes the result of a request without a response.
 func writePeerFailure(w http.ResponseWriter, result peerResult, fail *failure.Error) {
 	w.Header().Set(PeerResultHeader, string(result))
 	response.WriteError(w, fail)
 }
 
-// writePeerResult writes what became of a request at the endpoint.
+// writePeerResult writes the result of a request that was passed to sendToEndpoint.
 func writePeerResult(w http.ResponseWriter, result endpointResult) {
 	if result.loadReport != "" {
 		w.Header()[LoadReportHeader] = []string{result.loadReport}
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// maxProbes is how often a sidecar that starts probes its endpoint, probeInterval the pause
-	// between, and probeTimeout the bound of one probe.
+	// maxProbes is how often a starting sidecar probes its endpoint, probeInterval is the pause
+	// between two probes, and probeTimeout bounds one probe.
 	maxProbes     = 4
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = 700 * time.Millisecond
-	// configWaitInterval is how often it looks whether a configuration is active.
+	// configWaitInterval is the interval between checks for an active configuration.
 	configWaitInterval = 5 * time.Millisecond
-	// defaultSlots is the number of requests at once for an endpoint that does not tell its own,
-	// until its first heartbeat.
+	// defaultSlots is the number of concurrent requests, until the first heartbeat, for an endpoint
+	// that does not report its number of slots.
 	defaultSlots = 4
-	// loadFields is the number of fields of an endpoint's load header; the last is its slots.
+	// loadFields is the number of fields of an endpoint's load header; the last field is the number
+	// of slots.
 	loadFields = 3
 )
 
-// probeEndpoint asks the endpoint beside a sidecar that was just started whether it is healthy.
-// Its next heartbeat may be a whole interval away, and until then nothing could be sent to it: a
-// good answer counts as a heartbeat. It needs settings that tell the endpoint's address and
-// service, and a configuration that names the path to ask.
+// probeEndpoint checks after startup whether the local endpoint is healthy, and treats a successful
+// response as a heartbeat. The next heartbeat may be a whole interval away, and no request could be
+// sent to the endpoint until then. The probe requires settings with the endpoint's address and
+// service, and a configuration with a health check path for that service.
 func (s *Sidecar) probeEndpoint() {
 	if s.Settings.EndpointAddr == "" || s.Settings.EndpointService == "" || !s.canProbeEndpoints() {
 		return
@@ -52,10 +53,11 @@
 	}
 }
 
-// canAskEndpoints reports whether an endpoint's answer to a probe tells which one it is.
+// canProbeEndpoints reports whether the response to a probe identifies the endpoint.
 func (s *Sidecar) canProbeEndpoints() bool { return s.Settings.Headers.ServerID != "" }
 
-// awaitConfig waits until a configuration is active; it is false if the duties end before.
+// awaitConfig waits until a configuration is active; it returns false if the sidecar is closed
+// first.
 func (s *Sidecar) awaitConfig() bool {
 	for !s.configActive.Load() {
 		if s.sleep(configWaitInterval); s.closed() {
@@ -65,8 +67,8 @@
 	return true
 }
 
-// probePath is the path to ask; a probe is not wanted when there is none, when a heartbeat came
-// meanwhile, or when this sidecar is leaving.
+// probePath returns the health check path. No probe is wanted if the configuration has no such
+// path, a heartbeat has arrived in the meantime, or this sidecar is leaving.
 func (s *Sidecar) probePath() (path string, wanted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +77,7 @@
 	return path, path != "" && !known && !s.leaving.Load()
 }
 
-// probe asks the endpoint once, and reports whether its answer was taken as a heartbeat.
+// probe probes the endpoint once and reports whether the endpoint is healthy.
 func (s *Sidecar) probe(path string) bool {
 	heartbeat, ok := s.heartbeatFromProbe(s.checkHealth(s.Settings.EndpointAddr, path))
 	if !ok {
@@ -84,13 +86,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.endpoints.Workloads()) == 0 {
-		_ = s.applyHeartbeat(heartbeat) // a heartbeat that is rejected is made good by the next one
+		_ = s.applyHeartbeat(heartbeat) // the next heartbeat makes up for a rejected one
 		s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), heartbeat.Server))
 	}
 	return true
 }
 
-// askHealth asks an endpoint for its health once; the response is nil if there is none.
+// checkHealth requests an endpoint's health once; the response is nil if none arrived.
 func (s *Sidecar) checkHealth(addr ident.Addr, path string) *exchange.Response {
 	call := exchange.Call{
 		Method:    http.MethodGet,
@@ -107,8 +109,8 @@
 	return resp
 }
 
-// healthyServer returns the server that a response to a probe comes from, "" unless it says that it
-// is healthy.
+// healthyServer returns the id of the server that responded to a probe, or "" unless the response
+// reports a healthy server.
 func (s *Sidecar) healthyServer(resp *exchange.Response) ident.Server {
 	if resp == nil || resp.Status != http.StatusOK {
 		return ""
@@ -116,8 +118,8 @@
 	return ident.Server(firstValue(resp.Header, s.Settings.Headers.ServerID))
 }
 
-// heartbeatFromProbe makes a heartbeat of the endpoint's answer; there is none unless the answer
-// says that the endpoint is healthy, and which one it is.
+// heartbeatFromProbe converts the response to a probe into a heartbeat. There is no heartbeat
+// unless the response says that the endpoint is healthy and identifies it.
 func (s *Sidecar) heartbeatFromProbe(resp *exchange.Response) (endpoint.Heartbeat, bool) {
 	server := s.healthyServer(resp)
 	if server == "" {
@@ -132,7 +134,8 @@
 	}, true
 }
 
-// slotsFromLoad reads the slots of an endpoint's load header, or gives defaultSlots.
+// slotsFromLoad parses the number of slots from an endpoint's load header; a malformed header
+// yields defaultSlots.
 func slotsFromLoad(load string) int {
 	fields := strings.Split(load, ",")
 	if len(fields) != loadFields {
--- a/daemon/sidecar/probe_test.go
+++ b/daemon/sidecar/probe_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// Only an endpoint whose answer says that it is healthy, and which one it is, counts as healthy when
-// a sidecar starts.
+// When a sidecar starts, only an endpoint whose response reports it as healthy, and identifies it,
+// counts as healthy.
 func TestHeartbeatFromProbe(t *testing.T) {
 	s := New(settings.Sidecar{
 		EndpointAddr:    "127.0.0.1:9",
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// minRenewalPause is the shortest pause between two looks whether a renewal is due.
+	// minRenewalPause is the minimum pause between two checks for a due renewal.
 	minRenewalPause = 20 * time.Millisecond
-	// lateResponseTimeout is how long the response to a renewal is still taken that came too
-	// late for the renewal to count.
+	// lateResponseTimeout is how long the sidecar waits for the response to a renewal, including a
+	// response too late for the renewal to count.
 	lateResponseTimeout = 2 * time.Second
-	// budgetRequestTimeout bounds a request about the share of the retry budget.
+	// budgetRequestTimeout bounds a request for a change of the retry budget share.
 	budgetRequestTimeout = 3500 * time.Millisecond
 )
 
-// renewer is the duty that obtains a lease, renews it, and asks for this sidecar's share of the
-// retry budget.
+// renewer is the background loop that obtains a lease, renews it, and requests this sidecar's share
+// of the retry budget.
 type renewer struct {
 	sidecar        *Sidecar
 	wakeUp         chan struct{}
-	budgetRequests int // sent so far; they go to the cores in turn
+	budgetRequests int // number of requests sent so far; selects the cores in turn
 }
 
 func newRenewer(s *Sidecar) *renewer {
 	return &renewer{sidecar: s, wakeUp: make(chan struct{}, 1)}
 }
 
-// wake makes the duty look at once whether something is to be sent.
+// wake makes the loop check at once whether a request is due.
 func (d *renewer) wake() {
 	select {
 	case d.wakeUp <- struct{}{}:
@@ -46,7 +46,7 @@
 	}
 }
 
-// run is the duty's loop.
+// run obtains and renews the lease until Close.
 func (d *renewer) run() {
 	s := d.sidecar
 	timer := time.NewTimer(0)
@@ -60,14 +60,15 @@
 		}
 		if !s.leaseHeld.Load() && !s.leaseJoiner.try() {
 			s.sleep(s.leaseJoiner.backoff())
-			d.wake() // the next try may go to another core
+			d.wake() // the next attempt may use another core
 			continue
 		}
 		timer.Reset(max(d.sendDue(), minRenewalPause))
 	}
 }
 
-// sendDue sends what is due now, and tells how long nothing will be due unless it is woken.
+// sendDue sends the requests that are due and returns the time until the next one, unless the loop
+// is woken earlier.
 func (d *renewer) sendDue() time.Duration {
 	s := d.sidecar
 	cores := s.usableCores()
@@ -88,8 +89,8 @@
 	return untilNext
 }
 
-// dueRenewal makes the renewal that is due now, with the cores to send it to; there are none
-// when none is due. Sidecar.mu is held.
+// dueRenewal returns the renewal that is due and the cores to send it to; there are no cores if no
+// renewal is due. The caller must hold Sidecar.mu.
 func (d *renewer) dueRenewal(now monotime.Time) ([]ident.Addr, record.Renewal) {
 	s := d.sidecar
 	report := s.report()
@@ -105,7 +106,7 @@
 	return s.lease.Targets(), s.lease.BeginRenewal(now, report, s.planner.OutcomeCounts())
 }
 
-// report is what this sidecar says of its machine; mu is held.
+// report returns this sidecar's report about its machine; the caller must hold mu.
 func (s *Sidecar) report() record.Report {
 	return record.Report{
 		Node:           s.Settings.Node,
@@ -120,15 +121,15 @@
 	}
 }
 
-// renewalResult is a core's answer to a renewal.
+// renewalResult is a core's response to a renewal, or the error of the request.
 type renewalResult struct {
 	response record.RenewalResponse
 	err      error
 }
 
-// renew renews the lease at one core. A response that comes after RenewTimeout no longer counts
-// as a renewal, but what it tells is used. The request is not broken off meanwhile: that would
-// close its connection, and over a full link a new one takes longer than the response.
+// renew renews the lease at one core. A response after RenewTimeout no longer counts as a renewal,
+// but its contents are used. The request is not canceled at RenewTimeout: canceling would close its
+// connection, and over a saturated link a new connection takes longer than the response.
 func (s *Sidecar) renew(core ident.Addr, request record.Renewal) {
 	results := make(chan renewalResult, 1)
 	go func() {
@@ -146,13 +147,13 @@
 		return
 	case <-timeout.C:
 	}
-	s.handleRenewal(core, request, renewalResult{err: failure.NewUnknown(failure.LostResponse, "a renewal was not answered in time")})
+	s.handleRenewal(core, request, renewalResult{err: failure.NewUnknown(failure.LostResponse, "the core did not respond to the renewal in time")})
 	if result := <-results; result.err == nil {
 		s.handleLateRenewal(core, result.response)
 	}
 }
 
-// handleRenewal takes the result of a renewal.
+// handleRenewal handles the result of a renewal.
 func (s *Sidecar) handleRenewal(core ident.Addr, request record.Renewal, result renewalResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +175,7 @@
 	s.configWatch.followRegistrar(core, result.response.ConfigRevision)
 }
 
-// handleFailedRenewal takes the failure of a renewal; mu is held.
+// handleFailedRenewal handles the failure of a renewal; the caller must hold mu.
 func (s *Sidecar) handleFailedRenewal(core ident.Addr, request record.Renewal, err error) {
 	s.count(counterRenewalsFailed)
 	if isConflict(err) {
@@ -183,10 +184,10 @@
 		return
 	}
 	s.lease.HandleFailure(s.clock(), core)
-	s.chooseRegistrar() // the poll that is out goes on until another core answers
+	s.chooseRegistrar() // the poll in progress continues until another core responds
 }
 
-// handleLateRenewal takes what a response tells that came too late to count.
+// handleLateRenewal applies the contents of a response that arrived too late to count as a renewal.
 func (s *Sidecar) handleLateRenewal(core ident.Addr, response record.RenewalResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,13 +200,13 @@
 	s.config.cache.ObserveCore(s.clock(), response.ConfigRevision)
 }
 
-// chooseRegistrar chooses the core to renew at; mu is held.
+// chooseRegistrar selects the core at which to renew the lease; the caller must hold mu.
 func (s *Sidecar) chooseRegistrar() {
 	s.lease.ChooseRegistrar(s.clock(), s.Settings.Node, s.Settings.Zone, s.cores.usable())
 }
 
-// suspectRegistrar makes the next renewal go out at once, to learn whether the registrar is
-// still there.
+// suspectRegistrar triggers the next renewal at once, to find out whether the registrar still
+// responds.
 func (s *Sidecar) suspectRegistrar() {
 	s.mu.Lock()
 	s.lease.ExpediteRenewal()
@@ -233,8 +234,9 @@
 	}
 }
 
-// handleSuperseded gives up a lease that a core knows a newer one than: this sidecar joins anew.
-// The newer one may be that of a join of an earlier run that came late.
+// handleSuperseded gives up a lease after a core reported a newer one; this sidecar then joins
+// again. The newer lease may come from a delayed join request of an earlier process on this
+// machine.
 func (s *Sidecar) handleSuperseded(leaseEpoch ident.LeaseEpoch, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +245,8 @@
 	}
 }
 
-// endLease gives up the lease if it is still the one of that epoch; mu is held.
+// endLease gives up the lease if it still has the given epoch, and reports whether it did; the
+// caller must hold mu.
 func (s *Sidecar) endLease(leaseEpoch ident.LeaseEpoch, err error) bool {
 	if leaseEpoch != s.leaseEpoch {
 		return false
@@ -253,7 +256,7 @@
 	return true
 }
 
-// isConflict reports whether a core refused a lease as superseded.
+// isConflict reports whether a core rejected a lease as superseded.
 func isConflict(err error) bool {
 	var fail *failure.Error
 	return failure.As(err, &fail) && fail.Kind == failure.Conflict
--- a/daemon/sidecar/renewal_test.go
+++ b/daemon/sidecar/renewal_test.go
@@ -19,14 +19,14 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// What a late response to a renewal tells is used, and its connection serves the next renewal: over
-// a full link a new one may not come up in time.
+// The contents of a late response to a renewal are used, and its connection serves the next
+// renewal: over a saturated link a new connection may not be established in time.
 func TestLateRenewalKeepsItsConnection(t *testing.T) {
-	answerNow := make(chan struct{})
+	respond := make(chan struct{})
 	var connections, requests atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if requests.Add(1) == 1 {
-			<-answerNow
+			<-respond
 		}
 		_ = json.NewEncoder(w).Encode(record.RenewalResponse{ConfigRevision: 7})
 	}))
@@ -43,7 +43,7 @@
 	s.config.cache.MarkJoined()
 
 	began := time.Now()
-	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(answerNow) })
+	time.AfterFunc(holder.RenewTimeout+50*time.Millisecond, func() { close(respond) })
 	s.renew(core, record.Renewal{})
 	must.Greater(t, holder.RenewTimeout, time.Since(began))
 	must.Eq(t, int64(1), s.Metrics.Counter(counterRenewalsFailed).Load())
@@ -57,7 +57,8 @@
 	must.Eq(t, int64(1), connections.Load())
 }
 
-// Of the peers that are asked only one gives its registry, and none while a core does.
+// A peer's state includes the registry only if the registry is wanted and differs, and the registry
+// is wanted only while no core responds.
 func TestPeerStateOmitsRegistryUnlessWanted(t *testing.T) {
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.planner.Index.Merge([]record.Set{{
--- a/daemon/sidecar/requests_test.go
+++ b/daemon/sidecar/requests_test.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// eachRequest reads the requests of a connection to a played endpoint or relay, and closes
-// it once serve says no, or nothing more can be read.
+// serveRequests reads the requests on a connection to a simulated endpoint or relay. The connection
+// is closed when serve returns false or no further request can be read.
 func serveRequests(c *net.TCPConn, serve func(r *bufio.Reader, req *http.Request, body []byte) (keepOpen bool)) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
--- a/daemon/sidecar/response.go
+++ b/daemon/sidecar/response.go
@@ -10,10 +10,10 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// retryAfterSeconds is when a caller that was rejected for want of capacity may come back.
+// retryAfterSeconds is the Retry-After of a request that was rejected for lack of capacity.
 const retryAfterSeconds = 0.1
 
-// writeFailure writes a failure to a caller, in the form that the settings ask for.
+// writeFailure writes a failure to a caller, in the format chosen in the settings.
 func (s *Sidecar) writeFailure(w http.ResponseWriter, fail *failure.Error) {
 	if s.Settings.Headers.FractionalRetryAfter {
 		response.WriteErrorFractional(w, fail)
@@ -22,7 +22,7 @@
 	response.WriteError(w, fail)
 }
 
-// writeResponse writes an endpoint's response, which is whole, without the mesh's own headers.
+// writeResponse writes an endpoint's complete response without the mesh's own headers.
 func writeResponse(w http.ResponseWriter, resp *exchange.Response) {
 	headers := w.Header()
 	length := resp.Header.Get("Content-Length")
@@ -41,7 +41,7 @@
 	}
 }
 
-// suppressDefault keeps net/http from adding a header that the endpoint did not set.
+// suppressDefault prevents net/http from adding a header that the endpoint did not set.
 func suppressDefault(headers http.Header, name string) {
 	if _, ok := headers[name]; !ok {
 		headers[name] = nil
--- a/daemon/sidecar/runs.go
+++ b/daemon/sidecar/runs.go
@@ -1,12 +1,13 @@
 package sidecar
 
-// activeRuns holds the ids of the requests that the endpoint of this machine is running, with how
-// often each runs. Sidecar.mu guards it.
+// activeRuns counts, by request id, the requests that this machine's endpoint is executing.
+// Sidecar.mu guards the map.
 //
-// Calls that the endpoint makes come in at the address for callers like the requests of clients. A
-// call is known as nested if its id extends that of a run, as hierarchical ids do: the run's id, a
-// separator, and more. This is a hint for the order in queues and for the retry budget only: an
-// endpoint that names its calls otherwise has them treated as requests of clients.
+// Calls made by the endpoint arrive on the listener for callers like the requests of clients. A
+// call is recognized as nested if its id extends the id of a request being executed, as
+// hierarchical ids do: the request's id, a separator, and at least one more character. The result
+// is only a hint for the order in queues and for the retry budget: if an endpoint names its calls
+// in another way, they are treated as requests of clients.
 type activeRuns map[string]int
 
 func (runs activeRuns) begin(id string) {
@@ -21,7 +22,8 @@
 	}
 }
 
-// made reports whether one of the runs made a call, by the id of the call.
+// containsParentOf reports whether one of the requests being executed made the call with the given
+// id.
 func (runs activeRuns) containsParentOf(id string) bool {
 	if len(runs) == 0 {
 		return false
@@ -34,7 +36,7 @@
 	return false
 }
 
-// isIDSeparator reports whether a byte may stand between the parts of a hierarchical id.
+// isIDSeparator reports whether a byte may separate the parts of a hierarchical id.
 func isIDSeparator(c byte) bool {
 	switch c {
 	case '.', '-', '/', '|', ':', '_':
--- a/daemon/sidecar/runs_test.go
+++ b/daemon/sidecar/runs_test.go
@@ -11,7 +11,8 @@
 	"cottonarch.example/cottonarch/mesh/attempt"
 )
 
-// A call belongs to a run if its id is that of the run, a separator, and more.
+// A call belongs to an active request if its id is the request's id, a separator, and at least one
+// more character.
 func TestActiveRunsContainParent(t *testing.T) {
 	runs := activeRuns{}
 	must.False(t, runs.containsParentOf("a1.b"))
@@ -32,16 +33,16 @@
 	must.Eq(t, 0, len(runs), must.Sprint(runs))
 }
 
-// A call that the endpoint makes as it runs a request goes before the requests of clients that came
-// earlier, beside its own sidecar and behind a peer.
+// A call that the endpoint makes while executing a request precedes earlier requests of clients,
+// with the endpoint behind the caller's sidecar and behind a peer.
 func TestNestedCallIsSentFirst(t *testing.T) {
-	for name, remote := range map[string]bool{"endpoint beside the caller": false, "endpoint behind a peer": true} {
+	for name, remote := range map[string]bool{"local endpoint": false, "remote endpoint": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := startDisconnectHarness(t, remote, 1, 8)
 			m.send("/again/x", "run")
 			m.await("the run", func() bool { return m.isRunning("run") })
-			if remote { // the endpoint that makes the call stands beside the caller's sidecar
+			if remote { // the endpoint that makes the call is on the machine of the caller's sidecar
 				m.callerSidecar.mu.Lock()
 				m.callerSidecar.runs.begin("run")
 				m.callerSidecar.mu.Unlock()
@@ -61,8 +62,8 @@
 	}
 }
 
-// A nested call may wait until its deadline: its route's latency target is not that of the run that
-// waits for it.
+// A nested call may wait until its deadline: the latency target of its route does not apply to the
+// execution that waits for the call.
 func TestNestedCallLatencyTargetIsItsDeadline(t *testing.T) {
 	const now = monotime.Time(time.Hour)
 	call := &attempt.Call{
--- a/daemon/sidecar/sendqueue_test.go
+++ b/daemon/sidecar/sendqueue_test.go
@@ -16,8 +16,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// A request whose time ends while it is queued is rejected then, not run, and not held until one
-// before it is over; those behind it move up.
+// A request whose deadline passes while it is queued is rejected at the deadline as not executed,
+// and not only after the request before it has ended; the requests behind it move up.
 func TestDeadlinePassesInQueue(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
 	endpointAddr := listen(t, func(c *net.TCPConn) {
@@ -41,7 +41,7 @@
 		must.Eq(t, http.StatusServiceUnavailable, w.Code)
 		must.Eq(t, string(failure.NotExecuted), w.Header().Get(response.OutcomeHeader))
 	case <-time.After(10 * time.Second):
-		t.Fatal("it was held past its time")
+		t.Fatal("the request was held past its deadline")
 	}
 	must.Eq(t, 0, s.sendQueue.Len())
 	go func() { third <- s.sendAsCaller("/once/x", "r2", patientLimit) }()
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -1,11 +1,12 @@
-// Package sidecar is the daemon beside an application. It forwards the requests of its callers
-// to endpoints of the mesh, admits the requests of other sidecars to the endpoints of its own
-// machine, and keeps a lease, a copy of the registry and the configuration from the cores.
+// Package sidecar implements the daemon that runs beside an application. The daemon forwards the
+// requests of local callers to endpoints of the mesh, admits the requests of other sidecars to the
+// endpoints of its own machine, and obtains its lease, the registry and the configuration from the
+// cores.
 //
-// The files follow a request top-down: caller.go takes it and queues it, attempts.go sends it
-// with retries, peerserver.go takes it at the endpoint's machine, and endpointcall.go sends it
-// to the endpoint. The duties that run beside the requests have a type each: renewer,
-// leaseJoiner, configWatch and peerQuerier.
+// The files follow the path of a request: caller.go receives and queues it, attempts.go sends it
+// with retries, peerserver.go receives it on the endpoint's machine, and endpointcall.go sends it
+// to the endpoint. The background loops are the types renewer (with leaseJoiner), configWatch and
+// peerQuerier, and the functions runMaintenance and probeEndpoint.
 package sidecar
 
 import (
@@ -31,17 +32,17 @@
 )
 
 const (
-	// dialTimeout bounds how long a connection to another process may take to come up. It is
-	// longer than a request waits: over a link that is full for a while, the next request then
-	// finds the connection open.
+	// dialTimeout bounds the establishment of a connection to another process. The timeout is
+	// longer than a request waits, so that over a link that is saturated for a while the next
+	// request finds an open connection.
 	dialTimeout = 2 * time.Second
-	// silenceTimeout bounds how long another machine may leave bytes unacknowledged before its
-	// connections are given up: it has lost power or is cut off.
+	// deadPeerTimeout is how long another machine may leave bytes unacknowledged before its
+	// connections are closed. Such a machine has lost power or is unreachable.
 	deadPeerTimeout = 700 * time.Millisecond
 )
 
 // Sidecar is the running daemon. Invariants: the revision of the active configuration only
-// rises, and was confirmed by a majority of the cores; the sidecar is ready only while it holds
+// increases, and a majority of the cores has confirmed it; the sidecar is ready only while it holds
 // a lease and has an active configuration.
 type Sidecar struct {
 	Settings settings.Sidecar
@@ -49,8 +50,8 @@
 	Metrics  *metrics.Registry
 
 	clock monotime.Clock
-	// watchedClock counts only time that this process saw go by, see monotime.LimitSteps: budget
-	// shares do not move because the process was suspended.
+	// stepLimitedClock advances by a bounded step between two readings, see monotime.LimitSteps, so
+	// that budget shares do not move because the process was suspended.
 	stepLimitedClock monotime.Clock
 	apiClient        *client.Pool   // JSON requests to cores and other sidecars
 	peerExchange     *exchange.Pool // forwarded requests to other sidecars
@@ -72,7 +73,7 @@
 	sendQueue    *priorityqueue.Queue[*queuedRequest]
 	planner      *attempt.Planner
 	endpoints    *endpoint.Tracker
-	verifying    map[ident.Server]bool // endpoints that are being asked whether they are healthy
+	verifying    map[ident.Server]bool // endpoints whose health check is in progress
 	slots        slotQueue
 	runs         activeRuns
 	outboundLink *bandwidth.Outbound
@@ -89,7 +90,7 @@
 	lastCoreContact monotime.Time
 }
 
-// New makes a sidecar that does nothing until Start.
+// New returns a sidecar that is idle until Start.
 func New(cfg settings.Sidecar, log *zap.Logger) *Sidecar {
 	clock := monotime.ProcessClock()
 	now := clock()
@@ -129,8 +130,8 @@
 	return s
 }
 
-// newPlanner makes the planner of attempts. Its choices are seeded by the node and by this run of it,
-// so that sidecars do not choose alike.
+// newPlanner returns the planner of attempts. Its seed depends on the node and on the process, so
+// that sidecars do not make the same choices.
 func newPlanner(cfg settings.Sidecar, now monotime.Time) *attempt.Planner {
 	seed := fnv.New64a()
 	_, _ = fmt.Fprint(seed, cfg.Node, ident.NewID())
@@ -139,7 +140,7 @@
 	return planner
 }
 
-// Start starts the duties, which run until Close.
+// Start starts the background loops, which run until Close.
 func (s *Sidecar) Start() {
 	s.renewer.wake()
 	go s.renewer.run()
@@ -149,8 +150,8 @@
 	go s.probeEndpoint()
 }
 
-// Close ends the duties and does not wait for them: one that is within a request ends when that is
-// answered or its time is over.
+// Close stops the background loops without waiting for them: a loop with a request in progress ends
+// when the request has completed or timed out.
 func (s *Sidecar) Close() {
 	close(s.done)
 	s.apiClient.Close()
@@ -161,7 +162,7 @@
 	return s.leaseHeld.Load() && !s.leaving.Load() && s.configActive.Load()
 }
 
-// closing reports whether the duties end.
+// closed reports whether Close was called.
 func (s *Sidecar) closed() bool {
 	select {
 	case <-s.done:
@@ -171,7 +172,7 @@
 	}
 }
 
-// sleep waits for a while, or until the duties end.
+// sleep waits for the given duration, or until Close.
 func (s *Sidecar) sleep(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -13,17 +13,17 @@
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
-// minSlotRetryAfter is the shortest time after which a rejected request is asked to come back,
-// in seconds.
+// minSlotRetryAfter is the minimum Retry-After, in seconds, of a request that the admission queue
+// rejects.
 const minSlotRetryAfter = 0.01
 
-// slotQueue is the admission queue of this machine's endpoints, and the goroutines that wait
-// for its verdicts. Sidecar.mu guards it.
+// slotQueue holds the admission queue of this machine's endpoints and the goroutines that wait for
+// its verdicts. Sidecar.mu guards it.
 type slotQueue struct {
 	queue   *admission.Queue
-	waiters map[uint64]chan admission.Verdict // by request
+	waiters map[uint64]chan admission.Verdict // by request id
 	lastID  uint64
-	known   map[ident.Server]bool // endpoints whose slots the queue knows
+	known   map[ident.Server]bool // endpoints whose number of slots the queue has
 }
 
 func newSlotQueue() slotQueue {
@@ -34,7 +34,7 @@
 	}
 }
 
-// deliver hands verdicts to the goroutines that wait for them.
+// deliver passes verdicts to the goroutines that wait for them.
 func (q *slotQueue) deliver(verdicts []admission.Verdict) {
 	for _, verdict := range verdicts {
 		if waiter := q.waiters[verdict.ID]; waiter != nil && verdict.Decision != admission.Wait {
@@ -44,7 +44,7 @@
 	}
 }
 
-// enqueue puts a request into an endpoint's queue; its verdict comes on the channel.
+// enqueue adds a request to an endpoint's queue; the verdict is sent on the returned channel.
 func (q *slotQueue) enqueue(
 	now monotime.Time, server ident.Server, hints admissionHints, deadline monotime.Time,
 ) (id uint64, verdicts chan admission.Verdict) {
@@ -56,8 +56,8 @@
 	return id, verdicts
 }
 
-// sync removes endpoints that are gone from the queue, and rejects what waits for those that are
-// not healthy.
+// sync removes endpoints that no longer exist from the queue, and rejects the requests that wait
+// for unhealthy endpoints.
 func (q *slotQueue) sync(workloads []record.Workload) {
 	present := map[ident.Server]bool{}
 	for _, workload := range workloads {
@@ -74,7 +74,7 @@
 	}
 }
 
-// update takes the number of slots of an endpoint's heartbeat.
+// update applies the number of slots in an endpoint's heartbeat.
 func (q *slotQueue) update(now monotime.Time, heartbeat endpoint.Heartbeat) {
 	if heartbeat.State != endpoint.Alive || heartbeat.Slots <= 0 {
 		return
@@ -84,9 +84,9 @@
 	q.deliver(q.queue.SetSlots(now, heartbeat.Server, heartbeat.Slots, slowStart))
 }
 
-// waitForSlot waits until the endpoint has a free slot for the request, or the admission queue
-// rejects it, or ctx ends as its client leaves. A request that was admitted must be ended with
-// releaseSlot.
+// waitForSlot waits until the endpoint has a free slot for the request, the admission queue rejects
+// the request, or ctx is done because its client disconnected. An admitted request must be ended
+// with releaseSlot.
 func (s *Sidecar) waitForSlot(ctx context.Context, request endpointRequest) (id uint64, fail *failure.Error) {
 	s.mu.Lock()
 	now := s.clock()
@@ -100,7 +100,7 @@
 			return 0, clientLeft()
 		}
 		if !ok {
-			return 0, failure.New(failure.DeadlineExceeded, "the deadline passed in the admission queue")
+			return 0, failure.New(failure.DeadlineExceeded, "the deadline passed while the request was in the admission queue")
 		}
 	}
 	if verdict.Decision == admission.Admit {
@@ -108,11 +108,11 @@
 	}
 	s.count(counterAdmissionRejectedPrefix + string(verdict.Reason))
 	retryAfter := max(minSlotRetryAfter, verdict.RetryAfter.Seconds())
-	return 0, failure.New(failure.Busy, "server %q: %s", request.server, verdict.Reason).WithRetryAfter(retryAfter)
+	return 0, failure.New(failure.Busy, "the admission queue of server %q rejected the request: %s", request.server, verdict.Reason).WithRetryAfter(retryAfter)
 }
 
 // awaitVerdict waits for the verdict of the admission queue until the request's deadline, or until
-// ctx ends.
+// ctx is done.
 func awaitVerdict(ctx context.Context, verdicts chan admission.Verdict, deadline time.Time) (verdict admission.Verdict, ok bool) {
 	select {
 	case verdict = <-verdicts:
@@ -130,8 +130,8 @@
 	return verdict, false
 }
 
-// abandonSlot takes a request whose time is over, or whose client has left, out of the queue. If its verdict came
-// meanwhile, that is given instead.
+// cancelSlotWait removes a request from the queue after its deadline or after its client
+// disconnected. If the verdict has arrived in the meantime, the verdict is returned instead.
 func (s *Sidecar) cancelSlotWait(server ident.Server, id uint64, verdicts chan admission.Verdict) (verdict admission.Verdict, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,14 +143,15 @@
 	return verdict, false
 }
 
-// releaseSlot gives back the slot of a request that was admitted.
+// releaseSlot releases the slot of an admitted request.
 func (s *Sidecar) releaseSlot(server ident.Server, id uint64, outcome admission.Outcome, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slots.deliver(s.slots.queue.Done(s.clock(), server, id, outcome, duration))
 }
 
-// loadReport is the load of an endpoint of this machine as text, "" if its queue is not known.
+// loadReport returns the encoded load report of an endpoint of this machine, or "" if the queue
+// does not have the endpoint.
 func (s *Sidecar) loadReport(server ident.Server) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +162,7 @@
 	return report.Text()
 }
 
-// parseLoadReport reads a load report; it is nil if there is none that can be read.
+// parseLoadReport decodes a load report; it returns nil if the report is missing or malformed.
 func parseLoadReport(text string) *loadreport.Report {
 	if text == "" {
 		return nil
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -27,31 +27,31 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// connectionEnd is what a peer does with its connection after a move.
+// connectionEnd is what the far end does with its connection after a behavior.
 type connectionEnd int
 
 const (
 	staysOpen connectionEnd = iota
 	closes
 	resets
-	resetsOnNextBytes // resets once the next bytes come, which it does not read
-	hangs             // says nothing more until the other end closes
+	resetsOnNextBytes // resets when the next bytes arrive, without reading them
+	hangs             // sends nothing more until the other end closes
 )
 
-// evidence is what the answer to a request proves of its run.
+// evidence is what the response to a request proves about its execution.
 type evidence int
 
 const (
-	executed    evidence = iota // it ran, and its own answer says so
-	notExecuted                 // it did not run, and its own answer says so
-	unproven                    // nothing was said that proves either
+	executed    evidence = iota // executed, according to the endpoint's own response
+	notExecuted                 // not executed, according to the endpoint's own response
+	unproven                    // no response proves either
 )
 
-// endpointMove is what an endpoint does with one request that it has read whole.
+// endpointBehavior is an endpoint's reaction to one request that was read completely.
 type endpointBehavior struct {
 	name     string
 	executes bool
-	response func(id string, past []string) string
+	response func(id string, previous []string) string
 	end      connectionEnd
 	evidence
 }
@@ -72,7 +72,7 @@
 	return rawResponse(200, id, testSuccessMarkHeader+": s\r\n")
 }
 
-// newestAnswer is the answer to the request before this one, once more.
+// previousResponse repeats the response to the request before the current one.
 func previousResponse(previous []string) string {
 	if len(previous) == 0 {
 		return successResponse("before", nil)
@@ -81,34 +81,36 @@
 }
 
 var endpointBehaviors = []endpointBehavior{
-	{"answers", true, successResponse, staysOpen, executed},
-	{"answers and closes", true, successResponse, closes, executed},
-	{"answers and forgets the connection", true, successResponse, resetsOnNextBytes, executed},
-	{"answers twice", true, func(id string, _ []string) string { return successResponse(id, nil) + successResponse(id, nil) }, staysOpen, executed},
-	{"answers an older one late, then this", true, func(id string, past []string) string { return previousResponse(past) + successResponse(id, nil) }, staysOpen, executed},
+	{"responds", true, successResponse, staysOpen, executed},
+	{"responds and closes", true, successResponse, closes, executed},
+	{"responds, then resets on the next bytes", true, successResponse, resetsOnNextBytes, executed},
+	{"responds twice", true, func(id string, _ []string) string { return successResponse(id, nil) + successResponse(id, nil) }, staysOpen, executed},
+	{"sends the previous response, then its own", true, func(id string, previous []string) string {
+		return previousResponse(previous) + successResponse(id, nil)
+	}, staysOpen, executed},
 	{"fails", true, func(id string, _ []string) string { return rawResponse(500, id, testSuccessMarkHeader+": s\r\n") }, staysOpen, executed},
-	{"refuses", false, func(id string, _ []string) string { return rawResponse(503, id, "X-Not-Run: 1\r\n") }, staysOpen, notExecuted},
-	{"is another", false, func(id string, _ []string) string { return rawResponse(421, id, "") }, staysOpen, notExecuted},
-	{"answers an older one only", true, func(_ string, past []string) string { return previousResponse(past) }, closes, unproven},
-	{"runs and resets", true, func(string, []string) string { return "" }, resets, unproven},
-	{"resets when full", false, func(string, []string) string { return "" }, resets, unproven},
-	{"runs and breaks off", true, func(id string, _ []string) string { return successResponse(id, nil)[:60] }, resets, unproven},
-	{"runs and garbles", true, func(string, []string) string { return "\x00\x01 garbage\r\n\r\n" }, staysOpen, unproven},
-	{"answers without a seal", true, func(id string, _ []string) string { return rawResponse(200, id, "") }, staysOpen, unproven},
-	{"runs and hangs", true, func(string, []string) string { return "" }, hangs, unproven},
+	{"rejects as not executed", false, func(id string, _ []string) string { return rawResponse(503, id, "X-Not-Run: 1\r\n") }, staysOpen, notExecuted},
+	{"rejects as misdirected", false, func(id string, _ []string) string { return rawResponse(421, id, "") }, staysOpen, notExecuted},
+	{"sends the previous response only", true, func(_ string, previous []string) string { return previousResponse(previous) }, closes, unproven},
+	{"executes and resets", true, func(string, []string) string { return "" }, resets, unproven},
+	{"resets without executing", false, func(string, []string) string { return "" }, resets, unproven},
+	{"executes and truncates the response", true, func(id string, _ []string) string { return successResponse(id, nil)[:60] }, resets, unproven},
+	{"executes and sends garbage", true, func(string, []string) string { return "\x00\x01 garbage\r\n\r\n" }, staysOpen, unproven},
+	{"responds without the success mark", true, func(id string, _ []string) string { return rawResponse(200, id, "") }, staysOpen, unproven},
+	{"executes and hangs", true, func(string, []string) string { return "" }, hangs, unproven},
 }
 
-// journal is what the peers of the sidecars saw in one order of moves. The moves are played in the
-// order in which requests come in, at whichever endpoint and connection; after the last of them, the
-// first move of endpointMoves goes on.
+// scenario is one sequence of behaviors and a record of what the endpoints and relays saw. The
+// behaviors apply in the order in which requests arrive, at any endpoint and on any connection;
+// after the last one, the first entry of endpointBehaviors or relayBehaviors applies.
 type scenario struct {
 	mu               sync.Mutex
 	endpointScript   []endpointBehavior
 	relayScript      []relayBehavior
 	previousIDs      []string
-	arrivals         map[string][]endpointBehavior // at endpoints, by id
-	outcomeUnknown   map[string]bool               // a relay left it in doubt
-	connectionClosed bool                          // a connection was ended by its far end
+	arrivals         map[string][]endpointBehavior // behaviors of the endpoints that received a request, by id
+	outcomeUnknown   map[string]bool               // a relay left the outcome of the request unknown, by id
+	connectionClosed bool                          // the far end has closed or reset a connection
 }
 
 func (j *scenario) nextBehavior(id string) (endpointBehavior, []string) {
@@ -125,7 +127,7 @@
 	return behavior, previous
 }
 
-// listen serves every connection of a listener of its own until the test ends.
+// listen serves every connection of a new listener until the test ends.
 func listen(t testing.TB, serve func(*net.TCPConn)) ident.Addr {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -142,7 +144,8 @@
 	return ident.Addr(l.Addr().String())
 }
 
-// endConnection ends a connection as a move asks, and reports whether it stays open.
+// applyConnectionEnd ends a connection as the behavior requires and reports whether the connection
+// stays open.
 func applyConnectionEnd(c *net.TCPConn, r *bufio.Reader, end connectionEnd) bool {
 	switch end {
 	case staysOpen:
@@ -158,15 +161,15 @@
 	return false
 }
 
-// testStage holds the sockets of endpoints and peers, which serve one order of moves after the other:
-// each order has a journal and sidecars of its own. Ids of requests begin with the number of their
-// order, so that one which arrives after its order is over is still seen.
+// faultHarness has the sockets of endpoints and peers, which serve one scenario after another: each
+// scenario has sidecars of its own. Request ids begin with the number of their scenario, so that a
+// request is still recorded if it arrives after its scenario has ended.
 type faultHarness struct {
 	scenarioCount atomic.Int64
 	scenarios     sync.Map
 	endpoints     []ident.Addr
 	peer          atomic.Pointer[Sidecar]
-	relayAddr     ident.Addr // the relay before the peer
+	relayAddr     ident.Addr // address of the relay before the peer
 }
 
 func newFaultHarness(t *testing.T) *faultHarness {
@@ -178,14 +181,14 @@
 	return st
 }
 
-// journalOf is the journal of the order to which an id belongs.
+// scenarioOf returns the scenario to which a request id belongs.
 func (st *faultHarness) scenarioOf(id string) *scenario {
 	number, _, _ := strings.Cut(id, "-")
 	played, _ := st.scenarios.Load(number)
 	return played.(*scenario)
 }
 
-// endpoint plays the moves of the journals.
+// startEndpoint starts an endpoint that behaves according to the scenarios.
 func (st *faultHarness) startEndpoint(t *testing.T) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
@@ -197,12 +200,12 @@
 	})
 }
 
-// relayMove is what the hop between two sidecars does with one request.
+// relayBehavior is the reaction of the relay between two sidecars to one request.
 type relayBehavior struct {
 	name           string
-	forwards       bool               // to the sidecar behind
-	restarted      bool               // that sidecar was started anew and knows no endpoint yet
-	truncate       func(size int) int // how many bytes of the answer come through
+	forwards       bool               // forwards the request to the sidecar behind the relay
+	restarted      bool               // that sidecar has restarted and has no endpoint yet
+	truncate       func(size int) int // returns how many bytes of the response are passed on
 	end            connectionEnd
 	outcomeUnknown bool
 }
@@ -211,17 +214,17 @@
 func noBytes(int) int            { return 0 }
 
 var relayBehaviors = []relayBehavior{
-	{"passes", true, false, wholeResponse, staysOpen, false},
-	{"passes, then closes", true, false, wholeResponse, closes, false},
-	{"passes, then resets", true, false, wholeResponse, resets, false},
-	{"passes, then forgets the connection", true, false, wholeResponse, resetsOnNextBytes, false},
-	{"was started anew", true, true, wholeResponse, staysOpen, false},
-	{"was started anew, connections reset", true, true, wholeResponse, resets, false},
+	{"forwards", true, false, wholeResponse, staysOpen, false},
+	{"forwards, then closes", true, false, wholeResponse, closes, false},
+	{"forwards, then resets", true, false, wholeResponse, resets, false},
+	{"forwards, then resets on the next bytes", true, false, wholeResponse, resetsOnNextBytes, false},
+	{"peer restarted", true, true, wholeResponse, staysOpen, false},
+	{"peer restarted, connection reset", true, true, wholeResponse, resets, false},
 	{"loses the request", false, false, noBytes, resets, true},
-	{"loses the answer", true, false, noBytes, resets, true},
-	{"closes without an answer", true, false, noBytes, closes, true},
-	{"breaks the answer off", true, false, func(size int) int { return size - 2 }, resets, true},
-	{"breaks the answer's head off", true, false, func(int) int { return 30 }, closes, true},
+	{"loses the response", true, false, noBytes, resets, true},
+	{"closes without a response", true, false, noBytes, closes, true},
+	{"truncates the response body", true, false, func(size int) int { return size - 2 }, resets, true},
+	{"truncates the response header", true, false, func(int) int { return 30 }, closes, true},
 }
 
 func (j *scenario) nextRelayBehavior(id string) relayBehavior {
@@ -236,8 +239,8 @@
 	return behavior
 }
 
-// relay is the hop between two sidecars. It forwards to one that knows its endpoints, or to one that
-// was started anew.
+// startRelay starts the relay between two sidecars. It forwards requests either to a sidecar that
+// has endpoints or to a restarted one.
 func (st *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
@@ -257,7 +260,7 @@
 	})
 }
 
-// forwarded forwards a request over a connection of its own and gives the bytes of the answer.
+// forwardRequest forwards a request over a new connection and returns the bytes of the response.
 func forwardRequest(t *testing.T, target ident.Addr, req *http.Request) []byte {
 	c, err := net.Dial("tcp", string(target))
 	must.NoError(t, err)
@@ -279,7 +282,8 @@
 	},
 }
 
-// newTestSidecar makes a sidecar whose duties do not run, with endpoints of its own machine.
+// newTestSidecar returns a sidecar without running background loops, with the given endpoints on
+// its own machine.
 func newTestSidecar(name ident.Node, addr ident.Addr, endpoints ...ident.Addr) *Sidecar {
 	s := New(settings.Sidecar{
 		Node:                  name,
@@ -313,7 +317,8 @@
 	return s
 }
 
-// addWorkloads adds the endpoints of a node to a sidecar's registry, behind an address.
+// addWorkloads adds the endpoints of a node to a sidecar's registry, behind the given sidecar
+// address.
 func (s *Sidecar) addWorkloads(author ident.Node, sidecarAddr ident.Addr, servers ...ident.Server) {
 	var records []record.Address
 	for _, id := range servers {
@@ -328,7 +333,7 @@
 	s.planner.Index.Merge([]record.Set{{Author: author, LeaseEpoch: 1, Records: records}})
 }
 
-// startPeerServer serves a sidecar's address for peers, on the daemon's own kind of server.
+// startPeerServer serves a sidecar's address for peers with the daemon's kind of server.
 func startPeerServer(t *testing.T, s func() *Sidecar) ident.Addr {
 	peerServer := server.New("127.0.0.1:0", func(w http.ResponseWriter, r *http.Request) bool { return s().ServePeer(w, r) })
 	listener := httptest.NewServer(peerServer.Handler)
@@ -336,7 +341,7 @@
 	return ident.Addr(strings.TrimPrefix(listener.URL, "http://"))
 }
 
-// sendAsCaller sends a request to a sidecar as its caller would.
+// sendAsCaller sends a request to a sidecar as a caller does.
 func (s *Sidecar) sendAsCaller(path, id string, limit time.Duration) *httptest.ResponseRecorder {
 	r := httptest.NewRequest("POST", path, strings.NewReader(`{"to":"`+id+`"}`))
 	r.Host = "h"
--- a/daemon/sidecar/status.go
+++ b/daemon/sidecar/status.go
@@ -7,8 +7,8 @@
 	"cottonarch.example/cottonarch/control/registry/record"
 )
 
-// Status is what the status page shows. The keys of earlier releases stand first, in their order;
-// those whose field is named Deprecated are published for one release beside the new ones.
+// Status is the content of the status page. The keys of earlier releases come first, in their
+// order; the fields named Deprecated are published beside the new ones for one release.
 type Status struct {
 	DeprecatedLeaseEpoch         ident.LeaseEpoch     `json:"claim"`
 	Cores                        []ident.Addr         `json:"cores"`
@@ -22,11 +22,11 @@
 
 	LeaseEpoch         ident.LeaseEpoch     `json:"leaseEpoch"`
 	ConfigRevision     ident.ConfigRevision `json:"configRevision"`
-	BudgetShare        int                  `json:"budgetShare"`        // that may be spent now
-	BudgetShareGranted int                  `json:"budgetShareGranted"` // that may be spent while the lease is renewed
+	BudgetShare        int                  `json:"budgetShare"`        // share that may be spent now
+	BudgetShareGranted int                  `json:"budgetShareGranted"` // share that may be spent while the lease is renewed
 }
 
-// Status returns the Status.
+// Status returns the content of the status page, a Status.
 func (s *Sidecar) Status() any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/stop.go
+++ b/daemon/sidecar/stop.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// stopCheckInterval is how often a planned stop looks for requests in flight, and
-	// stopIdleChecks how many looks in a row must find none: the copies of the registry
-	// elsewhere need that second to learn that this machine leaves.
+	// stopCheckInterval is the interval between checks for requests in flight during a planned
+	// stop, and stopIdleChecks is how many consecutive checks must find none. Sidecars elsewhere
+	// need that second to learn from their registry copies that this machine is leaving.
 	stopCheckInterval = 50 * time.Millisecond
 	stopIdleChecks    = 20
 )
 
-// Leave is the planned stop: the sidecar is no longer ready, its endpoints are reported as
-// leaving, and it waits for the requests in flight, for at most Settings.Stop.
+// Leave performs a planned stop: the sidecar is no longer ready, its endpoints are reported as
+// leaving, and Leave waits for the requests in flight, for at most Settings.StopTimeout.
 func (s *Sidecar) Leave() {
 	if s.leaving.Swap(true) {
 		return
@@ -23,7 +23,8 @@
 	s.awaitIdle(time.Now().Add(s.Settings.StopTimeout))
 }
 
-// awaitIdle waits until no request was in flight for stopIdleChecks looks, or the deadline.
+// awaitIdle waits until stopIdleChecks consecutive checks have found no request in flight, or until
+// the deadline.
 func (s *Sidecar) awaitIdle(deadline time.Time) {
 	ticker := time.NewTicker(stopCheckInterval)
 	defer ticker.Stop()
@@ -35,7 +36,8 @@
 	}
 }
 
-// requestsInFlight counts the requests of callers and of other sidecars that are not answered.
+// requestsInFlight returns the number of requests of callers and of other sidecars without a
+// response yet.
 func (s *Sidecar) requestsInFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
