--- a/daemon/sidecar/verification.go
+++ b/daemon/sidecar/verification.go
@@ -9,71 +9,72 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// The pause after an endpoint was asked in vain whether it is healthy begins with minVerifyPause and
-// doubles up to maxVerifyPause.
+// The pause after a failed health check of an endpoint starts at minVerifyPause and doubles up to
+// maxVerifyPause.
 const (
 	minVerifyPause = 50 * time.Millisecond
 	maxVerifyPause = 400 * time.Millisecond
 )
 
-// verifyNewcomers has every endpoint asked that is known by heartbeats alone. A heartbeat may come
-// seconds late, and the sign-off that followed it may have been taken by an earlier run of this
-// sidecar, which has no disk: only the endpoint itself knows. One whose service names no path to ask
-// counts as verified, and one whose service is not configured waits. mu is held.
+// verifyNewEndpoints starts a health check of every endpoint that is known only by heartbeats. A
+// heartbeat may arrive seconds late, and the sign-off that followed it may have been received by an
+// earlier process of this sidecar, which stores nothing on disk: only the endpoint itself can tell.
+// An endpoint whose service has no health check path counts as verified, and an endpoint whose
+// service is not configured must wait. The caller must hold mu.
 func (s *Sidecar) verifyNewEndpoints() {
 	config := s.planner.Config()
-	for _, newcomer := range s.endpoints.Unverified() {
+	for _, heartbeat := range s.endpoints.Unverified() {
 		if config != nil {
-			service, configured := config.Services[newcomer.Service]
+			service, configured := config.Services[heartbeat.Service]
 			if configured && service.HealthCheckPath == "" {
-				s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), newcomer.Server))
+				s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), heartbeat.Server))
 				continue
 			}
 		}
-		if !s.verifying[newcomer.Server] {
-			s.verifying[newcomer.Server] = true
-			go s.verify(newcomer.Server)
+		if !s.verifying[heartbeat.Server] {
+			s.verifying[heartbeat.Server] = true
+			go s.verify(heartbeat.Server)
 		}
 	}
 }
 
-// verify asks an endpoint until it answers that it is healthy, or is no longer to be asked.
+// verify checks the health of an endpoint until a check succeeds or is no longer needed.
 func (s *Sidecar) verify(server ident.Server) {
 	if !s.awaitConfig() {
 		return
 	}
 	for pause := minVerifyPause; !s.closed(); pause = min(2*pause, maxVerifyPause) {
-		newcomer, path, wanted := s.endpointToVerify(server)
+		heartbeat, path, wanted := s.endpointToVerify(server)
 		if !wanted {
 			return
 		}
-		if s.healthyServer(s.checkHealth(newcomer.Addr, path)) == server {
+		if s.healthyServer(s.checkHealth(heartbeat.Addr, path)) == server {
 			s.markVerified(server)
-			continue // there is nothing more to ask
+			continue // endpointToVerify ends the verification
 		}
 		s.sleep(pause)
 	}
 }
 
-// newcomerToVerify returns the newest heartbeat of a server that is to be asked, and the path to ask. If
-// it is not to be asked now, its verification has ended; the next configuration or heartbeat may begin
-// it again.
-func (s *Sidecar) endpointToVerify(server ident.Server) (newcomer endpoint.Heartbeat, path string, wanted bool) {
+// endpointToVerify returns the latest heartbeat of a server that should be checked, and its health
+// check path. If the server should not be checked now, its verification ends; the next
+// configuration or heartbeat may start it again.
+func (s *Sidecar) endpointToVerify(server ident.Server) (heartbeat endpoint.Heartbeat, path string, wanted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, newcomer = range s.endpoints.Unverified() {
-		if newcomer.Server != server || s.leaving.Load() {
+	for _, heartbeat = range s.endpoints.Unverified() {
+		if heartbeat.Server != server || s.leaving.Load() {
 			continue
 		}
-		if path = s.planner.Config().Services[newcomer.Service].HealthCheckPath; path != "" {
-			return newcomer, path, true
+		if path = s.planner.Config().Services[heartbeat.Service].HealthCheckPath; path != "" {
+			return heartbeat, path, true
 		}
 	}
 	delete(s.verifying, server)
-	return newcomer, "", false
+	return heartbeat, "", false
 }
 
-// markVerified notes that an endpoint has answered that it is healthy.
+// markVerified records that an endpoint has responded as healthy.
 func (s *Sidecar) markVerified(server ident.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/verification_test.go
+++ b/daemon/sidecar/verification_test.go
@@ -18,22 +18,22 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// healthAnswer is how an endpoint answers when it is asked whether it is healthy.
+// healthResponse is an endpoint's response to a health check.
 type healthResponse struct {
 	status int
 	server string
 }
 
-// askedEndpoint is an endpoint that gives the newest healthAnswer and counts the questions.
+// probedEndpoint is an endpoint that sends the current healthResponse and counts the health checks.
 type probedEndpoint struct {
 	addr     ident.Addr
 	response atomic.Pointer[healthResponse]
 	probes   atomic.Int64
 }
 
-func newProbedEndpoint(t *testing.T, answer healthResponse) *probedEndpoint {
+func newProbedEndpoint(t *testing.T, initial healthResponse) *probedEndpoint {
 	e := &probedEndpoint{}
-	e.response.Store(&answer)
+	e.response.Store(&initial)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		current := e.response.Load()
 		w.Header().Set("X-Who", current.server)
@@ -45,8 +45,8 @@
 	return e
 }
 
-// newRestartedSidecar makes a sidecar that remembers nothing. It has a configuration, in which one
-// service names the path to ask for health and one does not.
+// newRestartedSidecar returns a sidecar without any state but a configuration, in which one service
+// has a health check path and one does not.
 func newRestartedSidecar(t *testing.T) *Sidecar {
 	s := New(settings.Sidecar{HeartbeatInterval: time.Hour, Headers: settings.Headers{ServerID: "X-Who"}}, zap.NewNop())
 	t.Cleanup(s.Close)
@@ -58,7 +58,8 @@
 	return s
 }
 
-// statusOf is the status under which the sidecar's registry shows a server, "" if it does not.
+// statusOf returns the status of a server in the sidecar's own workloads, or "" if there is no such
+// server.
 func (s *Sidecar) statusOf(server ident.Server) record.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	return ""
 }
 
-// awaitThat waits until a condition holds, however busy the machine is.
+// waitFor waits until a condition holds, for at most a minute, because the machine may be busy.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(time.Minute); !condition(); time.Sleep(time.Millisecond) {
@@ -82,62 +83,64 @@
 	return endpoint.Heartbeat{Server: server, Service: service, Addr: addr, State: endpoint.Alive, Seq: seq, Slots: 6}
 }
 
-// A heartbeat of an endpoint that signed off comes to a sidecar that was restarted since: the endpoint
-// gets no requests unless it says itself that it is healthy. Guards against a late heartbeat that brings
-// an endpoint back, its sign-off forgotten with the earlier run.
+// A delayed heartbeat of an endpoint that has signed off arrives at a restarted sidecar: the
+// endpoint receives no requests unless its own health check succeeds. Guards against a late
+// heartbeat that makes an endpoint available again because the restarted sidecar has no record of
+// the sign-off.
 func TestLateHeartbeatAfterRestartIsNotTrusted(t *testing.T) {
-	for name, answer := range map[string]healthResponse{
-		"it says that it leaves":            {http.StatusServiceUnavailable, "e1"},
-		"another server is there now":       {http.StatusOK, "e2"},
-		"what answers there has no name":    {http.StatusOK, ""},
-		"what answers there is no endpoint": {http.StatusNotFound, ""},
+	for name, health := range map[string]healthResponse{
+		"responds that it is leaving":      {http.StatusServiceUnavailable, "e1"},
+		"another server has its address":   {http.StatusOK, "e2"},
+		"response without a server id":     {http.StatusOK, ""},
+		"response is not from an endpoint": {http.StatusNotFound, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			target := newProbedEndpoint(t, answer)
+			target := newProbedEndpoint(t, health)
 			s := newRestartedSidecar(t)
 			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 7)))
-			waitFor(t, "it is asked twice", func() bool { return target.probes.Load() >= 2 })
+			waitFor(t, "two health checks", func() bool { return target.probes.Load() >= 2 })
 			must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 8)))
-			waitFor(t, "it is asked again", func() bool { return target.probes.Load() >= 3 })
+			waitFor(t, "a third health check", func() bool { return target.probes.Load() >= 3 })
 			must.Eq(t, record.Unknown, s.statusOf("e1"))
 		})
 	}
 }
 
-// An endpoint that lives is found by its first heartbeat after a restart: once it answers, or at once
-// where its service names no path to ask. One of a service that is not configured waits.
+// A healthy endpoint is verified after the first heartbeat that follows a restart: when its health
+// check succeeds, or at once if its service has no health check path. An endpoint of a service that
+// is not configured must wait.
 func TestHealthyEndpointIsVerifiedAfterRestart(t *testing.T) {
 	target := newProbedEndpoint(t, healthResponse{http.StatusServiceUnavailable, "e1"})
 	s := newRestartedSidecar(t)
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 7)))
-	waitFor(t, "it is asked", func() bool { return target.probes.Load() >= 1 })
+	waitFor(t, "the first health check", func() bool { return target.probes.Load() >= 1 })
 	must.Eq(t, record.Unknown, s.statusOf("e1"))
 	target.response.Store(&healthResponse{http.StatusOK, "e1"})
-	waitFor(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
+	waitFor(t, "verification of the endpoint", func() bool { return s.statusOf("e1") == record.Healthy })
 	probes := target.probes.Load()
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "asked", target.addr, 8)))
 	must.Eq(t, record.Healthy, s.statusOf("e1"))
-	must.Eq(t, probes, target.probes.Load(), must.Sprint("it is not asked again"))
+	must.Eq(t, probes, target.probes.Load(), must.Sprint("no further health check"))
 
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e3", "silent", "127.0.0.1:1", 1)))
-	waitFor(t, "a service without a path", func() bool { return s.statusOf("e3") == record.Healthy })
+	waitFor(t, "verification without a health check path", func() bool { return s.statusOf("e3") == record.Healthy })
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e4", "unconfigured", "127.0.0.1:2", 1)))
 	must.Eq(t, record.Unknown, s.statusOf("e4"))
 }
 
-// The service of an endpoint is configured after its first heartbeat has come: it is asked at once, not
-// at its next heartbeat.
+// The service of an endpoint is configured after the endpoint's first heartbeat: the endpoint is
+// checked immediately, not only at its next heartbeat.
 func TestNewEndpointIsVerifiedWhenItsServiceIsConfigured(t *testing.T) {
 	target := newProbedEndpoint(t, healthResponse{http.StatusOK, "e1"})
 	s := newRestartedSidecar(t)
 	s.config.cache.MarkJoined()
 	must.Nil(t, s.Heartbeat(aliveHeartbeat("e1", "later.prairie", target.addr, 1)))
-	waitFor(t, "its verification ends", func() bool { return !s.isVerifying("e1") })
+	waitFor(t, "the end of the verification", func() bool { return !s.isVerifying("e1") })
 	must.Eq(t, record.Unknown, s.statusOf("e1"))
 	must.Eq(t, 0, target.probes.Load())
 	must.NoError(t, s.acceptWhole(2, []byte(`{"services":{"later.prairie":{"checkPath":"/health"}}}`)))
-	waitFor(t, "it is verified", func() bool { return s.statusOf("e1") == record.Healthy })
+	waitFor(t, "verification of the endpoint", func() bool { return s.statusOf("e1") == record.Healthy })
 }
 
 func (s *Sidecar) isVerifying(server ident.Server) bool {
