--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -28,7 +28,7 @@
 	var failedResponse *exchange.Response
 	for {
 		if ctx.Err() != nil {
-			return failedResponse, clientLeft()
+			return failedResponse, clientDisconnected()
 		}
 		decision := s.nextAttempt(request.call)
 		if decision.Failure != nil {
@@ -90,7 +90,7 @@
 	result := attemptResultFor(local.failure, local.result)
 	result.ClientLeft = local.failure != nil && local.failure.Kind == failure.ClientDisconnected
 	result.LoadReport, result.Elapsed = parseLoadReport(local.loadReport), local.duration
-	return withSize(request.call, local.response, result)
+	return withResponseDetails(request.call, local.response, result)
 }
 
 // sendToPeer makes one attempt through the sidecar of the endpoint's machine. When ctx is done, the
@@ -100,7 +100,7 @@
 	resp, sent, fail := s.peerExchange.Do(ctx, decision.Entry.SidecarAddr, call)
 	switch {
 	case fail != nil && ctx.Err() != nil:
-		return nil, clientLeftResult(sent)
+		return nil, clientDisconnectedResult(sent)
 	case fail != nil && !sent:
 		return nil, attempt.Result{Outcome: attempt.NotExecuted, Failure: fail, Unreachable: true}
 	case fail != nil:
@@ -109,11 +109,11 @@
 	return parsePeerResponse(request.call, resp)
 }
 
-// clientLeftResult returns the result of an attempt that was canceled because its client
+// clientDisconnectedResult returns the result of an attempt that was canceled because its client
 // disconnected.
-func clientLeftResult(sent bool) attempt.Result {
+func clientDisconnectedResult(sent bool) attempt.Result {
 	if !sent {
-		return attempt.Result{Outcome: attempt.NotExecuted, Failure: clientLeft(), ClientLeft: true}
+		return attempt.Result{Outcome: attempt.NotExecuted, Failure: clientDisconnected(), ClientLeft: true}
 	}
 	fail := failure.NewUnknown(failure.ClientDisconnected, "the client closed its connection")
 	return attempt.Result{Outcome: attempt.Unknown, Failure: fail, ClientLeft: true}
@@ -140,8 +140,8 @@
 	return call
 }
 
-// withSize adds the response's status class and size to the result of an attempt.
-func withSize(call exchange.Call, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
+// withResponseDetails adds the response's status class and size to the result of an attempt.
+func withResponseDetails(call exchange.Call, resp *exchange.Response, result attempt.Result) (*exchange.Response, attempt.Result) {
 	if resp != nil {
 		result.EndpointFailed = resp.Status >= 500
 		result.ResponseBytes = int64(len(call.Body) + len(resp.Body) + approxHeaderBytes)
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -18,11 +18,11 @@
 // exactly once, when the request may be sent; the goroutine that waits on dispatched then sends the
 // request.
 type queuedRequest struct {
-	call       *attempt.Call
-	receivedAt monotime.Time
-	outgoing   exchange.Call
-	urgentSlot bool // the request was dispatched from the queue of urgent requests
-	dispatched chan struct{}
+	call             *attempt.Call
+	receivedAt       monotime.Time
+	outgoing         exchange.Call
+	dispatchedUrgent bool // the request was dispatched from the queue of urgent requests
+	dispatched       chan struct{}
 }
 
 // urgent reports whether the request takes precedence in the queue: its route is urgent, or the
@@ -41,7 +41,7 @@
 	s.beginRequest()
 	defer s.endRequest()
 	ctx := r.Context()
-	defer s.countIfClientLeft(ctx, counterCallersLeft)
+	defer s.countIfClientDisconnected(ctx, counterCallersDisconnected)
 	if s.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -74,8 +74,8 @@
 	writeResponse(w, resp)
 }
 
-// countIfClientLeft increments counter if the client of the request has disconnected.
-func (s *Sidecar) countIfClientLeft(ctx context.Context, counter string) {
+// countIfClientDisconnected increments counter if the client of the request has disconnected.
+func (s *Sidecar) countIfClientDisconnected(ctx context.Context, counter string) {
 	if ctx.Err() != nil {
 		s.count(counter)
 	}
@@ -122,7 +122,7 @@
 // and counts such requests; the caller must hold mu.
 func (s *Sidecar) isNested(request *queuedRequest) bool {
 	header := s.Settings.Headers.RequestID
-	if header == "" || !s.runs.containsParentOf(firstValue(request.outgoing.Header, header)) {
+	if header == "" || !s.activeRequests.containsParentOf(firstValue(request.outgoing.Header, header)) {
 		return false
 	}
 	s.count(counterNested)
@@ -154,15 +154,15 @@
 		return nil
 	}
 	if ctx.Err() != nil {
-		return clientLeft()
+		return clientDisconnected()
 	}
 	s.count(counterLateInQueue)
 	return failure.New(failure.DeadlineExceeded, "the deadline passed while the request was queued").WithRetryAfter(retryAfterSeconds)
 }
 
-// clientLeft returns the failure of a request whose client disconnected before any endpoint began
-// to execute the request.
-func clientLeft() *failure.Error {
+// clientDisconnected returns the failure of a request whose client disconnected before any endpoint
+// began to execute the request.
+func clientDisconnected() *failure.Error {
 	return failure.New(failure.ClientDisconnected, "the client closed its connection")
 }
 
@@ -174,7 +174,7 @@
 		if !ok {
 			return
 		}
-		request.urgentSlot = urgent
+		request.dispatchedUrgent = urgent
 		close(request.dispatched)
 	}
 }
@@ -209,7 +209,7 @@
 	resp, fail := s.sendWithRetries(ctx, request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sendQueue.Done(request.urgentSlot, s.clock().Since(sentAt))
+	s.sendQueue.Done(request.dispatchedUrgent, s.clock().Since(sentAt))
 	s.dispatchQueued()
 	return resp, fail
 }
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -69,11 +69,11 @@
 // connectionCase is the input that a caller sends on one connection, with the expected responses
 // and requests.
 type connectionCase struct {
-	input     string
-	responses []string // "status id" in order; afterwards the connection is closed or stays silent
-	runs      []receivedRequest
-	staysOpen bool // the connection accepts another request
-	configure func(*Sidecar)
+	input         string
+	wantResponses []string // "status id" in order; afterwards the connection is closed or stays silent
+	wantRequests  []receivedRequest
+	staysOpen     bool // the connection accepts another request
+	configure     func(*Sidecar)
 }
 
 // connectionCases returns the cases of TestPipelinedAndMalformedCallerRequests by name.
@@ -143,18 +143,18 @@
 		}
 	}()
 	r := bufio.NewReader(conn)
-	for _, want := range c.responses {
+	for _, want := range c.wantResponses {
 		must.Eq(t, want, readResponse(t, r))
 	}
 	if c.staysOpen {
 		_, err := io.WriteString(conn, rawRequest("POST", "/once/last", "last", ""))
 		must.NoError(t, err)
 		must.Eq(t, "200 last", readResponse(t, r))
-		c.runs = append(c.runs, receivedRequest{"POST", "/once/last", "last", ""})
+		c.wantRequests = append(c.wantRequests, receivedRequest{"POST", "/once/last", "last", ""})
 	} else if _, err := r.Peek(1); err == nil {
 		t.Fatal("more responses than requests")
 	}
-	must.Eq(t, c.runs, received.list())
+	must.Eq(t, c.wantRequests, received.list())
 	must.Eq(t, 0, s.bodies.inFlight.Load())
 }
 
--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -114,9 +114,9 @@
 		m.endpointSidecar = newTestSidecar("b", "127.0.0.1:2")
 		besideAddr = ident.Addr(m.listen(m.endpointSidecar.ServePeer))
 	}
-	onlySlots := admission.DefaultSettings()
-	onlySlots.ExtraRequests = 0
-	m.endpointSidecar.slots.queue = admission.New(onlySlots)
+	admissionSettings := admission.DefaultSettings()
+	admissionSettings.ExtraRequests = 0
+	m.endpointSidecar.slots.queue = admission.New(admissionSettings)
 	_ = m.endpointSidecar.Heartbeat(endpoint.Heartbeat{
 		Server:  "e0",
 		Service: "s",
@@ -190,8 +190,8 @@
 // and behind another one.
 func TestClientDisconnects(t *testing.T) {
 	for stage, test := range map[string]func(t *testing.T, remote bool){
-		"repeatable request at its endpoint":  clientDisconnectsDuringRepeatableRun,
-		"one-shot request at its endpoint":    clientDisconnectsDuringOneShotRun,
+		"repeatable request at its endpoint":  clientDisconnectsDuringRepeatableRequest,
+		"one-shot request at its endpoint":    clientDisconnectsDuringOneShotRequest,
 		"repeatable request waits for a slot": clientDisconnectsInAdmissionQueue("/again/x"),
 		"one-shot request waits for a slot":   clientDisconnectsInAdmissionQueue("/once/x"),
 		"request waits to be sent":            clientDisconnectsInSendQueue,
@@ -206,7 +206,7 @@
 }
 
 // When the client of a repeatable request disconnects, the execution is canceled at the endpoint.
-func clientDisconnectsDuringRepeatableRun(t *testing.T, remote bool) {
+func clientDisconnectsDuringRepeatableRequest(t *testing.T, remote bool) {
 	m := startDisconnectHarness(t, remote, 4, 8)
 	c := m.send("/again/x", "r0")
 	m.await("the run", func() bool { return m.isRunning("r0") })
@@ -219,7 +219,7 @@
 
 // A non-repeatable request that is being executed continues to its end after its client
 // disconnects, so that it takes effect exactly once and completely; its response is discarded.
-func clientDisconnectsDuringOneShotRun(t *testing.T, remote bool) {
+func clientDisconnectsDuringOneShotRequest(t *testing.T, remote bool) {
 	m := startDisconnectHarness(t, remote, 1, 8)
 	c := m.send("/once/x", "r0")
 	m.await("the run", func() bool { return m.isRunning("r0") })
@@ -328,14 +328,14 @@
 	m.await("the arrival of all requests", func() bool { return m.routedRequests() == disconnectClients })
 	m.await("the end of the abandoned requests", func() bool {
 		_, running, _ := m.endpoint.state()
-		return m.holdsOnly(disconnectClients-len(disconnected), countAbandonedRuns(running, disconnected)) && !hasAbandonedRepeatableRun(running, disconnected, paths)
+		return m.holdsOnly(disconnectClients-len(disconnected), countAbandonedRequests(running, disconnected)) && !hasAbandonedRepeatableRequest(running, disconnected, paths)
 	})
-	released := map[string]bool{}
+	releasedIDs := map[string]bool{}
 	m.await("the end of all requests", func() bool {
 		_, running, _ := m.endpoint.state()
 		for id := range running {
-			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !released[id], must.Sprint(id, " started after its client disconnected"))
-			released[id] = true
+			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !releasedIDs[id], must.Sprint(id, " started after its client disconnected"))
+			releasedIDs[id] = true
 			m.endpoint.release(id)
 		}
 		return inFlight(m.callerSidecar) == 0 && inFlight(m.endpointSidecar) == 0
@@ -350,9 +350,9 @@
 	return m.callerSidecar.planner.Calls
 }
 
-// hasAbandonedRepeatableRun reports whether a repeatable request is running although its client has
-// disconnected.
-func hasAbandonedRepeatableRun(running, disconnected map[string]bool, paths map[string]string) bool {
+// hasAbandonedRepeatableRequest reports whether a repeatable request is running although its client
+// has disconnected.
+func hasAbandonedRepeatableRequest(running, disconnected map[string]bool, paths map[string]string) bool {
 	for id := range running {
 		if disconnected[id] && paths[id] == "/again/x" {
 			return true
@@ -361,8 +361,8 @@
 	return false
 }
 
-// countAbandonedRuns counts the running requests whose clients have disconnected.
-func countAbandonedRuns(running, disconnected map[string]bool) (count int) {
+// countAbandonedRequests counts the running requests whose clients have disconnected.
+func countAbandonedRequests(running, disconnected map[string]bool) (count int) {
 	for id := range running {
 		if disconnected[id] {
 			count++
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -76,7 +76,7 @@
 	s := d.sidecar
 	var position watchPosition
 	for !s.closed() {
-		core, haveRevision := d.next()
+		core, haveRevision := d.nextPoll()
 		if !s.leaseHeld.Load() || core == "" {
 			s.sleep(noRegistrarPause)
 			continue
@@ -98,8 +98,8 @@
 	}
 }
 
-// next returns the core to poll and the revision of the newest configuration held here.
-func (d *configWatch) next() (core ident.Addr, haveRevision ident.ConfigRevision) {
+// nextPoll returns the core to poll and the revision of the newest configuration held here.
+func (d *configWatch) nextPoll() (core ident.Addr, haveRevision ident.ConfigRevision) {
 	s := d.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +169,7 @@
 	s.mu.Unlock()
 	if update.Delta != nil {
 		if fail := s.applyDelta(*update.Delta); fail == nil {
-			d.pauseIfBehind(update.ConfigRevision)
+			d.pauseIfCoreBehind(update.ConfigRevision)
 			return
 		}
 		s.count(counterDeltasRejected)
@@ -178,12 +178,12 @@
 		s.sleep(watchRetryPause)
 		return
 	}
-	d.pauseIfBehind(update.ConfigRevision)
+	d.pauseIfCoreBehind(update.ConfigRevision)
 }
 
-// pauseIfBehind pauses if the core's configuration is older than any that may become active here,
-// so that a core that lags behind is not polled without a pause.
-func (d *configWatch) pauseIfBehind(revision ident.ConfigRevision) {
+// pauseIfCoreBehind pauses if the core's configuration is older than any that may become active
+// here, so that a core that lags behind is not polled without a pause.
+func (d *configWatch) pauseIfCoreBehind(revision ident.ConfigRevision) {
 	if revision < d.sidecar.minRevision() {
 		d.sidecar.sleep(watchRetryPause)
 	}
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -86,12 +86,12 @@
 	call.MaxConns = connections
 	call.BeforeSend = func() *failure.Error {
 		if ctx.Err() != nil {
-			return clientLeft()
+			return clientDisconnected()
 		}
 		return s.checkAddrUnchanged(request, addr)
 	}
 	sentAt := s.clock()
-	resp, sent, fail := s.endpointExchange.Do(runContext(ctx, request), addr, call)
+	resp, sent, fail := s.endpointExchange.Do(executionContext(ctx, request), addr, call)
 	if fail != nil && ctx.Err() != nil && request.hints.repeatable {
 		return s.canceledCallResult(sent, sentAt)
 	}
@@ -101,10 +101,10 @@
 	return s.answeredCallResult(resp, sentAt)
 }
 
-// runContext returns the context of a request's execution. A request that can't be repeated is
-// executed to its end even if its client disconnects, because a canceled execution may have taken
-// effect in part, and nobody could tell.
-func runContext(ctx context.Context, request endpointRequest) context.Context {
+// executionContext returns the context of a request's execution. A request that can't be repeated
+// is executed to its end even if its client disconnects, because a canceled execution may have
+// taken effect in part, and nobody could tell.
+func executionContext(ctx context.Context, request endpointRequest) context.Context {
 	if request.hints.repeatable {
 		return ctx
 	}
@@ -115,7 +115,7 @@
 // disconnected.
 func (s *Sidecar) canceledCallResult(sent bool, sentAt monotime.Time) (endpointResult, admission.Outcome) {
 	if !sent {
-		return endpointResult{result: resultRejected, failure: clientLeft()}, admission.GivenUp
+		return endpointResult{result: resultRejected, failure: clientDisconnected()}, admission.GivenUp
 	}
 	result := endpointResult{
 		result:   resultUnknown,
@@ -141,7 +141,7 @@
 	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
 	}
-	s.runs.begin(s.requestID(request))
+	s.activeRequests.begin(s.requestID(request))
 	return addr, connections, nil
 }
 
@@ -150,7 +150,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.planner.RetryBudget.EndRun(request.retryProbability)
-	s.runs.end(s.requestID(request))
+	s.activeRequests.end(s.requestID(request))
 }
 
 // requestID returns the id by which the endpoint identifies a request, or "" if the request has
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -123,19 +123,19 @@
 func (body *failingBody) Read([]byte) (int, error) { return 0, body.error }
 
 // requireSameRequest compares the request that the endpoint read with the request that was sent.
-func requireSameRequest(t *testing.T, r *http.Request, sentHeader http.Header, sent []byte, received parsedRequest, fromPeer bool) {
-	must.Eq(t, r.Method, received.Method)
-	must.Eq(t, r.Host, received.Host)
-	must.True(t, bytes.Equal(sent, received.body))
+func requireSameRequest(t *testing.T, r *http.Request, sentHeader http.Header, sent []byte, got parsedRequest, fromPeer bool) {
+	must.Eq(t, r.Method, got.Method)
+	must.Eq(t, r.Host, got.Host)
+	must.True(t, bytes.Equal(sent, got.body))
 	if strings.HasPrefix(r.RequestURI, "/") {
-		must.Eq(t, r.RequestURI, received.RequestURI)
+		must.Eq(t, r.RequestURI, got.RequestURI)
 	}
-	must.Eq(t, []string{"a0"}, received.Header[TargetHeader])
+	must.Eq(t, []string{"a0"}, got.Header[TargetHeader])
 	if !fromPeer {
-		must.Eq(t, []string{"own"}, received.Header["X-Calling-Service"])
+		must.Eq(t, []string{"own"}, got.Header["X-Calling-Service"])
 	}
 	for _, name := range meshHeaders {
-		must.True(t, name == TargetHeader || received.Header[name] == nil, must.Sprint(name))
+		must.True(t, name == TargetHeader || got.Header[name] == nil, must.Sprint(name))
 	}
 	connectionTokens := strings.ToLower(strings.Join(sentHeader["Connection"], ","))
 	for name, values := range sentHeader {
@@ -151,6 +151,6 @@
 		for n, v := range values {
 			trimmed[n] = textproto.TrimString(v)
 		}
-		must.Eq(t, trimmed, received.Header[name])
+		must.Eq(t, trimmed, got.Header[name])
 	}
 }
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -113,7 +113,7 @@
 	return 0
 }
 
-func clamp(value, least, most int64) int64 { return min(max(value, least), most) }
+func clamp(value, low, high int64) int64 { return min(max(value, low), high) }
 
 func hintDuration(microseconds int64) time.Duration {
 	return time.Duration(clamp(microseconds, -maxHintMicroseconds, maxHintMicroseconds)) * time.Microsecond
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -42,10 +42,10 @@
 // backoff returns how long the next attempt must wait.
 func (j *leaseJoiner) backoff() time.Duration { return j.joiner.Backoff(j.sidecar.clock()) }
 
-// try requests a lease from one core and reports whether the core granted the lease. Until some
-// process has listed the cores, try first requests the list from a seed, so that sidecars that
+// tryJoin requests a lease from one core and reports whether the core granted the lease. Until some
+// process has listed the cores, tryJoin first requests the list from a seed, so that sidecars that
 // start together do not all join at the seeds.
-func (j *leaseJoiner) try() bool {
+func (j *leaseJoiner) tryJoin() bool {
 	s := j.sidecar
 	if j.attemptID == "" {
 		j.attemptID = ident.NewID()[:joinAttemptIDLength]
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -102,7 +102,7 @@
 	fakes[0].cores = addrs
 	for n := range 40 {
 		s := New(settings.Sidecar{Addr: "127.0.0.1:9", Node: ident.Node(strings.Repeat("n", n+1)), Seeds: addrs[:1]}, zap.NewNop())
-		s.leaseJoiner.try()
+		s.leaseJoiner.tryJoin()
 		must.True(t, s.leaseHeld.Load())
 		must.Eq(t, 7, s.leaseEpoch)
 	}
@@ -117,15 +117,15 @@
 	f := newFakeCore(t)
 	f.handleJoin = rejectJoin
 	s := newUnjoinedSidecar(f.addr)
-	s.leaseJoiner.try()
+	s.leaseJoiner.tryJoin()
 	must.False(t, s.leaseHeld.Load())
 	must.Between(t, 200*time.Millisecond, s.leaseJoiner.joiner.Backoff(s.clock()), 375*time.Millisecond)
 	f.handleJoin = grantJoin
-	s.leaseJoiner.try()
+	s.leaseJoiner.tryJoin()
 	must.True(t, s.leaseHeld.Load())
 	s.handleSuperseded(7, nil)
 	must.False(t, s.leaseHeld.Load())
-	s.leaseJoiner.try()
+	s.leaseJoiner.tryJoin()
 	must.Eq(t, f.joinRequests[0].AttemptID, f.joinRequests[1].AttemptID)
 	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
@@ -141,7 +141,7 @@
 	}
 	s := newUnjoinedSidecar(refusingAddr(t), sidecarSeed.addr)
 	for n := 0; n < 8 && !s.leaseHeld.Load(); n++ {
-		s.leaseJoiner.try()
+		s.leaseJoiner.tryJoin()
 		must.LessEq(t, 600*time.Millisecond, s.leaseJoiner.joiner.Backoff(s.clock()))
 	}
 	must.True(t, s.leaseHeld.Load())
@@ -157,14 +157,14 @@
 	}
 	s := newUnjoinedSidecar(f.addr)
 	must.NoError(t, s.acceptWhole(5, []byte(`{"services":{},"ways":{}}`)))
-	s.leaseJoiner.try()
+	s.leaseJoiner.tryJoin()
 	must.True(t, s.leaseHeld.Load())
 	must.Eq(t, 5, s.minRevision())
 	must.Eq(t, 0, f.otherRequests)
 	f.handleJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
 		return mesh.JoinResponse{LeaseEpoch: 8, ConfigRevision: 6}, nil
 	}
-	s.leaseJoiner.try()
+	s.leaseJoiner.tryJoin()
 	must.Eq(t, 6, s.minRevision())
 	must.Eq(t, 1, f.otherRequests)
 }
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -10,8 +10,8 @@
 	counterResponses            = "responses"
 	counterRequestsFailedPrefix = "requests_failed_"
 	// Requests of callers, and of other sidecars, that ended after their client had disconnected.
-	counterCallersLeft = "callers_left"
-	counterPeersLeft   = "peers_left"
+	counterCallersDisconnected = "callers_left"
+	counterPeersDisconnected   = "peers_left"
 	// Calls that this machine's endpoint made while executing a request, and those of them that
 	// ended without a response, by kind of failure. Each of the latter may have wasted the
 	// execution.
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -53,15 +53,15 @@
 		case <-d.sidecar.done:
 			return
 		}
-		if peers, wantRegistry, due := d.due(); due {
+		if peers, wantRegistry, due := d.queryDue(); due {
 			d.queryAll(d.withSeeds(peers), wantRegistry)
 		}
 	}
 }
 
-// due reports whether peers should be queried now, and returns the known peers and whether their
-// registry is wanted.
-func (d *peerQuerier) due() (peers []ident.Addr, wantRegistry, due bool) {
+// queryDue reports whether peers should be queried now, and returns the known peers and whether
+// their registry is wanted.
+func (d *peerQuerier) queryDue() (peers []ident.Addr, wantRegistry, due bool) {
 	s := d.sidecar
 	now := s.clock()
 	s.mu.Lock()
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -40,8 +40,8 @@
 }
 
 // attemptResultFor returns the result of an attempt; an unrecognized peerResult proves nothing.
-func attemptResultFor(fail *failure.Error, peer peerResult) attempt.Result {
-	result, known := attemptResults[peer]
+func attemptResultFor(fail *failure.Error, received peerResult) attempt.Result {
+	result, known := attemptResults[received]
 	if !known {
 		result = attemptResults[resultUnknown]
 	}
@@ -52,39 +52,39 @@
 // parsePeerResponse distinguishes an endpoint's response that a sidecar passes on from a result of
 // the sidecar itself.
 func parsePeerResponse(call exchange.Call, resp *exchange.Response) (*exchange.Response, attempt.Result) {
-	peer := peerResult(resp.Header.Get(PeerResultHeader))
+	received := peerResult(resp.Header.Get(PeerResultHeader))
 	report := parseLoadReport(resp.Header.Get(LoadReportHeader))
-	if peer == resultResponse {
+	if received == resultResponse {
 		microseconds, _ := strconv.ParseInt(resp.Header.Get(ServiceTimeHeader), 10, 64)
 		took := time.Duration(max(0, microseconds)) * time.Microsecond
-		return withSize(call, resp, attempt.Result{Outcome: attempt.Executed, LoadReport: report, Elapsed: took})
+		return withResponseDetails(call, resp, attempt.Result{Outcome: attempt.Executed, LoadReport: report, Elapsed: took})
 	}
-	fail, ok := peerFailure(call, resp, peer)
+	fail, ok := peerFailure(call, resp, received)
 	if !ok {
 		unreadable := failure.NewUnknown(failure.BadResponse, "the response of the endpoint's sidecar is malformed")
 		return nil, attempt.Result{Outcome: attempt.Unknown, Failure: unreadable}
 	}
-	result := attemptResultFor(fail, peer)
+	result := attemptResultFor(fail, received)
 	result.LoadReport = report
 	return nil, result
 }
 
 // peerFailure decodes the failure that comes with a result, and reports whether there is a valid
 // one. The response to a HEAD request has no body, so its failure follows from the result alone.
-func peerFailure(call exchange.Call, resp *exchange.Response, peer peerResult) (*failure.Error, bool) {
-	if _, known := attemptResults[peer]; known && call.Method == http.MethodHead {
-		return failureWithoutBody(peer), true
+func peerFailure(call exchange.Call, resp *exchange.Response, received peerResult) (*failure.Error, bool) {
+	if _, known := attemptResults[received]; known && call.Method == http.MethodHead {
+		return failureWithoutBody(received), true
 	}
 	fail := &failure.Error{}
-	if err := json.Unmarshal(resp.Body, fail); err != nil || fail.Kind == "" || peer == "" {
+	if err := json.Unmarshal(resp.Body, fail); err != nil || fail.Kind == "" || received == "" {
 		return nil, false
 	}
 	return fail, true
 }
 
 // failureWithoutBody returns the failure for a result that came without a body.
-func failureWithoutBody(peer peerResult) *failure.Error {
-	if attemptResults[peer].Outcome == attempt.NotExecuted {
+func failureWithoutBody(received peerResult) *failure.Error {
+	if attemptResults[received].Outcome == attempt.NotExecuted {
 		return failure.New(failure.Busy, "the endpoint's sidecar rejected the request").WithRetryAfter(retryAfterSeconds)
 	}
 	return failure.NewUnknown(failure.LostResponse, "the endpoint's sidecar does not know whether the request was executed")
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -33,7 +33,7 @@
 	}
 	defer s.endRequest()
 	ctx := r.Context()
-	defer s.countIfClientLeft(ctx, counterPeersLeft)
+	defer s.countIfClientDisconnected(ctx, counterPeersDisconnected)
 	request, release, rejection := s.readPeerRequest(r)
 	if rejection != nil {
 		writePeerFailure(w, rejection.result, rejection.failure)
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -58,7 +58,7 @@
 		case <-s.done:
 			return
 		}
-		if !s.leaseHeld.Load() && !s.leaseJoiner.try() {
+		if !s.leaseHeld.Load() && !s.leaseJoiner.tryJoin() {
 			s.sleep(s.leaseJoiner.backoff())
 			d.wake() // the next attempt may use another core
 			continue
--- a/daemon/sidecar/runs.go
+++ b/daemon/sidecar/runs.go
@@ -1,6 +1,6 @@
 package sidecar
 
-// activeRuns counts, by request id, the requests that this machine's endpoint is executing.
+// activeRequests counts, by request id, the requests that this machine's endpoint is executing.
 // Sidecar.mu guards the map.
 //
 // Calls made by the endpoint arrive on the listener for callers like the requests of clients. A
@@ -8,28 +8,28 @@
 // hierarchical ids do: the request's id, a separator, and at least one more character. The result
 // is only a hint for the order in queues and for the retry budget: if an endpoint names its calls
 // in another way, they are treated as requests of clients.
-type activeRuns map[string]int
+type activeRequests map[string]int
 
-func (runs activeRuns) begin(id string) {
+func (active activeRequests) begin(id string) {
 	if id != "" {
-		runs[id]++
+		active[id]++
 	}
 }
 
-func (runs activeRuns) end(id string) {
-	if runs[id]--; runs[id] <= 0 {
-		delete(runs, id)
+func (active activeRequests) end(id string) {
+	if active[id]--; active[id] <= 0 {
+		delete(active, id)
 	}
 }
 
 // containsParentOf reports whether one of the requests being executed made the call with the given
 // id.
-func (runs activeRuns) containsParentOf(id string) bool {
-	if len(runs) == 0 {
+func (active activeRequests) containsParentOf(id string) bool {
+	if len(active) == 0 {
 		return false
 	}
 	for i := 1; i < len(id)-1; i++ {
-		if isIDSeparator(id[i]) && runs[id[:i]] > 0 {
+		if isIDSeparator(id[i]) && active[id[:i]] > 0 {
 			return true
 		}
 	}
--- a/daemon/sidecar/runs_test.go
+++ b/daemon/sidecar/runs_test.go
@@ -13,24 +13,24 @@
 
 // A call belongs to an active request if its id is the request's id, a separator, and at least one
 // more character.
-func TestActiveRunsContainParent(t *testing.T) {
-	runs := activeRuns{}
-	must.False(t, runs.containsParentOf("a1.b"))
-	runs.begin("a1")
-	runs.begin("a1")
-	runs.begin("")
+func TestActiveRequestsContainParent(t *testing.T) {
+	active := activeRequests{}
+	must.False(t, active.containsParentOf("a1.b"))
+	active.begin("a1")
+	active.begin("a1")
+	active.begin("")
 	for id, want := range map[string]bool{
 		"a1.b": true, "a1-b": true, "a1.b.c": true, "a1/b": true,
 		"a1": false, "a1.": false, "a1b": false, "a.1": false, "a12.b": false, ".a1": false, "": false, "b.a1": false,
 	} {
-		must.Eq(t, want, runs.containsParentOf(id), must.Sprint(id))
+		must.Eq(t, want, active.containsParentOf(id), must.Sprint(id))
 	}
-	runs.end("a1")
-	must.True(t, runs.containsParentOf("a1.b"))
-	runs.end("a1")
-	must.False(t, runs.containsParentOf("a1.b"))
-	runs.end("never")
-	must.Eq(t, 0, len(runs), must.Sprint(runs))
+	active.end("a1")
+	must.True(t, active.containsParentOf("a1.b"))
+	active.end("a1")
+	must.False(t, active.containsParentOf("a1.b"))
+	active.end("never")
+	must.Eq(t, 0, len(active), must.Sprint(active))
 }
 
 // A call that the endpoint makes while executing a request precedes earlier requests of clients,
@@ -44,7 +44,7 @@
 			m.await("the run", func() bool { return m.isRunning("run") })
 			if remote { // the endpoint that makes the call is on the machine of the caller's sidecar
 				m.callerSidecar.mu.Lock()
-				m.callerSidecar.runs.begin("run")
+				m.callerSidecar.activeRequests.begin("run")
 				m.callerSidecar.mu.Unlock()
 			}
 			m.send("/again/x", "earlier")
--- a/daemon/sidecar/sidecar.go
+++ b/daemon/sidecar/sidecar.go
@@ -70,15 +70,15 @@
 
 	mu sync.Mutex // guards the fields below
 
-	sendQueue    *priorityqueue.Queue[*queuedRequest]
-	planner      *attempt.Planner
-	endpoints    *endpoint.Tracker
-	verifying    map[ident.Server]bool // endpoints whose health check is in progress
-	slots        slotQueue
-	runs         activeRuns
-	outboundLink *bandwidth.Outbound
-	inboundLink  *bandwidth.Inbound
-	inFlight     int // requests of callers and of other sidecars
+	sendQueue      *priorityqueue.Queue[*queuedRequest]
+	planner        *attempt.Planner
+	endpoints      *endpoint.Tracker
+	verifying      map[ident.Server]bool // endpoints whose health check is in progress
+	slots          slotQueue
+	activeRequests activeRequests
+	outboundLink   *bandwidth.Outbound
+	inboundLink    *bandwidth.Inbound
+	inFlight       int // requests of callers and of other sidecars
 
 	config          configState
 	cores           coreList
@@ -105,14 +105,14 @@
 		endpointExchange: exchange.New(cfg.Addr, exchange.Settings{DeadPeerTimeout: deadPeerTimeout}),
 		done:             make(chan struct{}),
 
-		sendQueue:    priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
-		planner:      newPlanner(cfg, now),
-		endpoints:    endpoint.New(),
-		verifying:    map[ident.Server]bool{},
-		slots:        newSlotQueue(),
-		runs:         activeRuns{},
-		outboundLink: bandwidth.NewOutbound(cfg.LinkBytesPerSecond),
-		inboundLink:  bandwidth.NewInbound(cfg.LinkBytesPerSecond),
+		sendQueue:      priorityqueue.New[*queuedRequest](cfg.Senders, cfg.QueueCapacity),
+		planner:        newPlanner(cfg, now),
+		endpoints:      endpoint.New(),
+		verifying:      map[ident.Server]bool{},
+		slots:          newSlotQueue(),
+		activeRequests: activeRequests{},
+		outboundLink:   bandwidth.NewOutbound(cfg.LinkBytesPerSecond),
+		inboundLink:    bandwidth.NewInbound(cfg.LinkBytesPerSecond),
 
 		config:          newConfigState(now),
 		cores:           newCoreList(cfg.Seeds, now),
--- a/daemon/sidecar/slots.go
+++ b/daemon/sidecar/slots.go
@@ -97,7 +97,7 @@
 	if !ok {
 		verdict, ok = s.cancelSlotWait(request.server, id, verdicts)
 		if !ok && ctx.Err() != nil {
-			return 0, clientLeft()
+			return 0, clientDisconnected()
 		}
 		if !ok {
 			return 0, failure.New(failure.DeadlineExceeded, "the deadline passed while the request was in the admission queue")
