--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -106,68 +106,68 @@
 // startDisconnectHarness starts a harness with the given number of slots at the endpoint and of
 // senders at the caller's sidecar.
 func startDisconnectHarness(t *testing.T, remote bool, slots, senders int) *disconnectHarness {
-	m := &disconnectHarness{t: t, endpoint: startBlockingEndpoint(t)}
-	m.callerSidecar = newTestSidecar("a", "127.0.0.1:1")
-	m.endpointSidecar = m.callerSidecar
+	h := &disconnectHarness{t: t, endpoint: startBlockingEndpoint(t)}
+	h.callerSidecar = newTestSidecar("a", "127.0.0.1:1")
+	h.endpointSidecar = h.callerSidecar
 	besideAddr := ident.Addr("127.0.0.1:1")
 	if remote {
-		m.endpointSidecar = newTestSidecar("b", "127.0.0.1:2")
-		besideAddr = ident.Addr(m.listen(m.endpointSidecar.ServePeer))
+		h.endpointSidecar = newTestSidecar("b", "127.0.0.1:2")
+		besideAddr = ident.Addr(h.listen(h.endpointSidecar.ServePeer))
 	}
 	admissionSettings := admission.DefaultSettings()
 	admissionSettings.ExtraRequests = 0
-	m.endpointSidecar.slots.queue = admission.New(admissionSettings)
-	_ = m.endpointSidecar.Heartbeat(endpoint.Heartbeat{
+	h.endpointSidecar.slots.queue = admission.New(admissionSettings)
+	_ = h.endpointSidecar.Heartbeat(endpoint.Heartbeat{
 		Server:  "e0",
 		Service: "s",
-		Addr:    m.endpoint.addr,
+		Addr:    h.endpoint.addr,
 		State:   endpoint.Alive,
 		Slots:   slots,
 		Seq:     1,
 	})
-	m.callerSidecar.sendQueue = priorityqueue.New[*queuedRequest](senders, maxQueued)
-	m.callerSidecar.addWorkloads("b", besideAddr, "e0")
-	m.addr = m.listen(m.callerSidecar.HandleCaller)
-	return m
+	h.callerSidecar.sendQueue = priorityqueue.New[*queuedRequest](senders, maxQueued)
+	h.callerSidecar.addWorkloads("b", besideAddr, "e0")
+	h.addr = h.listen(h.callerSidecar.HandleCaller)
+	return h
 }
 
 // listen starts a server with the options that the daemon uses.
-func (m *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
+func (h *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
 	front := server.New("127.0.0.1:0", serve, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
 	endpointURL, err := front.Endpoint()
-	must.NoError(m.t, err)
+	must.NoError(h.t, err)
 	done := make(chan struct{})
 	go func() { defer close(done); _ = front.Start(context.Background()) }()
-	m.t.Cleanup(func() { _ = front.Close(); <-done })
+	h.t.Cleanup(func() { _ = front.Close(); <-done })
 	return endpointURL.Host
 }
 
 // send sends a request on a new connection.
-func (m *disconnectHarness) send(path, id string) net.Conn {
-	c, err := net.Dial("tcp", m.addr)
-	must.NoError(m.t, err)
-	m.t.Cleanup(func() { _ = c.Close() })
+func (h *disconnectHarness) send(path, id string) net.Conn {
+	c, err := net.Dial("tcp", h.addr)
+	must.NoError(h.t, err)
+	h.t.Cleanup(func() { _ = c.Close() })
 	_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nX-Limit-Left-Ms: %d\r\nContent-Length: 2\r\n\r\n{}",
 		path, testIDHeader, id, patientLimit.Milliseconds())
-	must.NoError(m.t, err)
+	must.NoError(h.t, err)
 	return c
 }
 
 // await waits until a condition holds.
-func (m *disconnectHarness) await(description string, condition func() bool) {
-	m.t.Helper()
+func (h *disconnectHarness) await(description string, condition func() bool) {
+	h.t.Helper()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for deadline := time.Now().Add(conditionTimeout); !condition(); <-ticker.C {
 		if time.Now().After(deadline) {
-			arrivals, running, aborted := m.endpoint.state()
-			m.t.Fatalf("%s did not happen: arrived %v, running %v, aborted %v", description, arrivals, running, aborted)
+			arrivals, running, aborted := h.endpoint.state()
+			h.t.Fatalf("%s did not happen: arrived %v, running %v, aborted %v", description, arrivals, running, aborted)
 		}
 	}
 }
 
-func (m *disconnectHarness) isRunning(id string) bool {
-	_, running, _ := m.endpoint.state()
+func (h *disconnectHarness) isRunning(id string) bool {
+	_, running, _ := h.endpoint.state()
 	return running[id]
 }
 
@@ -179,10 +179,10 @@
 }
 
 // awaitInFlight waits until both sidecars have the given numbers of requests in flight.
-func (m *disconnectHarness) awaitInFlight(atCaller, beside int) {
-	m.t.Helper()
-	m.await(fmt.Sprint("requests in flight: ", atCaller, " and ", beside), func() bool {
-		return inFlight(m.callerSidecar) == atCaller && (m.endpointSidecar == m.callerSidecar || inFlight(m.endpointSidecar) == beside)
+func (h *disconnectHarness) awaitInFlight(atCaller, beside int) {
+	h.t.Helper()
+	h.await(fmt.Sprint("requests in flight: ", atCaller, " and ", beside), func() bool {
+		return inFlight(h.callerSidecar) == atCaller && (h.endpointSidecar == h.callerSidecar || inFlight(h.endpointSidecar) == beside)
 	})
 }
 
@@ -207,46 +207,46 @@
 
 // When the client of a repeatable request disconnects, the execution is canceled at the endpoint.
 func clientDisconnectsDuringRepeatableRequest(t *testing.T, remote bool) {
-	m := startDisconnectHarness(t, remote, 4, 8)
-	c := m.send("/again/x", "r0")
-	m.await("the run", func() bool { return m.isRunning("r0") })
+	h := startDisconnectHarness(t, remote, 4, 8)
+	c := h.send("/again/x", "r0")
+	h.await("the run", func() bool { return h.isRunning("r0") })
 	must.NoError(t, c.Close())
-	m.await("the end of the run", func() bool { _, _, aborted := m.endpoint.state(); return aborted["r0"] })
-	m.awaitInFlight(0, 0)
-	arrivals, _, _ := m.endpoint.state()
+	h.await("the end of the run", func() bool { _, _, aborted := h.endpoint.state(); return aborted["r0"] })
+	h.awaitInFlight(0, 0)
+	arrivals, _, _ := h.endpoint.state()
 	must.Eq(t, []string{"r0"}, arrivals)
 }
 
 // A non-repeatable request that is being executed continues to its end after its client
 // disconnects, so that it takes effect exactly once and completely; its response is discarded.
 func clientDisconnectsDuringOneShotRequest(t *testing.T, remote bool) {
-	m := startDisconnectHarness(t, remote, 1, 8)
-	c := m.send("/once/x", "r0")
-	m.await("the run", func() bool { return m.isRunning("r0") })
-	other := m.send("/again/x", "other") // waits for the slot of r0
-	m.awaitInFlight(2, 2)
+	h := startDisconnectHarness(t, remote, 1, 8)
+	c := h.send("/once/x", "r0")
+	h.await("the run", func() bool { return h.isRunning("r0") })
+	other := h.send("/again/x", "other") // waits for the slot of r0
+	h.awaitInFlight(2, 2)
 	must.NoError(t, c.Close())
 	must.NoError(t, other.Close())
-	m.awaitInFlight(selectByPlacement(remote, 0, 1), 1)
-	must.True(t, m.isRunning("r0"))
-	m.endpoint.release("r0")
-	m.awaitInFlight(0, 0)
-	arrivals, _, aborted := m.endpoint.state()
+	h.awaitInFlight(selectByPlacement(remote, 0, 1), 1)
+	must.True(t, h.isRunning("r0"))
+	h.endpoint.release("r0")
+	h.awaitInFlight(0, 0)
+	arrivals, _, aborted := h.endpoint.state()
 	must.Eq(t, []string{"r0"}, arrivals)
 	must.False(t, aborted["r0"])
 }
 
 // checkRunsInOrder waits for and releases the given runs one after another, and checks that the
 // endpoint received no other requests.
-func (m *disconnectHarness) checkRunsInOrder(ids ...string) {
-	m.t.Helper()
+func (h *disconnectHarness) checkRunsInOrder(ids ...string) {
+	h.t.Helper()
 	for _, id := range ids {
-		m.await("the run of "+id, func() bool { return m.isRunning(id) })
-		m.endpoint.release(id)
+		h.await("the run of "+id, func() bool { return h.isRunning(id) })
+		h.endpoint.release(id)
 	}
-	m.awaitInFlight(0, 0)
-	arrivals, _, _ := m.endpoint.state()
-	must.Eq(m.t, ids, arrivals)
+	h.awaitInFlight(0, 0)
+	arrivals, _, _ := h.endpoint.state()
+	must.Eq(h.t, ids, arrivals)
 }
 
 // selectByPlacement returns whenRemote if the endpoint is behind a peer, otherwise whenLocal.
@@ -261,31 +261,31 @@
 // disconnects, whether or not the request is repeatable, and the requests behind it move up.
 func clientDisconnectsInAdmissionQueue(path string) func(t *testing.T, remote bool) {
 	return func(t *testing.T, remote bool) {
-		m := startDisconnectHarness(t, remote, 1, 8)
-		m.send("/again/x", "first")
-		m.await("the run", func() bool { return m.isRunning("first") })
-		disconnecting := m.send(path, "leaving")
-		m.awaitInFlight(2, 2)
-		m.send("/again/x", "last")
-		m.awaitInFlight(3, 3)
+		h := startDisconnectHarness(t, remote, 1, 8)
+		h.send("/again/x", "first")
+		h.await("the run", func() bool { return h.isRunning("first") })
+		disconnecting := h.send(path, "leaving")
+		h.awaitInFlight(2, 2)
+		h.send("/again/x", "last")
+		h.awaitInFlight(3, 3)
 		must.NoError(t, disconnecting.Close())
-		m.awaitInFlight(2, 2)
-		m.checkRunsInOrder("first", "last")
+		h.awaitInFlight(2, 2)
+		h.checkRunsInOrder("first", "last")
 	}
 }
 
 // A request that waits to be sent leaves the send queue of the caller's sidecar when its client
 // disconnects.
 func clientDisconnectsInSendQueue(t *testing.T, remote bool) {
-	m := startDisconnectHarness(t, remote, 4, 1)
-	m.send("/again/x", "first")
-	m.await("the run", func() bool { return m.isRunning("first") })
-	disconnecting := m.send("/once/x", "leaving")
-	m.awaitInFlight(2, 1)
+	h := startDisconnectHarness(t, remote, 4, 1)
+	h.send("/again/x", "first")
+	h.await("the run", func() bool { return h.isRunning("first") })
+	disconnecting := h.send("/once/x", "leaving")
+	h.awaitInFlight(2, 1)
 	must.NoError(t, disconnecting.Close())
-	m.awaitInFlight(1, 1)
-	m.send("/again/x", "last")
-	m.checkRunsInOrder("first", "last")
+	h.awaitInFlight(1, 1)
+	h.send("/again/x", "last")
+	h.checkRunsInOrder("first", "last")
 }
 
 const (
@@ -305,49 +305,49 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 26))
-			m := startDisconnectHarness(t, seed%2 == 0, minSlots+rng.IntN(6), 4+rng.IntN(12))
-			m.sendAndDisconnect(rng)
+			h := startDisconnectHarness(t, seed%2 == 0, minSlots+rng.IntN(6), 4+rng.IntN(12))
+			h.sendAndDisconnect(rng)
 		})
 	}
 }
 
 // sendAndDisconnect sends requests, closes the connections of some of them, and then releases the
 // running ones.
-func (m *disconnectHarness) sendAndDisconnect(rng *rand.Rand) {
+func (h *disconnectHarness) sendAndDisconnect(rng *rand.Rand) {
 	conns, disconnected, paths := make([]net.Conn, disconnectClients), map[string]bool{}, map[string]string{}
 	for i := range conns {
 		id := fmt.Sprint("r", i)
 		paths[id] = []string{"/again/x", "/once/x"}[rng.IntN(2)]
-		conns[i] = m.send(paths[id], id)
+		conns[i] = h.send(paths[id], id)
 		if j := rng.IntN(i + 1); rng.IntN(3) > 0 {
 			disconnected[fmt.Sprint("r", j)] = true
 			_ = conns[j].Close()
 		}
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
-	m.await("the arrival of all requests", func() bool { return m.routedRequests() == disconnectClients })
-	m.await("the end of the abandoned requests", func() bool {
-		_, running, _ := m.endpoint.state()
-		return m.holdsOnly(disconnectClients-len(disconnected), countAbandonedRequests(running, disconnected)) && !hasAbandonedRepeatableRequest(running, disconnected, paths)
+	h.await("the arrival of all requests", func() bool { return h.routedRequests() == disconnectClients })
+	h.await("the end of the abandoned requests", func() bool {
+		_, running, _ := h.endpoint.state()
+		return h.holdsOnly(disconnectClients-len(disconnected), countAbandonedRequests(running, disconnected)) && !hasAbandonedRepeatableRequest(running, disconnected, paths)
 	})
 	releasedIDs := map[string]bool{}
-	m.await("the end of all requests", func() bool {
-		_, running, _ := m.endpoint.state()
+	h.await("the end of all requests", func() bool {
+		_, running, _ := h.endpoint.state()
 		for id := range running {
-			must.False(m.t, disconnected[id] && paths[id] == "/again/x" && !releasedIDs[id], must.Sprint(id, " started after its client disconnected"))
+			must.False(h.t, disconnected[id] && paths[id] == "/again/x" && !releasedIDs[id], must.Sprint(id, " started after its client disconnected"))
 			releasedIDs[id] = true
-			m.endpoint.release(id)
+			h.endpoint.release(id)
 		}
-		return inFlight(m.callerSidecar) == 0 && inFlight(m.endpointSidecar) == 0
+		return inFlight(h.callerSidecar) == 0 && inFlight(h.endpointSidecar) == 0
 	})
-	m.checkArrivals(paths)
+	h.checkArrivals(paths)
 }
 
 // routedRequests returns the number of requests that the caller's sidecar has routed.
-func (m *disconnectHarness) routedRequests() uint64 {
-	m.callerSidecar.mu.Lock()
-	defer m.callerSidecar.mu.Unlock()
-	return m.callerSidecar.planner.Calls
+func (h *disconnectHarness) routedRequests() uint64 {
+	h.callerSidecar.mu.Lock()
+	defer h.callerSidecar.mu.Unlock()
+	return h.callerSidecar.planner.Calls
 }
 
 // hasAbandonedRepeatableRequest reports whether a repeatable request is running although its client
@@ -373,24 +373,24 @@
 
 // holdsOnly reports whether the sidecars hold exactly the requests of the remaining clients and, at
 // the endpoint's sidecar, the given number of executions without a client.
-func (m *disconnectHarness) holdsOnly(staying, orphans int) bool {
-	if m.endpointSidecar == m.callerSidecar {
-		return inFlight(m.callerSidecar) == staying+orphans
+func (h *disconnectHarness) holdsOnly(staying, orphans int) bool {
+	if h.endpointSidecar == h.callerSidecar {
+		return inFlight(h.callerSidecar) == staying+orphans
 	}
-	m.callerSidecar.mu.Lock()
-	atCaller, queued := m.callerSidecar.inFlight, m.callerSidecar.sendQueue.Len()
-	m.callerSidecar.mu.Unlock()
-	return atCaller == staying && inFlight(m.endpointSidecar) == staying-queued+orphans
+	h.callerSidecar.mu.Lock()
+	atCaller, queued := h.callerSidecar.inFlight, h.callerSidecar.sendQueue.Len()
+	h.callerSidecar.mu.Unlock()
+	return atCaller == staying && inFlight(h.endpointSidecar) == staying-queued+orphans
 }
 
 // checkArrivals checks that no request reached the endpoint twice and that no non-repeatable
 // execution was canceled.
-func (m *disconnectHarness) checkArrivals(paths map[string]string) {
-	arrivals, running, aborted := m.endpoint.state()
-	must.MapEmpty(m.t, running)
+func (h *disconnectHarness) checkArrivals(paths map[string]string) {
+	arrivals, running, aborted := h.endpoint.state()
+	must.MapEmpty(h.t, running)
 	slices.Sort(arrivals)
-	must.Eq(m.t, slices.Compact(slices.Clone(arrivals)), arrivals)
+	must.Eq(h.t, slices.Compact(slices.Clone(arrivals)), arrivals)
 	for id, was := range aborted {
-		must.False(m.t, was && paths[id] == "/once/x", must.Sprint(id, " was canceled"))
+		must.False(h.t, was && paths[id] == "/once/x", must.Sprint(id, " was canceled"))
 	}
 }
--- a/daemon/sidecar/configwatch.go
+++ b/daemon/sidecar/configwatch.go
@@ -47,9 +47,9 @@
 }
 
 // redirectTo cancels the poll in progress in favor of core, unless a redirect is already waiting.
-func (d *configWatch) redirectTo(core ident.Addr) {
+func (w *configWatch) redirectTo(core ident.Addr) {
 	select {
-	case d.redirect <- core:
+	case w.redirect <- core:
 	default:
 	}
 }
@@ -57,34 +57,34 @@
 // followRegistrar handles the revision and the registrar after a core's response to a renewal: the
 // loop switches to a new registrar, and a newer configuration is fetched. The caller must hold
 // Sidecar.mu.
-func (d *configWatch) followRegistrar(answered ident.Addr, revision ident.ConfigRevision) {
-	s := d.sidecar
+func (w *configWatch) followRegistrar(answered ident.Addr, revision ident.ConfigRevision) {
+	s := w.sidecar
 	registrar := s.lease.PollTarget()
 	switch {
-	case registrar != d.polled:
-		d.redirectTo(registrar)
+	case registrar != w.polled:
+		w.redirectTo(registrar)
 	case revision <= s.config.cache.NewestHeld(s.planner.Revision()):
 	case answered != registrar:
 		go s.fetchConfigOrCount(answered)
 	default:
-		d.redirectTo(answered)
+		w.redirectTo(answered)
 	}
 }
 
 // run polls the registrar until Close.
-func (d *configWatch) run() {
-	s := d.sidecar
+func (w *configWatch) run() {
+	s := w.sidecar
 	var position watchPosition
 	for !s.closed() {
-		core, haveRevision := d.nextPoll()
+		core, haveRevision := w.nextPoll()
 		if !s.leaseHeld.Load() || core == "" {
 			s.sleep(noRegistrarPause)
 			continue
 		}
-		if resync := d.resync.Swap(false); resync || core != position.core {
+		if resync := w.resync.Swap(false); resync || core != position.core {
 			position = watchPosition{core: core}
 		}
-		update, redirected, err := d.poll(position, haveRevision)
+		update, redirected, err := w.poll(position, haveRevision)
 		switch {
 		case redirected:
 		case err != nil:
@@ -93,30 +93,30 @@
 			s.sleep(watchRetryPause)
 		default:
 			position.instanceID, position.feedVersion = update.InstanceID, update.FeedVersion
-			d.apply(core, update, haveRevision)
+			w.apply(core, update, haveRevision)
 		}
 	}
 }
 
 // nextPoll returns the core to poll and the revision of the newest configuration held here.
-func (d *configWatch) nextPoll() (core ident.Addr, haveRevision ident.ConfigRevision) {
-	s := d.sidecar
+func (w *configWatch) nextPoll() (core ident.Addr, haveRevision ident.ConfigRevision) {
+	s := w.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.polled = s.lease.PollTarget()
-	return d.polled, s.config.cache.NewestHeld(s.planner.Revision())
+	w.polled = s.lease.PollTarget()
+	return w.polled, s.config.cache.NewestHeld(s.planner.Revision())
 }
 
 // poll requests the changes after a position from a core. redirected reports whether the poll was
 // canceled in order to poll again.
-func (d *configWatch) poll(position watchPosition, haveRevision ident.ConfigRevision) (update mesh.WatchResponse, redirected bool, err error) {
-	s := d.sidecar
+func (w *configWatch) poll(position watchPosition, haveRevision ident.ConfigRevision) (update mesh.WatchResponse, redirected bool, err error) {
+	s := w.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+watchMargin)
 	defer cancel()
 	finished, redirects := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		select {
-		case <-d.redirect:
+		case <-w.redirect:
 			redirects <- true
 			cancel()
 			return
@@ -143,8 +143,8 @@
 }
 
 // apply applies the response to a poll.
-func (d *configWatch) apply(core ident.Addr, update mesh.WatchResponse, haveRevision ident.ConfigRevision) {
-	s := d.sidecar
+func (w *configWatch) apply(core ident.Addr, update mesh.WatchResponse, haveRevision ident.ConfigRevision) {
+	s := w.sidecar
 	s.mu.Lock()
 	s.lastCoreContact = s.clock()
 	if s.planner.Index.Merge(update.Sets) {
@@ -152,7 +152,7 @@
 	}
 	s.mu.Unlock()
 	if update.ConfigRevision > haveRevision {
-		d.obtainConfig(core, update)
+		w.obtainConfig(core, update)
 	}
 	if update.Leaving || update.Stale {
 		s.suspectRegistrar()
@@ -162,14 +162,14 @@
 
 // obtainConfig obtains the configuration announced in the response to a poll: from the included
 // delta, or else by a fetch from the core.
-func (d *configWatch) obtainConfig(core ident.Addr, update mesh.WatchResponse) {
-	s := d.sidecar
+func (w *configWatch) obtainConfig(core ident.Addr, update mesh.WatchResponse) {
+	s := w.sidecar
 	s.mu.Lock()
 	s.config.cache.ObserveCore(s.clock(), update.ConfigRevision)
 	s.mu.Unlock()
 	if update.Delta != nil {
 		if fail := s.applyDelta(*update.Delta); fail == nil {
-			d.pauseIfCoreBehind(update.ConfigRevision)
+			w.pauseIfCoreBehind(update.ConfigRevision)
 			return
 		}
 		s.count(counterDeltasRejected)
@@ -178,13 +178,13 @@
 		s.sleep(watchRetryPause)
 		return
 	}
-	d.pauseIfCoreBehind(update.ConfigRevision)
+	w.pauseIfCoreBehind(update.ConfigRevision)
 }
 
 // pauseIfCoreBehind pauses if the core's configuration is older than any that may become active
 // here, so that a core that lags behind is not polled without a pause.
-func (d *configWatch) pauseIfCoreBehind(revision ident.ConfigRevision) {
-	if revision < d.sidecar.minRevision() {
-		d.sidecar.sleep(watchRetryPause)
+func (w *configWatch) pauseIfCoreBehind(revision ident.ConfigRevision) {
+	if revision < w.sidecar.minRevision() {
+		w.sidecar.sleep(watchRetryPause)
 	}
 }
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -35,27 +35,27 @@
 // topology places the two endpoints of a service and returns the sidecar for callers.
 type topology func(*faultHarness) *Sidecar
 
-func localEndpoints(st *faultHarness) *Sidecar {
-	s := newTestSidecar("a", "127.0.0.1:1", st.endpoints...)
+func localEndpoints(h *faultHarness) *Sidecar {
+	s := newTestSidecar("a", "127.0.0.1:1", h.endpoints...)
 	s.addWorkloads("a", "127.0.0.1:1", "a0", "a1")
 	return s
 }
 
-func remoteEndpoints(st *faultHarness) *Sidecar {
-	st.peer.Store(newTestSidecar("b", "127.0.0.1:2", st.endpoints...))
+func remoteEndpoints(h *faultHarness) *Sidecar {
+	h.peer.Store(newTestSidecar("b", "127.0.0.1:2", h.endpoints...))
 	s := newTestSidecar("a", "127.0.0.1:1")
-	s.addWorkloads("b", st.relayAddr, "b0", "b1")
+	s.addWorkloads("b", h.relayAddr, "b0", "b1")
 	return s
 }
 
 // runScenario sends requests one after another against one sequence of behaviors. The responses are
 // checked immediately and again at the end of the test, because a rejected request must never be
 // executed later.
-func (st *faultHarness) runScenario(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
-	played, number := newScenario(script, relays), fmt.Sprint(st.scenarioCount.Add(1))
-	st.scenarios.Store(number, played)
-	s := place(st)
-	defer st.closeConnections(s)
+func (h *faultHarness) runScenario(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
+	played, number := newScenario(script, relays), fmt.Sprint(h.scenarioCount.Add(1))
+	h.scenarios.Store(number, played)
+	s := place(h)
+	defer h.closeConnections(s)
 	responses := make([]*httptest.ResponseRecorder, len(paths))
 	for n, path := range paths {
 		responses[n] = s.sendAsCaller(path, fmt.Sprint(number, "-r", n), limit)
@@ -70,12 +70,12 @@
 }
 
 // closeConnections closes the kept connections of the sidecars.
-func (st *faultHarness) closeConnections(s *Sidecar) {
-	for _, sidecar := range []*Sidecar{s, st.peer.Swap(nil)} {
+func (h *faultHarness) closeConnections(s *Sidecar) {
+	for _, sidecar := range []*Sidecar{s, h.peer.Swap(nil)} {
 		if sidecar == nil {
 			continue
 		}
-		for _, addr := range append(st.endpoints, st.relayAddr) {
+		for _, addr := range append(h.endpoints, h.relayAddr) {
 			sidecar.endpointExchange.Drop(addr)
 			sidecar.peerExchange.Drop(addr)
 		}
@@ -95,17 +95,17 @@
 
 // checkResponse checks the response to one request against what the endpoints received of the
 // request.
-func (j *scenario) checkResponse(t *testing.T, path, id string, got *httptest.ResponseRecorder, description string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	executions, unknown := 0, j.outcomeUnknown[id]
-	for n, behavior := range j.arrivals[id] {
+func (sc *scenario) checkResponse(t *testing.T, path, id string, got *httptest.ResponseRecorder, description string) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	executions, unknown := 0, sc.outcomeUnknown[id]
+	for n, behavior := range sc.arrivals[id] {
 		if behavior.executes {
 			executions++
 		}
 		unknown = unknown || behavior.evidence == unproven
 		if n > 0 && strings.HasPrefix(path, "/once/") {
-			must.Eq(t, notExecuted, j.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent again after an attempt that may have executed it", description, id))
+			must.Eq(t, notExecuted, sc.arrivals[id][n-1].evidence, must.Sprintf("%s: %s was sent again after an attempt that may have executed it", description, id))
 		}
 	}
 	message := must.Sprintf("%s: %s was executed %d times, response: %d %s %s", description, id, executions, got.Code,
@@ -127,7 +127,7 @@
 		must.Eq(t, 0, executions, message)
 	} else {
 		must.Eq(t, failure.OutcomeUnknown, outcome, message)
-		must.True(t, unknown || j.connectionClosed, message) // an unknown outcome must have a cause
+		must.True(t, unknown || sc.connectionClosed, message) // an unknown outcome must have a cause
 	}
 }
 
@@ -160,11 +160,11 @@
 	for _, first := range behaviorsWithoutHang() {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newFaultHarness(t)
+			h := newFaultHarness(t)
 			for _, second := range behaviorsWithoutHang() {
 				for _, third := range last {
 					for _, paths := range pathPairs {
-						st.runScenario(t, localEndpoints, patientLimit, paths, []endpointBehavior{first, second, third}, nil)
+						h.runScenario(t, localEndpoints, patientLimit, paths, []endpointBehavior{first, second, third}, nil)
 					}
 				}
 			}
@@ -180,11 +180,11 @@
 	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newFaultHarness(t)
+			h := newFaultHarness(t)
 			for _, second := range relayBehaviors {
 				for _, one := range endpoints {
 					for _, two := range endpoints {
-						st.runScenario(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointBehavior{one, two}, []relayBehavior{first, second})
+						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointBehavior{one, two}, []relayBehavior{first, second})
 					}
 				}
 			}
@@ -200,11 +200,11 @@
 	for _, first := range relayBehaviors {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			st := newFaultHarness(t)
+			h := newFaultHarness(t)
 			for _, second := range relayBehaviors {
 				for _, third := range relayBehaviors {
 					for _, one := range endpoints {
-						st.runScenario(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointBehavior{one}, []relayBehavior{first, second, third})
+						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointBehavior{one}, []relayBehavior{first, second, third})
 					}
 				}
 			}
@@ -221,12 +221,12 @@
 	for _, other := range endpointBehaviors {
 		t.Run(other.name, func(t *testing.T) {
 			t.Parallel()
-			st := newFaultHarness(t)
+			h := newFaultHarness(t)
 			for _, script := range [][]endpointBehavior{{hanging, other}, {other, hanging}} {
 				for _, paths := range pathPairs {
-					st.runScenario(t, localEndpoints, shortLimit, paths, script, nil)
-					st.runScenario(t, remoteEndpoints, shortLimit, paths, script, nil)
-					st.runScenario(t, remoteEndpoints, shortLimit, paths, script[:1], []relayBehavior{hangingRelay})
+					h.runScenario(t, localEndpoints, shortLimit, paths, script, nil)
+					h.runScenario(t, remoteEndpoints, shortLimit, paths, script, nil)
+					h.runScenario(t, remoteEndpoints, shortLimit, paths, script[:1], []relayBehavior{hangingRelay})
 				}
 			}
 		})
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -44,25 +44,25 @@
 type peerQuerier struct{ sidecar *Sidecar }
 
 // run queries peers whenever a query is due, until Close.
-func (d *peerQuerier) run() {
+func (q *peerQuerier) run() {
 	ticker := time.NewTicker(peerQueryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-d.sidecar.done:
+		case <-q.sidecar.done:
 			return
 		}
-		if peers, wantRegistry, due := d.queryDue(); due {
-			d.queryAll(d.withSeeds(peers), wantRegistry)
+		if peers, wantRegistry, due := q.queryDue(); due {
+			q.queryAll(q.withSeeds(peers), wantRegistry)
 		}
 	}
 }
 
 // queryDue reports whether peers should be queried now, and returns the known peers and whether
 // their registry is wanted.
-func (d *peerQuerier) queryDue() (peers []ident.Addr, wantRegistry, due bool) {
-	s := d.sidecar
+func (q *peerQuerier) queryDue() (peers []ident.Addr, wantRegistry, due bool) {
+	s := q.sidecar
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,24 +116,24 @@
 }
 
 // withSeeds appends the seeds that may be queried as peers now.
-func (d *peerQuerier) withSeeds(peers []ident.Addr) []ident.Addr {
-	for _, seed := range d.sidecar.Settings.Seeds {
-		if !slices.Contains(peers, seed) && d.mayQuerySeed(seed) {
+func (q *peerQuerier) withSeeds(peers []ident.Addr) []ident.Addr {
+	for _, seed := range q.sidecar.Settings.Seeds {
+		if !slices.Contains(peers, seed) && q.mayQuerySeed(seed) {
 			peers = append(peers, seed)
 		}
 	}
 	return peers
 }
 
-func (d *peerQuerier) mayQuerySeed(seed ident.Addr) bool {
-	s := d.sidecar
+func (q *peerQuerier) mayQuerySeed(seed ident.Addr) bool {
+	s := q.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cores.mayQuerySeed(s.clock(), seed)
 }
 
-func (d *peerQuerier) handleSeedResponse(seed ident.Addr, err error) {
-	s := d.sidecar
+func (q *peerQuerier) handleSeedResponse(seed ident.Addr, err error) {
+	s := q.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cores.handleSeedResponse(s.clock(), seed, err)
@@ -141,31 +141,31 @@
 
 // queryAll queries randomly selected peers and waits for the responses. Only one of the peers is
 // asked for its registry, because the copies of all of them would fill a slow link.
-func (d *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
+func (q *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
 	shuffle(peers)
 	var queries sync.WaitGroup
 	for i, peer := range peers[:min(len(peers), maxPeersQueried)] {
 		queries.Add(1)
 		go func() {
 			defer queries.Done()
-			d.query(peer, wantRegistry && i == 0)
+			q.query(peer, wantRegistry && i == 0)
 		}()
 	}
 	queries.Wait()
 }
 
 // query requests the state of one peer and applies the parts of it that are newer.
-func (d *peerQuerier) query(peer ident.Addr, wantRegistry bool) {
-	s := d.sidecar
+func (q *peerQuerier) query(peer ident.Addr, wantRegistry bool) {
+	s := q.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
 	defer cancel()
 	var state PeerState
 	err := s.apiClient.Call(ctx, peer, http.MethodGet, s.peerStateQuery(wantRegistry), nil, &state)
-	d.handleSeedResponse(peer, err)
+	q.handleSeedResponse(peer, err)
 	if err != nil {
 		return
 	}
-	if d.mergeState(state) && s.fetchConfig(peer) == nil {
+	if q.mergeState(state) && s.fetchConfig(peer) == nil {
 		s.count(counterConfigsFromPeers)
 	}
 }
@@ -183,8 +183,8 @@
 
 // mergeState merges a peer's state and reports whether the peer's configuration is newer and may be
 // fetched.
-func (d *peerQuerier) mergeState(state PeerState) (newer bool) {
-	s := d.sidecar
+func (q *peerQuerier) mergeState(state PeerState) (newer bool) {
+	s := q.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.planner.Index.Merge(state.Sets) {
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -39,49 +39,49 @@
 }
 
 // wake makes the loop check at once whether a request is due.
-func (d *renewer) wake() {
+func (r *renewer) wake() {
 	select {
-	case d.wakeUp <- struct{}{}:
+	case r.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
 // run obtains and renews the lease until Close.
-func (d *renewer) run() {
-	s := d.sidecar
+func (r *renewer) run() {
+	s := r.sidecar
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-d.wakeUp:
+		case <-r.wakeUp:
 		case <-s.done:
 			return
 		}
 		if !s.leaseHeld.Load() && !s.leaseJoiner.tryJoin() {
 			s.sleep(s.leaseJoiner.backoff())
-			d.wake() // the next attempt may use another core
+			r.wake() // the next attempt may use another core
 			continue
 		}
-		timer.Reset(max(d.sendDue(), minRenewalPause))
+		timer.Reset(max(r.sendDue(), minRenewalPause))
 	}
 }
 
 // sendDue sends the requests that are due and returns the time until the next one, unless the loop
 // is woken earlier.
-func (d *renewer) sendDue() time.Duration {
-	s := d.sidecar
+func (r *renewer) sendDue() time.Duration {
+	s := r.sidecar
 	cores := s.usableCores()
 	s.mu.Lock()
 	now := s.clock()
 	budgetRequest, budgetDue := s.budgetShare.NextRequest(s.stepLimitedClock(), s.Settings.Node, s.leaseEpoch)
 	s.lease.ChooseRegistrar(now, s.Settings.Node, s.Settings.Zone, cores)
-	targets, renewal := d.dueRenewal(now)
+	targets, renewal := r.dueRenewal(now)
 	untilNext := s.lease.UntilNextRenewal(now)
 	s.mu.Unlock()
 	if budgetDue {
-		d.budgetRequests++
-		go s.requestBudgetShare(cores[d.budgetRequests%len(cores)], budgetRequest)
+		r.budgetRequests++
+		go s.requestBudgetShare(cores[r.budgetRequests%len(cores)], budgetRequest)
 	}
 	for _, core := range targets {
 		go s.renew(core, renewal)
@@ -91,8 +91,8 @@
 
 // dueRenewal returns the renewal that is due and the cores to send it to; there are no cores if no
 // renewal is due. The caller must hold Sidecar.mu.
-func (d *renewer) dueRenewal(now monotime.Time) ([]ident.Addr, record.Renewal) {
-	s := d.sidecar
+func (r *renewer) dueRenewal(now monotime.Time) ([]ident.Addr, record.Renewal) {
+	s := r.sidecar
 	report := s.report()
 	s.reportChanged = s.lease.ReportChanged(s.leaseEpoch, report)
 	if !s.lease.RenewalDue(now, s.reportChanged) {
--- a/daemon/sidecar/stage_test.go
+++ b/daemon/sidecar/stage_test.go
@@ -113,17 +113,17 @@
 	connectionClosed bool                          // the far end has closed or reset a connection
 }
 
-func (j *scenario) nextBehavior(id string) (endpointBehavior, []string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (sc *scenario) nextBehavior(id string) (endpointBehavior, []string) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	behavior := endpointBehaviors[0]
-	if len(j.endpointScript) > 0 {
-		behavior, j.endpointScript = j.endpointScript[0], j.endpointScript[1:]
+	if len(sc.endpointScript) > 0 {
+		behavior, sc.endpointScript = sc.endpointScript[0], sc.endpointScript[1:]
 	}
-	previous := slices.Clone(j.previousIDs)
-	j.previousIDs = append(j.previousIDs, id)
-	j.arrivals[id] = append(j.arrivals[id], behavior)
-	j.connectionClosed = j.connectionClosed || behavior.end != staysOpen
+	previous := slices.Clone(sc.previousIDs)
+	sc.previousIDs = append(sc.previousIDs, id)
+	sc.arrivals[id] = append(sc.arrivals[id], behavior)
+	sc.connectionClosed = sc.connectionClosed || behavior.end != staysOpen
 	return behavior, previous
 }
 
@@ -173,27 +173,27 @@
 }
 
 func newFaultHarness(t *testing.T) *faultHarness {
-	st := &faultHarness{}
-	st.endpoints = []ident.Addr{st.startEndpoint(t), st.startEndpoint(t)}
-	peer := startPeerServer(t, func() *Sidecar { return st.peer.Load() })
+	h := &faultHarness{}
+	h.endpoints = []ident.Addr{h.startEndpoint(t), h.startEndpoint(t)}
+	peer := startPeerServer(t, func() *Sidecar { return h.peer.Load() })
 	restarted := newTestSidecar("b", "127.0.0.1:2")
-	st.relayAddr = st.startRelay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
-	return st
+	h.relayAddr = h.startRelay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
+	return h
 }
 
 // scenarioOf returns the scenario to which a request id belongs.
-func (st *faultHarness) scenarioOf(id string) *scenario {
+func (h *faultHarness) scenarioOf(id string) *scenario {
 	number, _, _ := strings.Cut(id, "-")
-	played, _ := st.scenarios.Load(number)
+	played, _ := h.scenarios.Load(number)
 	return played.(*scenario)
 }
 
 // startEndpoint starts an endpoint that behaves according to the scenarios.
-func (st *faultHarness) startEndpoint(t *testing.T) ident.Addr {
+func (h *faultHarness) startEndpoint(t *testing.T) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
 			id := req.Header.Get(testIDHeader)
-			behavior, previous := st.scenarioOf(id).nextBehavior(id)
+			behavior, previous := h.scenarioOf(id).nextBehavior(id)
 			_, _ = io.WriteString(c, behavior.response(id, previous))
 			return applyConnectionEnd(c, r, behavior.end)
 		})
@@ -227,26 +227,26 @@
 	{"truncates the response header", true, false, func(int) int { return 30 }, closes, true},
 }
 
-func (j *scenario) nextRelayBehavior(id string) relayBehavior {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (sc *scenario) nextRelayBehavior(id string) relayBehavior {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	behavior := relayBehaviors[0]
-	if len(j.relayScript) > 0 {
-		behavior, j.relayScript = j.relayScript[0], j.relayScript[1:]
+	if len(sc.relayScript) > 0 {
+		behavior, sc.relayScript = sc.relayScript[0], sc.relayScript[1:]
 	}
-	j.outcomeUnknown[id] = j.outcomeUnknown[id] || behavior.outcomeUnknown
-	j.connectionClosed = j.connectionClosed || behavior.end != staysOpen
+	sc.outcomeUnknown[id] = sc.outcomeUnknown[id] || behavior.outcomeUnknown
+	sc.connectionClosed = sc.connectionClosed || behavior.end != staysOpen
 	return behavior
 }
 
 // startRelay starts the relay between two sidecars. It forwards requests either to a sidecar that
 // has endpoints or to a restarted one.
-func (st *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
+func (h *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
 			req.Body = io.NopCloser(bytes.NewReader(body))
 			id := req.Header.Get(testIDHeader)
-			behavior := st.scenarioOf(id).nextRelayBehavior(id)
+			behavior := h.scenarioOf(id).nextRelayBehavior(id)
 			target := peer
 			if behavior.restarted {
 				target = restarted
