--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -136,7 +136,7 @@
 		return "", 0, fail
 	}
 	if !s.planner.RetryBudget.BeginRun(s.clock(), request.retryProbability) {
-		return "", 0, failure.New(failure.Busy, "the retry budget of the called services is exhausted").WithRetryAfter(retryAfterSeconds)
+		return "", 0, failure.New(failure.Busy, "the retry budget of a service that the endpoint calls is exhausted").WithRetryAfter(retryAfterSeconds)
 	}
 	if config := s.planner.Config(); config != nil {
 		connections = config.Services[request.service].MaxConnections
