--- a/cmd/cottonarch/apply.go
+++ b/cmd/cottonarch/apply.go
@@ -18,7 +18,7 @@
 
 // Run applies a configuration and prints the response.
 func (c applyCmd) Run() error {
-	raw, err := readInput(c.File)
+	raw, err := readFileOrStdin(c.File)
 	if err != nil {
 		return failure.Wrap(err, failure.Malformed, "configuration")
 	}
@@ -34,7 +34,7 @@
 }
 
 // readInput reads a file, or standard input if it is named -.
-func readInput(file string) ([]byte, error) {
+func readFileOrStdin(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
 	}
--- a/cmd/cottonarch/audit.go
+++ b/cmd/cottonarch/audit.go
@@ -12,9 +12,9 @@
 
 type auditCmd struct {
 	target
-	Old    string `help:"File with an older checkpoint that the log must continue." type:"existingfile"`
-	Save   string `help:"File to keep the new checkpoint in." type:"path"`
-	Leaves bool   `help:"Print the leaves of the log's Merkle tree too."`
+	OldCheckpointFile string `name:"old" help:"File with an older checkpoint that the log must continue." type:"existingfile"`
+	SaveFile          string `name:"save" help:"File to keep the new checkpoint in." type:"path"`
+	PrintLeaves       bool   `name:"leaves" help:"Print the leaves of the log's Merkle tree too."`
 }
 
 // Run fetches the audit log, verifies it and prints its checkpoint.
@@ -27,19 +27,19 @@
 	if err := json.Unmarshal(data, &log); err != nil {
 		return failure.Wrap(err, failure.BadResponse, "audit")
 	}
-	oldCheckpoint, err := c.oldCheckpoint()
+	oldCheckpoint, err := c.readOldCheckpoint()
 	if err != nil {
 		return err
 	}
 	if err := tree.Verify(log, oldCheckpoint); err != nil {
 		return err
 	}
-	if c.Save != "" {
-		if err := os.WriteFile(c.Save, []byte(log.Checkpoint), 0o644); err != nil {
+	if c.SaveFile != "" {
+		if err := os.WriteFile(c.SaveFile, []byte(log.Checkpoint), 0o644); err != nil {
 			return failure.Wrap(err, failure.Internal, "save")
 		}
 	}
-	if c.Leaves {
+	if c.PrintLeaves {
 		for _, leaf := range log.Leaves {
 			fmt.Printf("%d %s\n", leaf.Revision, leaf.SHA256)
 		}
@@ -49,11 +49,11 @@
 }
 
 // oldCheckpoint reads the older checkpoint, "" if none is given.
-func (c auditCmd) oldCheckpoint() (string, error) {
-	if c.Old == "" {
+func (c auditCmd) readOldCheckpoint() (string, error) {
+	if c.OldCheckpointFile == "" {
 		return "", nil
 	}
-	raw, err := os.ReadFile(c.Old)
+	raw, err := os.ReadFile(c.OldCheckpointFile)
 	if err != nil {
 		return "", failure.Wrap(err, failure.Malformed, "old checkpoint")
 	}
--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -14,18 +14,18 @@
 )
 
 type capacityCmd struct {
-	Sizes        []int         `default:"5,10,20,40" help:"Numbers of nodes to measure, each at least double the last."`
-	Loads        []string      `default:"steady,leave,manifest,restart,walk" help:"What to measure: all, or some of ${loads}. Steady heartbeats are always measured."`
-	For          time.Duration `default:"3s" help:"How long each measurement is; as long lies between two of them."`
-	Out          string        `default:"capacity-out" help:"Folder for the figures, tables and plots." type:"path"`
-	Target       string        `help:"File with the size to extrapolate to and its budgets; the users' if not given." type:"path"`
-	Page         string        `help:"A page whose tables are replaced between its capacity markers." type:"path"`
-	From         string        `help:"Write tables, plots and page from an earlier run's figures, and measure nothing." type:"path"`
-	Limit        time.Duration `default:"170s" help:"How long the whole run may take; what does not fit is left out and listed."`
-	Disks        string        `help:"Folder for the cores' disk folders; the system's temporary one if not given." type:"path"`
-	Memory       float64       `help:"Bytes that all processes together may take; half of the machine's if not given."`
-	Commit       string        `help:"Commit that this program was built from, where the build does not hold it."`
-	MaxProcesses int           `aliases:"most" default:"300" help:"How many processes there may be at once."`
+	Sizes         []int         `default:"5,10,20,40" help:"Numbers of nodes to measure, each at least double the last."`
+	Workloads     []string      `name:"loads" default:"steady,leave,manifest,restart,walk" help:"What to measure: all, or some of ${loads}. Steady heartbeats are always measured."`
+	Window        time.Duration `name:"for" default:"3s" help:"How long each measurement is; as long lies between two of them."`
+	OutDir        string        `name:"out" default:"capacity-out" help:"Folder for the figures, tables and plots." type:"path"`
+	Target        string        `help:"File with the size to extrapolate to and its budgets; the users' if not given." type:"path"`
+	PageFile      string        `name:"page" help:"A page whose tables are replaced between its capacity markers." type:"path"`
+	EarlierResult string        `name:"from" help:"Write tables, plots and page from an earlier run's figures, and measure nothing." type:"path"`
+	TimeLimit     time.Duration `name:"limit" default:"170s" help:"How long the whole run may take; what does not fit is left out and listed."`
+	DiskDir       string        `name:"disks" help:"Folder for the cores' disk folders; the system's temporary one if not given." type:"path"`
+	MemoryLimit   float64       `name:"memory" help:"Bytes that all processes together may take; half of the machine's if not given."`
+	Commit        string        `help:"Commit that this program was built from, where the build does not hold it."`
+	MaxProcesses  int           `aliases:"most" default:"300" help:"How many processes there may be at once."`
 }
 
 type capacityProcessCmd struct{}
@@ -35,12 +35,12 @@
 
 // Run measures, or reads an earlier result, and writes the report.
 func (c capacityCmd) Run() error {
-	if c.From != "" {
-		result, err := report.ReadResult(c.From)
+	if c.EarlierResult != "" {
+		result, err := report.ReadResult(c.EarlierResult)
 		if err != nil {
 			return err
 		}
-		return c.write(result)
+		return c.writeReport(result)
 	}
 	options, err := c.options()
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return c.write(result)
+	return c.writeReport(result)
 }
 
 // options reads the target and gives the flags as a measurement takes them.
@@ -59,49 +59,49 @@
 	if err != nil {
 		return run.Options{}, err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return run.Options{}, failure.Wrap(err, failure.Internal, "own program")
 	}
 	options := run.Options{
-		ProcessCommand: []string{self, "capacity-part"},
-		Dir:            c.Disks,
+		ProcessCommand: []string{executable, "capacity-part"},
+		Dir:            c.DiskDir,
 		Target:         target,
 		Sizes:          c.Sizes,
-		Workloads:      c.Loads,
+		Workloads:      c.Workloads,
 		Commit:         c.Commit,
 		Command:        "cottonarch " + strings.Join(os.Args[1:], " "),
-		Window:         c.For,
-		TimeLimit:      c.Limit,
-		MemoryLimit:    c.Memory,
+		Window:         c.Window,
+		TimeLimit:      c.TimeLimit,
+		MemoryLimit:    c.MemoryLimit,
 		MaxProcesses:   c.MaxProcesses,
-		Logf:           logf,
+		Logf:           logProgress,
 		OnSize: func(result *run.Result) {
-			if _, err := report.Write(result, c.Out); err != nil {
-				logf("%v", err)
+			if _, err := report.Write(result, c.OutDir); err != nil {
+				logProgress("%v", err)
 			}
 		},
 	}
 	if options.MemoryLimit <= 0 {
 		options.MemoryLimit = run.HalfOfMemory()
 	}
-	if len(c.Loads) == 1 && c.Loads[0] == "all" {
+	if len(c.Workloads) == 1 && c.Workloads[0] == "all" {
 		options.Workloads = run.WorkloadNames()
 	}
 	return options, nil
 }
 
 // logf prints progress to standard error.
-func logf(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+func logProgress(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 
 // write writes the report and the page, and prints the tables.
-func (c capacityCmd) write(result *run.Result) error {
-	text, err := report.Write(result, c.Out)
+func (c capacityCmd) writeReport(result *run.Result) error {
+	text, err := report.Write(result, c.OutDir)
 	if err != nil {
 		return err
 	}
-	if c.Page != "" {
-		if err := report.UpdatePage(c.Page, text); err != nil {
+	if c.PageFile != "" {
+		if err := report.UpdatePage(c.PageFile, text); err != nil {
 			return err
 		}
 	}
--- a/cmd/cottonarch/coordination.go
+++ b/cmd/cottonarch/coordination.go
@@ -65,10 +65,10 @@
 
 type keyCmd struct {
 	target
-	Action string `arg:"" enum:"read,write,delete,list" help:"read, write, delete or list."`
-	Name   string `arg:"" optional:"" help:"Key, or prefix for list."`
-	Value  string `arg:"" optional:"" help:"Value for write; JSON, or else a string."`
-	If     *int64 `help:"Revision the key must be at; 0 means it must not exist."`
+	Action     string `arg:"" enum:"read,write,delete,list" help:"read, write, delete or list."`
+	Name       string `arg:"" optional:"" help:"Key, or prefix for list."`
+	Value      string `arg:"" optional:"" help:"Value for write; JSON, or else a string."`
+	IfRevision *int64 `name:"if" help:"Revision the key must be at; 0 means it must not exist."`
 }
 
 // Run reads, changes or lists keys, and prints the response.
@@ -77,8 +77,8 @@
 		return c.print(http.MethodGet, "/keys?prefix="+url.QueryEscape(c.Name), nil)
 	}
 	query := url.Values{}
-	if c.If != nil {
-		query.Set("ifRevision", fmt.Sprint(*c.If))
+	if c.IfRevision != nil {
+		query.Set("ifRevision", fmt.Sprint(*c.IfRevision))
 	}
 	body := []byte(c.Value)
 	if c.Action == "write" && !json.Valid(body) {
--- a/cmd/cottonarch/deployment_test.go
+++ b/cmd/cottonarch/deployment_test.go
@@ -8,7 +8,7 @@
 
 // A deployment file with the field names of earlier releases describes the same deployment as the
 // sample, which bears the present ones.
-func TestOldDeploymentFileIsRead(t *testing.T) {
+func TestDeploymentFileWithOldFieldNames(t *testing.T) {
 	old, fail := readDeployment("testdata/old-deployment.json")
 	must.Nil(t, fail)
 	current, fail := readDeployment("../../samples/what-if.json")
--- a/cmd/cottonarch/deprecated_test.go
+++ b/cmd/cottonarch/deprecated_test.go
@@ -7,7 +7,7 @@
 )
 
 // parse parses a command line and lists the old names that it uses.
-func parse(t *testing.T, args ...string) (commandLine, []deprecatedName) {
+func parseCommandLine(t *testing.T, args ...string) (commandLine, []deprecatedName) {
 	var line commandLine
 	parser, err := newParser(&line)
 	must.NoError(t, err)
@@ -17,7 +17,7 @@
 }
 
 // Every old name is read as the new one is, and only the old one is reported.
-func TestOldNamesAreReadAndReported(t *testing.T) {
+func TestDeprecatedNamesAreAcceptedAndReported(t *testing.T) {
 	endpoint := []string{"endpoint", "--server=e", "--service=s", "--address=a", "--sidecar=b"}
 	client := []string{"--address=a", "--host=h", "--service=s"}
 	for name, c := range map[string]struct {
@@ -59,12 +59,12 @@
 		"short flag": {nil, []string{"core", "-b", "f"}, deprecatedName{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			current, reported := parse(t, c.current...)
+			current, reported := parseCommandLine(t, c.current...)
 			must.SliceEmpty(t, reported)
 			if c.old == nil {
 				return
 			}
-			old, reported := parse(t, c.old...)
+			old, reported := parseCommandLine(t, c.old...)
 			must.Eq(t, []deprecatedName{c.want}, reported)
 			must.Eq(t, current, old)
 		})
@@ -72,16 +72,16 @@
 }
 
 // The old names of actions stand for the new ones.
-func TestOldActionsAreReadAndReported(t *testing.T) {
+func TestDeprecatedActionsAreAcceptedAndReported(t *testing.T) {
 	for old, current := range renamedActions {
 		command := "lock"
 		if current == actionRollback {
 			command = "rollout"
 		}
-		_, reported := parse(t, command, old, "-c", "a", "x")
+		_, reported := parseCommandLine(t, command, old, "-c", "a", "x")
 		must.Eq(t, []deprecatedName{{old, current}}, reported)
 		must.Eq(t, current, currentAction(old))
-		_, reported = parse(t, command, current, "-c", "a", "x")
+		_, reported = parseCommandLine(t, command, current, "-c", "a", "x")
 		must.SliceEmpty(t, reported)
 		must.Eq(t, current, currentAction(current))
 	}
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -14,24 +14,24 @@
 )
 
 // allHeld is printed when no rule was broken.
-const allHeld = "all held"
+const noViolationsText = "all held"
 
 type exploreCmd struct {
-	Model     string         `default:"all" enum:"register,membership,configuration,locks,all" help:"What is explored: ${enum}."`
-	Members   int            `default:"3" help:"Members of the first membership, 3 to 5."`
-	Keys      int            `default:"2" help:"Control keys."`
-	Operators int            `default:"2" help:"Clients that call at the same time."`
-	Depth     int            `default:"40" help:"Longest run of the breadth-first search, in choices."`
-	States    int            `default:"20000" help:"States that the breadth-first search of one model remembers."`
-	Faults    map[string]int `help:"Numbers of faults, in place of the models' own, such as crash=1;late=2. Known: ${explore_faults}."`
-	Walks     int            `default:"500" help:"Guided random walks after it."`
-	Steps     int            `default:"80" help:"Choices of a walk."`
-	Seed      uint64         `default:"1" help:"Seed of the walks."`
-	For       time.Duration  `default:"0s" help:"Stop after this time; what was explored then depends on the machine. 0 sets no limit."`
-	Ring      bool           `help:"Write to the daemon's ring, which is slower."`
-	Break     string         `help:"Break a rule on purpose (a mutant), to see it found. Known: ${explore_breaks}."`
-	Trace     string         `help:"Write the trace of the run that broke a rule to this file." type:"path"`
-	Replay    string         `help:"Replay such a trace instead." type:"path"`
+	Model      string         `default:"all" enum:"register,membership,configuration,locks,all" help:"What is explored: ${enum}."`
+	Members    int            `default:"3" help:"Members of the first membership, 3 to 5."`
+	Keys       int            `default:"2" help:"Control keys."`
+	Operators  int            `default:"2" help:"Clients that call at the same time."`
+	Depth      int            `default:"40" help:"Longest run of the breadth-first search, in choices."`
+	States     int            `default:"20000" help:"States that the breadth-first search of one model remembers."`
+	Faults     map[string]int `help:"Numbers of faults, in place of the models' own, such as crash=1;late=2. Known: ${explore_faults}."`
+	Walks      int            `default:"500" help:"Guided random walks after it."`
+	Steps      int            `default:"80" help:"Choices of a walk."`
+	Seed       uint64         `default:"1" help:"Seed of the walks."`
+	TimeLimit  time.Duration  `name:"for" default:"0s" help:"Stop after this time; what was explored then depends on the machine. 0 sets no limit."`
+	Ring       bool           `help:"Write to the daemon's ring, which is slower."`
+	Mutant     string         `name:"break" help:"Break a rule on purpose (a mutant), to see it found. Known: ${explore_breaks}."`
+	TraceFile  string         `name:"trace" help:"Write the trace of the run that broke a rule to this file." type:"path"`
+	ReplayFile string         `name:"replay" help:"Replay such a trace instead." type:"path"`
 }
 
 // exploreVars are the names that the help of explore lists.
@@ -45,7 +45,7 @@
 
 // Run explores, or replays a trace.
 func (c exploreCmd) Run() error {
-	if c.Replay != "" {
+	if c.ReplayFile != "" {
 		return c.replay()
 	}
 	options := c.options()
@@ -56,11 +56,11 @@
 	fmt.Print(explore.Text(parts))
 	last := parts[len(parts)-1]
 	if last.Violation == nil {
-		fmt.Println(allHeld)
+		fmt.Println(noViolationsText)
 		return nil
 	}
-	if c.Trace != "" {
-		if err := os.WriteFile(c.Trace, last.Trace().Encode(), 0o644); err != nil {
+	if c.TraceFile != "" {
+		if err := os.WriteFile(c.TraceFile, last.Trace().Encode(), 0o644); err != nil {
 			return failure.New(failure.BadSettings, "can't write the trace: %v", err)
 		}
 	}
@@ -80,14 +80,14 @@
 		Steps:     c.Steps,
 		Seed:      c.Seed,
 		Ring:      c.Ring,
-		Mutant:    cluster.Mutant(c.Break),
+		Mutant:    cluster.Mutant(c.Mutant),
 		Faults:    map[cluster.Fault]int{},
 	}
 	for name, n := range c.Faults {
 		options.Faults[cluster.Fault(name)] = n
 	}
-	if c.For > 0 {
-		deadline := time.Now().Add(c.For)
+	if c.TimeLimit > 0 {
+		deadline := time.Now().Add(c.TimeLimit)
 		options.Stop = func() bool { return time.Now().After(deadline) }
 	}
 	return options
@@ -95,7 +95,7 @@
 
 // replay replays a trace and prints its steps.
 func (c exploreCmd) replay() error {
-	raw, err := os.ReadFile(c.Replay)
+	raw, err := os.ReadFile(c.ReplayFile)
 	if err != nil {
 		return failure.New(failure.BadSettings, "can't read the trace: %v", err)
 	}
@@ -111,7 +111,7 @@
 		return fail
 	}
 	if violation == nil {
-		fmt.Println(allHeld)
+		fmt.Println(noViolationsText)
 		return nil
 	}
 	return failure.New(failure.Conflict, "%s", violation)
--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -48,8 +48,8 @@
 }
 
 // newParser makes the parser of a command line.
-func newParser(into *commandLine) (*kong.Kong, error) {
-	return kong.New(into,
+func newParser(line *commandLine) (*kong.Kong, error) {
+	return kong.New(line,
 		kong.Name("cottonarch"),
 		kong.Description("A service mesh: cores hold the control state, sidecars carry the traffic."),
 		kong.UsageOnError(),
--- a/cmd/cottonarch/rollout.go
+++ b/cmd/cottonarch/rollout.go
@@ -10,7 +10,7 @@
 	Route           string  `arg:"" help:"Name of the route."`
 	To              string  `help:"Service that the route is moved to."`
 	Steps           []int   `help:"Percentage of the route's requests at each step, rising to 100 (5,25,50,100)."`
-	StepS           float64 `default:"10" help:"Seconds that each step is watched for."`
+	StepSeconds     float64 `name:"step-s" default:"10" help:"Seconds that each step is watched for."`
 	MaxFailureShare float64 `aliases:"most" default:"0.05" help:"Share of requests that may fail before the route is rolled back."`
 }
 
@@ -25,5 +25,5 @@
 // Run begins, reads or rolls back a rollout, and prints its state.
 func (c rolloutCmd) Run() error {
 	methods := map[string]string{"begin": http.MethodPost, "read": http.MethodGet, actionRollback: http.MethodDelete}
-	return c.printJSON(methods[currentAction(c.Action)], "/rollouts/"+c.Route, rolloutRequest{c.MaxFailureShare, c.StepS, c.Steps, c.To})
+	return c.printJSON(methods[currentAction(c.Action)], "/rollouts/"+c.Route, rolloutRequest{c.MaxFailureShare, c.StepSeconds, c.Steps, c.To})
 }
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -21,28 +21,28 @@
 )
 
 type simulateCmd struct {
-	Deployment string        `default:"prairie" help:"prairie, volta, or a file that describes one (see docs/simulate.md)."`
-	Seed       uint64        `default:"1" help:"Seed; the same seed gives the same bytes."`
-	Seeds      int           `default:"1" help:"How many seeds to run, counting up from --seed."`
-	For        time.Duration `default:"60s" help:"Virtual time under faults."`
-	Faults     []string      `help:"Faults to draw from, or none; all if not given. Known: ${faults}."`
-	At         []string      `help:"A schedule instead: fault@time, such as core-kill@5s."`
-	Every      time.Duration `default:"2s" help:"Longest pause between drawn faults."`
-	AddCores   int           `help:"What if there were more cores."`
-	LoseZone   bool          `aliases:"lose-district" help:"What if a zone were lost for the whole time."`
-	Load       float64       `aliases:"burden" default:"1" help:"What if the load were this many times as high."`
-	Calm       bool          `help:"No lost, late or duplicated messages."`
-	Heavy      bool          `default:"true" negatable:"" help:"End with one heavy fault."`
-	Cells      bool          `default:"true" negatable:"" help:"Applications use keyspaces and renewed locks too."`
-	Platform   bool          `default:"true" negatable:"" help:"Endpoints with concurrency slots, rejections and relative times of their own, admission queues beside the endpoint trackers, and kills that leave writes unsynced."`
-	Cost       time.Duration `help:"What if a core's process took this long for each message and request, as with a share of a processor."`
-	Trace      bool          `help:"Print the whole trace of faults."`
-	Break      string        `default:"" help:"Break a rule on purpose (a mutant), to see it caught. Known: ${breaks}."`
+	Deployment      string        `default:"prairie" help:"prairie, volta, or a file that describes one (see docs/simulate.md)."`
+	Seed            uint64        `default:"1" help:"Seed; the same seed gives the same bytes."`
+	Seeds           int           `default:"1" help:"How many seeds to run, counting up from --seed."`
+	Duration        time.Duration `name:"for" default:"60s" help:"Virtual time under faults."`
+	Faults          []string      `help:"Faults to draw from, or none; all if not given. Known: ${faults}."`
+	Schedule        []string      `name:"at" help:"A schedule instead: fault@time, such as core-kill@5s."`
+	FaultInterval   time.Duration `name:"every" default:"2s" help:"Longest pause between drawn faults."`
+	AddCores        int           `help:"What if there were more cores."`
+	LoseZone        bool          `aliases:"lose-district" help:"What if a zone were lost for the whole time."`
+	LoadFactor      float64       `name:"load" aliases:"burden" default:"1" help:"What if the load were this many times as high."`
+	ReliableLinks   bool          `name:"calm" help:"No lost, late or duplicated messages."`
+	FinalOutage     bool          `name:"heavy" default:"true" negatable:"" help:"End with one heavy fault."`
+	Keyspaces       bool          `name:"cells" default:"true" negatable:"" help:"Applications use keyspaces and renewed locks too."`
+	Platform        bool          `default:"true" negatable:"" help:"Endpoints with concurrency slots, rejections and relative times of their own, admission queues beside the endpoint trackers, and kills that leave writes unsynced."`
+	CoreMessageCost time.Duration `name:"cost" help:"What if a core's process took this long for each message and request, as with a share of a processor."`
+	PrintTrace      bool          `name:"trace" help:"Print the whole trace of faults."`
+	Mutant          string        `name:"break" default:"" help:"Break a rule on purpose (a mutant), to see it caught. Known: ${breaks}."`
 }
 
 // Run simulates the seeds and prints those that broke a rule, or the only one.
 func (c simulateCmd) Run() error {
-	deployment, options, fail := c.read()
+	deployment, options, fail := c.readOptions()
 	if fail != nil {
 		return fail
 	}
@@ -57,34 +57,34 @@
 		fmt.Println(results.total.Summary())
 		return nil
 	}
-	var violated []string
+	var violationCounts []string
 	for rule, n := range results.violations {
-		violated = append(violated, fmt.Sprintf("%s %d", rule, n))
+		violationCounts = append(violationCounts, fmt.Sprintf("%s %d", rule, n))
 	}
-	slices.Sort(violated)
-	return failure.New(failure.Conflict, "rules were broken: %s", strings.Join(violated, ", "))
+	slices.Sort(violationCounts)
+	return failure.New(failure.Conflict, "rules were broken: %s", strings.Join(violationCounts, ", "))
 }
 
 // read checks the command line; the failure names every fault.
-func (c simulateCmd) read() (scenario.Deployment, scenario.Options, *failure.Error) {
+func (c simulateCmd) readOptions() (scenario.Deployment, scenario.Options, *failure.Error) {
 	deployment, deploymentFail := readDeployment(c.Deployment)
 	options := scenario.Options{
-		Duration:        c.For,
+		Duration:        c.Duration,
 		Faults:          c.Faults,
-		FaultInterval:   c.Every,
+		FaultInterval:   c.FaultInterval,
 		AddCores:        c.AddCores,
 		LoseZone:        c.LoseZone,
-		LoadFactor:      c.Load,
-		FinalOutage:     c.Heavy,
-		Keyspaces:       c.Cells,
+		LoadFactor:      c.LoadFactor,
+		FinalOutage:     c.FinalOutage,
+		Keyspaces:       c.Keyspaces,
 		Platform:        c.Platform,
-		LossyLinks:      !c.Calm,
-		CoreMessageCost: c.Cost,
-		Mutant:          world.Mutant(c.Break),
+		LossyLinks:      !c.ReliableLinks,
+		CoreMessageCost: c.CoreMessageCost,
+		Mutant:          world.Mutant(c.Mutant),
 	}
 	invalid := failure.New(failure.BadSettings, "the simulation can't be run")
 	var faults []failure.Fault
-	options.Schedule, faults = readSchedule(c.At)
+	options.Schedule, faults = readSchedule(c.Schedule)
 	invalid.Faults = append(invalid.Faults, faults...)
 	if fail := options.Validate(); fail != nil {
 		invalid.Faults = append(invalid.Faults, fail.Faults...)
@@ -144,7 +144,7 @@
 				results.violations[violation.Rule]++
 			}
 			results.total.Merge(simulated.Checker)
-			results.texts[i] = c.text(deployment, options.Seed, simulated)
+			results.texts[i] = c.resultText(deployment, options.Seed, simulated)
 		})
 	}
 	pending.Wait()
@@ -152,12 +152,12 @@
 }
 
 // text is what is printed of one seed: nothing if it is one of several and broke no rule.
-func (c simulateCmd) text(deployment scenario.Deployment, seed uint64, simulated *world.World) string {
+func (c simulateCmd) resultText(deployment scenario.Deployment, seed uint64, simulated *world.World) string {
 	if c.Seeds > 1 && len(simulated.Checker.Violations) == 0 {
 		return ""
 	}
-	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.For, simulated.Text())
-	if c.Trace {
+	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.Duration, simulated.Text())
+	if c.PrintTrace {
 		text += strings.Join(simulated.Trace, "\n") + "\n"
 	}
 	return text
--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -22,14 +22,14 @@
 )
 
 type endpointCmd struct {
-	Server    string        `required:"" help:"serverId of this run."`
-	Service   string        `required:"" help:"Service it serves."`
-	Address   string        `required:"" help:"Own address, ip:port."`
-	Sidecar   string        `required:"" help:"The sidecar's address towards the mesh, which takes the heartbeats."`
-	Work      time.Duration `default:"2ms" help:"How long a request takes."`
-	Lost      float64       `aliases:"lose" help:"Share of requests that are executed and get no response."`
-	Garbage   float64       `help:"Share that get garbage."`
-	Truncated float64       `aliases:"cut" help:"Share whose response is cut off."`
+	Server         string        `required:"" help:"serverId of this run."`
+	Service        string        `required:"" help:"Service it serves."`
+	Address        string        `required:"" help:"Own address, ip:port."`
+	Sidecar        string        `required:"" help:"The sidecar's address towards the mesh, which takes the heartbeats."`
+	WorkTime       time.Duration `name:"work" default:"2ms" help:"How long a request takes."`
+	LostShare      float64       `name:"lost" aliases:"lose" help:"Share of requests that are executed and get no response."`
+	GarbageShare   float64       `name:"garbage" help:"Share that get garbage."`
+	TruncatedShare float64       `name:"truncated" aliases:"cut" help:"Share whose response is cut off."`
 }
 
 // Run runs an endpoint until SIGTERM or SIGINT.
@@ -40,10 +40,10 @@
 		Addr:        ident.Addr(c.Address),
 		SidecarAddr: ident.Addr(c.Sidecar),
 		Behavior: endpoint.Behavior{
-			WorkTime:       c.Work,
-			LostShare:      c.Lost,
-			GarbageShare:   c.Garbage,
-			TruncatedShare: c.Truncated,
+			WorkTime:       c.WorkTime,
+			LostShare:      c.LostShare,
+			GarbageShare:   c.GarbageShare,
+			TruncatedShare: c.TruncatedShare,
 		},
 	})
 	if err != nil {
@@ -57,19 +57,19 @@
 }
 
 type clientCmd struct {
-	Address string        `required:"" help:"The sidecar's address for clients."`
-	Host    string        `required:"" help:"Host of the requests."`
-	Path    string        `default:"/" help:"Path of the requests."`
-	Method  string        `default:"GET" help:"Method of the requests."`
-	Service string        `required:"" help:"Service whose responses are expected."`
-	Rate    float64       `default:"20" help:"Requests per second."`
-	For     time.Duration `default:"5s" help:"How long to send."`
+	Address  string        `required:"" help:"The sidecar's address for clients."`
+	Host     string        `required:"" help:"Host of the requests."`
+	Path     string        `default:"/" help:"Path of the requests."`
+	Method   string        `default:"GET" help:"Method of the requests."`
+	Service  string        `required:"" help:"Service whose responses are expected."`
+	Rate     float64       `default:"20" help:"Requests per second."`
+	Duration time.Duration `name:"for" default:"5s" help:"How long to send."`
 }
 
 // Run sends requests and prints how many had which outcome.
 func (c clientCmd) Run() error {
 	results := &client.ResultLog{}
-	ctx, cancel := context.WithTimeout(context.Background(), c.For)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Duration)
 	defer cancel()
 	client.Run(ctx, client.Options{
 		Name:        "caller",
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -17,20 +17,20 @@
 )
 
 // app is the command line.
-var app struct {
-	Bin        string        `default:"bin/cottonarch" help:"The cottonarch program."`
-	Old        string        `help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
-	Deployment string        `default:"prairie" help:"prairie or volta."`
-	Sidecars   int           `help:"So many sidecars instead of the deployment's own number, with endpoints in proportion; the rates stay."`
-	For        time.Duration `default:"120s" help:"How long the traffic runs."`
-	Faults     []string      `help:"Faults to inject in turn; all for every one; none if not given."`
-	Every      time.Duration `default:"3s" help:"Pause between faults."`
-	Overlap    []string      `help:"Faults to inject in turn beside the others; they must not act on the same processes."`
-	Leave      float64       `help:"Share of the requests whose clients close the connection before a response, 0 to 1."`
-	Long       float64       `help:"Share of the requests that take 1.8 s, 0 to 1."`
-	Seed       uint64        `default:"1" help:"Seed of the random choices."`
-	Scale      float64       `default:"1" help:"Factor of the deployment's rates."`
-	Keep       bool          `help:"Keep settings files, logs and data."`
+var flags struct {
+	Binary            string        `name:"bin" default:"bin/cottonarch" help:"The cottonarch program."`
+	OldBinary         string        `name:"old" help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
+	Deployment        string        `default:"prairie" help:"prairie or volta."`
+	Sidecars          int           `help:"So many sidecars instead of the deployment's own number, with endpoints in proportion; the rates stay."`
+	Duration          time.Duration `name:"for" default:"120s" help:"How long the traffic runs."`
+	Faults            []string      `help:"Faults to inject in turn; all for every one; none if not given."`
+	FaultInterval     time.Duration `name:"every" default:"3s" help:"Pause between faults."`
+	OverlappingFaults []string      `name:"overlap" help:"Faults to inject in turn beside the others; they must not act on the same processes."`
+	AbandonShare      float64       `name:"leave" help:"Share of the requests whose clients close the connection before a response, 0 to 1."`
+	LongShare         float64       `name:"long" help:"Share of the requests that take 1.8 s, 0 to 1."`
+	Seed              uint64        `default:"1" help:"Seed of the random choices."`
+	Scale             float64       `default:"1" help:"Factor of the deployment's rates."`
+	KeepFiles         bool          `name:"keep" help:"Keep settings files, logs and data."`
 }
 
 // maxSidecars bounds --sidecars: their addresses are of one subnet.
@@ -39,40 +39,40 @@
 // validate checks the command line; the failure names every fault.
 func validate(faults []string) *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
-	add := func(path, format string, args ...any) {
+	addFault := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
-	if _, ok := scenario.Deployments[app.Deployment]; !ok {
-		add("deployment", "there is no deployment %q; known: prairie, volta", app.Deployment)
+	if _, ok := scenario.Deployments[flags.Deployment]; !ok {
+		addFault("deployment", "there is no deployment %q; known: prairie, volta", flags.Deployment)
 	}
-	for _, name := range append(slices.Clone(faults), app.Overlap...) {
+	for _, name := range append(slices.Clone(faults), flags.OverlappingFaults...) {
 		if run.Faults[name] == nil {
-			add("faults", "there is no fault %q; known: all, %s", name, strings.Join(run.FaultNames(), ", "))
+			addFault("faults", "there is no fault %q; known: all, %s", name, strings.Join(run.FaultNames(), ", "))
 		}
 	}
-	if app.Sidecars < 0 || app.Sidecars > maxSidecars {
-		add("sidecars", "must be from 0 to %d", maxSidecars)
+	if flags.Sidecars < 0 || flags.Sidecars > maxSidecars {
+		addFault("sidecars", "must be from 0 to %d", maxSidecars)
 	}
-	if app.For < 20*time.Second || app.For > time.Hour {
-		add("for", "must be from 20s to 1h")
+	if flags.Duration < 20*time.Second || flags.Duration > time.Hour {
+		addFault("for", "must be from 20s to 1h")
 	}
-	if app.Leave < 0 || app.Leave > 1 {
-		add("leave", "must be from 0 to 1")
+	if flags.AbandonShare < 0 || flags.AbandonShare > 1 {
+		addFault("leave", "must be from 0 to 1")
 	}
-	if app.Long < 0 || app.Long > 1 {
-		add("long", "must be from 0 to 1")
+	if flags.LongShare < 0 || flags.LongShare > 1 {
+		addFault("long", "must be from 0 to 1")
 	}
-	if app.Every < 0 || app.Every > app.For {
-		add("every", "must be from 0s to the length of the run")
+	if flags.FaultInterval < 0 || flags.FaultInterval > flags.Duration {
+		addFault("every", "must be from 0s to the length of the run")
 	}
-	if app.Scale < 0.01 || app.Scale > 100 {
-		add("scale", "must be from 0.01 to 100")
+	if flags.Scale < 0.01 || flags.Scale > 100 {
+		addFault("scale", "must be from 0.01 to 100")
 	}
-	if _, err := os.Stat(app.Bin); err != nil {
-		add("bin", "%v", err)
+	if _, err := os.Stat(flags.Binary); err != nil {
+		addFault("bin", "%v", err)
 	}
-	if _, err := os.Stat(app.Old); app.Old != "" && err != nil {
-		add("old", "%v", err)
+	if _, err := os.Stat(flags.OldBinary); flags.OldBinary != "" && err != nil {
+		addFault("old", "%v", err)
 	}
 	if len(invalid.Faults) > 0 {
 		return invalid
@@ -87,7 +87,7 @@
 )
 
 func main() {
-	parser := kong.Parse(&app,
+	parser := kong.Parse(&flags,
 		kong.Name("fleet"),
 		kong.Description("Runs a deployment as real processes and checks it against the invariants."),
 		kong.Exit(func(code int) {
@@ -96,7 +96,7 @@
 			}
 			os.Exit(code)
 		}))
-	faults := app.Faults
+	faults := flags.Faults
 	if len(faults) == 1 && faults[0] == "all" {
 		faults = run.FaultNames()
 	}
@@ -107,7 +107,7 @@
 	dir, err := os.MkdirTemp("", "fleet")
 	parser.FatalIfErrorf(err)
 	code := runFleet(dir, faults)
-	if app.Keep || code != 0 {
+	if flags.KeepFiles || code != 0 {
 		fmt.Println("settings files and logs:", dir)
 	} else {
 		_ = os.RemoveAll(dir)
@@ -118,20 +118,20 @@
 // runFleet runs the deployment in a folder, prints the report and returns the exit code.
 func runFleet(dir string, faults []string) int {
 	fleet, err := run.Start(run.Options{
-		Binary:        app.Bin,
-		OldBinary:     app.Old,
+		Binary:        flags.Binary,
+		OldBinary:     flags.OldBinary,
 		Dir:           dir,
-		Deployment:    scenario.Deployments[app.Deployment].WithSidecars(app.Sidecars),
-		Duration:      app.For,
+		Deployment:    scenario.Deployments[flags.Deployment].WithSidecars(flags.Sidecars),
+		Duration:      flags.Duration,
 		Faults:        faults,
-		FaultInterval: app.Every,
+		FaultInterval: flags.FaultInterval,
 
-		OverlappingFaults: app.Overlap,
-		LeaveShare:        app.Leave,
-		LongShare:         app.Long,
+		OverlappingFaults: flags.OverlappingFaults,
+		LeaveShare:        flags.AbandonShare,
+		LongShare:         flags.LongShare,
 
-		Seed:  app.Seed,
-		Scale: app.Scale,
+		Seed:  flags.Seed,
+		Scale: flags.Scale,
 		Logf:  func(format string, args ...any) { fmt.Printf(format+"\n", args...) },
 	})
 	if fleet != nil {
--- a/cmd/idlecost/main.go
+++ b/cmd/idlecost/main.go
@@ -12,7 +12,7 @@
 )
 
 // app is the command line. Flags that have an alias were renamed; the alias is the old name.
-var app struct {
+var flags struct {
 	Binary            string        `name:"bin" required:"" help:"The cottonarch program."`
 	Cores             int           `default:"3" help:"How many cores."`
 	Sidecars          int           `name:"sidecars" aliases:"sides" default:"9" help:"How many sidecars."`
@@ -27,19 +27,19 @@
 }
 
 func main() {
-	k := kong.Parse(&app, kong.Name("idlecost"), kong.Description("Measures what an idle deployment costs."))
+	k := kong.Parse(&flags, kong.Name("idlecost"), kong.Description("Measures what an idle deployment costs."))
 	report, err := idlecost.Measure(idlecost.Options{
-		Binary:            app.Binary,
-		Cores:             app.Cores,
-		Sidecars:          app.Sidecars,
-		Zones:             app.Zones,
-		Voters:            app.Voters,
-		Keys:              app.Keys,
-		Settle:            app.Settle,
-		Window:            app.Window,
-		HeartbeatInterval: app.HeartbeatInterval,
-		VaryLoad:          app.VaryLoad,
-		ProfileDir:        app.Profile,
+		Binary:            flags.Binary,
+		Cores:             flags.Cores,
+		Sidecars:          flags.Sidecars,
+		Zones:             flags.Zones,
+		Voters:            flags.Voters,
+		Keys:              flags.Keys,
+		Settle:            flags.Settle,
+		Window:            flags.Window,
+		HeartbeatInterval: flags.HeartbeatInterval,
+		VaryLoad:          flags.VaryLoad,
+		ProfileDir:        flags.Profile,
 	})
 	k.FatalIfErrorf(err)
 	fmt.Print(report.Text())
