--- a/cmd/cottonarch/apply.go
+++ b/cmd/cottonarch/apply.go
@@ -9,6 +9,7 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
+// applyCmd applies a configuration or a patch.
 type applyCmd struct {
 	target
 	Patch bool   `aliases:"part" help:"The file is a patch, merged into the newest configuration; null removes a field."`
@@ -16,11 +17,11 @@
 	File  string `arg:"" help:"Configuration file, - for standard input."`
 }
 
-// Run applies a configuration and prints the response.
+// Run sends the configuration or patch to the core and prints the response.
 func (c applyCmd) Run() error {
 	raw, err := readFileOrStdin(c.File)
 	if err != nil {
-		return failure.Wrap(err, failure.Malformed, "configuration")
+		return failure.Wrap(err, failure.Malformed, "can't read the configuration")
 	}
 	query := ""
 	if c.Base != nil {
@@ -33,7 +34,7 @@
 	return c.print(method, "/manifest"+query, raw)
 }
 
-// readInput reads a file, or standard input if it is named -.
+// readFileOrStdin reads a file, or standard input if the name of the file is -.
 func readFileOrStdin(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
@@ -41,7 +42,8 @@
 	return os.ReadFile(file)
 }
 
+// showCmd shows the configuration of a core or a sidecar.
 type showCmd struct{ target }
 
-// Run prints a configuration.
+// Run fetches and prints the configuration.
 func (c showCmd) Run() error { return c.print(http.MethodGet, "/manifest", nil) }
--- a/cmd/cottonarch/audit.go
+++ b/cmd/cottonarch/audit.go
@@ -10,6 +10,7 @@
 	"cottonarch.example/cottonarch/control/audit/tree"
 )
 
+// auditCmd verifies the audit log of configurations.
 type auditCmd struct {
 	target
 	OldCheckpointFile string `name:"old" help:"File with an older checkpoint that the log must continue." type:"existingfile"`
@@ -17,7 +18,7 @@
 	PrintLeaves       bool   `name:"leaves" help:"Print the leaves of the log's Merkle tree too."`
 }
 
-// Run fetches the audit log, verifies it and prints its checkpoint.
+// Run fetches and verifies the audit log, and prints the checkpoint of the log.
 func (c auditCmd) Run() error {
 	data, err := c.request(http.MethodGet, "/audit", nil)
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	var log tree.Log
 	if err := json.Unmarshal(data, &log); err != nil {
-		return failure.Wrap(err, failure.BadResponse, "audit")
+		return failure.Wrap(err, failure.BadResponse, "can't decode the audit log")
 	}
 	oldCheckpoint, err := c.readOldCheckpoint()
 	if err != nil {
@@ -36,7 +37,7 @@
 	}
 	if c.SaveFile != "" {
 		if err := os.WriteFile(c.SaveFile, []byte(log.Checkpoint), 0o644); err != nil {
-			return failure.Wrap(err, failure.Internal, "save")
+			return failure.Wrap(err, failure.Internal, "can't save the checkpoint")
 		}
 	}
 	if c.PrintLeaves {
@@ -48,14 +49,14 @@
 	return nil
 }
 
-// oldCheckpoint reads the older checkpoint, "" if none is given.
+// readOldCheckpoint reads the older checkpoint. The result is "" if no file is given.
 func (c auditCmd) readOldCheckpoint() (string, error) {
 	if c.OldCheckpointFile == "" {
 		return "", nil
 	}
 	raw, err := os.ReadFile(c.OldCheckpointFile)
 	if err != nil {
-		return "", failure.Wrap(err, failure.Malformed, "old checkpoint")
+		return "", failure.Wrap(err, failure.Malformed, "can't read the old checkpoint")
 	}
 	return string(raw), nil
 }
--- a/cmd/cottonarch/capacity.go
+++ b/cmd/cottonarch/capacity.go
@@ -13,27 +13,29 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
+// capacityCmd measures the cost of growing meshes and extrapolates to a larger mesh.
 type capacityCmd struct {
 	Sizes         []int         `default:"5,10,20,40" help:"Numbers of nodes to measure, each at least double the last."`
 	Workloads     []string      `name:"loads" default:"steady,leave,manifest,restart,walk" help:"What to measure: all, or some of ${loads}. Steady heartbeats are always measured."`
-	Window        time.Duration `name:"for" default:"3s" help:"How long each measurement is; as long lies between two of them."`
+	Window        time.Duration `name:"for" default:"3s" help:"Length of each measurement, and of the pause between two measurements."`
 	OutDir        string        `name:"out" default:"capacity-out" help:"Folder for the figures, tables and plots." type:"path"`
-	Target        string        `help:"File with the size to extrapolate to and its budgets; the users' if not given." type:"path"`
+	Target        string        `help:"File with the size to extrapolate to and the budgets for that size; the users' target if not given." type:"path"`
 	PageFile      string        `name:"page" help:"A page whose tables are replaced between its capacity markers." type:"path"`
 	EarlierResult string        `name:"from" help:"Write tables, plots and page from an earlier run's figures, and measure nothing." type:"path"`
 	TimeLimit     time.Duration `name:"limit" default:"170s" help:"How long the whole run may take; what does not fit is left out and listed."`
-	DiskDir       string        `name:"disks" help:"Folder for the cores' disk folders; the system's temporary one if not given." type:"path"`
+	DiskDir       string        `name:"disks" help:"Folder for the cores' data folders; the system's temporary folder if not given." type:"path"`
 	MemoryLimit   float64       `name:"memory" help:"Bytes that all processes together may take; half of the machine's if not given."`
-	Commit        string        `help:"Commit that this program was built from, where the build does not hold it."`
+	Commit        string        `help:"Commit that this program was built from, for builds that do not record the commit."`
 	MaxProcesses  int           `aliases:"most" default:"300" help:"How many processes there may be at once."`
 }
 
+// capacityProcessCmd is the hidden command with which capacityCmd starts the processes of a mesh.
 type capacityProcessCmd struct{}
 
-// Run runs one process of a measured mesh.
+// Run runs one process of a measured mesh, controlled by commands on standard input.
 func (capacityProcessCmd) Run() error { return process.Run(os.Stdin, os.Stdout) }
 
-// Run measures, or reads an earlier result, and writes the report.
+// Run measures, or reads the result of an earlier run, and writes the report.
 func (c capacityCmd) Run() error {
 	if c.EarlierResult != "" {
 		result, err := report.ReadResult(c.EarlierResult)
@@ -53,7 +55,7 @@
 	return c.writeReport(result)
 }
 
-// options reads the target and gives the flags as a measurement takes them.
+// options reads the target file and converts the flags to the options of a measurement.
 func (c capacityCmd) options() (run.Options, error) {
 	target, err := plan.Read(c.Target)
 	if err != nil {
@@ -61,7 +63,7 @@
 	}
 	executable, err := os.Executable()
 	if err != nil {
-		return run.Options{}, failure.Wrap(err, failure.Internal, "own program")
+		return run.Options{}, failure.Wrap(err, failure.Internal, "can't find the path of this program")
 	}
 	options := run.Options{
 		ProcessCommand: []string{executable, "capacity-part"},
@@ -91,10 +93,10 @@
 	return options, nil
 }
 
-// logf prints progress to standard error.
+// logProgress prints a line of progress to standard error.
 func logProgress(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 
-// write writes the report and the page, and prints the tables.
+// writeReport writes the report, updates the page if one is given, and prints the tables.
 func (c capacityCmd) writeReport(result *run.Result) error {
 	text, err := report.Write(result, c.OutDir)
 	if err != nil {
--- a/cmd/cottonarch/core.go
+++ b/cmd/cottonarch/core.go
@@ -9,14 +9,16 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// coreLeaveTimeout bounds how long a core that stops waits for its part in operations to end.
+// coreLeaveTimeout bounds how long a stopping core waits for the operations that it takes part in.
 const coreLeaveTimeout = 10 * time.Second
 
+// coreCmd runs a core.
 type coreCmd struct{ settingsFlags }
 
-// Run runs a core.
+// Run reads the settings and runs a core until the process is told to stop.
 func (c coreCmd) Run() error { return startDaemon(c.settingsFlags, settings.ReadCore, runCore) }
 
+// runCore runs a core with the given settings until the process is told to stop.
 func runCore(config settings.Core, log *zap.Logger) error {
 	core, meshServer, err := daemon.Core(config, log)
 	if err != nil {
--- a/cmd/cottonarch/daemon.go
+++ b/cmd/cottonarch/daemon.go
@@ -15,25 +15,26 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// stopTimeout bounds the stop of each server of a daemon.
+// stopTimeout bounds how long the servers of a daemon may take to stop.
 const stopTimeout = 30 * time.Second
 
-// settingsFlags are the flags of a daemon; -b is short for --boot, the old name of --settings.
+// settingsFlags are the flags of a daemon. The short flag -b comes from --boot, the deprecated name of
+// --settings.
 type settingsFlags struct {
 	Settings       string `name:"settings" aliases:"boot" short:"b" help:"Settings file (JSON)." type:"path"`
 	settings.Flags `embed:""`
 	Check          bool `help:"Check the settings and end."`
 }
 
-// newLogger makes the logger of a daemon, which writes JSON to standard error.
+// newLogger returns the logger of a daemon, which writes JSON to standard error.
 func newLogger() (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	c.DisableCaller, c.DisableStacktrace, c.Sampling = true, true, nil
 	return c.Build()
 }
 
-// startDaemon reads and checks the settings, makes the logger and runs the daemon. The settings are
-// read from the JSON object of the file, overridden by the flags.
+// startDaemon reads and validates the settings, creates the logger and runs the daemon. The flags
+// override the settings in the JSON object of the settings file.
 func startDaemon[T any](
 	f settingsFlags,
 	read func(map[string]any) (T, *failure.Error),
@@ -50,8 +51,8 @@
 	return runUnlessCheck(f.Check, func(log *zap.Logger) error { return runDaemon(config, log) })
 }
 
-// runUnlessCheck runs a daemon whose settings are valid with a new logger, or only reports that
-// they are if checkOnly is set.
+// runUnlessCheck runs a daemon with a new logger. If checkOnly is set, runUnlessCheck only reports
+// that the settings, which the caller has validated, are valid.
 func runUnlessCheck(checkOnly bool, runDaemon func(*zap.Logger) error) error {
 	if checkOnly {
 		fmt.Println("the settings are valid")
@@ -59,14 +60,14 @@
 	}
 	log, err := newLogger()
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "log")
+		return failure.Wrap(err, failure.Internal, "can't create the logger")
 	}
 	defer func() { _ = log.Sync() }()
 	return runDaemon(log)
 }
 
-// serve runs the servers until the process gets SIGTERM or SIGINT. It calls leave before it stops
-// them.
+// serve runs the servers until the process receives SIGTERM or SIGINT. Before serve stops the servers,
+// serve calls leave.
 func serve(log *zap.Logger, name string, leave func(), servers ...*server.Server) error {
 	transports := make([]transport.Server, 0, len(servers))
 	for _, s := range servers {
--- a/cmd/cottonarch/deployment.go
+++ b/cmd/cottonarch/deployment.go
@@ -11,10 +11,10 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// deploymentKeys is how many keys the applications of a deployment use.
+// deploymentKeys is the number of keys that the applications of a deployment use.
 const deploymentKeys = 300
 
-// The fields of a deployment file that were renamed, with their old names, which are still read.
+// The renamed fields of a deployment file and their deprecated names, which are still accepted.
 const (
 	fieldZones             = "zones"
 	oldFieldZones          = "districts"
@@ -22,14 +22,15 @@
 	oldFieldConfigInterval = "manifestEveryS"
 )
 
-// readDeployment finds a deployment by name, or reads it from a file.
+// readDeployment returns the built-in deployment with the given name, or reads a deployment from the
+// file with that name.
 func readDeployment(name string) (scenario.Deployment, *failure.Error) {
 	if deployment, ok := scenario.Deployments[name]; ok {
 		return deployment, nil
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
-		return scenario.Deployment{}, failure.New(failure.BadSettings, "deployment %q is neither prairie, volta nor a file", name)
+		return scenario.Deployment{}, failure.New(failure.BadSettings, "deployment %q is neither prairie nor volta nor a readable file: %v", name, err)
 	}
 	tree, fail := decode.Parse(raw)
 	if fail != nil {
@@ -41,7 +42,8 @@
 	return deployment, faults.Err(failure.BadSettings)
 }
 
-// decodeDeployment reads a deployment; name is that of one without a name of its own.
+// decodeDeployment decodes and validates a deployment. A deployment without a name field gets the
+// given name.
 func decodeDeployment(node decode.Object, name string) scenario.Deployment {
 	node.RejectUnknown("name", "cores", "moreCores", "sidecars", fieldZones, oldFieldZones, "services", "requests",
 		"rate", "locks", "coordination", fieldConfigInterval, oldFieldConfigInterval)
@@ -60,31 +62,32 @@
 		ConfigInterval:   time.Duration(node.Float(configInterval, 3, 0.1, 3600) * float64(time.Second)),
 	}
 	if deployment.Cores%2 == 0 {
-		node.Fault("cores", "an odd number of cores forms the first membership")
+		node.Fault("cores", "must be odd: the initial membership needs an odd number of cores")
 	}
 	deployment.Services = decodeServices(node.Child("services"))
 	deployment.RequestKinds = decodeRequestKinds(node.Child("requests"), deployment.Services)
 	if len(deployment.Services) == 0 {
-		node.Fault("services", "at least one service")
+		node.Fault("services", "must contain at least one service")
 	}
 	if len(deployment.RequestKinds) == 0 {
-		node.Fault("requests", "at least one kind of request")
+		node.Fault("requests", "must contain at least one kind of request")
 	}
 	return deployment
 }
 
-// renamedField is the name under which a renamed field is given.
+// renamedField returns the name under which a renamed field is present in a file: the deprecated name
+// if the file has that field, otherwise the current name. Both names in one file are a fault.
 func renamedField(node decode.Object, name, old string) string {
 	if !node.Has(old) {
 		return name
 	}
 	if node.Has(name) {
-		node.Fault(old, "is the old name of %s, which is given too", name)
+		node.Fault(old, "is the deprecated name of %s, which is also present", name)
 	}
 	return old
 }
 
-// decodeServices reads the services, by name.
+// decodeServices decodes the services. The names of the fields are the names of the services.
 func decodeServices(node decode.Object) (services []scenario.Service) {
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
@@ -98,7 +101,7 @@
 	return services
 }
 
-// decodeRequestKinds reads the kinds of request, each of which goes to one of the services.
+// decodeRequestKinds decodes the kinds of requests. Each kind must name one of the services.
 func decodeRequestKinds(node decode.Object, services []scenario.Service) (kinds []world.RequestKind) {
 	for _, name := range node.FieldNames() {
 		field := node.Child(name)
@@ -116,7 +119,7 @@
 			}
 		}
 		if kind.Host == "" {
-			field.Fault("service", "there is no service %q", kind.Service)
+			field.Fault("service", "service %q is not defined in this deployment", kind.Service)
 		}
 		kinds = append(kinds, kind)
 	}
--- a/cmd/cottonarch/deployment_test.go
+++ b/cmd/cottonarch/deployment_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A deployment file with the field names of earlier releases describes the same deployment as the
-// sample, which bears the present ones.
+// A deployment file with the field names of earlier releases yields the same deployment as the sample
+// file, which has the current field names.
 func TestDeploymentFileWithOldFieldNames(t *testing.T) {
 	old, fail := readDeployment("testdata/old-deployment.json")
 	must.Nil(t, fail)
--- a/cmd/cottonarch/deprecated.go
+++ b/cmd/cottonarch/deprecated.go
@@ -8,13 +8,15 @@
 	"go.uber.org/zap"
 )
 
-// deprecatedName is an old name that a command line uses, and the name that replaces it.
+// deprecatedName is a deprecated name that a command line uses, and the name that replaces the
+// deprecated one.
 type deprecatedName struct{ old, replacement string }
 
-// renamedActions are the old names of actions that a command takes as its first argument.
+// renamedActions maps the deprecated names of actions to the current names. An action is the first
+// argument of a command.
 var renamedActions = map[string]string{"back": actionRollback, "claim": actionAcquire, "pass": actionTransfer}
 
-// deprecatedNames lists the old names of commands, flags and actions that a command line uses.
+// deprecatedNames returns the deprecated names of commands, flags and actions that a command line uses.
 func deprecatedNames(command *kong.Context) []deprecatedName {
 	var found []deprecatedName
 	for node := command.Selected(); node != nil; node = node.Parent {
@@ -39,13 +41,15 @@
 	return found
 }
 
+// usesFlag returns whether the arguments contain the flag with the given name, with or without a
+// value.
 func usesFlag(args []string, name string) bool {
 	return slices.ContainsFunc(args, func(arg string) bool {
 		return arg == "--"+name || strings.HasPrefix(arg, "--"+name+"=")
 	})
 }
 
-// currentAction is the present name of an action.
+// currentAction returns the current name of an action, which may be given by the deprecated name.
 func currentAction(action string) string {
 	if renamed, ok := renamedActions[action]; ok {
 		return renamed
@@ -53,7 +57,7 @@
 	return action
 }
 
-// warnDeprecated logs the old names that a command line uses.
+// warnDeprecated logs a warning for each deprecated name that a command line uses.
 func warnDeprecated(command *kong.Context) {
 	found := deprecatedNames(command)
 	if len(found) == 0 {
@@ -65,6 +69,6 @@
 	}
 	defer func() { _ = log.Sync() }()
 	for _, name := range found {
-		log.Warn("a name on the command line is deprecated", zap.String("old", name.old), zap.String("new", name.replacement))
+		log.Warn("the command line uses a deprecated name", zap.String("old", name.old), zap.String("new", name.replacement))
 	}
 }
--- a/cmd/cottonarch/deprecated_test.go
+++ b/cmd/cottonarch/deprecated_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// parse parses a command line and lists the old names that it uses.
+// parseCommandLine parses a command line and returns the deprecated names that the command line uses.
 func parseCommandLine(t *testing.T, args ...string) (commandLine, []deprecatedName) {
 	var line commandLine
 	parser, err := newParser(&line)
@@ -16,7 +16,8 @@
 	return line, deprecatedNames(command)
 }
 
-// Every old name is read as the new one is, and only the old one is reported.
+// A command line with a deprecated name is parsed to the same value as one with the current name, and
+// only the deprecated name is reported.
 func TestDeprecatedNamesAreAcceptedAndReported(t *testing.T) {
 	endpoint := []string{"endpoint", "--server=e", "--service=s", "--address=a", "--sidecar=b"}
 	client := []string{"--address=a", "--host=h", "--service=s"}
@@ -71,7 +72,7 @@
 	}
 }
 
-// The old names of actions stand for the new ones.
+// The deprecated name of an action is accepted, reported and converted to the current name.
 func TestDeprecatedActionsAreAcceptedAndReported(t *testing.T) {
 	for old, current := range renamedActions {
 		command := "lock"
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -13,28 +13,29 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// allHeld is printed when no rule was broken.
-const noViolationsText = "all held"
+// noViolationsText is printed if no rule was broken.
+const noViolationsText = "every rule held"
 
+// exploreCmd runs the model checker, or replays a trace of the model checker.
 type exploreCmd struct {
-	Model      string         `default:"all" enum:"register,membership,configuration,locks,all" help:"What is explored: ${enum}."`
-	Members    int            `default:"3" help:"Members of the first membership, 3 to 5."`
-	Keys       int            `default:"2" help:"Control keys."`
-	Operators  int            `default:"2" help:"Clients that call at the same time."`
+	Model      string         `default:"all" enum:"register,membership,configuration,locks,all" help:"Model to explore: ${enum}."`
+	Members    int            `default:"3" help:"Number of members of the initial membership, 3 to 5."`
+	Keys       int            `default:"2" help:"Number of control keys."`
+	Operators  int            `default:"2" help:"Number of concurrent clients."`
 	Depth      int            `default:"40" help:"Longest run of the breadth-first search, in choices."`
-	States     int            `default:"20000" help:"States that the breadth-first search of one model remembers."`
+	States     int            `default:"20000" help:"Maximum number of states that the breadth-first search of one model remembers."`
 	Faults     map[string]int `help:"Numbers of faults, in place of the models' own, such as crash=1;late=2. Known: ${explore_faults}."`
-	Walks      int            `default:"500" help:"Guided random walks after it."`
-	Steps      int            `default:"80" help:"Choices of a walk."`
+	Walks      int            `default:"500" help:"Number of guided random walks after the breadth-first search."`
+	Steps      int            `default:"80" help:"Number of choices in each walk."`
 	Seed       uint64         `default:"1" help:"Seed of the walks."`
 	TimeLimit  time.Duration  `name:"for" default:"0s" help:"Stop after this time; what was explored then depends on the machine. 0 sets no limit."`
 	Ring       bool           `help:"Write to the daemon's ring, which is slower."`
-	Mutant     string         `name:"break" help:"Break a rule on purpose (a mutant), to see it found. Known: ${explore_breaks}."`
+	Mutant     string         `name:"break" help:"Break a rule on purpose (a mutant), to check that the violation is found. Known: ${explore_breaks}."`
 	TraceFile  string         `name:"trace" help:"Write the trace of the run that broke a rule to this file." type:"path"`
-	ReplayFile string         `name:"replay" help:"Replay such a trace instead." type:"path"`
+	ReplayFile string         `name:"replay" help:"Replay the trace in this file instead of exploring." type:"path"`
 }
 
-// exploreVars are the names that the help of explore lists.
+// exploreVars returns the names of faults and mutants that the help text of explore lists.
 func exploreVars() kong.Vars {
 	var faults []string
 	for _, f := range cluster.Faults() {
@@ -43,7 +44,7 @@
 	return kong.Vars{"explore_faults": strings.Join(faults, ", "), "explore_breaks": strings.Join(explore.MutantNames(), ", ")}
 }
 
-// Run explores, or replays a trace.
+// Run explores the models, or replays a trace. A broken rule is returned as a failure.
 func (c exploreCmd) Run() error {
 	if c.ReplayFile != "" {
 		return c.replay()
@@ -61,13 +62,13 @@
 	}
 	if c.TraceFile != "" {
 		if err := os.WriteFile(c.TraceFile, last.Trace().Encode(), 0o644); err != nil {
-			return failure.New(failure.BadSettings, "can't write the trace: %v", err)
+			return failure.New(failure.BadSettings, "can't write the trace file: %v", err)
 		}
 	}
 	return failure.New(failure.Conflict, "%s", last.Violation)
 }
 
-// options are the flags as the model checker takes them.
+// options converts the flags to the options of the model checker.
 func (c exploreCmd) options() explore.Options {
 	options := explore.Options{
 		Model:     explore.Model(c.Model),
@@ -97,7 +98,7 @@
 func (c exploreCmd) replay() error {
 	raw, err := os.ReadFile(c.ReplayFile)
 	if err != nil {
-		return failure.New(failure.BadSettings, "can't read the trace: %v", err)
+		return failure.New(failure.BadSettings, "can't read the trace file: %v", err)
 	}
 	trace, fail := explore.Decode(raw)
 	if fail != nil {
--- a/cmd/cottonarch/main.go
+++ b/cmd/cottonarch/main.go
@@ -1,4 +1,5 @@
-// Command cottonarch is the one program of the mesh; the role is a subcommand.
+// Command cottonarch runs the daemons of the mesh, the simulator, the model checker and the operators'
+// client, each as a subcommand.
 package main
 
 import (
@@ -13,14 +14,14 @@
 	"cottonarch.example/cottonarch/sim/scenario"
 )
 
-// The exit codes. A rule that a simulation or exploration finds broken is a failure too.
+// The exit codes. A rule violation found by a simulation or an exploration is a failure too.
 const (
 	exitFailure  = 1
 	exitBadInput = 2
 )
 
-// commandLine is what the command line may hold. A flag or command that has an alias was renamed;
-// the alias is its old name and is still read in this release.
+// commandLine defines the commands. A flag or command that has an alias was renamed; the alias is the
+// deprecated name, which this release still accepts.
 type commandLine struct {
 	Core     coreCmd            `cmd:"" help:"Run a core: control state on disk, the registry, coordination."`
 	Sidecar  sidecarCmd         `cmd:"" help:"Run a sidecar: the proxy beside an application."`
@@ -29,12 +30,12 @@
 	Explore  exploreCmd         `cmd:"" help:"Check the control plane's steps over all orders of messages and faults up to a bound; ends with 1 when a rule is broken."`
 	Endpoint endpointCmd        `cmd:"" help:"Run a stand-in endpoint."`
 	Client   clientCmd          `cmd:"" aliases:"caller" help:"Run stand-in clients and print the outcomes of their requests."`
-	Capacity capacityCmd        `cmd:"" help:"Measure what a mesh costs as it grows, and what that says of a larger one."`
-	Process  capacityProcessCmd `cmd:"" hidden:"" name:"capacity-part" help:"One process of a measured mesh; reads commands from its input."`
+	Capacity capacityCmd        `cmd:"" help:"Measure the resource usage of meshes of growing size, and extrapolate to a larger mesh."`
+	Process  capacityProcessCmd `cmd:"" hidden:"" name:"capacity-part" help:"One process of a measured mesh; reads commands from standard input."`
 	operatorCmds
 }
 
-// operatorCmds call a running core or sidecar.
+// operatorCmds are the commands that call a running core or sidecar.
 type operatorCmds struct {
 	Apply   applyCmd   `cmd:"" help:"Apply a configuration, or a patch of the newest one, at a core."`
 	Show    showCmd    `cmd:"" help:"Show the newest confirmed configuration (core) or the one in force (sidecar)."`
@@ -47,7 +48,7 @@
 	Watch   watchCmd   `cmd:"" help:"Follow changes of the keys with a prefix."`
 }
 
-// newParser makes the parser of a command line.
+// newParser returns a parser that stores the values of a command line in line.
 func newParser(line *commandLine) (*kong.Kong, error) {
 	return kong.New(line,
 		kong.Name("cottonarch"),
@@ -61,7 +62,7 @@
 		},
 		kong.Exit(func(code int) {
 			if code != 0 && code != exitFailure {
-				code = exitBadInput // a wrong command line is bad input too
+				code = exitBadInput // an invalid command line counts as bad input
 			}
 			os.Exit(code)
 		}))
@@ -83,7 +84,7 @@
 	}
 }
 
-// exitCode is the code that the program ends with after a failure.
+// exitCode returns the exit code of the program for a failure.
 func exitCode(fail *failure.Error) int {
 	if fail.Kind == failure.BadSettings {
 		return exitBadInput
--- a/cmd/cottonarch/platform.go
+++ b/cmd/cottonarch/platform.go
@@ -6,11 +6,12 @@
 	"cottonarch.example/cottonarch/platform"
 )
 
+// platformCmd runs a daemon with the settings file of the platform.
 type platformCmd struct {
 	Check bool `help:"Check the settings file and end."`
 }
 
-// Run runs the role that the platform's settings file gives.
+// Run runs a core or a sidecar, as the platform's settings file says.
 func (c platformCmd) Run() error {
 	loaded, fail := platform.Load()
 	if fail != nil {
--- a/cmd/cottonarch/rollout.go
+++ b/cmd/cottonarch/rollout.go
@@ -2,8 +2,10 @@
 
 import "net/http"
 
+// actionRollback is the action of rolloutCmd that has a deprecated name.
 const actionRollback = "rollback"
 
+// rolloutCmd begins, reads or rolls back a rollout.
 type rolloutCmd struct {
 	target
 	Action          string  `arg:"" enum:"begin,read,rollback,back" help:"begin, read or rollback."`
@@ -22,7 +24,7 @@
 	To              string  `json:"to"`
 }
 
-// Run begins, reads or rolls back a rollout, and prints its state.
+// Run begins, reads or rolls back the rollout of a route, and prints the state of the rollout.
 func (c rolloutCmd) Run() error {
 	methods := map[string]string{"begin": http.MethodPost, "read": http.MethodGet, actionRollback: http.MethodDelete}
 	return c.printJSON(methods[currentAction(c.Action)], "/rollouts/"+c.Route, rolloutRequest{c.MaxFailureShare, c.StepSeconds, c.Steps, c.To})
--- a/cmd/cottonarch/sidecar.go
+++ b/cmd/cottonarch/sidecar.go
@@ -7,13 +7,15 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
+// sidecarCmd runs a sidecar.
 type sidecarCmd struct{ settingsFlags }
 
-// Run runs a sidecar.
+// Run reads the settings and runs a sidecar until the process is told to stop.
 func (c sidecarCmd) Run() error {
 	return startDaemon(c.settingsFlags, settings.ReadSidecar, runSidecar)
 }
 
+// runSidecar runs a sidecar with the given settings until the process is told to stop.
 func runSidecar(config settings.Sidecar, log *zap.Logger) error {
 	sidecar, meshServer, clientServer := daemon.Sidecar(config, log)
 	sidecar.Start()
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// maxSeeds is the most seeds of one command.
+	// maxSeeds is the maximum number of seeds of one command.
 	maxSeeds = 100000
-	// parallelSimulations is how many seeds are simulated at once.
+	// parallelSimulations is the number of seeds that are simulated concurrently.
 	parallelSimulations = 8
 )
 
+// simulateCmd simulates a deployment under faults.
 type simulateCmd struct {
 	Deployment      string        `default:"prairie" help:"prairie, volta, or a file that describes one (see docs/simulate.md)."`
 	Seed            uint64        `default:"1" help:"Seed; the same seed gives the same bytes."`
@@ -28,7 +29,7 @@
 	Faults          []string      `help:"Faults to draw from, or none; all if not given. Known: ${faults}."`
 	Schedule        []string      `name:"at" help:"A schedule instead: fault@time, such as core-kill@5s."`
 	FaultInterval   time.Duration `name:"every" default:"2s" help:"Longest pause between drawn faults."`
-	AddCores        int           `help:"What if there were more cores."`
+	AddCores        int           `help:"What if the deployment had this many more cores."`
 	LoseZone        bool          `aliases:"lose-district" help:"What if a zone were lost for the whole time."`
 	LoadFactor      float64       `name:"load" aliases:"burden" default:"1" help:"What if the load were this many times as high."`
 	ReliableLinks   bool          `name:"calm" help:"No lost, late or duplicated messages."`
@@ -37,10 +38,10 @@
 	Platform        bool          `default:"true" negatable:"" help:"Endpoints with concurrency slots, rejections and relative times of their own, admission queues beside the endpoint trackers, and kills that leave writes unsynced."`
 	CoreMessageCost time.Duration `name:"cost" help:"What if a core's process took this long for each message and request, as with a share of a processor."`
 	PrintTrace      bool          `name:"trace" help:"Print the whole trace of faults."`
-	Mutant          string        `name:"break" default:"" help:"Break a rule on purpose (a mutant), to see it caught. Known: ${breaks}."`
+	Mutant          string        `name:"break" default:"" help:"Break a rule on purpose (a mutant), to check that the violation is found. Known: ${breaks}."`
 }
 
-// Run simulates the seeds and prints those that broke a rule, or the only one.
+// Run simulates the seeds. Of several seeds, Run prints only those that broke a rule.
 func (c simulateCmd) Run() error {
 	deployment, options, fail := c.readOptions()
 	if fail != nil {
@@ -65,7 +66,8 @@
 	return failure.New(failure.Conflict, "rules were broken: %s", strings.Join(violationCounts, ", "))
 }
 
-// read checks the command line; the failure names every fault.
+// readOptions reads the deployment, and converts and validates the flags. The failure lists every
+// fault.
 func (c simulateCmd) readOptions() (scenario.Deployment, scenario.Options, *failure.Error) {
 	deployment, deploymentFail := readDeployment(c.Deployment)
 	options := scenario.Options{
@@ -82,7 +84,7 @@
 		CoreMessageCost: c.CoreMessageCost,
 		Mutant:          world.Mutant(c.Mutant),
 	}
-	invalid := failure.New(failure.BadSettings, "the simulation can't be run")
+	invalid := failure.New(failure.BadSettings, "the command line of the simulation is invalid")
 	var faults []failure.Fault
 	options.Schedule, faults = readSchedule(c.Schedule)
 	invalid.Faults = append(invalid.Faults, faults...)
@@ -104,13 +106,13 @@
 	return deployment, options, nil
 }
 
-// readSchedule reads faults at times, each as fault@time.
+// readSchedule parses the scheduled faults, each of the form fault@time.
 func readSchedule(entries []string) (schedule []scenario.ScheduledFault, faults []failure.Fault) {
 	for _, entry := range entries {
 		name, when, ok := strings.Cut(entry, "@")
 		after, err := time.ParseDuration(when)
 		if !ok || err != nil {
-			faults = append(faults, failure.Fault{Path: "at", Message: fmt.Sprintf("%q is no fault@time", entry)})
+			faults = append(faults, failure.Fault{Path: "at", Message: fmt.Sprintf("%q is not of the form fault@time", entry)})
 			continue
 		}
 		schedule = append(schedule, scenario.ScheduledFault{Fault: name, After: after})
@@ -118,14 +120,14 @@
 	return schedule, faults
 }
 
-// simulationResults are those of all seeds.
+// simulationResults holds the results of all seeds of a command.
 type simulationResults struct {
-	texts      []string       // a text for each seed, empty for one that is not printed
-	violations map[string]int // by rule
+	texts      []string       // the text to print for each seed, empty if nothing is printed
+	violations map[string]int // the number of violations, by rule
 	total      *invariant.Checker
 }
 
-// simulate runs the seeds, a few at once.
+// simulate simulates all seeds, up to parallelSimulations of them concurrently.
 func (c simulateCmd) simulate(deployment scenario.Deployment, options scenario.Options) simulationResults {
 	results := simulationResults{texts: make([]string, c.Seeds), violations: map[string]int{}, total: invariant.New()}
 	var mu sync.Mutex
@@ -151,7 +153,8 @@
 	return results
 }
 
-// text is what is printed of one seed: nothing if it is one of several and broke no rule.
+// resultText returns the text to print for a seed, which is empty if the command has several seeds and
+// this seed broke no rule.
 func (c simulateCmd) resultText(deployment scenario.Deployment, seed uint64, simulated *world.World) string {
 	if c.Seeds > 1 && len(simulated.Checker.Violations) == 0 {
 		return ""
--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// endpointStopTimeout bounds how long an endpoint that stops waits for its requests.
+	// endpointStopTimeout bounds how long a stopping endpoint waits for requests in flight.
 	endpointStopTimeout = 5 * time.Second
 	// clientTimeout bounds one request of a stand-in client.
 	clientTimeout = 10 * time.Second
 )
 
+// endpointCmd runs a stand-in endpoint.
 type endpointCmd struct {
 	Server         string        `required:"" help:"serverId of this run."`
-	Service        string        `required:"" help:"Service it serves."`
-	Address        string        `required:"" help:"Own address, ip:port."`
-	Sidecar        string        `required:"" help:"The sidecar's address towards the mesh, which takes the heartbeats."`
+	Service        string        `required:"" help:"Service that the endpoint serves."`
+	Address        string        `required:"" help:"Address to listen on, ip:port."`
+	Sidecar        string        `required:"" help:"The sidecar's address for the mesh, which receives the heartbeats."`
 	WorkTime       time.Duration `name:"work" default:"2ms" help:"How long a request takes."`
 	LostShare      float64       `name:"lost" aliases:"lose" help:"Share of requests that are executed and get no response."`
-	GarbageShare   float64       `name:"garbage" help:"Share that get garbage."`
-	TruncatedShare float64       `name:"truncated" aliases:"cut" help:"Share whose response is cut off."`
+	GarbageShare   float64       `name:"garbage" help:"Share of requests that get garbage instead of a response."`
+	TruncatedShare float64       `name:"truncated" aliases:"cut" help:"Share of requests whose response is truncated."`
 }
 
-// Run runs an endpoint until SIGTERM or SIGINT.
+// Run runs an endpoint until the process receives SIGTERM or SIGINT.
 func (c endpointCmd) Run() error {
 	e, err := endpoint.Start(endpoint.Options{
 		Server:      ident.Server(c.Server),
@@ -47,7 +48,7 @@
 		},
 	})
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "endpoint")
+		return failure.Wrap(err, failure.Internal, "can't start endpoint "+c.Server)
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// clientCmd runs stand-in clients.
 type clientCmd struct {
 	Address  string        `required:"" help:"The sidecar's address for clients."`
 	Host     string        `required:"" help:"Host of the requests."`
@@ -66,7 +68,7 @@
 	Duration time.Duration `name:"for" default:"5s" help:"How long to send."`
 }
 
-// Run sends requests and prints how many had which outcome.
+// Run sends requests and prints the number of requests with each outcome.
 func (c clientCmd) Run() error {
 	results := &client.ResultLog{}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Duration)
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet is the test program that runs a deployment as real processes on loopback
-// addresses and checks what happens against the invariants.
+// Command fleet is a test program that runs a deployment as real processes on loopback addresses,
+// injects faults and checks the observed behavior against the invariants.
 package main
 
 import (
@@ -16,12 +16,12 @@
 	"cottonarch.example/cottonarch/sim/scenario"
 )
 
-// app is the command line.
+// flags is the command line.
 var flags struct {
 	Binary            string        `name:"bin" default:"bin/cottonarch" help:"The cottonarch program."`
-	OldBinary         string        `name:"old" help:"An older release of it that every process starts as; the fault release upgrades them to the new one."`
+	OldBinary         string        `name:"old" help:"The program of an older release, with which every process starts; the fault release upgrades the processes to --bin."`
 	Deployment        string        `default:"prairie" help:"prairie or volta."`
-	Sidecars          int           `help:"So many sidecars instead of the deployment's own number, with endpoints in proportion; the rates stay."`
+	Sidecars          int           `help:"Number of sidecars in place of the deployment's own number, with endpoints in proportion; the rates stay."`
 	Duration          time.Duration `name:"for" default:"120s" help:"How long the traffic runs."`
 	Faults            []string      `help:"Faults to inject in turn; all for every one; none if not given."`
 	FaultInterval     time.Duration `name:"every" default:"3s" help:"Pause between faults."`
@@ -33,21 +33,21 @@
 	KeepFiles         bool          `name:"keep" help:"Keep settings files, logs and data."`
 }
 
-// maxSidecars bounds --sidecars: their addresses are of one subnet.
+// maxSidecars bounds --sidecars, because the addresses of all sidecars are in one subnet.
 const maxSidecars = 200
 
-// validate checks the command line; the failure names every fault.
+// validate validates the command line. The failure lists every fault.
 func validate(faults []string) *failure.Error {
-	invalid := failure.New(failure.BadSettings, "the fleet can't be run")
+	invalid := failure.New(failure.BadSettings, "the command line of the fleet is invalid")
 	addFault := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	if _, ok := scenario.Deployments[flags.Deployment]; !ok {
-		addFault("deployment", "there is no deployment %q; known: prairie, volta", flags.Deployment)
+		addFault("deployment", "unknown deployment %q; known: prairie, volta", flags.Deployment)
 	}
 	for _, name := range append(slices.Clone(faults), flags.OverlappingFaults...) {
 		if run.Faults[name] == nil {
-			addFault("faults", "there is no fault %q; known: all, %s", name, strings.Join(run.FaultNames(), ", "))
+			addFault("faults", "unknown fault %q; known: all, %s", name, strings.Join(run.FaultNames(), ", "))
 		}
 	}
 	if flags.Sidecars < 0 || flags.Sidecars > maxSidecars {
@@ -92,7 +92,7 @@
 		kong.Description("Runs a deployment as real processes and checks it against the invariants."),
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = exitBadInput // kong itself ends the program only for a wrong command line
+				code = exitBadInput // kong itself exits with an error only for an invalid command line
 			}
 			os.Exit(code)
 		}))
--- a/cmd/idlecost/main.go
+++ b/cmd/idlecost/main.go
@@ -1,5 +1,6 @@
-// Command idlecost measures what an idle deployment costs: real processes on loopback
-// addresses, an endpoint's heartbeats at each sidecar and no requests. It needs Linux and ss.
+// Command idlecost measures the resource usage of an idle deployment. The deployment consists of real
+// processes on loopback addresses; each sidecar receives the heartbeats of an endpoint, and no
+// requests are sent. The command needs Linux and the ss utility.
 package main
 
 import (
@@ -11,12 +12,12 @@
 	"cottonarch.example/cottonarch/fleet/idlecost"
 )
 
-// app is the command line. Flags that have an alias were renamed; the alias is the old name.
+// flags is the command line. A flag that has an alias was renamed; the alias is the deprecated name.
 var flags struct {
 	Binary            string        `name:"bin" required:"" help:"The cottonarch program."`
 	Cores             int           `default:"3" help:"How many cores."`
 	Sidecars          int           `name:"sidecars" aliases:"sides" default:"9" help:"How many sidecars."`
-	Zones             int           `name:"zones" aliases:"districts" default:"3" help:"How many zones they are spread over."`
+	Zones             int           `name:"zones" aliases:"districts" default:"3" help:"How many zones the processes are spread over."`
 	Voters            int           `default:"5" help:"How many cores vote, at most; odd."`
 	Keys              int           `default:"0" help:"How many small keys are written first."`
 	Settle            time.Duration `default:"12s" help:"How long to wait before measuring."`
