--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a stand-in for the clients of one machine. It checks every response against
-// its request.
+// Package client implements the stand-in clients of one machine, which send requests to the sidecar
+// and check each response against the request.
 package client
 
 import (
@@ -23,8 +23,8 @@
 	maxIdleConns = 64
 	maxConns     = 256
 	idleTimeout  = 5 * time.Second
-	// randomStream is the second half of the random generator's seed.
-	randomStream = 99
+	// seedStream is the second half of the seed of the random generator.
+	seedStream = 99
 )
 
 // RequestKind describes one kind of request. Weight is the relative frequency of the kind among all
@@ -38,7 +38,7 @@
 	Weight  int
 }
 
-// Options describe the clients of one machine. Rate is in requests per second.
+// Options configures the clients of one machine. Rate is in requests per second.
 type Options struct {
 	Name         string
 	SidecarAddr  ident.Addr
@@ -53,7 +53,8 @@
 	MaxAbandonDelay time.Duration
 }
 
-// Run sends requests at the rate until ctx ends, then waits for those in flight.
+// Run sends requests at the rate of the options until ctx ends, and then waits for the requests in
+// flight.
 func Run(ctx context.Context, options Options) {
 	client := &http.Client{
 		Transport: &http.Transport{
@@ -64,7 +65,7 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	defer client.CloseIdleConnections()
-	rng := rand.New(rand.NewPCG(options.Seed, randomStream))
+	rng := rand.New(rand.NewPCG(options.Seed, seedStream))
 	var pending sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / options.Rate))
 	defer ticker.Stop()
@@ -86,7 +87,7 @@
 	}
 }
 
-// drawKind draws a kind by weight.
+// drawKind draws a kind of request at random, by weight.
 func drawKind(rng *rand.Rand, kinds []RequestKind) *RequestKind {
 	total := 0
 	for _, kind := range kinds {
@@ -102,7 +103,7 @@
 	return &kinds[0]
 }
 
-// Send sends one request, whose timeout is that of the options, and checks its response.
+// Send sends one request with the timeout of the options, and checks the response.
 func Send(client *http.Client, options Options, kind *RequestKind, id string) Result {
 	result := Result{ID: id, RequestKind: kind, Start: time.Now()}
 	ctx, cancel := context.WithTimeout(context.Background(), options.Timeout)
@@ -126,7 +127,7 @@
 		result.Outcome, result.Detail = Dropped, "truncated: "+err.Error()
 		return result
 	}
-	result.Outcome = outcome(httpResponse.Header.Get(response.OutcomeHeader), data, kind, id)
+	result.Outcome = classifyOutcome(httpResponse.Header.Get(response.OutcomeHeader), data, kind, id)
 	if result.Outcome != Served {
 		result.Detail = string(data)
 	}
@@ -144,7 +145,8 @@
 	return result
 }
 
-// newRequest makes a request of a kind, whose id is in its header and, if it has one, its body.
+// newRequest returns a request of the given kind. The id is in a header, and also in the body if the
+// request has a body.
 func newRequest(ctx context.Context, options Options, kind *RequestKind, id string) (*http.Request, error) {
 	var body io.Reader
 	if kind.Method != http.MethodGet {
@@ -154,15 +156,16 @@
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // so that net/http does not send the request again by itself
+	request.GetBody = nil // prevents net/http from repeating the request on its own
 	request.Host = kind.Host
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Caller", options.Name)
 	return request, nil
 }
 
-// outcome is that of a complete response with an outcome header and a body.
-func outcome(header string, body []byte, kind *RequestKind, id string) Outcome {
+// classifyOutcome returns the outcome that a client learns from the outcome header and the body of a
+// complete response.
+func classifyOutcome(header string, body []byte, kind *RequestKind, id string) Outcome {
 	switch header {
 	case string(failure.NotExecuted):
 		return NotExecuted
--- a/standin/client/result.go
+++ b/standin/client/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome is what a client learned of one request.
+// Outcome is what a client learned about the outcome of a request.
 type Outcome string
 
 // The outcomes of a request.
@@ -13,16 +13,17 @@
 	Served      Outcome = "served"
 	NotExecuted Outcome = "not-run"
 	Unknown     Outcome = "unknown"
-	// Dropped is a request without a complete HTTP response.
+	// Dropped is the outcome of a request without a complete HTTP response.
 	Dropped Outcome = "dropped"
-	// Wrong is a request whose response belongs to another one.
+	// Wrong is the outcome of a request whose response belongs to another request.
 	Wrong Outcome = "wrong"
 	// Abandoned is the outcome of a request whose client closed the connection before a response
 	// arrived.
 	Abandoned Outcome = "left"
 )
 
-// Result is what a client knows of one request.
+// Result is what a client knows about a request. Detail is the error, or the body of the response if
+// the outcome is not Served.
 type Result struct {
 	ID          string
 	RequestKind *RequestKind
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint is a stand-in for an application's endpoint. It logs every request that it
-// executes.
+// Package endpoint implements a stand-in for the endpoint of an application. The stand-in logs every
+// request that it executes, and can inject faults.
 package endpoint
 
 import (
@@ -16,51 +16,52 @@
 )
 
 const (
-	// clientTimeout bounds the requests that the endpoint makes itself.
+	// clientTimeout bounds the requests that the endpoint sends.
 	clientTimeout = time.Second
-	// drainInterval is how often a stop checks whether requests are in flight; it ends after
-	// drainTicks checks in a row that found none.
-	drainInterval = 20 * time.Millisecond
-	drainTicks    = 5
+	// drainInterval is the interval at which a stopping endpoint checks whether requests are in
+	// flight. Draining ends after requiredIdleTicks consecutive checks that found no request.
+	drainInterval     = 20 * time.Millisecond
+	requiredIdleTicks = 5
 )
 
-// Options describe one endpoint.
+// Options configures an endpoint.
 type Options struct {
 	Server  ident.Server
 	Service ident.Service
 	Addr    ident.Addr
-	// SidecarAddr is the address of its sidecar, which takes the heartbeats.
+	// SidecarAddr is the address of the endpoint's sidecar, which receives the heartbeats.
 	SidecarAddr ident.Addr
 	Executions  *ExecutionLog
 	Behavior    Behavior
-	// ForwardAddr, when set, is the sidecar's address for clients. One in forwardEvery requests sends
-	// a request of its own there, to ForwardHost and ForwardPath.
+	// ForwardAddr, if set, is the sidecar's address for clients. While the endpoint executes one in
+	// forwardEvery requests, the endpoint sends a request with ForwardHost and ForwardPath to that
+	// address.
 	ForwardAddr ident.Addr
 	ForwardHost string
 	ForwardPath string
 }
 
-// Endpoint is a running endpoint. Invariant: a request is in the execution log before its
-// response is sent.
+// Endpoint is a running stand-in endpoint. Invariant: a request is in the execution log before the
+// response to the request is sent.
 type Endpoint struct {
 	Options
-	server   *http.Server
-	inFlight atomic.Int64
-	requests atomic.Int64
-	state    atomic.Value // endpoint.State
-	// heartbeatSeq is the Seq of the last heartbeat. It begins at the time of the start, so that it
-	// rises over the runs of one server id.
-	heartbeatSeq atomic.Uint64
-	stop         chan struct{}
-	stopped      sync.Once
-	client       *http.Client
-	behavior     atomic.Pointer[Behavior]
-	muted        atomic.Bool
-	hangMu       sync.Mutex
-	awake        chan struct{} // closed when the endpoint wakes; nil while it does not hang
+	server       *http.Server
+	inFlight     atomic.Int64
+	requestCount atomic.Int64
+	state        atomic.Value // endpoint.State
+	// heartbeatSeq is the Seq of the last heartbeat. The initial value is the start time in
+	// microseconds, so that Seq also increases across the runs of one server id.
+	heartbeatSeq    atomic.Uint64
+	stop            chan struct{}
+	stopped         sync.Once
+	client          *http.Client
+	behavior        atomic.Pointer[Behavior]
+	heartbeatsMuted atomic.Bool
+	hangMu          sync.Mutex
+	resumed         chan struct{} // closed when the endpoint resumes; nil while the endpoint does not hang
 }
 
-// Start listens and sends heartbeats, until Stop or Kill.
+// Start starts an endpoint, which serves requests and sends heartbeats until Stop or Kill.
 func Start(options Options) (*Endpoint, error) {
 	e := &Endpoint{
 		Options: options,
@@ -72,7 +73,7 @@
 	e.behavior.Store(&options.Behavior)
 	listener, err := net.Listen("tcp", string(options.Addr))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "listen")
+		return nil, failure.Wrap(err, failure.Internal, "can't listen on "+string(options.Addr))
 	}
 	paths := http.NewServeMux()
 	paths.HandleFunc("GET "+HealthPath, e.serveHealth)
@@ -80,24 +81,25 @@
 	e.server = &http.Server{
 		Handler: paths,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}
-	go func() { _ = e.server.Serve(hangListener{listener, e}) }()
+	go func() { _ = e.server.Serve(hangingListener{listener, e}) }()
 	go e.sendHeartbeats()
 	return e, nil
 }
 
-// SetBehavior changes the behavior.
+// SetBehavior changes the behavior for requests whose execution starts afterwards.
 func (e *Endpoint) SetBehavior(behavior Behavior) { e.behavior.Store(&behavior) }
 
 // InFlight returns the number of requests in flight.
 func (e *Endpoint) InFlight() int64 { return e.inFlight.Load() }
 
 // SetHeartbeatsMuted stops or resumes the heartbeats. The endpoint serves requests in both cases.
-func (e *Endpoint) SetHeartbeatsMuted(on bool) { e.muted.Store(on) }
+func (e *Endpoint) SetHeartbeatsMuted(muted bool) { e.heartbeatsMuted.Store(muted) }
 
-// Leave reports that the endpoint will leave, and tells whether the sidecar confirmed it.
+// Leave reports to the sidecar that the endpoint is leaving, and returns whether the sidecar confirmed
+// the report.
 func (e *Endpoint) Leave() bool {
 	e.state.Store(endpoint.Leaving)
 	return e.sendHeartbeat(endpoint.Leaving)
@@ -105,17 +107,18 @@
 
 // Deregister reports to the sidecar that the endpoint is gone, and returns whether the sidecar
 // confirmed the report. The endpoint continues to serve requests and sends no further heartbeat,
-// except when deliverLate is called: deliverLate sends a heartbeat that was made before the report,
+// except when sendDelayed is called: sendDelayed sends a heartbeat that was made before the report,
 // as if the network had delayed that heartbeat.
-func (e *Endpoint) Deregister() (confirmed bool, deliverLate func()) {
-	late := e.newHeartbeat(endpoint.Alive)
+func (e *Endpoint) Deregister() (confirmed bool, sendDelayed func()) {
+	delayed := e.newHeartbeat(endpoint.Alive)
 	e.SetHeartbeatsMuted(true)
 	e.state.Store(endpoint.Gone)
-	return e.sendHeartbeat(endpoint.Gone), func() { e.deliver(late) }
+	return e.sendHeartbeat(endpoint.Gone), func() { e.postHeartbeat(delayed) }
 }
 
-// Stop leaves unless the endpoint has signed off, finishes the requests in flight within the timeout,
-// reports that the endpoint is gone and closes it.
+// Stop stops the endpoint gracefully. Stop reports that the endpoint is leaving, unless the endpoint
+// has deregistered, waits up to the timeout for the requests in flight, reports that the endpoint is
+// gone and closes the server.
 func (e *Endpoint) Stop(timeout time.Duration) {
 	if e.state.Load() != endpoint.Gone {
 		e.Leave()
@@ -129,11 +132,11 @@
 	e.client.CloseIdleConnections()
 }
 
-// drain waits until no request has been in flight for a while, or ctx ends.
+// drain waits until requiredIdleTicks consecutive checks found no request in flight, or ctx ends.
 func (e *Endpoint) drain(ctx context.Context) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
-	for idleTicks := 0; idleTicks < drainTicks && ctx.Err() == nil; {
+	for idleTicks := 0; idleTicks < requiredIdleTicks && ctx.Err() == nil; {
 		<-ticker.C
 		if idleTicks++; e.inFlight.Load() > 0 {
 			idleTicks = 0
@@ -141,7 +144,7 @@
 	}
 }
 
-// Kill closes the endpoint at once and reports nothing.
+// Kill closes the endpoint immediately, without a report to the sidecar.
 func (e *Endpoint) Kill() {
 	e.stopped.Do(func() { close(e.stop) })
 	_ = e.server.Close()
--- a/standin/endpoint/endpoint_test.go
+++ b/standin/endpoint/endpoint_test.go
@@ -16,9 +16,9 @@
 	"cottonarch.example/cottonarch/standin/endpoint"
 )
 
-// started runs an endpoint behind a sidecar that confirms every heartbeat; the endpoint's own
-// address takes the client's requests.
-func started(t *testing.T, behavior endpoint.Behavior) (*endpoint.Endpoint, client.Options) {
+// startEndpoint starts an endpoint whose sidecar confirms every heartbeat. The returned options make a
+// client send requests directly to the endpoint.
+func startEndpoint(t *testing.T, behavior endpoint.Behavior) (*endpoint.Endpoint, client.Options) {
 	sidecar := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(sidecar.Close)
 	free := httptest.NewServer(nil)
@@ -37,8 +37,8 @@
 	return e, client.Options{Name: "c", SidecarAddr: addr, Timeout: 10 * time.Second}
 }
 
-// What a client learns of a request, for each way in which an endpoint corrupts its response. Every
-// request is in the execution log.
+// For each fault that an endpoint injects into a response, the client records the expected outcome,
+// and the request is in the execution log.
 func TestOutcomeOfEachBehavior(t *testing.T) {
 	for name, c := range map[string]struct {
 		behavior endpoint.Behavior
@@ -50,7 +50,7 @@
 		"truncated": {endpoint.Behavior{TruncatedShare: 1}, client.Dropped},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, options := started(t, c.behavior)
+			e, options := startEndpoint(t, c.behavior)
 			kind := &client.RequestKind{Method: http.MethodPost, Host: "h", Path: "/p", Service: "a.x"}
 			result := client.Send(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, options, kind, "r1")
 			must.Eq(t, c.want, result.Outcome, must.Sprint(result.Detail))
@@ -60,9 +60,10 @@
 	}
 }
 
-// A client does not take another request's response, nor another service's, for its own.
-func TestWrongResponse(t *testing.T) {
-	e, options := started(t, endpoint.Behavior{})
+// A client records a response from another service as wrong, and the body of a response names the path
+// of the request.
+func TestResponseOfOtherServiceIsWrong(t *testing.T) {
+	e, options := startEndpoint(t, endpoint.Behavior{})
 	kind := &client.RequestKind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "other.x"}
 	must.Eq(t, client.Wrong, client.Send(http.DefaultClient, options, kind, "r1").Outcome)
 	response, err := http.Get("http://" + string(e.Addr) + "/p")
@@ -75,10 +76,11 @@
 	must.Eq(t, "/p", echo.Path)
 }
 
-// A stop waits for the requests in flight; a hung endpoint answers when it wakes.
-func TestStopAndHang(t *testing.T) {
+// A hung endpoint executes a request only after the endpoint resumes. Stop waits for the requests in
+// flight.
+func TestStopDrainsRequestsAndHungEndpointResumes(t *testing.T) {
 	release := make(chan struct{})
-	e, options := started(t, endpoint.Behavior{Release: release})
+	e, options := startEndpoint(t, endpoint.Behavior{Release: release})
 	kind := &client.RequestKind{Method: http.MethodGet, Host: "h", Path: "/p", Service: "a.x"}
 	outcomes := make(chan client.Outcome, 1)
 	e.SetHung(true)
--- a/standin/endpoint/execution.go
+++ b/standin/endpoint/execution.go
@@ -19,13 +19,13 @@
 	EndedAt    time.Time
 }
 
-// ExecutionLog keeps the executions of all endpoints.
+// ExecutionLog collects the executions of all endpoints.
 type ExecutionLog struct {
 	mu         sync.Mutex
 	executions []Execution
 }
 
-// Add appends an execution and returns its index, for End.
+// Add appends an execution and returns the index of the execution, which End takes.
 func (l *ExecutionLog) Add(execution Execution) (index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,7 +33,7 @@
 	return len(l.executions) - 1
 }
 
-// End notes when an execution ended.
+// End records when an execution ended.
 func (l *ExecutionLog) End(index int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/endpoint/hang.go
+++ b/standin/endpoint/hang.go
@@ -8,68 +8,68 @@
 
 // SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, reads from them
 // only after it resumes, and sends no heartbeats.
-func (e *Endpoint) SetHung(on bool) {
-	e.SetHeartbeatsMuted(on)
+func (e *Endpoint) SetHung(hung bool) {
+	e.SetHeartbeatsMuted(hung)
 	e.hangMu.Lock()
 	defer e.hangMu.Unlock()
 	switch {
-	case on && e.awake == nil:
-		e.awake = make(chan struct{})
-	case !on && e.awake != nil:
-		close(e.awake)
-		e.awake = nil
+	case hung && e.resumed == nil:
+		e.resumed = make(chan struct{})
+	case !hung && e.resumed != nil:
+		close(e.resumed)
+		e.resumed = nil
 	}
 }
 
-// waitWhileHung waits while the endpoint hangs, and tells whether it did.
+// waitWhileHung waits while the endpoint hangs, and returns whether the endpoint was hung.
 func (e *Endpoint) waitWhileHung() bool {
 	e.hangMu.Lock()
-	awake := e.awake
+	resumed := e.resumed
 	e.hangMu.Unlock()
-	if awake == nil {
+	if resumed == nil {
 		return false
 	}
 	select {
-	case <-awake:
+	case <-resumed:
 	case <-e.stop:
 	}
 	return true
 }
 
-// hangListener is the listener of an endpoint that may hang.
-type hangListener struct {
+// hangingListener is the listener of an endpoint that may hang.
+type hangingListener struct {
 	net.Listener
 	endpoint *Endpoint
 }
 
-// hangConn is a connection of an endpoint that may hang.
-type hangConn struct {
+// hangingConn is a connection of an endpoint that may hang.
+type hangingConn struct {
 	net.Conn
-	endpoint   *Endpoint
-	acceptedAt time.Time
-	delayed    atomic.Bool // the last read waited for the endpoint to wake
+	endpoint      *Endpoint
+	acceptedAt    time.Time
+	delayedByHang atomic.Bool // whether the last read waited for the endpoint to resume
 }
 
-// connKey is the context key of a request's connection.
-type connKey struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
 // Accept accepts a connection, whether the endpoint hangs or not.
-func (h hangListener) Accept() (net.Conn, error) {
+func (h hangingListener) Accept() (net.Conn, error) {
 	c, err := h.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &hangConn{Conn: c, endpoint: h.endpoint, acceptedAt: time.Now()}, nil
+	return &hangingConn{Conn: c, endpoint: h.endpoint, acceptedAt: time.Now()}, nil
 }
 
 // Read waits while the endpoint hangs.
-func (c *hangConn) Read(p []byte) (int, error) {
-	c.delayed.Store(c.endpoint.waitWhileHung())
+func (c *hangingConn) Read(p []byte) (int, error) {
+	c.delayedByHang.Store(c.endpoint.waitWhileHung())
 	return c.Conn.Read(p)
 }
 
 // Write waits while the endpoint hangs.
-func (c *hangConn) Write(p []byte) (int, error) {
+func (c *hangingConn) Write(p []byte) (int, error) {
 	c.endpoint.waitWhileHung()
 	return c.Conn.Write(p)
 }
--- a/standin/endpoint/health.go
+++ b/standin/endpoint/health.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// HealthPath is where an endpoint is asked whether it is healthy.
+	// HealthPath is the path of an endpoint's health check.
 	HealthPath = "/health"
-	// ServerIDHeader is the header of the answer that tells which endpoint gives it.
+	// ServerIDHeader is the header of a health response that holds the id of the endpoint.
 	ServerIDHeader = "X-Server-Id"
 )
 
-// serveHealth answers 200 while the endpoint takes requests, and 503 once it leaves.
+// serveHealth responds with 200 while the endpoint is alive, and with 503 once the endpoint is leaving
+// or gone.
 func (e *Endpoint) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(ServerIDHeader, string(e.Server))
 	if e.state.Load().(endpoint.State) != endpoint.Alive {
--- a/standin/endpoint/heartbeat.go
+++ b/standin/endpoint/heartbeat.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// heartbeatTimeout bounds one heartbeat.
+	// heartbeatTimeout bounds the request that delivers a heartbeat.
 	heartbeatTimeout = 400 * time.Millisecond
 	// fullLoad is the number of requests in flight that is reported as a load of 1.
 	fullLoad = 16
 )
 
-// sendHeartbeat reports a state to the sidecar, and tells whether the sidecar confirmed it.
+// sendHeartbeat reports a state to the sidecar, and returns whether the sidecar confirmed the
+// heartbeat.
 func (e *Endpoint) sendHeartbeat(state endpoint.State) bool {
-	return e.deliver(e.newHeartbeat(state))
+	return e.postHeartbeat(e.newHeartbeat(state))
 }
 
-// newHeartbeat makes the next heartbeat.
+// newHeartbeat returns a heartbeat with the given state, the current load and the next Seq.
 func (e *Endpoint) newHeartbeat(state endpoint.State) endpoint.Heartbeat {
 	return endpoint.Heartbeat{
 		Server:  e.Server,
@@ -35,8 +36,9 @@
 	}
 }
 
-// deliver sends a heartbeat to the sidecar, and tells whether the sidecar confirmed it.
-func (e *Endpoint) deliver(heartbeat endpoint.Heartbeat) bool {
+// postHeartbeat sends a heartbeat to the sidecar, and returns whether the sidecar confirmed the
+// heartbeat.
+func (e *Endpoint) postHeartbeat(heartbeat endpoint.Heartbeat) bool {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		return false
@@ -57,12 +59,13 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// sendHeartbeats sends a heartbeat at each interval until the endpoint stops.
+// sendHeartbeats sends a heartbeat in each interval, unless heartbeats are muted, until the endpoint
+// stops.
 func (e *Endpoint) sendHeartbeats() {
 	ticker := time.NewTicker(endpoint.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
-		if !e.muted.Load() {
+		if !e.heartbeatsMuted.Load() {
 			e.sendHeartbeat(e.state.Load().(endpoint.State))
 		}
 		select {
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -14,34 +14,35 @@
 )
 
 const (
-	// forwardEvery is one request in how many that makes a request of its own.
+	// forwardEvery is the number of requests of which one makes the endpoint send a request of its own.
 	forwardEvery = 3
-	// Sizes of the padding in a response, in bytes; it grows with the request's body.
+	// A response has at least minPadding and fewer than minPadding + paddingSpread bytes of padding,
+	// depending on the size of the request body.
 	minPadding    = 200
 	paddingSpread = 100
 )
 
-// Headers of requests. forwardedHeader marks one that an endpoint makes itself.
+// Headers of requests. forwardedHeader marks requests that endpoints send.
 const (
 	requestIDHeader = "X-Request-Id"
 	callerHeader    = "X-Caller"
 	forwardedHeader = "X-Onward"
 )
 
-// ForwardedIDSuffix ends the id of a request that an endpoint makes while it works on another; what
-// stands before it is the other's id.
+// ForwardedIDSuffix is the suffix of the id of a request that an endpoint sends while it executes
+// another request. The part before the suffix is the id of the other request.
 const ForwardedIDSuffix = "-on"
 
-// Echo is the body of every response; the client checks it.
+// Echo is the body of every response. The client compares Echo with the request.
 type Echo struct {
 	ID      string        `json:"id"`
 	Server  ident.Server  `json:"serverId"`
 	Service ident.Service `json:"service"`
 	Path    string        `json:"path"`
-	Pad     string        `json:"pad"`
+	Padding string        `json:"pad"`
 }
 
-// serve executes a request, logs the execution and responds as the behavior says.
+// serve executes a request, logs the execution and responds according to the behavior.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -50,17 +51,17 @@
 		return
 	}
 	id := r.Header.Get(requestIDHeader)
-	number := e.requests.Add(1)
+	requestNumber := e.requestCount.Add(1)
 	behavior := e.behavior.Load()
 	work := behavior.drawWorkTime()
 	if e.Executions != nil {
 		index := e.Executions.Add(Execution{ID: id, Server: e.Server, Service: e.Service, ReceivedAt: receivedAt(r), WorkTime: work})
 		defer func() { e.Executions.End(index, time.Now()) }()
 	}
-	if !behavior.work(r.Context(), work) {
+	if !behavior.waitWorkTime(r.Context(), work) {
 		panic(http.ErrAbortHandler)
 	}
-	if e.ForwardAddr != "" && number%forwardEvery == 0 && r.Header.Get(forwardedHeader) == "" {
+	if e.ForwardAddr != "" && requestNumber%forwardEvery == 0 && r.Header.Get(forwardedHeader) == "" {
 		e.forward(id)
 	}
 	draw := rand.Float64()
@@ -69,46 +70,46 @@
 		Server:  e.Server,
 		Service: e.Service,
 		Path:    r.URL.Path,
-		Pad:     strings.Repeat("0", minPadding+len(body)%paddingSpread),
+		Padding: strings.Repeat("0", minPadding+len(body)%paddingSpread),
 	})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	respond(w, echo, behavior.corruption(draw), number)
+	writeResponse(w, echo, behavior.chooseFault(draw), requestNumber)
 }
 
-// respond sends a response, corrupted as asked. number is that of the request; it chooses among the
-// malformed responses. http.ErrAbortHandler makes net/http close the connection.
-func respond(w http.ResponseWriter, echo []byte, how corruption, number int64) {
-	switch how {
-	case lost:
+// writeResponse writes a response with the given fault. requestNumber selects one of the malformed
+// variants. A panic with http.ErrAbortHandler makes net/http close the connection.
+func writeResponse(w http.ResponseWriter, echo []byte, fault responseFault, requestNumber int64) {
+	switch fault {
+	case lostResponse:
 		panic(http.ErrAbortHandler)
-	case garbage:
+	case garbageResponse:
 		writeRaw(w, "\x00\x17garbage that is not HTTP\r\n\r\n")
-	case truncated:
+	case truncatedResponse:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", fmt.Sprint(len(echo)))
 		_, _ = w.Write(echo[:len(echo)/2])
 		panic(http.ErrAbortHandler)
-	case malformed:
+	case malformedResponse:
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(echo), echo)
-		writeRaw(w, malformedResponses[int(number)%len(malformedResponses)](whole, string(echo)))
+		writeRaw(w, malformedVariants[int(requestNumber)%len(malformedVariants)](whole, string(echo)))
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(echo)
 	}
 }
 
-// receivedAt is when a request reached the endpoint: for one that waited in the socket of an
-// endpoint that hung, when its connection was accepted.
+// receivedAt returns the time at which a request reached the endpoint. For a request that waited in
+// the socket of a hung endpoint, that time is when the connection was accepted.
 func receivedAt(r *http.Request) time.Time {
-	if c, ok := r.Context().Value(connKey{}).(*hangConn); ok && c.delayed.Load() {
+	if c, ok := r.Context().Value(connContextKey{}).(*hangingConn); ok && c.delayedByHang.Load() {
 		return c.acceptedAt
 	}
 	return time.Now()
 }
 
-// drawWorkTime draws how long a request takes.
+// drawWorkTime draws the work time of a request at random.
 func (b *Behavior) drawWorkTime() time.Duration {
 	if rand.Float64() < b.LongShare {
 		return LongWorkTime
@@ -116,8 +117,9 @@
 	return b.WorkTime
 }
 
-// work takes the time of a request. It is false if the connection was closed before.
-func (b *Behavior) work(ctx context.Context, duration time.Duration) bool {
+// waitWorkTime waits for the work time of a request, and then until Release is closed if Release is
+// set. The result is false if the connection was closed before the end.
+func (b *Behavior) waitWorkTime(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -136,15 +138,15 @@
 	}
 }
 
-// writeRaw writes bytes to the request's connection and closes it.
-func writeRaw(w http.ResponseWriter, text string) {
+// writeRaw writes bytes to the request's connection and closes the connection.
+func writeRaw(w http.ResponseWriter, data string) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		_, _ = c.Write([]byte(text))
+		_, _ = c.Write([]byte(data))
 		_ = c.Close()
 	}
 }
 
-// forward makes a request to another service, as part of the work on the request with that id.
+// forward sends a request to another service, as part of executing the request with the given id.
 func (e *Endpoint) forward(id string) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+string(e.ForwardAddr)+e.ForwardPath, nil)
 	if err != nil {
