--- a/cmd/cottonarch/deployment.go
+++ b/cmd/cottonarch/deployment.go
@@ -14,7 +14,7 @@
 // deploymentKeys is the number of keys that the applications of a deployment use.
 const deploymentKeys = 300
 
-// The renamed fields of a deployment file and their deprecated names, which are still accepted.
+// The renamed fields of a deployment file. The deprecated names are still accepted.
 const (
 	fieldZones             = "zones"
 	oldFieldZones          = "districts"
--- a/cmd/cottonarch/deprecated.go
+++ b/cmd/cottonarch/deprecated.go
@@ -8,8 +8,7 @@
 	"go.uber.org/zap"
 )
 
-// deprecatedName is a deprecated name that a command line uses, and the name that replaces the
-// deprecated one.
+// deprecatedName is a deprecated name that a command line uses, with the replacement for that name.
 type deprecatedName struct{ old, replacement string }
 
 // renamedActions maps the deprecated names of actions to the current names. An action is the first
--- a/cmd/cottonarch/deprecated_test.go
+++ b/cmd/cottonarch/deprecated_test.go
@@ -16,8 +16,8 @@
 	return line, deprecatedNames(command)
 }
 
-// A command line with a deprecated name is parsed to the same value as one with the current name, and
-// only the deprecated name is reported.
+// Command lines with a deprecated name and with the current name are parsed to the same value, and only
+// the deprecated name is reported.
 func TestDeprecatedNamesAreAcceptedAndReported(t *testing.T) {
 	endpoint := []string{"endpoint", "--server=e", "--service=s", "--address=a", "--sidecar=b"}
 	client := []string{"--address=a", "--host=h", "--service=s"}
--- a/cmd/cottonarch/explore.go
+++ b/cmd/cottonarch/explore.go
@@ -94,7 +94,7 @@
 	return options
 }
 
-// replay replays a trace and prints its steps.
+// replay replays a trace and prints the steps of the trace.
 func (c exploreCmd) replay() error {
 	raw, err := os.ReadFile(c.ReplayFile)
 	if err != nil {
--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -27,7 +27,7 @@
 	Seeds           int           `default:"1" help:"How many seeds to run, counting up from --seed."`
 	Duration        time.Duration `name:"for" default:"60s" help:"Virtual time under faults."`
 	Faults          []string      `help:"Faults to draw from, or none; all if not given. Known: ${faults}."`
-	Schedule        []string      `name:"at" help:"A schedule instead: fault@time, such as core-kill@5s."`
+	Schedule        []string      `name:"at" help:"Schedule of faults, instead of drawn faults: fault@time, such as core-kill@5s."`
 	FaultInterval   time.Duration `name:"every" default:"2s" help:"Longest pause between drawn faults."`
 	AddCores        int           `help:"What if the deployment had this many more cores."`
 	LoseZone        bool          `aliases:"lose-district" help:"What if a zone were lost for the whole time."`
--- a/cmd/cottonarch/standin.go
+++ b/cmd/cottonarch/standin.go
@@ -48,7 +48,7 @@
 		},
 	})
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "can't start endpoint "+c.Server)
+		return failure.Wrap(err, failure.Internal, "can't start the endpoint")
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
--- a/standin/client/result.go
+++ b/standin/client/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Outcome is what a client learned about the outcome of a request.
+// Outcome is what a client learned about the result of a request.
 type Outcome string
 
 // The outcomes of a request.
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -73,7 +73,7 @@
 	e.behavior.Store(&options.Behavior)
 	listener, err := net.Listen("tcp", string(options.Addr))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "can't listen on "+string(options.Addr))
+		return nil, failure.Wrap(err, failure.Internal, "can't open the listener")
 	}
 	paths := http.NewServeMux()
 	paths.HandleFunc("GET "+HealthPath, e.serveHealth)
--- a/standin/endpoint/execution.go
+++ b/standin/endpoint/execution.go
@@ -9,7 +9,7 @@
 
 // Execution is one request that an endpoint executed. ReceivedAt is when the request reached the
 // endpoint and WorkTime how long the execution was meant to take. EndedAt is when the execution ended,
-// zero while it goes on; the close of the client's connection ends an execution early.
+// zero while the execution goes on; the close of the client's connection ends an execution early.
 type Execution struct {
 	ID         string
 	Server     ident.Server
--- a/standin/endpoint/hang.go
+++ b/standin/endpoint/hang.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, reads from them
-// only after it resumes, and sends no heartbeats.
+// SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, but neither reads
+// from nor writes to connections before the endpoint resumes, and sends no heartbeats.
 func (e *Endpoint) SetHung(hung bool) {
 	e.SetHeartbeatsMuted(hung)
 	e.hangMu.Lock()
