--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -156,7 +156,7 @@
 	if c.Seeds > 1 && len(simulated.Checker.Violations) == 0 {
 		return ""
 	}
-	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.For, simulated.Text())
+	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.For, simulated.Report())
 	if c.Trace {
 		text += strings.Join(simulated.Trace, "\n") + "\n"
 	}
--- a/sim/scenario/endpointfaults.go
+++ b/sim/scenario/endpointfaults.go
@@ -84,7 +84,7 @@
 	s, service := e.Sidecar, e.Service
 	restarted := r.Platform && r.Rng.IntN(2) == 0
 	r.Tracef("endpoint %s signs off; a heartbeat of before comes %v later; its sidecar is restarted: %v", e.Server, lateness, restarted)
-	e.SignOffFirst(lateness, lateness+4*time.Second, func() { r.startEndpoint(s, service, "") })
+	e.SignOffBeforeDrain(lateness, lateness+4*time.Second, func() { r.startEndpoint(s, service, "") })
 	if restarted {
 		r.After(lateness/3, s.Kill)
 		r.After(lateness*2/3, s.Start)
@@ -127,7 +127,7 @@
 	duration := r.randomDuration(time.Second, 5*time.Second)
 	old := e.Behavior
 	r.Tracef("endpoint %s loses and garbles responses for %v", e.Server, duration)
-	e.Behavior.NoResponseRate, e.Behavior.GarbageRate = 0.3, 0.3
+	e.Behavior.NoResponseRate, e.Behavior.MalformedRate = 0.3, 0.3
 	r.After(duration, func() { e.Behavior = old })
 	return duration
 }
@@ -141,7 +141,7 @@
 		for _, e := range s.Endpoints {
 			if e.Service == service {
 				old := e.Behavior
-				e.Behavior.NoResponseRate, e.Behavior.GarbageRate = 0.1, 0.7
+				e.Behavior.NoResponseRate, e.Behavior.MalformedRate = 0.1, 0.7
 				r.After(duration, func() { e.Behavior = old })
 			}
 		}
--- a/sim/scenario/herd.go
+++ b/sim/scenario/herd.go
@@ -105,7 +105,7 @@
 
 // checkHerd watches the sidecars until the deadline; another fault excuses them.
 func (r *Run) checkHerd(h *sidecarHerd) {
-	if !r.Undisturbed() {
+	if !r.CoresAndLinksHealthy() {
 		r.Checker.Excuse(invariant.HerdReady, "another fault")
 		return
 	}
--- a/sim/scenario/herd_test.go
+++ b/sim/scenario/herd_test.go
@@ -41,7 +41,7 @@
 			t.Run(deployment.Name+" "+fault, func(t *testing.T) {
 				t.Parallel()
 				w := Simulate(deployment, herdDay(1, fault))
-				must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Text()))
+				must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Report()))
 				must.GreaterEq(t, 10, w.Checker.Observed[invariant.HerdReady])
 			})
 		}
--- a/sim/scenario/partitionfaults_test.go
+++ b/sim/scenario/partitionfaults_test.go
@@ -40,7 +40,7 @@
 				t.Run(fmt.Sprint(fault, " ", variant.deployment, " ", variant.extraCores, " ", seed), func(t *testing.T) {
 					t.Parallel()
 					w := Simulate(Deployments[variant.deployment], partitionDay(seed, fault, variant.extraCores))
-					must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Text()))
+					must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Report()))
 					must.Greater(t, 100, w.Checker.Observed[invariant.ConfigLate])
 				})
 			}
--- a/sim/scenario/rollout_test.go
+++ b/sim/scenario/rollout_test.go
@@ -113,7 +113,7 @@
 // has reached it.
 func TestRolloutIsRolledBack(t *testing.T) {
 	for seed := range uint64(8) {
-		w, submit := newRolloutWorld(t, seed, world.Behavior{ServiceTime: 4 * time.Millisecond, GarbageRate: 0.5})
+		w, submit := newRolloutWorld(t, seed, world.Behavior{ServiceTime: 4 * time.Millisecond, MalformedRate: 0.5})
 		before := len(w.Checker.Executions)
 		beginRollout(t, submit)
 		w.Cores[seed%3].Kill(false)
--- a/sim/scenario/run.go
+++ b/sim/scenario/run.go
@@ -56,14 +56,14 @@
 // Run is one simulated day.
 type Run struct {
 	*world.World
-	deployment    Deployment
-	options       Options
-	operators     *world.Operators
-	keyUsers      *world.KeyUsers
-	keyspaceUsers *world.KeyspaceUsers // nil without Options.Keyspaces
-	requestRate   float64
-	serial        int  // of the newest endpoint or replaced machine
-	largeConfig   bool // the next configuration is very large
+	deployment      Deployment
+	options         Options
+	operators       *world.Operators
+	keyClients      *world.KeyClients
+	keyspaceClients *world.KeyspaceClients // nil without Options.Keyspaces
+	requestRate     float64
+	serial          int  // of the newest endpoint or replaced machine
+	largeConfig     bool // the next configuration is very large
 }
 
 // Simulate runs one day and judges it.
@@ -137,13 +137,13 @@
 func (r *Run) startClients() {
 	d := r.deployment
 	r.operators = r.StartOperators(d.ConfigInterval, r.configDocument)
-	r.StartLockers(d.clients(8, 2), d.Locks, lockInterval)
-	r.StartSequenceUsers(d.clients(12, 2), sequenceCount, sequenceInterval)
-	r.keyUsers = r.StartKeyUsers(d.clients(4, 3), keyCount, keyInterval)
+	r.StartLockClients(d.clients(8, 2), d.Locks, lockInterval)
+	r.StartSequenceClients(d.clients(12, 2), sequenceCount, sequenceInterval)
+	r.keyClients = r.StartKeyClients(d.clients(4, 3), keyCount, keyInterval)
 	r.StartWatcher(watchInterval)
 	if r.options.Keyspaces {
-		r.keyspaceUsers = r.StartKeyspaceUsers(d.clients(8, 3), keyspaceCount, entryCount, keyspaceInterval)
-		r.StartPlatformLockers(d.clients(8, 3), platformLockCount, platformLockInterval)
+		r.keyspaceClients = r.StartKeyspaceClients(d.clients(8, 3), keyspaceCount, entryCount, keyspaceInterval)
+		r.StartPlatformLockClients(d.clients(8, 3), platformLockCount, platformLockInterval)
 	}
 }
 
@@ -164,20 +164,20 @@
 		r.finalOutage()
 		r.RunFor(finalOutageTime)
 	}
-	r.requestRate, r.Closed = 0, true
+	r.requestRate, r.ClientsStopped = 0, true
 	return r.Now()
 }
 
 // judge reads the state back and checks what can be judged only at the end.
 func (r *Run) judge(loadBegan, faultsEnded monotime.Time) {
-	r.operators.ReadBack()
+	r.operators.CheckFinalConfig()
 	r.operators.CheckAuditLog()
 	r.RunFor(readBackTime)
-	r.operators.Finish()
+	r.operators.ExcusePending()
 	r.CompareReplicas()
-	r.keyUsers.CheckHistories()
-	if r.keyspaceUsers != nil {
-		r.keyspaceUsers.Checker.Finish()
+	r.keyClients.CheckHistories()
+	if r.keyspaceClients != nil {
+		r.keyspaceClients.Checker.Finish()
 	}
 	r.Checker.Finish(loadBegan, faultsEnded)
 }
@@ -188,7 +188,7 @@
 	if addr == "" {
 		addr = ident.Addr(fmt.Sprintf("10.0.2.%d:%d", r.serial%250+1, 8000+r.serial))
 	}
-	behavior := world.Behavior{ServiceTime: 6 * time.Millisecond, NoResponseRate: 0.002, GarbageRate: 0.002, SlowRate: 0.002}
+	behavior := world.Behavior{ServiceTime: 6 * time.Millisecond, NoResponseRate: 0.002, MalformedRate: 0.002, SlowRate: 0.002}
 	if r.Platform {
 		behavior.ServiceTime, behavior.Slots, behavior.QueueLimit, behavior.FailureRate = 16*time.Millisecond, 2, 2, 0.005
 	}
--- a/sim/scenario/scenario_test.go
+++ b/sim/scenario/scenario_test.go
@@ -93,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := Simulate(deploymentNamed(day.deployment), day.options)
-			must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Text()))
+			must.SliceEmpty(t, w.Checker.Violations, must.Sprint(w.Report()))
 			must.Greater(t, int(500*min(1, 4*day.options.LoadFactor)), len(w.Checker.Executions))
 		})
 	}
@@ -185,21 +185,21 @@
 
 // mutantFaults are the faults that show a mutant, where not all faults do.
 var mutantFaults = map[world.Mutant][]string{
-	world.MutantSkipChecks:       {"endpoint-freeze", "endpoint-reuse"},
-	world.MutantIgnoreLeave:      {"endpoint-replace"},
-	world.MutantForgetSignOff:    {"endpoint-late-beat"},
-	world.MutantUnlimitedRetries: {"release-bad"},
-	world.MutantAbruptStop:       {"side-roll"},
-	world.MutantIgnoreSilence:    {"endpoint-hang"},
-	world.MutantUnwatchedClock:   {"clock-jump"},
-	world.MutantIgnoreUrgency:    {"overload"},
-	world.MutantExecuteRejected:  {"crowd", "endpoint-slow"},
-	world.MutantDecideTwice:      {"crowd", "endpoint-slow"},
-	world.MutantIgnoreFence:      {"endpoint-reuse", "endpoint-freeze"},
-	world.MutantExecuteShed:      {"endpoint-slow", "overload"},
-	world.MutantRetryFailed:      {"endpoint-fails"},
-	world.MutantLazySync:         {"core-kill-power"},
-	world.MutantUnsyncedFolder:   {"core-kill-power"},
+	world.MutantSkipChecks:          {"endpoint-freeze", "endpoint-reuse"},
+	world.MutantIgnoreLeave:         {"endpoint-replace"},
+	world.MutantForgetSignOff:       {"endpoint-late-beat"},
+	world.MutantUnlimitedRetries:    {"release-bad"},
+	world.MutantAbruptStop:          {"side-roll"},
+	world.MutantIgnoreHeartbeatLoss: {"endpoint-hang"},
+	world.MutantUnlimitedClockSteps: {"clock-jump"},
+	world.MutantIgnoreUrgency:       {"overload"},
+	world.MutantExecuteRejected:     {"crowd", "endpoint-slow"},
+	world.MutantDecideTwice:         {"crowd", "endpoint-slow"},
+	world.MutantIgnoreTarget:        {"endpoint-reuse", "endpoint-freeze"},
+	world.MutantExecuteShed:         {"endpoint-slow", "overload"},
+	world.MutantRetryFailed:         {"endpoint-fails"},
+	world.MutantLazySync:            {"core-kill-power"},
+	world.MutantUnsyncedFolder:      {"core-kill-power"},
 }
 
 // mutantDay is a day that shows a mutant, on some seed.
@@ -212,14 +212,14 @@
 		options = configStormDay(seed)
 		options.Mutant = mutant
 		return deploymentNamed("small"), options
-	case world.MutantStay:
+	case world.MutantKeepStaleCore:
 		options = partitionDay(seed, "core-apart-alone", 0)
 	case world.MutantQueueInStop:
 		options = plannedStopsDay(seed)
 	}
 	options.Mutant, options.Platform = mutant, mutant.NeedsPlatform()
 	options.Keyspaces = strings.HasPrefix(string(mutant), "cell-")
-	if mutant == world.MutantJoinSingly {
+	if mutant == world.MutantBypassJoinQueue {
 		options = herdDay(seed, "herd-power")
 		options.Mutant = mutant
 		return herd84, options
@@ -250,7 +250,7 @@
 // The same seed gives the same report and trace, byte for byte.
 func TestSameSeedSameBytes(t *testing.T) {
 	a, b := Simulate(Deployments["volta"], faultDay(5, 0.3)), Simulate(Deployments["volta"], faultDay(5, 0.3))
-	must.Eq(t, a.Text(), b.Text())
+	must.Eq(t, a.Report(), b.Report())
 	must.Eq(t, a.Trace, b.Trace)
 }
 
--- a/sim/world/call.go
+++ b/sim/world/call.go
@@ -111,7 +111,7 @@
 // endCall tells the client of a call what became of it.
 func (w *World) endCall(record *invariant.Call, failed *failure.Error) {
 	record.Ended = w.now
-	if w.Mutant == MutantHoldBack && failed != nil && record.Deadline > w.now {
+	if w.Mutant == MutantDelayFailures && failed != nil && record.Deadline > w.now {
 		w.After(record.Deadline.Since(w.now), func() { record.Ended = w.now })
 	}
 	record.Done()
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -58,7 +58,7 @@
 
 // watchedTime is the clock of the daemon, which counts only time that passed while it watched.
 func (c *Core) watchedTime() monotime.Time {
-	if c.world.Mutant == MutantUnwatchedClock {
+	if c.world.Mutant == MutantUnlimitedClockSteps {
 		return c.localTime()
 	}
 	return c.clockWatch.Observe(c.localTime())
@@ -133,7 +133,7 @@
 		if count%configCheckTicks == 0 && c.node.ConfigRevision > c.configRevision() {
 			c.followConfig()
 		}
-		if c.world.Mutant == MutantAmnesia && count%amnesiaTicks == amnesiaTicks-1 {
+		if c.world.Mutant == MutantForgetAccepted && count%amnesiaTicks == amnesiaTicks-1 {
 			c.node.ForgetRecords()
 		}
 	})
--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -30,7 +30,7 @@
 type Behavior struct {
 	ServiceTime    time.Duration // the mean
 	NoResponseRate float64
-	GarbageRate    float64 // of responses that can't be read
+	MalformedRate  float64 // of responses that can't be read
 	SlowRate       float64 // of requests that take slowServiceTime
 	// The rest is for worlds with admission queues.
 	Slots       int     // requests that it works on at once
@@ -173,9 +173,9 @@
 	})
 }
 
-// SignOffFirst has the endpoint sign off before anything else and serve on for a while; then it ends,
+// SignOffBeforeDrain has the endpoint sign off before anything else and serve on for a while; then it ends,
 // and then is called. Its last heartbeat before the sign-off is held up, and comes only after lateness.
-func (e *Endpoint) SignOffFirst(lateness, serveOn time.Duration, then func()) {
+func (e *Endpoint) SignOffBeforeDrain(lateness, serveOn time.Duration, then func()) {
 	if !e.running || e.signedOff {
 		return
 	}
--- a/sim/world/endpointserve.go
+++ b/sim/world/endpointserve.go
@@ -17,7 +17,7 @@
 		return
 	}
 	switch {
-	case e.Server != a.decision.Entry.UID && w.Mutant != MutantIgnoreFence:
+	case e.Server != a.decision.Entry.UID && w.Mutant != MutantIgnoreTarget:
 		e.shed(a, "it is another endpoint", done)
 	case e.inFlight < e.Behavior.Slots:
 		e.execute(a, done)
@@ -75,7 +75,7 @@
 		case !e.running:
 			done(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint ended"), Unreachable: true})
 		case e.hung, draw < e.Behavior.NoResponseRate:
-		case draw < e.Behavior.NoResponseRate+e.Behavior.GarbageRate:
+		case draw < e.Behavior.NoResponseRate+e.Behavior.MalformedRate:
 			done(w.garbage())
 		default:
 			record.Complete = true
--- a/sim/world/keyspaceusers.go
+++ b/sim/world/keyspaceusers.go
@@ -25,10 +25,10 @@
 	putRetryDelay = 50 * time.Millisecond
 )
 
-// KeyspaceUsers are clients that put, read and watch the entries of a few keyspaces, as
+// KeyspaceClients are clients that put, read and watch the entries of a few keyspaces, as
 // applications do that go on to another core after a timeout and repeat what got no clear
 // response.
-type KeyspaceUsers struct {
+type KeyspaceClients struct {
 	world         *World
 	keyspaceCount int
 	entryCount    int
@@ -37,10 +37,10 @@
 	Checker       *invariant.KeyspaceChecker
 }
 
-// StartKeyspaceUsers starts clients that put and read about once an interval, and a watch of
+// StartKeyspaceClients starts clients that put and read about once an interval, and a watch of
 // each keyspace.
-func (w *World) StartKeyspaceUsers(clients, keyspaceCount, entryCount int, interval time.Duration) *KeyspaceUsers {
-	u := &KeyspaceUsers{world: w, keyspaceCount: keyspaceCount, entryCount: entryCount, interval: interval, Checker: w.Checker.NewKeyspaceChecker()}
+func (w *World) StartKeyspaceClients(clients, keyspaceCount, entryCount int, interval time.Duration) *KeyspaceClients {
+	u := &KeyspaceClients{world: w, keyspaceCount: keyspaceCount, entryCount: entryCount, interval: interval, Checker: w.Checker.NewKeyspaceChecker()}
 	for range clients {
 		w.After(w.randomUpTo(interval), u.operate)
 	}
@@ -50,18 +50,18 @@
 	return u
 }
 
-func (u *KeyspaceUsers) pause() { u.world.After(u.world.jittered(u.interval), u.operate) }
+func (u *KeyspaceClients) pause() { u.world.After(u.world.jittered(u.interval), u.operate) }
 
 // request sends an operation on a keyspace.
-func (u *KeyspaceUsers) request(space, kind string, args keyspace.Args, end func(*node.Result)) {
+func (u *KeyspaceClients) request(space, kind string, args keyspace.Args, end func(*node.Result)) {
 	op := proposer.Operation{Key: keyspace.ControlKey(space), Kind: kind, Args: operation.Encode(args)}
 	u.world.requestWithin(op, clientBudget, clientTimeout, end)
 }
 
 // operate reads or puts some entry, the latter with or without a condition.
-func (u *KeyspaceUsers) operate() {
+func (u *KeyspaceClients) operate() {
 	w := u.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	space, name := fmt.Sprintf("g%d.", w.Rng.IntN(u.keyspaceCount)), fmt.Sprintf("c%d", w.Rng.IntN(u.entryCount))
@@ -78,7 +78,7 @@
 }
 
 // read reads an entry, whose newest acknowledged revision is the floor.
-func (u *KeyspaceUsers) read(space, name string, floor ident.Revision) {
+func (u *KeyspaceClients) read(space, name string, floor ident.Revision) {
 	u.request(space, keyspace.ReadKind, keyspace.Args{Name: name}, func(result *node.Result) {
 		var entry keyspace.Put
 		switch {
@@ -93,14 +93,14 @@
 
 // entryPut is a put of a new value, which is sent until its outcome is clear.
 type entryPut struct {
-	*KeyspaceUsers
+	*KeyspaceClients
 	space        string
 	args         keyspace.Args
 	newestBefore ident.Revision // the newest acknowledged of the keyspace when it was first sent
 }
 
 // newPut makes a put of a value that was never put before, conditional on the base if given.
-func (u *KeyspaceUsers) newPut(space, name string, base *ident.Revision) *entryPut {
+func (u *KeyspaceClients) newPut(space, name string, base *ident.Revision) *entryPut {
 	value := operation.Encode(fmt.Sprintf("v%d", u.valueCount))
 	return &entryPut{u, space, keyspace.Args{Name: name, Value: value, IfRevision: base}, u.Checker.KeyspaceFloor[space]}
 }
@@ -126,14 +126,14 @@
 
 // watch reads the puts of a keyspace after a revision that was given at a time; now and then
 // it pauses for long before.
-func (u *KeyspaceUsers) watch(space string, after ident.Revision, givenAt monotime.Time) {
+func (u *KeyspaceClients) watch(space string, after ident.Revision, givenAt monotime.Time) {
 	w := u.world
 	pause := time.Duration(100+w.Rng.IntN(400)) * time.Millisecond
 	if w.Rng.IntN(12) == 0 {
 		pause = time.Duration(2+w.Rng.IntN(14)) * time.Second
 	}
 	w.After(pause, func() {
-		if w.Closed {
+		if w.ClientsStopped {
 			return
 		}
 		floor, sentAt := u.Checker.KeyspaceFloor[space], w.now
--- a/sim/world/keyusers.go
+++ b/sim/world/keyusers.go
@@ -74,8 +74,8 @@
 	linearizabilityTimeout = 2 * time.Second
 )
 
-// KeyUsers are clients that read, write and compare-and-set keys; they record the histories.
-type KeyUsers struct {
+// KeyClients are clients that read, write and compare-and-set keys; they record the histories.
+type KeyClients struct {
 	world        *World
 	keyCount     int
 	interval     time.Duration
@@ -85,24 +85,24 @@
 	writeCount   int
 }
 
-// StartKeyUsers starts clients over a number of keys, which do something about once an
+// StartKeyClients starts clients over a number of keys, which do something about once an
 // interval.
-func (w *World) StartKeyUsers(clients, keyCount int, interval time.Duration) *KeyUsers {
-	u := &KeyUsers{world: w, keyCount: keyCount, interval: interval, histories: map[string][]porcupine.Operation{}, acknowledged: map[string]ident.Revision{}, valueAt: map[string]string{}}
+func (w *World) StartKeyClients(clients, keyCount int, interval time.Duration) *KeyClients {
+	u := &KeyClients{world: w, keyCount: keyCount, interval: interval, histories: map[string][]porcupine.Operation{}, acknowledged: map[string]ident.Revision{}, valueAt: map[string]string{}}
 	for i := range clients {
 		w.After(w.randomUpTo(interval), func() { u.operate(i) })
 	}
 	return u
 }
 
-func (u *KeyUsers) pause(client int) {
+func (u *KeyClients) pause(client int) {
 	u.world.After(u.world.jittered(u.interval), func() { u.operate(client) })
 }
 
 // operate sends one operation of a client.
-func (u *KeyUsers) operate(client int) {
+func (u *KeyClients) operate(client int) {
 	w := u.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	name := fmt.Sprintf("k%d", w.Rng.IntN(u.keyCount))
@@ -135,7 +135,7 @@
 
 // ended checks the response to an operation and adds it to the key's history. acknowledged is
 // the newest acknowledged revision of the key when the operation began.
-func (u *KeyUsers) ended(client int, name string, in keyInput, began monotime.Time, acknowledged ident.Revision, result *node.Result) {
+func (u *KeyClients) ended(client int, name string, in keyInput, began monotime.Time, acknowledged ident.Revision, result *node.Result) {
 	var out keyOutput
 	returned := int64(u.world.now)
 	switch {
@@ -156,7 +156,7 @@
 }
 
 // succeeded checks the response to an operation that succeeded.
-func (u *KeyUsers) succeeded(name string, in keyInput, acknowledged ident.Revision, result *node.Result) keyOutput {
+func (u *KeyClients) succeeded(name string, in keyInput, acknowledged ident.Revision, result *node.Result) keyOutput {
 	w := u.world
 	var response keyvalue.Response
 	if json.Unmarshal(result.Body, &response) != nil {
@@ -182,7 +182,7 @@
 }
 
 // CheckHistories checks that every key's history is linearizable.
-func (u *KeyUsers) CheckHistories() {
+func (u *KeyClients) CheckHistories() {
 	for i := range u.keyCount {
 		name := fmt.Sprintf("k%d", i)
 		u.world.Checker.Observe(invariant.StaleRead)
--- a/sim/world/lockers.go
+++ b/sim/world/lockers.go
@@ -75,19 +75,19 @@
 	}
 }
 
-// locker is a client that acquires, renews and releases locks.
-type locker struct {
+// lockClient is a client that acquires, renews and releases locks.
+type lockClient struct {
 	*lockChecker
 	name      string
 	lockCount int
 	interval  time.Duration
 }
 
-// StartLockers starts clients over a number of locks, which begin anew about once an interval.
-func (w *World) StartLockers(clients, lockCount int, interval time.Duration) {
+// StartLockClients starts clients over a number of locks, which begin anew about once an interval.
+func (w *World) StartLockClients(clients, lockCount int, interval time.Duration) {
 	checker := newLockChecker(w)
 	for i := range clients {
-		l := &locker{lockChecker: checker, name: fmt.Sprintf("app%d", i), lockCount: lockCount, interval: interval}
+		l := &lockClient{lockChecker: checker, name: fmt.Sprintf("app%d", i), lockCount: lockCount, interval: interval}
 		w.After(w.randomUpTo(interval), l.acquire)
 	}
 }
@@ -95,12 +95,12 @@
 func lockKey(name string) ident.Key { return ident.Key("lock/" + name) }
 
 // pause has the client begin anew later.
-func (l *locker) pause() { l.world.After(l.world.jittered(l.interval), l.acquire) }
+func (l *lockClient) pause() { l.world.After(l.world.jittered(l.interval), l.acquire) }
 
 // acquire asks for some lock.
-func (l *locker) acquire() {
+func (l *lockClient) acquire() {
 	w := l.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	name := fmt.Sprintf("l%d", w.Rng.IntN(l.lockCount))
@@ -123,7 +123,7 @@
 }
 
 // renewOrRelease renews a few times and then releases the lock, or lets it expire.
-func (l *locker) renewOrRelease(name string, held *grant, ttl time.Duration, renewals int) {
+func (l *lockClient) renewOrRelease(name string, held *grant, ttl time.Duration, renewals int) {
 	l.world.After(ttl/3, func() {
 		switch {
 		case l.world.now >= held.expiresAt:
@@ -136,7 +136,7 @@
 	})
 }
 
-func (l *locker) renew(name string, held *grant, ttl time.Duration, renewals int) {
+func (l *lockClient) renew(name string, held *grant, ttl time.Duration, renewals int) {
 	w, sentAt := l.world, l.world.now
 	args := operation.Encode(lock.Args{Holder: l.name, FencingToken: held.fencingToken})
 	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.RenewKind, Args: args}, func(result *node.Result) {
@@ -148,7 +148,7 @@
 	})
 }
 
-func (l *locker) releaseOrForget(name string, held *grant) {
+func (l *lockClient) releaseOrForget(name string, held *grant) {
 	w := l.world
 	if w.Rng.IntN(3) == 0 {
 		w.After(held.expiresAt.Since(w.now), l.pause)
--- a/sim/world/operatorchecks.go
+++ b/sim/world/operatorchecks.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Finish excuses the sidecars that were still awaited when the day ended.
-func (o *Operators) Finish() {
+// ExcusePending excuses the sidecars that were still awaited when the day ended.
+func (o *Operators) ExcusePending() {
 	for range o.awaitedSidecars {
 		o.world.Checker.Excuse(invariant.ConfigLate, causeDayEnd)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// ReadBack reads the configuration at every core at the end of the day.
-func (o *Operators) ReadBack() {
+// CheckFinalConfig reads the configuration at every core at the end of the day.
+func (o *Operators) CheckFinalConfig() {
 	w := o.world
 	for _, c := range w.Cores {
 		if !c.running || c.frozen {
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -47,7 +47,7 @@
 // operate sends one proposal, or a few at a time.
 func (o *Operators) operate() {
 	w := o.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	n := 1
--- a/sim/world/platformlocker.go
+++ b/sim/world/platformlocker.go
@@ -10,37 +10,37 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// platformLocker is a client that holds locks as the platform's do: the holder that acquires
+// platformLockClient is a client that holds locks as the platform's do: the holder that acquires
 // again keeps its fencing token, a release names the grant that was read before, and whoever
 // gets no response in time goes on and acquires anew.
-type platformLocker struct {
+type platformLockClient struct {
 	*lockChecker
 	name      string
 	lockCount int
 	interval  time.Duration
 }
 
-// heldLock is one lock of a platformLocker, which it acquires a number of times in a row.
+// heldLock is one lock of a platformLockClient, which it acquires a number of times in a row.
 type heldLock struct {
 	name      string
 	ttl       time.Duration
 	remaining int
 }
 
-// StartPlatformLockers starts clients over a number of locks, which begin anew about once an
+// StartPlatformLockClients starts clients over a number of locks, which begin anew about once an
 // interval.
-func (w *World) StartPlatformLockers(clients, lockCount int, interval time.Duration) {
+func (w *World) StartPlatformLockClients(clients, lockCount int, interval time.Duration) {
 	checker := newLockChecker(w)
 	for i := range clients {
-		l := &platformLocker{lockChecker: checker, name: fmt.Sprintf("keeper%d", i), lockCount: lockCount, interval: interval}
+		l := &platformLockClient{lockChecker: checker, name: fmt.Sprintf("keeper%d", i), lockCount: lockCount, interval: interval}
 		w.After(w.randomUpTo(interval), l.begin)
 	}
 }
 
 // begin draws a lock and acquires it some times.
-func (l *platformLocker) begin() {
+func (l *platformLockClient) begin() {
 	w := l.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	name := fmt.Sprintf("kept%d", w.Rng.IntN(l.lockCount))
@@ -49,7 +49,7 @@
 }
 
 // again acquires the lock once more, or ends with it.
-func (l *platformLocker) again(h heldLock) {
+func (l *platformLockClient) again(h heldLock) {
 	if h.remaining > 1 {
 		h.remaining--
 		l.acquire(h)
@@ -58,9 +58,9 @@
 	l.pause()
 }
 
-func (l *platformLocker) pause() { l.world.After(l.world.jittered(l.interval), l.begin) }
+func (l *platformLockClient) pause() { l.world.After(l.world.jittered(l.interval), l.begin) }
 
-func (l *platformLocker) acquire(h heldLock) {
+func (l *platformLockClient) acquire(h heldLock) {
 	w, sentAt := l.world, l.world.now
 	args := operation.Encode(lock.Args{Holder: l.name, TTL: h.ttl.Milliseconds(), KeepToken: true})
 	w.requestWithin(proposer.Operation{Key: lockKey(h.name), Kind: lock.AcquireKind, Args: args}, clientBudget, clientTimeout, func(result *node.Result) {
@@ -78,7 +78,7 @@
 
 // use holds the lock for a while. Then the client dies, acquires the lock again, or releases
 // it first.
-func (l *platformLocker) use(h heldLock, fencingToken uint64) {
+func (l *platformLockClient) use(h heldLock, fencingToken uint64) {
 	w := l.world
 	switch w.Rng.IntN(4) {
 	case 0:
@@ -94,7 +94,7 @@
 }
 
 // release reads the lock and releases the grant that it read, both within one timeout.
-func (l *platformLocker) release(h heldLock, fencingToken uint64) {
+func (l *platformLockClient) release(h heldLock, fencingToken uint64) {
 	w := l.world
 	l.abandon(h.name, l.name)
 	deadline := w.now.Add(clientTimeout)
--- a/sim/world/reachability.go
+++ b/sim/world/reachability.go
@@ -84,8 +84,8 @@
 	return false
 }
 
-// Undisturbed tells whether no link is cut, and no core is down, frozen or slow.
-func (w *World) Undisturbed() bool {
+// CoresAndLinksHealthy tells whether no link is cut, and no core is down, frozen or slow.
+func (w *World) CoresAndLinksHealthy() bool {
 	for _, c := range w.Cores {
 		if !c.running || c.frozen || c.diskFailed || c.DiskDelay > 0 {
 			return false
--- a/sim/world/report.go
+++ b/sim/world/report.go
@@ -12,8 +12,8 @@
 // traceBefore is how much of the trace before the first violation a report shows.
 const traceBefore = 15 // s
 
-// Text reports what happened and the verdict of every rule.
-func (w *World) Text() string {
+// Report reports what happened and the verdict of every rule.
+func (w *World) Report() string {
 	var b strings.Builder
 	w.writeCounts(&b)
 	w.writeOperationTimes(&b)
--- a/sim/world/sequenceusers.go
+++ b/sim/world/sequenceusers.go
@@ -11,9 +11,9 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// sequenceUsers are clients that take numbers of sequences; they check that none is given
+// sequenceClients are clients that take numbers of sequences; they check that none is given
 // twice or goes back.
-type sequenceUsers struct {
+type sequenceClients struct {
 	world         *World
 	sequenceCount int
 	interval      time.Duration
@@ -21,18 +21,18 @@
 	highest       map[string]uint64 // by sequence
 }
 
-// StartSequenceUsers starts clients over a number of sequences, which take a number about once
+// StartSequenceClients starts clients over a number of sequences, which take a number about once
 // an interval.
-func (w *World) StartSequenceUsers(clients, sequenceCount int, interval time.Duration) {
-	u := &sequenceUsers{world: w, sequenceCount: sequenceCount, interval: interval, given: map[string]bool{}, highest: map[string]uint64{}}
+func (w *World) StartSequenceClients(clients, sequenceCount int, interval time.Duration) {
+	u := &sequenceClients{world: w, sequenceCount: sequenceCount, interval: interval, given: map[string]bool{}, highest: map[string]uint64{}}
 	for range clients {
 		w.After(w.randomUpTo(interval), u.take)
 	}
 }
 
-func (u *sequenceUsers) take() {
+func (u *sequenceClients) take() {
 	w := u.world
-	if w.Closed {
+	if w.ClientsStopped {
 		return
 	}
 	name := fmt.Sprintf("n%d", w.Rng.IntN(u.sequenceCount))
@@ -46,7 +46,7 @@
 	})
 }
 
-func (u *sequenceUsers) check(name string, number, highestBefore uint64) {
+func (u *sequenceClients) check(name string, number, highestBefore uint64) {
 	u.world.Checker.Observe(invariant.SequenceRepeated)
 	id := fmt.Sprint(name, "/", number)
 	if u.given[id] || number <= highestBefore {
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -52,7 +52,7 @@
 
 	hasLease       bool
 	joinPending    bool
-	joinTurn       int // which core is next with MutantJoinSingly
+	joinTurn       int // which core is next with MutantBypassJoinQueue
 	joinCount      int // joins that succeeded; it identifies the next request
 	leaseEpoch     ident.LeaseEpoch
 	reportSequence uint64
@@ -83,7 +83,7 @@
 
 // watchedTime is a clock that counts only time that passed while the process watched.
 func (s *Sidecar) watchedTime() monotime.Time {
-	if s.world.Mutant == MutantUnwatchedClock {
+	if s.world.Mutant == MutantUnlimitedClockSteps {
 		return s.localTime()
 	}
 	return s.clockWatch.Observe(s.localTime())
@@ -114,7 +114,7 @@
 	s.configCache.Disabled = w.Mutant == MutantNoPeerCache
 	s.configCache.ExtendWait = w.Mutant == MutantExtendWait
 	s.tracker = endpoint.New()
-	s.tracker.SkipChecks = w.Mutant == MutantSkipChecks || w.Mutant == MutantIgnoreSilence
+	s.tracker.SkipChecks = w.Mutant == MutantSkipChecks || w.Mutant == MutantIgnoreHeartbeatLoss
 	s.tracker.ForgetDepartures = w.Mutant == MutantForgetSignOff
 	s.queue = priorityqueue.New[*queuedCall](w.MaxSenders, w.MaxSenders)
 	s.queue.IgnoreUrgency = w.Mutant == MutantIgnoreUrgency
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -42,7 +42,7 @@
 // configAnnounced takes a peer's announcement of a configuration; done is called once the
 // configuration is here. It is taken from that peer if it does not come by itself.
 func (s *Sidecar) configAnnounced(config *validation.Config, done func()) {
-	if config.Revision < s.router.MinRevision || s.world.Mutant == MutantDeaf {
+	if config.Revision < s.router.MinRevision || s.world.Mutant == MutantIgnoreUpdates {
 		return // it may not be shown here, so it is not cached either
 	}
 	s.configCache.ObservePeer(s.localTime(), config.Revision)
@@ -87,7 +87,7 @@
 
 // askPeers asks some peers for their registry and configuration, while no core is heard.
 func (s *Sidecar) askPeers() {
-	if s.world.Mutant == MutantDeaf {
+	if s.world.Mutant == MutantIgnoreUpdates {
 		return
 	}
 	peers := s.shuffledPeers()
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -15,7 +15,7 @@
 	"cottonarch.example/cottonarch/mesh/lease/joiner"
 )
 
-// With MutantJoinSingly a sidecar tries to join at every so many ticks, each time for so long;
+// With MutantBypassJoinQueue a sidecar tries to join at every so many ticks, each time for so long;
 // a core works at each operation of it within a budget.
 const (
 	joinSinglyTicks   = 6
@@ -25,7 +25,7 @@
 
 // requestJoin asks one core for a lease when the time for it has come, as the daemon does.
 func (s *Sidecar) requestJoin(tick int) {
-	if s.world.Mutant == MutantJoinSingly {
+	if s.world.Mutant == MutantBypassJoinQueue {
 		if tick%joinSinglyTicks == 0 {
 			s.joinSingly()
 		}
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -85,7 +85,7 @@
 
 // leaseRenewed takes the response of a core to a renewal.
 func (s *Sidecar) leaseRenewed(c *Core, addr ident.Addr, response record.RenewalResponse) {
-	response.Stale = response.Stale && s.world.Mutant != MutantStay
+	response.Stale = response.Stale && s.world.Mutant != MutantKeepStaleCore
 	s.lease.HandleResponse(s.localTime(), addr, response)
 	s.coreHeardAt = s.localTime()
 	s.budgetShare.SetMemberCount(s.watchedTime(), response.Members)
--- a/sim/world/sidecarpoll.go
+++ b/sim/world/sidecarpoll.go
@@ -11,7 +11,7 @@
 
 const (
 	pollTimeout = time.Second
-	// deafPolls is one in how many polls a sidecar sends with MutantDeaf.
+	// deafPolls is one in how many polls a sidecar sends with MutantIgnoreUpdates.
 	deafPolls = 100
 )
 
@@ -56,7 +56,7 @@
 	if followed := s.lease.PollTarget(); followed != s.feed.core {
 		s.feed.follow(followed)
 	}
-	if s.feed.polling || s.world.Mutant == MutantDeaf && s.world.Rng.IntN(deafPolls) > 0 {
+	if s.feed.polling || s.world.Mutant == MutantIgnoreUpdates && s.world.Rng.IntN(deafPolls) > 0 {
 		return
 	}
 	c := s.world.coreAt(s.feed.core)
--- a/sim/world/world.go
+++ b/sim/world/world.go
@@ -43,8 +43,8 @@
 	// CoreMessageCost is how long a core's process takes for each message and request that
 	// reaches it, as one with a part of a processor does; 0 means no time.
 	CoreMessageCost time.Duration
-	// Closed says that clients begin nothing new.
-	Closed bool
+	// ClientsStopped says that clients begin nothing new.
+	ClientsStopped bool
 	// Mutant is the rule that is broken on purpose, to see the checkers catch it.
 	Mutant Mutant
 
