--- a/sim/world/admission.go
+++ b/sim/world/admission.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// wakeLatency is how long a waiter takes to go on after a decision.
+	// wakeLatency is the delay between a decision of the admission queue and the moment at which
+	// the waiting attempt continues.
 	wakeLatency = 10 * time.Microsecond
-	// answerMargin is by how much the endpoint's sidecar gives up before the client's at most,
-	// so that its answer arrives.
-	answerMargin = 20 * time.Millisecond
-	// leastRetryAfter is the shortest delay that a rejection asks for, in seconds.
-	leastRetryAfter = 0.01
+	// responseMargin is the largest amount by which the timeout at the endpoint's sidecar is
+	// shorter than the timeout at the client's sidecar, so that the response arrives in time.
+	responseMargin = 20 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After of a rejection, in seconds.
+	minRetryAfter = 0.01
 )
 
-// admissionAttempt is one attempt of a call that passes an admission queue. Invariants: rejected
-// is set once the queue rejected it, executed once an endpoint ran it, and never both.
+// admissionAttempt is one attempt of a call that passes through an admission queue. Invariants:
+// rejected is set once the queue rejected the attempt, executed is set once an endpoint executed
+// the attempt, and never are both set.
 type admissionAttempt struct {
 	decision  attempt.Decision
 	queued    *queuedCall
-	request   admission.Request // with times that count from its arrival at the queue
+	request   admission.Request // with times relative to the arrival at the queue
 	timeout   time.Duration
-	execution invariant.Execution // by the endpoint that it reached
+	execution invariant.Execution // by the endpoint that the attempt reached
 	rejected  bool
 	executed  bool
 }
 
-// newAdmissionAttempt makes the attempt of a decision, as the client's sidecar describes it to
-// the admission queue.
+// newAdmissionAttempt returns the attempt for a decision, with the request that the client's
+// sidecar sends to the admission queue.
 func (s *Sidecar) newAdmissionAttempt(decision attempt.Decision, queued *queuedCall) *admissionAttempt {
 	now, route := s.localTime(), queued.call.Route
 	target := route.TargetLatency
@@ -45,17 +47,17 @@
 		FreeRejectUntil: monotime.Time(queued.startedAt.Add(target / 4).Since(now)),
 		Target:          monotime.Time(queued.startedAt.Add(target).Since(now)),
 	}
-	return &admissionAttempt{decision: decision, queued: queued, request: request, timeout: decision.Timeout - min(decision.Timeout/10, answerMargin)}
+	return &admissionAttempt{decision: decision, queued: queued, request: request, timeout: decision.Timeout - min(decision.Timeout/10, responseMargin)}
 }
 
-// waiter is an attempt that waits in the admission queue, and how it goes on after a decision.
+// waiter is an attempt in the admission queue, with the callback for the decision.
 type waiter struct {
 	attempt   *admissionAttempt
 	onVerdict func(admission.Verdict)
 }
 
-// deliverVerdicts tells those who wait what is decided. They go on later, for they must be
-// woken first.
+// deliverVerdicts delivers decisions to the waiting attempts. The attempts continue after
+// wakeLatency.
 func (s *Sidecar) deliverVerdicts(verdicts []admission.Verdict) {
 	if s.world.Mutant == MutantDecideTwice && len(verdicts) > 0 {
 		verdicts = append(verdicts, verdicts[0])
@@ -67,27 +69,29 @@
 	}
 }
 
+// deliverVerdict checks one decision and schedules the callback of the waiting attempt.
 func (s *Sidecar) deliverVerdict(verdict admission.Verdict) {
 	w := s.world
 	w.Checker.Observe(invariant.AdmissionDecision)
 	waiting := s.waiters[verdict.ID]
 	if waiting == nil {
-		w.Violate(invariant.AdmissionDecision, "the admission queue of %s decided %d about %d, which has a decision or waits no more", s.Node, verdict.Decision, verdict.ID)
+		w.Violate(invariant.AdmissionDecision, "the admission queue of %s made decision %d on attempt %d, which is already decided or no longer waiting", s.Node, verdict.Decision, verdict.ID)
 		return
 	}
 	delete(s.waiters, verdict.ID)
 	if verdict.Decision == admission.Reject {
 		w.Checker.Observe(invariant.AdmissionRejected)
 		if waiting.attempt.rejected = true; waiting.attempt.executed {
-			w.Violate(invariant.AdmissionRejected, "%s was rejected by the admission queue of %s and had run", waiting.attempt.queued.record.ID, s.Node)
+			w.Violate(invariant.AdmissionRejected, "call %s was rejected by the admission queue of %s after it had been executed", waiting.attempt.queued.record.ID, s.Node)
 		}
 	}
 	generation := s.generation
 	w.After(wakeLatency, func() { s.runInGeneration(generation, func() { waiting.onVerdict(verdict) }) })
 }
 
-// admit takes an attempt into the admission queue, after the check of its endpoint.
-func (s *Sidecar) admit(a *admissionAttempt, done func(attempt.Result)) {
+// submitForAdmission checks the endpoint of an attempt and submits the attempt to the admission
+// queue.
+func (s *Sidecar) submitForAdmission(a *admissionAttempt, done func(attempt.Result)) {
 	w, generation, server := s.world, s.generation, a.decision.Entry.UID
 	if _, _, rejection := s.tracker.Check(s.localTime(), server, a.decision.Entry.Service); rejection != nil {
 		done(rejected(rejection))
@@ -96,20 +100,20 @@
 	s.inFlight++
 	now := s.localTime()
 	s.lastWaiterID++
-	run := &admittedRun{sidecar: s, generation: generation, attempt: a, id: s.lastWaiterID, deadline: now.Add(a.timeout), done: s.reportOnce(a, done)}
-	s.waiters[run.id] = &waiter{attempt: a, onVerdict: run.onVerdict}
+	serverSide := &serverSideAttempt{sidecar: s, generation: generation, attempt: a, id: s.lastWaiterID, deadline: now.Add(a.timeout), done: s.reportOnce(a, done)}
+	s.waiters[serverSide.id] = &waiter{attempt: a, onVerdict: serverSide.onVerdict}
 	request := a.request
-	request.ID, request.Deadline = run.id, run.deadline
+	request.ID, request.Deadline = serverSide.id, serverSide.deadline
 	request.FreeRejectUntil, request.Target = now.Add(time.Duration(request.FreeRejectUntil)), now.Add(time.Duration(request.Target))
 	s.deliverVerdicts(s.admission.Submit(now, server, request))
-	if s.waiters[run.id] == nil {
-		return // it is decided already
+	if s.waiters[serverSide.id] == nil {
+		return // the queue has already decided
 	}
-	w.After(a.timeout, func() { s.runInGeneration(generation, run.expire) })
+	w.After(a.timeout, func() { s.runInGeneration(generation, serverSide.expire) })
 }
 
-// reportOnce wraps done to be called once, with the endpoint's load, when the request is no
-// longer in flight.
+// reportOnce wraps done: the first call ends the request in flight and adds the load of the
+// endpoint to the result; further calls have no effect.
 func (s *Sidecar) reportOnce(a *admissionAttempt, done func(attempt.Result)) func(attempt.Result) {
 	generation, ended := s.generation, false
 	return func(result attempt.Result) {
@@ -125,7 +129,7 @@
 	}
 }
 
-// shed is the result of an attempt that the admission queue rejected.
+// shed returns the result of an attempt that the admission queue rejected.
 func shed(failed *failure.Error) attempt.Result {
 	return attempt.Result{Outcome: attempt.NotExecuted, Rejected: true, Shed: true, Failure: failed}
 }
--- a/sim/world/admittedrun.go
+++ b/sim/world/admittedrun.go
@@ -10,62 +10,62 @@
 	"cottonarch.example/cottonarch/mesh/attempt"
 )
 
-// admittedRun is an attempt at the sidecar of its endpoint, from the admission queue on.
-type admittedRun struct {
-	sidecar    *Sidecar
-	generation int // of the sidecar
-	attempt    *admissionAttempt
-	id         uint64 // in the admission queue
-	deadline   monotime.Time
-	done       func(attempt.Result)
-	begun      bool // the retry budget counts it as running
-	ended      bool
+// serverSideAttempt is an attempt at the sidecar of its endpoint, from the admission queue on.
+type serverSideAttempt struct {
+	sidecar       *Sidecar
+	generation    int // of the sidecar
+	attempt       *admissionAttempt
+	id            uint64 // in the admission queue
+	deadline      monotime.Time
+	done          func(attempt.Result)
+	inRetryBudget bool // the retry budget counts the attempt as running
+	ended         bool
 }
 
-// onVerdict goes on after a decision of the admission queue.
-func (r *admittedRun) onVerdict(verdict admission.Verdict) {
+// onVerdict starts or rejects the attempt, as the admission queue decided.
+func (r *serverSideAttempt) onVerdict(verdict admission.Verdict) {
 	if verdict.Decision == admission.Admit {
 		r.start()
 		return
 	}
 	failed := failure.New(failure.Busy, "server %q: %s", r.attempt.decision.Entry.UID, verdict.Reason)
-	r.done(shed(failed.WithRetryAfter(max(leastRetryAfter, verdict.RetryAfter.Seconds()))))
+	r.done(shed(failed.WithRetryAfter(max(minRetryAfter, verdict.RetryAfter.Seconds()))))
 	if r.sidecar.world.Mutant == MutantExecuteRejected {
 		r.done = func(attempt.Result) {}
 		r.start()
 	}
 }
 
-// expire ends an attempt that still waits when its time is over.
-func (r *admittedRun) expire() {
+// expire ends the attempt if it still waits in the admission queue at its deadline.
+func (r *serverSideAttempt) expire() {
 	s := r.sidecar
 	if s.waiters[r.id] == nil {
 		return
 	}
 	delete(s.waiters, r.id)
 	s.deliverVerdicts(s.admission.Abandon(s.localTime(), r.attempt.decision.Entry.UID, r.id))
-	r.done(shed(failure.New(failure.DeadlineExceeded, "no room in time")))
+	r.done(shed(failure.New(failure.DeadlineExceeded, "the request left the admission queue at its deadline without a decision")))
 }
 
-// start checks the endpoint once more and connects to it.
-func (r *admittedRun) start() {
+// start checks the endpoint again and connects to it.
+func (r *serverSideAttempt) start() {
 	s, entry := r.sidecar, r.attempt.decision.Entry
 	addr, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service)
 	if rejection == nil {
-		if r.begun = s.router.RetryBudget.BeginRun(s.localTime(), r.attempt.decision.RepeatChance); !r.begun {
-			rejection = failure.New(failure.Busy, "no room for the calls of a repeat")
+		if r.inRetryBudget = s.router.RetryBudget.BeginRun(s.localTime(), r.attempt.decision.RepeatChance); !r.inRetryBudget {
+			rejection = failure.New(failure.Busy, "the retry budget of the services called is used up")
 		}
 	}
 	if rejection != nil {
 		r.reject(rejection)
 		return
 	}
-	s.world.After(dialLatency, func() { s.runInGeneration(r.generation, func() { r.connected(addr) }) })
+	s.world.After(dialLatency, func() { s.runInGeneration(r.generation, func() { r.forwardTo(addr) }) })
 }
 
-// connected hands the request to the endpoint at an address, if it is still the one that was
-// checked.
-func (r *admittedRun) connected(addr ident.Addr) {
+// forwardTo sends the request to the endpoint at an address, if the tracker still maps the server
+// to that address.
+func (r *serverSideAttempt) forwardTo(addr ident.Addr) {
 	s, w, entry := r.sidecar, r.sidecar.world, r.attempt.decision.Entry
 	e, failed := s.connect(addr, entry.UID)
 	if failed != nil {
@@ -73,13 +73,13 @@
 		return
 	}
 	if now, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service); rejection != nil || now != addr {
-		r.reject(failure.New(failure.EndpointRejected, "server %q is not there any more", entry.UID))
+		r.reject(failure.New(failure.EndpointRejected, "server %q is no longer at its checked address", entry.UID))
 		return
 	}
 	began := s.localTime()
 	remaining := r.deadline.Since(began)
 	w.After(remaining, func() {
-		noResponse := failure.NewUnknown(failure.DeadlineExceeded, "the endpoint gave no response")
+		noResponse := failure.NewUnknown(failure.DeadlineExceeded, "the endpoint did not respond in time")
 		r.end(attempt.Result{Outcome: attempt.Unknown, Failure: noResponse}, admission.GivenUp, s.localTime().Since(began))
 	})
 	w.countArrival(r.attempt.queued)
@@ -96,20 +96,21 @@
 	})
 }
 
-// reject ends an attempt that did not reach its endpoint.
-func (r *admittedRun) reject(failed *failure.Error) {
+// reject ends the attempt before it reached its endpoint.
+func (r *serverSideAttempt) reject(failed *failure.Error) {
 	r.end(rejected(failed), admission.GivenUp, 0)
 }
 
-// end reports what became of the attempt, once, to the admission queue and to the client.
-func (r *admittedRun) end(result attempt.Result, outcome admission.Outcome, elapsed time.Duration) {
+// end reports the result to the admission queue and to the client. Only the first call has an
+// effect.
+func (r *serverSideAttempt) end(result attempt.Result, outcome admission.Outcome, elapsed time.Duration) {
 	s := r.sidecar
 	s.runInGeneration(r.generation, func() {
 		if r.ended {
 			return
 		}
 		r.ended = true
-		if r.begun {
+		if r.inRetryBudget {
 			s.router.RetryBudget.EndRun(r.attempt.decision.RepeatChance)
 		}
 		s.deliverVerdicts(s.admission.Done(s.localTime(), r.attempt.decision.Entry.UID, r.id, outcome, elapsed))
--- a/sim/world/call.go
+++ b/sim/world/call.go
@@ -11,20 +11,20 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// localLatency is how long a request takes from its client to the sidecar beside it.
+// localLatency is the latency of a request from a client to its local sidecar.
 const localLatency = 50 * time.Microsecond
 
-// RequestKind is one kind of request.
+// RequestKind describes one kind of request that the simulated clients send.
 type RequestKind struct {
 	Name, Method, Host, Path string
 	Service                  ident.Service
-	Weight                   int // how often it is sent, relative to the other kinds
+	Weight                   int // frequency relative to the other kinds
 	Urgent                   bool
-	// Repeat is what its route says about running it twice; empty leaves it to the method.
+	// Repeat is the route's setting for repeated execution. If Repeat is empty, the method decides.
 	Repeat string
 }
 
-// atMostOnce tells whether the request may run at most once.
+// atMostOnce reports whether the request may run at most once.
 func (k RequestKind) atMostOnce() bool {
 	switch k.Repeat {
 	case "":
@@ -35,15 +35,15 @@
 	return true
 }
 
-// queuedCall is a call at its own sidecar.
+// queuedCall is a call at the sidecar of its client.
 type queuedCall struct {
 	call           *attempt.Call
 	record         *invariant.Call
 	startedAt      monotime.Time
-	endpointFailed bool // an endpoint responded that it failed, while others are tried
+	endpointFailed bool // an endpoint responded with a failure, and other endpoints are tried
 }
 
-// Call sends one request of a client beside a sidecar.
+// Call sends one request of a client on the machine of a sidecar.
 func (w *World) Call(s *Sidecar, k RequestKind) {
 	w.callCount++
 	id := fmt.Sprintf("%s-%d", k.Name, w.callCount)
@@ -65,12 +65,12 @@
 		}
 	}
 	w.After(localLatency, func() {
-		s.runInGeneration(generation, func() { s.takeCall(k, record) })
+		s.runInGeneration(generation, func() { s.routeCall(k, record) })
 	})
 }
 
-// takeCall finds the route of a call and queues it.
-func (s *Sidecar) takeCall(k RequestKind, record *invariant.Call) {
+// routeCall finds the route of a call and adds the call to the priority queue.
+func (s *Sidecar) routeCall(k RequestKind, record *invariant.Call) {
 	w, now := s.world, s.localTime()
 	record.LastAttemptEnded = w.now
 	call := &attempt.Call{Host: k.Host, Path: k.Path, Method: k.Method, Caller: string(s.Node)}
@@ -89,7 +89,7 @@
 	s.dispatch(s.generation)
 }
 
-// dispatch sends queued calls as long as there are free senders.
+// dispatch starts queued calls as long as there are free senders.
 func (s *Sidecar) dispatch(generation int) {
 	for {
 		queued, urgent, ok := s.queue.Dequeue()
@@ -108,7 +108,7 @@
 	}
 }
 
-// endCall tells the client of a call what became of it.
+// endCall records the outcome that the client of a call receives.
 func (w *World) endCall(record *invariant.Call, failed *failure.Error) {
 	record.Ended = w.now
 	if w.Mutant == MutantDelayFailures && failed != nil && record.Deadline > w.now {
@@ -128,7 +128,7 @@
 	}
 }
 
-// releaseRequest counts down the requests in flight, unless the sidecar has been started anew.
+// releaseRequest decrements the number of requests in flight, unless the sidecar has restarted.
 func (s *Sidecar) releaseRequest(generation int) {
 	if s.generation == generation {
 		s.inFlight--
--- a/sim/world/callattempt.go
+++ b/sim/world/callattempt.go
@@ -8,10 +8,11 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// cutLatency is after how long a sidecar learns that another one is cut off.
-const cutLatency = 300 * time.Millisecond
+// cutDetectionLatency is the time after which a sidecar detects that the link to another sidecar
+// is cut.
+const cutDetectionLatency = 300 * time.Millisecond
 
-// callAttempt is one attempt of a call.
+// callAttempt is one attempt of a call, at the sidecar of the client.
 type callAttempt struct {
 	sidecar    *Sidecar // of the client
 	generation int      // of that sidecar
@@ -23,7 +24,7 @@
 // tryNext makes the next attempt of a call, or ends it.
 func (s *Sidecar) tryNext(generation int, queued *queuedCall) {
 	if queued.call.Attempts() == 0 {
-		queued.record.LastAttemptEnded = s.world.now // it waited until now
+		queued.record.LastAttemptEnded = s.world.now // the call waited in the queue until now
 	}
 	decision := s.router.Next(s.localTime(), queued.call)
 	if decision.Failure != nil {
@@ -35,8 +36,8 @@
 	a.send()
 }
 
-// giveUp ends a call that is not tried again. If an endpoint responded that it failed, that
-// response is what the client gets.
+// giveUp ends a call that is not retried. If an endpoint responded with a failure, the client
+// receives that response.
 func (s *Sidecar) giveUp(queued *queuedCall, failed *failure.Error) {
 	if queued.endpointFailed {
 		failed = nil
@@ -44,7 +45,8 @@
 	s.world.endCall(queued.record, failed)
 }
 
-// finish takes the result of the attempt, once, and makes the next one or ends the call.
+// finish handles the result of the attempt: it makes the next attempt or ends the call. Only the
+// first call of finish has an effect.
 func (a *callAttempt) finish(result attempt.Result) {
 	if a.ended {
 		return
@@ -69,54 +71,54 @@
 	})
 }
 
-// noResponse is the result of an attempt that got no response.
+// noResponse returns the result of an attempt without a response.
 func (a *callAttempt) noResponse(kind failure.Kind) attempt.Result {
 	if a.sidecar.world.Mutant == MutantWrongResponse {
 		return attempt.Result{Outcome: attempt.Executed}
 	}
-	return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "no response"), Unreachable: kind == failure.LostResponse}
+	return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "the attempt got no response"), Unreachable: kind == failure.LostResponse}
 }
 
-// unreachable is the result of an attempt that never left the sidecar.
+// unreachable returns the result of an attempt that never left the client's sidecar.
 func unreachable(note string) attempt.Result {
 	return attempt.Result{Outcome: attempt.NotExecuted, Failure: failure.New(failure.Unreachable, "%s", note), Unreachable: true}
 }
 
-// rejected is the result of an attempt that was certainly not executed.
+// rejected returns the result of an attempt that was rejected without being executed.
 func rejected(failed *failure.Error) attempt.Result {
 	return attempt.Result{Outcome: attempt.NotExecuted, Failure: failed, Rejected: true}
 }
 
-// send sends the attempt to the sidecar of the endpoint, which may be the client's own.
+// send sends the attempt to the sidecar of the endpoint, which may be the client's own sidecar.
 func (a *callAttempt) send() {
 	s, w := a.sidecar, a.sidecar.world
 	target := w.sidecarAt(a.decision.Entry.SidecarAddr)
-	handOver := a.handOver()
+	handle := a.handler()
 	switch {
 	case target == s:
-		handOver(s, a.finish)
+		handle(s, a.finish)
 	case target == nil || !target.running:
-		w.After(connectLatency, func() { a.finish(unreachable("down")) })
+		w.After(connectLatency, func() { a.finish(unreachable("the endpoint's sidecar is down")) })
 	case !w.Links.openBothWays(s.Addr, target.Addr):
-		w.After(cutLatency, func() { a.finish(unreachable("cut")) })
+		w.After(cutDetectionLatency, func() { a.finish(unreachable("the link to the endpoint's sidecar is cut")) })
 	default:
-		a.sendTo(target, handOver)
+		a.sendTo(target, handle)
 	}
 }
 
-// handOver returns how a sidecar takes the attempt: by its admission queue, if the world has
-// such queues.
-func (a *callAttempt) handOver() func(*Sidecar, func(attempt.Result)) {
+// handler returns the function by which the endpoint's sidecar handles the attempt. In a world
+// with admission queues, the function submits the attempt to the queue of that sidecar.
+func (a *callAttempt) handler() func(*Sidecar, func(attempt.Result)) {
 	if !a.sidecar.world.Platform {
 		return func(target *Sidecar, done func(attempt.Result)) { target.forward(a.decision, a.queued, done) }
 	}
 	admission := a.sidecar.newAdmissionAttempt(a.decision, a.queued)
-	return func(target *Sidecar, done func(attempt.Result)) { target.admit(admission, done) }
+	return func(target *Sidecar, done func(attempt.Result)) { target.submitForAdmission(admission, done) }
 }
 
-// sendTo sends the attempt to another sidecar. Its result is lost if that sidecar ends or the
-// links are cut meanwhile.
-func (a *callAttempt) sendTo(target *Sidecar, handOver func(*Sidecar, func(attempt.Result))) {
+// sendTo sends the attempt to another sidecar. The result is lost if that sidecar ends or the
+// link back is cut before the response is sent.
+func (a *callAttempt) sendTo(target *Sidecar, handle func(*Sidecar, func(attempt.Result))) {
 	w, generation := a.sidecar.world, target.generation
 	w.After(w.linkDelay(), func() {
 		if !target.running || target.generation != generation {
@@ -124,7 +126,7 @@
 			return
 		}
 		target.runInGeneration(generation, func() {
-			handOver(target, func(result attempt.Result) {
+			handle(target, func(result attempt.Result) {
 				if w.Links.Open(target.Addr, a.sidecar.Addr) && target.running && target.generation == generation {
 					w.After(w.linkDelay(), func() { a.finish(result) })
 				}
@@ -133,14 +135,15 @@
 	})
 }
 
-// countArrival counts an attempt that reaches an endpoint, if it is not its call's first.
+// countArrival counts an attempt that reaches an endpoint. Every arrival after the first of a call
+// counts as a retry.
 func (w *World) countArrival(queued *queuedCall) {
 	if queued.record.Arrivals++; queued.record.Arrivals > 1 {
 		w.Checker.Retried(w.now, queued.call.Route.Service)
 	}
 }
 
-// executionBy is the execution of a call by an endpoint that it reaches now.
+// executionBy returns the execution of a call by the endpoint that the call reaches now.
 func (w *World) executionBy(e *Endpoint, queued *queuedCall) invariant.Execution {
 	return invariant.Execution{
 		ID: queued.record.ID, Server: e.Server, Service: e.Service, RequestedService: queued.call.Route.Service,
--- a/sim/world/clock.go
+++ b/sim/world/clock.go
@@ -1,5 +1,5 @@
-// Package world is a simulated mesh: the state machines of the daemons under virtual time, over
-// disks and links that lose data. All that happens follows from a seed.
+// Package world simulates a mesh: the state machines of the daemons run in virtual time, on
+// simulated disks and links that lose data. A run is deterministic for a given seed.
 package world
 
 import (
@@ -10,14 +10,14 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// event is work that is due at a time.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at       monotime.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events, ordered by time and then by scheduling order.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -40,8 +40,8 @@
 	return x
 }
 
-// Clock is virtual time. Invariant: events of the same time run in the order in which they
-// were scheduled, so a seed determines everything.
+// Clock is the virtual clock and scheduler. Invariant: events with the same time run in the order
+// in which they were scheduled, so that a run is deterministic for a given seed.
 type Clock struct {
 	now          monotime.Time
 	lastSequence uint64
@@ -49,13 +49,13 @@
 	Rng          *rand.Rand
 }
 
-// After schedules work after a delay.
+// After schedules a function to run after a delay. A negative delay counts as 0.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.lastSequence++
 	heap.Push(&c.queue, event{c.now.Add(max(delay, 0)), c.lastSequence, run})
 }
 
-// Run runs all events up to a time.
+// Run runs all events up to and including a time, and advances the clock to that time.
 func (c *Clock) Run(until monotime.Time) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// coreTickInterval is how often a core's node is told that time has passed.
+	// coreTickInterval is the interval between two ticks of a core's node.
 	coreTickInterval = 20 * time.Millisecond
-	// configCheckTicks is how many ticks lie between two checks for a newer configuration.
+	// configCheckTicks is the number of ticks between two checks for a newer configuration.
 	configCheckTicks = 12
-	// amnesiaTicks is how many ticks lie between two losses of memory, with that mutant.
-	amnesiaTicks = 50
-	// stalledWriteLimit is how long a write may take before the disk counts as failed.
+	// forgetTicks is the number of ticks between two losses of all records under
+	// MutantForgetAccepted.
+	forgetTicks = 50
+	// stalledWriteLimit is the duration of a write after which the disk counts as failed.
 	stalledWriteLimit = 1500 * time.Millisecond
-	// resetLatency is how long after a process ended its clients see their connection reset.
+	// resetLatency is the time after the end of a process at which its clients see a connection
+	// reset.
 	resetLatency = time.Millisecond
-	// maxSeeds is how many addresses of others a core is given when it starts again.
+	// maxSeeds bounds the number of addresses of other cores that a restarting core is given.
 	maxSeeds = 3
 )
 
@@ -31,7 +33,7 @@
 type Core struct {
 	process
 	Zone      ident.Zone
-	DiskDelay time.Duration // by which the disk is slower
+	DiskDelay time.Duration // added to the duration of each write
 
 	memDisk        *ring.MemoryFolder
 	ring           *ring.Ring
@@ -41,40 +43,41 @@
 	writeStartedAt monotime.Time
 
 	node          *node.Node
-	clockWatch    monotime.StepLimiter
-	onEnd         map[uint64]func(node.Result) // by ticket
+	stepLimiter   monotime.StepLimiter
+	callbacks     map[uint64]func(node.Result) // by ticket
 	lastTicket    uint64
-	disconnects   []func() // of the clients that wait at this process
+	disconnects   []func() // callbacks of the clients that wait for this process
 	config        *validation.Config
 	readingConfig bool
 }
 
-// NewCore makes a core machine with an empty disk.
+// NewCore adds a core machine with an empty disk to the world. The core is not started.
 func (w *World) NewCore(addr ident.Addr, zone ident.Zone) *Core {
 	c := &Core{process: process{world: w, Addr: addr, messageCost: w.CoreMessageCost}, Zone: zone, memDisk: ring.NewMemoryFolder()}
 	w.Cores = append(w.Cores, c)
 	return c
 }
 
-// watchedTime is the clock of the daemon, which counts only time that passed while it watched.
-func (c *Core) watchedTime() monotime.Time {
+// limitedTime returns the time that the daemon uses: the core's local clock, followed in bounded
+// steps.
+func (c *Core) limitedTime() monotime.Time {
 	if c.world.Mutant == MutantUnlimitedClockSteps {
 		return c.localTime()
 	}
-	return c.clockWatch.Observe(c.localTime())
+	return c.stepLimiter.Observe(c.localTime())
 }
 
-// Healthy tells whether the core runs, its disk works, and it votes.
+// Healthy reports whether the core runs and is not frozen, its disk works, and it is a voter.
 func (c *Core) Healthy() bool {
 	return c.running && !c.frozen && !c.diskFailed && c.node != nil && c.node.IsVoter()
 }
 
-// Start starts the process from whatever its disk holds.
+// Start starts the process with the state that its disk holds.
 func (c *Core) Start() {
 	c.beginGeneration()
-	c.clockWatch = monotime.StepLimiter{}
+	c.stepLimiter = monotime.StepLimiter{}
 	c.pendingWrites, c.writing, c.writeStartedAt = nil, false, 0
-	c.onEnd = map[uint64]func(node.Result){}
+	c.callbacks = map[uint64]func(node.Result){}
 	c.config, c.readingConfig = nil, false
 	c.openRing()
 	if !c.startNode() {
@@ -86,10 +89,10 @@
 	c.tick(c.generation, 0)
 }
 
-// startNode makes the node of this generation; it tells whether the disk could be read.
+// startNode creates the node of this generation and reports whether the disk could be read.
 func (c *Core) startNode() bool {
 	w := c.world
-	n, initial, err := node.New(c.watchedTime(), node.Config{
+	n, initial, err := node.New(c.limitedTime(), node.Config{
 		Addr: c.Addr, Zone: c.Zone, Seeds: w.seedsFor(c), Founders: w.Founders,
 		InstanceID:   fmt.Sprintf("%s-%d", c.Addr, c.generation),
 		StateMachine: w.stateMachine(), QuorumSize: w.quorumOverride(), NewDiskID: w.newDiskID,
@@ -104,13 +107,14 @@
 	return true
 }
 
+// newDiskID returns an identifier that no other disk of the world has.
 func (w *World) newDiskID() ident.Disk {
 	w.diskCount++
 	return ident.Disk(fmt.Sprintf("disk%d", w.diskCount))
 }
 
-// seedsFor lists the addresses that a starting core knows: the configured ones the first time,
-// later some of the other cores as they are now.
+// seedsFor returns the addresses that a starting core is given: the configured seeds at its first
+// start, and the current addresses of some other cores at later starts.
 func (w *World) seedsFor(c *Core) []ident.Addr {
 	if c.generation == 1 {
 		return w.Seeds
@@ -124,16 +128,17 @@
 	return seeds
 }
 
+// tick advances the node to the current time and schedules the next tick.
 func (c *Core) tick(generation, count int) {
 	c.runInGeneration(generation, func() {
-		now := c.watchedTime()
+		now := c.limitedTime()
 		stalled := c.writeStartedAt != 0 && now.Since(c.writeStartedAt) > stalledWriteLimit
 		c.node.SetDiskFailed(c.diskFailed || stalled)
 		c.applyEffects(c.node.Tick(now))
 		if count%configCheckTicks == 0 && c.node.ConfigRevision > c.configRevision() {
 			c.followConfig()
 		}
-		if c.world.Mutant == MutantForgetAccepted && count%amnesiaTicks == amnesiaTicks-1 {
+		if c.world.Mutant == MutantForgetAccepted && count%forgetTicks == forgetTicks-1 {
 			c.node.ForgetRecords()
 		}
 	})
@@ -142,7 +147,7 @@
 	}
 }
 
-// Kill ends the process at once; powerLost says whether unsynced writes may be lost too.
+// Kill ends the process at once. With powerLost, unsynced writes may be lost too.
 func (c *Core) Kill(powerLost bool) {
 	if !c.running {
 		return
@@ -153,7 +158,7 @@
 	}
 	c.disconnects = nil
 	if c.world.Platform && !powerLost {
-		c.memDisk.BeforeOperation = nil // what was not synced stays in the page cache
+		c.memDisk.BeforeOperation = nil // unsynced writes stay in the page cache
 		return
 	}
 	c.memDisk.Crash(func(n int) int {
@@ -164,22 +169,22 @@
 	})
 }
 
-// A planned stop checks at an interval whether all is handed over; the process ends all the
-// same after a number of checks.
+// A planned stop polls whether the node has handed over its duties. The process ends after
+// leavePollLimit polls in any case.
 const (
 	leavePollInterval = 30 * time.Millisecond
 	leavePollLimit    = 200
 )
 
-// Stop stops the process as planned, and then calls then.
+// Stop performs a planned stop of the process and then calls then.
 func (c *Core) Stop(then func()) {
 	generation := c.generation
-	c.runInGeneration(generation, func() { c.applyEffects(c.node.Leave(c.watchedTime(), leavePollLimit*leavePollInterval)) })
+	c.runInGeneration(generation, func() { c.applyEffects(c.node.Leave(c.limitedTime(), leavePollLimit*leavePollInterval)) })
 	c.awaitLeave(generation, leavePollLimit, then)
 }
 
-// awaitLeave ends the process once all is handed over and, as in the daemon, everybody who
-// waits at it has a response.
+// awaitLeave ends the process once the node has handed over its duties and, as in the daemon,
+// every waiting client has a response.
 func (c *Core) awaitLeave(generation, remaining int, then func()) {
 	if !c.running || c.generation != generation {
 		return
@@ -187,15 +192,15 @@
 	done := false
 	c.runInGeneration(generation, func() {
 		var effects node.Effects
-		done, effects = c.node.ContinueLeave(c.watchedTime())
+		done, effects = c.node.ContinueLeave(c.limitedTime())
 		c.applyEffects(effects)
 	})
-	if (!done || len(c.onEnd) > 0) && remaining > 0 && c.world.Mutant != MutantAbruptStop {
+	if (!done || len(c.callbacks) > 0) && remaining > 0 && c.world.Mutant != MutantAbruptStop {
 		c.world.After(leavePollInterval, func() { c.awaitLeave(generation, remaining-1, then) })
 		return
 	}
 	c.world.Checker.Observe(invariant.DroppedInStop)
-	if n := len(c.onEnd); n > 0 {
+	if n := len(c.callbacks); n > 0 {
 		c.world.Violate(invariant.DroppedInStop, "core %s stopped with %d operations and watches in flight", c.Addr, n)
 	}
 	c.Kill(false)
--- a/sim/world/corecluster_test.go
+++ b/sim/world/corecluster_test.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	// catchUpDeadline is within what time a machine that is back must count in full; the users'
-	// platform calls it catchUpS.
+	// catchUpDeadline is the time within which a restarted machine must be a full voter with the
+	// newest configuration. The users' platform calls this setting catchUpS.
 	catchUpDeadline = 4 * time.Second
-	// maxElectionTime is longer than a term takes from its first request until it holds.
+	// maxElectionTime is longer than the time from the first request of a term until the term holds.
 	maxElectionTime = 2500 * time.Millisecond
 	// proposalRetryDelay is the delay between two attempts of a proposal.
 	proposalRetryDelay = 100 * time.Millisecond
 )
 
-// coreCluster is a world of cores whose configuration is changed over and over.
+// coreCluster is a world of cores whose configuration is changed repeatedly.
 type coreCluster struct {
 	*testing.T
 	world              *World
-	version            uint64 // of the newest change
+	version            uint64 // version of the newest change
 	newestAcknowledged ident.ConfigRevision
 	acknowledgements   []acknowledgement
-	ballots            map[ident.Ballot]bool // of the terms that were checked
+	ballots            map[ident.Ballot]bool // ballots of the terms that were checked
 }
 
-// acknowledgement is the newest acknowledged revision from a time on.
+// acknowledgement records that a revision was the newest acknowledged one from a time on.
 type acknowledgement struct {
 	at       monotime.Time
 	revision ident.ConfigRevision
 }
 
-// newCoreCluster starts a number of cores with empty disks.
+// newCoreCluster starts a cluster of cores with empty disks.
 func newCoreCluster(t *testing.T, seed uint64, cores int, disk ring.Options) *coreCluster {
 	cluster := &coreCluster{T: t, world: New(seed), ballots: map[ident.Ballot]bool{}}
 	cluster.world.Ring, cluster.world.Platform = disk, true
@@ -62,7 +62,7 @@
 	return cluster
 }
 
-// newestAt is the newest revision that was acknowledged at a time.
+// newestAt returns the newest revision that was acknowledged by a time.
 func (cluster *coreCluster) newestAt(at monotime.Time) (newest ident.ConfigRevision) {
 	for i := len(cluster.acknowledgements) - 1; i >= 0; i-- {
 		if cluster.acknowledgements[i].at <= at {
@@ -72,8 +72,8 @@
 	return 0
 }
 
-// checkTerms checks at each tick that no term begins on a state older than what was
-// acknowledged before its first request.
+// checkTerms checks at each tick that no term begins with a state older than the newest revision
+// that was acknowledged before the first request of the term.
 func (cluster *coreCluster) checkTerms() {
 	for _, c := range cluster.world.Cores {
 		if !c.running {
@@ -84,13 +84,13 @@
 			continue
 		}
 		cluster.ballots[held.Accepted] = true
-		must.GreaterEq(cluster, cluster.newestAt(cluster.world.now-monotime.Time(maxElectionTime)), ident.ConfigRevision(held.Revision), must.Sprintf("core %s began a term on an old state", c.Addr))
+		must.GreaterEq(cluster, cluster.newestAt(cluster.world.now-monotime.Time(maxElectionTime)), ident.ConfigRevision(held.Revision), must.Sprintf("core %s began a term with an old state", c.Addr))
 	}
 	cluster.world.After(coreTickInterval, cluster.checkTerms)
 }
 
-// submit runs an operation at a core until it ends or its budget is over; the result is nil if
-// there is none.
+// submit runs an operation at a core until the operation ends or its budget is used up. Without a
+// result, submit returns nil.
 func (cluster *coreCluster) submit(c *Core, op proposer.Operation, budget time.Duration) (result *node.Result) {
 	if !c.running {
 		return nil
@@ -102,8 +102,8 @@
 	return result
 }
 
-// changeConfig makes one change of the configuration and resends it until it is acknowledged; it
-// must never be rejected.
+// changeConfig proposes one change of the configuration and resends the proposal until it is
+// acknowledged. The proposal must never be rejected.
 func (cluster *coreCluster) changeConfig() {
 	base := cluster.version
 	cluster.version++
@@ -132,8 +132,8 @@
 	cluster.Fatalf("change %d was never acknowledged", cluster.version)
 }
 
-// awaitCatchUp waits until a core votes, has the newest configuration and returns it to who
-// reads; it returns how long that took.
+// awaitCatchUp waits until a core votes, has the newest configuration and returns that
+// configuration to a reader. It returns the duration of the wait.
 func (cluster *coreCluster) awaitCatchUp(c *Core) time.Duration {
 	began, newest := cluster.world.now, cluster.newestAcknowledged
 	for cluster.world.now.Since(began) <= catchUpDeadline {
@@ -147,13 +147,13 @@
 		}
 		cluster.world.RunFor(coreTickInterval)
 	}
-	cluster.Fatalf("core %s has revision %d of %d, %v after its start; votes %v", c.Addr, c.configRevision(), newest, catchUpDeadline, c.Healthy())
+	cluster.Fatalf("core %s has revision %d instead of revision %d, %v after its start; healthy voter: %v", c.Addr, c.configRevision(), newest, catchUpDeadline, c.Healthy())
 	return 0
 }
 
-// awaitCopy waits until the core's own disk holds the newest state; it returns how long that
-// took.
-func (cluster *coreCluster) awaitCopy(c *Core) time.Duration {
+// awaitReplica waits until the core's own disk holds the newest state. It returns the duration of
+// the wait.
+func (cluster *coreCluster) awaitReplica(c *Core) time.Duration {
 	began := cluster.world.now
 	for range 2000 {
 		if ident.ConfigRevision(c.node.AcceptedStates()[proposal.Key].Revision) >= cluster.newestAcknowledged {
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// checkAuditLog checks that the audit log holds each revision once and in order, also those whose
-// entry was being written when the core with that duty ended.
+// checkAuditLog checks that the audit log holds each revision once and in order, including the
+// revisions whose entry was being written when the writing core ended.
 func (cluster *coreCluster) checkAuditLog() {
 	cluster.world.RunFor(10 * time.Second)
 	c := cluster.world.Cores[0]
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -14,17 +14,18 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// followConfig reads the newest confirmed configuration, as the daemon does.
+// followConfig reads the newest confirmed configuration, as the daemon does. It does nothing while
+// a read is in progress or the core has no majority.
 func (c *Core) followConfig() {
-	if c.readingConfig || !c.node.HasMajority(c.watchedTime()) {
+	if c.readingConfig || !c.node.HasMajority(c.limitedTime()) {
 		return
 	}
 	c.readingConfig = true
 	c.ReadConfig(func(bool) { c.readingConfig = false })
 }
 
-// ReadConfig reads the configuration by an operation and takes it in; done learns whether
-// that succeeded.
+// ReadConfig reads the configuration with an operation and installs the result. done is called
+// with whether the read succeeded.
 func (c *Core) ReadConfig(done func(ok bool)) {
 	c.Submit(proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, time.Second, func(result node.Result) {
 		if result.Failure != nil {
@@ -36,8 +37,8 @@
 	})
 }
 
-// configRevision is the revision of the newest configuration that the core knows to be
-// confirmed, 0 if none.
+// configRevision returns the revision of the newest confirmed configuration that the core has
+// installed, or 0 if there is none.
 func (c *Core) configRevision() ident.ConfigRevision {
 	if c.config == nil {
 		return 0
@@ -45,11 +46,11 @@
 	return c.config.Revision
 }
 
-// installConfig takes in a confirmed configuration if it is newer.
+// installConfig installs a confirmed configuration if it is newer than the installed one.
 func (c *Core) installConfig(raw json.RawMessage) {
 	var state proposal.State
 	if json.Unmarshal(raw, &state) != nil {
-		c.world.Violate(invariant.ResponseDamaged, "core %s read a configuration that it can't decode", c.Addr)
+		c.world.Violate(invariant.ResponseDamaged, "core %s read a configuration that can't be decoded", c.Addr)
 	}
 	c.world.Checker.Observe(invariant.ResponseDamaged)
 	if state.Revision <= c.configRevision() {
@@ -58,7 +59,7 @@
 	c.world.Checker.Observe(invariant.ConfigInvalid)
 	config, invalid := parseConfig(state.Document)
 	if invalid != nil {
-		c.world.Violate(invariant.ConfigInvalid, "revision %d in force is invalid: %v", state.Revision, invalid)
+		c.world.Violate(invariant.ConfigInvalid, "configuration revision %d is in force and invalid: %v", state.Revision, invalid)
 		return
 	}
 	config.Revision = state.Revision
@@ -66,6 +67,7 @@
 	c.node.Leases.SetConfig(config)
 }
 
+// parseConfig decodes a configuration and validates it leniently.
 func parseConfig(document json.RawMessage) (*validation.Config, *failure.Error) {
 	tree, invalid := decode.Parse(document)
 	if invalid != nil {
--- a/sim/world/coredisk.go
+++ b/sim/world/coredisk.go
@@ -11,36 +11,37 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// A write with its sync takes a time between these, and as much longer as the disk is slower.
+// A write with its sync takes minWriteTime, a random part of writeTimeSpread, and the
+// Core.DiskDelay.
 const (
-	shortestWrite = 500 * time.Microsecond
-	writeSpread   = 1500 * time.Microsecond
+	minWriteTime    = 500 * time.Microsecond
+	writeTimeSpread = 1500 * time.Microsecond
 )
 
-// errDiskFailed is the error of every write to a failed disk.
+// errDiskFailed is the error of every write and sync on a failed disk.
 var errDiskFailed = failure.New(failure.DiskFailed, "the disk failed")
 
-// unsyncedFolder is a folder that is never synced.
+// unsyncedFolder is a folder whose Sync has no effect.
 type unsyncedFolder struct{ ring.Folder }
 
-// Sync does nothing.
+// Sync implements ring.Folder without syncing anything.
 func (unsyncedFolder) Sync() error { return nil }
 
-// openRing opens the ring on the disk. Nothing here damages a disk but its own process, so a
-// damaged one is a violation; the machine then comes back empty.
+// openRing opens the ring on the disk. Only the process itself can damage its disk in the
+// simulation, so a damaged disk is a violation; the core then continues with an empty disk.
 func (c *Core) openRing() {
 	w := c.world
 	c.memDisk.BeforeOperation = nil
 	w.Checker.Observe(invariant.DiskDamaged)
 	var err error
 	if c.ring, err = ring.Open(c.diskFolder(), w.Ring); err != nil {
-		w.Violate(invariant.DiskDamaged, "core %s finds its own disk damaged: %v", c.Addr, err)
+		w.Violate(invariant.DiskDamaged, "core %s found its own disk damaged: %v", c.Addr, err)
 		c.memDisk = ring.NewMemoryFolder()
 		c.ring, _ = ring.Open(c.memDisk, w.Ring)
 	}
 }
 
-// diskFolder is the folder of the next generation, as the mutant has it.
+// diskFolder returns the folder for the next generation, with the fault of the mutant.
 func (c *Core) diskFolder() ring.Folder {
 	switch c.world.Mutant {
 	case MutantLazySync:
@@ -56,14 +57,14 @@
 	c.memDisk.BeforeOperation = func(string) error { return errDiskFailed }
 }
 
-// PowerOff takes the power of a machine, whose process may be down: what no sync covered is
+// PowerOff cuts the power of the machine, whose process may already be down: unsynced writes are
 // lost or torn.
 func (c *Core) PowerOff() {
 	c.Kill(true)
 	c.memDisk.Crash(func(n int) int { return c.world.Rng.IntN(n + 1) })
 }
 
-// ReplaceDisk gives the machine an empty disk; addr, if given, is where it comes back.
+// ReplaceDisk gives the machine an empty disk and, if addr is not empty, a new address.
 func (c *Core) ReplaceDisk(addr ident.Addr) {
 	c.memDisk = ring.NewMemoryFolder()
 	c.diskFailed = false
@@ -72,7 +73,7 @@
 	}
 }
 
-// writeBatch writes what waits for the disk, one batch at a time.
+// writeBatch writes the pending writes to the disk, one batch at a time.
 func (c *Core) writeBatch(generation int) {
 	if c.writing || len(c.pendingWrites) == 0 || c.diskFailed {
 		return
@@ -83,9 +84,9 @@
 	wrote, err := c.appendBatch(batch)
 	duration := time.Duration(0)
 	if wrote {
-		duration = shortestWrite + c.world.randomUpTo(writeSpread) + c.DiskDelay
+		duration = minWriteTime + c.world.randomUpTo(writeTimeSpread) + c.DiskDelay
 	}
-	c.writeStartedAt = c.watchedTime()
+	c.writeStartedAt = c.limitedTime()
 	c.world.After(duration, func() {
 		c.runInGeneration(generation, func() {
 			if wrote && err == nil {
@@ -96,8 +97,8 @@
 	})
 }
 
-// appendBatch writes the records of a batch, up to the first error; wrote tells whether there
-// were any.
+// appendBatch appends the records of a batch up to the first error. wrote reports whether the
+// batch had records.
 func (c *Core) appendBatch(batch []node.Effects) (wrote bool, err error) {
 	for _, effects := range batch {
 		if len(effects.Records) > 0 && err == nil {
@@ -108,8 +109,8 @@
 	return wrote, err
 }
 
-// finishBatch delivers what a written batch allows and begins the next one. After an error the
-// disk counts as failed.
+// finishBatch delivers the effects that waited for a written batch and begins the next batch.
+// After an error the disk counts as failed.
 func (c *Core) finishBatch(generation int, batch []node.Effects, err error) {
 	c.writing, c.writeStartedAt = false, 0
 	if err != nil {
--- a/sim/world/coremessages.go
+++ b/sim/world/coremessages.go
@@ -11,11 +11,11 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// loopbackLatency is the latency of messages of a core to itself.
+// loopbackLatency is the latency of messages that a core sends to itself.
 const loopbackLatency = 20 * time.Microsecond
 
-// applyEffects carries out effects as the daemon does: what must be durable first waits for
-// the disk.
+// applyEffects applies effects as the daemon does: effects that depend on durable records wait
+// until the records are synced.
 func (c *Core) applyEffects(effects node.Effects) {
 	afterSync := effects.SplitDurable()
 	c.deliverEffects(effects)
@@ -25,15 +25,15 @@
 	}
 }
 
-// deliverEffects sends the messages and results that need not wait any longer.
+// deliverEffects sends the messages and delivers the results that need not wait for the disk.
 func (c *Core) deliverEffects(effects node.Effects) {
 	for _, s := range effects.Sends {
 		s.Msg.From = c.Addr
 		c.send(s.To, s.Msg)
 	}
 	for _, result := range effects.Results {
-		if end := c.onEnd[result.Ticket]; end != nil {
-			delete(c.onEnd, result.Ticket)
+		if end := c.callbacks[result.Ticket]; end != nil {
+			delete(c.callbacks, result.Ticket)
 			end(result)
 		}
 	}
@@ -47,20 +47,20 @@
 	}
 }
 
-// send sends a message to a core, which may be this one. If nobody takes the connection, the
-// node learns so.
+// send sends a message to a core, which may be the sender itself. If the connection is refused,
+// the node marks the target as unreachable.
 func (c *Core) send(to ident.Addr, msg message.Message) {
 	w, generation := c.world, c.generation
 	if w.Mutant == MutantNoReadRepair && msg.Request != nil && msg.Request.Round == 0 {
 		return
 	}
 	unreachable := func() {
-		c.runInGeneration(generation, func() { c.applyEffects(c.node.MarkUnreachable(c.watchedTime(), to)) })
+		c.runInGeneration(generation, func() { c.applyEffects(c.node.MarkUnreachable(c.limitedTime(), to)) })
 	}
 	switch {
 	case to == c.Addr:
 		w.After(loopbackLatency, func() { c.runInGeneration(generation, func() { c.step(msg) }) })
-	case w.Links.refusesAtOnce(c.Addr, to):
+	case w.Links.refusesConnections(c.Addr, to):
 		w.After(w.linkDelay(), unreachable)
 	default:
 		w.transmit(c.Addr, to, func() {
@@ -76,31 +76,31 @@
 	}
 }
 
-// step has the node take a message.
-func (c *Core) step(msg message.Message) { c.applyEffects(c.node.Step(c.watchedTime(), msg)) }
+// step passes a message to the node.
+func (c *Core) step(msg message.Message) { c.applyEffects(c.node.Step(c.limitedTime(), msg)) }
 
-// newTicket names an operation whose result end takes.
-func (c *Core) newTicket(end func(node.Result)) uint64 {
+// registerCallback returns a new ticket for an operation and registers end for its result.
+func (c *Core) registerCallback(end func(node.Result)) uint64 {
 	c.lastTicket++
-	c.onEnd[c.lastTicket] = end
+	c.callbacks[c.lastTicket] = end
 	return c.lastTicket
 }
 
-// Submit runs an operation at this core.
+// Submit runs an operation at this core and calls end with the result.
 func (c *Core) Submit(op proposer.Operation, budget time.Duration, end func(node.Result)) {
-	ticket := c.newTicket(end)
-	c.applyEffects(c.node.Submit(c.watchedTime(), ticket, op, budget))
+	ticket := c.registerCallback(end)
+	c.applyEffects(c.node.Submit(c.limitedTime(), ticket, op, budget))
 }
 
-// Join lets a sidecar join at this core.
+// Join submits a sidecar's join request to this core and calls end with the result.
 func (c *Core) Join(request joinqueue.Request, end func(node.Result)) {
-	ticket := c.newTicket(end)
-	c.applyEffects(c.node.Join(c.watchedTime(), ticket, request, node.JoinBudget))
+	ticket := c.registerCallback(end)
+	c.applyEffects(c.node.Join(c.limitedTime(), ticket, request, node.JoinBudget))
 }
 
-// quorumRead reads the records of all keys with a prefix from a majority, with their values
-// if asked.
+// quorumRead reads the records of all keys with a prefix from a majority, and with values set also
+// the values of the keys.
 func (c *Core) quorumRead(prefix string, values bool, budget time.Duration, end func(node.Result)) {
-	ticket := c.newTicket(end)
-	c.applyEffects(c.node.QuorumRead(c.watchedTime(), ticket, prefix, values, budget))
+	ticket := c.registerCallback(end)
+	c.applyEffects(c.node.QuorumRead(c.limitedTime(), ticket, prefix, values, budget))
 }
--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// heartbeatInterval is how often endpoints send heartbeats in worlds of the platform's
-	// kind, and shortHeartbeatInterval in others; both vary by heartbeatSpread.
+	// heartbeatInterval is the interval between heartbeats of an endpoint with World.Platform, and
+	// shortHeartbeatInterval is the interval in other worlds; both vary randomly by heartbeatSpread.
 	heartbeatInterval      = 1500 * time.Millisecond
 	shortHeartbeatInterval = 300 * time.Millisecond
 	heartbeatSpread        = 20 * time.Millisecond
-	// firstHeartbeatDelay bounds how long after its start an endpoint of the platform's kind
-	// sends its first heartbeat.
+	// firstHeartbeatDelay bounds the delay between the start and the first heartbeat of an endpoint
+	// with World.Platform.
 	firstHeartbeatDelay = 300 * time.Millisecond
-	// heartbeatLatency is how long a heartbeat takes to the sidecar beside its endpoint.
+	// heartbeatLatency is the latency of a heartbeat from an endpoint to its local sidecar.
 	heartbeatLatency = 200 * time.Microsecond
-	// fullLoad is how many requests in flight an endpoint reports as a load of 1.
+	// fullLoad is the number of requests in flight that an endpoint reports as a load of 1.
 	fullLoad = 16
-	// slowServiceTime is how long a slow request takes.
+	// slowServiceTime is the service time of a slow request.
 	slowServiceTime = 2500 * time.Millisecond
 )
 
-// Behavior is how an endpoint behaves. Rates are parts of its requests.
+// Behavior sets the service time, the faults and the limits of an endpoint. Rates are fractions of
+// the endpoint's requests.
 type Behavior struct {
 	ServiceTime    time.Duration // the mean
 	NoResponseRate float64
-	MalformedRate  float64 // of responses that can't be read
+	MalformedRate  float64 // of responses that can't be parsed
 	SlowRate       float64 // of requests that take slowServiceTime
-	// The rest is for worlds with admission queues.
-	Slots       int     // requests that it works on at once
-	QueueLimit  int     // requests that it queues beyond them
-	FailureRate float64 // of responses that say that it failed
+	// The following fields are used in worlds with admission queues.
+	Slots       int     // requests that the endpoint executes at once
+	QueueLimit  int     // requests that the endpoint queues when all slots are taken
+	FailureRate float64 // of responses that report a failure of the endpoint
 }
 
-// Endpoint is one process of a service beside a sidecar.
+// Endpoint is one process of a service on the machine of a sidecar.
 type Endpoint struct {
 	world    *World
 	Sidecar  *Sidecar
@@ -47,22 +48,22 @@
 	Addr     ident.Addr
 	Behavior Behavior
 
-	running   bool
-	signedOff bool // it sends no more heartbeats
-	hung      bool
-	state     endpoint.State
-	inFlight  int
-	deferred  []func() // what arrived while it hung, run when it goes on
-	waiting   []func() // the requests that it queues
+	running          bool
+	signedOff        bool // the endpoint sends no more heartbeats
+	hung             bool
+	state            endpoint.State
+	inFlight         int
+	arrivedWhileHung []func() // requests that arrived while the endpoint hung; they run when it resumes
+	requestQueue     []func() // requests that wait for a slot
 
 	heartbeatSequence uint64
-	lastHeartbeat     monotime.Time // when its machine last took one, by the machine's clock
-	leaveConfirmedAt  monotime.Time // when its leaving was first confirmed on its machine, 0 if it is not
-	lossConfirmedAt   monotime.Time // when its loss was, 0 if it is not
+	lastHeartbeat     monotime.Time // when the sidecar last accepted a heartbeat, by the sidecar's clock
+	leaveConfirmedAt  monotime.Time // when the sidecar first accepted that the endpoint leaves, 0 if it has not
+	lossConfirmedAt   monotime.Time // when the sidecar's heartbeat timeout for the endpoint ended, 0 if it has not
 }
 
-// NewEndpoint starts an endpoint on a machine. One of the platform's kind takes connections
-// before it sends its first heartbeat.
+// NewEndpoint starts an endpoint on the machine of a sidecar. With World.Platform, the endpoint
+// accepts connections before it sends its first heartbeat.
 func (s *Sidecar) NewEndpoint(server ident.Server, service ident.Service, addr ident.Addr, behavior Behavior) *Endpoint {
 	e := &Endpoint{world: s.world, Sidecar: s, Server: server, Service: service, Addr: addr, Behavior: behavior, running: true, state: endpoint.Alive}
 	s.Endpoints = append(s.Endpoints, e)
@@ -75,7 +76,7 @@
 	return e
 }
 
-// Hang makes the endpoint hang for a while; it goes on taking connections.
+// Hang makes the endpoint hang for a duration. A hung endpoint still accepts connections.
 func (e *Endpoint) Hang(duration time.Duration) {
 	if !e.running || e.hung {
 		return
@@ -83,8 +84,8 @@
 	e.hung = true
 	e.world.After(duration, func() {
 		e.hung = false
-		deferred := e.deferred
-		e.deferred = nil
+		deferred := e.arrivedWhileHung
+		e.arrivedWhileHung = nil
 		if !e.running {
 			return
 		}
@@ -96,15 +97,15 @@
 	})
 }
 
-// silenceTimeout is after how long without a heartbeat an endpoint counts as lost.
-func (w *World) silenceTimeout() time.Duration {
+// heartbeatTimeout is the time without a heartbeat after which an endpoint counts as lost.
+func (w *World) heartbeatTimeout() time.Duration {
 	if w.Platform {
 		return heartbeatInterval * 5 / 2
 	}
 	return endpoint.MaxHeartbeatTimeout
 }
 
-// heartbeatLoop sends heartbeats as long as the endpoint runs.
+// heartbeatLoop sends heartbeats as long as the endpoint runs and has not signed off.
 func (e *Endpoint) heartbeatLoop() {
 	if !e.running || e.signedOff {
 		return
@@ -119,11 +120,12 @@
 	e.world.After(interval-heartbeatSpread/2+e.world.randomUpTo(heartbeatSpread), e.heartbeatLoop)
 }
 
+// sendHeartbeat sends one heartbeat with a state to the local sidecar.
 func (e *Endpoint) sendHeartbeat(state endpoint.State) {
 	e.deliverHeartbeat(e.newHeartbeat(state), state)
 }
 
-// newHeartbeat makes the next heartbeat.
+// newHeartbeat returns the next heartbeat.
 func (e *Endpoint) newHeartbeat(state endpoint.State) endpoint.Heartbeat {
 	heartbeat := endpoint.Heartbeat{Server: e.Server, Service: e.Service, Addr: e.Addr, State: state, Load: float64(e.inFlight) / fullLoad}
 	if e.world.Platform {
@@ -136,16 +138,17 @@
 	return heartbeat
 }
 
-// deliverHeartbeat has a heartbeat come to the sidecar as it runs now. If the endpoint said by it that
-// it leaves, that is confirmed then.
-func (e *Endpoint) deliverHeartbeat(heartbeat endpoint.Heartbeat, said endpoint.State) {
+// deliverHeartbeat delivers a heartbeat to the current generation of the sidecar. reportedState is
+// the state that the endpoint intended to report; if that state is not Alive, the acceptance of the
+// heartbeat confirms that the endpoint leaves.
+func (e *Endpoint) deliverHeartbeat(heartbeat endpoint.Heartbeat, reportedState endpoint.State) {
 	s, generation := e.Sidecar, e.Sidecar.generation
 	e.world.After(heartbeatLatency, func() {
 		s.runInGeneration(generation, func() {
 			if !s.handleHeartbeat(e, heartbeat) {
 				return
 			}
-			if said != endpoint.Alive && e.leaveConfirmedAt == 0 {
+			if reportedState != endpoint.Alive && e.leaveConfirmedAt == 0 {
 				e.leaveConfirmedAt = e.world.now
 				e.world.Checker.Observe(invariant.LateToLeaver)
 			}
@@ -153,8 +156,8 @@
 	})
 }
 
-// Leave drains the endpoint: it reports that it leaves, finishes what is in flight, reports
-// that it is gone and ends; then is called after that, if given.
+// Leave drains the endpoint: the endpoint reports that it is leaving, keeps serving for the drain
+// time, reports that it is gone, and ends. If then is not nil, it is called after that.
 func (e *Endpoint) Leave(drain time.Duration, then func()) {
 	if !e.running {
 		return
@@ -173,8 +176,9 @@
 	})
 }
 
-// SignOffBeforeDrain has the endpoint sign off before anything else and serve on for a while; then it ends,
-// and then is called. Its last heartbeat before the sign-off is held up, and comes only after lateness.
+// SignOffBeforeDrain makes the endpoint sign off first, keep serving for the duration serveOn, and
+// end; then is called after that. The last heartbeat before the sign-off arrives late, after the
+// duration lateness.
 func (e *Endpoint) SignOffBeforeDrain(lateness, serveOn time.Duration, then func()) {
 	if !e.running || e.signedOff {
 		return
--- a/sim/world/endpointserve.go
+++ b/sim/world/endpointserve.go
@@ -8,26 +8,27 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// accept takes a request as an endpoint with slots does: it works on so many at once and queues
-// a few more. The others, and what names another endpoint, it rejects without running them.
+// accept handles a request at an endpoint with slots: the endpoint executes the request in a free
+// slot, or queues it if the queue has room. A request that finds the queue full or names another
+// endpoint is rejected without being executed.
 func (e *Endpoint) accept(a *admissionAttempt, remaining time.Duration, done func(attempt.Result)) {
 	w := e.world
 	if e.hung {
-		e.deferred = append(e.deferred, func() { e.accept(a, remaining, done) })
+		e.arrivedWhileHung = append(e.arrivedWhileHung, func() { e.accept(a, remaining, done) })
 		return
 	}
 	switch {
 	case e.Server != a.decision.Entry.UID && w.Mutant != MutantIgnoreTarget:
-		e.shed(a, "it is another endpoint", done)
+		e.shed(a, "the request names another endpoint", done)
 	case e.inFlight < e.Behavior.Slots:
 		e.execute(a, done)
-	case len(e.waiting) >= e.Behavior.QueueLimit:
-		e.shed(a, "it is full", done)
+	case len(e.requestQueue) >= e.Behavior.QueueLimit:
+		e.shed(a, "all slots and the queue of the endpoint are full", done)
 	default:
 		deadline := w.now.Add(remaining)
-		e.waiting = append(e.waiting, func() {
+		e.requestQueue = append(e.requestQueue, func() {
 			if w.now >= deadline {
-				e.shed(a, "its time is over", done)
+				e.shed(a, "the deadline of the request passed in the endpoint's queue", done)
 				return
 			}
 			e.execute(a, done)
@@ -35,7 +36,7 @@
 	}
 }
 
-// shed rejects a request for a reason, without running it.
+// shed rejects a request for a reason, without executing it.
 func (e *Endpoint) shed(a *admissionAttempt, reason string, done func(attempt.Result)) {
 	if e.world.Mutant == MutantExecuteShed {
 		e.execute(a, func(attempt.Result) {})
@@ -43,11 +44,12 @@
 	done(attempt.Result{Outcome: attempt.NotExecuted, ReachedEndpoint: true, Failure: failure.New(failure.Busy, "%s", reason)})
 }
 
-// execute runs a request of an admission queue; the response may say that the endpoint failed.
+// execute executes a request from an admission queue. The response may report a failure of the
+// endpoint.
 func (e *Endpoint) execute(a *admissionAttempt, done func(attempt.Result)) {
 	w := e.world
 	if a.executed = true; a.rejected {
-		w.Violate(invariant.AdmissionRejected, "%s was rejected by the admission queue beside %s and ran", a.queued.record.ID, e.Server)
+		w.Violate(invariant.AdmissionRejected, "call %s was rejected by the admission queue for %s and then executed", a.queued.record.ID, e.Server)
 	}
 	e.serve(a.execution, a.queued.record, func(result attempt.Result) {
 		if result.Outcome == attempt.Executed && w.Rng.Float64() < e.Behavior.FailureRate {
@@ -57,7 +59,8 @@
 	})
 }
 
-// serve runs a request and gives its response, a damaged one, or none.
+// serve executes a request and calls done with the response, with a malformed response, or not at
+// all.
 func (e *Endpoint) serve(execution invariant.Execution, record *invariant.Call, done func(attempt.Result)) {
 	w := e.world
 	execution.ExecutedAt = w.now
@@ -73,10 +76,10 @@
 		defer e.dequeue()
 		switch {
 		case !e.running:
-			done(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint ended"), Unreachable: true})
+			done(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint process ended before it responded"), Unreachable: true})
 		case e.hung, draw < e.Behavior.NoResponseRate:
 		case draw < e.Behavior.NoResponseRate+e.Behavior.MalformedRate:
-			done(w.garbage())
+			done(w.malformedResponse())
 		default:
 			record.Complete = true
 			done(attempt.Result{Outcome: attempt.Executed})
@@ -84,20 +87,20 @@
 	})
 }
 
-// garbage is the result of an attempt whose response can't be read.
-func (w *World) garbage() attempt.Result {
-	result := attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "garbage")}
+// malformedResponse returns the result of an attempt whose response can't be parsed.
+func (w *World) malformedResponse() attempt.Result {
+	result := attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.BadResponse, "the response of the endpoint is malformed")}
 	if w.Mutant == MutantWrongResponse {
 		result.Outcome = attempt.Executed
 	}
 	return result
 }
 
-// dequeue works on requests that wait, as long as there are slots.
+// dequeue starts queued requests as long as there are free slots.
 func (e *Endpoint) dequeue() {
-	for e.running && !e.hung && e.inFlight < e.Behavior.Slots && len(e.waiting) > 0 {
-		next := e.waiting[0]
-		e.waiting = e.waiting[1:]
+	for e.running && !e.hung && e.inFlight < e.Behavior.Slots && len(e.requestQueue) > 0 {
+		next := e.requestQueue[0]
+		e.requestQueue = e.requestQueue[1:]
 		next()
 	}
 }
--- a/sim/world/forward.go
+++ b/sim/world/forward.go
@@ -8,15 +8,14 @@
 	"cottonarch.example/cottonarch/mesh/attempt"
 )
 
-// dialLatency is how long a sidecar takes to connect to an endpoint beside it.
+// dialLatency is the time that a sidecar takes to connect to a local endpoint.
 const dialLatency = 150 * time.Microsecond
 
-// forward hands a request to an endpoint of this machine, after the last check, in a world
-// without admission queues.
+// forward checks a local endpoint and sends a request to it, in a world without admission queues.
 func (s *Sidecar) forward(decision attempt.Decision, queued *queuedCall, done func(attempt.Result)) {
 	addr, _, rejection := s.tracker.Check(s.localTime(), decision.Entry.UID, decision.Entry.Service)
 	if rejection == nil && !s.router.RetryBudget.BeginRun(s.localTime(), decision.RepeatChance) {
-		rejection = failure.New(failure.Busy, "no room for the calls of a repeat")
+		rejection = failure.New(failure.Busy, "the retry budget of the services called is used up")
 	}
 	if rejection != nil {
 		done(rejected(rejection))
@@ -40,24 +39,25 @@
 				finish(rejected(failed))
 				return
 			}
-			s.handTo(e, decision, queued, finish)
+			s.sendToEndpoint(e, decision, queued, finish)
 		})
 	})
 }
 
-// connect connects to the endpoint that is at an address now, if any is.
+// connect returns the endpoint that now listens at an address. If there is none, the tracker is
+// told that the connection to the server failed.
 func (s *Sidecar) connect(addr ident.Addr, server ident.Server) (*Endpoint, *failure.Error) {
 	e := s.world.endpoints[addr]
 	if e == nil {
-		s.endpointsChanged(s.tracker.HandleConnectFailure(s.localTime(), server))
-		return nil, failure.New(failure.Unreachable, "no connection")
+		s.handleEndpointChange(s.tracker.HandleConnectFailure(s.localTime(), server))
+		return nil, failure.New(failure.Unreachable, "no endpoint listens at the address")
 	}
 	return e, nil
 }
 
-// handTo hands a request to a connected endpoint. One that hangs keeps it in its socket:
-// whoever gave up on it has a result, and it runs all the same.
-func (s *Sidecar) handTo(e *Endpoint, decision attempt.Decision, queued *queuedCall, finish func(attempt.Result)) {
+// sendToEndpoint sends a request to a connected endpoint. A hung endpoint keeps the request in its
+// socket buffer and executes it later, even if the sidecar has already reported a timeout.
+func (s *Sidecar) sendToEndpoint(e *Endpoint, decision attempt.Decision, queued *queuedCall, finish func(attempt.Result)) {
 	w, generation, ended := s.world, s.generation, false
 	end := func(result attempt.Result) {
 		if !ended {
@@ -67,11 +67,11 @@
 	}
 	execution := w.executionBy(e, queued)
 	w.After(decision.Timeout, func() {
-		end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint gave no response"), Unreachable: true})
+		end(attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(failure.LostResponse, "the endpoint did not respond in time"), Unreachable: true})
 	})
 	w.countArrival(queued)
 	if e.hung {
-		e.deferred = append(e.deferred, func() { e.serve(execution, queued.record, end) })
+		e.arrivedWhileHung = append(e.arrivedWhileHung, func() { e.serve(execution, queued.record, end) })
 		return
 	}
 	e.serve(execution, queued.record, end)
--- a/sim/world/keyspaceusers.go
+++ b/sim/world/keyspaceusers.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// clientBudget is how long a core works at an operation of an application, and
-	// clientTimeout after what silence the application goes on to another core.
+	// clientBudget is the time that a core has for an operation of an application, and
+	// clientTimeout is the time after which the application turns to another core.
 	clientBudget  = 900 * time.Millisecond
 	clientTimeout = time.Second
-	// putAttempts is how often a put is sent whose outcome is unknown, and putRetryDelay how
-	// long it waits each time.
+	// putAttempts is how many times a put is sent while its outcome is unknown, and putRetryDelay
+	// is the delay before each retry.
 	putAttempts   = 4
 	putRetryDelay = 50 * time.Millisecond
 )
 
-// KeyspaceClients are clients that put, read and watch the entries of a few keyspaces, as
-// applications do that go on to another core after a timeout and repeat what got no clear
-// response.
+// KeyspaceClients are clients that put, read and watch the entries of a few keyspaces. They
+// behave like applications that turn to another core after a timeout and retry operations with an
+// unknown outcome.
 type KeyspaceClients struct {
 	world         *World
 	keyspaceCount int
@@ -37,8 +37,8 @@
 	Checker       *invariant.KeyspaceChecker
 }
 
-// StartKeyspaceClients starts clients that put and read about once an interval, and a watch of
-// each keyspace.
+// StartKeyspaceClients starts clients that put and read about once per interval, and one watch per
+// keyspace.
 func (w *World) StartKeyspaceClients(clients, keyspaceCount, entryCount int, interval time.Duration) *KeyspaceClients {
 	u := &KeyspaceClients{world: w, keyspaceCount: keyspaceCount, entryCount: entryCount, interval: interval, Checker: w.Checker.NewKeyspaceChecker()}
 	for range clients {
@@ -50,7 +50,8 @@
 	return u
 }
 
-func (u *KeyspaceClients) pause() { u.world.After(u.world.jittered(u.interval), u.operate) }
+// operateLater schedules the next operation of a client.
+func (u *KeyspaceClients) operateLater() { u.world.After(u.world.jittered(u.interval), u.operate) }
 
 // request sends an operation on a keyspace.
 func (u *KeyspaceClients) request(space, kind string, args keyspace.Args, end func(*node.Result)) {
@@ -58,7 +59,7 @@
 	u.world.requestWithin(op, clientBudget, clientTimeout, end)
 }
 
-// operate reads or puts some entry, the latter with or without a condition.
+// operate reads a random entry, or puts the entry with or without a condition on its revision.
 func (u *KeyspaceClients) operate() {
 	w := u.world
 	if w.ClientsStopped {
@@ -77,7 +78,7 @@
 	}
 }
 
-// read reads an entry, whose newest acknowledged revision is the floor.
+// read reads an entry. floor is the newest acknowledged revision of the entry.
 func (u *KeyspaceClients) read(space, name string, floor ident.Revision) {
 	u.request(space, keyspace.ReadKind, keyspace.Args{Name: name}, func(result *node.Result) {
 		var entry keyspace.Put
@@ -87,52 +88,56 @@
 		case succeeded(result, &entry):
 			u.Checker.Read(u.world.now, space, name, string(entry.Value), floor, entry.Revision)
 		}
-		u.pause()
+		u.operateLater()
 	})
 }
 
-// entryPut is a put of a new value, which is sent until its outcome is clear.
+// entryPut is a put of a new value, which is sent up to putAttempts times until its outcome is
+// known.
 type entryPut struct {
 	*KeyspaceClients
 	space        string
 	args         keyspace.Args
-	newestBefore ident.Revision // the newest acknowledged of the keyspace when it was first sent
+	newestBefore ident.Revision // newest acknowledged revision of the keyspace when the put was first sent
 }
 
-// newPut makes a put of a value that was never put before, conditional on the base if given.
+// newPut returns a put of a value that was never put before. If base is not nil, the put is
+// conditional on that revision.
 func (u *KeyspaceClients) newPut(space, name string, base *ident.Revision) *entryPut {
 	value := operation.Encode(fmt.Sprintf("v%d", u.valueCount))
 	return &entryPut{u, space, keyspace.Args{Name: name, Value: value, IfRevision: base}, u.Checker.KeyspaceFloor[space]}
 }
 
+// send sends the put and checks the response. With an unknown outcome the put is sent again, until
+// no attempts are left.
 func (p *entryPut) send(attempts int) {
 	p.request(p.space, keyspace.PutKind, p.args, func(result *node.Result) {
 		w, name, value := p.world, p.args.Name, string(p.args.Value)
 		var done keyspace.Put
 		if succeeded(result, &done) {
 			p.Checker.PutAcknowledged(w.now, p.space, name, value, p.args.IfRevision, p.newestBefore, done.Revision)
-			p.pause()
+			p.operateLater()
 			return
 		}
 		rejected := notExecuted(result) || w.Mutant == MutantAssumeRejected
 		p.Checker.PutEnded(p.space, name, value, rejected)
 		if rejected || attempts == 1 {
-			p.pause()
+			p.operateLater()
 			return
 		}
 		w.After(putRetryDelay, func() { p.send(attempts - 1) })
 	})
 }
 
-// watch reads the puts of a keyspace after a revision that was given at a time; now and then
-// it pauses for long before.
+// watch reads the puts of a keyspace after a revision, over and over. givenAt is when the client
+// received that revision. The delay before a read is sometimes several seconds.
 func (u *KeyspaceClients) watch(space string, after ident.Revision, givenAt monotime.Time) {
 	w := u.world
-	pause := time.Duration(100+w.Rng.IntN(400)) * time.Millisecond
+	delay := time.Duration(100+w.Rng.IntN(400)) * time.Millisecond
 	if w.Rng.IntN(12) == 0 {
-		pause = time.Duration(2+w.Rng.IntN(14)) * time.Second
+		delay = time.Duration(2+w.Rng.IntN(14)) * time.Second
 	}
-	w.After(pause, func() {
+	w.After(delay, func() {
 		if w.ClientsStopped {
 			return
 		}
@@ -158,7 +163,7 @@
 	})
 }
 
-// eventsOf lists the puts of a watch's response as the checker takes them.
+// eventsOf converts the puts of a watch response to the events of the checker.
 func eventsOf(changes keyspace.Changes) []invariant.Event {
 	var events []invariant.Event
 	for _, put := range changes.Events {
--- a/sim/world/keyusers.go
+++ b/sim/world/keyusers.go
@@ -17,7 +17,7 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// keyOperation is a kind of operation on a key.
+// keyOperation is the kind of an operation on a key.
 type keyOperation string
 
 const (
@@ -26,22 +26,23 @@
 	compareAndSetKey keyOperation = "cas"
 )
 
-// keyOperations are the operations that clients draw from; reads are twice as frequent.
+// keyOperations are the operations from which clients choose at random; reads are twice as frequent
+// as each other kind.
 var keyOperations = []keyOperation{readKey, readKey, writeKey, compareAndSetKey}
 
-// keyInput is an operation on a key, as porcupine's model takes it.
+// keyInput is an operation on a key, as input of the porcupine model.
 type keyInput struct {
 	kind  keyOperation
 	value string
-	base  ident.Revision // that a compare-and-set requires
+	base  ident.Revision // revision that a compare-and-set requires
 }
 
-// keyOutput is the response to an operation, and the state of the model.
+// keyOutput is the response to an operation, and also the state of the porcupine model.
 type keyOutput struct {
 	revision ident.Revision
 	value    string
-	unknown  bool // no clear response came
-	conflict bool // the key was not at the required base
+	unknown  bool // the outcome of the operation is unknown
+	conflict bool // the key was not at the required revision
 }
 
 // keyModel is the sequential specification of a key.
@@ -68,25 +69,27 @@
 }
 
 const (
-	// neverReturned is the time of the response that never came, for porcupine.
+	// neverReturned is the response time that porcupine is given for an operation with an unknown
+	// outcome.
 	neverReturned = 1 << 60
-	// linearizabilityTimeout bounds the check of one key's history.
+	// linearizabilityTimeout bounds the time of the check of one key's history.
 	linearizabilityTimeout = 2 * time.Second
 )
 
-// KeyClients are clients that read, write and compare-and-set keys; they record the histories.
+// KeyClients are clients that read, write and compare-and-set keys, and record the history of each
+// key.
 type KeyClients struct {
 	world        *World
 	keyCount     int
 	interval     time.Duration
 	histories    map[string][]porcupine.Operation // by key
-	acknowledged map[string]ident.Revision        // the newest, by key
+	acknowledged map[string]ident.Revision        // newest acknowledged revision, by key
 	valueAt      map[string]string                // by key and revision
 	writeCount   int
 }
 
-// StartKeyClients starts clients over a number of keys, which do something about once an
-// interval.
+// StartKeyClients starts clients that share a number of keys; each sends an operation about once
+// per interval.
 func (w *World) StartKeyClients(clients, keyCount int, interval time.Duration) *KeyClients {
 	u := &KeyClients{world: w, keyCount: keyCount, interval: interval, histories: map[string][]porcupine.Operation{}, acknowledged: map[string]ident.Revision{}, valueAt: map[string]string{}}
 	for i := range clients {
@@ -95,7 +98,8 @@
 	return u
 }
 
-func (u *KeyClients) pause(client int) {
+// operateLater schedules the next operation of a client.
+func (u *KeyClients) operateLater(client int) {
 	u.world.After(u.world.jittered(u.interval), func() { u.operate(client) })
 }
 
@@ -113,12 +117,12 @@
 		in.base = acknowledged
 	}
 	w.request(in.operation(name), func(result *node.Result) {
-		u.ended(client, name, in, began, acknowledged, result)
-		u.pause(client)
+		u.recordResult(client, name, in, began, acknowledged, result)
+		u.operateLater(client)
 	})
 }
 
-// operation is the operation that the control plane is asked for.
+// operation returns the control plane's operation for the input.
 func (in keyInput) operation(name string) proposer.Operation {
 	op := proposer.Operation{Key: ident.Key("key/" + name), Kind: keyvalue.WriteKind}
 	value, _ := json.Marshal(in.value)
@@ -133,16 +137,16 @@
 	return op
 }
 
-// ended checks the response to an operation and adds it to the key's history. acknowledged is
-// the newest acknowledged revision of the key when the operation began.
-func (u *KeyClients) ended(client int, name string, in keyInput, began monotime.Time, acknowledged ident.Revision, result *node.Result) {
+// recordResult checks the result of an operation and adds the operation to the key's history.
+// acknowledged is the newest acknowledged revision of the key when the operation began.
+func (u *KeyClients) recordResult(client int, name string, in keyInput, began monotime.Time, acknowledged ident.Revision, result *node.Result) {
 	var out keyOutput
 	returned := int64(u.world.now)
 	switch {
 	case notExecuted(result) && result.Failure.Kind == failure.Conflict:
 		out.conflict = true
 	case notExecuted(result):
-		return // nothing happened and nothing was read
+		return // the operation had no effect and read nothing
 	case result == nil || result.Failure != nil:
 		if in.kind == readKey {
 			return
@@ -150,17 +154,17 @@
 		out.unknown = true
 		returned = neverReturned
 	default:
-		out = u.succeeded(name, in, acknowledged, result)
+		out = u.checkSuccess(name, in, acknowledged, result)
 	}
 	u.histories[name] = append(u.histories[name], porcupine.Operation{ClientId: client, Input: in, Call: int64(began), Output: out, Return: returned})
 }
 
-// succeeded checks the response to an operation that succeeded.
-func (u *KeyClients) succeeded(name string, in keyInput, acknowledged ident.Revision, result *node.Result) keyOutput {
+// checkSuccess checks the response to an operation that succeeded.
+func (u *KeyClients) checkSuccess(name string, in keyInput, acknowledged ident.Revision, result *node.Result) keyOutput {
 	w := u.world
 	var response keyvalue.Response
 	if json.Unmarshal(result.Body, &response) != nil {
-		w.Violate(invariant.ResponseDamaged, "a reading of %s can't be decoded", name)
+		w.Violate(invariant.ResponseDamaged, "the response to an operation on key %s can't be decoded", name)
 	}
 	out := keyOutput{revision: response.Revision}
 	value := in.value
@@ -170,11 +174,11 @@
 	}
 	w.Checker.Observe(invariant.StaleRead)
 	if response.Revision < acknowledged || in.kind != readKey && response.Revision <= acknowledged {
-		w.Violate(invariant.StaleRead, "%s of %s shows revision %d, %d was confirmed before", in.kind, name, response.Revision, acknowledged)
+		w.Violate(invariant.StaleRead, "%s of key %s returned revision %d, but revision %d was acknowledged before", in.kind, name, response.Revision, acknowledged)
 	}
 	id := fmt.Sprint(name, "/", response.Revision)
 	if old, ok := u.valueAt[id]; ok && old != value {
-		w.Violate(invariant.SequenceRepeated, "revision %d of %s was %s and is %s", response.Revision, name, old, value)
+		w.Violate(invariant.SequenceRepeated, "revision %d of key %s had value %s and now has value %s", response.Revision, name, old, value)
 	}
 	u.valueAt[id] = value
 	u.acknowledged[name] = max(u.acknowledged[name], response.Revision)
@@ -187,7 +191,7 @@
 		name := fmt.Sprintf("k%d", i)
 		u.world.Checker.Observe(invariant.StaleRead)
 		if porcupine.CheckOperationsTimeout(keyModel, u.histories[name], linearizabilityTimeout) == porcupine.Illegal {
-			u.world.Violate(invariant.StaleRead, "the history of %s (%d operations) is not linearisable", name, len(u.histories[name]))
+			u.world.Violate(invariant.StaleRead, "the history of key %s (%d operations) is not linearizable", name, len(u.histories[name]))
 		}
 	}
 }
--- a/sim/world/links.go
+++ b/sim/world/links.go
@@ -6,7 +6,8 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Direction says which messages a cut stops, seen from the machines that are cut off.
+// Direction is the direction of the messages that a cut drops, as seen from the machines that are
+// cut off.
 type Direction string
 
 // The directions of a cut.
@@ -16,51 +17,53 @@
 	BothWays Direction = "both"
 )
 
-// Directions lists the directions, for faults that draw one.
+// Directions lists all directions, for faults that choose one at random.
 var Directions = []Direction{Inbound, Outbound, BothWays}
 
-// link is one direction between two machines.
+// link is the link from one machine to another, in one direction.
 type link struct{ from, to ident.Addr }
 
-// Links is the network. Invariant: a message between two machines is lost if its link is cut
-// when it is sent.
+// Links is the simulated network. Invariant: a message is lost if its link is cut when the message
+// is sent.
 type Links struct {
 	BaseLatency, Jitter     time.Duration
 	LossRate, DuplicateRate float64
-	DelayRate               float64      // part of the messages that are delayed much longer
-	cuts                    map[link]int // how many faults cut a link now
-	refused                 map[link]int // how many of these tell the sender
+	DelayRate               float64      // fraction of messages with an additional delay of up to longDelay
+	cuts                    map[link]int // number of faults that cut a link now
+	refused                 map[link]int // number of those faults that refuse connections
 	healCount               int
 	LostMessages            int
 	SentMessages            int
 }
 
-// longDelay bounds the additional latency of a message that is delayed much longer.
+// longDelay bounds the additional latency of the messages that Links.DelayRate selects.
 const longDelay = 800 * time.Millisecond
 
 func newLinks() Links {
 	return Links{BaseLatency: 200 * time.Microsecond, Jitter: 800 * time.Microsecond, cuts: map[link]int{}, refused: map[link]int{}}
 }
 
-// HealAll ends every cut and all losses, duplicates and delays.
+// HealAll ends every cut and sets the loss, duplicate and delay rates to 0.
 func (l *Links) HealAll() {
 	l.cuts = map[link]int{}
 	l.healCount++
 	l.LossRate, l.DuplicateRate, l.DelayRate = 0, 0, 0
 }
 
-// Open tells whether messages pass from one machine to another.
+// Open reports whether the link from one machine to another is not cut.
 func (l *Links) Open(from, to ident.Addr) bool { return l.cuts[link{from, to}] == 0 }
 
-// openBothWays tells whether requests and their responses pass between two machines.
+// openBothWays reports whether the links between two machines are open in both directions, so that
+// requests and responses pass.
 func (l *Links) openBothWays(a, b ident.Addr) bool { return l.Open(a, b) && l.Open(b, a) }
 
-// refusesAtOnce tells whether the link is cut so that the sender learns of it at once.
-func (l *Links) refusesAtOnce(from, to ident.Addr) bool {
+// refusesConnections reports whether the link is cut by a fault that refuses connections, so that
+// the sender learns of the cut at once.
+func (l *Links) refusesConnections(from, to ident.Addr) bool {
 	return l.refused[link{from, to}] > 0 && l.cuts[link{from, to}] > 0
 }
 
-// linkDelay draws the latency of one message.
+// linkDelay returns a random latency for one message.
 func (w *World) linkDelay() time.Duration {
 	latency := w.Links.BaseLatency + time.Duration(w.Rng.Int64N(int64(w.Links.Jitter)+1))
 	if w.Links.DelayRate > 0 && w.Rng.Float64() < w.Links.DelayRate {
@@ -69,7 +72,7 @@
 	return latency
 }
 
-// transmit sends one datagram: it may be lost, delayed, duplicated or reordered.
+// transmit sends one datagram, which may be lost, delayed, duplicated or reordered.
 func (w *World) transmit(from, to ident.Addr, deliver func()) {
 	w.Links.SentMessages++
 	if !w.Links.Open(from, to) || w.Rng.Float64() < w.Links.LossRate {
@@ -82,7 +85,7 @@
 	}
 }
 
-// Isolate cuts machines off from all others for a while.
+// Isolate cuts machines off from all other machines, in a direction and for a duration.
 func (w *World) Isolate(isolated []ident.Addr, direction Direction, duration time.Duration) {
 	inside := map[ident.Addr]bool{}
 	for _, addr := range isolated {
@@ -97,14 +100,14 @@
 	w.cutFor(linksBetween(isolated, outside, direction), duration)
 }
 
-// Partition cuts two groups of machines from each other for a while.
+// Partition cuts all links between two groups of machines for a duration.
 func (w *World) Partition(left, right []ident.Addr, duration time.Duration) {
 	w.cutFor(linksBetween(left, right, BothWays), duration)
 }
 
-// PartitionDirected cuts two groups of machines from each other for a while, in a direction
-// seen from the first group. When refused, whoever sends into the cut learns at once that
-// nobody takes the connection, as by a reset; otherwise nothing comes back.
+// PartitionDirected cuts the links between two groups of machines for a duration, in a direction
+// as seen from the first group. With refused, connections over a cut link are refused at once, as
+// by a reset; otherwise messages are dropped silently.
 func (w *World) PartitionDirected(first, second []ident.Addr, direction Direction, refused bool, duration time.Duration) {
 	cut := linksBetween(first, second, direction)
 	w.cutFor(cut, duration)
@@ -121,7 +124,7 @@
 	})
 }
 
-// linksBetween lists the links between two groups in a direction seen from the first.
+// linksBetween returns the links between two groups, in a direction as seen from the first group.
 func linksBetween(first, second []ident.Addr, direction Direction) []link {
 	var links []link
 	for _, a := range first {
@@ -137,7 +140,7 @@
 	return links
 }
 
-// cutFor cuts links for a while; several faults may cut one link at the same time.
+// cutFor cuts links for a duration. Several faults may cut the same link at the same time.
 func (w *World) cutFor(cut []link, duration time.Duration) {
 	for _, l := range cut {
 		w.Links.cuts[l]++
@@ -145,7 +148,7 @@
 	healCount := w.Links.healCount
 	w.After(duration, func() {
 		if w.Links.healCount != healCount {
-			return // everything was healed meanwhile
+			return // HealAll has already removed the cuts
 		}
 		for _, l := range cut {
 			if w.Links.cuts[l]--; w.Links.cuts[l] <= 0 {
--- a/sim/world/lockers.go
+++ b/sim/world/lockers.go
@@ -13,17 +13,18 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// contendedLock is a lock that half of all attempts are for.
+// contendedLock is the lock that half of all attempts try to acquire.
 const contendedLock = "l0"
 
-// grant is a lease of a lock as its holder counts on it.
+// grant is the lease of a lock, as its holder sees it.
 type grant struct {
 	holder       string
 	fencingToken uint64
 	expiresAt    monotime.Time
 }
 
-// lockChecker checks that no lock has two holders. All clients of a set of locks share it.
+// lockChecker checks that no lock has two holders at the same time. All clients of a set of locks
+// share one lockChecker.
 type lockChecker struct {
 	world        *World
 	grants       map[string][]*grant // by lock
@@ -35,17 +36,17 @@
 	return &lockChecker{world: w, grants: map[string][]*grant{}, highestToken: map[string]uint64{}, tokenHolder: map[string]string{}}
 }
 
-// granted takes a grant that was given or renewed.
-func (c *lockChecker) granted(name string, held *grant) {
+// recordGrant checks and records a grant that was given or renewed.
+func (c *lockChecker) recordGrant(name string, held *grant) {
 	w := c.world
 	w.Checker.Observe(invariant.LockShared)
 	for _, other := range c.grants[name] {
 		if other.holder != held.holder && other.expiresAt > w.now {
-			w.Violate(invariant.LockShared, "%s is held by %s (fence %d) and %s (fence %d)", name, other.holder, other.fencingToken, held.holder, held.fencingToken)
+			w.Violate(invariant.LockShared, "lock %s is held by %s (fencing token %d) and by %s (fencing token %d)", name, other.holder, other.fencingToken, held.holder, held.fencingToken)
 		}
 	}
 	if held.fencingToken < c.highestToken[name] {
-		w.Violate(invariant.LockShared, "%s: fence %d after %d", name, held.fencingToken, c.highestToken[name])
+		w.Violate(invariant.LockShared, "lock %s: fencing token %d was granted after %d", name, held.fencingToken, c.highestToken[name])
 	}
 	c.highestToken[name] = max(c.highestToken[name], held.fencingToken)
 	var live []*grant
@@ -57,16 +58,16 @@
 	c.grants[name] = append(live, held)
 }
 
-// checkToken checks that a fencing token is given to one holder only.
+// checkToken checks that a fencing token is granted to one holder only.
 func (c *lockChecker) checkToken(name string, held *grant) {
 	id := fmt.Sprint(name, "/", held.fencingToken)
 	if other, ok := c.tokenHolder[id]; ok && other != held.holder {
-		c.world.Violate(invariant.LockShared, "%s: fence %d was given to %s and %s", name, held.fencingToken, other, held.holder)
+		c.world.Violate(invariant.LockShared, "lock %s: fencing token %d was granted to %s and to %s", name, held.fencingToken, other, held.holder)
 	}
 	c.tokenHolder[id] = held.holder
 }
 
-// abandon ends all grants of a holder now: it counts on none of them any longer.
+// abandon ends all grants of a lock's holder now, because the holder no longer relies on them.
 func (c *lockChecker) abandon(name, holder string) {
 	for _, g := range c.grants[name] {
 		if g.holder == holder {
@@ -83,7 +84,8 @@
 	interval  time.Duration
 }
 
-// StartLockClients starts clients over a number of locks, which begin anew about once an interval.
+// StartLockClients starts clients that share a number of locks; after each lock, a client waits
+// for about one interval.
 func (w *World) StartLockClients(clients, lockCount int, interval time.Duration) {
 	checker := newLockChecker(w)
 	for i := range clients {
@@ -92,12 +94,13 @@
 	}
 }
 
+// lockKey returns the key of a lock in the control state.
 func lockKey(name string) ident.Key { return ident.Key("lock/" + name) }
 
-// pause has the client begin anew later.
-func (l *lockClient) pause() { l.world.After(l.world.jittered(l.interval), l.acquire) }
+// acquireLater schedules the next acquisition.
+func (l *lockClient) acquireLater() { l.world.After(l.world.jittered(l.interval), l.acquire) }
 
-// acquire asks for some lock.
+// acquire tries to acquire a random lock.
 func (l *lockClient) acquire() {
 	w := l.world
 	if w.ClientsStopped {
@@ -113,48 +116,50 @@
 	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.AcquireKind, Args: args}, func(result *node.Result) {
 		var given lock.Grant
 		if !succeeded(result, &given) || w.now >= sentAt.Add(ttl) {
-			l.pause()
+			l.acquireLater()
 			return
 		}
 		held := &grant{holder: l.name, fencingToken: given.FencingToken, expiresAt: sentAt.Add(ttl)}
-		l.granted(name, held)
+		l.recordGrant(name, held)
 		l.renewOrRelease(name, held, ttl, w.Rng.IntN(4))
 	})
 }
 
-// renewOrRelease renews a few times and then releases the lock, or lets it expire.
+// renewOrRelease renews the lock the given number of times, and then releases it or lets it expire.
 func (l *lockClient) renewOrRelease(name string, held *grant, ttl time.Duration, renewals int) {
 	l.world.After(ttl/3, func() {
 		switch {
 		case l.world.now >= held.expiresAt:
-			l.pause()
+			l.acquireLater()
 		case renewals > 0:
 			l.renew(name, held, ttl, renewals)
 		default:
-			l.releaseOrForget(name, held)
+			l.releaseOrExpire(name, held)
 		}
 	})
 }
 
+// renew sends one renewal and extends the grant if the renewal succeeds.
 func (l *lockClient) renew(name string, held *grant, ttl time.Duration, renewals int) {
 	w, sentAt := l.world, l.world.now
 	args := operation.Encode(lock.Args{Holder: l.name, FencingToken: held.fencingToken})
 	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.RenewKind, Args: args}, func(result *node.Result) {
 		if result != nil && result.Failure == nil && w.now < held.expiresAt {
 			held.expiresAt = max(held.expiresAt, sentAt.Add(ttl))
-			l.granted(name, held)
+			l.recordGrant(name, held)
 		}
 		l.renewOrRelease(name, held, ttl, renewals-1)
 	})
 }
 
-func (l *lockClient) releaseOrForget(name string, held *grant) {
+// releaseOrExpire releases the lock in two of three cases, and otherwise lets the grant expire.
+func (l *lockClient) releaseOrExpire(name string, held *grant) {
 	w := l.world
 	if w.Rng.IntN(3) == 0 {
-		w.After(held.expiresAt.Since(w.now), l.pause)
+		w.After(held.expiresAt.Since(w.now), l.acquireLater)
 		return
 	}
-	held.expiresAt = w.now // from here on the client does not count on it
+	held.expiresAt = w.now // the client no longer relies on the grant
 	args := operation.Encode(lock.Args{Holder: l.name, FencingToken: held.fencingToken})
-	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.ReleaseKind, Args: args}, func(*node.Result) { l.pause() })
+	w.request(proposer.Operation{Key: lockKey(name), Kind: lock.ReleaseKind, Args: args}, func(*node.Result) { l.acquireLater() })
 }
--- a/sim/world/mutants.go
+++ b/sim/world/mutants.go
@@ -6,61 +6,62 @@
 	"cottonarch.example/cottonarch/sim/mutant"
 )
 
-// Mutant names a rule that is broken on purpose, none if empty.
+// Mutant names a fault that is put into the system on purpose, so that a rule is broken. The empty
+// Mutant is no fault.
 type Mutant string
 
-// The mutants of any world.
+// The mutants that apply to every world.
 const (
-	MutantSkipChecks          Mutant = "gate"      // endpoints are handed requests without a last check
-	MutantIgnoreLeave         Mutant = "leaver"    // an endpoint that leaves goes on being served
-	MutantForgetSignOff       Mutant = "forget"    // a late heartbeat brings back what has signed off
-	MutantIgnoreHeartbeatLoss Mutant = "silence"   // an endpoint without heartbeats does too
-	MutantRetryUnsafe         Mutant = "retry"     // requests that may run once are retried
+	MutantSkipChecks          Mutant = "gate"      // requests are sent to endpoints without a final check
+	MutantIgnoreLeave         Mutant = "leaver"    // endpoints that leave still receive requests
+	MutantForgetSignOff       Mutant = "forget"    // a late heartbeat readmits an endpoint that has signed off
+	MutantIgnoreHeartbeatLoss Mutant = "silence"   // endpoints without heartbeats still receive requests
+	MutantRetryUnsafe         Mutant = "retry"     // requests that may run at most once are retried
 	MutantWrongOutcome        Mutant = "fate"      // unknown outcomes are reported as not executed
-	MutantWrongResponse       Mutant = "return"    // lost and damaged responses pass for served
-	MutantDelayFailures       Mutant = "held"      // failures are reported at the deadline only
+	MutantWrongResponse       Mutant = "return"    // lost and malformed responses count as served
+	MutantDelayFailures       Mutant = "held"      // failures are reported only at the deadline
 	MutantUnlimitedRetries    Mutant = "allowance" // there is no retry budget
-	MutantIgnoreUrgency       Mutant = "urgent"    // urgent requests queue with the others
-	MutantIgnoreUpdates       Mutant = "deaf"      // sidecars rarely poll and ignore their peers
-	MutantKeepStaleCore       Mutant = "stay"      // sidecars stay with a core that is behind
-	MutantNoPeerCache         Mutant = "witness"   // a configuration is shown before peers have it
-	MutantExtendWait          Mutant = "wait"      // a newer configuration starts the wait for peers anew
-	MutantForgetAccepted      Mutant = "replica"   // acceptors forget what they accepted
-	MutantQuorumOfOne         Mutant = "quorum"    // one response passes for a majority
-	MutantNoReadRepair        Mutant = "mend"      // copies are not repaired
-	MutantIgnoreBase          Mutant = "offer"     // proposals on an old base are accepted
+	MutantIgnoreUrgency       Mutant = "urgent"    // urgent requests have no priority in the queue
+	MutantIgnoreUpdates       Mutant = "deaf"      // sidecars rarely poll cores and ignore their peers
+	MutantKeepStaleCore       Mutant = "stay"      // sidecars keep polling a core whose state is stale
+	MutantNoPeerCache         Mutant = "witness"   // configurations are enforced before peers have them
+	MutantExtendWait          Mutant = "wait"      // a newer configuration restarts the wait for peers
+	MutantForgetAccepted      Mutant = "replica"   // acceptors forget their accepted records
+	MutantQuorumOfOne         Mutant = "quorum"    // one response counts as a majority
+	MutantNoReadRepair        Mutant = "mend"      // stale replicas are not repaired
+	MutantIgnoreBase          Mutant = "offer"     // proposals based on an old revision are accepted
 	MutantAuditGaps           Mutant = "audit"     // some audit entries are left out
 	MutantLockExpires         Mutant = "lock"      // locks expire at once
-	MutantUnlimitedClockSteps Mutant = "clock"     // leases are measured by a clock that may jump
-	MutantNoHistory           Mutant = "history"   // keys forget their past changes
-	MutantAbruptStop          Mutant = "stop"      // planned stops wait for nothing
-	MutantNoRestart           Mutant = "restart"   // sidecars do not come back after the last outage
-	MutantBypassJoinQueue     Mutant = "join"      // every sidecar joins by quorum operations of its own
+	MutantUnlimitedClockSteps Mutant = "clock"     // leases are measured by a clock that may jump forward
+	MutantNoHistory           Mutant = "history"   // keys lose the history of their changes
+	MutantAbruptStop          Mutant = "stop"      // planned stops end the process without waiting
+	MutantNoRestart           Mutant = "restart"   // sidecars do not restart after the last outage
+	MutantBypassJoinQueue     Mutant = "join"      // every sidecar joins with quorum operations of its own
 )
 
-// The mutants of clients that use keyspaces and locks that keep their fencing token.
+// The mutants for keyspaces, and for locks that keep their fencing token.
 const (
-	MutantRepeatRevision Mutant = "cell-twice"   // a put is given the revision before its own
-	MutantReadOldest     Mutant = "cell-old"     // a read shows the oldest put
+	MutantRepeatRevision Mutant = "cell-twice"   // a put is answered with the revision before its own
+	MutantReadOldest     Mutant = "cell-old"     // a read returns the oldest retained put
 	MutantSkipEvent      Mutant = "cell-skip"    // a watch skips a put
 	MutantNoRetention    Mutant = "cell-history" // puts are not retained
-	MutantAssumeRejected Mutant = "cell-fate"    // clients take unknown outcomes for rejections
+	MutantAssumeRejected Mutant = "cell-fate"    // clients treat unknown outcomes as rejections
 	MutantShareToken     Mutant = "cell-keep"    // a held lock is granted to others
 )
 
-// The mutants of worlds with admission queues; see World.Platform.
+// The mutants for worlds with admission queues; see World.Platform.
 const (
-	MutantExecuteRejected Mutant = "bay"      // what the admission queue rejects runs all the same
-	MutantDecideTwice     Mutant = "bay-act"  // the admission queue decides twice
-	MutantQueueInStop     Mutant = "bay-stop" // requests wait on in a planned stop
-	MutantIgnoreTarget    Mutant = "fence"    // endpoints run what names another one
-	MutantExecuteShed     Mutant = "shed"     // endpoints run what they shed
-	MutantRetryFailed     Mutant = "failed"   // requests that an endpoint ran and failed are retried
+	MutantExecuteRejected Mutant = "bay"      // requests that the admission queue rejected are executed
+	MutantDecideTwice     Mutant = "bay-act"  // the admission queue delivers a decision twice
+	MutantQueueInStop     Mutant = "bay-stop" // requests keep waiting in a queue during a planned stop
+	MutantIgnoreTarget    Mutant = "fence"    // endpoints execute requests that name another endpoint
+	MutantExecuteShed     Mutant = "shed"     // endpoints execute requests that they shed
+	MutantRetryFailed     Mutant = "failed"   // requests that an endpoint executed and failed are retried
 	MutantLazySync        Mutant = "soft"     // opening a ring does not sync it
 	MutantUnsyncedFolder  Mutant = "folder"   // the folder of a ring is never synced
 )
 
-// Mutants lists the rules that each mutant must be seen to break.
+// Mutants maps each mutant to the rules whose violation must be detected with that mutant.
 var Mutants = map[Mutant][]string{
 	MutantSkipChecks:          {invariant.WrongService},
 	MutantIgnoreLeave:         {invariant.LateToLeaver},
@@ -105,7 +106,7 @@
 	MutantUnsyncedFolder:  {invariant.DiskDamaged},
 }
 
-// NeedsPlatform tells whether the mutant needs a world of the platform's kind.
+// NeedsPlatform reports whether the mutant applies only to worlds with World.Platform.
 func (m Mutant) NeedsPlatform() bool {
 	switch m {
 	case MutantExecuteRejected, MutantDecideTwice, MutantQueueInStop, MutantIgnoreTarget, MutantExecuteShed, MutantRetryFailed, MutantLazySync, MutantUnsyncedFolder:
@@ -114,7 +115,8 @@
 	return false
 }
 
-// quorumOverride is the number of responses that stands in for a majority, 0 if none does.
+// quorumOverride returns the number of responses that counts as a majority, or 0 for a real
+// majority.
 func (w *World) quorumOverride() int {
 	if w.Mutant == MutantQuorumOfOne {
 		return 1
@@ -122,7 +124,7 @@
 	return 0
 }
 
-// stateMachine is the state machine of the control keys, with what the mutant breaks.
+// stateMachine returns the state machine of the control keys, with the fault of the mutant.
 func (w *World) stateMachine() proposer.StateMachine {
 	return mutant.Handlers(string(w.Mutant), w.HistoryRetention)
 }
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -13,38 +13,38 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// Operators are clients that propose configurations: whole and partial, valid and invalid, and
-// several at a time.
+// Operators are clients that propose configurations: full and partial, valid and invalid, and
+// several at the same time.
 type Operators struct {
-	world           *World
-	interval        time.Duration
-	document        func(marker string) Document
-	proposalCount   int
-	awaitedSidecars int // configurations that sidecars are still awaited to show, over all sidecars
-	newestConfirmed ident.ConfigRevision
-	markerOf        map[ident.ConfigRevision]string // of the confirmed proposals
+	world               *World
+	interval            time.Duration
+	document            func(marker string) Document
+	proposalCount       int
+	pendingObservations int // pairs of a configuration and a sidecar that is still awaited to enforce it
+	newestConfirmed     ident.ConfigRevision
+	markerOf            map[ident.ConfigRevision]string // markers of the confirmed proposals
 }
 
 // Document is the JSON object of a configuration.
 type Document map[string]any
 
-// configProposal is one proposal of the operators.
+// configProposal is one proposal of an operator.
 type configProposal struct {
-	marker       string
-	args         proposal.Args
-	mustFail     bool                 // it is invalid or on an old base
-	newestBefore ident.ConfigRevision // the newest confirmed revision when it was sent
+	marker         string
+	args           proposal.Args
+	mustBeRejected bool                 // the proposal is invalid or based on an old revision
+	newestBefore   ident.ConfigRevision // newest confirmed revision when the proposal was sent
 }
 
-// StartOperators starts operators that propose about once an interval. document makes a whole
-// configuration that bears a marker as the namespace of one service.
+// StartOperators starts operators that propose about once per interval. document returns a full
+// configuration in which the namespace of one service is the marker.
 func (w *World) StartOperators(interval time.Duration, document func(marker string) Document) *Operators {
 	o := &Operators{world: w, interval: interval, document: document, markerOf: map[ident.ConfigRevision]string{}}
 	o.operate()
 	return o
 }
 
-// operate sends one proposal, or a few at a time.
+// operate sends one proposal, or a few at the same time.
 func (o *Operators) operate() {
 	w := o.world
 	if w.ClientsStopped {
@@ -60,7 +60,7 @@
 	w.After(w.jittered(o.interval), o.operate)
 }
 
-// Propose sends one proposal to some core.
+// Propose sends one proposal to a random core.
 func (o *Operators) Propose() {
 	w := o.world
 	p := o.newProposal()
@@ -73,12 +73,12 @@
 		case result == nil || result.Failure != nil:
 			w.counters.configsUnknown++
 		default:
-			o.confirmed(p, result)
+			o.checkConfirmation(p, result)
 		}
 	})
 }
 
-// newProposal draws a proposal.
+// newProposal returns a random proposal.
 func (o *Operators) newProposal() configProposal {
 	w := o.world
 	o.proposalCount++
@@ -87,15 +87,15 @@
 	switch w.Rng.IntN(10) {
 	case 0:
 		document["ways"].(Document)["bad"] = Document{"host": "x", "service": "nobody"}
-		p.mustFail = true
+		p.mustBeRejected = true
 	case 1:
 		document["surprise"] = 1
-		p.mustFail = true
+		p.mustBeRejected = true
 	case 2, 3:
 		base := o.newestConfirmed
 		if w.Rng.IntN(2) == 0 && base > 0 {
 			base--
-			p.mustFail = true
+			p.mustBeRejected = true
 		}
 		p.args.BaseRevision = &base
 	case 4, 5, 6:
@@ -110,7 +110,8 @@
 	return p
 }
 
-// markedService is the part of a configuration with just the service that bears the marker.
+// markedService returns a partial configuration with only the service whose namespace is the
+// marker.
 func (d Document) markedService(marker string) Document {
 	for name, service := range d["services"].(Document) {
 		if service.(Document)["namespace"] == marker {
@@ -120,24 +121,24 @@
 	return d
 }
 
-// confirmed checks the response to a proposal that was confirmed.
-func (o *Operators) confirmed(p configProposal, result *node.Result) {
+// checkConfirmation checks the response to a proposal that was confirmed.
+func (o *Operators) checkConfirmation(p configProposal, result *node.Result) {
 	w := o.world
 	var accepted proposal.Accepted
 	if json.Unmarshal(result.Body, &accepted) != nil || accepted.Revision == 0 {
-		w.Violate(invariant.ResponseDamaged, "a confirmation without revision")
+		w.Violate(invariant.ResponseDamaged, "the response to a confirmed proposal has no revision")
 		return
 	}
 	revision := accepted.Revision
 	w.counters.configsConfirmed++
-	if p.mustFail {
-		w.Violate(invariant.ConfigRejected, "an invalid or stale proposal (%s) was confirmed as revision %d", p.marker, revision)
+	if p.mustBeRejected {
+		w.Violate(invariant.ConfigRejected, "the invalid or stale proposal %s was confirmed as revision %d", p.marker, revision)
 	}
 	if old, ok := o.markerOf[revision]; ok {
-		w.Violate(invariant.SequenceRepeated, "revision %d was given to %s and %s", revision, old, p.marker)
+		w.Violate(invariant.SequenceRepeated, "revision %d was assigned to proposal %s and to proposal %s", revision, old, p.marker)
 	}
 	if revision <= p.newestBefore {
-		w.Violate(invariant.SequenceRepeated, "revision %d was given after %d was confirmed", revision, p.newestBefore)
+		w.Violate(invariant.SequenceRepeated, "revision %d was assigned after revision %d was confirmed", revision, p.newestBefore)
 	}
 	o.markerOf[revision] = p.marker
 	o.newestConfirmed = max(o.newestConfirmed, revision)
--- a/sim/world/process.go
+++ b/sim/world/process.go
@@ -7,12 +7,13 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// backlogLimit is how much work waits for a frozen process at most; more is lost.
+// backlogLimit bounds the number of functions that wait for a frozen process; further functions are
+// dropped.
 const backlogLimit = 5000
 
-// process is what every simulated process has. Invariants: the generation rises with each
-// start, and no work meant for an older one runs; a frozen process runs nothing, and what
-// arrives runs when it thaws.
+// process is the common part of all simulated processes. Invariants: the generation increases with
+// each start, and no work of an older generation runs; a frozen process runs no work, and work
+// that arrives meanwhile runs when the process thaws.
 type process struct {
 	world        *World
 	Addr         ident.Addr
@@ -20,23 +21,23 @@
 	frozen       bool
 	generation   int
 	startedAt    monotime.Time
-	clockRate    float64       // how fast its clock runs, 1 being true
-	clockOffset  time.Duration // by which its clock has jumped
-	clockStopped bool          // its clock stops while it is frozen
+	clockRate    float64       // rate of the local clock relative to virtual time
+	clockOffset  time.Duration // sum of the jumps of the local clock
+	clockStopped bool          // the local clock stops while the process is frozen
 	messageCost  time.Duration // processing time of each message and request
-	busyUntil    monotime.Time // when it has processed what came so far
+	busyUntil    monotime.Time // when all work that has arrived so far is processed
 	backlog      []func()
 }
 
-// localTime is the reading of the process's own clock.
+// localTime returns the reading of the process's local clock.
 func (p *process) localTime() monotime.Time {
 	return monotime.Time(float64(p.world.now-p.startedAt)*p.clockRate) + monotime.Time(time.Second+p.clockOffset)
 }
 
-// JumpClock makes the process's clock jump forward.
+// JumpClock makes the process's local clock jump forward.
 func (p *process) JumpClock(by time.Duration) { p.clockOffset += by }
 
-// Suspend freezes the process for a while, its clock too.
+// Suspend freezes the process and its local clock for a duration.
 func (p *process) Suspend(duration time.Duration) {
 	if p.running && !p.frozen {
 		p.clockStopped = true
@@ -44,7 +45,7 @@
 	}
 }
 
-// beginGeneration starts the process anew, with a clock of its own.
+// beginGeneration starts a new generation of the process, with a new local clock.
 func (p *process) beginGeneration() {
 	p.running, p.frozen, p.backlog = true, false, nil
 	p.generation++
@@ -52,7 +53,8 @@
 	p.clockRate = 0.99 + 0.02*p.world.Rng.Float64()
 }
 
-// runInGeneration runs work in the process if its generation is still the given one.
+// runInGeneration runs work in the process, if the process still runs in the given generation. In
+// a frozen process the work waits in the backlog.
 func (p *process) runInGeneration(generation int, work func()) {
 	if !p.running || p.generation != generation {
 		return
@@ -66,8 +68,8 @@
 	work()
 }
 
-// handleMessage has the process take a message or a request: one after the other, each for
-// its cost.
+// handleMessage runs the work for a message or request. Messages with a cost are processed one
+// after the other, and each takes its cost.
 func (p *process) handleMessage(generation int, cost time.Duration, work func()) {
 	if cost == 0 || !p.running || p.generation != generation {
 		p.runInGeneration(generation, work)
@@ -77,7 +79,7 @@
 	p.world.After(p.busyUntil.Since(p.world.now), func() { p.runInGeneration(generation, work) })
 }
 
-// Freeze stops the process for a while; its clock goes on.
+// Freeze stops the process for a duration. The local clock continues.
 func (p *process) Freeze(duration time.Duration) {
 	if !p.running || p.frozen {
 		return
@@ -91,7 +93,7 @@
 	})
 }
 
-// thaw ends a freeze of a duration and runs what waited, in a random order.
+// thaw ends a freeze of the given duration and runs the backlog in a random order.
 func (p *process) thaw(duration time.Duration) {
 	p.frozen = false
 	if p.clockStopped {
--- a/sim/world/proposals_test.go
+++ b/sim/world/proposals_test.go
@@ -17,26 +17,28 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// operatorProposal is one proposal of an operator. It adds a service of its own name, which
-// nothing removes, so the last configuration tells whether it was accepted.
+// operatorProposal is one proposal of an operator. The proposal adds a service with the name of the
+// proposal. No proposal removes a service, so the final configuration shows which proposals were
+// accepted.
 type operatorProposal struct {
 	name                   string
 	args                   proposal.Args
 	acknowledged, rejected bool
 }
 
-// proposers are operators that propose at the same time, each again until the answer is clear.
-type proposers struct {
+// concurrentOperators are operators that propose at the same time. Each resends its proposal until
+// the outcome is known.
+type concurrentOperators struct {
 	world         *World
 	sent          []*operatorProposal
-	newestVersion uint64 // the newest that was acknowledged
+	newestVersion uint64 // newest acknowledged version
 	pending       int
 	stopped       bool
-	resent        int // proposals sent once more after their answer
+	resent        int // number of proposals resent after their outcome was known
 }
 
-// send sends a proposal to some core, and loses one response in three.
-func (p *proposers) send(sent *operatorProposal, done func(answered bool)) {
+// send sends a proposal to a random core and drops one response in three.
+func (p *concurrentOperators) send(sent *operatorProposal, done func(answered bool)) {
 	op := proposer.Operation{Key: proposal.Key, Kind: "manifest/offer", Args: operation.Encode(sent.args), Repeatable: true}
 	p.world.requestWithin(op, 900*time.Millisecond, time.Second, func(result *node.Result) {
 		if p.world.Rng.IntN(3) == 0 {
@@ -58,9 +60,9 @@
 	})
 }
 
-// run has one operator go on from proposal to proposal; now and then it sends some earlier
-// proposal of any operator once more.
-func (p *proposers) run(operator int) {
+// run makes one operator send one proposal after the other. After one proposal in three, the
+// operator also resends a random earlier proposal of any operator.
+func (p *concurrentOperators) run(operator int) {
 	if p.stopped {
 		return
 	}
@@ -88,10 +90,10 @@
 	send()
 }
 
-// Eight operators propose at once over five cores, with links that lose and duplicate messages,
-// cores that are killed and lose power, and one response in three lost: a proposal that is in
-// force at the end was never rejected, by any core at any time, one that was acknowledged is in
-// force, and none was both.
+// Eight operators propose concurrently to five cores. Links lose and duplicate messages, cores are
+// killed and lose power, and one response in three is lost. A proposal that is in force at the end
+// must never have been rejected by any core, and an acknowledged proposal must be in force, so that
+// no proposal was both acknowledged and rejected.
 func TestConcurrentProposalsOverLossyLinks(t *testing.T) {
 	const cores, operators, duration, wanted = 5, 8, 60 * time.Second, 150
 	for seed := range uint64(3) {
@@ -101,21 +103,21 @@
 			w := cluster.world
 			w.Links.LossRate, w.Links.DuplicateRate, w.Links.DelayRate = 0.01, 0.02, 0.01
 			cluster.changeConfig()
-			p := &proposers{world: w, newestVersion: cluster.version}
+			p := &concurrentOperators{world: w, newestVersion: cluster.version}
 			for operator := range operators {
 				p.run(operator)
 			}
 			cluster.restartCores(duration)
 			p.stopped = true
 			w.RunFor(10 * time.Second)
-			must.Eq(t, 0, p.pending, must.Sprint("proposals without a clear answer"))
+			must.Eq(t, 0, p.pending, must.Sprint("proposals with an unknown outcome"))
 			p.check(t, cluster.readConfig(), wanted)
 			must.Eq(t, 0, len(w.Checker.Violations), must.Sprint(w.Checker.Violations))
 		})
 	}
 }
 
-// restartCores ends and restarts one core after the other for a while.
+// restartCores ends and restarts random cores, one after the other, for a duration.
 func (cluster *coreCluster) restartCores(duration time.Duration) {
 	w := cluster.world
 	for end := w.now.Add(duration); w.now < end; {
@@ -139,9 +141,9 @@
 	return state
 }
 
-// check compares the answers with the last configuration; more than so many proposals must have
-// been accepted.
-func (p *proposers) check(t *testing.T, state proposal.State, wanted int) {
+// check compares the responses with the final configuration. More than the wanted number of
+// proposals must have been accepted.
+func (p *concurrentOperators) check(t *testing.T, state proposal.State, wanted int) {
 	var last struct {
 		Services map[string]any `json:"services"`
 	}
@@ -158,7 +160,7 @@
 			rejected++
 		}
 	}
-	t.Logf("%d proposals, %d accepted, %d rejected, %d sent again after their answer; revision %d", len(p.sent), accepted, rejected, p.resent, state.Revision)
+	t.Logf("%d proposals, %d accepted, %d rejected, %d resent after their outcome was known; revision %d", len(p.sent), accepted, rejected, p.resent, state.Revision)
 	must.Greater(t, wanted, accepted)
 	must.Positive(t, rejected)
 	must.Eq(t, ident.ConfigRevision(accepted+1), state.Revision)
--- a/sim/world/reachability.go
+++ b/sim/world/reachability.go
@@ -2,19 +2,20 @@
 
 import "cottonarch.example/cottonarch/base/ident"
 
-// The causes for which nobody can make a sidecar know a configuration.
+// The causes for which no process can deliver a configuration to a sidecar.
 const (
 	causeDown       = "its being down"
 	causeFrozen     = "its being frozen"
 	causeCut        = "being cut off from all"
 	causeNoSource   = "being cut off from all that know"
 	causeNoMajority = "a majority of cores"
-	causeDayEnd     = "the day ended"
+	causeRunEnd     = "the day ended"
 )
 
-// unreachableCause tells why nobody can make the sidecar know the revision now, "" if somebody
-// can: the sidecar runs and is connected, over running processes and links open both ways, to
-// a process that has the revision or to a majority of healthy cores, which can read it.
+// unreachableCause returns why no process can now deliver the revision to the sidecar, or "" if a
+// process can. The revision can be delivered if the sidecar runs and is connected, over running
+// processes and links open both ways, to a process that has the revision or to a majority of
+// healthy cores, which can read the revision.
 func (w *World) unreachableCause(sidecar *Sidecar, revision ident.ConfigRevision) string {
 	switch {
 	case !sidecar.running:
@@ -24,7 +25,7 @@
 	}
 	search := reachability{world: w, seen: map[ident.Addr]bool{sidecar.Addr: true}, reached: []ident.Addr{sidecar.Addr}}
 	switch {
-	case search.find(revision):
+	case search.reachSource(revision):
 		return ""
 	case len(search.reached) == 1:
 		return causeCut
@@ -39,11 +40,12 @@
 	world   *World
 	seen    map[ident.Addr]bool
 	reached []ident.Addr
-	cores   int // reached cores
+	cores   int // number of reached cores
 }
 
-// find tells whether a source of the revision is reached.
-func (r *reachability) find(revision ident.ConfigRevision) bool {
+// reachSource reports whether the search reaches a process that has the revision, or a core with a
+// majority.
+func (r *reachability) reachSource(revision ident.ConfigRevision) bool {
 	for next := 0; next < len(r.reached); next++ {
 		from := r.reached[next]
 		for _, c := range r.world.Cores {
@@ -64,7 +66,8 @@
 	return false
 }
 
-// visit tells whether a process is reached from an address for the first time.
+// visit reports whether a process is reached from an address and was not reached before, and marks
+// the process as reached.
 func (r *reachability) visit(from, to ident.Addr, p *process) bool {
 	if r.seen[to] || !p.running || p.frozen || !r.world.Links.openBothWays(from, to) {
 		return false
@@ -74,7 +77,7 @@
 	return true
 }
 
-// HasMajority tells whether a majority of the voters is healthy and connected.
+// HasMajority reports whether some healthy core reaches a majority of the voters, all healthy.
 func (w *World) HasMajority() bool {
 	for _, c := range w.Cores {
 		if c.Healthy() && w.reachesMajority(c) {
@@ -84,7 +87,8 @@
 	return false
 }
 
-// CoresAndLinksHealthy tells whether no link is cut, and no core is down, frozen or slow.
+// CoresAndLinksHealthy reports whether no link is cut, and every core runs, is not frozen and has a
+// working disk without delay.
 func (w *World) CoresAndLinksHealthy() bool {
 	for _, c := range w.Cores {
 		if !c.running || c.frozen || c.diskFailed || c.DiskDelay > 0 {
@@ -94,8 +98,8 @@
 	return len(w.Links.cuts) == 0
 }
 
-// reachesMajority tells whether this core and the healthy voters that it has open links to are
-// a majority.
+// reachesMajority reports whether a core and the healthy voters with open links to that core are a
+// majority.
 func (w *World) reachesMajority(c *Core) bool {
 	if c.node == nil {
 		return false
--- a/sim/world/replicas.go
+++ b/sim/world/replicas.go
@@ -9,8 +9,9 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// CompareReplicas checks, after a calm time, that every voter holds the same record of every
-// key: read repair and the anti-entropy pass must have repaired the rest.
+// CompareReplicas checks that every voter holds the same record of every key. It is called after a
+// time without faults, in which read repair and the anti-entropy pass must have repaired all stale
+// replicas.
 func (w *World) CompareReplicas() {
 	var reference *Core
 	var expected map[ident.Key]quorum.Record
@@ -26,13 +27,13 @@
 		for _, k := range keysOfEither(expected, copies) {
 			w.Checker.Observe(invariant.NotRepaired)
 			if a, b := expected[k], copies[k]; !a.SameState(b) {
-				w.Violate(invariant.NotRepaired, "%s: %s holds revision %d of %v, %s holds %d of %v", k, reference.Addr, a.Revision, a.Accepted, c.Addr, b.Revision, b.Accepted)
+				w.Violate(invariant.NotRepaired, "key %s: core %s holds revision %d accepted under %v, core %s holds revision %d accepted under %v", k, reference.Addr, a.Revision, a.Accepted, c.Addr, b.Revision, b.Accepted)
 			}
 		}
 	}
 }
 
-// keysOfEither lists the keys of both maps in order, each once.
+// keysOfEither returns the keys of both maps in sorted order, each once.
 func keysOfEither(a, b map[ident.Key]quorum.Record) []ident.Key {
 	keys := slices.Sorted(maps.Keys(a))
 	for k := range b {
--- a/sim/world/report.go
+++ b/sim/world/report.go
@@ -9,10 +9,12 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// traceBefore is how much of the trace before the first violation a report shows.
-const traceBefore = 15 // s
+// traceBefore is the time before the first violation, in seconds, for which a report shows the
+// trace.
+const traceBefore = 15
 
-// Report reports what happened and the verdict of every rule.
+// Report returns the counts of the run, the verdict of every rule, and the trace before the first
+// violation.
 func (w *World) Report() string {
 	var b strings.Builder
 	w.writeCounts(&b)
@@ -22,6 +24,7 @@
 	return b.String()
 }
 
+// writeCounts writes the numbers of calls, messages, configurations and operations by outcome.
 func (w *World) writeCounts(b *strings.Builder) {
 	outcomes := map[invariant.Outcome]int{}
 	for _, call := range w.Checker.Calls {
@@ -35,6 +38,7 @@
 		n.operationsSucceeded, n.operationsRejected, n.operationsUnknown, n.watchEvents)
 }
 
+// writeOperationTimes writes the percentiles of the times of successful operations.
 func (w *World) writeOperationTimes(b *strings.Builder) {
 	n := len(w.OperationTimes)
 	if n == 0 {
@@ -45,7 +49,7 @@
 	fmt.Fprintf(b, "operations took: median %v, 99%% %v, 99.9%% %v, most %v\n", at(n/2), at(n*99/100), at(n*999/1000), at(n-1))
 }
 
-// writeFirstViolation shows the earliest violation with the trace before it.
+// writeFirstViolation writes the earliest violation and the trace before it.
 func (w *World) writeFirstViolation(b *strings.Builder) {
 	if len(w.Checker.Violations) == 0 {
 		return
--- a/sim/world/requests.go
+++ b/sim/world/requests.go
@@ -9,23 +9,23 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// How long a core works at an operation, and after what silence its client gives up, unless a
-// client sets these itself.
+// The default time that a core has for an operation, and the default time after which the client
+// stops waiting for the response.
 const (
 	operationBudget  = 4 * time.Second
 	operationTimeout = 6 * time.Second
 )
 
-// connectLatency is after how long a client learns that nobody takes its connection.
+// connectLatency is the time after which a client learns that its connection is refused.
 const connectLatency = time.Millisecond
 
-// request sends an operation to some core, as a client of the control plane does; end takes
-// nil if no response came.
+// request sends an operation to a random core, as a client of the control plane does. end is
+// called with the result, or with nil if no response came.
 func (w *World) request(op proposer.Operation, end func(*node.Result)) {
 	w.requestWithin(op, operationBudget, operationTimeout, end)
 }
 
-// requestWithin is request with a budget for the core and a timeout for the client.
+// requestWithin is like request, with a given time budget of the core and timeout of the client.
 func (w *World) requestWithin(op proposer.Operation, budget, timeout time.Duration, end func(*node.Result)) {
 	core := w.Cores[w.Rng.IntN(len(w.Cores))]
 	ended := false
@@ -42,7 +42,7 @@
 		end(result)
 	}
 	if !core.running {
-		w.After(connectLatency, func() { finish(&node.Result{Failure: failure.New(failure.Unreachable, "down")}) })
+		w.After(connectLatency, func() { finish(&node.Result{Failure: failure.New(failure.Unreachable, "the core is down")}) })
 		return
 	}
 	generation := core.generation
@@ -60,7 +60,7 @@
 	})
 }
 
-// countOperation counts the result of an operation, nil if no response came.
+// countOperation counts the result of an operation. A nil result means that no response came.
 func (n *counters) countOperation(result *node.Result) {
 	switch {
 	case result == nil || result.Failure != nil && result.Failure.Outcome == failure.OutcomeUnknown:
@@ -72,17 +72,17 @@
 	}
 }
 
-// succeeded tells whether an operation succeeded, and decodes its response into body.
+// succeeded reports whether an operation succeeded, and decodes its response into body.
 func succeeded(result *node.Result, body any) bool {
 	return result != nil && result.Failure == nil && json.Unmarshal(result.Body, body) == nil
 }
 
-// failedWith tells whether an operation ended with a kind of failure.
+// failedWith reports whether an operation ended with a failure of the given kind.
 func failedWith(result *node.Result, kind failure.Kind) bool {
 	return result != nil && result.Failure != nil && result.Failure.Kind == kind
 }
 
-// notExecuted tells whether an operation certainly had no effect.
+// notExecuted reports whether an operation certainly had no effect.
 func notExecuted(result *node.Result) bool {
 	return result != nil && result.Failure != nil && result.Failure.Outcome == failure.NotExecuted
 }
--- a/sim/world/rpc.go
+++ b/sim/world/rpc.go
@@ -8,22 +8,22 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// reply is what comes of a request to another process: a value, a failure that the server
-// answered, or nothing in time.
+// reply is the result of a request to another process: a value, a failure that the server returned,
+// or a lost response.
 type reply[T any] struct {
 	value   T
 	failure *failure.Error
 	lost    bool
 }
 
-// rpc sends a request of a sidecar to another process: the request may be lost, and so may the
-// response. serve runs in the server and responds at most once; done runs in the sidecar and
-// takes a lost reply after the timeout.
+// rpc sends a request from a sidecar to another process. The request or the response may be lost.
+// serve runs in the server and responds at most once; done runs in the sidecar and gets a lost
+// reply after the timeout.
 func rpc[T any](s *Sidecar, server *process, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(reply[T])) {
 	rpcWithCost(s, server, server.messageCost, timeout, serve, done)
 }
 
-// rpcWithCost is rpc for a request whose processing takes the server a time of its own.
+// rpcWithCost is like rpc, with a given processing time of the request at the server.
 func rpcWithCost[T any](s *Sidecar, server *process, cost, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(reply[T])) {
 	w, generation, ended := s.world, s.generation, false
 	end := func(r reply[T]) {
@@ -32,16 +32,16 @@
 			s.runInGeneration(generation, func() { done(r) })
 		}
 	}
-	lose := func() { end(reply[T]{lost: true}) }
-	w.After(timeout, lose)
+	loseReply := func() { end(reply[T]{lost: true}) }
+	w.After(timeout, loseReply)
 	if !server.running {
-		w.After(connectLatency, lose)
+		w.After(connectLatency, loseReply)
 		return
 	}
 	from, to, serverGeneration := s.Addr, server.Addr, server.generation
 	if !w.Links.openBothWays(from, to) {
-		if w.Links.refusesAtOnce(from, to) {
-			w.After(connectLatency, lose)
+		if w.Links.refusesConnections(from, to) {
+			w.After(connectLatency, loseReply)
 		}
 		return
 	}
@@ -56,7 +56,8 @@
 	})
 }
 
-// respondResult responds with the result of an operation, as far as it can be decoded.
+// respondResult returns a callback that responds with the result of an operation. The callback does
+// not respond if the result can't be decoded.
 func respondResult[T any](respond func(T, *failure.Error)) func(node.Result) {
 	return func(result node.Result) {
 		var value T
--- a/sim/world/sequenceusers.go
+++ b/sim/world/sequenceusers.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// sequenceClients are clients that take numbers of sequences; they check that none is given
-// twice or goes back.
+// sequenceClients are clients that take numbers from sequences, and check that no sequence repeats
+// a number or returns a lower one.
 type sequenceClients struct {
 	world         *World
 	sequenceCount int
@@ -21,8 +21,8 @@
 	highest       map[string]uint64 // by sequence
 }
 
-// StartSequenceClients starts clients over a number of sequences, which take a number about once
-// an interval.
+// StartSequenceClients starts clients that share a number of sequences; each takes a number about
+// once per interval.
 func (w *World) StartSequenceClients(clients, sequenceCount int, interval time.Duration) {
 	u := &sequenceClients{world: w, sequenceCount: sequenceCount, interval: interval, given: map[string]bool{}, highest: map[string]uint64{}}
 	for range clients {
@@ -30,6 +30,7 @@
 	}
 }
 
+// take takes the next number of a random sequence.
 func (u *sequenceClients) take() {
 	w := u.world
 	if w.ClientsStopped {
@@ -46,11 +47,13 @@
 	})
 }
 
+// check checks and records a number. highestBefore is the highest number of the sequence that was
+// known when the request was sent.
 func (u *sequenceClients) check(name string, number, highestBefore uint64) {
 	u.world.Checker.Observe(invariant.SequenceRepeated)
 	id := fmt.Sprint(name, "/", number)
 	if u.given[id] || number <= highestBefore {
-		u.world.Violate(invariant.SequenceRepeated, "%s gave %d, given before %v, newest confirmed before the call %d", name, number, u.given[id], highestBefore)
+		u.world.Violate(invariant.SequenceRepeated, "sequence %s returned number %d (returned before: %v; highest number known before the request: %d)", name, number, u.given[id], highestBefore)
 	}
 	u.given[id] = true
 	u.highest[name] = max(u.highest[name], number)
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// sidecarTickInterval is how often a sidecar's parts are told that time has passed.
+	// sidecarTickInterval is the interval between two ticks of a sidecar.
 	sidecarTickInterval = 40 * time.Millisecond
-	// peerCheckTicks is how many ticks lie between two checks whether peers must be asked.
+	// peerCheckTicks is the number of ticks between two checks whether peers must be queried.
 	peerCheckTicks = 6
-	// admissionDrainTimeout is how soon after a planned stop began nobody may wait in the
-	// admission queue any longer.
+	// admissionDrainTimeout is the time after the begin of a planned stop by which no attempt may
+	// wait in the admission queue.
 	admissionDrainTimeout = 100 * time.Millisecond
 )
 
-// A planned stop checks at an interval whether requests are in flight, and ends after a number
-// of checks without any, or of all checks.
+// A planned stop polls whether requests are in flight. The stop ends after idleLimit polls in a row
+// without requests in flight, or after drainLimit polls in total.
 const (
 	drainInterval = 50 * time.Millisecond
 	idleLimit     = 20
@@ -41,7 +41,7 @@
 	Zone      ident.Zone
 	Endpoints []*Endpoint
 
-	clockWatch  monotime.StepLimiter
+	stepLimiter monotime.StepLimiter
 	router      *attempt.Planner
 	tracker     *endpoint.Tracker
 	configCache *configcache.Cache
@@ -52,59 +52,59 @@
 
 	hasLease       bool
 	joinPending    bool
-	joinTurn       int // which core is next with MutantBypassJoinQueue
-	joinCount      int // joins that succeeded; it identifies the next request
+	joinAttempts   int // number of joins begun with MutantBypassJoinQueue; it selects the core
+	joinCount      int // number of joins that succeeded; it identifies the next join request
 	leaseEpoch     ident.LeaseEpoch
 	reportSequence uint64
 
-	feed          registryFeed
-	coreHeardAt   monotime.Time // when a core was last heard
-	shownRevision ident.ConfigRevision
-	leaving       bool
+	feed             registryFeed
+	lastCoreContact  monotime.Time // when a core last responded
+	enforcedRevision ident.ConfigRevision
+	leaving          bool
 
 	inFlight       int
 	urgentInFlight int
 
-	// The rest is for worlds with admission queues.
+	// The following fields are used in worlds with admission queues.
 	admission         *admission.Queue
-	waiters           map[uint64]*waiter // by identifier in the admission queue
+	waiters           map[uint64]*waiter // by request ID in the admission queue
 	lastWaiterID      uint64
-	admittedEndpoints []ident.Server // the endpoints that the admission queue knows
+	admittedEndpoints []ident.Server // endpoints in the admission queue
 	probed            bool
-	verifying         map[ident.Server]bool // endpoints that are asked whether they are healthy
+	verifying         map[ident.Server]bool // endpoints whose health is being verified
 }
 
-// NewSidecar makes an application machine.
+// NewSidecar adds an application machine to the world. Its sidecar is not started.
 func (w *World) NewSidecar(addr ident.Addr, zone ident.Zone) *Sidecar {
 	s := &Sidecar{process: process{world: w, Addr: addr}, Node: ident.Node("node-" + string(addr)), Zone: zone}
 	w.Sidecars = append(w.Sidecars, s)
 	return s
 }
 
-// watchedTime is a clock that counts only time that passed while the process watched.
-func (s *Sidecar) watchedTime() monotime.Time {
+// limitedTime returns the sidecar's local clock, followed in bounded steps.
+func (s *Sidecar) limitedTime() monotime.Time {
 	if s.world.Mutant == MutantUnlimitedClockSteps {
 		return s.localTime()
 	}
-	return s.clockWatch.Observe(s.localTime())
+	return s.stepLimiter.Observe(s.localTime())
 }
 
-// Start starts the sidecar.
+// Start starts a new generation of the sidecar.
 func (s *Sidecar) Start() {
 	s.beginGeneration()
-	s.clockWatch = monotime.StepLimiter{}
-	s.startParts()
+	s.stepLimiter = monotime.StepLimiter{}
+	s.startComponents()
 	s.hasLease, s.joinPending, s.leaseEpoch, s.reportSequence, s.leaving = false, false, 0, 0, false
 	s.feed.reset()
-	s.inFlight, s.urgentInFlight, s.coreHeardAt = 0, 0, s.localTime()
+	s.inFlight, s.urgentInFlight, s.lastCoreContact = 0, 0, s.localTime()
 	for _, e := range s.Endpoints {
-		e.lastHeartbeat = 0 // this generation has heard none of them yet
+		e.lastHeartbeat = 0 // this generation has received no heartbeat yet
 	}
 	s.tick(s.generation, 0)
 }
 
-// startParts makes the parts of the sidecar, as the mutant has them.
-func (s *Sidecar) startParts() {
+// startComponents creates the components of the sidecar, with the fault of the mutant.
+func (s *Sidecar) startComponents() {
 	w := s.world
 	s.router = attempt.New(s.localTime(), s.Zone, w.Rng.Uint64(), retrybudget.Limits{})
 	s.router.RetryUnsafe = w.Mutant == MutantRetryUnsafe
@@ -126,27 +126,28 @@
 	}
 }
 
-// Ready tells whether clients may come: the sidecar has joined and has a configuration in
-// force.
+// Ready reports whether the sidecar can serve clients: it runs, holds a lease and has a
+// configuration in force.
 func (s *Sidecar) Ready() bool { return s.running && s.hasLease && s.router.Revision() > 0 }
 
-// Running tells whether the sidecar runs and is not frozen.
+// Running reports whether the sidecar runs and is not frozen.
 func (s *Sidecar) Running() bool { return s.running && !s.frozen }
 
-// Generation counts the starts of the sidecar.
+// Generation returns the number of starts of the sidecar.
 func (s *Sidecar) Generation() int { return s.generation }
 
 // Kill ends the sidecar at once.
 func (s *Sidecar) Kill() { s.running = false }
 
-// Stop stops the sidecar as planned: it takes no more requests, its endpoints stay, and it ends
-// once nothing has been in flight for a second, or after ten.
+// Stop performs a planned stop: the sidecar accepts no more requests, its endpoints keep running,
+// and the sidecar ends once no request has been in flight for a second, or after ten seconds. then
+// is called after that.
 func (s *Sidecar) Stop(then func()) {
 	generation := s.generation
 	s.leaving = true
 	s.runInGeneration(generation, func() {
 		waitingCount := len(s.waiters)
-		s.endpointsChanged(s.tracker.DrainAll(s.localTime()))
+		s.handleEndpointChange(s.tracker.DrainAll(s.localTime()))
 		if waitingCount > 0 {
 			s.world.After(admissionDrainTimeout, func() { s.runInGeneration(generation, s.checkAdmissionDrained) })
 		}
@@ -154,15 +155,16 @@
 	s.drain(generation, 0, 0, then)
 }
 
-// checkAdmissionDrained checks that nobody waits in the admission queue in a planned stop.
+// checkAdmissionDrained checks that no attempt waits in the admission queue during a planned stop.
 func (s *Sidecar) checkAdmissionDrained() {
 	s.world.Checker.Observe(invariant.AdmissionStop)
 	if n := len(s.waiters); n > 0 {
-		s.world.Violate(invariant.AdmissionStop, "%s stops and %d still wait in its admission queue", s.Node, n)
+		s.world.Violate(invariant.AdmissionStop, "%s is stopping and %d attempts still wait in its admission queue", s.Node, n)
 	}
 }
 
-// drain ends the sidecar after enough checks in a row found nothing in flight.
+// drain ends the sidecar after idleLimit polls in a row without requests in flight, or after
+// drainLimit polls.
 func (s *Sidecar) drain(generation, idleChecks, checks int, then func()) {
 	if !s.running || s.generation != generation {
 		return
@@ -182,23 +184,25 @@
 	then()
 }
 
+// tick runs the periodic work of the sidecar and schedules the next tick.
 func (s *Sidecar) tick(generation, count int) {
-	s.runInGeneration(generation, func() { s.tickParts(count) })
+	s.runInGeneration(generation, func() { s.tickComponents(count) })
 	if s.running && s.generation == generation {
 		s.world.After(sidecarTickInterval, func() { s.tick(generation, count+1) })
 	}
 }
 
-// tickParts tells the parts of the sidecar that time has passed and does what is due.
-func (s *Sidecar) tickParts(count int) {
+// tickComponents advances the components of the sidecar to the current time and starts the requests
+// that are due.
+func (s *Sidecar) tickComponents(count int) {
 	now := s.localTime()
-	s.watchedTime()
+	s.limitedTime()
 	s.recordLosses()
 	s.router.RetryBudget.Tick(now)
-	s.endpointsChanged(s.tracker.Tick(now))
+	s.handleEndpointChange(s.tracker.Tick(now))
 	if s.world.Platform {
 		s.deliverVerdicts(s.admission.Tick(now))
-		s.probeEndpoint()
+		s.probeFirstEndpoint()
 	}
 	switch {
 	case !s.hasLease && !s.joinPending:
@@ -210,8 +214,8 @@
 		s.poll()
 		s.updateBudgetShare()
 	}
-	if count%peerCheckTicks == 0 && s.configCache.ShouldAskPeers(now, s.coreHeardAt) {
-		s.askPeers()
+	if count%peerCheckTicks == 0 && s.configCache.ShouldAskPeers(now, s.lastCoreContact) {
+		s.queryPeers()
 	}
-	s.showConfig()
+	s.enforceReadyConfig()
 }
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -13,37 +13,38 @@
 const (
 	announceTimeout = 250 * time.Millisecond
 	peerTimeout     = 400 * time.Millisecond
-	// maxAskedPeers is how many peers a sidecar asks at a time.
-	maxAskedPeers = 8
+	// maxQueriedPeers bounds the number of peers that a sidecar queries at a time.
+	maxQueriedPeers = 8
 )
 
-// applyConfig takes in a confirmed configuration, if any; it is shown once enough peers have
-// it.
-func (s *Sidecar) applyConfig(config *validation.Config) {
+// addConfig adds a confirmed configuration to the cache and announces it to peers. The
+// configuration is enforced once enough peers have it. A nil configuration has no effect.
+func (s *Sidecar) addConfig(config *validation.Config) {
 	peers := s.shuffledPeers()
 	if config == nil {
 		return
 	}
 	if !s.configCache.Add(s.localTime(), config, s.router.Revision(), len(peers)) {
-		s.showConfig()
+		s.enforceReadyConfig()
 		return
 	}
 	for _, p := range peers[:min(len(peers), configcache.MaxNotifiedPeers)] {
 		rpc(s, &p.process, announceTimeout, func(respond func(struct{}, *failure.Error)) {
-			p.configAnnounced(config, func() { respond(struct{}{}, nil) })
+			p.handleConfigAnnouncement(config, func() { respond(struct{}{}, nil) })
 		}, func(r reply[struct{}]) {
 			s.configCache.HandleAck(config.Revision, !r.lost)
-			s.showConfig()
+			s.enforceReadyConfig()
 		})
 	}
-	s.showConfig()
+	s.enforceReadyConfig()
 }
 
-// configAnnounced takes a peer's announcement of a configuration; done is called once the
-// configuration is here. It is taken from that peer if it does not come by itself.
-func (s *Sidecar) configAnnounced(config *validation.Config, done func()) {
+// handleConfigAnnouncement handles a peer's announcement of a configuration. If the configuration
+// does not arrive from a core within the fetch delay, it is fetched from that peer. done is called
+// once the sidecar has the configuration.
+func (s *Sidecar) handleConfigAnnouncement(config *validation.Config, done func()) {
 	if config.Revision < s.router.MinRevision || s.world.Mutant == MutantIgnoreUpdates {
-		return // it may not be shown here, so it is not cached either
+		return // a configuration that must not be enforced is not cached either
 	}
 	s.configCache.ObservePeer(s.localTime(), config.Revision)
 	if s.configCache.NewestHeld(s.router.Revision()) >= config.Revision {
@@ -53,20 +54,20 @@
 	generation := s.generation
 	s.world.After(configcache.PeerFetchDelay, func() {
 		s.runInGeneration(generation, func() {
-			s.applyConfig(config)
+			s.addConfig(config)
 			done()
 		})
 	})
 }
 
-// showConfig puts the configuration that is ready, if any, in force.
-func (s *Sidecar) showConfig() {
+// enforceReadyConfig puts the cached configuration in force, if there is one that is ready.
+func (s *Sidecar) enforceReadyConfig() {
 	if config := s.configCache.TakeReady(s.localTime()); config != nil && s.router.Enforce(config) {
-		s.world.Checker.ConfigShown(s.world.now, "sidecar "+string(s.Node), config, &s.shownRevision)
+		s.world.Checker.ConfigShown(s.world.now, "sidecar "+string(s.Node), config, &s.enforcedRevision)
 	}
 }
 
-// shuffledPeers lists the other sidecars in a random order.
+// shuffledPeers returns the other sidecars in a random order.
 func (s *Sidecar) shuffledPeers() []*Sidecar {
 	var peers []*Sidecar
 	for _, i := range s.world.Rng.Perm(len(s.world.Sidecars)) {
@@ -77,7 +78,7 @@
 	return peers
 }
 
-// peerResponse is what a sidecar answers to a peer that hears no core.
+// peerResponse is the response of a sidecar to a peer that reaches no core.
 type peerResponse struct {
 	sets        []record.Set
 	config      *validation.Config
@@ -85,24 +86,25 @@
 	hasLease    bool
 }
 
-// askPeers asks some peers for their registry and configuration, while no core is heard.
-func (s *Sidecar) askPeers() {
+// queryPeers requests the registry and configuration of some peers, while no core is reached.
+func (s *Sidecar) queryPeers() {
 	if s.world.Mutant == MutantIgnoreUpdates {
 		return
 	}
 	peers := s.shuffledPeers()
-	for _, p := range peers[:min(len(peers), maxAskedPeers)] {
+	for _, p := range peers[:min(len(peers), maxQueriedPeers)] {
 		rpc(s, &p.process, peerTimeout, func(respond func(peerResponse, *failure.Error)) {
-			respond(p.answerPeer(), nil)
+			respond(p.servePeerQuery(), nil)
 		}, func(r reply[peerResponse]) {
 			if !r.lost {
-				s.peerAnswered(r.value)
+				s.handlePeerResponse(r.value)
 			}
 		})
 	}
 }
 
-func (s *Sidecar) answerPeer() peerResponse {
+// servePeerQuery returns the registry, the newest configuration and the lease state for a peer.
+func (s *Sidecar) servePeerQuery() peerResponse {
 	config := s.router.Config()
 	if pending := s.configCache.Pending(); pending != nil {
 		config = pending
@@ -110,12 +112,14 @@
 	return peerResponse{s.router.Index.Sets(), config, s.configCache.NewestKnown(), s.hasLease}
 }
 
-func (s *Sidecar) peerAnswered(response peerResponse) {
+// handlePeerResponse merges a peer's registry and adds its configuration, if the cache accepts
+// configurations from peers.
+func (s *Sidecar) handlePeerResponse(response peerResponse) {
 	if s.router.Index.Merge(response.sets) {
 		s.feed.restart()
 	}
 	s.configCache.HandlePeerAnswer(s.localTime(), response.newestKnown, response.hasLease)
 	if s.configCache.AcceptsPeerConfig(s.localTime()) {
-		s.applyConfig(response.config)
+		s.addConfig(response.config)
 	}
 }
--- a/sim/world/sidecarendpoints.go
+++ b/sim/world/sidecarendpoints.go
@@ -11,92 +11,94 @@
 )
 
 const (
-	// probeSlots is the number of slots that the daemon assumes of an endpoint that it finds.
+	// probeSlots is the number of slots that the daemon assumes for an endpoint found by a probe.
 	probeSlots = 4
-	// probeLatency is how long the daemon takes to find it.
+	// probeLatency is the time that a probe of an endpoint takes.
 	probeLatency = time.Millisecond
-	// verifyPause is the pause before an endpoint is asked again whether it is healthy.
+	// verifyPause is the delay between two probes of an endpoint's health.
 	verifyPause = 300 * time.Millisecond
 )
 
-// recordLosses notes whose loss is confirmed on this machine, by its own clock and by the
-// heartbeats that it took: the tracker, which is judged by it, is not asked.
+// recordLosses records the endpoints whose heartbeat timeout has ended, by the local clock and the
+// accepted heartbeats. The tracker is not used, because the invariants check the tracker against
+// these records.
 func (s *Sidecar) recordLosses() {
 	for _, e := range s.Endpoints {
-		if e.lossConfirmedAt == 0 && e.lastHeartbeat != 0 && s.localTime().Since(e.lastHeartbeat) > s.world.silenceTimeout() {
+		if e.lossConfirmedAt == 0 && e.lastHeartbeat != 0 && s.localTime().Since(e.lastHeartbeat) > s.world.heartbeatTimeout() {
 			e.lossConfirmedAt = s.world.now
 			s.world.Checker.Observe(invariant.LateToLeaver)
 		}
 	}
 }
 
-// handleHeartbeat has the tracker and the admission queue take a heartbeat of an endpoint; it
-// tells whether they did.
+// handleHeartbeat passes a heartbeat of an endpoint to the tracker and to the admission queue, and
+// reports whether the tracker accepted the heartbeat.
 func (s *Sidecar) handleHeartbeat(e *Endpoint, heartbeat endpoint.Heartbeat) bool {
 	change, rejection := s.tracker.HandleHeartbeat(s.localTime(), heartbeat)
 	if rejection != nil {
 		return false
 	}
-	s.endpointsChanged(change)
+	s.handleEndpointChange(change)
 	s.setSlots(heartbeat)
 	e.lastHeartbeat, e.lossConfirmedAt = s.localTime(), 0
-	for _, newcomer := range s.tracker.Unverified() {
-		s.verify(newcomer.Server)
+	for _, unverified := range s.tracker.Unverified() {
+		s.verify(unverified.Server)
 	}
 	return true
 }
 
-// verify asks a server that is known by heartbeats alone, as the daemon does, until it answers that it
-// is healthy or is no longer to be asked.
+// verify probes a server that is known only from heartbeats, as the daemon does, until the tracker
+// no longer lists that server as unverified.
 func (s *Sidecar) verify(server ident.Server) {
 	if s.verifying[server] {
 		return
 	}
 	s.verifying[server] = true
 	generation := s.generation
-	var ask func()
-	ask = func() {
+	var probe func()
+	probe = func() {
 		s.runInGeneration(generation, func() {
-			newcomer, wanted := s.newcomer(server)
+			newcomer, wanted := s.unverifiedHeartbeat(server)
 			if !wanted {
 				delete(s.verifying, server)
 				return
 			}
 			if s.router.Revision() > 0 && s.world.answersAsHealthy(newcomer) {
-				s.endpointsChanged(s.tracker.MarkVerified(s.localTime(), server))
+				s.handleEndpointChange(s.tracker.MarkVerified(s.localTime(), server))
 			}
-			s.world.After(verifyPause, ask)
+			s.world.After(verifyPause, probe)
 		})
 	}
-	s.world.After(probeLatency, ask)
+	s.world.After(probeLatency, probe)
 }
 
-// newcomer is the newest heartbeat of a server that is to be asked; it is false if it is not.
-func (s *Sidecar) newcomer(server ident.Server) (endpoint.Heartbeat, bool) {
-	for _, newcomer := range s.tracker.Unverified() {
-		if newcomer.Server == server {
-			return newcomer, true
+// unverifiedHeartbeat returns the newest heartbeat of a server that must be verified. It returns
+// false if the server need not be verified.
+func (s *Sidecar) unverifiedHeartbeat(server ident.Server) (endpoint.Heartbeat, bool) {
+	for _, heartbeat := range s.tracker.Unverified() {
+		if heartbeat.Server == server {
+			return heartbeat, true
 		}
 	}
 	return endpoint.Heartbeat{}, false
 }
 
-// answersAsHealthy reports whether what is at a heartbeat's address answers that it is that server and
-// healthy.
+// answersAsHealthy reports whether the process at a heartbeat's address is the server of that
+// heartbeat and is healthy.
 func (w *World) answersAsHealthy(heartbeat endpoint.Heartbeat) bool {
 	e := w.endpoints[heartbeat.Addr]
 	return e != nil && e.running && !e.hung && e.Server == heartbeat.Server && e.state == endpoint.Alive
 }
 
-// endpointsChanged carries a change of the tracker over to the admission queue.
-func (s *Sidecar) endpointsChanged(change endpoint.Change) {
+// handleEndpointChange applies a change of the tracker to the admission queue.
+func (s *Sidecar) handleEndpointChange(change endpoint.Change) {
 	if s.world.Platform && change.WorkloadsChanged && !(s.leaving && s.world.Mutant == MutantQueueInStop) {
 		s.syncAdmission()
 	}
 }
 
-// syncAdmission removes from the admission queue what the tracker does not know any longer, and
-// rejects what waits for endpoints that are not healthy.
+// syncAdmission removes from the admission queue the endpoints that the tracker no longer knows, and
+// rejects the attempts that wait for endpoints that are not healthy.
 func (s *Sidecar) syncAdmission() {
 	known := map[ident.Server]bool{}
 	for _, workload := range s.tracker.Workloads() {
@@ -116,7 +118,7 @@
 	s.admittedEndpoints = admitting
 }
 
-// setSlots tells the admission queue of the slots that a heartbeat reports.
+// setSlots sets the number of slots that a heartbeat reports in the admission queue.
 func (s *Sidecar) setSlots(heartbeat endpoint.Heartbeat) {
 	if !s.world.Platform || heartbeat.State != endpoint.Alive || heartbeat.Slots == 0 {
 		return
@@ -127,8 +129,9 @@
 	s.deliverVerdicts(s.admission.SetSlots(s.localTime(), heartbeat.Server, heartbeat.Slots, 0))
 }
 
-// probeEndpoint asks the endpoint beside a sidecar that has just started, as the daemon does.
-func (s *Sidecar) probeEndpoint() {
+// probeFirstEndpoint probes the first local endpoint once after a start of the sidecar, as the
+// daemon does.
+func (s *Sidecar) probeFirstEndpoint() {
 	if s.probed || s.router.Revision() == 0 {
 		return
 	}
@@ -142,7 +145,7 @@
 		s.runInGeneration(generation, func() {
 			if len(s.tracker.Workloads()) == 0 && !s.leaving {
 				s.handleHeartbeat(e, heartbeat)
-				s.endpointsChanged(s.tracker.MarkVerified(s.localTime(), e.Server))
+				s.handleEndpointChange(s.tracker.MarkVerified(s.localTime(), e.Server))
 			}
 		})
 	})
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -15,19 +15,19 @@
 	"cottonarch.example/cottonarch/mesh/lease/joiner"
 )
 
-// With MutantBypassJoinQueue a sidecar tries to join at every so many ticks, each time for so long;
-// a core works at each operation of it within a budget.
+// With MutantBypassJoinQueue, a sidecar tries to join every queuelessJoinTicks ticks with a timeout
+// of queuelessJoinTimeout. A core has a time of queuelessJoinBudget for each operation of a join.
 const (
-	joinSinglyTicks   = 6
-	joinSinglyTimeout = 1500 * time.Millisecond
-	joinSinglyBudget  = 3 * time.Second
+	queuelessJoinTicks   = 6
+	queuelessJoinTimeout = 1500 * time.Millisecond
+	queuelessJoinBudget  = 3 * time.Second
 )
 
-// requestJoin asks one core for a lease when the time for it has come, as the daemon does.
+// requestJoin requests a lease from one core when the backoff has ended, as the daemon does.
 func (s *Sidecar) requestJoin(tick int) {
 	if s.world.Mutant == MutantBypassJoinQueue {
-		if tick%joinSinglyTicks == 0 {
-			s.joinSingly()
+		if tick%queuelessJoinTicks == 0 {
+			s.joinWithoutQueue()
 		}
 		return
 	}
@@ -44,15 +44,15 @@
 		c.Join(request, respondResult(respond))
 	}, func(r reply[node.JoinResult]) {
 		s.joinPending = false
-		s.joinEnded(c.Addr, r)
+		s.handleJoinReply(c.Addr, r)
 	})
 }
 
-// joinEnded takes a core's reply to a request to join.
-func (s *Sidecar) joinEnded(core ident.Addr, r reply[node.JoinResult]) {
+// handleJoinReply handles a core's reply to a join request.
+func (s *Sidecar) handleJoinReply(core ident.Addr, r reply[node.JoinResult]) {
 	switch {
 	case !r.lost && r.failure == nil:
-		s.joined(r.value)
+		s.startLease(r.value)
 	case !r.lost && r.failure.Kind == failure.Busy && r.failure.RetryAfter > 0:
 		s.joiner.HandleRejection(s.localTime(), core, time.Duration(r.failure.RetryAfter*float64(time.Second)))
 	default:
@@ -60,40 +60,42 @@
 	}
 }
 
-// joined takes a lease.
-func (s *Sidecar) joined(lease node.JoinResult) {
+// startLease starts using a lease that a core granted.
+func (s *Sidecar) startLease(lease node.JoinResult) {
 	s.joinCount++
 	s.joiner.Reset()
 	s.hasLease, s.leaseEpoch, s.reportSequence = true, lease.LeaseEpoch, 1
 	s.router.MinRevision = max(s.router.MinRevision, lease.ConfigRevision)
 	s.configCache.MarkJoined()
-	s.coreHeardAt = s.localTime()
+	s.lastCoreContact = s.localTime()
 	s.lease.HandleLeaseGranted()
-	s.budgetShare.Reset(s.watchedTime(), lease.Share)
+	s.budgetShare.Reset(s.limitedTime(), lease.Share)
 	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 }
 
-// joinSingly joins without the cores' join queue: each sidecar asks for its lease epoch, its
-// share and the newest configuration by operations of its own, one after the other.
-func (s *Sidecar) joinSingly() {
+// joinWithoutQueue joins without the cores' join queue: each sidecar requests its lease epoch, its
+// share and the newest configuration with operations of its own, one after the other.
+func (s *Sidecar) joinWithoutQueue() {
 	s.joinPending = true
-	s.joinTurn++
-	c := s.world.Cores[s.joinTurn%len(s.world.Cores)]
-	rpc(s, &c.process, joinSinglyTimeout, func(respond func(node.JoinResult, *failure.Error)) {
-		c.joinSingly(s.Node, respond)
+	s.joinAttempts++
+	c := s.world.Cores[s.joinAttempts%len(s.world.Cores)]
+	rpc(s, &c.process, queuelessJoinTimeout, func(respond func(node.JoinResult, *failure.Error)) {
+		c.joinWithoutQueue(s.Node, respond)
 	}, func(r reply[node.JoinResult]) {
 		s.joinPending = false
 		if !r.lost && r.failure == nil {
-			s.joined(r.value)
+			s.startLease(r.value)
 		}
 	})
 }
 
-// joinSingly makes the operations by which one sidecar joins.
-func (c *Core) joinSingly(sidecar ident.Node, respond func(node.JoinResult, *failure.Error)) {
-	fail := func() { respond(node.JoinResult{}, failure.New(failure.Unreachable, "the join failed")) }
+// joinWithoutQueue submits the operations with which one sidecar joins.
+func (c *Core) joinWithoutQueue(sidecar ident.Node, respond func(node.JoinResult, *failure.Error)) {
+	fail := func() {
+		respond(node.JoinResult{}, failure.New(failure.Unreachable, "an operation of the join failed"))
+	}
 	number := proposer.Operation{Key: ident.Key("claim/" + string(sidecar)), Kind: sequence.NextKind}
-	c.Submit(number, joinSinglyBudget, func(result node.Result) {
+	c.Submit(number, queuelessJoinBudget, func(result node.Result) {
 		var numbers sequence.State
 		if !succeeded(&result, &numbers) {
 			fail()
@@ -101,7 +103,7 @@
 		}
 		leaseEpoch := ident.LeaseEpoch(numbers.Last)
 		args := operation.Encode(quota.Args{Node: sidecar, LeaseEpoch: leaseEpoch})
-		c.Submit(proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: args}, joinSinglyBudget, func(result node.Result) {
+		c.Submit(proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: args}, queuelessJoinBudget, func(result node.Result) {
 			var share quota.Share
 			if !succeeded(&result, &share) {
 				fail()
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -19,10 +19,11 @@
 	shareTimeout  = 3500 * time.Millisecond
 )
 
-// allCores is the version of a core's list of cores that is always sent whole.
-const allCores = "all"
+// allCoresVersion is the version of the list of cores in a renewal response. It is constant, because
+// the simulation always sends the full list.
+const allCoresVersion = "all"
 
-// renew renews the lease at its registrars if that is due, as the daemon does.
+// renew renews the lease at its registrars if a renewal is due, as the daemon does.
 func (s *Sidecar) renew() {
 	now := s.localTime()
 	s.lease.ChooseRegistrar(now, s.Node, s.Zone, s.world.coreAddrs())
@@ -41,12 +42,12 @@
 	targets := s.lease.Targets()
 	renewal := s.lease.BeginRenewal(now, report, s.router.OutcomeCounts())
 	for _, addr := range targets {
-		s.renewWith(addr, renewal)
+		s.sendRenewal(addr, renewal)
 	}
 }
 
-// renewWith sends a renewal to one core.
-func (s *Sidecar) renewWith(addr ident.Addr, renewal record.Renewal) {
+// sendRenewal sends a renewal to one core.
+func (s *Sidecar) sendRenewal(addr ident.Addr, renewal record.Renewal) {
 	c := s.world.coreAt(addr)
 	if c == nil {
 		s.lease.HandleFailure(s.localTime(), addr)
@@ -66,29 +67,29 @@
 			}
 			s.lease.HandleLeaseSuperseded()
 		default:
-			s.leaseRenewed(c, addr, r.value)
+			s.handleRenewalResponse(c, addr, r.value)
 		}
 	})
 }
 
 // renewLease serves the renewal of a sidecar's lease.
 func (c *Core) renewLease(renewal record.Renewal) (record.RenewalResponse, *failure.Error) {
-	response, effects, failed := c.node.Renew(c.watchedTime(), renewal)
+	response, effects, failed := c.node.Renew(c.limitedTime(), renewal)
 	c.applyEffects(effects)
 	if failed != nil {
 		return record.RenewalResponse{}, failed
 	}
-	response.CoresVersion, response.Cores = allCores, c.node.CoreLocations(c.watchedTime())
+	response.CoresVersion, response.Cores = allCoresVersion, c.node.CoreLocations(c.limitedTime())
 	response.ConfigRevision = c.configRevision()
 	return response, nil
 }
 
-// leaseRenewed takes the response of a core to a renewal.
-func (s *Sidecar) leaseRenewed(c *Core, addr ident.Addr, response record.RenewalResponse) {
+// handleRenewalResponse handles a core's response to a renewal.
+func (s *Sidecar) handleRenewalResponse(c *Core, addr ident.Addr, response record.RenewalResponse) {
 	response.Stale = response.Stale && s.world.Mutant != MutantKeepStaleCore
 	s.lease.HandleResponse(s.localTime(), addr, response)
-	s.coreHeardAt = s.localTime()
-	s.budgetShare.SetMemberCount(s.watchedTime(), response.Members)
+	s.lastCoreContact = s.localTime()
+	s.budgetShare.SetMemberCount(s.limitedTime(), response.Members)
 	s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 	if asOf := s.lease.MajorityAsOf(); asOf != 0 {
 		s.router.RetryBudget.ShareRenewed(asOf)
@@ -99,25 +100,26 @@
 	case addr != s.lease.PollTarget():
 		s.fetchConfig(c)
 	default:
-		s.feed.polling = false // polls again, for this core knows a newer configuration
+		s.feed.polling = false // poll again at once: this core has a newer configuration
 	}
 	s.poll()
 }
 
-// fetchConfig asks a core for its configuration.
+// fetchConfig requests the configuration of a core.
 func (s *Sidecar) fetchConfig(c *Core) {
 	rpc(s, &c.process, configTimeout, func(respond func(*validation.Config, *failure.Error)) {
 		respond(c.config, nil)
 	}, func(r reply[*validation.Config]) {
 		if !r.lost {
-			s.applyConfig(r.value)
+			s.addConfig(r.value)
 		}
 	})
 }
 
-// updateBudgetShare asks for a share of the retry budget, or gives some back, if that is due.
+// updateBudgetShare requests a share of the retry budget, or returns a part of the share, if either
+// is due.
 func (s *Sidecar) updateBudgetShare() {
-	args, due := s.budgetShare.NextRequest(s.watchedTime(), s.Node, s.leaseEpoch)
+	args, due := s.budgetShare.NextRequest(s.limitedTime(), s.Node, s.leaseEpoch)
 	if !due {
 		return
 	}
@@ -130,10 +132,10 @@
 			return
 		}
 		if r.failure == nil {
-			s.budgetShare.ApplyGrant(s.watchedTime(), r.value)
+			s.budgetShare.ApplyGrant(s.limitedTime(), r.value)
 			s.router.RetryBudget.SetShare(s.budgetShare.Usable())
 		} else if r.failure.Kind == failure.Conflict {
-			s.hasLease = false // superseded: the sidecar joins anew, as the daemon does
+			s.hasLease = false // the lease is superseded: the sidecar joins again, as the daemon does
 		}
 	})
 }
--- a/sim/world/sidecarpoll.go
+++ b/sim/world/sidecarpoll.go
@@ -11,18 +11,19 @@
 
 const (
 	pollTimeout = time.Second
-	// deafPolls is one in how many polls a sidecar sends with MutantIgnoreUpdates.
-	deafPolls = 100
+	// ignoredPollRatio is the average number of due polls of which one is sent with
+	// MutantIgnoreUpdates.
+	ignoredPollRatio = 100
 )
 
-// registryFeed is how far a sidecar follows the registry at one core.
+// registryFeed is the position up to which a sidecar has read the registry at one core.
 type registryFeed struct {
 	core       ident.Addr // the core that is polled
-	generation int        // of the core that the position belongs to, 0 if none
+	generation int        // generation of the core to which the position belongs, 0 if none
 	position   uint64
 	polling    bool
-	polls      int  // it identifies the poll in flight
-	stale      bool // as the core last said of itself
+	pollNumber int  // identifies the poll in flight
+	stale      bool // whether the core last reported its own state as stale
 }
 
 // reset forgets the core and the position.
@@ -30,18 +31,18 @@
 	f.core, f.generation, f.position, f.polling = "", 0, 0, false
 }
 
-// follow goes over to another core.
-func (f *registryFeed) follow(core ident.Addr) {
+// switchTo switches to another core and drops the position.
+func (f *registryFeed) switchTo(core ident.Addr) {
 	f.core, f.generation, f.polling, f.stale = core, 0, false, false
 }
 
-// restart reads the registry anew and drops the poll in flight.
+// restart makes the next poll read the whole registry, and drops the poll in flight.
 func (f *registryFeed) restart() {
 	f.generation, f.polling = 0, false
-	f.polls++
+	f.pollNumber++
 }
 
-// pollResponse is what a core answers to a poll.
+// pollResponse is the response of a core to a poll.
 type pollResponse struct {
 	generation int
 	position   uint64
@@ -50,13 +51,13 @@
 	stale      bool
 }
 
-// poll follows the registry and the configuration at a core. Where the daemon polls for long,
-// this polls at each tick.
+// poll requests the changes of the registry and the configuration from a core. The daemon uses a
+// long poll; the simulation polls at each tick.
 func (s *Sidecar) poll() {
-	if followed := s.lease.PollTarget(); followed != s.feed.core {
-		s.feed.follow(followed)
+	if target := s.lease.PollTarget(); target != s.feed.core {
+		s.feed.switchTo(target)
 	}
-	if s.feed.polling || s.world.Mutant == MutantIgnoreUpdates && s.world.Rng.IntN(deafPolls) > 0 {
+	if s.feed.polling || s.world.Mutant == MutantIgnoreUpdates && s.world.Rng.IntN(ignoredPollRatio) > 0 {
 		return
 	}
 	c := s.world.coreAt(s.feed.core)
@@ -64,26 +65,26 @@
 		return
 	}
 	s.feed.polling = true
-	s.feed.polls++
-	number, cost := s.feed.polls, c.messageCost
+	s.feed.pollNumber++
+	pollNumber, cost := s.feed.pollNumber, c.messageCost
 	after := uint64(0)
 	if s.feed.generation == c.generation {
 		after = s.feed.position
 		if c.node.Leases.FeedVersion() <= after {
-			cost = 0 // the daemon's long poll waits, and is no request of its own
+			cost = 0 // the daemon's long poll would still be waiting, and send no new request
 		}
 	}
 	rpcWithCost(s, &c.process, cost, pollTimeout, func(respond func(pollResponse, *failure.Error)) {
 		respond(pollResponse{c.generation, c.node.Leases.FeedVersion(), c.node.Leases.ChangesSince(after), c.config, c.node.Stale()}, nil)
 	}, func(r reply[pollResponse]) {
-		if number == s.feed.polls {
-			s.polled(r)
+		if pollNumber == s.feed.pollNumber {
+			s.handlePollReply(r)
 		}
 	})
 }
 
-// polled takes the reply to the poll in flight.
-func (s *Sidecar) polled(r reply[pollResponse]) {
+// handlePollReply handles the reply to the poll in flight.
+func (s *Sidecar) handlePollReply(r reply[pollResponse]) {
 	s.feed.polling = false
 	if r.lost {
 		s.feed.generation = 0
@@ -92,9 +93,9 @@
 	}
 	response := r.value
 	s.feed.generation, s.feed.position = response.generation, response.position
-	s.coreHeardAt = s.localTime()
+	s.lastCoreContact = s.localTime()
 	s.router.Index.Merge(response.sets)
-	s.applyConfig(response.config)
+	s.addConfig(response.config)
 	if response.stale && !s.feed.stale {
 		s.lease.ExpediteRenewal()
 		s.renew()
--- a/sim/world/watcher.go
+++ b/sim/world/watcher.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// watchBudget is how long a core works at one step of a round, and watchTimeout how long
-	// a round takes before the next one begins.
+	// watchBudget is the time that a core has for one step of a round, and watchTimeout is the time
+	// after which a round is abandoned.
 	watchBudget  = 3 * time.Second
 	watchTimeout = 5 * time.Second
-	// watchRetention is for how long a watch that pauses must not lose changes.
+	// watchRetention is the longest pause of a watch after which no change may be lost.
 	watchRetention = 20 * time.Second
 )
 
-// watcher is a client that follows the changes of all keys, from core to core, by its cursor.
+// watcher is a client that watches the changes of all keys with a cursor, in rounds at random cores.
 type watcher struct {
 	world        *World
 	interval     time.Duration
 	cursor       watch.Cursor
-	lastComplete monotime.Time // when a round was last complete
+	lastComplete monotime.Time // when the last complete round ended
 }
 
 // watchRound is one round of a watcher at one core.
@@ -39,19 +39,20 @@
 	ended      bool
 }
 
-// StartWatcher starts a client that follows all keys and looks for changes at an interval.
+// StartWatcher starts a client that watches all keys and begins a round at an interval.
 func (w *World) StartWatcher(interval time.Duration) {
 	client := &watcher{world: w, interval: interval, cursor: watch.Cursor{}, lastComplete: w.now}
-	client.pause()
+	client.beginLater()
 }
 
-func (w *watcher) pause() { w.world.After(w.interval, w.begin) }
+// beginLater schedules the next round.
+func (w *watcher) beginLater() { w.world.After(w.interval, w.begin) }
 
-// begin asks some core for the revisions of all keys.
+// begin begins a round: it reads the revisions of all keys at a random core.
 func (w *watcher) begin() {
 	core := w.world.Cores[w.world.Rng.IntN(len(w.world.Cores))]
 	if !core.running || core.frozen {
-		w.pause()
+		w.beginLater()
 		return
 	}
 	r := &watchRound{watcher: w, core: core, generation: core.generation}
@@ -71,15 +72,15 @@
 	})
 }
 
-// end ends the round, once, and has the next one begin later.
+// end ends the round and schedules the next round. Only the first call has an effect.
 func (r *watchRound) end() {
 	if !r.ended {
 		r.ended = true
-		r.pause()
+		r.beginLater()
 	}
 }
 
-// read reads the changes of keys one after the other.
+// read reads the changes of the given keys, one key after the other.
 func (r *watchRound) read(keys []ident.Key) {
 	if len(keys) == 0 {
 		r.lastComplete = r.world.now
@@ -103,25 +104,25 @@
 	})
 }
 
-// check moves the cursor on and checks that no change of a key is lost. A round that took too
-// long may have been overtaken by the next one, which moved the cursor: the changes must
-// follow on the cursor as it is now.
+// check advances the cursor and checks that no change of a key is lost. A round that exceeded
+// watchTimeout may run at the same time as the next round, which may already have advanced the
+// cursor. The changes must therefore continue from the current position of the cursor.
 func (r *watchRound) check(key ident.Key, result node.Result) {
 	w := r.world
 	var response keyvalue.Response
 	if json.Unmarshal(result.Body, &response) != nil {
-		w.Violate(invariant.ResponseDamaged, "a reading of %s can't be decoded", key)
+		w.Violate(invariant.ResponseDamaged, "the response to a read of key %s can't be decoded", key)
 	}
 	w.Checker.Observe(invariant.WatchForgotten)
 	since := r.cursor[key]
 	events, forgotten := r.cursor.Advance(key, response)
 	if paused := w.now.Since(r.lastComplete); forgotten != nil && paused < watchRetention {
-		w.Violate(invariant.WatchForgotten, "%s after %v: %v", key, paused, forgotten)
+		w.Violate(invariant.WatchForgotten, "the watch lost changes of key %s after a pause of %v: %v", key, paused, forgotten)
 	}
 	for i, event := range events {
 		w.counters.watchEvents++
 		if want := since + ident.Revision(i) + 1; since != 0 && event.Revision != want {
-			w.Violate(invariant.WatchForgotten, "%s: got revision %d, wanted %d", key, event.Revision, want)
+			w.Violate(invariant.WatchForgotten, "the watch of key %s returned revision %d instead of revision %d", key, event.Revision, want)
 		}
 	}
 }
--- a/sim/world/world.go
+++ b/sim/world/world.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// The defaults of a world.
+// The defaults of a world, and the second seed of its random generator.
 const (
 	defaultMaxSenders = 64
 	defaultRingFiles  = 6
@@ -19,7 +19,7 @@
 	seedStream        = 0x5eed
 )
 
-// World is the whole simulated mesh.
+// World is a simulated mesh: its machines, network, clients and checkers.
 type World struct {
 	Clock
 	Links          Links
@@ -30,22 +30,22 @@
 	Ring           ring.Options
 	Checker        *invariant.Checker
 	Trace          []string
-	OperationTimes []time.Duration // of the operations that succeeded
-	// MaxSenders is how many requests a sidecar sends at once, and the size of its queues.
+	OperationTimes []time.Duration // durations of the operations that succeeded
+	// MaxSenders is the number of requests that a sidecar sends at once, and the size of its queues.
 	MaxSenders int
-	// HistoryRetention is how long a keyspace retains its puts, the default if 0.
+	// HistoryRetention is how long a keyspace retains its puts. 0 selects the default.
 	HistoryRetention time.Duration
-	// Platform makes the world as the users' platform has it: endpoints have slots, a queue
-	// and a heartbeat interval of their own, and reject what names another one; sidecars
-	// have admission queues; and what a killed core has not synced stays in the page cache
-	// until power is lost.
+	// Platform simulates the users' platform: endpoints have slots, a queue and a longer heartbeat
+	// interval, and reject requests that name another endpoint; sidecars have admission queues; and
+	// the unsynced writes of a killed core stay in the page cache until power is lost.
 	Platform bool
-	// CoreMessageCost is how long a core's process takes for each message and request that
-	// reaches it, as one with a part of a processor does; 0 means no time.
+	// CoreMessageCost is the processing time of each message and request that reaches a core, as on
+	// a machine where the core has only a share of a processor. 0 means no processing time.
 	CoreMessageCost time.Duration
-	// ClientsStopped says that clients begin nothing new.
+	// ClientsStopped makes clients begin no new operations. The client of StartWatcher continues.
 	ClientsStopped bool
-	// Mutant is the rule that is broken on purpose, to see the checkers catch it.
+	// Mutant is the fault that is put into the system on purpose, to show that the checkers detect
+	// the broken rule.
 	Mutant Mutant
 
 	endpoints map[ident.Addr]*Endpoint
@@ -54,14 +54,14 @@
 	counters  counters
 }
 
-// counters count what clients of the control plane were told.
+// counters counts the results that clients of the control plane received.
 type counters struct {
 	configsConfirmed, configsRejected, configsUnknown          int
 	operationsSucceeded, operationsRejected, operationsUnknown int
 	watchEvents                                                int
 }
 
-// New makes an empty world; all that happens in it follows from the seed.
+// New returns an empty world. Its run is deterministic for a given seed.
 func New(seed uint64) *World {
 	w := &World{
 		Links:      newLinks(),
@@ -74,33 +74,33 @@
 	return w
 }
 
-// Tracef writes a line of the trace.
+// Tracef appends a line with the current time to the trace.
 func (w *World) Tracef(format string, args ...any) {
 	w.Trace = append(w.Trace, fmt.Sprintf("%9.3fs ", time.Duration(w.now).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Violate notes that a rule is broken now.
+// Violate records that a rule is broken at the current time.
 func (w *World) Violate(rule, format string, args ...any) {
 	w.Checker.Violate(w.now, rule, format, args...)
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (w *World) Now() monotime.Time { return w.now }
 
-// RunFor runs the world for a span of virtual time.
+// RunFor runs the world for a duration of virtual time.
 func (w *World) RunFor(duration time.Duration) { w.Run(w.now.Add(duration)) }
 
-// randomUpTo draws a duration from 0 up to, but not including, the limit.
+// randomUpTo returns a random duration from 0 up to, but not including, the limit.
 func (w *World) randomUpTo(limit time.Duration) time.Duration {
 	return time.Duration(w.Rng.Int64N(int64(limit)))
 }
 
-// jittered draws a duration from half to one and a half of the interval.
+// jittered returns a random duration from half to one and a half of the interval.
 func (w *World) jittered(interval time.Duration) time.Duration {
 	return interval/2 + w.randomUpTo(interval)
 }
 
-// machineAddrs lists the addresses of all machines.
+// machineAddrs returns the addresses of all machines, those of the cores first.
 func (w *World) machineAddrs() []ident.Addr {
 	addrs := w.coreAddrs()
 	for _, s := range w.Sidecars {
@@ -109,6 +109,7 @@
 	return addrs
 }
 
+// coreAddrs returns the addresses of all cores.
 func (w *World) coreAddrs() []ident.Addr {
 	addrs := make([]ident.Addr, len(w.Cores))
 	for i, c := range w.Cores {
@@ -117,7 +118,7 @@
 	return addrs
 }
 
-// coreAt is the core with an address, nil if there is none.
+// coreAt returns the core with an address, or nil if there is none.
 func (w *World) coreAt(addr ident.Addr) *Core {
 	for _, c := range w.Cores {
 		if c.Addr == addr {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// sidecarAt is the sidecar with an address, nil if there is none.
+// sidecarAt returns the sidecar with an address, or nil if there is none.
 func (w *World) sidecarAt(addr ident.Addr) *Sidecar {
 	for _, s := range w.Sidecars {
 		if s.Addr == addr {
