--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -159,7 +159,7 @@
 	if c.Seeds > 1 && len(simulated.Checker.Violations) == 0 {
 		return ""
 	}
-	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.Duration, simulated.Text())
+	text := fmt.Sprintf("seed %d of %s, %v under faults\n%s", seed, deployment.Name, c.Duration, simulated.Report())
 	if c.PrintTrace {
 		text += strings.Join(simulated.Trace, "\n") + "\n"
 	}
