--- a/sim/invariant/call.go
+++ b/sim/invariant/call.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if late := execution.ArrivedAt.Since(confirmedAt); late > leaveDeadline {
-		c.Violate(execution.ArrivedAt, LateToLeaver, "%s reached %s %v after its %s was confirmed", execution.ID, execution.Server, late, event)
+		c.Violate(execution.ArrivedAt, RequestAfterLeave, "%s reached %s %v after its %s was confirmed", execution.ID, execution.Server, late, event)
 	}
 }
 
@@ -105,8 +105,8 @@
 	if call.Outcome != NotExecuted && call.Outcome != Unknown || call.LastAttemptEnded == 0 {
 		return
 	}
-	c.Observe(HeldBack)
+	c.Observe(LateFailure)
 	if late := call.Ended.Since(call.LastAttemptEnded); late > maxHoldBack {
-		c.Violate(call.Ended, HeldBack, "%s was answered %s %v after it was given up", call.ID, call.Outcome, late)
+		c.Violate(call.Ended, LateFailure, "%s was answered %s %v after it was given up", call.ID, call.Outcome, late)
 	}
 }
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -116,9 +116,9 @@
 // ConfigShown takes a configuration that a node has put in force or shows; last is the newest
 // revision that the node has shown, which is updated.
 func (c *Checker) ConfigShown(at monotime.Time, node string, config *validation.Config, last *ident.ConfigRevision) {
-	c.Observe(ConfigBack)
+	c.Observe(ConfigRegressed)
 	if config.Revision < *last {
-		c.Violate(at, ConfigBack, "%s showed revision %d after %d", node, config.Revision, *last)
+		c.Violate(at, ConfigRegressed, "%s showed revision %d after %d", node, config.Revision, *last)
 	}
 	*last = max(*last, config.Revision)
 	c.Observe(ConfigRejected)
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -8,8 +8,8 @@
 	DoubleExecution = "double-run"
 	// FalseNotExecuted: a request that its client was told was not executed never ran.
 	FalseNotExecuted = "false-not-run"
-	// LateToLeaver: no request reaches an endpoint long after it left or was lost.
-	LateToLeaver = "late-to-leaver"
+	// RequestAfterLeave: no request reaches an endpoint long after it left or was lost.
+	RequestAfterLeave = "late-to-leaver"
 	// WrongService: no endpoint of another service runs a request.
 	WrongService = "wrong-service"
 	// WrongResponse: a request is served only if an endpoint gave a complete response.
@@ -20,8 +20,8 @@
 	SlowRecovery = "slow-recovery"
 	// UrgentRejected: no urgent request is rejected by its own sidecar for want of room.
 	UrgentRejected = "urgent-turned"
-	// HeldBack: a request that was given up is answered at once.
-	HeldBack = "held-back"
+	// LateFailure: a request that was given up is answered at once.
+	LateFailure = "held-back"
 	// DroppedInStop: a planned stop drops nothing that is in flight.
 	DroppedInStop = "dropped-in-stop"
 )
@@ -30,8 +30,8 @@
 const (
 	// ConfigLate: a confirmed configuration is soon in force at every reachable sidecar.
 	ConfigLate = "manifest-late"
-	// ConfigBack: no node shows an older configuration after a newer one.
-	ConfigBack = "manifest-back"
+	// ConfigRegressed: no node shows an older configuration after a newer one.
+	ConfigRegressed = "manifest-back"
 	// ConfigRejected: no rejected proposal is ever in force, and no invalid one is confirmed.
 	ConfigRejected = "manifest-turned"
 	// ConfigInvalid: every configuration in force is valid.
@@ -48,8 +48,8 @@
 	SequenceRepeated = "number-repeated"
 	// StaleRead: reads are linearizable.
 	StaleRead = "stale-read"
-	// WatchForgotten: a watch that asks in time is given every change, in order.
-	WatchForgotten = "watch-forgotten"
+	// WatchIncomplete: a watch that asks in time is given every change, in order.
+	WatchIncomplete = "watch-forgotten"
 	// NotRepaired: after a calm time all voters hold the same records.
 	NotRepaired = "not-mended"
 	// DiskDamaged: no process finds its own disk damaged.
@@ -88,10 +88,10 @@
 
 // Rules lists every rule in the order of reports.
 var Rules = []string{
-	DoubleExecution, FalseNotExecuted, LateToLeaver, WrongService, WrongResponse, ConfigLate, ConfigBack,
-	ConfigRejected, DroppedInStop, RetryBudget, LockShared, SequenceRepeated, StaleRead, WatchForgotten,
+	DoubleExecution, FalseNotExecuted, RequestAfterLeave, WrongService, WrongResponse, ConfigLate, ConfigRegressed,
+	ConfigRejected, DroppedInStop, RetryBudget, LockShared, SequenceRepeated, StaleRead, WatchIncomplete,
 	EntryOrder, EntryStale, EntryWatch, EntryRejected, AdmissionRejected, AdmissionDecision, AdmissionStop,
-	SlowRecovery, UrgentRejected, HeldBack, NotRepaired, AuditLog, DiskDamaged, ConfigInvalid, ResponseDamaged, HerdReady,
+	SlowRecovery, UrgentRejected, LateFailure, NotRepaired, AuditLog, DiskDamaged, ConfigInvalid, ResponseDamaged, HerdReady,
 }
 
 // onDemand lists the rules that only faults asked for by name observe.
@@ -128,4 +128,4 @@
 
 // requiredObservations are the exceptions: rules that faults observe which come once or twice
 // in a run.
-var requiredObservations = map[string]int{SlowRecovery: 1, DroppedInStop: 1, DiskDamaged: 1, LateToLeaver: 1, AdmissionStop: 1}
+var requiredObservations = map[string]int{SlowRecovery: 1, DroppedInStop: 1, DiskDamaged: 1, RequestAfterLeave: 1, AdmissionStop: 1}
--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -147,7 +147,7 @@
 			}
 			if said != endpoint.Alive && e.leaveConfirmedAt == 0 {
 				e.leaveConfirmedAt = e.world.now
-				e.world.Checker.Observe(invariant.LateToLeaver)
+				e.world.Checker.Observe(invariant.RequestAfterLeave)
 			}
 		})
 	})
--- a/sim/world/sidecarendpoints.go
+++ b/sim/world/sidecarendpoints.go
@@ -25,7 +25,7 @@
 	for _, e := range s.Endpoints {
 		if e.lossConfirmedAt == 0 && e.lastHeartbeat != 0 && s.localTime().Since(e.lastHeartbeat) > s.world.silenceTimeout() {
 			e.lossConfirmedAt = s.world.now
-			s.world.Checker.Observe(invariant.LateToLeaver)
+			s.world.Checker.Observe(invariant.RequestAfterLeave)
 		}
 	}
 }
--- a/sim/world/watcher.go
+++ b/sim/world/watcher.go
@@ -112,16 +112,16 @@
 	if json.Unmarshal(result.Body, &response) != nil {
 		w.Violate(invariant.ResponseDamaged, "a reading of %s can't be decoded", key)
 	}
-	w.Checker.Observe(invariant.WatchForgotten)
+	w.Checker.Observe(invariant.WatchIncomplete)
 	since := r.cursor[key]
 	events, forgotten := r.cursor.Advance(key, response)
 	if paused := w.now.Since(r.lastComplete); forgotten != nil && paused < watchRetention {
-		w.Violate(invariant.WatchForgotten, "%s after %v: %v", key, paused, forgotten)
+		w.Violate(invariant.WatchIncomplete, "%s after %v: %v", key, paused, forgotten)
 	}
 	for i, event := range events {
 		w.counters.watchEvents++
 		if want := since + ident.Revision(i) + 1; since != 0 && event.Revision != want {
-			w.Violate(invariant.WatchForgotten, "%s: got revision %d, wanted %d", key, event.Revision, want)
+			w.Violate(invariant.WatchIncomplete, "%s: got revision %d, wanted %d", key, event.Revision, want)
 		}
 	}
 }
