--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -150,7 +150,7 @@
 			}
 			if reportedState != endpoint.Alive && e.leaveConfirmedAt == 0 {
 				e.leaveConfirmedAt = e.world.now
-				e.world.Checker.Observe(invariant.LateToLeaver)
+				e.world.Checker.Observe(invariant.RequestAfterLeave)
 			}
 		})
 	})
