--- a/cmd/idlecost/main.go
+++ b/cmd/idlecost/main.go
@@ -35,7 +35,7 @@
 		Zones:             app.Zones,
 		Voters:            app.Voters,
 		Keys:              app.Keys,
-		Settle:            app.Settle,
+		SettleTime:        app.Settle,
 		Window:            app.Window,
 		HeartbeatInterval: app.HeartbeatInterval,
 		VaryLoad:          app.VaryLoad,
--- a/explore/cluster/actions.go
+++ b/explore/cluster/actions.go
@@ -36,30 +36,30 @@
 
 func init() {
 	actions = map[search.Kind]func(*Cluster, search.Choice){
-		requestKind:              func(c *Cluster, choice search.Choice) { c.issue(c.memberOf(choice), choice) },
-		search.Kind(Resend):      func(c *Cluster, choice search.Choice) { c.resend(c.memberOf(choice), c.clients[choice.Client-1]) },
-		deliverKind:              func(c *Cluster, choice search.Choice) { c.exchange(c.takeMessage(choice)) },
-		search.Kind(LateSync):    func(c *Cluster, choice search.Choice) { c.deliverUnsynced(c.takeMessage(choice)) },
-		search.Kind(Duplicate):   func(c *Cluster, choice search.Choice) { c.exchange(c.inTransit[choice.Message]) },
-		search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) { c.takeMessage(choice) },
-		syncKind:                 func(c *Cluster, choice search.Choice) { c.sync(c.memberOf(choice)) },
-		startKind:                func(c *Cluster, choice search.Choice) { c.start(c.memberOf(choice)) },
-		joinKind:                 func(c *Cluster, choice search.Choice) { c.takeJoinStep(c.memberOf(choice)) },
+		requestKind:                     func(c *Cluster, choice search.Choice) { c.issue(c.memberOf(choice), choice) },
+		search.Kind(Resend):             func(c *Cluster, choice search.Choice) { c.resend(c.memberOf(choice), c.clients[choice.Client-1]) },
+		deliverKind:                     func(c *Cluster, choice search.Choice) { c.exchange(c.takeMessage(choice)) },
+		search.Kind(DelayedSync):        func(c *Cluster, choice search.Choice) { c.deliverUnsynced(c.takeMessage(choice)) },
+		search.Kind(MessageDuplication): func(c *Cluster, choice search.Choice) { c.exchange(c.inTransit[choice.Message]) },
+		search.Kind(MessageLoss):        func(c *Cluster, choice search.Choice) { c.takeMessage(choice) },
+		syncKind:                        func(c *Cluster, choice search.Choice) { c.sync(c.memberOf(choice)) },
+		startKind:                       func(c *Cluster, choice search.Choice) { c.start(c.memberOf(choice)) },
+		joinKind:                        func(c *Cluster, choice search.Choice) { c.takeJoinStep(c.memberOf(choice)) },
 		announceKind: func(c *Cluster, choice search.Choice) {
 			c.adoptMembership(c.members[choice.Other-1], c.memberOf(choice).membershipAcceptor.Current)
 		},
-		stopKind:                 func(c *Cluster, choice search.Choice) { c.finishStop(c.memberOf(choice)) },
-		healKind:                 func(c *Cluster, _ search.Choice) { c.healLinks() },
-		search.Kind(Crash):       func(c *Cluster, choice search.Choice) { c.crash(c.memberOf(choice)) },
-		search.Kind(PowerLoss):   func(c *Cluster, choice search.Choice) { c.losePower(c.memberOf(choice), choice.Mask) },
-		search.Kind(DiskLoss):    func(c *Cluster, choice search.Choice) { c.loseDisk(c.memberOf(choice)) },
-		search.Kind(PlannedStop): func(c *Cluster, choice search.Choice) { c.beginStop(c.memberOf(choice)) },
-		search.Kind(Unheard):     func(c *Cluster, choice search.Choice) { c.memberOf(choice).unheard = true },
-		search.Kind(ClockJump):   func(c *Cluster, choice search.Choice) { c.memberOf(choice).clockOffset += clockJumpSpan },
-		search.Kind(Amnesia):     func(c *Cluster, choice search.Choice) { c.forgetAcceptor(c.memberOf(choice)) },
-		search.Kind(LinkCut):     func(c *Cluster, choice search.Choice) { c.cutLink(choice, true) },
-		search.Kind(DirectedCut): func(c *Cluster, choice search.Choice) { c.cutLink(choice, false) },
-		search.Kind(TimePasses):  func(c *Cluster, choice search.Choice) { c.passTime(choice.Span) },
+		stopKind:                       func(c *Cluster, choice search.Choice) { c.finishStop(c.memberOf(choice)) },
+		healKind:                       func(c *Cluster, _ search.Choice) { c.healLinks() },
+		search.Kind(Crash):             func(c *Cluster, choice search.Choice) { c.crash(c.memberOf(choice)) },
+		search.Kind(PowerLoss):         func(c *Cluster, choice search.Choice) { c.losePower(c.memberOf(choice), choice.Mask) },
+		search.Kind(DiskLoss):          func(c *Cluster, choice search.Choice) { c.loseDisk(c.memberOf(choice)) },
+		search.Kind(PlannedStop):       func(c *Cluster, choice search.Choice) { c.beginStop(c.memberOf(choice)) },
+		search.Kind(PresumedDead):      func(c *Cluster, choice search.Choice) { c.memberOf(choice).unheard = true },
+		search.Kind(ClockJump):         func(c *Cluster, choice search.Choice) { c.memberOf(choice).clockOffset += clockJumpSpan },
+		search.Kind(AcceptorStateLoss): func(c *Cluster, choice search.Choice) { c.forgetAcceptor(c.memberOf(choice)) },
+		search.Kind(LinkCut):           func(c *Cluster, choice search.Choice) { c.cutLink(choice, true) },
+		search.Kind(OneWayLinkCut):     func(c *Cluster, choice search.Choice) { c.cutLink(choice, false) },
+		search.Kind(TimeAdvance):       func(c *Cluster, choice search.Choice) { c.passTime(choice.Span) },
 	}
 }
 
@@ -91,7 +91,7 @@
 		c.kill(m)
 	}
 	if err := m.store.lose(mask); err != nil {
-		c.violate(RuleDisk, "m%d can't read its own disk: %v", m.number, err)
+		c.violate(RuleDiskError, "m%d can't read its own disk: %v", m.number, err)
 		return
 	}
 	c.reload(m)
@@ -136,7 +136,7 @@
 		return
 	}
 	if len(m.operations) > 0 {
-		c.violate(RuleStop, "m%d stopped with %d operations in flight", m.number, len(m.operations))
+		c.violate(RuleDroppedOperations, "m%d stopped with %d operations in flight", m.number, len(m.operations))
 	}
 	c.crash(m)
 }
--- a/explore/cluster/auditobject.go
+++ b/explore/cluster/auditobject.go
@@ -41,7 +41,7 @@
 	_ = json.Unmarshal(operation.State(found.Value), &log)
 	for _, at := range slices.Sorted(maps.Keys(a.Values)) {
 		if at > uint64(len(log.Entries)) || log.Entries[at-1].SHA256 != a.Values[at] {
-			c.violate(RuleLost, "a majority does not know entry %d of %s, which was acknowledged", at, a.key())
+			c.violate(RuleLostWrite, "a majority does not know entry %d of %s, which was acknowledged", at, a.key())
 		}
 	}
 }
--- a/explore/cluster/choices.go
+++ b/explore/cluster/choices.go
@@ -27,9 +27,9 @@
 	}
 	add(c.membershipChoices()...)
 	add(c.linkChoices()...)
-	if c.faultAllowed(TimePasses) {
+	if c.faultAllowed(TimeAdvance) {
 		for _, span := range c.settings.Waits {
-			add(search.Choice{Kind: search.Kind(TimePasses), Span: span})
+			add(search.Choice{Kind: search.Kind(TimeAdvance), Span: span})
 		}
 	}
 	for i, choice := range out {
@@ -95,8 +95,8 @@
 		}
 		choice := search.Choice{Kind: deliverKind, Member: e.from, Other: e.to, Message: e.id}
 		out = append(out, choice)
-		for _, f := range []Fault{LateSync, Duplicate, MessageLoss} {
-			if f == LateSync && e.isResponse() || !c.faultAllowed(f) {
+		for _, f := range []Fault{DelayedSync, MessageDuplication, MessageLoss} {
+			if f == DelayedSync && e.isResponse() || !c.faultAllowed(f) {
 				continue
 			}
 			choice.Kind = search.Kind(f)
@@ -122,8 +122,8 @@
 	if m.leaving {
 		add(stopKind)
 	}
-	for _, f := range []Fault{Crash, PlannedStop, Unheard, ClockJump, Amnesia} {
-		if c.faultAllowed(f) && !(f == PlannedStop && m.leaving) && !(f == Unheard && m.unheard) {
+	for _, f := range []Fault{Crash, PlannedStop, PresumedDead, ClockJump, AcceptorStateLoss} {
+		if c.faultAllowed(f) && !(f == PlannedStop && m.leaving) && !(f == PresumedDead && m.unheard) {
 			add(search.Kind(f))
 		}
 	}
@@ -205,8 +205,8 @@
 			if i < j && c.faultAllowed(LinkCut) {
 				out = append(out, search.Choice{Kind: search.Kind(LinkCut), Member: i, Other: j})
 			}
-			if c.faultAllowed(DirectedCut) {
-				out = append(out, search.Choice{Kind: search.Kind(DirectedCut), Member: i, Other: j})
+			if c.faultAllowed(OneWayLinkCut) {
+				out = append(out, search.Choice{Kind: search.Kind(OneWayLinkCut), Member: i, Other: j})
 			}
 		}
 	}
--- a/explore/cluster/cluster.go
+++ b/explore/cluster/cluster.go
@@ -21,21 +21,21 @@
 
 // The invariants.
 const (
-	RuleLost       Rule = "acknowledged-lost"        // a majority read would not show what was acknowledged
-	RuleStale      Rule = "stale-read"               // a read is older than an acknowledgement
-	RuleRepeated   Rule = "number-repeated"          // a number was given twice, or is not above one acknowledged
-	RuleOrder      Rule = "order"                    // one revision has two values
-	RuleRejected   Rule = "turned-away-and-shown"    // what was certainly rejected took effect
-	RuleBase       Rule = "two-orders-on-one-base"   // two proposals on one base were accepted
-	RuleResend     Rule = "resend-refused"           // an accepted proposal was rejected, or accepted anew, when resent
-	RuleLock       Rule = "lock-shared"              // a lock has two holders
-	RuleFence      Rule = "fence-not-above"          // a fencing token repeats or does not rise
-	RuleHistory    Rule = "history-forgotten"        // a history or a watch lacks what was acknowledged
-	RuleMembership Rule = "two-rosters-at-one-epoch" // two memberships were chosen for one epoch
-	RuleDisk       Rule = "disk"                     // a member can't read or write its own disk
-	RuleStop       Rule = "dropped-in-stop"          // a planned stop dropped operations in flight
-	RuleRepaired   Rule = "not-mended"               // copies differ after a read with repair
-	RuleStuck      Rule = "stuck"                    // the cluster does not serve after all faults have ended
+	RuleLostWrite          Rule = "acknowledged-lost"        // a majority read would not show what was acknowledged
+	RuleStaleRead          Rule = "stale-read"               // a read is older than an acknowledgement
+	RuleRepeatedNumber     Rule = "number-repeated"          // a number was given twice, or is not above one acknowledged
+	RuleRevisionConflict   Rule = "order"                    // one revision has two values
+	RuleRejectedApplied    Rule = "turned-away-and-shown"    // what was certainly rejected took effect
+	RuleBaseConflict       Rule = "two-orders-on-one-base"   // two proposals on one base were accepted
+	RuleNotIdempotent      Rule = "resend-refused"           // an accepted proposal was rejected, or accepted anew, when resent
+	RuleMutualExclusion    Rule = "lock-shared"              // a lock has two holders
+	RuleFencingToken       Rule = "fence-not-above"          // a fencing token repeats or does not rise
+	RuleIncompleteHistory  Rule = "history-forgotten"        // a history or a watch lacks what was acknowledged
+	RuleMembershipConflict Rule = "two-rosters-at-one-epoch" // two memberships were chosen for one epoch
+	RuleDiskError          Rule = "disk"                     // a member can't read or write its own disk
+	RuleDroppedOperations  Rule = "dropped-in-stop"          // a planned stop dropped operations in flight
+	RuleNotRepaired        Rule = "not-mended"               // copies differ after a read with repair
+	RuleUnavailable        Rule = "stuck"                    // the cluster does not serve after all faults have ended
 )
 
 // startTime is the time of the first state, long after zero, which means never.
@@ -131,7 +131,7 @@
 	chosen.MajorityOverride = 0
 	old, known := c.chosenMemberships[chosen.Epoch]
 	if known && !slices.Equal(old.Voters, chosen.Voters) {
-		c.violate(RuleMembership, "at epoch %d m%d chose%s, and before it was%s", chosen.Epoch, m.number, describeProposal(&chosen), describeProposal(&old))
+		c.violate(RuleMembershipConflict, "at epoch %d m%d chose%s, and before it was%s", chosen.Epoch, m.number, describeProposal(&chosen), describeProposal(&old))
 	}
 	c.chosenMemberships[chosen.Epoch] = chosen
 }
--- a/explore/cluster/cluster_test.go
+++ b/explore/cluster/cluster_test.go
@@ -18,7 +18,7 @@
 		faults[f] = 2
 	}
 	return cluster.Settings{Members: 3, Spares: 1, Keys: []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey}, Clients: 2, Operations: 4, Proposers: 2,
-		Waits: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond}, Faults: faults, Instant: true}
+		Waits: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond}, Faults: faults, ImmediateSelfDelivery: true}
 }
 
 // The same choices lead to the same state, and looking at a state does not change it.
@@ -50,7 +50,7 @@
 // order, so the search goes on from it once.
 func TestIndependentChoicesMeet(t *testing.T) {
 	set := testSettings()
-	set.Members, set.Spares, set.Instant = 5, 0, false
+	set.Members, set.Spares, set.ImmediateSelfDelivery = 5, 0, false
 	hash := func(order []int) uint64 {
 		s := set.Factory()()
 		apply := func(want search.Kind, other int) {
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -67,17 +67,17 @@
 	old, known := m.Accepted[revision]
 	switch {
 	case known && old != op.Content:
-		c.violate(RuleBase, "%s and %s were both accepted as revision %d", old, op.Content, revision)
+		c.violate(RuleBaseConflict, "%s and %s were both accepted as revision %d", old, op.Content, revision)
 	case !known && revision <= op.Floor && !op.Resent:
-		c.violate(RuleRepeated, "revision %d was given after %d", revision, op.Floor)
+		c.violate(RuleRepeatedNumber, "revision %d was given after %d", revision, op.Floor)
 	}
 	for _, other := range slices.Sorted(maps.Keys(m.Accepted)) {
 		if m.Accepted[other] == op.Content && other != revision {
-			c.violate(RuleResend, "%s was accepted as revision %d and, resent, as %d", op.Content, other, revision)
+			c.violate(RuleNotIdempotent, "%s was accepted as revision %d and, resent, as %d", op.Content, other, revision)
 		}
 	}
 	if revision != op.Base+1 {
-		c.violate(RuleBase, "%s is based on revision %d and was accepted as revision %d, after another on that base", op.Content, op.Base, revision)
+		c.violate(RuleBaseConflict, "%s is based on revision %d and was accepted as revision %d, after another on that base", op.Content, op.Base, revision)
 	}
 	m.Accepted[revision] = op.Content
 	m.Floor = max(m.Floor, revision)
@@ -89,7 +89,7 @@
 	var held proposal.State
 	_ = json.Unmarshal(out.Body, &held)
 	if uint64(held.Revision) < op.Floor {
-		c.violate(RuleStale, "client %d read revision %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
+		c.violate(RuleStaleRead, "client %d read revision %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
 	}
 	m.compare(c, held)
 	m.Floor = max(m.Floor, uint64(held.Revision))
@@ -103,10 +103,10 @@
 	}
 	_ = json.Unmarshal(held.Document, &body)
 	if old, known := m.Accepted[uint64(held.Revision)]; known && old != body.By {
-		c.violate(RuleLost, "revision %d has %s, %s was acknowledged", held.Revision, body.By, old)
+		c.violate(RuleLostWrite, "revision %d has %s, %s was acknowledged", held.Revision, body.By, old)
 	}
 	if m.Rejected[body.By] {
-		c.violate(RuleRejected, "%s was rejected and is in force as revision %d", body.By, held.Revision)
+		c.violate(RuleRejectedApplied, "%s was rejected and is in force as revision %d", body.By, held.Revision)
 	}
 }
 
@@ -114,7 +114,7 @@
 func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
 	for _, revision := range slices.Sorted(maps.Keys(m.Accepted)) {
 		if op.Resent && m.Accepted[revision] == op.Content {
-			c.violate(RuleResend, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Message)
+			c.violate(RuleNotIdempotent, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Message)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	var held proposal.State
 	_ = json.Unmarshal(operation.State(found.Value), &held)
 	if uint64(held.Revision) < m.Floor {
-		c.violate(RuleLost, "a majority knows revision %d, %d was acknowledged", held.Revision, m.Floor)
+		c.violate(RuleLostWrite, "a majority knows revision %d, %d was acknowledged", held.Revision, m.Floor)
 		return
 	}
 	if uint64(held.Revision) == m.Floor && m.Floor > 0 {
--- a/explore/cluster/describe.go
+++ b/explore/cluster/describe.go
@@ -31,10 +31,10 @@
 		return fmt.Sprintf("client %d resends its last proposal to m%d", choice.Client, choice.Member)
 	},
 	deliverKind: func(c *Cluster, choice search.Choice) string { return "deliver " + describeTransit(c, choice) },
-	search.Kind(LateSync): func(c *Cluster, choice search.Choice) string {
+	search.Kind(DelayedSync): func(c *Cluster, choice search.Choice) string {
 		return "deliver, not synced and not answered yet, " + describeTransit(c, choice)
 	},
-	search.Kind(Duplicate): func(c *Cluster, choice search.Choice) string {
+	search.Kind(MessageDuplication): func(c *Cluster, choice search.Choice) string {
 		return "deliver, with a copy still in transit, " + describeTransit(c, choice)
 	},
 	search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) string { return "lose " + describeTransit(c, choice) },
@@ -57,22 +57,22 @@
 	search.Kind(PlannedStop): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d begins a planned stop", choice.Member)
 	},
-	search.Kind(Unheard): func(_ *Cluster, choice search.Choice) string {
+	search.Kind(PresumedDead): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("the others no longer hear m%d", choice.Member)
 	},
 	search.Kind(ClockJump): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d's clock jumps forward by an hour", choice.Member)
 	},
-	search.Kind(Amnesia): func(_ *Cluster, choice search.Choice) string {
+	search.Kind(AcceptorStateLoss): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d's acceptor forgets all", choice.Member)
 	},
 	search.Kind(LinkCut): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("cut m%d from m%d", choice.Member, choice.Other)
 	},
-	search.Kind(DirectedCut): func(_ *Cluster, choice search.Choice) string {
+	search.Kind(OneWayLinkCut): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("cut m%d -> m%d", choice.Member, choice.Other)
 	},
-	search.Kind(TimePasses): func(_ *Cluster, choice search.Choice) string {
+	search.Kind(TimeAdvance): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("%v pass", choice.Span.Round(time.Millisecond))
 	},
 }
--- a/explore/cluster/keyspaceobject.go
+++ b/explore/cluster/keyspaceobject.go
@@ -39,7 +39,7 @@
 
 func (g *keyspaceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	if out.Failure != nil { // compacted, though no run is as long as the retention
-		c.violate(RuleHistory, "a watch of %s is compacted too early", g.key())
+		c.violate(RuleIncompleteHistory, "a watch of %s is compacted too early", g.key())
 		return
 	}
 	if op.Name == "since" {
@@ -54,7 +54,7 @@
 	if op.Name == "read" {
 		g.checkFresh(c, g.key(), op, uint64(put.Revision))
 	} else if uint64(put.Revision) <= op.Floor {
-		c.violate(RuleOrder, "%s of %s got revision %d after %d", op.Content, g.key(), put.Revision, op.Floor)
+		c.violate(RuleRevisionConflict, "%s of %s got revision %d after %d", op.Content, g.key(), put.Revision, op.Floor)
 	}
 	g.observeValue(c, g.key(), uint64(put.Revision), decodeString(put.Value))
 }
@@ -68,13 +68,13 @@
 	}
 	for _, revision := range slices.Sorted(maps.Keys(g.Values)) {
 		if revision <= uint64(batch.Revision) && delivered[revision] == "" {
-			c.violate(RuleHistory, "a watch of %s up to %d did not get %d", g.key(), batch.Revision, revision)
+			c.violate(RuleIncompleteHistory, "a watch of %s up to %d did not get %d", g.key(), batch.Revision, revision)
 		}
 	}
 }
 
 func (g *keyspaceObject) inspect(c *Cluster, found quorum.Record) {
 	if uint64(found.Revision) < g.Floor {
-		c.violate(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", g.key(), found.Revision, g.Floor)
+		c.violate(RuleLostWrite, "a majority knows %s up to revision %d, %d was acknowledged", g.key(), found.Revision, g.Floor)
 	}
 }
--- a/explore/cluster/lockobject.go
+++ b/explore/cluster/lockobject.go
@@ -78,14 +78,14 @@
 	for _, cl := range c.clients {
 		other := l.Grants[cl.number]
 		if cl.number != op.Client && other.ExpiresAt.After(c.now) && until.After(c.now) {
-			c.violate(RuleLock, "%s is held by client %d, fence %d, and client %d, fence %d", l.key(), cl.number, other.Fence, op.Client, given.FencingToken)
+			c.violate(RuleMutualExclusion, "%s is held by client %d, fence %d, and client %d, fence %d", l.key(), cl.number, other.Fence, op.Client, given.FencingToken)
 		}
 	}
 	if op.Name == "claim" && given.FencingToken <= op.Floor {
-		c.violate(RuleFence, "%s: fence %d was given after %d", l.key(), given.FencingToken, op.Floor)
+		c.violate(RuleFencingToken, "%s: fence %d was given after %d", l.key(), given.FencingToken, op.Floor)
 	}
 	if holder := l.FenceHolder[given.FencingToken]; holder != 0 && holder != op.Client {
-		c.violate(RuleFence, "%s: fence %d was given to client %d and client %d", l.key(), given.FencingToken, holder, op.Client)
+		c.violate(RuleFencingToken, "%s: fence %d was given to client %d and client %d", l.key(), given.FencingToken, holder, op.Client)
 	}
 	l.FenceHolder[given.FencingToken] = op.Client
 	l.HighestFence = max(l.HighestFence, given.FencingToken)
@@ -102,6 +102,6 @@
 	var state lock.State
 	_ = json.Unmarshal(operation.State(found.Value), &state)
 	if state.FencingToken < l.HighestFence {
-		c.violate(RuleLost, "a majority knows %s up to fence %d, %d was given", l.key(), state.FencingToken, l.HighestFence)
+		c.violate(RuleLostWrite, "a majority knows %s up to fence %d, %d was given", l.key(), state.FencingToken, l.HighestFence)
 	}
 }
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -72,7 +72,7 @@
 func (c *Cluster) open(m *member) bool {
 	records, err := m.store.open()
 	if err != nil {
-		c.violate(RuleDisk, "m%d can't read its own disk: %v", m.number, err)
+		c.violate(RuleDiskError, "m%d can't read its own disk: %v", m.number, err)
 		return false
 	}
 	c.rebuild(m, records)
@@ -94,7 +94,7 @@
 	m.registerAcceptor, m.membershipAcceptor = acceptor.New(m.diskID), membership.New(m.diskID)
 	for _, record := range records {
 		if err := m.load(record); err != nil {
-			c.violate(RuleDisk, "m%d can't read %s: %v", m.number, record.Key, err)
+			c.violate(RuleDiskError, "m%d can't read %s: %v", m.number, record.Key, err)
 		}
 	}
 	m.membershipAcceptor.Current.MajorityOverride = c.settings.quorumOverride()
@@ -195,6 +195,6 @@
 // checkWrite notes that a write failed, which nothing here may cause.
 func (c *Cluster) checkWrite(m *member, err error) {
 	if err != nil {
-		c.violate(RuleDisk, "m%d can't write: %v", m.number, err)
+		c.violate(RuleDiskError, "m%d can't write: %v", m.number, err)
 	}
 }
--- a/explore/cluster/network.go
+++ b/explore/cluster/network.go
@@ -39,7 +39,7 @@
 // settings say so.
 func (c *Cluster) post(from, to int, msg message.Message) {
 	e := seal(from, to, msg)
-	if from == to && c.settings.Instant {
+	if from == to && c.settings.ImmediateSelfDelivery {
 		c.selfMessages = append(c.selfMessages, e)
 		return
 	}
--- a/explore/cluster/object.go
+++ b/explore/cluster/object.go
@@ -15,7 +15,7 @@
 const (
 	ValueKey    KeyKind = "value"
 	SequenceKey KeyKind = "number"
-	EntryKey    KeyKind = "cell"
+	KeyspaceKey KeyKind = "cell"
 	ConfigKey   KeyKind = "manifest"
 	LockKey     KeyKind = "lock"
 	AuditKey    KeyKind = "audit"
@@ -23,7 +23,7 @@
 
 // objectFactories make the object of each kind, for the key with an index.
 var objectFactories = map[KeyKind]func(int) object{
-	ValueKey: newValue, SequenceKey: newSequence, EntryKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
+	ValueKey: newValue, SequenceKey: newSequence, KeyspaceKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
 }
 
 // object is a control key with what its clients have learned of it.
--- a/explore/cluster/revisionedobject.go
+++ b/explore/cluster/revisionedobject.go
@@ -23,15 +23,15 @@
 // observeValue notes that a revision was shown with a value.
 func (r *revisionedObject) observeValue(c *Cluster, key ident.Key, revision uint64, value string) {
 	if old, known := r.Values[revision]; known && old != value {
-		c.violate(RuleOrder, "revision %d of %s is %s, and before it was %s", revision, key, value, old)
+		c.violate(RuleRevisionConflict, "revision %d of %s is %s, and before it was %s", revision, key, value, old)
 	}
 	for other, old := range r.Values {
 		if old == value && other != revision {
-			c.violate(RuleOrder, "%s of %s has revisions %d and %d", value, key, min(revision, other), max(revision, other))
+			c.violate(RuleRevisionConflict, "%s of %s has revisions %d and %d", value, key, min(revision, other), max(revision, other))
 		}
 	}
 	if r.Rejected[value] {
-		c.violate(RuleRejected, "%s of %s was rejected and is shown at revision %d", value, key, revision)
+		c.violate(RuleRejectedApplied, "%s of %s was rejected and is shown at revision %d", value, key, revision)
 	}
 	r.Values[revision] = value
 	r.Floor = max(r.Floor, revision)
@@ -40,7 +40,7 @@
 // checkFresh checks that a read is no older than what had been acknowledged when it was sent.
 func (r *revisionedObject) checkFresh(c *Cluster, key ident.Key, op *clientOperation, revision uint64) {
 	if revision < op.Floor {
-		c.violate(RuleStale, "client %d read %s at revision %d, %d had been acknowledged", op.Client, key, revision, op.Floor)
+		c.violate(RuleStaleRead, "client %d read %s at revision %d, %d had been acknowledged", op.Client, key, revision, op.Floor)
 	}
 }
 
--- a/explore/cluster/sequenceobject.go
+++ b/explore/cluster/sequenceobject.go
@@ -29,10 +29,10 @@
 	var got sequence.State
 	_ = json.Unmarshal(out.Body, &got)
 	if holder, twice := n.Values[got.Last]; twice {
-		c.violate(RuleRepeated, "number %d was given to %s and %s", got.Last, holder, op.Content)
+		c.violate(RuleRepeatedNumber, "number %d was given to %s and %s", got.Last, holder, op.Content)
 	}
 	if got.Last <= op.Floor {
-		c.violate(RuleRepeated, "number %d was given after %d", got.Last, op.Floor)
+		c.violate(RuleRepeatedNumber, "number %d was given after %d", got.Last, op.Floor)
 	}
 	n.Values[got.Last] = op.Content
 	n.Floor = max(n.Floor, got.Last)
@@ -42,6 +42,6 @@
 	var got sequence.State
 	_ = json.Unmarshal(operation.State(found.Value), &got)
 	if got.Last < n.Floor {
-		c.violate(RuleLost, "a majority knows %s up to %d, %d was given", n.key(), got.Last, n.Floor)
+		c.violate(RuleLostWrite, "a majority knows %s up to %d, %d was given", n.key(), got.Last, n.Floor)
 	}
 }
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -20,11 +20,11 @@
 // delayed behind any number of others needs no fault: its delivery is itself a choice, and may
 // never come.
 const (
-	// LateSync delivers a message whose writes are synced, and whose response is delivered, later
+	// DelayedSync delivers a message whose writes are synced, and whose response is delivered, later
 	// by choices of their own.
-	LateSync Fault = "late"
-	// Duplicate delivers a message and leaves a copy of it in transit.
-	Duplicate Fault = "double"
+	DelayedSync Fault = "late"
+	// MessageDuplication delivers a message and leaves a copy of it in transit.
+	MessageDuplication Fault = "double"
 	// MessageLoss takes a message out of transit.
 	MessageLoss Fault = "lost"
 	// Crash ends a process; what it wrote stays, also unsynced.
@@ -35,24 +35,24 @@
 	DiskLoss Fault = "empty"
 	// PlannedStop begins a planned stop.
 	PlannedStop Fault = "leave"
-	// LinkCut and DirectedCut cut the link between two members, in both directions or one.
-	LinkCut     Fault = "cut"
-	DirectedCut Fault = "cut-one-way"
-	// Unheard makes the others take a running member for dead.
-	Unheard Fault = "silent"
+	// LinkCut and OneWayLinkCut cut the link between two members, in both directions or one.
+	LinkCut       Fault = "cut"
+	OneWayLinkCut Fault = "cut-one-way"
+	// PresumedDead makes the other members presume that a running member is dead.
+	PresumedDead Fault = "silent"
 	// ClockJump moves a member's clock forward by an hour.
 	ClockJump Fault = "jump"
 	// Resend sends a proposal again that was sent before.
 	Resend Fault = "again"
-	// TimePasses lets time pass; without messages nothing else changes the state.
-	TimePasses Fault = "wait"
-	// Amnesia makes an acceptor forget all; only MutantAcceptor may do so.
-	Amnesia Fault = "forget"
+	// TimeAdvance advances the time; without messages, only time changes the state of the members.
+	TimeAdvance Fault = "wait"
+	// AcceptorStateLoss discards the state of an acceptor; only MutantAcceptor allows this fault.
+	AcceptorStateLoss Fault = "forget"
 )
 
 // Faults lists the kinds that may be given a number.
 func Faults() []Fault {
-	return []Fault{LateSync, Duplicate, MessageLoss, Crash, PowerLoss, DiskLoss, PlannedStop, LinkCut, DirectedCut, Unheard, ClockJump, Resend, TimePasses}
+	return []Fault{DelayedSync, MessageDuplication, MessageLoss, Crash, PowerLoss, DiskLoss, PlannedStop, LinkCut, OneWayLinkCut, PresumedDead, ClockJump, Resend, TimeAdvance}
 }
 
 // Mutant names a rule that is broken on purpose, as in the simulator.
@@ -83,8 +83,8 @@
 	// Waits are the spans by which time may pass.
 	Waits  []time.Duration
 	Faults map[Fault]int
-	// Instant delivers what a member sends to itself at once.
-	Instant bool
+	// ImmediateSelfDelivery delivers the messages of a member to itself at once.
+	ImmediateSelfDelivery bool `json:"Instant"`
 	// Ring has members write to the daemon's ring rather than to a plain list of records.
 	Ring   bool
 	Mutant Mutant `json:"Break"`
@@ -122,7 +122,7 @@
 
 // faultLimit is how many faults of a kind are allowed.
 func (s Settings) faultLimit(f Fault) int {
-	if f == Amnesia && s.Mutant == MutantAcceptor {
+	if f == AcceptorStateLoss && s.Mutant == MutantAcceptor {
 		return 2
 	}
 	return s.Faults[f]
--- a/explore/cluster/settle.go
+++ b/explore/cluster/settle.go
@@ -138,7 +138,7 @@
 // notServing notes that the cluster does not serve though it should.
 func (c *Cluster) notServing(format string, args ...any) {
 	if !c.majorityLost {
-		c.violate(RuleStuck, format, args...)
+		c.violate(RuleUnavailable, format, args...)
 	}
 }
 
@@ -164,7 +164,7 @@
 			continue
 		}
 		if got := m.registerAcceptor.Peek(k); !got.SameState(chosen) {
-			c.violate(RuleRepaired, "m%d has %s at %s, what is chosen is %s", m.number, k, describeRecord(got), describeRecord(chosen))
+			c.violate(RuleNotRepaired, "m%d has %s at %s, what is chosen is %s", m.number, k, describeRecord(got), describeRecord(chosen))
 		}
 	}
 }
--- a/explore/cluster/valueobject.go
+++ b/explore/cluster/valueobject.go
@@ -49,7 +49,7 @@
 	for _, revision := range slices.Sorted(maps.Keys(v.Values)) {
 		holds := func(change keyvalue.Change) bool { return uint64(change.Revision) == revision }
 		if revision <= newest && !slices.ContainsFunc(past, holds) {
-			c.violate(RuleHistory, "%s at revision %d has forgotten revision %d", v.key(), newest, revision)
+			c.violate(RuleIncompleteHistory, "%s at revision %d has forgotten revision %d", v.key(), newest, revision)
 		}
 	}
 }
@@ -58,15 +58,15 @@
 	var k keyvalue.State
 	_ = json.Unmarshal(operation.State(found.Value), &k)
 	if uint64(found.Revision) < v.Floor {
-		c.violate(RuleLost, "a majority knows %s up to revision %d, %d was acknowledged", v.key(), found.Revision, v.Floor)
+		c.violate(RuleLostWrite, "a majority knows %s up to revision %d, %d was acknowledged", v.key(), found.Revision, v.Floor)
 		return
 	}
 	for _, change := range k.History {
 		if old, known := v.Values[uint64(change.Revision)]; known && old != decodeString(change.Value) {
-			c.violate(RuleLost, "a majority has %s for revision %d of %s, %s was acknowledged", decodeString(change.Value), change.Revision, v.key(), old)
+			c.violate(RuleLostWrite, "a majority has %s for revision %d of %s, %s was acknowledged", decodeString(change.Value), change.Revision, v.key(), old)
 		}
 		if v.Rejected[decodeString(change.Value)] && uint64(change.Revision) <= v.Floor {
-			c.violate(RuleRejected, "%s of %s was rejected and took effect", decodeString(change.Value), v.key())
+			c.violate(RuleRejectedApplied, "%s of %s was rejected and took effect", decodeString(change.Value), v.key())
 		}
 	}
 	v.checkHistory(c, k.History, uint64(found.Revision))
--- a/explore/models.go
+++ b/explore/models.go
@@ -42,44 +42,44 @@
 // a lease expires.
 var modelDefinitions = map[Model]modelDefinition{
 	Register: {
-		keys:      []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey, cluster.EntryKey, cluster.AuditKey},
+		keys:      []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey, cluster.KeyspaceKey, cluster.AuditKey},
 		waitSpans: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond},
 		faultMixes: []faultLimits{
-			{}, {cluster.LateSync: 1}, {cluster.LateSync: 1, cluster.Crash: 1}, {cluster.LateSync: 1, cluster.PowerLoss: 1},
-			{cluster.PlannedStop: 1}, {cluster.Duplicate: 1, cluster.TimePasses: 1},
+			{}, {cluster.DelayedSync: 1}, {cluster.DelayedSync: 1, cluster.Crash: 1}, {cluster.DelayedSync: 1, cluster.PowerLoss: 1},
+			{cluster.PlannedStop: 1}, {cluster.MessageDuplication: 1, cluster.TimeAdvance: 1},
 		},
 		walkFaults: faultLimits{
-			cluster.LateSync: 4, cluster.Crash: 2, cluster.PowerLoss: 2, cluster.TimePasses: 8, cluster.PlannedStop: 1, cluster.Duplicate: 2, cluster.MessageLoss: 3,
-			cluster.LinkCut: 1, cluster.DirectedCut: 1,
+			cluster.DelayedSync: 4, cluster.Crash: 2, cluster.PowerLoss: 2, cluster.TimeAdvance: 8, cluster.PlannedStop: 1, cluster.MessageDuplication: 2, cluster.MessageLoss: 3,
+			cluster.LinkCut: 1, cluster.OneWayLinkCut: 1,
 		},
 		proposers: 2,
 	},
 	Configuration: {
 		keys:       []cluster.KeyKind{cluster.ConfigKey},
 		waitSpans:  []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond},
-		faultMixes: []faultLimits{{}, {cluster.Resend: 1}, {cluster.Resend: 1, cluster.Crash: 1}, {cluster.LateSync: 1, cluster.TimePasses: 1}},
+		faultMixes: []faultLimits{{}, {cluster.Resend: 1}, {cluster.Resend: 1, cluster.Crash: 1}, {cluster.DelayedSync: 1, cluster.TimeAdvance: 1}},
 		walkFaults: faultLimits{
-			cluster.LateSync: 3, cluster.Crash: 2, cluster.PowerLoss: 1, cluster.Resend: 3, cluster.TimePasses: 8, cluster.Duplicate: 2, cluster.MessageLoss: 3,
-			cluster.LinkCut: 1, cluster.DirectedCut: 1,
+			cluster.DelayedSync: 3, cluster.Crash: 2, cluster.PowerLoss: 1, cluster.Resend: 3, cluster.TimeAdvance: 8, cluster.MessageDuplication: 2, cluster.MessageLoss: 3,
+			cluster.LinkCut: 1, cluster.OneWayLinkCut: 1,
 		},
 		proposers: 2,
 	},
 	Locks: {
 		keys:       []cluster.KeyKind{cluster.LockKey},
 		waitSpans:  []time.Duration{200 * time.Millisecond, 1400 * time.Millisecond},
-		faultMixes: []faultLimits{{}, {cluster.TimePasses: 1}, {cluster.ClockJump: 1}, {cluster.Crash: 1, cluster.TimePasses: 1}},
+		faultMixes: []faultLimits{{}, {cluster.TimeAdvance: 1}, {cluster.ClockJump: 1}, {cluster.Crash: 1, cluster.TimeAdvance: 1}},
 		walkFaults: faultLimits{
-			cluster.LateSync: 3, cluster.Crash: 2, cluster.PowerLoss: 1, cluster.ClockJump: 2, cluster.TimePasses: 8, cluster.Duplicate: 2, cluster.MessageLoss: 3,
-			cluster.LinkCut: 1, cluster.DirectedCut: 1,
+			cluster.DelayedSync: 3, cluster.Crash: 2, cluster.PowerLoss: 1, cluster.ClockJump: 2, cluster.TimeAdvance: 8, cluster.MessageDuplication: 2, cluster.MessageLoss: 3,
+			cluster.LinkCut: 1, cluster.OneWayLinkCut: 1,
 		},
 		proposers: 2,
 	},
 	Membership: {
 		keys:       []cluster.KeyKind{cluster.ValueKey},
 		waitSpans:  []time.Duration{400 * time.Millisecond, 2100 * time.Millisecond},
-		faultMixes: []faultLimits{{cluster.DiskLoss: 1}, {cluster.DiskLoss: 1, cluster.TimePasses: 1}, {cluster.Unheard: 1}},
+		faultMixes: []faultLimits{{cluster.DiskLoss: 1}, {cluster.DiskLoss: 1, cluster.TimeAdvance: 1}, {cluster.PresumedDead: 1}},
 		walkFaults: faultLimits{
-			cluster.LateSync: 4, cluster.DiskLoss: 2, cluster.Crash: 2, cluster.PowerLoss: 2, cluster.Unheard: 1, cluster.TimePasses: 8, cluster.MessageLoss: 2,
+			cluster.DelayedSync: 4, cluster.DiskLoss: 2, cluster.Crash: 2, cluster.PowerLoss: 2, cluster.PresumedDead: 1, cluster.TimeAdvance: 8, cluster.MessageLoss: 2,
 			cluster.PlannedStop: 1,
 		},
 		spares: 1, proposers: 2,
--- a/explore/mutants_test.go
+++ b/explore/mutants_test.go
@@ -18,10 +18,10 @@
 
 // expectedRules are the invariants that detect each mutant.
 var expectedRules = map[cluster.Mutant][]string{
-	"quorum": {cluster.RuleLost}, "replica": {cluster.RuleLost}, "offer": {cluster.RuleBase}, "lock": {cluster.RuleLock}, "clock": {cluster.RuleLock},
-	"cell-keep": {cluster.RuleLock}, "mend": {cluster.RuleRepaired}, "soft": {cluster.RuleDisk}, "stop": {cluster.RuleStop}, "audit": {cluster.RuleLost, cluster.RuleOrder},
-	"history": {cluster.RuleHistory}, "cell-fate": {cluster.RuleRejected}, "cell-twice": {cluster.RuleOrder}, "cell-old": {cluster.RuleStale},
-	"cell-skip": {cluster.RuleHistory}, "cell-history": {cluster.RuleHistory},
+	"quorum": {cluster.RuleLostWrite}, "replica": {cluster.RuleLostWrite}, "offer": {cluster.RuleBaseConflict}, "lock": {cluster.RuleMutualExclusion}, "clock": {cluster.RuleMutualExclusion},
+	"cell-keep": {cluster.RuleMutualExclusion}, "mend": {cluster.RuleNotRepaired}, "soft": {cluster.RuleDiskError}, "stop": {cluster.RuleDroppedOperations}, "audit": {cluster.RuleLostWrite, cluster.RuleRevisionConflict},
+	"history": {cluster.RuleIncompleteHistory}, "cell-fate": {cluster.RuleRejectedApplied}, "cell-twice": {cluster.RuleRevisionConflict}, "cell-old": {cluster.RuleStaleRead},
+	"cell-skip": {cluster.RuleIncompleteHistory}, "cell-history": {cluster.RuleIncompleteHistory},
 }
 
 // Every mutant is found within the limits.
--- a/explore/options.go
+++ b/explore/options.go
@@ -83,7 +83,7 @@
 	definition := modelDefinitions[model]
 	settings := cluster.Settings{
 		Members: o.Members, Spares: definition.spares, Clients: o.Operators, Operations: cmp.Or(o.Operations, operations), Proposers: definition.proposers,
-		Waits: definition.waitSpans, Faults: maps.Clone(allowed), Instant: true, Ring: o.Ring, Mutant: o.Mutant,
+		Waits: definition.waitSpans, Faults: maps.Clone(allowed), ImmediateSelfDelivery: true, Ring: o.Ring, Mutant: o.Mutant,
 	}
 	if len(o.Waits) > 0 {
 		settings.Waits = o.Waits
--- a/fleet/idlecost/measure.go
+++ b/fleet/idlecost/measure.go
@@ -22,7 +22,7 @@
 	Zones             int // that both are spread over
 	Voters            int // cores that vote, at most; odd
 	Keys              int // small keys that are written first
-	Settle            time.Duration
+	SettleTime        time.Duration
 	Window            time.Duration // of the measurement, after Settle
 	HeartbeatInterval time.Duration
 	VaryLoad          bool   // every heartbeat reports another load
@@ -43,7 +43,7 @@
 		return report, err
 	}
 	d.startHeartbeats()
-	time.Sleep(options.Settle)
+	time.Sleep(options.SettleTime)
 	if options.ProfileDir != "" {
 		wait, err := d.startProfiles()
 		defer wait()
--- a/fleet/process/process.go
+++ b/fleet/process/process.go
@@ -154,11 +154,11 @@
 	return p.Wait(timeout)
 }
 
-// Freeze suspends the process (SIGSTOP) until Thaw.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Suspend suspends the process (SIGSTOP) until Resume.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a frozen process (SIGCONT).
-func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
+// Resume resumes a suspended process (SIGCONT).
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // PID is the process id of the newest run, 0 before the first.
 func (p *Process) PID() int {
--- a/fleet/run/faults_core.go
+++ b/fleet/run/faults_core.go
@@ -69,9 +69,9 @@
 // coreFreeze suspends a core for a while.
 func (f *Fleet) coreFreeze(ctx context.Context) {
 	core := f.randomProcess(f.Cores)
-	core.Freeze()
+	core.Suspend()
 	f.sleep(ctx, 3*time.Second)
-	core.Thaw()
+	core.Resume()
 }
 
 // coreCut cuts a core off from all other processes.
--- a/fleet/run/faults_sidecar.go
+++ b/fleet/run/faults_sidecar.go
@@ -22,9 +22,9 @@
 func (f *Fleet) sidecarFreeze(ctx context.Context) {
 	sidecar := f.randomProcess(f.Sidecars)
 	endOutage := f.beginOutage(sidecar.Name, causeFrozen)
-	sidecar.Freeze()
+	sidecar.Suspend()
 	f.sleep(ctx, 2500*time.Millisecond)
-	sidecar.Thaw()
+	sidecar.Resume()
 	endOutage()
 }
 
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -165,7 +165,7 @@
 		e.Kill()
 	}
 	for _, proc := range append(slices.Clone(f.Sidecars), f.Cores...) {
-		proc.Thaw()
+		proc.Resume()
 		proc.Kill()
 	}
 	f.network.Close()
