--- a/explore/cluster/choices.go
+++ b/explore/cluster/choices.go
@@ -4,19 +4,19 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// The kinds of choice besides the faults, which are kinds of the same name.
+// The kinds of choice that are not faults. The kind of a fault's choice equals the Fault.
 const (
 	requestKind  search.Kind = "ask"     // a client sends an operation to a member
-	deliverKind  search.Kind = "deliver" // a message arrives, what it wrote is synced and its response arrives
-	syncKind     search.Kind = "sync"    // a member syncs its disk and sends the responses that waited
-	startKind    search.Kind = "restart" // a member that is down starts
-	joinKind     search.Kind = "join"    // a member takes the next step towards being counted
-	announceKind search.Kind = "tell"    // a member learns of another's newer membership
-	stopKind     search.Kind = "stop"    // a member that leaves, with nothing in flight, ends
-	healKind     search.Kind = "heal"    // all cuts end, and everybody is heard again
+	deliverKind  search.Kind = "deliver" // a message is delivered, its writes are synced and its response is delivered
+	syncKind     search.Kind = "sync"    // a member syncs its disk and sends the responses that waited for the sync
+	startKind    search.Kind = "restart" // the process of a member starts
+	joinKind     search.Kind = "join"    // a member takes the next step toward becoming a counted voter
+	announceKind search.Kind = "tell"    // a member announces a newer membership to another member
+	stopKind     search.Kind = "stop"    // a planned stop ends the process, unless operations are in flight
+	healKind     search.Kind = "heal"    // all links are restored, and no running member is presumed dead
 )
 
-// Choices lists what may happen next, in a fixed order.
+// Choices returns the choices that are possible next, in a fixed order.
 func (c *Cluster) Choices() []search.Choice {
 	var out []search.Choice
 	add := func(list ...search.Choice) { out = append(out, list...) }
@@ -38,22 +38,22 @@
 	return out
 }
 
-// faultAllowed tells whether one more fault of a kind is allowed.
+// faultAllowed reports whether another fault of a kind is allowed.
 func (c *Cluster) faultAllowed(f Fault) bool { return c.faultsUsed[f] < c.settings.faultLimit(f) }
 
-// proposingMembers lists the members that take clients' operations.
+// proposingMembers returns the members that accept operations of clients.
 func (c *Cluster) proposingMembers() []*member {
 	var out []*member
 	for _, m := range c.members[:min(c.settings.Proposers, len(c.members))] {
-		if m.counted() && !m.leaving {
+		if m.counted() && !m.stopping {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// clientChoices lists the operations that clients may ask for. Clients that have not asked yet
-// are interchangeable, and so are members: of equivalent choices only the first is listed.
+// clientChoices returns the operations that clients may send. Clients that have sent no operation
+// are interchangeable, and so are members: only the first of several equivalent choices is returned.
 func (c *Cluster) clientChoices() (out []search.Choice) {
 	for i, cl := range c.clients {
 		if i > 0 && c.clients[i-1].sent == 0 {
@@ -77,7 +77,7 @@
 	return out
 }
 
-// operationChoices lists what one client may ask one member for.
+// operationChoices returns the operations that a client may send to a member.
 func (c *Cluster) operationChoices(requester *client, m *member) (out []search.Choice) {
 	for i, obj := range c.objects {
 		for _, operation := range obj.operations(requester) {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// messageChoices lists what may happen to the messages in transit.
+// messageChoices returns the choices that concern messages in transit.
 func (c *Cluster) messageChoices() (out []search.Choice) {
 	for _, e := range c.messagesInTransit() {
 		if !c.deliverable(e) {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// memberChoices lists what may happen to one member.
+// memberChoices returns the choices that concern only one member.
 func (c *Cluster) memberChoices(m *member) (out []search.Choice) {
 	add := func(kind search.Kind) { out = append(out, search.Choice{Kind: kind, Member: m.number}) }
 	if !m.running {
@@ -119,11 +119,11 @@
 	if len(m.unsyncedResponses) > 0 || m.store.unsynced() > 0 && c.faultAllowed(PowerLoss) {
 		add(syncKind)
 	}
-	if m.leaving {
+	if m.stopping {
 		add(stopKind)
 	}
 	for _, f := range []Fault{Crash, PlannedStop, PresumedDead, ClockJump, AcceptorStateLoss} {
-		if c.faultAllowed(f) && !(f == PlannedStop && m.leaving) && !(f == PresumedDead && m.unheard) {
+		if c.faultAllowed(f) && !(f == PlannedStop && m.stopping) && !(f == PresumedDead && m.presumedDead) {
 			add(search.Kind(f))
 		}
 	}
@@ -136,11 +136,11 @@
 	return out
 }
 
-// independentWrites is how many unsynced writes are each kept or lost on their own; those after
-// them are kept or lost together.
+// independentWrites is the number of unsynced writes that a power loss keeps or loses individually.
+// All later writes are kept or lost together.
 const independentWrites = 3
 
-// powerLossChoices lists a loss of power for each set of unsynced writes that it may leave.
+// powerLossChoices returns one power loss for each set of unsynced writes that may survive.
 func powerLossChoices(m *member) (out []search.Choice) {
 	n := m.store.unsynced()
 	low := min(n, independentWrites)
@@ -153,8 +153,8 @@
 	return out
 }
 
-// canLoseDisk tells whether a member's disk may be lost: of the disks that count in a membership
-// that is chosen, or may be, a majority is never lost.
+// canLoseDisk reports whether a member's disk may be lost. The counted disks that remain must form a
+// majority in every membership that is or may be chosen.
 func (c *Cluster) canLoseDisk(m *member) bool {
 	memberships := []countedVoters{countedVotersOf(c.newestMembership())}
 	for _, other := range c.members {
@@ -163,27 +163,27 @@
 			memberships = append(memberships, countedVotersOf(*next))
 		}
 	}
-	for _, r := range memberships {
+	for _, voters := range memberships {
 		remaining := 0
-		for _, d := range r.disks {
-			if holder := c.holderOf(d); holder != nil && holder != m {
+		for _, d := range voters.disks {
+			if holder := c.memberWithDisk(d); holder != nil && holder != m {
 				remaining++
 			}
 		}
-		if remaining < r.majority {
+		if remaining < voters.majority {
 			return false
 		}
 	}
 	return true
 }
 
-// membershipChoices lists the steps of joining and the announcements of newer memberships.
+// membershipChoices returns the join steps and the announcements of newer memberships.
 func (c *Cluster) membershipChoices() (out []search.Choice) {
 	for _, m := range c.members {
 		if !m.running {
 			continue
 		}
-		if v, in := m.membershipAcceptor.Current.Find(m.diskID); (!in || !v.Counted) && m.membershipAcceptor.Current.Epoch > 0 && !m.leaving && m.reconfigurer.Idle() {
+		if v, in := m.membershipAcceptor.Current.Find(m.diskID); (!in || !v.Counted) && m.membershipAcceptor.Current.Epoch > 0 && !m.stopping && m.reconfigurer.Idle() {
 			out = append(out, search.Choice{Kind: joinKind, Member: m.number})
 		}
 		for _, other := range c.members {
@@ -195,7 +195,7 @@
 	return out
 }
 
-// linkChoices lists the links that may be cut, and the end of all cuts.
+// linkChoices returns the links that may be cut, and the healing of all links.
 func (c *Cluster) linkChoices() (out []search.Choice) {
 	for i := 1; i <= len(c.members); i++ {
 		for j := 1; j <= len(c.members); j++ {
@@ -210,18 +210,18 @@
 			}
 		}
 	}
-	if c.disturbed() {
+	if c.communicationImpaired() {
 		out = append(out, search.Choice{Kind: healKind})
 	}
 	return out
 }
 
-// disturbed tells whether a link is cut or a member is not heard.
-func (c *Cluster) disturbed() bool {
+// communicationImpaired reports whether a link is cut or a member is wrongly presumed dead.
+func (c *Cluster) communicationImpaired() bool {
 	for _, m := range c.members {
-		if m.unheard {
+		if m.presumedDead {
 			return true
 		}
 	}
-	return len(c.cuts) > 0
+	return len(c.cutLinks) > 0
 }
--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -12,49 +12,49 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// clientOperation is one operation of one client. Invariant: Floor is the newest revision of the
-// object that had been acknowledged when it was sent.
+// clientOperation is one operation of a client. Invariant: LowerBound is the newest revision, number
+// or fencing token of the object that was known to be acknowledged when the operation was sent.
 type clientOperation struct {
-	Tag     uint64 // unique in the run
-	Client  int    // by number, from 1
-	Number  int    // counts the operations of the client, from 1
-	Object  int    // by index
-	Name    string // among the operations of the object
-	SentAt  monotime.Time
-	Floor   uint64
-	Kind    string // of the control plane's operation
-	Args    json.RawMessage
-	Resent  bool
-	Base    uint64 // the revision that the client builds on
-	Content string // unique in the run
+	Ticket     uint64 // unique in the run
+	Client     int    // number of the client, from 1
+	Number     int    // of the operation among the operations of the client, from 1
+	Object     int    // index of the object
+	Name       string // of the operation in traces, as listed by object.operations
+	SentAt     monotime.Time
+	LowerBound uint64
+	Kind       string // of the operation in the control plane
+	Args       json.RawMessage
+	Resent     bool
+	Base       uint64 // revision that the operation is based on
+	Content    string // unique in the run
 }
 
-// client asks for one operation at a time. Invariant: lastProposal is its last proposal that
-// names the version it is based on.
+// client is a client with at most one operation in flight. Invariant: lastProposal is the client's
+// last proposal that is based on a version rather than a revision.
 type client struct {
-	number       int // from 1
-	sent         int // counts its operations
-	pending      *clientOperation
-	lastProposal *clientOperation
-	bases        map[int]uint64 // by index of the object
+	number        int // from 1
+	sent          int // number of operations sent, without resends
+	pending       *clientOperation
+	lastProposal  *clientOperation
+	baseRevisions map[int]uint64 // by index of the object
 }
 
-// base is the revision of an object that the client builds on.
-func (cl *client) base(object int) uint64 { return cl.bases[object] }
+// baseRevision returns the revision of an object that the client's next proposal is based on.
+func (cl *client) baseRevision(object int) uint64 { return cl.baseRevisions[object] }
 
-// setBase notes the newest revision of an object that the client knows.
-func (cl *client) setBase(object int, base uint64) {
-	if cl.bases == nil {
-		cl.bases = map[int]uint64{}
+// setBaseRevision sets the revision of an object that the client's next proposal is based on.
+func (cl *client) setBaseRevision(object int, base uint64) {
+	if cl.baseRevisions == nil {
+		cl.baseRevisions = map[int]uint64{}
 	}
-	cl.bases[object] = base
+	cl.baseRevisions[object] = base
 }
 
-// issue sends a client's operation to a member.
-func (c *Cluster) issue(m *member, choice search.Choice) {
+// issueOperation sends a new operation of a client to a member.
+func (c *Cluster) issueOperation(m *member, choice search.Choice) {
 	cl := c.clients[choice.Client-1]
 	cl.sent++
-	op := &clientOperation{Client: cl.number, Number: cl.sent, Object: choice.Key, Name: choice.Operation, SentAt: c.now, Base: cl.base(choice.Key)}
+	op := &clientOperation{Client: cl.number, Number: cl.sent, Object: choice.Key, Name: choice.Operation, SentAt: c.now, Base: cl.baseRevision(choice.Key)}
 	op.Content = fmt.Sprintf("%d-%d", op.Client, op.Number)
 	op.Kind, op.Args = c.objects[op.Object].prepare(op)
 	if op.Kind == proposal.ProposeKind && op.Name == proposeOnVersion {
@@ -63,49 +63,49 @@
 	c.submit(m, cl, op)
 }
 
-// resend sends a client's last proposal once more, as a client does that got no response.
-func (c *Cluster) resend(m *member, cl *client) {
+// resendProposal sends a client's last proposal again, like a client that received no response.
+func (c *Cluster) resendProposal(m *member, cl *client) {
 	op := *cl.lastProposal
 	op.Resent, op.SentAt = true, c.now
-	if m, ok := c.objects[op.Object].(*configObject); ok {
-		delete(m.Rejected, op.Content) // it may be accepted now
+	if configuration, ok := c.objects[op.Object].(*configObject); ok {
+		delete(configuration.Rejected, op.Content) // the resent proposal may be accepted
 	}
 	c.submit(m, cl, &op)
 }
 
-// submit gives an operation to the proposer of a member.
+// submit submits an operation to the proposer of a member.
 func (c *Cluster) submit(m *member, cl *client, op *clientOperation) {
-	c.lastTag++
-	op.Tag = c.lastTag
+	c.lastTicket++
+	op.Ticket = c.lastTicket
 	cl.pending = op
-	m.operations[op.Tag] = op
-	id := ident.OperationID(fmt.Sprintf("op%d", op.Tag))
-	operation := proposer.Operation{Ticket: op.Tag, Op: id, Key: c.objects[op.Object].key(), Kind: op.Kind, Args: op.Args}
+	m.operations[op.Ticket] = op
+	id := ident.OperationID(fmt.Sprintf("op%d", op.Ticket))
+	operation := proposer.Operation{Ticket: op.Ticket, Op: id, Key: c.objects[op.Object].key(), Kind: op.Kind, Args: op.Args}
 	c.applyEffects(m, m.proposer.Submit(c.clock(m), operation))
 }
 
-// operationEnded takes the outcome of an operation. Its client learns nothing if the operation
-// may or may not have taken effect.
-func (c *Cluster) operationEnded(m *member, out proposer.Outcome) {
+// handleOutcome handles the outcome of an operation. If the outcome is unknown, neither a success
+// nor a rejection is recorded.
+func (c *Cluster) handleOutcome(m *member, out proposer.Outcome) {
 	op := m.operations[out.Operation.Ticket]
 	if op == nil {
-		if out.Operation.Ticket == c.repairTag && !out.Abandoned {
-			c.repairTag = 0
+		if out.Operation.Ticket == c.repairTicket && !out.Abandoned {
+			c.repairTicket = 0
 		}
 		return
 	}
-	delete(m.operations, op.Tag)
+	delete(m.operations, op.Ticket)
 	switch {
 	case c.outcomeUnknown(out):
 	case out.Abandoned, out.Failure != nil && out.Failure.Kind != failure.Compacted:
-		c.operationRejected(op, out)
+		c.handleRejection(op, out)
 	default:
 		c.objects[op.Object].succeeded(c, op, out)
 	}
-	c.closeOperation(op)
+	c.completeOperation(op)
 }
 
-// outcomeUnknown tells whether an operation may or may not have taken effect.
+// outcomeUnknown reports whether an outcome leaves open if the operation took effect.
 func (c *Cluster) outcomeUnknown(out proposer.Outcome) bool {
 	if out.Abandoned {
 		return out.MayHaveTakenEffect && c.settings.Mutant != MutantOutcome
@@ -113,8 +113,8 @@
 	return out.Failure != nil && out.Failure.Outcome != failure.NotExecuted
 }
 
-// operationRejected takes an outcome that says that the operation did not take effect.
-func (c *Cluster) operationRejected(op *clientOperation, out proposer.Outcome) {
+// handleRejection handles an outcome by which the operation did not take effect.
+func (c *Cluster) handleRejection(op *clientOperation, out proposer.Outcome) {
 	obj := c.objects[op.Object]
 	if m, ok := obj.(*configObject); ok && !out.Abandoned {
 		m.checkResend(c, op, out.Failure)
@@ -124,9 +124,9 @@
 	}
 }
 
-// closeOperation lets the client of an operation ask for the next one.
-func (c *Cluster) closeOperation(op *clientOperation) {
-	if cl := c.clients[op.Client-1]; cl.pending != nil && cl.pending.Tag == op.Tag {
+// completeOperation ends an operation, so that the client may send the next operation.
+func (c *Cluster) completeOperation(op *clientOperation) {
+	if cl := c.clients[op.Client-1]; cl.pending != nil && cl.pending.Ticket == op.Ticket {
 		cl.pending = nil
 	}
 }
--- a/explore/cluster/cluster.go
+++ b/explore/cluster/cluster.go
@@ -16,63 +16,64 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// Rule names an invariant.
+// Rule names an invariant that a violation breaks.
 type Rule = string
 
 // The invariants.
 const (
-	RuleLostWrite          Rule = "acknowledged-lost"        // a majority read would not show what was acknowledged
-	RuleStaleRead          Rule = "stale-read"               // a read is older than an acknowledgement
-	RuleRepeatedNumber     Rule = "number-repeated"          // a number was given twice, or is not above one acknowledged
-	RuleRevisionConflict   Rule = "order"                    // one revision has two values
-	RuleRejectedApplied    Rule = "turned-away-and-shown"    // what was certainly rejected took effect
-	RuleBaseConflict       Rule = "two-orders-on-one-base"   // two proposals on one base were accepted
-	RuleNotIdempotent      Rule = "resend-refused"           // an accepted proposal was rejected, or accepted anew, when resent
-	RuleMutualExclusion    Rule = "lock-shared"              // a lock has two holders
-	RuleFencingToken       Rule = "fence-not-above"          // a fencing token repeats or does not rise
-	RuleIncompleteHistory  Rule = "history-forgotten"        // a history or a watch lacks what was acknowledged
+	RuleLostWrite          Rule = "acknowledged-lost"        // a majority read does not return an acknowledged write
+	RuleStaleRead          Rule = "stale-read"               // a read returns less than was acknowledged before the read
+	RuleRepeatedNumber     Rule = "number-repeated"          // a number was issued twice, or does not exceed an acknowledged number
+	RuleRevisionConflict   Rule = "order"                    // one revision has two values, or one value two revisions
+	RuleRejectedApplied    Rule = "turned-away-and-shown"    // an operation reported as rejected took effect
+	RuleBaseConflict       Rule = "two-orders-on-one-base"   // two proposals on the same base were accepted
+	RuleNotIdempotent      Rule = "resend-refused"           // a resent proposal that had been accepted was rejected or accepted again
+	RuleMutualExclusion    Rule = "lock-shared"              // two clients hold a lock
+	RuleFencingToken       Rule = "fence-not-above"          // a fencing token repeats or does not increase
+	RuleIncompleteHistory  Rule = "history-forgotten"        // a history or a watch lacks an acknowledged change
 	RuleMembershipConflict Rule = "two-rosters-at-one-epoch" // two memberships were chosen for one epoch
-	RuleDiskError          Rule = "disk"                     // a member can't read or write its own disk
+	RuleDiskError          Rule = "disk"                     // a member cannot read or write its own disk
 	RuleDroppedOperations  Rule = "dropped-in-stop"          // a planned stop dropped operations in flight
 	RuleNotRepaired        Rule = "not-mended"               // copies differ after a read with repair
 	RuleUnavailable        Rule = "stuck"                    // the cluster does not serve after all faults have ended
 )
 
-// startTime is the time of the first state, long after zero, which means never.
+// startTime is the time of the initial state. It differs from zero, because the zero time means
+// never.
 const startTime = monotime.Time(time.Hour)
 
-// historyRetention is how long puts and changes must be retained.
+// historyRetention is how long the state machines must retain puts and changes.
 const historyRetention = 60 * time.Second
 
-// Cluster is one run of several cores.
+// Cluster is one simulated run of several cores and their clients. Cluster implements search.System.
 type Cluster struct {
 	settings          Settings
 	now               monotime.Time
 	members           []*member
 	inTransit         map[uint64]envelope
 	selfMessages      []envelope
-	cuts              map[[2]int]bool
+	cutLinks          map[[2]int]bool
 	faultsUsed        map[Fault]int
 	stateMachine      proposer.StateMachine
 	objects           []object
 	clients           []*client
-	lastTag           uint64
-	repairTag         uint64 // the tag of the read with repair in flight, 0 if there is none
+	lastTicket        uint64
+	repairTicket      uint64 // ticket of the read with repair in flight, 0 if none is in flight
 	diskCount         int
 	chosenMemberships map[ident.MembershipEpoch]quorum.Membership
-	// majorityLost says that faults together took more than a minority: what was acknowledged
-	// must still be kept, but the cluster need not be able to serve again.
+	// majorityLost reports that simultaneous faults may have taken a majority. Acknowledged writes
+	// must still survive, but the cluster need not become available again.
 	majorityLost bool
 	violation    *search.Violation
 }
 
-// New makes a cluster whose founders have formed the first membership.
+// New returns a cluster whose founders have formed the first membership.
 func New(settings Settings) *Cluster {
-	return assemble(settings, mutant.Handlers(string(settings.Mutant), historyRetention))
+	return newCluster(settings, mutant.Handlers(string(settings.Mutant), historyRetention))
 }
 
-func assemble(settings Settings, stateMachine proposer.StateMachine) *Cluster {
-	c := &Cluster{settings: settings, stateMachine: stateMachine, now: startTime, inTransit: map[uint64]envelope{}, cuts: map[[2]int]bool{}, faultsUsed: map[Fault]int{}, chosenMemberships: map[ident.MembershipEpoch]quorum.Membership{}}
+func newCluster(settings Settings, stateMachine proposer.StateMachine) *Cluster {
+	c := &Cluster{settings: settings, stateMachine: stateMachine, now: startTime, inTransit: map[uint64]envelope{}, cutLinks: map[[2]int]bool{}, faultsUsed: map[Fault]int{}, chosenMemberships: map[ident.MembershipEpoch]quorum.Membership{}}
 	for i, kind := range settings.Keys {
 		c.objects = append(c.objects, objectFactories[kind](i))
 	}
@@ -90,58 +91,58 @@
 	}
 	c.chosenMemberships[1] = first
 	for _, m := range c.members[:settings.Members] {
-		c.establish(m, first)
+		c.startFounder(m, first)
 	}
 	for _, m := range c.members[settings.Members:] {
-		c.reload(m)
+		c.reloadDisk(m)
 	}
 	return c
 }
 
-// establish writes what a founder's disk holds once the first membership is chosen, and starts
-// it.
-func (c *Cluster) establish(m *member, first quorum.Membership) {
+// startFounder writes to a founder's disk the records that the disk holds once the first membership
+// is chosen, and starts the founder.
+func (c *Cluster) startFounder(m *member, first quorum.Membership) {
 	disk := m.diskID
 	_, err := m.store.open()
 	c.checkWrite(m, err)
 	m.membershipAcceptor.Current = first
-	c.checkWrite(m, m.appendRecords([]ring.Record{{Key: diskTag, Data: []byte(disk)}, m.membershipAcceptor.Record()}))
+	c.checkWrite(m, m.appendRecords([]ring.Record{{Key: diskIDKey, Data: []byte(disk)}, m.membershipAcceptor.Record()}))
 	c.checkWrite(m, m.store.sync())
 	c.start(m)
 }
 
-// violate notes the first invariant that is broken.
-func (c *Cluster) violate(rule Rule, format string, args ...any) {
+// recordViolation records a violation, unless one was recorded before.
+func (c *Cluster) recordViolation(rule Rule, format string, args ...any) {
 	if c.violation == nil {
 		c.violation = &search.Violation{Rule: rule, Note: fmt.Sprintf(format, args...)}
 	}
 }
 
-// Violation checks all that must hold in every state; it returns what is broken, nil if nothing
-// is.
+// Violation checks the invariants that must hold in every state and returns the first violation of
+// the run, or nil if every invariant held.
 func (c *Cluster) Violation() *search.Violation {
 	if c.violation == nil {
-		c.inspect()
+		c.checkMajorityReads()
 	}
 	return c.violation
 }
 
-// membershipChosen notes a membership that a member learned to be chosen.
-func (c *Cluster) membershipChosen(m *member, chosen quorum.Membership) {
+// recordChosenMembership records a membership that a member has learned to be chosen.
+func (c *Cluster) recordChosenMembership(m *member, chosen quorum.Membership) {
 	chosen.MajorityOverride = 0
-	old, known := c.chosenMemberships[chosen.Epoch]
-	if known && !slices.Equal(old.Voters, chosen.Voters) {
-		c.violate(RuleMembershipConflict, "at epoch %d m%d chose%s, and before it was%s", chosen.Epoch, m.number, describeProposal(&chosen), describeProposal(&old))
+	previous, known := c.chosenMemberships[chosen.Epoch]
+	if known && !slices.Equal(previous.Voters, chosen.Voters) {
+		c.recordViolation(RuleMembershipConflict, "at epoch %d m%d learned%s as chosen, but earlier the chosen membership was%s", chosen.Epoch, m.number, describeMembership(&chosen), describeMembership(&previous))
 	}
 	c.chosenMemberships[chosen.Epoch] = chosen
 }
 
-// newestMembership is the newest chosen membership.
+// newestMembership returns the chosen membership with the highest epoch.
 func (c *Cluster) newestMembership() quorum.Membership {
 	return c.chosenMemberships[slices.Max(slices.Collect(maps.Keys(c.chosenMemberships)))]
 }
 
-// keys lists the control keys of all objects.
+// keys returns the control keys of all objects.
 func (c *Cluster) keys() []ident.Key {
 	var out []ident.Key
 	for _, obj := range c.objects {
@@ -150,13 +151,13 @@
 	return out
 }
 
-func sortedTags(operations map[uint64]*clientOperation) []uint64 {
+func sortedTickets(operations map[uint64]*clientOperation) []uint64 {
 	return slices.Sorted(maps.Keys(operations))
 }
 
-// passTime lets time pass in steps that a step limiter counts whole; each member ticks at the end
-// of each step.
-func (c *Cluster) passTime(span time.Duration) {
+// advanceTime advances the time in steps that a step limiter does not shorten. Each member ticks at
+// the end of each step.
+func (c *Cluster) advanceTime(span time.Duration) {
 	for span > 0 {
 		step := min(span, monotime.MaxStep)
 		span -= step
@@ -167,7 +168,7 @@
 	}
 }
 
-// tick does the part of a node's tick that is modelled.
+// tick performs the modeled part of a node's tick.
 func (c *Cluster) tick(m *member) {
 	if !m.running {
 		return
@@ -178,5 +179,5 @@
 	if m.copyReader != nil {
 		c.sendScans(m, m.copyReader.Tick(now))
 	}
-	c.deliverToSelf()
+	c.deliverSelfMessages()
 }
--- a/explore/cluster/cluster_test.go
+++ b/explore/cluster/cluster_test.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// testSettings allow two faults of each kind.
+// testSettings returns settings that allow two faults of each kind.
 func testSettings() cluster.Settings {
 	faults := map[cluster.Fault]int{}
 	for _, f := range cluster.Faults() {
@@ -21,83 +21,83 @@
 		Waits: []time.Duration{200 * time.Millisecond, 1300 * time.Millisecond}, Faults: faults, ImmediateSelfDelivery: true}
 }
 
-// The same choices lead to the same state, and looking at a state does not change it.
-func TestSameChoicesSameState(t *testing.T) {
+// The same choices must lead to the same state, and Hash and Violation must not change the state.
+func TestRunsAreDeterministic(t *testing.T) {
 	for _, ring := range []bool{false, true} {
 		for seed := range uint64(20) {
-			set := testSettings()
-			set.Ring = ring
+			settings := testSettings()
+			settings.Ring = ring
 			rng := rand.New(rand.NewPCG(seed, 1))
-			one, two := set.Factory()(), set.Factory()()
+			first, second := settings.Factory()(), settings.Factory()()
 			for range 60 {
-				choices := one.Choices()
-				must.Eq(t, choices, two.Choices())
+				choices := first.Choices()
+				must.Eq(t, choices, second.Choices())
 				if len(choices) == 0 {
 					break
 				}
 				c := choices[rng.IntN(len(choices))]
-				one.Apply(c)
-				one.Hash()
-				one.Violation()
-				two.Apply(c)
-				must.Eq(t, one.Hash(), two.Hash())
+				first.Apply(c)
+				first.Hash()
+				first.Violation()
+				second.Apply(c)
+				must.Eq(t, first.Hash(), second.Hash())
 			}
 		}
 	}
 }
 
-// Deliveries to two members that have nothing to do with each other lead to one state in either
-// order, so the search goes on from it once.
-func TestIndependentChoicesMeet(t *testing.T) {
-	set := testSettings()
-	set.Members, set.Spares, set.ImmediateSelfDelivery = 5, 0, false
+// Deliveries to two members that do not affect each other must lead to states with equal hashes in
+// either order, so that the search explores the common state once.
+func TestIndependentDeliveriesConverge(t *testing.T) {
+	settings := testSettings()
+	settings.Members, settings.Spares, settings.ImmediateSelfDelivery = 5, 0, false
 	hash := func(order []int) uint64 {
-		s := set.Factory()()
+		system := settings.Factory()()
 		apply := func(want search.Kind, other int) {
-			for _, c := range s.Choices() {
+			for _, c := range system.Choices() {
 				if c.Kind == want && (other == 0 || c.Other == other) {
-					s.Apply(c)
+					system.Apply(c)
 					return
 				}
 			}
-			t.Fatal("no such choice")
+			t.Fatal("no choice has the requested kind and member")
 		}
 		apply("ask", 0)
 		for _, to := range order {
 			apply("late", to)
 		}
-		return s.Hash()
+		return system.Hash()
 	}
 	must.Eq(t, hash([]int{3, 4}), hash([]int{4, 3}))
 	must.NotEq(t, hash([]int{3, 4}), hash([]int{3, 5}))
 }
 
-// Without faults every client gets a response in the end, and nothing is violated.
+// Without faults, no invariant may be violated and the run must settle.
 func TestSettlesWithoutFaults(t *testing.T) {
-	set := testSettings()
-	set.Faults = nil
+	settings := testSettings()
+	settings.Faults = nil
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		s := set.Factory()()
+		system := settings.Factory()()
 		for range 30 {
-			choices := s.Choices()
+			choices := system.Choices()
 			if len(choices) == 0 {
 				break
 			}
-			s.Apply(choices[rng.IntN(len(choices))])
+			system.Apply(choices[rng.IntN(len(choices))])
 		}
-		s.Settle()
-		must.Nil(t, s.Violation())
+		system.Settle()
+		must.Nil(t, system.Violation())
 	}
 }
 
-// Settings that no cluster can have are refused.
-func TestBadSettings(t *testing.T) {
-	set := testSettings()
-	must.Nil(t, set.Validate())
-	set.Keys = []cluster.KeyKind{"none"}
-	must.NotNil(t, set.Validate())
-	set = testSettings()
-	set.Members = 40
-	must.NotNil(t, set.Validate())
+// Validate must reject unknown kinds of key and too many members.
+func TestValidateRejectsInvalidSettings(t *testing.T) {
+	settings := testSettings()
+	must.Nil(t, settings.Validate())
+	settings.Keys = []cluster.KeyKind{"none"}
+	must.NotNil(t, settings.Validate())
+	settings = testSettings()
+	settings.Members = 40
+	must.NotNil(t, settings.Validate())
 }
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -20,28 +20,28 @@
 	readConfig        = "read"
 )
 
-// configObject is the configuration. Versions are kept equal to revisions, so a proposal is based
-// on the same configuration whichever of the two it names. Invariants: Accepted holds the content
-// of the proposal that was acknowledged, by the revision that it made; Rejected holds the
-// contents that were rejected.
+// configObject is the configuration. Versions are kept equal to revisions, so that a base version
+// and an equal base revision name the same configuration. Invariants: Accepted holds the contents of
+// the acknowledged proposals by the resulting revision; NewestKnown is the newest revision that was
+// acknowledged or read; Rejected holds the contents of the rejected proposals.
 type configObject struct {
-	Accepted map[uint64]string
-	Floor    uint64
-	Rejected map[string]bool
+	Accepted    map[uint64]string
+	NewestKnown uint64
+	Rejected    map[string]bool
 }
 
 func newConfig(int) object {
 	return &configObject{Accepted: map[uint64]string{}, Rejected: map[string]bool{}}
 }
 
-func (m *configObject) key() ident.Key { return proposal.Key }
+func (o *configObject) key() ident.Key { return proposal.Key }
 
-func (m *configObject) operations(*client) []string {
+func (o *configObject) operations(*client) []string {
 	return []string{proposeOnRevision, proposeOnVersion, readConfig}
 }
 
-func (m *configObject) prepare(op *clientOperation) (string, json.RawMessage) {
-	op.Floor = m.Floor
+func (o *configObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.LowerBound = o.NewestKnown
 	if op.Name == readConfig {
 		return proposal.ReadKind, nil
 	}
@@ -56,79 +56,80 @@
 	return proposal.ProposeKind, operation.Encode(args)
 }
 
-func (m *configObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+func (o *configObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	if op.Name == readConfig {
-		m.checkRead(c, op, out)
+		o.checkRead(c, op, out)
 		return
 	}
-	var yes proposal.Accepted
-	_ = json.Unmarshal(out.Body, &yes)
-	revision := uint64(yes.Revision)
-	old, known := m.Accepted[revision]
+	var accepted proposal.Accepted
+	_ = json.Unmarshal(out.Body, &accepted)
+	revision := uint64(accepted.Revision)
+	old, known := o.Accepted[revision]
 	switch {
 	case known && old != op.Content:
-		c.violate(RuleBaseConflict, "%s and %s were both accepted as revision %d", old, op.Content, revision)
-	case !known && revision <= op.Floor && !op.Resent:
-		c.violate(RuleRepeatedNumber, "revision %d was given after %d", revision, op.Floor)
+		c.recordViolation(RuleBaseConflict, "proposals %s and %s were both accepted as revision %d", old, op.Content, revision)
+	case !known && revision <= op.LowerBound && !op.Resent:
+		c.recordViolation(RuleRepeatedNumber, "revision %d was assigned after revision %d", revision, op.LowerBound)
 	}
-	for _, other := range slices.Sorted(maps.Keys(m.Accepted)) {
-		if m.Accepted[other] == op.Content && other != revision {
-			c.violate(RuleNotIdempotent, "%s was accepted as revision %d and, resent, as %d", op.Content, other, revision)
+	for _, other := range slices.Sorted(maps.Keys(o.Accepted)) {
+		if o.Accepted[other] == op.Content && other != revision {
+			c.recordViolation(RuleNotIdempotent, "proposal %s was accepted as revision %d and, resent, as revision %d", op.Content, other, revision)
 		}
 	}
 	if revision != op.Base+1 {
-		c.violate(RuleBaseConflict, "%s is based on revision %d and was accepted as revision %d, after another on that base", op.Content, op.Base, revision)
+		c.recordViolation(RuleBaseConflict, "proposal %s on base revision %d was accepted as revision %d, after another proposal on that base", op.Content, op.Base, revision)
 	}
-	m.Accepted[revision] = op.Content
-	m.Floor = max(m.Floor, revision)
-	c.clients[op.Client-1].setBase(op.Object, revision)
+	o.Accepted[revision] = op.Content
+	o.NewestKnown = max(o.NewestKnown, revision)
+	c.clients[op.Client-1].setBaseRevision(op.Object, revision)
 }
 
-// checkRead checks the response to a read.
-func (m *configObject) checkRead(c *Cluster, op *clientOperation, out proposer.Outcome) {
+// checkRead checks and records the response to a read.
+func (o *configObject) checkRead(c *Cluster, op *clientOperation, out proposer.Outcome) {
 	var held proposal.State
 	_ = json.Unmarshal(out.Body, &held)
-	if uint64(held.Revision) < op.Floor {
-		c.violate(RuleStaleRead, "client %d read revision %d, %d had been acknowledged", op.Client, held.Revision, op.Floor)
+	if uint64(held.Revision) < op.LowerBound {
+		c.recordViolation(RuleStaleRead, "client %d read revision %d of the configuration, but revision %d had been acknowledged before the read", op.Client, held.Revision, op.LowerBound)
 	}
-	m.compare(c, held)
-	m.Floor = max(m.Floor, uint64(held.Revision))
-	c.clients[op.Client-1].setBase(op.Object, uint64(held.Revision))
+	o.checkDocument(c, held)
+	o.NewestKnown = max(o.NewestKnown, uint64(held.Revision))
+	c.clients[op.Client-1].setBaseRevision(op.Object, uint64(held.Revision))
 }
 
-// compare compares a configuration with what was acknowledged and rejected.
-func (m *configObject) compare(c *Cluster, held proposal.State) {
+// checkDocument checks a configuration against the acknowledged and the rejected proposals.
+func (o *configObject) checkDocument(c *Cluster, held proposal.State) {
 	var body struct {
 		By string `json:"by"`
 	}
 	_ = json.Unmarshal(held.Document, &body)
-	if old, known := m.Accepted[uint64(held.Revision)]; known && old != body.By {
-		c.violate(RuleLostWrite, "revision %d has %s, %s was acknowledged", held.Revision, body.By, old)
+	if old, known := o.Accepted[uint64(held.Revision)]; known && old != body.By {
+		c.recordViolation(RuleLostWrite, "revision %d has the content of proposal %s, but proposal %s was acknowledged", held.Revision, body.By, old)
 	}
-	if m.Rejected[body.By] {
-		c.violate(RuleRejectedApplied, "%s was rejected and is in force as revision %d", body.By, held.Revision)
+	if o.Rejected[body.By] {
+		c.recordViolation(RuleRejectedApplied, "proposal %s was rejected but is in force as revision %d", body.By, held.Revision)
 	}
 }
 
-// checkResend checks the rejection of a proposal: it must not have been accepted before.
-func (m *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
-	for _, revision := range slices.Sorted(maps.Keys(m.Accepted)) {
-		if op.Resent && m.Accepted[revision] == op.Content {
-			c.violate(RuleNotIdempotent, "%s was accepted as revision %d and, resent, is rejected: %s", op.Content, revision, rejection.Message)
+// checkResend checks the rejection of a proposal: a resent proposal must not be rejected if the
+// proposal was accepted before.
+func (o *configObject) checkResend(c *Cluster, op *clientOperation, rejection *failure.Error) {
+	for _, revision := range slices.Sorted(maps.Keys(o.Accepted)) {
+		if op.Resent && o.Accepted[revision] == op.Content {
+			c.recordViolation(RuleNotIdempotent, "proposal %s was accepted as revision %d but rejected when resent: %s", op.Content, revision, rejection.Message)
 		}
 	}
 }
 
-func (m *configObject) rejected(op *clientOperation) { m.Rejected[op.Content] = true }
+func (o *configObject) rejected(op *clientOperation) { o.Rejected[op.Content] = true }
 
-func (m *configObject) inspect(c *Cluster, found quorum.Record) {
+func (o *configObject) checkMajorityRead(c *Cluster, found quorum.Record) {
 	var held proposal.State
 	_ = json.Unmarshal(operation.State(found.Value), &held)
-	if uint64(held.Revision) < m.Floor {
-		c.violate(RuleLostWrite, "a majority knows revision %d, %d was acknowledged", held.Revision, m.Floor)
+	if uint64(held.Revision) < o.NewestKnown {
+		c.recordViolation(RuleLostWrite, "a majority read returns configuration revision %d, but revision %d was acknowledged", held.Revision, o.NewestKnown)
 		return
 	}
-	if uint64(held.Revision) == m.Floor && m.Floor > 0 {
-		m.compare(c, held)
+	if uint64(held.Revision) == o.NewestKnown && o.NewestKnown > 0 {
+		o.checkDocument(c, held)
 	}
 }
--- a/explore/cluster/copy_test.go
+++ b/explore/cluster/copy_test.go
@@ -9,39 +9,40 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// script drives a cluster by the descriptions of its choices.
+// script drives a system with choices that are selected by their descriptions.
 type script struct {
 	t      *testing.T
 	system search.System
 }
 
-// apply makes the first choice of a kind whose description holds all fragments.
+// apply applies the first choice of a kind whose description contains all fragments.
 func (s script) apply(kind search.Kind, fragments ...string) {
 	s.t.Helper()
-	var all []string
+	var descriptions []string
 	for _, c := range s.system.Choices() {
 		description := s.system.Describe(c)
-		all = append(all, string(c.Kind)+": "+description)
-		fits := c.Kind == kind
-		for _, w := range fragments {
-			fits = fits && strings.Contains(description, w)
+		descriptions = append(descriptions, string(c.Kind)+": "+description)
+		matches := c.Kind == kind
+		for _, fragment := range fragments {
+			matches = matches && strings.Contains(description, fragment)
 		}
-		if fits {
+		if matches {
 			s.system.Apply(c)
 			s.t.Log(description)
 			return
 		}
 	}
-	s.t.Fatalf("no %s of %v among\n%s", kind, fragments, strings.Join(all, "\n"))
+	s.t.Fatalf("no choice of kind %s contains %v among\n%s", kind, fragments, strings.Join(descriptions, "\n"))
 }
 
-// A member that has copied all records and is then counted must not have its copy still to sync:
-// a loss of power would leave a disk that counts and knows nothing. A write is acknowledged by m1
-// and m2; m2 loses its disk, and the new one takes the slot, copies, counts, and loses power.
-func TestCopyIsSyncedBeforeItsDiskCounts(t *testing.T) {
-	set := testSettings()
-	set.Spares, set.Operations = 0, 1
-	run := script{t, set.Factory()()}
+// A member that has copied all records must sync the copy before it becomes a counted voter:
+// otherwise a power loss leaves a counted disk without the acknowledged records. In this test m1 and
+// m2 acknowledge a write; m2 loses its disk; the new disk takes the slot, copies the records and
+// loses power before the sync, when m2 must not be counted yet.
+func TestCopyIsSyncedBeforeDiskIsCounted(t *testing.T) {
+	settings := testSettings()
+	settings.Spares, settings.Operations = 0, 1
+	run := script{t, settings.Factory()()}
 	run.apply("ask", "m1: write")
 	run.apply("deliver", "m1 -> m2", "prepare")
 	run.apply("deliver", "m1 -> m2", "accept")
@@ -59,7 +60,7 @@
 	run.apply("deliver", "m2 -> m1", "scan")
 	run.apply("deliver", "m2 -> m3", "scan")
 	must.Nil(t, run.system.Violation())
-	run.apply("join", "m2") // does nothing before the sync
+	run.apply("join", "m2") // has no effect before the sync
 	run.apply("power", "m2", "none")
 	must.Nil(t, run.system.Violation())
 	run.system.Settle()
--- a/explore/cluster/describe.go
+++ b/explore/cluster/describe.go
@@ -9,7 +9,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// Describe describes a choice before it is applied.
+// Describe returns the description of a choice, for a choice that is not applied yet.
 func (c *Cluster) Describe(choice search.Choice) string {
 	if describeChoice, ok := descriptions[choice.Kind]; ok {
 		return describeChoice(c, choice)
@@ -17,12 +17,12 @@
 	return string(choice.Kind)
 }
 
-func describeTransit(c *Cluster, choice search.Choice) string {
+func describeInTransit(c *Cluster, choice search.Choice) string {
 	e := c.inTransit[choice.Message]
 	return fmt.Sprintf("m%d -> m%d: %s", e.from, e.to, describeMessage(e.msg))
 }
 
-// descriptions describe each kind of choice.
+// descriptions holds the function that describes each kind of choice.
 var descriptions = map[search.Kind]func(*Cluster, search.Choice) string{
 	requestKind: func(c *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("client %d asks m%d: %s of %s", choice.Client, choice.Member, choice.Operation, c.objects[choice.Key].key())
@@ -30,26 +30,26 @@
 	search.Kind(Resend): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("client %d resends its last proposal to m%d", choice.Client, choice.Member)
 	},
-	deliverKind: func(c *Cluster, choice search.Choice) string { return "deliver " + describeTransit(c, choice) },
+	deliverKind: func(c *Cluster, choice search.Choice) string { return "deliver " + describeInTransit(c, choice) },
 	search.Kind(DelayedSync): func(c *Cluster, choice search.Choice) string {
-		return "deliver, not synced and not answered yet, " + describeTransit(c, choice)
+		return "deliver, with sync and response delayed, " + describeInTransit(c, choice)
 	},
 	search.Kind(MessageDuplication): func(c *Cluster, choice search.Choice) string {
-		return "deliver, with a copy still in transit, " + describeTransit(c, choice)
+		return "deliver, with a copy still in transit, " + describeInTransit(c, choice)
 	},
-	search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) string { return "lose " + describeTransit(c, choice) },
+	search.Kind(MessageLoss): func(c *Cluster, choice search.Choice) string { return "drop " + describeInTransit(c, choice) },
 	syncKind: func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d syncs its disk and sends its responses", choice.Member)
 	},
 	startKind: func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d starts", choice.Member) },
 	joinKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d takes the next step towards being counted", choice.Member)
+		return fmt.Sprintf("m%d takes the next step toward becoming a counted voter", choice.Member)
 	},
 	announceKind: func(c *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d tells m%d of membership %d", choice.Member, choice.Other, c.members[choice.Member-1].membershipAcceptor.Current.Epoch)
 	},
 	stopKind: func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d has left and ends", choice.Member)
+		return fmt.Sprintf("m%d completes its planned stop", choice.Member)
 	},
 	search.Kind(Crash):     func(_ *Cluster, choice search.Choice) string { return fmt.Sprintf("m%d is killed", choice.Member) },
 	search.Kind(PowerLoss): func(c *Cluster, choice search.Choice) string { return c.describePowerLoss(choice) },
@@ -58,26 +58,27 @@
 		return fmt.Sprintf("m%d begins a planned stop", choice.Member)
 	},
 	search.Kind(PresumedDead): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("the others no longer hear m%d", choice.Member)
+		return fmt.Sprintf("the other members presume m%d dead", choice.Member)
 	},
 	search.Kind(ClockJump): func(_ *Cluster, choice search.Choice) string {
 		return fmt.Sprintf("m%d's clock jumps forward by an hour", choice.Member)
 	},
 	search.Kind(AcceptorStateLoss): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("m%d's acceptor forgets all", choice.Member)
+		return fmt.Sprintf("m%d's register acceptor loses its state", choice.Member)
 	},
 	search.Kind(LinkCut): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("cut m%d from m%d", choice.Member, choice.Other)
+		return fmt.Sprintf("cut the link between m%d and m%d", choice.Member, choice.Other)
 	},
 	search.Kind(OneWayLinkCut): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("cut m%d -> m%d", choice.Member, choice.Other)
+		return fmt.Sprintf("cut the link m%d -> m%d", choice.Member, choice.Other)
 	},
 	search.Kind(TimeAdvance): func(_ *Cluster, choice search.Choice) string {
-		return fmt.Sprintf("%v pass", choice.Span.Round(time.Millisecond))
+		return fmt.Sprintf("the time advances by %v", choice.Span.Round(time.Millisecond))
 	},
 }
 
-// describePowerLoss lists the unsynced writes that a loss of power leaves, counted from 1.
+// describePowerLoss describes a power loss with the numbers of the unsynced writes that survive,
+// counted from 1.
 func (c *Cluster) describePowerLoss(choice search.Choice) string {
 	n := c.members[choice.Member-1].store.unsynced()
 	out := fmt.Sprintf("m%d loses power; of %d unsynced writes it keeps", choice.Member, n)
@@ -93,25 +94,26 @@
 	return out + survivors
 }
 
-// keepsWrite tells whether the bit of a write is set; all writes from the 64th on share one.
+// keepsWrite reports whether the bit of a write is set in mask. All writes from the 64th on share
+// the last bit.
 func keepsWrite(mask uint64, write int) bool { return mask>>min(write, 63)&1 == 1 }
 
-// describeMessage describes a message for a trace.
+// describeMessage returns the description of a message.
 func describeMessage(msg message.Message) string {
 	switch {
 	case msg.Request != nil:
-		a := msg.Request
-		return fmt.Sprintf("%s of %s, round %d, ballot %d.%s, revision %d, membership %d", a.Kind, a.Key, a.Round, a.Ballot.Epoch, a.Ballot.Proposer, a.Revision, a.Membership)
+		request := msg.Request
+		return fmt.Sprintf("%s of %s, round %d, ballot %d.%s, revision %d, membership %d", request.Kind, request.Key, request.Round, request.Ballot.Epoch, request.Ballot.Proposer, request.Revision, request.Membership)
 	case msg.Response != nil:
-		r := msg.Response
-		return fmt.Sprintf("response of %s to %s of %s, round %d, ok %v, promised %d.%s, accepted %d.%s revision %d", r.Disk, r.Kind, r.Key, r.Round, r.OK,
-			r.Record.Promised.Epoch, r.Record.Promised.Proposer, r.Record.Accepted.Epoch, r.Record.Accepted.Proposer, r.Record.Revision)
+		response := msg.Response
+		return fmt.Sprintf("response of %s to %s of %s, round %d, ok %v, promised %d.%s, accepted %d.%s revision %d", response.Disk, response.Kind, response.Key, response.Round, response.OK,
+			response.Record.Promised.Epoch, response.Record.Promised.Proposer, response.Record.Accepted.Epoch, response.Record.Accepted.Proposer, response.Record.Revision)
 	case msg.MembershipRequest != nil:
-		a := msg.MembershipRequest
-		return fmt.Sprintf("membership %s, round %d, base %d, ballot %d.%s%s", a.Kind, a.Round, a.Base, a.Ballot.Epoch, a.Ballot.Proposer, describeProposal(a.Next))
+		request := msg.MembershipRequest
+		return fmt.Sprintf("membership %s, round %d, base %d, ballot %d.%s%s", request.Kind, request.Round, request.Base, request.Ballot.Epoch, request.Ballot.Proposer, describeMembership(request.Next))
 	case msg.MembershipResponse != nil:
-		r := msg.MembershipResponse
-		return fmt.Sprintf("response of %s to membership %s, round %d, base %d, ok %v%s", r.Disk, r.Kind, r.Round, r.Base, r.OK, describeProposal(r.Next))
+		response := msg.MembershipResponse
+		return fmt.Sprintf("response of %s to membership %s, round %d, base %d, ok %v%s", response.Disk, response.Kind, response.Round, response.Base, response.OK, describeMembership(response.Next))
 	case msg.Scan != nil:
 		return fmt.Sprintf("scan, round %d, membership %d", msg.Scan.Round, msg.Scan.Membership)
 	case msg.ScanResponse != nil:
@@ -120,13 +122,13 @@
 	return "message"
 }
 
-// describeProposal lists the voters of a membership, if one is given.
-func describeProposal(r *quorum.Membership) string {
-	if r == nil {
+// describeMembership returns the epoch and the voters of a membership, or "" for nil.
+func describeMembership(membership *quorum.Membership) string {
+	if membership == nil {
 		return ""
 	}
-	out := fmt.Sprintf(", membership %d of", r.Epoch)
-	for _, v := range r.Voters {
+	out := fmt.Sprintf(", membership %d of", membership.Epoch)
+	for _, v := range membership.Voters {
 		out += " " + string(v.Disk)
 		if !v.Counted {
 			out += " (not counted)"
@@ -135,7 +137,7 @@
 	return out
 }
 
-// describeRecord describes the version of a record.
+// describeRecord returns the ballot and the revision of a record.
 func describeRecord(record quorum.Record) string {
 	return fmt.Sprintf("ballot %d.%s revision %d", record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
 }
--- a/explore/cluster/disk.go
+++ b/explore/cluster/disk.go
@@ -7,25 +7,27 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// disk is what a member writes to.
+// disk is the storage of a member.
 type disk interface {
 	append(records []ring.Record) error
 	sync() error
-	// unsynced counts the writes that a loss of power may take.
+	// unsynced returns the number of writes that a power loss may drop.
 	unsynced() int
-	// lose takes the unsynced writes whose bit is not set.
-	lose(mask uint64) error
-	// open returns what a new process finds, and syncs it, as opening a ring does.
+	// dropUnsynced drops the unsynced writes whose bit in mask is not set.
+	dropUnsynced(mask uint64) error
+	// open returns the records that a new process recovers. Opening syncs the disk, like opening a
+	// ring.
 	open() ([]ring.Record, error)
-	// contents is what opening would find, without opening.
-	contents() []ring.Record
-	// state is all that a later step may depend on.
+	// peek returns the records that open would return, without opening or syncing the disk.
+	peek() []ring.Record
+	// state returns the state that later steps may depend on.
 	state() any
 }
 
-// plainDisk keeps records as they are: each unsynced one may be lost on its own. A ring loses
-// less, for it reads nothing after the first record that was lost. Invariant: Durable is the
-// newest synced record of each key; Pending are the records that no sync has covered, in order.
+// plainDisk stores records without a file format, so that each unsynced record may be lost
+// individually. A ring can end in fewer states, because recovery reads no record after the first
+// lost record. Invariant: Durable holds the newest synced record of each key; Pending holds the
+// unsynced records in the order of the writes.
 type plainDisk struct {
 	Durable map[string]string
 	Pending []ring.Record
@@ -48,7 +50,7 @@
 
 func (d *plainDisk) unsynced() int { return len(d.Pending) }
 
-func (d *plainDisk) lose(mask uint64) error {
+func (d *plainDisk) dropUnsynced(mask uint64) error {
 	for i, record := range d.Pending {
 		if keepsWrite(mask, i) {
 			d.Durable[record.Key] = string(record.Data)
@@ -60,17 +62,17 @@
 
 func (d *plainDisk) open() ([]ring.Record, error) {
 	_ = d.sync()
-	return d.contents(), nil
+	return d.peek(), nil
 }
 
-func (d *plainDisk) contents() []ring.Record {
+func (d *plainDisk) peek() []ring.Record {
 	newest := maps.Clone(d.Durable)
 	for _, record := range d.Pending {
 		newest[record.Key] = string(record.Data)
 	}
 	out := make([]ring.Record, 0, len(newest))
-	for _, tag := range slices.Sorted(maps.Keys(newest)) {
-		out = append(out, ring.Record{Key: tag, Data: []byte(newest[tag])})
+	for _, key := range slices.Sorted(maps.Keys(newest)) {
+		out = append(out, ring.Record{Key: key, Data: []byte(newest[key])})
 	}
 	return out
 }
--- a/explore/cluster/handle.go
+++ b/explore/cluster/handle.go
@@ -6,12 +6,12 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// handle serves a message; it returns the responses.
+// handle passes a message to the state machine concerned and returns the responses.
 func (c *Cluster) handle(m *member, from int, msg message.Message) []message.Message {
 	now := c.clock(m)
 	switch {
 	case msg.Request != nil:
-		return c.onRequest(m, *msg.Request)
+		return c.handleRequest(m, *msg.Request)
 	case msg.MembershipRequest != nil:
 		response, records, respond := m.membershipAcceptor.Step(*msg.MembershipRequest, c.aliveDisks(m))
 		c.checkWrite(m, m.appendRecords(records))
@@ -25,38 +25,38 @@
 	case msg.Response != nil:
 		c.applyEffects(m, m.proposer.Step(now, *msg.Response))
 	case msg.MembershipResponse != nil:
-		c.onMembershipResponse(m, *msg.MembershipResponse)
-	case msg.ScanResponse != nil && from == m.number && msg.ScanResponse.Round == m.awaitedRound:
-		m.copySynced(*msg.ScanResponse)
-	case msg.ScanResponse != nil && m.copyReader != nil && m.awaitedRound == 0:
+		c.handleMembershipResponse(m, *msg.MembershipResponse)
+	case msg.ScanResponse != nil && from == m.number && msg.ScanResponse.Round == m.copySyncRound:
+		m.handleCopySynced(*msg.ScanResponse)
+	case msg.ScanResponse != nil && m.copyReader != nil && m.copySyncRound == 0:
 		sends, done := m.copyReader.Step(now, *msg.ScanResponse)
 		c.sendScans(m, sends)
 		if done {
-			c.learnCopy(m)
+			c.mergeCopy(m)
 		}
 	}
 	return nil
 }
 
-// onRequest serves a request of a proposer.
-func (c *Cluster) onRequest(m *member, a quorum.Request) []message.Message {
+// handleRequest handles a request of a proposer.
+func (c *Cluster) handleRequest(m *member, request quorum.Request) []message.Message {
 	if _, in := m.membershipAcceptor.Current.Find(m.diskID); !in {
 		return nil
 	}
-	r, records, respond := m.registerAcceptor.Step(m.membershipAcceptor.Current.Epoch, a)
+	response, records, respond := m.registerAcceptor.Step(m.membershipAcceptor.Current.Epoch, request)
 	c.checkWrite(m, m.appendRecords(records))
 	if !respond {
 		return nil
 	}
-	return []message.Message{{Response: &r}}
+	return []message.Message{{Response: &response}}
 }
 
-// onMembershipResponse takes a response to the reconfigurer.
-func (c *Cluster) onMembershipResponse(m *member, r membership.Response) {
-	sends, next := m.reconfigurer.Step(c.clock(m), r)
+// handleMembershipResponse passes a response to the reconfigurer.
+func (c *Cluster) handleMembershipResponse(m *member, response membership.Response) {
+	sends, chosen := m.reconfigurer.Step(c.clock(m), response)
 	c.sendMembershipRequests(m, sends)
-	if next != nil {
-		c.membershipChosen(m, *next)
-		c.adoptMembership(m, *next)
+	if chosen != nil {
+		c.recordChosenMembership(m, *chosen)
+		c.adoptMembership(m, *chosen)
 	}
 }
--- a/explore/cluster/hash.go
+++ b/explore/cluster/hash.go
@@ -9,21 +9,20 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// stateFilter leaves out counters, which no step reads, and functions that are the same for
-// all members.
+// stateFilter omits counters, which no step reads, and functions that are the same for all members.
 var stateFilter = canon.NewFieldFilter(
 	canon.Skip[proposer.Proposer]("stateMachine", "LocalRecord", "Prepares", "Rounds", "Repaired", "AbandonedTerms", "PatchesSent", "PatchesRejected"),
 	canon.Skip[reconfiguration.Reconfigurer]("change"),
 	canon.Skip[ring.MemoryFile]("folder"),
 )
 
-// Hash identifies the state: all that a later step, choice or check may depend on.
+// Hash returns the hash of the state that later steps, choices and checks may depend on.
 func (c *Cluster) Hash() uint64 {
 	e := stateFilter.Encoder()
 	defer e.Release()
 	e.Now = c.now
 	e.Put(c.faultsUsed)
-	e.Put(c.cuts)
+	e.Put(c.cutLinks)
 	e.Put(c.chosenMemberships)
 	e.Put(c.diskCount)
 	e.Put(c.objects)
@@ -38,10 +37,11 @@
 	return e.Hash()
 }
 
-// putMember writes one member; times count from its own clock.
+// putMember writes the state of a member. The times in the state of its process are relative to the
+// member's own clock.
 func (c *Cluster) putMember(e *canon.Encoder, m *member) {
 	e.Now = c.now
-	e.Put([]bool{m.running, m.leaving, m.unheard})
+	e.Put([]bool{m.running, m.stopping, m.presumedDead})
 	e.Put(m.generation)
 	e.Put(m.diskID)
 	e.Put(m.store.state())
@@ -56,11 +56,11 @@
 	e.Put(m.proposer)
 	e.Put(m.reconfigurer)
 	e.Put(m.copyReader)
-	e.Put([]uint64{uint64(m.copiedAt), m.lastRound, m.awaitedRound})
+	e.Put([]uint64{uint64(m.copiedEpoch), m.lastRound, m.copySyncRound})
 	for _, envelope := range m.unsyncedResponses {
 		e.Put(envelope.id)
 	}
-	for _, tag := range slices.Sorted(slices.Values(sortedTags(m.operations))) {
-		e.Put(tag)
+	for _, ticket := range slices.Sorted(slices.Values(sortedTickets(m.operations))) {
+		e.Put(ticket)
 	}
 }
--- a/explore/cluster/inspect.go
+++ b/explore/cluster/inspect.go
@@ -10,33 +10,34 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// inspect reads, for every chosen membership that a majority could still serve, each key from
-// every majority, as the prepare of a new proposer would: what was acknowledged must be there.
-func (c *Cluster) inspect() {
+// checkMajorityReads reads each key from every majority of every chosen membership that could still
+// serve, like the prepare of a new proposer. Each such read must return the acknowledged state.
+func (c *Cluster) checkMajorityReads() {
 	newest := c.newestMembership().Epoch
 	for _, epoch := range slices.Sorted(maps.Keys(c.chosenMemberships)) {
-		r := c.chosenMemberships[epoch]
-		disks := c.serving(r, epoch == newest)
-		majorities := majorities(disks, majority(r))
+		membership := c.chosenMemberships[epoch]
+		disks := c.readableMembers(membership, epoch == newest)
+		majorities := majorities(disks, majority(membership))
 		for _, obj := range c.objects {
-			c.inspectObject(obj, majorities)
+			c.checkObject(obj, majorities)
 		}
 	}
 }
 
-// serving lists the members whose disks count in a membership and may still serve in it.
-func (c *Cluster) serving(r quorum.Membership, newest bool) []*member {
+// readableMembers returns the members whose disks are counted voters of a membership and may still
+// respond at the epoch of that membership.
+func (c *Cluster) readableMembers(membership quorum.Membership, newest bool) []*member {
 	var out []*member
-	for _, v := range r.Voters {
-		m := c.holderOf(v.Disk)
-		if v.Counted && m != nil && (newest || m.membershipAcceptor.Current.Epoch <= r.Epoch) {
+	for _, v := range membership.Voters {
+		m := c.memberWithDisk(v.Disk)
+		if v.Counted && m != nil && (newest || m.membershipAcceptor.Current.Epoch <= membership.Epoch) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// majorities lists every set of so many members.
+// majorities returns every subset of the members that has the given size.
 func majorities(members []*member, size int) [][]*member {
 	var out [][]*member
 	for mask := range 1 << len(members) {
@@ -54,27 +55,28 @@
 	return out
 }
 
-// inspectObject checks what each majority has of an object; equal records are checked once.
-func (c *Cluster) inspectObject(obj object, majorities [][]*member) {
-	var inspected []quorum.Record
-	for _, group := range majorities {
-		found := newestRecord(group, obj.key())
+// checkObject checks the record of an object that each majority read finds. Equal records are
+// checked once.
+func (c *Cluster) checkObject(obj object, majorities [][]*member) {
+	var checked []quorum.Record
+	for _, members := range majorities {
+		found := newestRecord(members, obj.key())
 		known := func(other quorum.Record) bool { return found.SameState(other) && bytes.Equal(found.Value, other.Value) }
-		if slices.ContainsFunc(inspected, known) {
+		if slices.ContainsFunc(checked, known) {
 			continue
 		}
-		inspected = append(inspected, found)
-		obj.inspect(c, found)
+		checked = append(checked, found)
+		obj.checkMajorityRead(c, found)
 	}
 }
 
-// newestRecord is what a prepare at these members would find.
-func newestRecord(group []*member, key ident.Key) quorum.Record {
-	var best quorum.Record
-	for _, m := range group {
-		if got := m.registerAcceptor.Peek(key); got.NewerThan(best) {
-			best = got
+// newestRecord returns the record that a prepare at the given members would find.
+func newestRecord(members []*member, key ident.Key) quorum.Record {
+	var newest quorum.Record
+	for _, m := range members {
+		if record := m.registerAcceptor.Peek(key); record.NewerThan(newest) {
+			newest = record
 		}
 	}
-	return best
+	return newest
 }
--- a/explore/cluster/join.go
+++ b/explore/cluster/join.go
@@ -8,68 +8,70 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// adoptMembership takes in a chosen membership, as a node does.
-func (c *Cluster) adoptMembership(m *member, r quorum.Membership) {
+// adoptMembership adopts a chosen membership, as a node does.
+func (c *Cluster) adoptMembership(m *member, chosen quorum.Membership) {
 	_, wasVoter := m.membershipAcceptor.Current.Find(m.diskID)
-	r.MajorityOverride = c.settings.quorumOverride()
-	records, newer := m.membershipAcceptor.Adopt(r)
+	chosen.MajorityOverride = c.settings.quorumOverride()
+	records, newer := m.membershipAcceptor.Adopt(chosen)
 	if !newer {
 		return
 	}
 	c.checkWrite(m, m.appendRecords(records))
-	m.reconfigurer.Adopted(r)
-	m.copyReader, m.awaitedRound = nil, 0
-	c.applyEffects(m, m.proposer.SetMembership(c.clock(m), r))
-	if _, isVoter := r.Find(m.diskID); wasVoter && !isVoter {
-		c.wipe(m)
+	m.reconfigurer.Adopted(chosen)
+	m.copyReader, m.copySyncRound = nil, 0
+	c.applyEffects(m, m.proposer.SetMembership(c.clock(m), chosen))
+	if _, isVoter := chosen.Find(m.diskID); wasVoter && !isVoter {
+		c.wipeDisk(m)
 	}
 }
 
-// wipe makes this a new disk: its slot was taken while it was away.
-func (c *Cluster) wipe(m *member) {
+// wipeDisk turns a member's disk into a new, empty disk, because another disk has taken its slot.
+func (c *Cluster) wipeDisk(m *member) {
 	var records []ring.Record
-	for _, tag := range m.registerAcceptor.RingKeys() {
-		records = append(records, ring.Record{Key: tag})
+	for _, key := range m.registerAcceptor.RingKeys() {
+		records = append(records, ring.Record{Key: key})
 	}
-	for _, tag := range sortedTags(m.operations) {
-		c.closeOperation(m.operations[tag])
+	for _, ticket := range sortedTickets(m.operations) {
+		c.completeOperation(m.operations[ticket])
 	}
 	m.operations = map[uint64]*clientOperation{}
 	c.assignDisk(m)
-	records = append(records, ring.Record{Key: diskTag, Data: []byte(m.diskID)}, m.membershipAcceptor.Record())
+	records = append(records, ring.Record{Key: diskIDKey, Data: []byte(m.diskID)}, m.membershipAcceptor.Record())
 	c.checkWrite(m, m.appendRecords(records))
-	c.beginRun(m)
+	c.initVolatileState(m)
 }
 
-// takeJoinStep takes the next step towards being counted, as a node does.
+// takeJoinStep takes a member's next step toward becoming a counted voter, as a node does.
 func (c *Cluster) takeJoinStep(m *member) {
-	now, r := c.clock(m), m.membershipAcceptor.Current
-	slot, isVoter := r.Find(m.diskID)
+	now, current := c.clock(m), m.membershipAcceptor.Current
+	slot, isVoter := current.Find(m.diskID)
 	self := quorum.Voter{Disk: m.diskID, Addr: m.addr()}
 	switch {
 	case isVoter && slot.Counted:
-	case isVoter && slot.Joining && !c.canGrow(m):
-		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.TakeSlot(self, maxVoters, false)))
-	case isVoter && m.copiedAt == r.Epoch:
-		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.PromoteVoter(m.diskID)))
+	case isVoter && slot.Joining && !c.canPromoteJoining(m):
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, current, reconfiguration.TakeSlot(self, maxVoters, false)))
+	case isVoter && m.copiedEpoch == current.Epoch:
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, current, reconfiguration.PromoteVoter(m.diskID)))
 	case isVoter && m.copyReader == nil:
 		m.lastRound++
-		m.copyReader = quorumread.New(m.lastRound, r, "", true, m.diskID)
+		m.copyReader = quorumread.New(m.lastRound, current, "", true, m.diskID)
 		c.sendScans(m, m.copyReader.Tick(now))
 	case !isVoter:
-		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, r, reconfiguration.TakeSlot(self, maxVoters, true)))
+		c.sendMembershipRequests(m, m.reconfigurer.Begin(now, current, reconfiguration.TakeSlot(self, maxVoters, true)))
 	}
 }
 
-// maxVoters is how many slots a membership has at most.
+// maxVoters is the maximum number of slots of a membership.
 const maxVoters = 5
 
-// canGrow tells whether a slot that has joined may be counted.
-func (c *Cluster) canGrow(m *member) bool {
+// canPromoteJoining reports whether a member in a new slot may become a counted voter: all voters
+// outside new slots must be healthy, and the number of voters must stay odd, alone or together with
+// another healthy member in a new slot.
+func (c *Cluster) canPromoteJoining(m *member) bool {
 	others := 0
 	for _, v := range m.membershipAcceptor.Current.Voters {
-		other := c.holderOf(v.Disk)
-		healthy := other != nil && other.running && !other.unheard && !other.leaving
+		other := c.memberWithDisk(v.Disk)
+		healthy := other != nil && other.running && !other.presumedDead && !other.stopping
 		switch {
 		case v.Joining && other != m && healthy:
 			others++
@@ -80,9 +82,10 @@
 	return m.membershipAcceptor.Current.Size()%2 == 0 || others > 0
 }
 
-// learnCopy takes in what a majority held. As in a node the copy is complete only once it is
-// synced: the message that says so waits behind its records.
-func (c *Cluster) learnCopy(m *member) {
+// mergeCopy writes the records that a majority held to the member's disk. As in a node, the copy is
+// complete only once the records are synced: a message of the member to itself, which waits for that
+// sync, reports the completion.
+func (c *Cluster) mergeCopy(m *member) {
 	copied := m.copyReader.Entries()
 	for _, k := range c.keys() {
 		if found, ok := copied[k]; ok {
@@ -90,15 +93,15 @@
 		}
 	}
 	m.lastRound++
-	m.awaitedRound = m.lastRound
-	synced := quorum.ScanResponse{Round: m.awaitedRound, Disk: m.diskID, Membership: m.copyReader.Membership.Epoch}
-	m.unsyncedResponses = append(m.unsyncedResponses, seal(m.number, m.number, message.Message{ScanResponse: &synced}))
+	m.copySyncRound = m.lastRound
+	synced := quorum.ScanResponse{Round: m.copySyncRound, Disk: m.diskID, Membership: m.copyReader.Membership.Epoch}
+	m.unsyncedResponses = append(m.unsyncedResponses, newEnvelope(m.number, m.number, message.Message{ScanResponse: &synced}))
 }
 
-// copySynced takes the message that the copy is synced.
-func (m *member) copySynced(r quorum.ScanResponse) {
-	m.awaitedRound = 0
-	if r.Membership == m.membershipAcceptor.Current.Epoch {
-		m.copiedAt, m.copyReader = r.Membership, nil
+// handleCopySynced handles the message that the copied records are synced.
+func (m *member) handleCopySynced(response quorum.ScanResponse) {
+	m.copySyncRound = 0
+	if response.Membership == m.membershipAcceptor.Current.Epoch {
+		m.copiedEpoch, m.copyReader = response.Membership, nil
 	}
 }
--- a/explore/cluster/lockobject.go
+++ b/explore/cluster/lockobject.go
@@ -12,10 +12,10 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// lockTTL is how long a lease lasts, in milliseconds.
+// lockTTL is the duration of a lease in milliseconds.
 const lockTTL = 1000
 
-// lockKinds holds the kinds of the operations on a lock by their names in traces.
+// lockKinds maps the names of the operations in traces to the kinds of the operations.
 var lockKinds = map[string]string{
 	"claim":   lock.AcquireKind,
 	"keep":    lock.AcquireKind,
@@ -23,47 +23,49 @@
 	"release": lock.ReleaseKind,
 }
 
-// grant is a lease as its client counts on it. Invariant: it counts from the sending of the
-// request, by a true clock, until the lease expires or the client releases it.
-type grant struct {
+// clientLease is a lease from the viewpoint of its client. Invariant: the client relies on the lease
+// until ExpiresAt, measured with a correct clock from the sending of the request, or until the
+// client sends a release.
+type clientLease struct {
 	Fence     uint64
 	ExpiresAt monotime.Time
 }
 
-// lockObject is one lock with the leases of its clients. Invariant: FenceHolder is the client
-// that was given each fencing token, HighestFence the highest of these.
+// lockObject is a lock with the leases of its clients, by client number. Invariant: FenceHolder maps
+// each issued fencing token to the client that received the token, and HighestFence is the highest
+// issued fencing token.
 type lockObject struct {
 	Index        int
-	Grants       map[int]grant
+	Leases       map[int]clientLease
 	FenceHolder  map[uint64]int
 	HighestFence uint64
 }
 
 func newLock(index int) object {
-	return &lockObject{Index: index, Grants: map[int]grant{}, FenceHolder: map[uint64]int{}}
+	return &lockObject{Index: index, Leases: map[int]clientLease{}, FenceHolder: map[uint64]int{}}
 }
 
 func (l *lockObject) key() ident.Key { return ident.Key(fmt.Sprintf("lock/%d", l.Index)) }
 
 func (l *lockObject) operations(cl *client) []string {
 	out := []string{"claim", "keep"}
-	if l.Grants[cl.number].Fence > 0 {
+	if l.Leases[cl.number].Fence > 0 {
 		out = append(out, "renew", "release")
 	}
 	return out
 }
 
 func (l *lockObject) prepare(op *clientOperation) (string, json.RawMessage) {
-	op.Floor = l.HighestFence
+	op.LowerBound = l.HighestFence
 	args := lock.Args{Holder: fmt.Sprintf("client%d", op.Client), TTL: lockTTL}
 	switch op.Name {
 	case "keep":
 		args.KeepToken = true
 	case "renew":
-		args.FencingToken = l.Grants[op.Client].Fence
+		args.FencingToken = l.Leases[op.Client].Fence
 	case "release":
-		args.FencingToken = l.Grants[op.Client].Fence
-		delete(l.Grants, op.Client) // from here on the client does not count on it
+		args.FencingToken = l.Leases[op.Client].Fence
+		delete(l.Leases, op.Client) // the client no longer relies on its lease
 	}
 	return lockKinds[op.Name], operation.Encode(args)
 }
@@ -72,36 +74,36 @@
 	if op.Name == "release" {
 		return
 	}
-	var given lock.Grant
-	_ = json.Unmarshal(out.Body, &given)
-	until := op.SentAt.Add(lockTTL * 1e6)
+	var granted lock.Grant
+	_ = json.Unmarshal(out.Body, &granted)
+	expiresAt := op.SentAt.Add(lockTTL * 1e6)
 	for _, cl := range c.clients {
-		other := l.Grants[cl.number]
-		if cl.number != op.Client && other.ExpiresAt.After(c.now) && until.After(c.now) {
-			c.violate(RuleMutualExclusion, "%s is held by client %d, fence %d, and client %d, fence %d", l.key(), cl.number, other.Fence, op.Client, given.FencingToken)
+		other := l.Leases[cl.number]
+		if cl.number != op.Client && other.ExpiresAt.After(c.now) && expiresAt.After(c.now) {
+			c.recordViolation(RuleMutualExclusion, "%s is held by client %d with fencing token %d and by client %d with fencing token %d", l.key(), cl.number, other.Fence, op.Client, granted.FencingToken)
 		}
 	}
-	if op.Name == "claim" && given.FencingToken <= op.Floor {
-		c.violate(RuleFencingToken, "%s: fence %d was given after %d", l.key(), given.FencingToken, op.Floor)
+	if op.Name == "claim" && granted.FencingToken <= op.LowerBound {
+		c.recordViolation(RuleFencingToken, "%s: fencing token %d was issued after fencing token %d", l.key(), granted.FencingToken, op.LowerBound)
 	}
-	if holder := l.FenceHolder[given.FencingToken]; holder != 0 && holder != op.Client {
-		c.violate(RuleFencingToken, "%s: fence %d was given to client %d and client %d", l.key(), given.FencingToken, holder, op.Client)
+	if holder := l.FenceHolder[granted.FencingToken]; holder != 0 && holder != op.Client {
+		c.recordViolation(RuleFencingToken, "%s: fencing token %d was issued to client %d and client %d", l.key(), granted.FencingToken, holder, op.Client)
 	}
-	l.FenceHolder[given.FencingToken] = op.Client
-	l.HighestFence = max(l.HighestFence, given.FencingToken)
-	l.Grants[op.Client] = grant{given.FencingToken, until}
+	l.FenceHolder[granted.FencingToken] = op.Client
+	l.HighestFence = max(l.HighestFence, granted.FencingToken)
+	l.Leases[op.Client] = clientLease{granted.FencingToken, expiresAt}
 }
 
 func (l *lockObject) rejected(op *clientOperation) {
 	if op.Name == "renew" {
-		delete(l.Grants, op.Client)
+		delete(l.Leases, op.Client)
 	}
 }
 
-func (l *lockObject) inspect(c *Cluster, found quorum.Record) {
+func (l *lockObject) checkMajorityRead(c *Cluster, found quorum.Record) {
 	var state lock.State
 	_ = json.Unmarshal(operation.State(found.Value), &state)
 	if state.FencingToken < l.HighestFence {
-		c.violate(RuleLostWrite, "a majority knows %s up to fence %d, %d was given", l.key(), state.FencingToken, l.HighestFence)
+		c.recordViolation(RuleLostWrite, "a majority read of %s returns fencing token %d, but fencing token %d was issued", l.key(), state.FencingToken, l.HighestFence)
 	}
 }
--- a/explore/cluster/member.go
+++ b/explore/cluster/member.go
@@ -14,18 +14,18 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// diskTag is the ring key of a disk's identifier.
-const diskTag = "disk"
+// diskIDKey is the ring key of a disk's identifier.
+const diskIDKey = "disk"
 
-// member is one core. Invariants: registerAcceptor and membershipAcceptor hold, while the process
-// is down, what its disk would give back; unsyncedResponses hold the responses that wait for a
-// sync.
+// member is one core. Invariants: while the process is down, registerAcceptor and membershipAcceptor
+// hold the state that opening the disk would recover; unsyncedResponses holds the responses that
+// wait for a sync.
 type member struct {
-	number     int // from 1
-	generation int // counts the starts of its process
-	running    bool
-	leaving    bool // a planned stop has begun
-	unheard    bool // the others take it for dead
+	number       int // from 1
+	generation   int // number of process starts
+	running      bool
+	stopping     bool // a planned stop has begun
+	presumedDead bool // by the other members, whether or not the member runs
 
 	store              disk
 	diskID             ident.Disk // empty before the first start
@@ -33,26 +33,26 @@
 	registerAcceptor   *acceptor.Acceptor
 	unsyncedResponses  []envelope
 
-	proposer     *proposer.Proposer
-	operations   map[uint64]*clientOperation // in flight, by tag
-	reconfigurer *reconfiguration.Reconfigurer
-	copyReader   *quorumread.Reader    // nil if no copy is in progress
-	copiedAt     ident.MembershipEpoch // the membership at which the copy was complete, 0 if it is not
-	lastRound    uint64
-	awaitedRound uint64 // the round of the message that a copy is synced, 0 if none is awaited
+	proposer      *proposer.Proposer
+	operations    map[uint64]*clientOperation // in flight, by ticket
+	reconfigurer  *reconfiguration.Reconfigurer
+	copyReader    *quorumread.Reader    // nil if no copy is in progress
+	copiedEpoch   ident.MembershipEpoch // epoch of the membership at which the copy was completed, 0 if no copy is complete
+	lastRound     uint64
+	copySyncRound uint64 // round of the awaited message that the copy is synced, 0 if none is awaited
 
 	clockOffset monotime.Duration
-	clockWatch  monotime.StepLimiter
+	stepLimiter monotime.StepLimiter
 }
 
 func (m *member) addr() ident.Addr { return ident.Addr(fmt.Sprintf("m%d", m.number)) }
 
 func (m *member) instance() string { return fmt.Sprintf("%s-%d", m.addr(), m.generation) }
 
-// counted tells whether the member runs and its disk counts.
+// counted reports whether the member runs and its disk is a counted voter.
 func (m *member) counted() bool { return m.running && m.membershipAcceptor.Current.IsCounted(m.diskID) }
 
-// appendRecords writes records without a sync.
+// appendRecords writes records to the disk without syncing the disk.
 func (m *member) appendRecords(records []ring.Record) error {
 	if len(records) == 0 {
 		return nil
@@ -60,7 +60,7 @@
 	return m.store.append(records)
 }
 
-// newDisk makes an empty disk.
+// newDisk returns an empty disk of the type that the settings ask for.
 func (c *Cluster) newDisk() disk {
 	if c.settings.Ring {
 		return newRingDisk(c.settings.Mutant == MutantLazySync)
@@ -68,42 +68,42 @@
 	return newPlainDisk()
 }
 
-// open reads the disk as a new process does; it tells whether that succeeded.
-func (c *Cluster) open(m *member) bool {
+// openDisk opens a member's disk as a new process does, and reports whether the disk was readable.
+func (c *Cluster) openDisk(m *member) bool {
 	records, err := m.store.open()
 	if err != nil {
-		c.violate(RuleDiskError, "m%d can't read its own disk: %v", m.number, err)
+		c.recordViolation(RuleDiskError, "m%d cannot open its own disk: %v", m.number, err)
 		return false
 	}
-	c.rebuild(m, records)
+	c.rebuildAcceptors(m, records)
 	return true
 }
 
-// reload gives a member that is down what its disk would give back. It does not open the disk,
-// for that would sync it.
-func (c *Cluster) reload(m *member) { c.rebuild(m, m.store.contents()) }
+// reloadDisk sets the acceptors of a stopped member to the state that its disk would recover. The
+// disk is not opened, because opening would sync the disk.
+func (c *Cluster) reloadDisk(m *member) { c.rebuildAcceptors(m, m.store.peek()) }
 
-// rebuild makes the acceptors from what was read.
-func (c *Cluster) rebuild(m *member, records []ring.Record) {
+// rebuildAcceptors restores the disk identifier and the acceptors of a member from the records.
+func (c *Cluster) rebuildAcceptors(m *member, records []ring.Record) {
 	m.diskID = ""
 	for _, record := range records {
-		if record.Key == diskTag {
+		if record.Key == diskIDKey {
 			m.diskID = ident.Disk(record.Data)
 		}
 	}
 	m.registerAcceptor, m.membershipAcceptor = acceptor.New(m.diskID), membership.New(m.diskID)
 	for _, record := range records {
-		if err := m.load(record); err != nil {
-			c.violate(RuleDiskError, "m%d can't read %s: %v", m.number, record.Key, err)
+		if err := m.loadRecord(record); err != nil {
+			c.recordViolation(RuleDiskError, "m%d cannot load record %s: %v", m.number, record.Key, err)
 		}
 	}
 	m.membershipAcceptor.Current.MajorityOverride = c.settings.quorumOverride()
 }
 
-// load takes one record into the acceptor that it belongs to.
-func (m *member) load(record ring.Record) error {
+// loadRecord loads a record into the acceptor that wrote the record.
+func (m *member) loadRecord(record ring.Record) error {
 	switch {
-	case len(record.Data) == 0, record.Key == diskTag:
+	case len(record.Data) == 0, record.Key == diskIDKey:
 		return nil
 	case record.Key == membership.RingKey:
 		return m.membershipAcceptor.Load(record.Data)
@@ -112,34 +112,35 @@
 	return err
 }
 
-// start starts a process from what the disk holds.
+// start starts a member's process from the content of the disk.
 func (c *Cluster) start(m *member) {
 	m.generation++
-	if !c.open(m) {
+	if !c.openDisk(m) {
 		return
 	}
-	m.running, m.leaving, m.unsyncedResponses, m.operations = true, false, nil, map[uint64]*clientOperation{}
+	m.running, m.stopping, m.unsyncedResponses, m.operations = true, false, nil, map[uint64]*clientOperation{}
 	if m.diskID == "" {
 		c.assignDisk(m)
-		c.checkWrite(m, m.appendRecords([]ring.Record{{Key: diskTag, Data: []byte(m.diskID)}}))
+		c.checkWrite(m, m.appendRecords([]ring.Record{{Key: diskIDKey, Data: []byte(m.diskID)}}))
 		c.checkWrite(m, m.store.sync())
 	}
-	m.clockWatch = monotime.StepLimiter{}
-	c.beginRun(m)
+	m.stepLimiter = monotime.StepLimiter{}
+	c.initVolatileState(m)
 }
 
-// assignDisk gives a member's disk a new identifier.
+// assignDisk assigns a new identifier to a member's disk and resets the acceptors, except for the
+// current membership.
 func (c *Cluster) assignDisk(m *member) {
 	c.diskCount++
 	m.diskID = ident.Disk(fmt.Sprintf("disk%d", c.diskCount))
-	now := m.membershipAcceptor.Current
+	current := m.membershipAcceptor.Current
 	m.registerAcceptor, m.membershipAcceptor = acceptor.New(m.diskID), membership.New(m.diskID)
-	m.membershipAcceptor.Current = now
+	m.membershipAcceptor.Current = current
 }
 
-// beginRun makes the parts of a process that hold nothing of the disk.
-func (c *Cluster) beginRun(m *member) {
-	m.reconfigurer, m.copyReader, m.copiedAt, m.awaitedRound = reconfiguration.New(m.diskID, m.instance()), nil, 0, 0
+// initVolatileState initializes the parts of a process whose state is not on the disk.
+func (c *Cluster) initVolatileState(m *member) {
+	m.reconfigurer, m.copyReader, m.copiedEpoch, m.copySyncRound = reconfiguration.New(m.diskID, m.instance()), nil, 0, 0
 	m.lastRound = ident.FirstRequestNumber(m.instance())
 	m.proposer = proposer.New(string(m.diskID)+"."+m.instance(), c.stateMachine)
 	m.proposer.LocalRecord = func(k ident.Key) quorum.Record { return m.registerAcceptor.Peek(k) }
@@ -151,39 +152,39 @@
 	m.proposer.SetMembership(c.clock(m), m.membershipAcceptor.Current)
 }
 
-// clock is what the member's steps are told: time that passed while it watched, unless the mutant
-// has an unwatched clock.
+// clock returns the time that is passed to the member's steps. A step limiter bounds the effect of
+// clock jumps, unless MutantClock is set.
 func (c *Cluster) clock(m *member) monotime.Time {
 	raw := c.now.Add(m.clockOffset)
 	if c.settings.Mutant == MutantClock {
 		return raw
 	}
-	return m.clockWatch.Observe(raw)
+	return m.stepLimiter.Observe(raw)
 }
 
-// kill ends the process; its operations in flight end with an unknown outcome.
+// kill ends a member's process. The operations in flight end with an unknown outcome.
 func (c *Cluster) kill(m *member) {
-	for _, tag := range sortedTags(m.operations) {
-		c.closeOperation(m.operations[tag])
+	for _, ticket := range sortedTickets(m.operations) {
+		c.completeOperation(m.operations[ticket])
 	}
-	m.running, m.leaving = false, false
+	m.running, m.stopping = false, false
 	m.unsyncedResponses, m.operations = nil, nil
 	m.proposer, m.reconfigurer, m.copyReader = nil, nil, nil
 }
 
-// aliveDisks lists the disks that a voter has lately heard.
+// aliveDisks returns the disks that a voter presumes alive, its own included.
 func (c *Cluster) aliveDisks(at *member) []ident.Disk {
 	out := []ident.Disk{at.diskID}
 	for _, m := range c.members {
-		if m != at && m.running && !m.unheard && !c.isCut(m.number, at.number) {
+		if m != at && m.running && !m.presumedDead && !c.isCut(m.number, at.number) {
 			out = append(out, m.diskID)
 		}
 	}
 	return out
 }
 
-// holderOf is the member that has a disk, nil if none has.
-func (c *Cluster) holderOf(d ident.Disk) *member {
+// memberWithDisk returns the member that has a disk, or nil if no member has the disk.
+func (c *Cluster) memberWithDisk(d ident.Disk) *member {
 	for _, m := range c.members {
 		if m.diskID == d && d != "" {
 			return m
@@ -192,9 +193,9 @@
 	return nil
 }
 
-// checkWrite notes that a write failed, which nothing here may cause.
+// checkWrite records a violation if a write failed: no modeled fault makes a write fail.
 func (c *Cluster) checkWrite(m *member, err error) {
 	if err != nil {
-		c.violate(RuleDiskError, "m%d can't write: %v", m.number, err)
+		c.recordViolation(RuleDiskError, "m%d cannot write to its own disk: %v", m.number, err)
 	}
 }
--- a/explore/cluster/network.go
+++ b/explore/cluster/network.go
@@ -12,16 +12,16 @@
 	"cottonarch.example/cottonarch/control/register/quorumread"
 )
 
-// envelope is one message in transit between two addresses. As in the daemon it goes to whichever
-// process is at the address when it is delivered. Invariant: id is the hash of the rest, so an
-// equal message that is sent again is the same one while the first is in transit.
+// envelope is a message in transit between two addresses. As in the daemon, the message goes to the
+// process that has the address at the time of delivery. Invariant: id is the hash of the other
+// fields, so an equal message that is sent while the first is in transit replaces the first.
 type envelope struct {
 	id       uint64
 	from, to int
 	msg      message.Message
 }
 
-func seal(from, to int, msg message.Message) envelope {
+func newEnvelope(from, to int, msg message.Message) envelope {
 	e := stateFilter.Encoder()
 	defer e.Release()
 	e.Put(from)
@@ -30,15 +30,15 @@
 	return envelope{e.Hash(), from, to, msg}
 }
 
-// isResponse tells whether the message is a response, which is delivered without an answer.
+// isResponse reports whether the message is a response, which needs no response itself.
 func (e envelope) isResponse() bool {
 	return e.msg.Response != nil || e.msg.MembershipResponse != nil || e.msg.ScanResponse != nil
 }
 
-// post puts a message in transit. A message of a member to itself is delivered at once if the
-// settings say so.
-func (c *Cluster) post(from, to int, msg message.Message) {
-	e := seal(from, to, msg)
+// enqueue puts a message in transit. With Settings.ImmediateSelfDelivery, a message of a member to
+// itself is queued for deliverSelfMessages instead.
+func (c *Cluster) enqueue(from, to int, msg message.Message) {
+	e := newEnvelope(from, to, msg)
 	if from == to && c.settings.ImmediateSelfDelivery {
 		c.selfMessages = append(c.selfMessages, e)
 		return
@@ -46,37 +46,37 @@
 	c.inTransit[e.id] = e
 }
 
-// deliverToSelf delivers what members sent to themselves.
-func (c *Cluster) deliverToSelf() {
+// deliverSelfMessages delivers the queued messages of members to themselves.
+func (c *Cluster) deliverSelfMessages() {
 	for len(c.selfMessages) > 0 {
 		e := c.selfMessages[0]
 		c.selfMessages = c.selfMessages[1:]
-		c.exchange(e)
+		c.deliverAndSync(e)
 	}
 }
 
-// messagesInTransit lists the messages in transit, in a fixed order.
+// messagesInTransit returns the messages in transit, sorted by hash.
 func (c *Cluster) messagesInTransit() []envelope {
 	return slices.SortedFunc(maps.Values(c.inTransit), func(a, b envelope) int { return cmp.Compare(a.id, b.id) })
 }
 
-// isCut tells whether the link from one member to another is cut.
-func (c *Cluster) isCut(from, to int) bool { return c.cuts[[2]int{from, to}] }
+// isCut reports whether the link from one member to another is cut.
+func (c *Cluster) isCut(from, to int) bool { return c.cutLinks[[2]int{from, to}] }
 
-// deliverable tells whether a message may arrive now.
+// deliverable reports whether a message may be delivered now.
 func (c *Cluster) deliverable(e envelope) bool {
 	return c.members[e.to-1].running && !c.isCut(e.from, e.to)
 }
 
-// exchange delivers a message, syncs what it wrote and delivers the responses at once.
-func (c *Cluster) exchange(e envelope) {
+// deliverAndSync delivers a message, syncs the resulting writes and delivers the responses at once.
+func (c *Cluster) deliverAndSync(e envelope) {
 	m := c.members[e.to-1]
 	responses := c.handle(m, e.from, e.msg)
 	if !e.isResponse() {
 		c.sync(m)
 	}
 	for _, msg := range responses {
-		response := seal(e.to, e.from, msg)
+		response := newEnvelope(e.to, e.from, msg)
 		if !c.deliverable(response) {
 			c.inTransit[response.id] = response
 			continue
@@ -85,56 +85,56 @@
 	}
 }
 
-// deliverUnsynced delivers a message and leaves the sync and the responses for later.
+// deliverUnsynced delivers a message. The responses wait for a later sync.
 func (c *Cluster) deliverUnsynced(e envelope) {
 	m := c.members[e.to-1]
 	for _, msg := range c.handle(m, e.from, e.msg) {
-		m.unsyncedResponses = append(m.unsyncedResponses, seal(e.to, e.from, msg))
+		m.unsyncedResponses = append(m.unsyncedResponses, newEnvelope(e.to, e.from, msg))
 	}
 }
 
-// sync syncs a member's disk and sends the responses that waited for it.
+// sync syncs a member's disk and sends the responses that waited for the sync.
 func (c *Cluster) sync(m *member) {
 	c.checkWrite(m, m.store.sync())
 	for _, e := range m.unsyncedResponses {
-		c.post(e.from, e.to, e.msg)
+		c.enqueue(e.from, e.to, e.msg)
 	}
 	m.unsyncedResponses = nil
 }
 
-// applyEffects carries out the effects of a proposer.
+// applyEffects applies the effects of a proposer: requests to send and outcomes of operations.
 func (c *Cluster) applyEffects(m *member, effects proposer.Effects) {
 	for _, s := range effects.Sends {
 		request := s.Request
 		if c.settings.Mutant == MutantReadRepair && request.Round == 0 {
 			continue
 		}
-		c.sendTo(m, s.To, message.Message{Request: &request})
+		c.sendToVoter(m, s.To, message.Message{Request: &request})
 	}
 	for _, out := range effects.Outcomes {
-		c.operationEnded(m, out)
+		c.handleOutcome(m, out)
 	}
 }
 
 func (c *Cluster) sendMembershipRequests(m *member, sends []reconfiguration.Send) {
 	for _, s := range sends {
 		request := s.Request
-		c.sendTo(m, s.To, message.Message{MembershipRequest: &request})
+		c.sendToVoter(m, s.To, message.Message{MembershipRequest: &request})
 	}
 }
 
 func (c *Cluster) sendScans(m *member, sends []quorumread.Send) {
 	for _, s := range sends {
 		scan := s.Scan
-		c.sendTo(m, s.To, message.Message{Scan: &scan})
+		c.sendToVoter(m, s.To, message.Message{Scan: &scan})
 	}
 }
 
-// sendTo sends a message to the address of a voter.
-func (c *Cluster) sendTo(m *member, v quorum.Voter, msg message.Message) {
+// sendToVoter sends a message to the address of a voter.
+func (c *Cluster) sendToVoter(m *member, v quorum.Voter, msg message.Message) {
 	for _, to := range c.members {
 		if to.addr() == v.Addr {
-			c.post(m.number, to.number, msg)
+			c.enqueue(m.number, to.number, msg)
 		}
 	}
 }
--- a/explore/cluster/object.go
+++ b/explore/cluster/object.go
@@ -8,7 +8,7 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// KeyKind is the kind of a control key.
+// KeyKind is the kind of a key of the control state.
 type KeyKind string
 
 // The kinds of key.
@@ -21,23 +21,24 @@
 	AuditKey    KeyKind = "audit"
 )
 
-// objectFactories make the object of each kind, for the key with an index.
+// objectFactories holds the constructor of each kind of object. The argument is the key's index.
 var objectFactories = map[KeyKind]func(int) object{
 	ValueKey: newValue, SequenceKey: newSequence, KeyspaceKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
 }
 
-// object is a control key with what its clients have learned of it.
+// object is a control key together with the results that the clients have received for the key. The
+// names of the types that implement object are part of the hash of a state.
 type object interface {
 	key() ident.Key
-	// operations lists what a client may ask for.
+	// operations returns the names of the operations that a client may send.
 	operations(c *client) []string
-	// prepare returns the kind and the arguments of an operation, and notes in it what its client
-	// may count on.
+	// prepare returns the kind and the arguments of an operation, and sets the operation's
+	// LowerBound.
 	prepare(op *clientOperation) (kind string, args json.RawMessage)
-	// succeeded checks the response to an operation that certainly took effect.
+	// succeeded checks and records the response to an operation that certainly took effect.
 	succeeded(c *Cluster, op *clientOperation, out proposer.Outcome)
-	// rejected notes that an operation certainly did not take effect.
+	// rejected records that an operation certainly did not take effect.
 	rejected(op *clientOperation)
-	// inspect checks what a majority read would find.
-	inspect(c *Cluster, found quorum.Record)
+	// checkMajorityRead checks the record that a majority read would find.
+	checkMajorityRead(c *Cluster, found quorum.Record)
 }
--- a/explore/cluster/ringdisk.go
+++ b/explore/cluster/ringdisk.go
@@ -5,20 +5,21 @@
 	"cottonarch.example/cottonarch/storage/ring"
 )
 
-// ringSettings are small: a run writes little, and each begins with empty disks.
+// ringSettings are small, because a run writes few records and begins with empty disks.
 var ringSettings = ring.Options{FileCount: 4, FileSize: 2 << 10}
 
-// ringDisk is the ring that the daemon uses, in memory. It is slower, and shows what recovery
-// makes of lost writes. The records of its plainDisk are those that the ring must hold.
+// ringDisk is the ring of the daemon on files in memory. A ringDisk is slower than a plainDisk, but
+// also exercises the recovery of a ring after lost writes. The embedded plainDisk holds the records
+// that the ring must hold.
 type ringDisk struct {
 	plainDisk
-	mem  *ring.MemoryFolder
-	ring *ring.Ring
-	lazy bool
+	folder   *ring.MemoryFolder
+	ring     *ring.Ring
+	lazySync bool
 }
 
-func newRingDisk(lazy bool) *ringDisk {
-	return &ringDisk{plainDisk: *newPlainDisk(), mem: ring.NewMemoryFolder(), lazy: lazy}
+func newRingDisk(lazySync bool) *ringDisk {
+	return &ringDisk{plainDisk: *newPlainDisk(), folder: ring.NewMemoryFolder(), lazySync: lazySync}
 }
 
 func (d *ringDisk) append(records []ring.Record) error {
@@ -31,11 +32,11 @@
 	return d.ring.Sync()
 }
 
-func (d *ringDisk) unsynced() int { return d.mem.UnsyncedWrites() }
+func (d *ringDisk) unsynced() int { return d.folder.UnsyncedWrites() }
 
-func (d *ringDisk) lose(mask uint64) error {
+func (d *ringDisk) dropUnsynced(mask uint64) error {
 	write := 0
-	d.mem.Crash(func(n int) int {
+	d.folder.Crash(func(n int) int {
 		write++
 		if keepsWrite(mask, write-1) {
 			return n
@@ -43,7 +44,7 @@
 		return 0
 	})
 	d.plainDisk = *newPlainDisk()
-	r, err := ring.Open(d.mem, ringSettings)
+	r, err := ring.Open(d.folder, ringSettings)
 	if err != nil {
 		return err
 	}
@@ -52,9 +53,9 @@
 }
 
 func (d *ringDisk) open() ([]ring.Record, error) {
-	var folder ring.Folder = d.mem
-	if d.lazy {
-		folder = mutant.LazySyncFolder{Folder: d.mem}
+	var folder ring.Folder = d.folder
+	if d.lazySync {
+		folder = mutant.LazySyncFolder{Folder: d.folder}
 	} else {
 		_ = d.plainDisk.sync()
 	}
@@ -66,11 +67,11 @@
 	return r.Records(), nil
 }
 
-// state includes the files if opening syncs nothing: then what a later loss takes depends on the
-// file that each record is in.
+// state includes the files if opening does not sync the ring: the records that a later power loss
+// drops then depend on the file of each record.
 func (d *ringDisk) state() any {
-	if d.lazy {
-		return []any{d.plainDisk, d.mem.Files}
+	if d.lazySync {
+		return []any{d.plainDisk, d.folder.Files}
 	}
 	return d.plainDisk
 }
--- a/explore/cluster/sequenceobject.go
+++ b/explore/cluster/sequenceobject.go
@@ -11,37 +11,37 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
-// sequenceObject is a sequence of rising numbers.
+// sequenceObject is a sequence that issues increasing numbers.
 type sequenceObject struct{ revisionedObject }
 
 func newSequence(index int) object { return &sequenceObject{newRevisionedObject(index)} }
 
-func (n *sequenceObject) key() ident.Key { return ident.Key(fmt.Sprintf("number/%d", n.Index)) }
+func (s *sequenceObject) key() ident.Key { return ident.Key(fmt.Sprintf("number/%d", s.Index)) }
 
-func (n *sequenceObject) operations(*client) []string { return []string{"next"} }
+func (s *sequenceObject) operations(*client) []string { return []string{"next"} }
 
-func (n *sequenceObject) prepare(op *clientOperation) (string, json.RawMessage) {
-	op.Floor = n.Floor
+func (s *sequenceObject) prepare(op *clientOperation) (string, json.RawMessage) {
+	op.LowerBound = s.NewestKnown
 	return sequence.NextKind, nil
 }
 
-func (n *sequenceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
-	var got sequence.State
-	_ = json.Unmarshal(out.Body, &got)
-	if holder, twice := n.Values[got.Last]; twice {
-		c.violate(RuleRepeatedNumber, "number %d was given to %s and %s", got.Last, holder, op.Content)
+func (s *sequenceObject) succeeded(c *Cluster, op *clientOperation, out proposer.Outcome) {
+	var state sequence.State
+	_ = json.Unmarshal(out.Body, &state)
+	if holder, twice := s.Values[state.Last]; twice {
+		c.recordViolation(RuleRepeatedNumber, "number %d was issued to operations %s and %s", state.Last, holder, op.Content)
 	}
-	if got.Last <= op.Floor {
-		c.violate(RuleRepeatedNumber, "number %d was given after %d", got.Last, op.Floor)
+	if state.Last <= op.LowerBound {
+		c.recordViolation(RuleRepeatedNumber, "number %d was issued after number %d", state.Last, op.LowerBound)
 	}
-	n.Values[got.Last] = op.Content
-	n.Floor = max(n.Floor, got.Last)
+	s.Values[state.Last] = op.Content
+	s.NewestKnown = max(s.NewestKnown, state.Last)
 }
 
-func (n *sequenceObject) inspect(c *Cluster, found quorum.Record) {
-	var got sequence.State
-	_ = json.Unmarshal(operation.State(found.Value), &got)
-	if got.Last < n.Floor {
-		c.violate(RuleLostWrite, "a majority knows %s up to %d, %d was given", n.key(), got.Last, n.Floor)
+func (s *sequenceObject) checkMajorityRead(c *Cluster, found quorum.Record) {
+	var state sequence.State
+	_ = json.Unmarshal(operation.State(found.Value), &state)
+	if state.Last < s.NewestKnown {
+		c.recordViolation(RuleLostWrite, "a majority read of %s returns number %d, but number %d was issued", s.key(), state.Last, s.NewestKnown)
 	}
 }
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -1,7 +1,7 @@
-// Package cluster runs the state machines of several cores, the same that the daemons run, under
-// an adversary that chooses the order of messages, faults and the passing of time. Each member
-// has a proposer, an acceptor of the register and one of the membership, a reconfigurer, and a
-// ring on a disk that loses what was not synced.
+// Package cluster runs the state machines of several cores, the same code that the daemons run,
+// under an adversary that chooses the order of messages, the faults and the advance of time. Each
+// member has a proposer, a register acceptor, a membership acceptor, a reconfigurer and a disk that
+// may lose unsynced writes.
 package cluster
 
 import (
@@ -13,36 +13,39 @@
 	"cottonarch.example/cottonarch/sim/mutant"
 )
 
-// Fault is a kind of fault that the adversary may choose.
+// Fault is a kind of fault that the adversary may inject.
 type Fault string
 
-// The kinds of fault. Each is bounded by its number in Settings.Faults. A message that is
-// delayed behind any number of others needs no fault: its delivery is itself a choice, and may
-// never come.
+// The kinds of fault. Settings.Faults bounds the number of faults of each kind. Delayed and
+// reordered messages need no fault: the delivery of each message is a choice of its own, which may
+// be made at any later time or never.
 const (
-	// DelayedSync delivers a message whose writes are synced, and whose response is delivered, later
-	// by choices of their own.
+	// DelayedSync delivers a message. Later, separate choices sync the writes of the message and
+	// deliver the response.
 	DelayedSync Fault = "late"
 	// MessageDuplication delivers a message and leaves a copy of it in transit.
 	MessageDuplication Fault = "double"
-	// MessageLoss takes a message out of transit.
+	// MessageLoss drops a message in transit.
 	MessageLoss Fault = "lost"
-	// Crash ends a process; what it wrote stays, also unsynced.
+	// Crash ends a process. All writes survive, including unsynced writes.
 	Crash Fault = "crash"
-	// PowerLoss ends a process and lets each unsynced write be kept or lost.
+	// PowerLoss ends a process. Any subset of the unsynced writes may be lost.
 	PowerLoss Fault = "power"
-	// DiskLoss ends a process and takes its disk: it comes back as a new, empty member.
+	// DiskLoss ends a process and replaces its disk with an empty disk, so that the member returns
+	// as a new member.
 	DiskLoss Fault = "empty"
-	// PlannedStop begins a planned stop.
+	// PlannedStop begins a planned stop: the member accepts no new operations and ends once its
+	// operations in flight have ended.
 	PlannedStop Fault = "leave"
-	// LinkCut and OneWayLinkCut cut the link between two members, in both directions or one.
+	// LinkCut cuts the link between two members in both directions, OneWayLinkCut in one direction.
 	LinkCut       Fault = "cut"
 	OneWayLinkCut Fault = "cut-one-way"
-	// PresumedDead makes the other members presume that a running member is dead.
+	// PresumedDead makes the other members presume that a running member is dead, as if its
+	// heartbeats were lost. All other messages of the member are still delivered.
 	PresumedDead Fault = "silent"
 	// ClockJump moves a member's clock forward by an hour.
 	ClockJump Fault = "jump"
-	// Resend sends a proposal again that was sent before.
+	// Resend makes a client send its last proposal again.
 	Resend Fault = "again"
 	// TimeAdvance advances the time; without messages, only time changes the state of the members.
 	TimeAdvance Fault = "wait"
@@ -50,69 +53,75 @@
 	AcceptorStateLoss Fault = "forget"
 )
 
-// Faults lists the kinds that may be given a number.
+// Faults returns the kinds of fault that settings may allow.
 func Faults() []Fault {
 	return []Fault{DelayedSync, MessageDuplication, MessageLoss, Crash, PowerLoss, DiskLoss, PlannedStop, LinkCut, OneWayLinkCut, PresumedDead, ClockJump, Resend, TimeAdvance}
 }
 
-// Mutant names a rule that is broken on purpose, as in the simulator.
+// Mutant names a deliberate defect, as in mutation testing, that the invariants must detect. The
+// simulator uses the same names.
 type Mutant string
 
-// The mutants that are not handlers of operations; those are in sim/mutant.
+// The mutants that do not replace handlers of operations. Package sim/mutant has the mutants that
+// replace handlers.
 const (
-	MutantQuorum     Mutant = "quorum"    // one response passes for a majority
-	MutantAcceptor   Mutant = "replica"   // acceptors forget what they accepted
-	MutantClock      Mutant = "clock"     // leases are measured by a clock that may jump
-	MutantReadRepair Mutant = "mend"      // copies are not repaired
-	MutantLazySync   Mutant = "soft"      // opening a ring does not sync it
-	MutantStop       Mutant = "stop"      // planned stops wait for nothing
-	MutantOutcome    Mutant = "cell-fate" // unknown outcomes pass for rejections
+	MutantQuorum     Mutant = "quorum"    // one response counts as a majority
+	MutantAcceptor   Mutant = "replica"   // acceptors may lose the accepted state
+	MutantClock      Mutant = "clock"     // leases are measured with a clock that may jump
+	MutantReadRepair Mutant = "mend"      // reads do not repair outdated copies
+	MutantLazySync   Mutant = "soft"      // opening a ring does not sync the ring
+	MutantStop       Mutant = "stop"      // planned stops do not wait for operations in flight
+	MutantOutcome    Mutant = "cell-fate" // unknown outcomes are reported as rejections
 )
 
-// Settings say what is explored. Traces hold them.
+// Settings configure a cluster to explore. Traces store the settings.
 type Settings struct {
-	// Members is how many founders there are, Spares how many more may join.
+	// Members is the number of founders, Spares the number of further members that may join.
 	Members, Spares int
-	// Keys are the kinds of the keys that clients use.
+	// Keys holds the kind of each key that the clients use.
 	Keys []KeyKind
-	// Clients is how many clients there are, Operations how many operations each may ask for.
+	// Clients is the number of clients, Operations the maximum number of operations per client.
 	Clients    int
 	Operations int `json:"Deeds"`
-	// Proposers is how many members, from the first on, take operations.
+	// Proposers is the number of members that accept operations, beginning with the first member.
 	Proposers int `json:"Owners"`
-	// Waits are the spans by which time may pass.
-	Waits  []time.Duration
+	// Waits holds the durations by which TimeAdvance may advance the time.
+	Waits []time.Duration
+	// Faults holds the maximum number of faults of each kind.
 	Faults map[Fault]int
 	// ImmediateSelfDelivery delivers the messages of a member to itself at once.
 	ImmediateSelfDelivery bool `json:"Instant"`
-	// Ring has members write to the daemon's ring rather than to a plain list of records.
-	Ring   bool
+	// Ring makes members write to the ring of the daemon instead of a list of records.
+	Ring bool
+	// Mutant is the deliberate defect of the cluster; empty means no defect.
 	Mutant Mutant `json:"Break"`
 }
 
-// Factory returns a maker of clusters with these settings.
+// Factory returns a factory of clusters with these settings.
 func (s Settings) Factory() search.Factory {
 	machine := mutant.Handlers(string(s.Mutant), historyRetention)
-	return func() search.System { return assemble(s, machine) }
+	return func() search.System { return newCluster(s, machine) }
 }
 
-// Validate returns what is wrong with settings that were read from a file, nil if nothing is.
+// Validate returns an error if settings that were read from a file are invalid.
 func (s Settings) Validate() *failure.Error {
 	if s.Members < 1 || s.Members+s.Spares > maxMembers || s.Clients < 1 || s.Clients > maxClients {
-		return failure.New(failure.BadSettings, "a cluster has 1 to %d members and 1 to %d clients", maxMembers, maxClients)
+		return failure.New(failure.BadSettings, "a cluster must have 1 to %d members, spares included, and 1 to %d clients", maxMembers, maxClients)
 	}
 	for _, kind := range s.Keys {
 		if objectFactories[kind] == nil {
-			return failure.New(failure.BadSettings, "there is no kind of key %q", kind)
+			return failure.New(failure.BadSettings, "unknown kind of key %q", kind)
 		}
 	}
 	return nil
 }
 
-// maxMembers and maxClients bound a cluster.
+// maxMembers is the maximum number of members, including spares, and maxClients the maximum number
+// of clients.
 const maxMembers, maxClients = 6, 16
 
-// quorumOverride is the number of responses that stands in for a majority, 0 if none does.
+// quorumOverride returns the number of responses that replaces the majority, or 0 for the true
+// majority.
 func (s Settings) quorumOverride() int {
 	if s.Mutant == MutantQuorum {
 		return 1
@@ -120,7 +129,7 @@
 	return 0
 }
 
-// faultLimit is how many faults of a kind are allowed.
+// faultLimit returns the maximum number of faults of a kind.
 func (s Settings) faultLimit(f Fault) int {
 	if f == AcceptorStateLoss && s.Mutant == MutantAcceptor {
 		return 2
@@ -128,5 +137,5 @@
 	return s.Faults[f]
 }
 
-// majority is the true majority of a membership, whatever stands in for it.
-func majority(r quorum.Membership) int { return r.Size()/2 + 1 }
+// majority returns the true majority of a membership, without regard to MajorityOverride.
+func majority(membership quorum.Membership) int { return membership.Size()/2 + 1 }
--- a/explore/cluster/settle.go
+++ b/explore/cluster/settle.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// settleRounds is how many rounds of messages and time the end of a run has, and
-	// settleInterval how long each is: together longer than any round may be in flight.
+	// settleRounds is the maximum number of settling rounds and settleInterval the duration of each
+	// settling round. Their product exceeds the time that a round of a proposer may be in flight.
 	settleRounds   = 16
 	settleInterval = 200 * time.Millisecond
-	// repairAttempts is how often a read is sent whose term is lost to messages that were in
-	// transit.
+	// repairAttempts is how often a read with repair is sent. A read fails if its proposer loses the
+	// term to messages that were still in transit.
 	repairAttempts = 3
-	// maxDeliveries bounds the messages of one round.
+	// maxDeliveries is the maximum number of messages delivered in a settling round.
 	maxDeliveries = 500
 )
 
-// Settle ends the run without further faults: all members start, all messages arrive, time
-// passes. Then every key must be readable, and a read with repair must leave all copies alike.
+// Settle ends the run without further faults: all members start, all messages are delivered, and the
+// time advances. Then every key must be readable, and all copies must be equal after a read with
+// repair.
 func (c *Cluster) Settle() {
 	if c.violation != nil {
 		return
 	}
 	c.healLinks()
 	for _, m := range c.members {
-		if m.leaving {
+		if m.stopping {
 			c.crash(m)
 		}
 		if !m.running && m.generation > 0 {
@@ -38,20 +39,20 @@
 	c.repairAll()
 }
 
-// runRounds runs rounds until done says so, or as many as the end of a run has.
+// runRounds runs settling rounds until done returns true, at most settleRounds.
 func (c *Cluster) runRounds(done func() bool) {
 	for range settleRounds {
 		c.deliverAll()
 		if c.violation != nil || done() {
 			return
 		}
-		c.spreadMembership()
-		c.passTime(settleInterval)
+		c.propagateMembership()
+		c.advanceTime(settleInterval)
 	}
 	c.deliverAll()
 }
 
-// deliverAll delivers all messages.
+// deliverAll delivers messages until none is deliverable, at most maxDeliveries.
 func (c *Cluster) deliverAll() {
 	for range maxDeliveries {
 		sent := false
@@ -65,8 +66,8 @@
 				continue
 			}
 			delete(c.inTransit, e.id)
-			c.exchange(e)
-			c.deliverToSelf()
+			c.deliverAndSync(e)
+			c.deliverSelfMessages()
 			sent = true
 			break
 		}
@@ -76,18 +77,18 @@
 	}
 }
 
-// spreadMembership announces the newest membership in force to all, and has those join that do
-// not count.
-func (c *Cluster) spreadMembership() {
+// propagateMembership announces newer memberships to the members that lack them, and makes the
+// members that are not counted voters take their next join step.
+func (c *Cluster) propagateMembership() {
 	for _, choice := range c.membershipChoices() {
-		if choice.Kind == announceKind && c.members[choice.Member-1].membershipAcceptor.Current.Epoch > c.members[choice.Other-1].membershipAcceptor.Current.Epoch || choice.Kind == joinKind && c.memberOf(choice).reconfigurer.Idle() {
+		if choice.Kind == announceKind && c.members[choice.Member-1].membershipAcceptor.Current.Epoch > c.members[choice.Other-1].membershipAcceptor.Current.Epoch || choice.Kind == joinKind && c.memberFor(choice).reconfigurer.Idle() {
 			c.Apply(choice)
 		}
 	}
 }
 
-// quiescent tells whether no client waits and every running member counts in the newest
-// membership.
+// quiescent reports whether no client waits for a response and every running member is a counted
+// voter of the newest membership.
 func (c *Cluster) quiescent() bool {
 	for _, cl := range c.clients {
 		if cl.pending != nil {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// repairAll reads every key with repair and compares the copies.
+// repairAll sends a read with repair for every key and compares the copies of the key.
 func (c *Cluster) repairAll() {
 	for _, k := range c.keys() {
 		if c.violation != nil || !c.repair(k) {
@@ -112,65 +113,67 @@
 	}
 }
 
-// repair sends a read with repair to the first member that counts; it tells whether that
-// succeeded.
+// repair sends a read with repair to the serving member and reports whether the read succeeded.
 func (c *Cluster) repair(k ident.Key) bool {
 	server := c.servingMember()
 	if server == nil {
-		c.notServing("no member counts")
+		c.reportUnavailable("no running member is a counted voter")
 		return false
 	}
 	for range repairAttempts {
-		c.lastTag++
-		tag := c.lastTag
-		c.repairTag = tag
-		c.applyEffects(server, server.proposer.Submit(c.clock(server), proposer.Operation{Ticket: tag, Key: k, Kind: proposer.Repair}))
-		c.deliverToSelf()
-		c.runRounds(func() bool { return c.repairTag != tag })
-		if c.repairTag != tag || c.violation != nil {
+		c.lastTicket++
+		ticket := c.lastTicket
+		c.repairTicket = ticket
+		c.applyEffects(server, server.proposer.Submit(c.clock(server), proposer.Operation{Ticket: ticket, Key: k, Kind: proposer.Repair}))
+		c.deliverSelfMessages()
+		c.runRounds(func() bool { return c.repairTicket != ticket })
+		if c.repairTicket != ticket || c.violation != nil {
 			return c.violation == nil
 		}
 	}
-	c.notServing("%s can't be read after all faults have ended", k)
+	c.reportUnavailable("%s cannot be read after all faults have ended", k)
 	return false
 }
 
-// notServing notes that the cluster does not serve though it should.
-func (c *Cluster) notServing(format string, args ...any) {
+// reportUnavailable records that the cluster is unavailable, unless the faults may have taken a
+// majority.
+func (c *Cluster) reportUnavailable(format string, args ...any) {
 	if !c.majorityLost {
-		c.violate(RuleUnavailable, format, args...)
+		c.recordViolation(RuleUnavailable, format, args...)
 	}
 }
 
-// checkCopies checks that all disks that count hold what the term of the repairing read holds as
-// chosen. A key without a chosen value is left out: what an abandoned term left of it on a
-// minority stays there until the key's first write.
+// checkCopies checks that every counted disk holds the record that the term of the repairing read
+// holds as chosen. A key without a chosen value is not checked: a record that an abandoned term left
+// on a minority stays there until the first write of the key.
 func (c *Cluster) checkCopies(k ident.Key) {
-	for range 3 { // a copy behind a stray promise is repaired by the term above it
+	// A disk that has promised a higher ballot rejects the repair. A term with a ballot above the
+	// promised ballot then repairs the copy, which takes further rounds.
+	for range 3 {
 		c.deliverAll()
-		c.passTime(settleInterval)
+		c.advanceTime(settleInterval)
 	}
 	server := c.servingMember()
 	if server == nil {
 		return
 	}
-	chosen, held := server.proposer.Peek(k)
-	if !held || chosen.Revision == 0 {
+	chosen, ok := server.proposer.Peek(k)
+	if !ok || chosen.Revision == 0 {
 		return
 	}
 	for _, v := range server.membershipAcceptor.Current.Voters {
-		m := c.holderOf(v.Disk)
+		m := c.memberWithDisk(v.Disk)
 		if !v.Counted || m == nil || !m.running || m.membershipAcceptor.Current.Epoch != server.membershipAcceptor.Current.Epoch {
 			continue
 		}
-		if got := m.registerAcceptor.Peek(k); !got.SameState(chosen) {
-			c.violate(RuleNotRepaired, "m%d has %s at %s, what is chosen is %s", m.number, k, describeRecord(got), describeRecord(chosen))
+		if held := m.registerAcceptor.Peek(k); !held.SameState(chosen) {
+			c.recordViolation(RuleNotRepaired, "m%d has %s at %s, the chosen record is at %s", m.number, k, describeRecord(held), describeRecord(chosen))
 		}
 	}
 }
 
-// servingMember is a member that counts in the newest membership that any member is at, nil if
-// none does. A newer one may be chosen without anyone knowing.
+// servingMember returns the first of the counted members with the newest membership, or nil if no
+// member is counted. A newer membership may have been chosen without any member having learned so.
 func (c *Cluster) servingMember() *member {
 	var best *member
 	for _, m := range c.members {
