--- a/cmd/idlecost/main.go
+++ b/cmd/idlecost/main.go
@@ -36,7 +36,7 @@
 		Zones:             flags.Zones,
 		Voters:            flags.Voters,
 		Keys:              flags.Keys,
-		Settle:            flags.Settle,
+		SettleTime:        flags.Settle,
 		Window:            flags.Window,
 		HeartbeatInterval: flags.HeartbeatInterval,
 		VaryLoad:          flags.VaryLoad,
