--- a/capacity/fit/fit.go
+++ b/capacity/fit/fit.go
@@ -10,9 +10,9 @@
 // Point is a figure Y that was measured at the size X.
 type Point struct{ X, Y float64 }
 
-// Line is Y = Intercept + Coefficient·X^Exponent. Invariants: neither Intercept nor
+// Curve is Y = Intercept + Coefficient·X^Exponent. Invariants: neither Intercept nor
 // Coefficient is negative, so that no figure falls as the size grows; Exponent is 0, 1 or 2.
-type Line struct {
+type Curve struct {
 	Exponent         float64 `json:"power"`
 	Intercept        float64 `json:"a"`
 	Coefficient      float64 `json:"b"`
@@ -23,10 +23,10 @@
 }
 
 // ValueAt is the line's figure at a size.
-func (l Line) ValueAt(x float64) float64 { return l.Intercept + l.Coefficient*math.Pow(x, l.Exponent) }
+func (l Curve) ValueAt(x float64) float64 { return l.Intercept + l.Coefficient*math.Pow(x, l.Exponent) }
 
 // Slope is the line's derivative at a size: what one more adds.
-func (l Line) Slope(x float64) float64 {
+func (l Curve) Slope(x float64) float64 {
 	if l.Exponent == 0 {
 		return 0
 	}
@@ -34,7 +34,7 @@
 }
 
 // Formula shows the line as text, with n for the size.
-func (l Line) Formula() string {
+func (l Curve) Formula() string {
 	switch l.Exponent {
 	case 0:
 		return fmt.Sprintf("%.3g", l.Intercept)
@@ -51,11 +51,11 @@
 // error is below maxErrorRatio times that of the best simpler one.
 var forms = []struct{ exponent, maxErrorRatio float64 }{{0, 1}, {1, 0.75}, {2, 0.5}}
 
-// BestLine fits every form and chooses the simplest that no more complex one is clearly
+// BestCurve fits every form and chooses the simplest that no more complex one is clearly
 // better than. It is false when there are fewer points than MinPoints.
-func BestLine(points []Point) (Line, bool) {
+func BestCurve(points []Point) (Curve, bool) {
 	if len(points) < MinPoints {
-		return Line{}, false
+		return Curve{}, false
 	}
 	best := fitExponent(points, forms[0].exponent)
 	for _, form := range forms[1:] {
@@ -100,7 +100,7 @@
 const reweightingRounds = 4
 
 // fitExponent fits a line with the given exponent by iteratively reweighted least squares.
-func fitExponent(points []Point, exponent float64) Line {
+func fitExponent(points []Point, exponent float64) Curve {
 	l := leastSquares(points, exponent, weights(points, measuredValue))
 	for range reweightingRounds {
 		l = leastSquares(points, exponent, weights(points, func(p Point) float64 { return l.ValueAt(p.X) }))
@@ -111,13 +111,13 @@
 // leastSquares fits a line with the given exponent by weighted linear least squares. It gives
 // a constant where the figures do not grow, and a line through the origin where the intercept
 // would be negative.
-func leastSquares(points []Point, exponent float64, pointWeights []float64) Line {
+func leastSquares(points []Point, exponent float64, pointWeights []float64) Curve {
 	var w, wx, wy, wxx, wxy float64
 	for i, p := range points {
 		weight, x := pointWeights[i], math.Pow(p.X, exponent)
 		w, wx, wy, wxx, wxy = w+weight, wx+weight*x, wy+weight*p.Y, wxx+weight*x*x, wxy+weight*x*p.Y
 	}
-	flat := Line{Exponent: 0, Intercept: wy / w}
+	flat := Curve{Exponent: 0, Intercept: wy / w}
 	if exponent == 0 {
 		return flat
 	}
@@ -125,7 +125,7 @@
 	if determinant <= 0 {
 		return flat
 	}
-	l := Line{Exponent: exponent, Intercept: (wy*wxx - wx*wxy) / determinant, Coefficient: (w*wxy - wx*wy) / determinant}
+	l := Curve{Exponent: exponent, Intercept: (wy*wxx - wx*wxy) / determinant, Coefficient: (w*wxy - wx*wy) / determinant}
 	switch {
 	case l.Coefficient <= 0:
 		return flat
@@ -137,7 +137,7 @@
 
 // relativeRMS is the root of the mean square of the relative errors. A small constant is
 // added, so that of two forms that both fit almost perfectly the simpler is taken.
-func (l Line) relativeRMS(points []Point) (sum float64) {
+func (l Curve) relativeRMS(points []Point) (sum float64) {
 	for i, w := range weights(points, measuredValue) {
 		d := l.ValueAt(points[i].X) - points[i].Y
 		sum += d * d * w
--- a/capacity/fit/fit_test.go
+++ b/capacity/fit/fit_test.go
@@ -21,7 +21,7 @@
 		"too small to see once": {[]Point{{10, 0}, {20, 2}, {40, 4}, {80, 8}}, 1, 60, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, ok := BestLine(c.points)
+			l, ok := BestCurve(c.points)
 			must.True(t, ok)
 			must.Eq(t, c.exponent, l.Exponent)
 			must.GreaterEq(t, 0, l.Intercept)
@@ -30,6 +30,6 @@
 			must.Eq(t, 80, l.MaxSize)
 		})
 	}
-	_, ok := BestLine([]Point{{10, 1}, {20, 2}, {40, 4}})
+	_, ok := BestCurve([]Point{{10, 1}, {20, 2}, {40, 4}})
 	must.False(t, ok)
 }
--- a/capacity/meter/meter_test.go
+++ b/capacity/meter/meter_test.go
@@ -137,11 +137,11 @@
 }
 
 func TestUsageGrows(t *testing.T) {
-	a, m := ProcessUsage(), MachineTicks()
+	a, m := ProcessUsage(), ReadCPUTicks()
 	must.Positive(t, a.ResidentBytes)
 	must.Positive(t, m.Total)
 	must.GreaterEq(t, a.ReadAt, Now())
 	must.GreaterEq(t, a.CPUSeconds, ProcessUsage().CPUSeconds)
-	must.Eq(t, 0.25, UsedShare(Ticks{100, 50}, Ticks{200, 125}))
-	must.Eq(t, 0, UsedShare(m, m))
+	must.Eq(t, 0.25, CPUUtilization(CPUTicks{100, 50}, CPUTicks{200, 125}))
+	must.Eq(t, 0, CPUUtilization(m, m))
 }
--- a/capacity/meter/usage.go
+++ b/capacity/meter/usage.go
@@ -24,9 +24,9 @@
 	PeakBytes     float64 `json:"peak"`   // most that were ever resident
 }
 
-// Ticks is the time of all processors of this machine since its start, and the part of it
+// CPUTicks is the time of all processors of this machine since its start, and the part of it
 // that they were idle, in the system's clock ticks.
-type Ticks struct{ Total, Idle float64 }
+type CPUTicks struct{ Total, Idle float64 }
 
 // Fields of the first line of /proc/stat (proc_stat(5)), counted from its label.
 const (
@@ -35,8 +35,8 @@
 	statSteal  = 8 // the fields after it are guests' time, which user time holds already
 )
 
-// MachineTicks reads the processor time of the whole machine, zero if it can't be read.
-func MachineTicks() (ticks Ticks) {
+// ReadCPUTicks reads the processor time of the whole machine, zero if it can't be read.
+func ReadCPUTicks() (ticks CPUTicks) {
 	raw, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return ticks
@@ -55,9 +55,9 @@
 	return ticks
 }
 
-// UsedShare is the part of all processors that was used between two readings, 0 if the clock
+// CPUUtilization is the part of all processors that was used between two readings, 0 if the clock
 // did not advance between them.
-func UsedShare(before, after Ticks) float64 {
+func CPUUtilization(before, after CPUTicks) float64 {
 	if after.Total <= before.Total {
 		return 0
 	}
--- a/capacity/report/rows.go
+++ b/capacity/report/rows.go
@@ -18,7 +18,7 @@
 	Load     string
 	Name     string
 	Points   []fit.Point
-	Line     *fit.Line
+	Line     *fit.Curve
 	AtTarget float64 // the line's value at the target's size
 	Skipped  int     // points left out because the machine was crowded or stalled
 }
@@ -121,7 +121,7 @@
 
 // fit fits a line, if there are enough points.
 func (r *Row) fit(targetNodes int) {
-	if line, ok := fit.BestLine(r.Points); ok {
+	if line, ok := fit.BestCurve(r.Points); ok {
 		r.Line, r.AtTarget = &line, line.ValueAt(float64(targetNodes))
 	}
 }
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -160,7 +160,7 @@
 // Reading is what all processes and the machine had used at an instant.
 type Reading struct {
 	ReadAt       int64
-	MachineTicks meter.Ticks
+	MachineTicks meter.CPUTicks
 	Cores        []process.Response
 	FirstNode    process.Response   // of the process of node 0
 	SharedNodes  []process.Response // of the other processes that hold nodes
@@ -182,7 +182,7 @@
 		return reading, err
 	}
 	reading.FirstNode, reading.SharedNodes = nodes[0], nodes[1:]
-	reading.ReadAt, reading.MachineTicks = meter.Now(), meter.MachineTicks()
+	reading.ReadAt, reading.MachineTicks = meter.Now(), meter.ReadCPUTicks()
 	return reading, nil
 }
 
--- a/capacity/workload/usage.go
+++ b/capacity/workload/usage.go
@@ -40,7 +40,7 @@
 func (r *Run) usageBetween(before, after testbed.Reading) usage {
 	u := usage{
 		seconds:    float64(after.ReadAt-before.ReadAt) / float64(time.Second),
-		machineCPU: meter.UsedShare(before.MachineTicks, after.MachineTicks),
+		machineCPU: meter.CPUUtilization(before.MachineTicks, after.MachineTicks),
 		counters:   map[string]int64{},
 	}
 	nodeIP := r.Target.NodeIP(0)
