--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -127,7 +127,7 @@
 		FaultInterval: app.Every,
 
 		OverlappingFaults: app.Overlap,
-		AbandonShare:        app.Leave,
+		AbandonShare:      app.Leave,
 		LongShare:         app.Long,
 
 		Seed:  app.Seed,
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -34,7 +34,7 @@
 	// OverlappingFaults are injected in turn beside Faults. The two series must not act on the same
 	// processes.
 	OverlappingFaults []string
-	AbandonShare        float64 // share of the clients' requests that are given up, 0 to 1
+	AbandonShare      float64 // share of the clients' requests that are given up, 0 to 1
 	LongShare         float64 // share of the requests that take endpoint.LongWorkTime, at least the usual
 	Seed              uint64  // of the random choices
 	Scale             float64 // factor on the deployment's request rates
--- a/fleet/run/run_test.go
+++ b/fleet/run/run_test.go
@@ -82,7 +82,7 @@
 		Seed:              soakSeed,
 		Faults:            []string{"side-stop", "side-kill"},
 		OverlappingFaults: []string{"endpoint-replace", "manifest-storm", "endpoint-late-beat", "burst", "endpoint-reuse"},
-		AbandonShare:        0.5,
+		AbandonShare:      0.5,
 		LongShare:         0.1,
 	})
 	must.Greater(t, 50, f.Checker.Observed[ruleWorkForLeft])
