--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -127,7 +127,7 @@
 		FaultInterval: flags.FaultInterval,
 
 		OverlappingFaults: flags.OverlappingFaults,
-		LeaveShare:        flags.AbandonShare,
+		AbandonShare:      flags.AbandonShare,
 		LongShare:         flags.LongShare,
 
 		Seed:  flags.Seed,
