--- a/fleet/linkproxy/network.go
+++ b/fleet/linkproxy/network.go
@@ -1,5 +1,5 @@
-// Package linkproxy puts TCP proxies between the processes of a test fleet, so that the
-// links between them can be cut in either direction.
+// Package linkproxy places TCP proxies between the processes of a test fleet, so that tests can cut
+// each direction of the links between the processes.
 package linkproxy
 
 import (
@@ -14,16 +14,16 @@
 
 const (
 	dialTimeout = time.Second
-	// cutTimeout is how long bytes wait on a cut link before their connection is reset.
+	// cutTimeout is how long data waits on a cut link before the connection is reset.
 	cutTimeout = time.Minute
 	bufferSize = 32 << 10
 )
 
-// link is one direction between two machines, each named by its IP.
+// link is one direction between two machines, which are identified by their IPs.
 type link struct{ from, to string }
 
-// Network is all proxies of one fleet. Invariant: while a link is cut no byte passes on it;
-// what was sent meanwhile waits, as it would in TCP.
+// Network holds the proxies of a fleet. Invariant: no byte passes over a cut link. Data sent over a
+// cut link waits, like unacknowledged data in TCP.
 type Network struct {
 	mu          sync.Mutex
 	cutLinks    map[link]bool
@@ -32,11 +32,11 @@
 	connections map[net.Conn]bool
 	closed      bool
 
-	done    chan struct{}  // closed by Close
-	running sync.WaitGroup // accept loops and the connections that they forward
+	done       chan struct{}  // closed by Close
+	goroutines sync.WaitGroup // accept loops and forwarded connections
 }
 
-// New makes a network without proxies, whose links are all whole.
+// New returns a network without proxies and without cut links.
 func New() *Network {
 	return &Network{
 		cutLinks:    map[link]bool{},
@@ -46,7 +46,7 @@
 	}
 }
 
-// SetCut cuts or heals one direction between two IPs.
+// SetCut cuts or heals the link from one IP to another.
 func (n *Network) SetCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,53 +62,56 @@
 	n.wakeWaiters()
 }
 
-// wakeWaiters lets those that wait on a cut link check it again. The caller holds mu.
+// wakeWaiters makes the goroutines that wait on a cut link check the link again. The caller holds
+// mu.
 func (n *Network) wakeWaiters() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// isCut tells whether a link is cut; changed is closed when that may differ.
+// isCut reports whether a link is cut. The channel changed is closed when the set of cut links
+// changes.
 func (n *Network) isCut(l link) (cut bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cutLinks[l], n.changed
 }
 
-// Listen opens a proxy at addr for the process that listens at processAddr.
+// Listen starts a proxy that listens on addr and forwards connections to the process that listens on
+// processAddr.
 func (n *Network) Listen(addr, processAddr string) error {
 	to, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "link proxy")
+		return failure.Wrap(err, failure.Internal, "parse the address of a link proxy")
 	}
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "link proxy")
+		return failure.Wrap(err, failure.Internal, "start a link proxy")
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		_ = listener.Close()
-		return failure.Wrap(net.ErrClosed, failure.Internal, "link proxy")
+		return failure.Wrap(net.ErrClosed, failure.Internal, "start a link proxy on "+addr)
 	}
 	n.listeners = append(n.listeners, listener)
-	n.running.Go(func() { n.acceptLoop(listener, to, processAddr) })
+	n.goroutines.Go(func() { n.acceptLoop(listener, to, processAddr) })
 	return nil
 }
 
-// acceptLoop forwards each connection of a listener until that is closed.
+// acceptLoop forwards each connection of a listener until the listener is closed.
 func (n *Network) acceptLoop(listener net.Listener, to, processAddr string) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		n.running.Go(func() { n.forward(connection, to, processAddr) })
+		n.goroutines.Go(func() { n.forward(connection, to, processAddr) })
 	}
 }
 
-// forward carries one connection to the process at processAddr until both directions have
-// ended. to is the IP of the process's machine.
+// forward forwards a connection to the process at processAddr until both directions have ended. to
+// is the IP of the machine of the process.
 func (n *Network) forward(inbound net.Conn, to, processAddr string) {
 	from, _, err := net.SplitHostPort(inbound.RemoteAddr().String())
 	if err != nil {
@@ -117,7 +120,7 @@
 	}
 	outbound, err := net.DialTimeout("tcp", processAddr, dialTimeout)
 	if err != nil {
-		reset(inbound) // as if the process that is down had been dialled itself
+		reset(inbound) // as if the client had dialed the stopped process directly
 		return
 	}
 	if !n.track(inbound, outbound) {
@@ -133,7 +136,8 @@
 	n.untrack(inbound, outbound)
 }
 
-// track notes connections that Close is to close, and tells whether the network is still open.
+// track registers connections for Close to close. track returns false, without registering the
+// connections, if the network is closed.
 func (n *Network) track(connections ...net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,6 +150,7 @@
 	return true
 }
 
+// untrack removes connections that track has registered.
 func (n *Network) untrack(connections ...net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -154,11 +159,12 @@
 	}
 }
 
-// pipe copies one direction of a connection until it ends. An orderly end of the source is
-// passed on as one; anything else resets both connections. Both wait while the link is cut.
+// pipe copies one direction of a connection until the source ends. pipe forwards the end of the
+// stream as a half-close of the target, and resets both connections on any other error. Data, the
+// half-close and the reset wait while the link is cut.
 func (n *Network) pipe(source, target net.Conn, l link) {
 	err := n.copyUntilEnd(source, target, l)
-	n.waitHealed(l)
+	n.waitUntilHealed(l)
 	if errors.Is(err, io.EOF) {
 		if tcp, ok := target.(*net.TCPConn); ok {
 			_ = tcp.CloseWrite()
@@ -169,15 +175,15 @@
 	reset(target)
 }
 
-// copyUntilEnd copies until a read or a write fails and returns that error, io.EOF when the
-// source has ended in an orderly way.
+// copyUntilEnd copies until a read or a write fails and returns the error, which is io.EOF at the
+// end of the source's stream.
 func (n *Network) copyUntilEnd(source, target net.Conn, l link) error {
 	buffer := make([]byte, bufferSize)
 	for {
 		size, err := source.Read(buffer)
 		if size > 0 {
-			if !n.waitHealed(l) {
-				return errStayedCut
+			if !n.waitUntilHealed(l) {
+				return errLinkCut
 			}
 			if _, err := target.Write(buffer[:size]); err != nil {
 				return err
@@ -189,12 +195,13 @@
 	}
 }
 
-// errStayedCut ends a connection whose link was not healed within cutTimeout, or before Close.
-var errStayedCut = failure.New(failure.DeadlineExceeded, "the link stayed cut for %v", cutTimeout)
+// errLinkCut is the error of a connection whose link was not healed within cutTimeout or before
+// Close.
+var errLinkCut = failure.New(failure.DeadlineExceeded, "the link was not healed within %v", cutTimeout)
 
-// waitHealed waits while the link is cut, and tells whether it was healed: false after cutTimeout,
-// and when the network is closed meanwhile.
-func (n *Network) waitHealed(l link) bool {
+// waitUntilHealed waits while the link is cut and returns true once the link is not cut.
+// waitUntilHealed returns false after cutTimeout, or if the network is closed while the link is cut.
+func (n *Network) waitUntilHealed(l link) bool {
 	timeout := time.NewTimer(cutTimeout)
 	defer timeout.Stop()
 	for {
@@ -212,7 +219,7 @@
 	}
 }
 
-// reset closes a connection so that its other end sees a reset rather than an orderly end.
+// reset closes a connection with a TCP reset instead of a FIN.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -220,14 +227,15 @@
 	_ = connection.Close()
 }
 
-// Close ends every proxy and its connections, and waits until their goroutines have ended.
+// Close closes all proxies and their connections, and waits for the goroutines of the network to
+// end.
 func (n *Network) Close() {
-	n.closeAll()
-	n.running.Wait()
+	n.closeConnections()
+	n.goroutines.Wait()
 }
 
-// closeAll closes the listeners and the connections, once.
-func (n *Network) closeAll() {
+// closeConnections closes the listeners and the connections. Further calls have no effect.
+func (n *Network) closeConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
--- a/fleet/linkproxy/network_test.go
+++ b/fleet/linkproxy/network_test.go
@@ -17,8 +17,8 @@
 	serverIP = "127.0.31.2"
 )
 
-// startEcho starts a process that echoes lines, behind a proxy, and returns the proxy's address.
-func startEcho(t *testing.T, n *Network) string {
+// startEchoServer starts an echo server behind a proxy and returns the address of the proxy.
+func startEchoServer(t *testing.T, n *Network) string {
 	listener, err := net.Listen("tcp", serverIP+":0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -37,18 +37,19 @@
 	return openProxy(t, n, listener.Addr().String())
 }
 
-// openProxy opens a proxy at a free port for a process at an address.
+// openProxy starts a proxy on a free port for the process at processAddr and returns the address of
+// the proxy.
 func openProxy(t *testing.T, n *Network, processAddr string) string {
-	free, err := net.Listen("tcp", serverIP+":0")
+	listener, err := net.Listen("tcp", serverIP+":0")
 	must.NoError(t, err)
-	addr := free.Addr().String()
-	must.NoError(t, free.Close())
+	addr := listener.Addr().String()
+	must.NoError(t, listener.Close())
 	must.NoError(t, n.Listen(addr, processAddr))
 	t.Cleanup(n.Close)
 	return addr
 }
 
-// dialer dials from the client's IP, by which the network knows the link.
+// dialer returns a dialer that uses clientIP, because the network identifies a link by its IPs.
 func dialer() *net.Dialer { return &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(clientIP)}} }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -58,8 +59,8 @@
 	return connection
 }
 
-// nextLine reads a line in the background.
-func nextLine(connection net.Conn) <-chan string {
+// readLine reads a line in a goroutine and returns a channel that receives the line.
+func readLine(connection net.Conn) <-chan string {
 	line := make(chan string, 1)
 	go func() {
 		text, _ := bufio.NewReader(connection).ReadString('\n')
@@ -68,22 +69,22 @@
 	return line
 }
 
-// What is sent while either direction is cut arrives once it is healed, and not before.
+// Data sent while either direction is cut must arrive after the link is healed, and not earlier.
 func TestCutDelaysUntilHealed(t *testing.T) {
 	for _, cut := range []link{{clientIP, serverIP}, {serverIP, clientIP}} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
 			n := New()
-			connection := dial(t, startEcho(t, n))
+			connection := dial(t, startEchoServer(t, n))
 			_, err := io.WriteString(connection, "first\n")
 			must.NoError(t, err)
-			must.Eq(t, "first\n", <-nextLine(connection))
+			must.Eq(t, "first\n", <-readLine(connection))
 			n.SetCut(cut.from, cut.to, true)
 			_, err = io.WriteString(connection, "second\n")
 			must.NoError(t, err)
-			line := nextLine(connection)
+			line := readLine(connection)
 			select {
 			case <-line:
-				t.Fatal("a byte passed on a cut link")
+				t.Fatal("data passed over a cut link")
 			case <-time.After(50 * time.Millisecond):
 			}
 			n.Heal()
@@ -92,13 +93,13 @@
 	}
 }
 
-// Close ends a connection whose bytes wait on a cut link, and does not wait until the link is healed.
-func TestCloseEndsWhatWaits(t *testing.T) {
+// Close must end a connection whose data waits on a cut link, without waiting for the link to heal.
+func TestCloseEndsDelayedConnections(t *testing.T) {
 	n := New()
-	connection := dial(t, startEcho(t, n))
+	connection := dial(t, startEchoServer(t, n))
 	_, err := io.WriteString(connection, "first\n")
 	must.NoError(t, err)
-	must.Eq(t, "first\n", <-nextLine(connection))
+	must.Eq(t, "first\n", <-readLine(connection))
 	n.SetCut(clientIP, serverIP, true)
 	_, err = io.WriteString(connection, "second\n")
 	must.NoError(t, err)
@@ -110,16 +111,16 @@
 	select {
 	case <-closed:
 	case <-time.After(cutTimeout / 2):
-		t.Fatal("Close waits for the cut link")
+		t.Fatal("Close waits for the cut link to heal")
 	}
 	_, err = connection.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.ErrorIs(t, n.Listen(serverIP+":0", serverIP+":1"), net.ErrClosed)
 }
 
-// The end of a connection is passed on in both directions.
-func TestOrderlyEnd(t *testing.T) {
-	connection := dial(t, startEcho(t, New()))
+// The proxy must forward the end of the stream in both directions.
+func TestHalfCloseIsForwarded(t *testing.T) {
+	connection := dial(t, startEchoServer(t, New()))
 	_, err := io.WriteString(connection, "last\n")
 	must.NoError(t, err)
 	must.NoError(t, connection.(*net.TCPConn).CloseWrite())
@@ -128,8 +129,9 @@
 	must.Eq(t, "last\n", string(rest))
 }
 
-// The dialler of a process that is down sees a reset, as it dials or afterwards.
-func TestProcessDown(t *testing.T) {
+// A client that connects to a stopped process must see a reset, either from the dial or from the
+// first read.
+func TestConnectionToStoppedProcessIsReset(t *testing.T) {
 	listener, err := net.Listen("tcp", serverIP+":0")
 	must.NoError(t, err)
 	must.NoError(t, listener.Close())
--- a/fleet/process/process.go
+++ b/fleet/process/process.go
@@ -1,4 +1,4 @@
-// Package process starts, signals and queries one real cottonarch process of a test fleet.
+// Package process starts, signals and queries the cottonarch processes of a test fleet.
 package process
 
 import (
@@ -15,46 +15,46 @@
 )
 
 const (
-	// killTimeout is how long Kill waits until the process has ended.
+	// killTimeout is the maximum time that Kill waits for the process to end.
 	killTimeout = 5 * time.Second
-	// settingsFlag names the settings file. It is the flag's oldest form, which every release
-	// reads: a fleet may start an older one.
+	// settingsFlag is the flag for the settings file. --boot is the oldest name of the flag, which
+	// every release accepts: a fleet may start an older release.
 	settingsFlag = "--boot"
 )
 
-// Process is one daemon with its settings file, its log file and its data folder. It can be
-// started again after it has ended.
+// Process is a daemon with its settings file, log file and data folder. A Process that has ended can
+// be started again.
 type Process struct {
 	Name       string
 	Role       string // subcommand of the program: core or sidecar
 	IP         string
-	Addr       string // address that the mesh uses; a link proxy listens there
-	ListenAddr string // address that the process itself listens on
-	ClientAddr string // listener for the machine's own clients; sidecars only
+	Addr       string // address that the mesh uses, on which a link proxy listens
+	ListenAddr string // address that the process listens on
+	ClientAddr string // address that a sidecar listens on for clients on its machine
 	DataDir    string
-	ExitCode   int // of the newest run that has ended
+	ExitCode   int // of the latest run that has ended
 
-	settingsFile string
-	logFile      string
+	settingsPath string
+	logPath      string
 
 	mu     sync.Mutex // guards the fields below and ExitCode
 	binary string
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when the newest run has ended; nil before the first
+	exited chan struct{} // closed when the latest run has ended; nil before the first start
 }
 
-// FreeAddr finds an address with a free port on an IP. Another process may take the port
-// before the caller binds it.
+// FreeAddr returns an address with a free port on an IP. Another process may take the port before
+// the caller binds the port.
 func FreeAddr(ip string) (string, error) {
 	listener, err := net.Listen("tcp", ip+":0")
 	if err != nil {
-		return "", failure.Wrap(err, failure.Internal, "free port")
+		return "", failure.Wrap(err, failure.Internal, "find a free port on "+ip)
 	}
 	defer func() { _ = listener.Close() }()
 	return listener.Addr().String(), nil
 }
 
-// New prepares a process whose files lie in dir. It is not started.
+// New returns a process whose files are in dir. New does not start the process.
 func New(binary, dir, name, role, ip string) *Process {
 	return &Process{
 		Name:         name,
@@ -62,42 +62,42 @@
 		IP:           ip,
 		DataDir:      filepath.Join(dir, name+".data"),
 		binary:       binary,
-		settingsFile: filepath.Join(dir, name+".json"),
-		logFile:      filepath.Join(dir, name+".log"),
+		settingsPath: filepath.Join(dir, name+".json"),
+		logPath:      filepath.Join(dir, name+".log"),
 	}
 }
 
-// SetBinary sets the program that the next Start runs.
+// SetBinary sets the path of the program that the next Start runs.
 func (p *Process) SetBinary(binary string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.binary = binary
 }
 
-// WriteSettings writes the settings file that the next Start reads. settings is a
-// CoreSettings or a SidecarSettings.
+// WriteSettings writes the settings file, which the process reads at its next start. The settings
+// are CoreSettings or SidecarSettings.
 func (p *Process) WriteSettings(settings any) error {
 	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "settings of "+p.Name)
+		return failure.Wrap(err, failure.Internal, "encode the settings of "+p.Name)
 	}
-	return failure.Wrap(os.WriteFile(p.settingsFile, raw, 0o644), failure.Internal, "settings of "+p.Name)
+	return failure.Wrap(os.WriteFile(p.settingsPath, raw, 0o644), failure.Internal, "write the settings of "+p.Name)
 }
 
-// Start starts the process. Its output is appended to the log file.
+// Start starts the process. The output of the process is appended to the log file.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	logFile, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "log of "+p.Name)
+		return failure.Wrap(err, failure.Internal, "open the log file of "+p.Name)
 	}
-	cmd := exec.Command(p.binary, p.Role, settingsFlag, p.settingsFile)
+	cmd := exec.Command(p.binary, p.Role, settingsFlag, p.settingsPath)
 	cmd.Stdout, cmd.Stderr = logFile, logFile
 	p.cmd = cmd
 	if err := cmd.Start(); err != nil {
 		_ = logFile.Close()
-		return failure.Wrap(err, failure.Internal, "start of "+p.Name)
+		return failure.Wrap(err, failure.Internal, "start "+p.Name)
 	}
 	exited := make(chan struct{})
 	p.exited = exited
@@ -112,24 +112,25 @@
 	return nil
 }
 
-func (p *Process) signal(s syscall.Signal) {
+func (p *Process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
-		_ = p.cmd.Process.Signal(s)
+		_ = p.cmd.Process.Signal(sig)
 	}
 }
 
-// exit is closed when the newest run has ended; it is nil before the first.
-func (p *Process) exit() <-chan struct{} {
+// exitedChannel returns a channel that is closed when the latest run has ended, or nil before the
+// first start.
+func (p *Process) exitedChannel() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Wait waits until the process has ended and tells whether it has within the timeout.
+// Wait waits for the process to end and reports whether the process ended within the timeout.
 func (p *Process) Wait(timeout time.Duration) bool {
-	exited := p.exit()
+	exited := p.exitedChannel()
 	if exited == nil {
 		return true
 	}
@@ -141,14 +142,14 @@
 	}
 }
 
-// Kill ends the process at once (SIGKILL) and waits until it has ended.
+// Kill sends SIGKILL to the process and waits for the process to end.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	p.Wait(killTimeout)
 }
 
-// Stop asks the process to end (SIGTERM), as the platform does for planned work, and tells
-// whether it has within the timeout.
+// Stop sends SIGTERM to the process, as the platform does for planned work, and reports whether the
+// process ended within the timeout.
 func (p *Process) Stop(timeout time.Duration) bool {
 	p.signal(syscall.SIGTERM)
 	return p.Wait(timeout)
@@ -160,7 +161,7 @@
 // Resume resumes a suspended process (SIGCONT).
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// PID is the process id of the newest run, 0 before the first.
+// PID returns the process ID of the latest run, or 0 before the first start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,9 +174,9 @@
 // RemoveData deletes the data folder.
 func (p *Process) RemoveData() error { return os.RemoveAll(p.DataDir) }
 
-// Running tells whether the process has been started and has not ended.
+// Running reports whether the process has been started and has not ended.
 func (p *Process) Running() bool {
-	exited := p.exit()
+	exited := p.exitedChannel()
 	if exited == nil {
 		return false
 	}
--- a/fleet/process/request.go
+++ b/fleet/process/request.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Polling of a process that starts.
+// The polling of a process that is starting.
 const (
 	pollInterval = 20 * time.Millisecond
-	pollTimeout  = 300 * time.Millisecond // of one request
+	pollTimeout  = 300 * time.Millisecond // of each request
 )
 
 var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: 2 * time.Second}}
 
-// Request sends an HTTP request to the process itself, past the link proxy, and decodes the
-// JSON of the response into result unless that is nil. It returns the HTTP status, 0 when
-// there was no response.
+// Request sends an HTTP request directly to the process, bypassing the link proxy, and decodes the
+// JSON body of the response into result unless result is nil. Request returns the HTTP status, or 0
+// if there was no response.
 func (p *Process) Request(timeout time.Duration, method, path string, body io.Reader, result any) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -38,19 +38,20 @@
 	}
 	if result != nil {
 		if err := json.Unmarshal(raw, result); err != nil {
-			return response.StatusCode, fmt.Errorf("%s: %w", raw, err)
+			return response.StatusCode, fmt.Errorf("decode the response %q to %s %s: %w", raw, method, path, err)
 		}
 	}
 	return response.StatusCode, nil
 }
 
-// WaitReady polls until the process reports that it is ready, and tells whether it has
-// within the timeout.
+// WaitReady polls the readiness endpoint and reports whether the process became ready within the
+// timeout.
 func (p *Process) WaitReady(timeout time.Duration) bool { return p.pollUntilOK("/ready", timeout) }
 
-// WaitLive polls until the process listens, and tells whether it does within the timeout.
+// WaitLive polls the liveness endpoint and reports whether the process responded within the timeout.
 func (p *Process) WaitLive(timeout time.Duration) bool { return p.pollUntilOK("/live", timeout) }
 
+// pollUntilOK polls a path until the response is 200 OK or the timeout has passed.
 func (p *Process) pollUntilOK(path string, timeout time.Duration) bool {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/fleet/process/settings.go
+++ b/fleet/process/settings.go
@@ -1,7 +1,7 @@
 package process
 
-// CoreSettings is the settings file of a core, as far as test fleets set it. A field that is
-// left empty takes the daemon's default.
+// CoreSettings is the part of a core's settings file that test fleets use. The daemon's default
+// applies to optional fields that are empty.
 type CoreSettings struct {
 	Address     string   `json:"address"`
 	Listen      string   `json:"listen,omitempty"`
@@ -14,8 +14,8 @@
 	RingFiles   int      `json:"ringFiles,omitempty"`
 }
 
-// SidecarSettings is the settings file of a sidecar, as far as test fleets set it. A field
-// that is left empty takes the daemon's default.
+// SidecarSettings is the part of a sidecar's settings file that test fleets use. The daemon's
+// default applies to optional fields that are empty.
 type SidecarSettings struct {
 	Node        string   `json:"node"`
 	Address     string   `json:"address"`
@@ -24,6 +24,6 @@
 	Zone        string   `json:"district"`
 	Seeds       []string `json:"seeds"`
 	StopSeconds int      `json:"stopS,omitempty"`
-	// ServerIDHeader is the header by which endpoints tell their id when they are asked for their health.
+	// ServerIDHeader is the response header in which endpoints return their ID to health checks.
 	ServerIDHeader string `json:"serverIdHeader,omitempty"`
 }
