--- a/fleet/idlecost/deployment.go
+++ b/fleet/idlecost/deployment.go
@@ -13,7 +13,8 @@
 	"cottonarch.example/cottonarch/fleet/process"
 )
 
-// Addresses of the processes: 127.(10 for cores, 11 for sidecars).ZONE.N, on fixed ports.
+// The processes have the addresses 127.ROLE.ZONE.N with fixed ports. ROLE is 10 for cores and 11 for
+// sidecars.
 const (
 	coreOctet    = 10
 	sidecarOctet = 11
@@ -23,32 +24,32 @@
 )
 
 const (
-	seedCount      = 3
-	configTimeout  = 20 * time.Second       // until a core takes the configuration
-	configInterval = 200 * time.Millisecond // between tries
-	requestTimeout = 30 * time.Second       // of one request to a daemon
-	service        = "accounts"
-	steadyLoad     = 0.1 // that heartbeats report unless it varies
-	loadSteps      = 5   // different loads that varying heartbeats report
+	seedCount           = 3
+	configTimeout       = 20 * time.Second       // until a core accepts the configuration
+	configRetryInterval = 200 * time.Millisecond // between attempts
+	requestTimeout      = 30 * time.Second       // of each request to a daemon
+	serviceName         = "accounts"
+	constantLoad        = 0.1 // load in all heartbeats without Options.VaryLoad
+	distinctLoads       = 5   // number of distinct loads in heartbeats with Options.VaryLoad
 )
 
-// deployment is the running processes.
+// deployment holds the processes of a measurement and the senders of their heartbeats.
 type deployment struct {
 	options    Options
 	dir        string
 	cores      []*process.Process
 	sidecars   []*process.Process
-	closed     chan struct{}
+	stopped    chan struct{}
 	heartbeats sync.WaitGroup
 }
 
-// startDeployment starts all processes. The deployment that it returns is to be stopped even
-// after an error.
+// startDeployment starts all processes. The caller must stop the returned deployment, also after an
+// error.
 func startDeployment(options Options) (*deployment, error) {
-	d := &deployment{options: options, closed: make(chan struct{})}
+	d := &deployment{options: options, stopped: make(chan struct{})}
 	var err error
 	if d.dir, err = os.MkdirTemp("", "idlecost"); err != nil {
-		return d, failure.Wrap(err, failure.Internal, "folder")
+		return d, failure.Wrap(err, failure.Internal, "create a temporary folder")
 	}
 	seeds := d.coreAddrs(seedCount)
 	if err := d.prepareCores(seeds); err != nil {
@@ -65,7 +66,8 @@
 	return d, nil
 }
 
-// prepareCores writes the cores' settings files. The founders are an odd number of cores.
+// prepareCores writes the settings files of the cores. The number of founders is the smaller of
+// Options.Voters and the largest odd number of cores.
 func (d *deployment) prepareCores(seeds []string) error {
 	founders := d.coreAddrs(min(d.options.Voters, d.options.Cores-1+d.options.Cores%2))
 	for i := range d.options.Cores {
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// prepareSidecars writes the sidecars' settings files.
+// prepareSidecars writes the settings files of the sidecars.
 func (d *deployment) prepareSidecars(seeds []string) error {
 	for i := range d.options.Sidecars {
 		sidecar := process.New(d.options.Binary, d.dir, fmt.Sprintf("side%d", i), "sidecar", d.ip(sidecarOctet, i))
@@ -105,14 +107,14 @@
 	return nil
 }
 
-// ip is the address of the i-th process of a role.
+// ip returns the IP of the i-th process of a role.
 func (d *deployment) ip(octet, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", octet, i%d.options.Zones, 1+i/d.options.Zones)
 }
 
 func (d *deployment) zone(i int) string { return fmt.Sprintf("d%d", i%d.options.Zones) }
 
-// coreAddrs lists the addresses of the first cores, at most count.
+// coreAddrs returns the addresses of the first cores, at most count.
 func (d *deployment) coreAddrs(count int) []string {
 	var addrs []string
 	for i := range min(count, d.options.Cores) {
@@ -121,7 +123,7 @@
 	return addrs
 }
 
-// processes lists the cores, then the sidecars.
+// processes returns the cores, followed by the sidecars.
 func (d *deployment) processes() []*process.Process {
 	return append(append([]*process.Process{}, d.cores...), d.sidecars...)
 }
@@ -139,35 +141,36 @@
 	Routes   map[string]routeConfig   `json:"ways"`
 }
 
-// proposeConfig proposes a small configuration until a core has taken it.
+// proposeConfig proposes a small configuration until a core accepts the proposal or configTimeout
+// has passed.
 func (d *deployment) proposeConfig() error {
 	config := meshConfig{
-		Services: map[string]serviceConfig{service: {}},
-		Routes:   map[string]routeConfig{"one": {Host: "accounts.example", PathStart: "/", Service: service}},
+		Services: map[string]serviceConfig{serviceName: {}},
+		Routes:   map[string]routeConfig{"one": {Host: "accounts.example", PathStart: "/", Service: serviceName}},
 	}
-	for deadline := time.Now().Add(configTimeout); ; time.Sleep(configInterval) {
-		err := send(http.MethodPut, "http://"+d.cores[0].IP+meshPort+"/manifest", config)
+	for deadline := time.Now().Add(configTimeout); ; time.Sleep(configRetryInterval) {
+		err := sendJSON(http.MethodPut, "http://"+d.cores[0].IP+meshPort+"/manifest", config)
 		if err == nil || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// writeKeys writes the small keys, spread over the cores.
+// writeKeys writes Options.Keys keys with small values. The writes are spread over the cores.
 func (d *deployment) writeKeys() error {
 	type keyRequest struct {
 		Value string `json:"value"`
 	}
 	for i := range d.options.Keys {
 		url := fmt.Sprintf("http://%s%s/keys/key-%d", d.cores[i%len(d.cores)].IP, meshPort, i)
-		if err := send(http.MethodPut, url, keyRequest{"a small value"}); err != nil {
+		if err := sendJSON(http.MethodPut, url, keyRequest{"a small value"}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// heartbeat is what an endpoint sends to its sidecar.
+// heartbeat is the body of a heartbeat of an endpoint to its sidecar.
 type heartbeat struct {
 	Server  string  `json:"serverId"`
 	Service string  `json:"service"`
@@ -176,7 +179,8 @@
 	Load    float64 `json:"burden"`
 }
 
-// startHeartbeats starts sending the heartbeats of one endpoint at each sidecar, until stop.
+// startHeartbeats starts to send the heartbeats of one endpoint to each sidecar, until stop is
+// called.
 func (d *deployment) startHeartbeats() {
 	for i, sidecar := range d.sidecars {
 		d.heartbeats.Go(func() { d.sendHeartbeats(i, sidecar) })
@@ -187,38 +191,38 @@
 	ticker := time.NewTicker(d.options.HeartbeatInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		h := heartbeat{
+		body := heartbeat{
 			Server:  fmt.Sprintf("i-%08x", i),
-			Service: service,
+			Service: serviceName,
 			Addr:    sidecar.IP + endpointPort,
 			State:   "alive",
-			Load:    steadyLoad,
+			Load:    constantLoad,
 		}
 		if d.options.VaryLoad {
-			h.Load = float64((n+i)%loadSteps) / loadSteps
+			body.Load = float64((n+i)%distinctLoads) / distinctLoads
 		}
-		_ = send(http.MethodPost, "http://"+sidecar.IP+meshPort+"/beat", h)
+		_ = sendJSON(http.MethodPost, "http://"+sidecar.IP+meshPort+"/beat", body)
 		select {
 		case <-ticker.C:
-		case <-d.closed:
+		case <-d.stopped:
 			return
 		}
 	}
 }
 
-// httpClient is that of all requests to the daemons; its timeout keeps a daemon that hangs from
-// holding up the measurement for good.
+// httpClient sends all requests to the daemons. The timeout prevents a hanging daemon from blocking
+// the measurement forever.
 var httpClient = &http.Client{Timeout: requestTimeout}
 
-// send sends a JSON body. Any status but success is an error.
-func send(method, url string, body any) error {
+// sendJSON sends a request with a JSON body and returns an error unless the status is 2xx.
+func sendJSON(method, url string, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "request")
+		return failure.Wrap(err, failure.Internal, "encode the body of a request to "+url)
 	}
 	request, err := http.NewRequest(method, url, bytes.NewReader(raw))
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "request")
+		return failure.Wrap(err, failure.Internal, "create a request to "+url)
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
@@ -231,9 +235,9 @@
 	return nil
 }
 
-// stop ends the heartbeats and all processes, and deletes their files.
+// stop stops the heartbeats, kills all processes and deletes their files.
 func (d *deployment) stop() {
-	close(d.closed)
+	close(d.stopped)
 	for _, proc := range d.processes() {
 		proc.Kill()
 	}
--- a/fleet/idlecost/measure.go
+++ b/fleet/idlecost/measure.go
@@ -1,6 +1,6 @@
-// Package idlecost measures what an idle deployment costs in processor time, system calls and
-// bytes on the wire: real processes on loopback addresses, heartbeats and no requests. It
-// needs Linux and the ss program.
+// Package idlecost measures the CPU time, the system calls and the network traffic of an idle
+// deployment, which consists of real processes on loopback addresses that receive heartbeats but no
+// requests. The measurement requires Linux and the ss program.
 package idlecost
 
 import (
@@ -16,20 +16,20 @@
 
 // Options describes a measurement.
 type Options struct {
-	Binary            string // program under test
+	Binary            string // path of the program under test
 	Cores             int
 	Sidecars          int
-	Zones             int // that both are spread over
-	Voters            int // cores that vote, at most; odd
-	Keys              int // small keys that are written first
-	SettleTime        time.Duration
-	Window            time.Duration // of the measurement, after Settle
+	Zones             int           // number of zones of the cores and sidecars
+	Voters            int           // maximum number of voting cores; odd
+	Keys              int           // number of small keys written before the measurement
+	SettleTime        time.Duration // between the first heartbeats and the measurement
+	Window            time.Duration // duration of the measurement
 	HeartbeatInterval time.Duration
-	VaryLoad          bool   // every heartbeat reports another load
-	ProfileDir        string // of perf profiles of one core and one sidecar; none if empty
+	VaryLoad          bool   // successive heartbeats report different loads
+	ProfileDir        string // folder for perf profiles of a core and a sidecar; no profiles if empty
 }
 
-// Measure brings a deployment up, measures it over the window and takes it down.
+// Measure starts a deployment, measures the deployment during the window and stops the deployment.
 func Measure(options Options) (report Report, err error) {
 	d, err := startDeployment(options)
 	defer d.stop()
@@ -45,8 +45,8 @@
 	d.startHeartbeats()
 	time.Sleep(options.SettleTime)
 	if options.ProfileDir != "" {
-		wait, err := d.startProfiles()
-		defer wait()
+		waitForProfiles, err := d.startProfiles()
+		defer waitForProfiles()
 		if err != nil {
 			return report, err
 		}
@@ -54,7 +54,8 @@
 	return d.measureWindow()
 }
 
-// measureWindow reads usage and traffic before and after the window.
+// measureWindow reads usage and traffic before and after the window and reports the differences as
+// rates.
 func (d *deployment) measureWindow() (report Report, err error) {
 	usageBefore, err := readUsages(d.processes())
 	if err != nil {
@@ -82,11 +83,11 @@
 	return report, nil
 }
 
-// startProfiles starts perf on the last core and the first sidecar for the window. wait waits
-// until those that were started have ended.
-func (d *deployment) startProfiles() (wait func(), err error) {
+// startProfiles starts perf on the last core and the first sidecar for the duration of the window.
+// waitForProfiles waits until all started perf processes have ended.
+func (d *deployment) startProfiles() (waitForProfiles func(), err error) {
 	var started []*exec.Cmd
-	wait = func() {
+	waitForProfiles = func() {
 		for _, perf := range started {
 			_ = perf.Wait()
 		}
@@ -95,9 +96,9 @@
 		perf := exec.Command("perf", "record", "-o", filepath.Join(d.options.ProfileDir, proc.Name+".perf"),
 			"-F", "2000", "-g", "-p", strconv.Itoa(proc.PID()), "--", "sleep", fmt.Sprint(d.options.Window.Seconds()))
 		if err := perf.Start(); err != nil {
-			return wait, failure.Wrap(err, failure.Internal, "perf of "+proc.Name)
+			return waitForProfiles, failure.Wrap(err, failure.Internal, "start perf of "+proc.Name)
 		}
 		started = append(started, perf)
 	}
-	return wait, nil
+	return waitForProfiles, nil
 }
--- a/fleet/idlecost/report.go
+++ b/fleet/idlecost/report.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// Report is what a deployment cost over the window.
+// Report is the result of a measurement.
 type Report struct {
 	Cores          RoleUsage
 	Sidecars       RoleUsage
 	CoreTraffic    Traffic // between cores
-	SidecarTraffic Traffic // with a sidecar at either end
+	SidecarTraffic Traffic // from or to sidecars
 }
 
 // RoleUsage is the mean usage of the processes of one role.
 type RoleUsage struct {
-	CPUPercent    float64 // of one processor
-	MaxCPUPercent float64 // of the busiest process
-	Wakeups       float64 // a second
-	SystemCalls   float64 // reads and writes a second
+	CPUPercent    float64 // mean CPU usage; 100 is one processor
+	MaxCPUPercent float64 // CPU usage of the busiest process
+	Wakeups       float64 // per second
+	SystemCalls   float64 // reads and writes per second
 }
 
-// Traffic is bytes a second over all links of a kind.
+// Traffic is the traffic of all links of a kind, in bytes per second. CrossZoneBytes is the part of
+// Bytes between different zones.
 type Traffic struct {
 	Bytes          float64
 	CrossZoneBytes float64
 }
 
-// Text shows the report.
+// Text returns the report as text.
 func (r Report) Text() string {
 	return r.Cores.line("core") + r.Sidecars.line("sidecar") +
-		fmt.Sprintf("bytes a second: between cores %.0f (%.0f between zones), of sidecars %.0f (%.0f between zones)\n",
+		fmt.Sprintf("bytes per second: between cores %.0f (%.0f between zones), from or to sidecars %.0f (%.0f between zones)\n",
 			r.CoreTraffic.Bytes, r.CoreTraffic.CrossZoneBytes, r.SidecarTraffic.Bytes, r.SidecarTraffic.CrossZoneBytes)
 }
 
-// line shows the usage of one role as a line of the report.
+// line returns the line of the report with the usage of one role.
 func (u RoleUsage) line(role string) string {
-	return fmt.Sprintf("%s: %.2f %% of a processor each, %.2f at most; %.0f wake-ups and %.0f reads and writes a second\n",
+	return fmt.Sprintf("%s: mean CPU usage %.2f %%, maximum %.2f %%; %.0f wakeups and %.0f reads and writes per second\n",
 		role, u.CPUPercent, u.MaxCPUPercent, u.Wakeups, u.SystemCalls)
 }
 
-// summarizeUsage gives the mean rates over processes that were read before and after.
+// summarizeUsage returns the mean rates of the processes between two readings, and the CPU usage of
+// the busiest process.
 func summarizeUsage(before, after []processUsage, elapsed time.Duration) (mean RoleUsage) {
 	count, seconds := float64(len(before)), elapsed.Seconds()
 	for i := range before {
@@ -53,15 +55,15 @@
 	return mean
 }
 
-// summarizeTraffic gives the rates of the bytes that were sent between two readings. Connections
-// that were closed in between are left out.
+// summarizeTraffic returns the rates of the bytes sent between two readings. The traffic of
+// connections that were closed between the readings is not included.
 func summarizeTraffic(before, after map[link]int64, elapsed time.Duration) (cores, sidecars Traffic) {
 	for l, sent := range after {
-		if !l.ofDeployment() {
+		if !l.withinDeployment() {
 			continue
 		}
 		traffic := &cores
-		if l.ofSidecar() {
+		if l.involvesSidecar() {
 			traffic = &sidecars
 		}
 		rate := float64(max(0, sent-before[l])) / elapsed.Seconds()
--- a/fleet/idlecost/traffic.go
+++ b/fleet/idlecost/traffic.go
@@ -9,20 +9,21 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// link is one direction between two machines, each named by its IP.
+// link is one direction between two machines, which are identified by their IPs.
 type link struct{ from, to string }
 
-// readBytesSent reads what was sent on the established connections of this machine, by link.
+// readBytesSent returns the number of bytes sent on the established connections of this machine, by
+// link.
 func readBytesSent() (map[link]int64, error) {
 	raw, err := exec.Command("ss", "-tinH", "state", "established").Output()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "ss")
+		return nil, failure.Wrap(err, failure.Internal, "run ss")
 	}
 	return parseBytesSent(string(raw)), nil
 }
 
-// parseBytesSent reads the output of ss: a line with the addresses of each connection, then
-// an indented one with its counters.
+// parseBytesSent parses the output of ss, which has two lines for each connection: the first line
+// contains the addresses, the second line is indented and contains the counters.
 func parseBytesSent(output string) map[link]int64 {
 	sent := map[link]int64{}
 	var current link
@@ -42,24 +43,24 @@
 	return sent
 }
 
-// parseLink reads the two queue lengths, the local and the remote address of a connection;
-// further fields may follow.
+// parseLink parses the first line of a connection: two queue lengths, the local address and the
+// remote address. Further fields may follow.
 func parseLink(fields []string) link {
 	local, remote := fields[2], fields[3]
 	return link{local[:strings.LastIndex(local, ":")], remote[:strings.LastIndex(remote, ":")]}
 }
 
-// ofDeployment tells whether both ends are processes of the deployment.
-func (l link) ofDeployment() bool {
+// withinDeployment reports whether both ends are processes of the deployment.
+func (l link) withinDeployment() bool {
 	return hasOctet(l.from, coreOctet, sidecarOctet) && hasOctet(l.to, coreOctet, sidecarOctet)
 }
 
-// ofSidecar tells whether an end is a sidecar.
-func (l link) ofSidecar() bool {
+// involvesSidecar reports whether an end is a sidecar.
+func (l link) involvesSidecar() bool {
 	return hasOctet(l.from, sidecarOctet) || hasOctet(l.to, sidecarOctet)
 }
 
-// crossesZones tells whether the ends are in different zones.
+// crossesZones reports whether the ends are in different zones.
 func (l link) crossesZones() bool {
 	return strings.Split(l.from, ".")[2] != strings.Split(l.to, ".")[2]
 }
--- a/fleet/idlecost/usage.go
+++ b/fleet/idlecost/usage.go
@@ -12,10 +12,10 @@
 	"cottonarch.example/cottonarch/fleet/process"
 )
 
-// processUsage is what a process has used since its start.
+// processUsage is the resource usage of a process since its start.
 type processUsage struct {
 	cpu         time.Duration
-	wakeups     int64 // time slices that its threads were given
+	wakeups     int64 // time slices that the threads have run
 	systemCalls int64 // reads and writes
 }
 
@@ -31,19 +31,20 @@
 }
 
 func readUsage(pid int) (usage processUsage, err error) {
-	if usage.cpu, usage.wakeups, err = readSchedule(pid); err != nil {
+	if usage.cpu, usage.wakeups, err = readSchedStat(pid); err != nil {
 		return usage, err
 	}
 	usage.systemCalls, err = readSystemCalls(pid)
 	return usage, err
 }
 
-// readSchedule sums /proc/PID/task/*/schedstat: time on the processor in nanoseconds, time
-// waiting for it, and time slices.
-func readSchedule(pid int) (cpu time.Duration, slices int64, err error) {
+// readSchedStat sums the CPU time and the time slices of all threads in /proc/PID/task/*/schedstat.
+// Each file holds the time on a CPU and the time waiting for a CPU, both in nanoseconds, and the
+// number of time slices.
+func readSchedStat(pid int) (cpu time.Duration, slices int64, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
-		return 0, 0, failure.Wrap(err, failure.Internal, "threads")
+		return 0, 0, failure.Wrap(err, failure.Internal, "list the threads of a process")
 	}
 	for _, task := range tasks {
 		raw, err := os.ReadFile(filepath.Join(task, "schedstat"))
@@ -52,7 +53,7 @@
 		}
 		var ran, waited, taskSlices int64
 		if _, err := fmt.Sscan(string(raw), &ran, &waited, &taskSlices); err != nil {
-			return 0, 0, failure.Wrap(err, failure.Internal, "schedstat")
+			return 0, 0, failure.Wrap(err, failure.Internal, "parse schedstat of "+task)
 		}
 		cpu += time.Duration(ran)
 		slices += taskSlices
@@ -60,11 +61,11 @@
 	return cpu, slices, nil
 }
 
-// readSystemCalls sums the reads and writes in /proc/PID/io.
+// readSystemCalls returns the number of read and write system calls in /proc/PID/io.
 func readSystemCalls(pid int) (calls int64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Internal, "system calls")
+		return 0, failure.Wrap(err, failure.Internal, "read the number of system calls")
 	}
 	for line := range strings.Lines(string(raw)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
