--- a/explore/cluster/cluster.go
+++ b/explore/cluster/cluster.go
@@ -19,10 +19,10 @@
 // Rule names an invariant that a violation breaks.
 type Rule = string
 
-// The invariants.
+// The rules. Each comment describes a violation of the rule.
 const (
 	RuleLostWrite          Rule = "acknowledged-lost"        // a majority read does not return an acknowledged write
-	RuleStaleRead          Rule = "stale-read"               // a read returns less than was acknowledged before the read
+	RuleStaleRead          Rule = "stale-read"               // a read returns a revision older than a revision acknowledged before the read
 	RuleRepeatedNumber     Rule = "number-repeated"          // a number was issued twice, or does not exceed an acknowledged number
 	RuleRevisionConflict   Rule = "order"                    // one revision has two values, or one value two revisions
 	RuleRejectedApplied    Rule = "turned-away-and-shown"    // an operation reported as rejected took effect
@@ -38,7 +38,7 @@
 	RuleUnavailable        Rule = "stuck"                    // the cluster does not serve after all faults have ended
 )
 
-// startTime is the time of the initial state. It differs from zero, because the zero time means
+// startTime is the time of the initial state, long after the zero time, because the zero time means
 // never.
 const startTime = monotime.Time(time.Hour)
 
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -14,6 +14,8 @@
 	"cottonarch.example/cottonarch/control/register/quorum"
 )
 
+// The names of the operations on the configuration in traces: a proposal that names its base by the
+// revision, a proposal that names its base by the version, and a read.
 const (
 	proposeOnRevision = "order on its epoch"
 	proposeOnVersion  = "order on its release"
--- a/explore/cluster/copy_test.go
+++ b/explore/cluster/copy_test.go
@@ -35,10 +35,10 @@
 	s.t.Fatalf("no choice of kind %s contains %v among\n%s", kind, fragments, strings.Join(descriptions, "\n"))
 }
 
-// A member that has copied all records must sync the copy before it becomes a counted voter:
-// otherwise a power loss leaves a counted disk without the acknowledged records. In this test m1 and
-// m2 acknowledge a write; m2 loses its disk; the new disk takes the slot, copies the records and
-// loses power before the sync, when m2 must not be counted yet.
+// A member that has copied all records must sync the copy before becoming a counted voter: otherwise
+// a power loss leaves a counted disk without the acknowledged records. In this test m1 and m2
+// acknowledge a write; m2 loses its disk; the new disk takes the slot, copies the records and loses
+// power before the sync, when m2 must not be counted yet.
 func TestCopyIsSyncedBeforeDiskIsCounted(t *testing.T) {
 	settings := testSettings()
 	settings.Spares, settings.Operations = 0, 1
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -23,7 +23,7 @@
 	// DelayedSync delivers a message. Later, separate choices sync the writes of the message and
 	// deliver the response.
 	DelayedSync Fault = "late"
-	// MessageDuplication delivers a message and leaves a copy of it in transit.
+	// MessageDuplication delivers a message and leaves a copy of the message in transit.
 	MessageDuplication Fault = "double"
 	// MessageLoss drops a message in transit.
 	MessageLoss Fault = "lost"
@@ -71,7 +71,7 @@
 	MutantReadRepair Mutant = "mend"      // reads do not repair outdated copies
 	MutantLazySync   Mutant = "soft"      // opening a ring does not sync the ring
 	MutantStop       Mutant = "stop"      // planned stops do not wait for operations in flight
-	MutantOutcome    Mutant = "cell-fate" // unknown outcomes are reported as rejections
+	MutantOutcome    Mutant = "cell-fate" // unknown outcomes are treated as rejections
 )
 
 // Settings configure a cluster to explore. Traces store the settings.
