--- a/sim/invariant/call.go
+++ b/sim/invariant/call.go
@@ -6,56 +6,56 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// Outcome is what the client of a request was told.
+// Outcome is the outcome of a request as reported to its client.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// Served: the client has a response.
+	// Served: the client received a response.
 	Served Outcome = "served"
-	// NotExecuted: the request certainly did not run.
+	// NotExecuted: the client was told that no endpoint executed the request.
 	NotExecuted Outcome = "not-run"
-	// Unknown: the request may have run.
+	// Unknown: the client was told that an endpoint may have executed the request.
 	Unknown Outcome = "unknown"
-	// SidecarDown: the client's own sidecar took no requests.
+	// SidecarDown: the client's own sidecar accepted no requests.
 	SidecarDown Outcome = "no-node"
-	// Pending: the client has not been told anything yet.
+	// Pending: the client has no result yet.
 	Pending Outcome = ""
 )
 
-// Call is one request of a client.
+// Call records one request of a client and its outcome.
 type Call struct {
 	ID                 string
 	Service            ident.Service
-	AtMostOnce         bool // it may run at most once
-	Routed             bool // a route was found, so it counts for the retry budget
+	AtMostOnce         bool // the request must not be executed twice
+	Routed             bool // a route was found, so the call counts toward the retry budget
 	Urgent             bool
-	UrgentInFlight     int // urgent calls in flight at its own sidecar when it was queued, itself included
-	UrgentCapacity     int // how many of them that sidecar has room for
+	UrgentInFlight     int // urgent calls in flight at the client's sidecar when the call was queued, including the call
+	UrgentCapacity     int // maximum number of urgent calls in flight at that sidecar
 	Began, Ended       monotime.Time
-	LastAttemptEnded   monotime.Time // when its last attempt ended, or when it came if it had none
+	LastAttemptEnded   monotime.Time // end of the last attempt; without attempts, when the call arrived
 	Deadline           monotime.Time
 	Outcome            Outcome
-	Reason             string // the kind of failure, if any
-	RejectedAtEndpoint bool   // its last attempt was rejected by an endpoint or its admission queue
+	Reason             string // the kind of the failure, empty if there is none
+	RejectedAtEndpoint bool   // the last attempt was rejected by an endpoint or an admission queue
 	Arrivals           int    // attempts that reached an endpoint
-	Complete           bool   // some endpoint gave its complete response
+	Complete           bool   // an endpoint sent a complete response
 	Done               func()
 }
 
-// Execution is one run of a request by an endpoint.
+// Execution records that an endpoint executed a request once.
 type Execution struct {
-	ID                        string // of the call
+	ID                        string // ID of the call
 	Server                    ident.Server
 	Service, RequestedService ident.Service
 	ArrivedAt                 monotime.Time // when the request reached the endpoint
-	ExecutedAt                monotime.Time // when it ran, 0 if at once
-	LeaveConfirmedAt          monotime.Time // when the endpoint's leaving was confirmed on its machine, 0 if it was not
-	LossConfirmedAt           monotime.Time // when the endpoint's loss was, 0 if it was not
+	ExecutedAt                monotime.Time // when the endpoint executed the request, 0 if on arrival
+	LeaveConfirmedAt          monotime.Time // when the leaving of the endpoint was confirmed on its machine, 0 if never
+	LossConfirmedAt           monotime.Time // when the loss of the endpoint was confirmed, 0 if never
 	AtMostOnce                bool
 }
 
-// Executed takes a run of a request by an endpoint.
+// Executed records an execution and checks the service and the state of its endpoint.
 func (c *Checker) Executed(execution Execution) {
 	if execution.ExecutedAt == 0 {
 		execution.ExecutedAt = execution.ArrivedAt
@@ -63,24 +63,26 @@
 	c.Executions = append(c.Executions, execution)
 	c.Observe(WrongService)
 	if execution.Service != execution.RequestedService {
-		c.Violate(execution.ArrivedAt, WrongService, "%s meant for %s was run by %s of %s", execution.ID, execution.RequestedService, execution.Server, execution.Service)
+		c.Violate(execution.ArrivedAt, WrongService, "%s for %s was executed by %s of %s", execution.ID, execution.RequestedService, execution.Server, execution.Service)
 	}
-	c.checkLeft(execution, "leaving", execution.LeaveConfirmedAt)
-	c.checkLeft(execution, "loss", execution.LossConfirmedAt)
+	c.checkArrivedAfterLeave(execution, "leaving", execution.LeaveConfirmedAt)
+	c.checkArrivedAfterLeave(execution, "loss", execution.LossConfirmedAt)
 }
 
-// checkLeft checks that a request did not arrive long after an event was confirmed, if it was.
-func (c *Checker) checkLeft(execution Execution, event string, confirmedAt monotime.Time) {
+// checkArrivedAfterLeave checks that a request did not arrive later than leaveDeadline after the
+// endpoint's leaving or loss was confirmed; confirmedAt is 0 if that event was not confirmed.
+func (c *Checker) checkArrivedAfterLeave(execution Execution, event string, confirmedAt monotime.Time) {
 	if confirmedAt == 0 || execution.ArrivedAt < confirmedAt {
 		return
 	}
-	if late := execution.ArrivedAt.Since(confirmedAt); late > leaveDeadline {
-		c.Violate(execution.ArrivedAt, RequestAfterLeave, "%s reached %s %v after its %s was confirmed", execution.ID, execution.Server, late, event)
+	if delay := execution.ArrivedAt.Since(confirmedAt); delay > leaveDeadline {
+		c.Violate(execution.ArrivedAt, RequestAfterLeave, "%s reached %s %v after its %s was confirmed", execution.ID, execution.Server, delay, event)
 	}
 }
 
-// checkUrgent checks that no urgent call is rejected at its own sidecar for want of room. What
-// urgent calls alone fill, or an endpoint rejects, is not that sidecar's queue.
+// checkUrgent checks that the client's sidecar does not reject an urgent call because its queue is
+// full. A rejection is excused if urgent calls alone fill that queue, or if an endpoint or its
+// admission queue rejected the call.
 func (c *Checker) checkUrgent(call *Call) {
 	if !call.Urgent || call.Outcome == SidecarDown || call.Outcome == Pending {
 		return
@@ -96,17 +98,18 @@
 	}
 	c.Observe(UrgentRejected)
 	if rejected {
-		c.Violate(call.Ended, UrgentRejected, "%s was rejected as busy", call.ID)
+		c.Violate(call.Ended, UrgentRejected, "urgent call %s was rejected as busy", call.ID)
 	}
 }
 
-// checkHeldBack checks that a call that was given up was answered at once.
-func (c *Checker) checkHeldBack(call *Call) {
+// checkFailureDelay checks that a failed call was answered within maxFailureDelay after the end of
+// its last attempt.
+func (c *Checker) checkFailureDelay(call *Call) {
 	if call.Outcome != NotExecuted && call.Outcome != Unknown || call.LastAttemptEnded == 0 {
 		return
 	}
 	c.Observe(LateFailure)
-	if late := call.Ended.Since(call.LastAttemptEnded); late > maxHoldBack {
-		c.Violate(call.Ended, LateFailure, "%s was answered %s %v after it was given up", call.ID, call.Outcome, late)
+	if delay := call.Ended.Since(call.LastAttemptEnded); delay > maxFailureDelay {
+		c.Violate(call.Ended, LateFailure, "%s was answered %s %v after its last attempt ended", call.ID, call.Outcome, delay)
 	}
 }
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -1,5 +1,5 @@
-// Package invariant holds the rules that must never be broken and a checker that judges what
-// happened in a run by them.
+// Package invariant defines the rules that the mesh must never violate, and a checker that verifies
+// them against the events of a run.
 package invariant
 
 import (
@@ -10,37 +10,38 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule string
 	At   monotime.Time
 	Note string
 }
 
-// Outage is a loss after which service must recover. Invariant: At is when it struck, whether
-// or not it lasts.
+// Outage is a failure after which the mesh must serve requests again. Invariant: At is when the
+// outage began, however long the outage lasts.
 type Outage struct {
 	At   monotime.Time
 	Name string
 }
 
-// Checker gathers what happened in a run. Invariants: the system under test reads nothing of
-// it; each observation is counted once, as judged or as excused with its cause. One whose bound
-// ran from the end of a fault is counted in Delayed as well.
+// Checker collects the events of a run and checks the rules. Invariants: the system under test
+// reads nothing from the checker; each observation is counted once, either in Observed or, with its
+// cause, in Excused. An observation whose time limit ran from the end of a fault is also counted in
+// Delayed.
 type Checker struct {
 	Violations []Violation
 	Calls      []*Call
 	Executions []Execution
 	Outages    []Outage
-	Observed   map[string]int            // judged observations by rule
-	Excused    map[string]map[string]int // observations that can't be judged, by rule and cause
-	Delayed    map[string]map[string]int // judged observations that waited, by rule and cause
+	Observed   map[string]int            // checked observations by rule
+	Excused    map[string]map[string]int // observations that can't be checked, by rule and cause
+	Delayed    map[string]map[string]int // checked observations whose limit ran from the end of a fault, by rule and cause
 
 	retries           map[ident.Service][]monotime.Time
-	rejectedProposals map[string]string // the reason by the proposal's marker
+	rejectedProposals map[string]string // reason of the rejection by the marker of the proposal
 }
 
-// New makes a checker that has seen nothing.
+// New returns a checker without observations.
 func New() *Checker {
 	return &Checker{
 		Observed:          map[string]int{},
@@ -51,13 +52,14 @@
 	}
 }
 
-// Observe counts an observation that is judged.
+// Observe counts an observation that is checked against a rule.
 func (c *Checker) Observe(rule string) { c.Observed[rule]++ }
 
-// Excuse counts an observation that can't be judged, and why.
+// Excuse counts an observation that can't be checked against a rule, by its cause.
 func (c *Checker) Excuse(rule, cause string) { addCount(c.Excused, rule, cause, 1) }
 
-// ObserveDelayed counts an observation whose bound ran from the end of a fault.
+// ObserveDelayed counts an observation whose time limit ran from the end of a fault, by the fault.
+// Observe must count the same observation.
 func (c *Checker) ObserveDelayed(rule, cause string) { addCount(c.Delayed, rule, cause, 1) }
 
 func addCount(counts map[string]map[string]int, rule, cause string, n int) {
@@ -67,15 +69,15 @@
 	counts[rule][cause] += n
 }
 
-func addCounts(counts, more map[string]map[string]int) {
-	for rule, causes := range more {
+func addCounts(counts, added map[string]map[string]int) {
+	for rule, causes := range added {
 		for cause, n := range causes {
 			addCount(counts, rule, cause, n)
 		}
 	}
 }
 
-// Merge adds another run's observations and violations to this one's.
+// Merge adds the observations and violations of another run.
 func (c *Checker) Merge(other *Checker) {
 	for rule, n := range other.Observed {
 		c.Observed[rule] += n
@@ -85,11 +87,11 @@
 	c.Violations = append(c.Violations, other.Violations...)
 }
 
-// Inconclusive lists the rules that were observed too seldom for a verdict.
+// Inconclusive lists the rules with fewer observations than a verdict requires.
 func (c *Checker) Inconclusive() []string {
 	var rules []string
 	for _, rule := range Rules {
-		if onDemand[rule] && c.Observed[rule] == 0 {
+		if onDemandRules[rule] && c.Observed[rule] == 0 {
 			continue
 		}
 		required, ok := requiredObservations[rule]
@@ -103,32 +105,32 @@
 	return rules
 }
 
-// Violate notes that a rule was broken.
+// Violate records a violation of a rule.
 func (c *Checker) Violate(at monotime.Time, rule, format string, args ...any) {
 	c.Violations = append(c.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// Retried takes an attempt of a request beyond its first that reached an endpoint.
+// Retried records a retry that reached an endpoint.
 func (c *Checker) Retried(at monotime.Time, service ident.Service) {
 	c.retries[service] = append(c.retries[service], at)
 }
 
-// ConfigShown takes a configuration that a node has put in force or shows; last is the newest
-// revision that the node has shown, which is updated.
+// ConfigShown checks a configuration that a node applies or reports. last is the newest revision
+// that the node has shown; ConfigShown updates last.
 func (c *Checker) ConfigShown(at monotime.Time, node string, config *validation.Config, last *ident.ConfigRevision) {
 	c.Observe(ConfigRegressed)
 	if config.Revision < *last {
-		c.Violate(at, ConfigRegressed, "%s showed revision %d after %d", node, config.Revision, *last)
+		c.Violate(at, ConfigRegressed, "%s showed configuration revision %d after %d", node, config.Revision, *last)
 	}
 	*last = max(*last, config.Revision)
 	c.Observe(ConfigRejected)
 	for _, service := range config.Services {
 		if reason, rejected := c.rejectedProposals[service.Namespace]; rejected {
-			c.Violate(at, ConfigRejected, "%s has revision %d in force with %s, which was rejected as %s", node, config.Revision, service.Namespace, reason)
+			c.Violate(at, ConfigRejected, "%s applies configuration revision %d with the marker %s of a proposal that was rejected: %s", node, config.Revision, service.Namespace, reason)
 		}
 	}
 }
 
-// ProposalRejected notes the marker of a proposal that was certainly rejected: the namespace
-// that it gives a service.
+// ProposalRejected records the marker of a proposal that was certainly rejected. The marker is the
+// namespace that the proposal gives to one service.
 func (c *Checker) ProposalRejected(marker, reason string) { c.rejectedProposals[marker] = reason }
--- a/sim/invariant/finish.go
+++ b/sim/invariant/finish.go
@@ -9,14 +9,13 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// executions sums up how often a call ran.
-type executions struct {
+// executionSummary holds how often a call was executed, and when its first execution arrived.
+type executionSummary struct {
 	count        int
 	firstArrival monotime.Time
 }
 
-// Finish checks what can be judged only when the run is over. Requests began at from, and
-// faults ended at until.
+// Finish runs the checks that need the whole run. Requests began at from, and faults ended at until.
 func (c *Checker) Finish(from, until monotime.Time) {
 	byCall := c.checkExecutions()
 	for _, call := range c.Calls {
@@ -26,45 +25,46 @@
 	c.checkRecovery(from, until)
 }
 
-// checkExecutions checks that nothing ran too often, and sums up the executions of each call.
-func (c *Checker) checkExecutions() map[string]executions {
-	byCall := map[string]executions{}
+// checkExecutions checks that no at-most-once call was executed twice, and returns the summary of
+// each call.
+func (c *Checker) checkExecutions() map[string]executionSummary {
+	byCall := map[string]executionSummary{}
 	for _, execution := range c.Executions {
-		ran := byCall[execution.ID]
-		if ran.count == 0 {
-			ran.firstArrival = execution.ArrivedAt
+		summary := byCall[execution.ID]
+		if summary.count == 0 {
+			summary.firstArrival = execution.ArrivedAt
 		}
-		ran.count++
-		byCall[execution.ID] = ran
-		if execution.AtMostOnce && ran.count == 2 {
-			c.Violate(execution.ArrivedAt, DoubleExecution, "%s ran twice, first at %v", execution.ID, time.Duration(ran.firstArrival))
+		summary.count++
+		byCall[execution.ID] = summary
+		if execution.AtMostOnce && summary.count == 2 {
+			c.Violate(execution.ArrivedAt, DoubleExecution, "%s was executed twice, first at %v", execution.ID, time.Duration(summary.firstArrival))
 		}
 	}
 	return byCall
 }
 
-// checkCall compares what the client of a call was told with what ran.
-func (c *Checker) checkCall(call *Call, ran executions) {
+// checkCall compares the outcome that the client was told with the executions of the call.
+func (c *Checker) checkCall(call *Call, summary executionSummary) {
 	if call.AtMostOnce {
 		c.Observe(DoubleExecution)
 	}
 	if call.Outcome == NotExecuted {
 		c.Observe(FalseNotExecuted)
-		if ran.count > 0 {
-			c.Violate(ran.firstArrival, FalseNotExecuted, "%s was reported not executed (%s) and ran", call.ID, call.Reason)
+		if summary.count > 0 {
+			c.Violate(summary.firstArrival, FalseNotExecuted, "%s was reported as not executed (%s) but was executed", call.ID, call.Reason)
 		}
 	}
 	c.checkUrgent(call)
-	c.checkHeldBack(call)
+	c.checkFailureDelay(call)
 	if call.Outcome == Served {
 		c.Observe(WrongResponse)
-		if ran.count == 0 || !call.Complete {
-			c.Violate(call.Ended, WrongResponse, "%s was served and no endpoint gave a complete response", call.ID)
+		if summary.count == 0 || !call.Complete {
+			c.Violate(call.Ended, WrongResponse, "%s was served but no endpoint sent a complete response", call.ID)
 		}
 	}
 }
 
-// checkRetryBudget checks, for each service, every window of time that ends at a retry.
+// checkRetryBudget checks the retry budget of each service in every window that ends at a retry.
 func (c *Checker) checkRetryBudget() {
 	calls := map[ident.Service][]monotime.Time{}
 	for _, call := range c.Calls {
@@ -77,7 +77,7 @@
 	}
 }
 
-// checkServiceRetries checks the retries of one service up to the first that is too many. Both
+// checkServiceRetries checks the retries of one service and stops at the first violation. Both
 // lists of times are sorted.
 func (c *Checker) checkServiceRetries(service ident.Service, retriedAt, calledAt []monotime.Time) {
 	for i, at := range retriedAt {
@@ -85,23 +85,23 @@
 		windowStart := at.Add(-retryWindow)
 		retries := i + 1 - countBefore(retriedAt[:i+1], windowStart)
 		calls := countBefore(calledAt, at+1) - countBefore(calledAt, windowStart)
-		if float64(retries) > retryPart*float64(calls)+retriesBeyond {
-			c.Violate(at, RetryBudget, "%d retries of %s beside %d calls in ten seconds", retries, service, calls)
+		if float64(retries) > retryRatio*float64(calls)+fixedRetryAllowance {
+			c.Violate(at, RetryBudget, "%d retries of %s with %d calls in ten seconds", retries, service, calls)
 			return
 		}
 	}
 }
 
-// countBefore counts the times of a sorted list that are before a limit.
+// countBefore counts the times before limit in a sorted list.
 func countBefore(times []monotime.Time, limit monotime.Time) int {
 	n, _ := slices.BinarySearch(times, limit)
 	return n
 }
 
-// checkRecovery checks that by the deadline after each outage requests are served again, at a
-// part of the rate that was normal before the faults.
+// checkRecovery checks that, by the deadline after each outage, requests are served at no less than
+// recoveredRatio of the rate before the faults.
 func (c *Checker) checkRecovery(from, until monotime.Time) {
-	normal := c.servedRate(from, from.Add(normalWindow))
+	baseline := c.servedRate(from, from.Add(baselineWindow))
 	for _, outage := range c.Outages {
 		deadline := outage.At.Add(recoveryDeadline)
 		if deadline > until {
@@ -109,13 +109,13 @@
 			continue
 		}
 		c.Observe(SlowRecovery)
-		if recovered := c.servedRate(deadline.Add(-recoveryWindow), deadline); recovered < recoveredPart*normal {
-			c.Violate(deadline, SlowRecovery, "%.0f of %.0f a second after the loss at %v (%s)", recovered, normal, time.Duration(outage.At), outage.Name)
+		if recovered := c.servedRate(deadline.Add(-recoveryWindow), deadline); recovered < recoveredRatio*baseline {
+			c.Violate(deadline, SlowRecovery, "%.0f of %.0f requests a second served after the outage at %v (%s)", recovered, baseline, time.Duration(outage.At), outage.Name)
 		}
 	}
 }
 
-// servedRate is how many calls a second were served within a span of time.
+// servedRate returns the number of calls served per second from begin up to end.
 func (c *Checker) servedRate(begin, end monotime.Time) float64 {
 	served := 0
 	for _, call := range c.Calls {
--- a/sim/invariant/report.go
+++ b/sim/invariant/report.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Text reports the verdict of every rule, one a line.
+// Text returns the verdict of every rule, one rule per line.
 func (c *Checker) Text() string {
 	var b strings.Builder
 	violations := map[string]int{}
@@ -19,15 +19,15 @@
 		verdict := "held"
 		switch {
 		case violations[rule] > 0:
-			verdict = "BROKEN"
+			verdict = "VIOLATED"
 		case slices.Contains(inconclusive, rule):
-			verdict = "not judged"
-		case onDemand[rule] && c.Observed[rule] == 0:
-			verdict = "not asked"
+			verdict = "undecided"
+		case onDemandRules[rule] && c.Observed[rule] == 0:
+			verdict = "not tested"
 		}
-		fmt.Fprintf(&b, "%-18s %-10s looked at %d, broken %d", rule, verdict, c.Observed[rule], violations[rule])
+		fmt.Fprintf(&b, "%-18s %-10s observed %d, violated %d", rule, verdict, c.Observed[rule], violations[rule])
 		writeCauses(&b, "excused", c.Excused[rule])
-		writeCauses(&b, "of them after a wait for the end of", c.Delayed[rule])
+		writeCauses(&b, "of them with the limit running from the end of", c.Delayed[rule])
 		b.WriteString("\n")
 	}
 	return b.String()
@@ -46,7 +46,7 @@
 	fmt.Fprintf(b, ", %s %d (%s)", label, total, strings.Join(parts, ", "))
 }
 
-// Summary reports in one line what became of the rules.
+// Summary returns the verdict on all rules in one line.
 func (c *Checker) Summary() string {
 	if inconclusive := c.Inconclusive(); len(c.Violations) == 0 && len(inconclusive) > 0 {
 		return "every rule that was looked at held; looked at too seldom to judge: " + strings.Join(inconclusive, ", ")
@@ -54,5 +54,5 @@
 	if len(c.Violations) == 0 {
 		return "every rule held"
 	}
-	return "rules were broken"
+	return "rules were violated"
 }
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -4,55 +4,57 @@
 
 // The rules of requests.
 const (
-	// DoubleExecution: a request that may run at most once never runs twice.
+	// DoubleExecution: an at-most-once request is never executed twice.
 	DoubleExecution = "double-run"
-	// FalseNotExecuted: a request that its client was told was not executed never ran.
+	// FalseNotExecuted: a request that was reported as not executed was never executed.
 	FalseNotExecuted = "false-not-run"
-	// RequestAfterLeave: no request reaches an endpoint long after it left or was lost.
+	// RequestAfterLeave: no request reaches an endpoint later than leaveDeadline after the leaving
+	// or the loss of the endpoint was confirmed.
 	RequestAfterLeave = "late-to-leaver"
-	// WrongService: no endpoint of another service runs a request.
+	// WrongService: no endpoint of another service executes a request.
 	WrongService = "wrong-service"
-	// WrongResponse: a request is served only if an endpoint gave a complete response.
+	// WrongResponse: a request is served only if an endpoint sent a complete response.
 	WrongResponse = "wrong-return"
-	// RetryBudget: retries stay a small part of the requests.
+	// RetryBudget: the retries of a service stay within its retry budget.
 	RetryBudget = "further-tries"
-	// SlowRecovery: soon after an outage a good part of the requests is served again.
+	// SlowRecovery: by recoveryDeadline after an outage, requests are served at no less than
+	// recoveredRatio of the earlier rate.
 	SlowRecovery = "slow-recovery"
-	// UrgentRejected: no urgent request is rejected by its own sidecar for want of room.
+	// UrgentRejected: the client's sidecar rejects no urgent request because its queue is full.
 	UrgentRejected = "urgent-turned"
-	// LateFailure: a request that was given up is answered at once.
+	// LateFailure: a failure is reported to the client at once after the last attempt.
 	LateFailure = "held-back"
-	// DroppedInStop: a planned stop drops nothing that is in flight.
+	// DroppedInStop: a planned stop drops no request in flight.
 	DroppedInStop = "dropped-in-stop"
 )
 
 // The rules of configurations and of the audit log.
 const (
-	// ConfigLate: a confirmed configuration is soon in force at every reachable sidecar.
+	// ConfigLate: every reachable sidecar applies a confirmed configuration within ConfigDeadline.
 	ConfigLate = "manifest-late"
 	// ConfigRegressed: no node shows an older configuration after a newer one.
 	ConfigRegressed = "manifest-back"
-	// ConfigRejected: no rejected proposal is ever in force, and no invalid one is confirmed.
+	// ConfigRejected: no rejected proposal is ever applied, and no invalid proposal is confirmed.
 	ConfigRejected = "manifest-turned"
-	// ConfigInvalid: every configuration in force is valid.
+	// ConfigInvalid: every configuration that is applied is valid.
 	ConfigInvalid = "invalid"
-	// AuditLog: the audit log holds each confirmed revision once and in order.
+	// AuditLog: the audit log holds each confirmed revision exactly once, in order.
 	AuditLog = "audit"
 )
 
 // The rules of coordination values and of storage.
 const (
-	// LockShared: no lock has two holders, and fencing tokens rise.
+	// LockShared: no lock has two holders at the same time, and fencing tokens increase.
 	LockShared = "lock-shared"
-	// SequenceRepeated: no sequence gives a number twice or a lower one later.
+	// SequenceRepeated: the numbers of a sequence strictly increase.
 	SequenceRepeated = "number-repeated"
 	// StaleRead: reads are linearizable.
 	StaleRead = "stale-read"
-	// WatchIncomplete: a watch that asks in time is given every change, in order.
+	// WatchIncomplete: a watch that continues within the retention receives every change, in order.
 	WatchIncomplete = "watch-forgotten"
-	// NotRepaired: after a calm time all voters hold the same records.
+	// NotRepaired: after a period without faults all voters hold the same records.
 	NotRepaired = "not-mended"
-	// DiskDamaged: no process finds its own disk damaged.
+	// DiskDamaged: no process finds corrupt data on its own disk.
 	DiskDamaged = "disk"
 	// ResponseDamaged: every response can be decoded.
 	ResponseDamaged = "damaged"
@@ -60,33 +62,33 @@
 
 // The rules of keyspace entries.
 const (
-	// EntryOrder: revisions of a keyspace never repeat or go back, and no conditional put
-	// succeeds over a later one.
+	// EntryOrder: the revisions of a keyspace never repeat or decrease, and no conditional put
+	// succeeds if another put followed the revision that the condition names.
 	EntryOrder = "cell-order"
-	// EntryStale: no read is older than an acknowledged put.
+	// EntryStale: no read returns a revision older than a put acknowledged before the read.
 	EntryStale = "cell-stale"
-	// EntryWatch: a watch skips no put and does not learn too early that its revision is
-	// compacted.
+	// EntryWatch: a watch skips no put, and the revision of a watch is not compacted before the
+	// end of its retention.
 	EntryWatch = "cell-watch"
-	// EntryRejected: a value whose every put was rejected is never shown.
+	// EntryRejected: no response shows a value whose every put was rejected.
 	EntryRejected = "cell-turned"
 )
 
 // The rules of admission queues.
 const (
-	// AdmissionRejected: a request that the queue rejected never ran.
+	// AdmissionRejected: a request that the queue rejected is never executed.
 	AdmissionRejected = "bay-turned"
-	// AdmissionDecision: every waiting request gets exactly one decision.
+	// AdmissionDecision: every queued request gets exactly one decision.
 	AdmissionDecision = "bay-told"
-	// AdmissionStop: soon after a planned stop began nobody waits.
+	// AdmissionStop: soon after a planned stop begins, the queue is empty.
 	AdmissionStop = "bay-stop"
 )
 
-// HerdReady is the rule that sidecars which start together are all ready soon after a majority
-// of the cores is there. Only faults that are asked for by name observe it.
+// HerdReady is the rule that a herd, many sidecars that start at the same time, is ready soon after
+// a majority of the cores is available. Only faults that are selected by name observe HerdReady.
 const HerdReady = "herd-ready"
 
-// Rules lists every rule in the order of reports.
+// Rules lists every rule in the order of the report.
 var Rules = []string{
 	DoubleExecution, FalseNotExecuted, RequestAfterLeave, WrongService, WrongResponse, ConfigLate, ConfigRegressed,
 	ConfigRejected, DroppedInStop, RetryBudget, LockShared, SequenceRepeated, StaleRead, WatchIncomplete,
@@ -94,38 +96,39 @@
 	SlowRecovery, UrgentRejected, LateFailure, NotRepaired, AuditLog, DiskDamaged, ConfigInvalid, ResponseDamaged, HerdReady,
 }
 
-// onDemand lists the rules that only faults asked for by name observe.
-var onDemand = map[string]bool{HerdReady: true}
+// onDemandRules lists the rules that only faults selected by name observe.
+var onDemandRules = map[string]bool{HerdReady: true}
 
-// ConfigDeadline is how soon after its confirmation a configuration must be in force.
+// ConfigDeadline is the maximum time from the confirmation of a configuration until every reachable
+// sidecar applies the configuration.
 const ConfigDeadline = 2 * time.Second
 
-// The other bounds of the rules.
+// The other time limits of the rules.
 const (
 	leaveDeadline    = 2 * time.Second
 	recoveryDeadline = 15 * time.Second
-	maxHoldBack      = time.Millisecond
+	maxFailureDelay  = time.Millisecond
 )
 
-// A service may be sent retries for a fifth of its requests and a fixed number more, in any
-// window; the checker allows one beyond that, for a retry at the window's very end.
+// The retry budget of a service in any window is a fifth of its requests plus a fixed number of 60.
+// The checker allows one more, for a retry at the very end of the window.
 const (
-	retryWindow   = 10 * time.Second
-	retryPart     = 0.2
-	retriesBeyond = 60 + 1
+	retryWindow         = 10 * time.Second
+	retryRatio          = 0.2
+	fixedRetryAllowance = 60 + 1
 )
 
-// Recovery compares the rate of served requests in the first seconds with that in the last
-// seconds before the deadline.
+// SlowRecovery compares the rate of served requests in baselineWindow, at the start of the load,
+// with the rate in recoveryWindow, right before the deadline.
 const (
-	normalWindow   = 5 * time.Second
+	baselineWindow = 5 * time.Second
 	recoveryWindow = 2 * time.Second
-	recoveredPart  = 0.25
+	recoveredRatio = 0.25
 )
 
-// defaultRequiredObservations is how often a rule must have been observed for a verdict.
+// defaultRequiredObservations is how many observations of a rule a verdict requires.
 const defaultRequiredObservations = 10
 
-// requiredObservations are the exceptions: rules that faults observe which come once or twice
-// in a run.
+// requiredObservations overrides the default for rules that only faults observe which occur once or
+// twice in a run.
 var requiredObservations = map[string]int{SlowRecovery: 1, DroppedInStop: 1, DiskDamaged: 1, RequestAfterLeave: 1, AdmissionStop: 1}
