--- a/sim/scenario/config.go
+++ b/sim/scenario/config.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// largeConfigRoutes is how many more routes a very large configuration has, and one in
-	// largeConfigEvery configurations is one.
+	// largeConfigRoutes is the number of additional routes of a very large configuration. One in
+	// largeConfigEvery configurations is very large.
 	largeConfigRoutes = 1500
 	largeConfigEvery  = 15
-	// timeoutMs and urgentTimeoutMs are the timeouts of routes.
+	// timeoutMs is the timeout of a route, urgentTimeoutMs the timeout of an urgent route.
 	timeoutMs       = 3000
 	urgentTimeoutMs = 1500
 )
 
-// configDocument is the whole configuration of the deployment; the first service has the marker
-// as its namespace.
+// configDocument returns the whole configuration of the deployment. The namespace of the first service
+// is the marker.
 func (r *Run) configDocument(marker string) world.Document {
 	services, routes := world.Document{}, world.Document{}
 	for i, s := range r.deployment.Services {
@@ -55,11 +55,11 @@
 	return world.Document{"services": services, "ways": routes}
 }
 
-func routeDocument(host, pathStart string, service ident.Service, timeoutMs int) world.Document {
-	return world.Document{"host": host, "pathStart": pathStart, "service": string(service), "timeoutMs": timeoutMs}
+func routeDocument(host, pathPrefix string, service ident.Service, timeoutMs int) world.Document {
+	return world.Document{"host": host, "pathStart": pathPrefix, "service": string(service), "timeoutMs": timeoutMs}
 }
 
-// addPriorities gives the routes of the deployment target latencies and ranks.
+// addPriorities sets the target latencies and the ranks of the deployment's routes.
 func addPriorities(routes world.Document) {
 	for i, name := range slices.Sorted(maps.Keys(routes)) {
 		if route := routes[name].(world.Document); strings.HasPrefix(name, "w-") {
--- a/sim/scenario/corefaults.go
+++ b/sim/scenario/corefaults.go
@@ -7,8 +7,8 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// coreKillPower kills a core while its disk is slow and writes are in flight; it starts again,
-// and only later does its machine lose power.
+// coreKillPower kills a core while its disk is slow and writes are in flight, starts the core again,
+// and cuts the power of its machine only later.
 func (r *Run) coreKillPower() time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
@@ -18,12 +18,12 @@
 	downtime := r.randomDuration(100*time.Millisecond, time.Second)
 	powerLossAfter := r.randomDuration(50*time.Millisecond, 3*time.Second)
 	outage := r.randomDuration(300*time.Millisecond, 2*time.Second)
-	r.Tracef("core %s killed, back in %v, its power lost %v later for %v", c.Addr, downtime, powerLossAfter, outage)
+	r.Tracef("core %s killed, restart in %v, power lost %v later for %v", c.Addr, downtime, powerLossAfter, outage)
 	c.DiskDelay = 100 * time.Millisecond
 	r.After(killAfter, func() {
 		c.DiskDelay = 0
 		if !c.Healthy() {
-			return // another fault has it
+			return // another fault already affects the core
 		}
 		c.Kill(false)
 		r.After(downtime, func() {
@@ -37,20 +37,20 @@
 	return killAfter + downtime + powerLossAfter + outage + time.Second
 }
 
-// coreDown ends a core, by a loss of power or not, and starts it again, with an empty disk or
-// not; such a machine may come back at another address.
-func (r *Run) coreDown(power, empty bool) time.Duration {
+// coreRestart stops a core abruptly, by a power loss or by a kill, and starts the core again. With an
+// empty disk, the machine may return at another address.
+func (r *Run) coreRestart(power, empty bool) time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
 	}
 	c, downtime := r.randomCore(), r.randomDuration(300*time.Millisecond, 4*time.Second)
-	r.Tracef("core %s down for %v, power %v, empty %v", c.Addr, downtime, power, empty)
+	r.Tracef("core %s down for %v, power loss: %v, empty disk: %v", c.Addr, downtime, power, empty)
 	c.Kill(power)
 	if empty {
 		addr := ident.Addr("")
 		if r.Rng.IntN(2) == 0 {
-			r.serial++
-			addr = ident.Addr(fmt.Sprintf("10.0.9.%d:7000", r.serial))
+			r.lastSerial++
+			addr = ident.Addr(fmt.Sprintf("10.0.9.%d:7000", r.lastSerial))
 		}
 		c.ReplaceDisk(addr)
 	}
@@ -59,13 +59,13 @@
 		c.Start()
 	})
 	if empty {
-		// It must be a voter again before another disk may be lost.
+		// The core must be a voter again before another core may lose its disk.
 		return downtime + 8*time.Second
 	}
 	return downtime + time.Second
 }
 
-// coreFreeze freezes a core for a while.
+// coreFreeze freezes a core for a random time.
 func (r *Run) coreFreeze() time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
@@ -76,25 +76,25 @@
 	return duration
 }
 
-// coreSlowDisk delays the writes of a core for a while.
+// coreSlowDisk delays the disk writes of a core for a random time.
 func (r *Run) coreSlowDisk(delay time.Duration) time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
 	}
 	c, duration := r.randomCore(), r.randomDuration(time.Second, 6*time.Second)
-	r.Tracef("core %s disk slower by %v for %v", c.Addr, delay, duration)
+	r.Tracef("disk of core %s slower by %v for %v", c.Addr, delay, duration)
 	c.DiskDelay = delay
 	r.After(duration, func() { c.DiskDelay = 0 })
 	return duration + delay
 }
 
-// coreFailDisk makes the disk of a core fail, and later replaces it by an empty one.
+// coreFailDisk makes the disk of a core fail, and later replaces the disk with an empty disk.
 func (r *Run) coreFailDisk() time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
 	}
 	c := r.randomCore()
-	r.Tracef("core %s disk fails", c.Addr)
+	r.Tracef("disk of core %s fails", c.Addr)
 	c.FailDisk()
 	duration := r.randomDuration(time.Second, 4*time.Second)
 	r.After(duration, func() {
@@ -105,16 +105,16 @@
 	return duration + 9*time.Second
 }
 
-// coreCut cuts a core from all other machines for a while, in some direction.
-func (r *Run) coreCut() time.Duration {
+// coreIsolation isolates a core from all other machines for a random time, in a random direction.
+func (r *Run) coreIsolation() time.Duration {
 	c, duration := r.randomCore(), r.randomDuration(500*time.Millisecond, 5*time.Second)
 	direction := r.randomDirection()
-	r.Tracef("core %s cut %s for %v", c.Addr, direction, duration)
+	r.Tracef("core %s isolated %s for %v", c.Addr, direction, duration)
 	r.Isolate([]ident.Addr{c.Addr}, direction, duration)
 	return duration
 }
 
-// coreSplit cuts two groups of cores from each other for a while.
+// coreSplit partitions the cores into two random groups for a random time.
 func (r *Run) coreSplit() time.Duration {
 	duration := r.randomDuration(time.Second, 6*time.Second)
 	n := 1 + r.Rng.IntN(len(r.Cores)-1)
@@ -126,26 +126,26 @@
 			right = append(right, r.Cores[j].Addr)
 		}
 	}
-	r.Tracef("core split %v from %v for %v", left, right, duration)
+	r.Tracef("cores %v partitioned from cores %v for %v", left, right, duration)
 	r.Partition(left, right, duration)
 	return duration
 }
 
-// coreIsolated cuts all cores from all sidecars for a while.
-func (r *Run) coreIsolated() time.Duration {
+// coreSidecarPartition partitions all cores from all sidecars for a random time.
+func (r *Run) coreSidecarPartition() time.Duration {
 	duration := r.randomDuration(time.Second, 6*time.Second)
-	r.Tracef("core cut from all sidecars for %v", duration)
-	r.recordOutage("isolated core")
+	r.Tracef("all cores partitioned from all sidecars for %v", duration)
+	r.recordOutage("all cores partitioned from all sidecars")
 	r.Partition(coreAddrs(r.Cores), sidecarAddrs(r.Sidecars), duration)
 	return duration
 }
 
-// coreRoll restarts the cores one by one, each by a planned stop.
-func (r *Run) coreRoll() time.Duration {
+// coreRollingRestart restarts the cores one after the other, each by a planned stop.
+func (r *Run) coreRollingRestart() time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
 	}
-	r.Tracef("cores are restarted one by one")
+	r.Tracef("rolling restart of cores")
 	for i, c := range r.Cores {
 		r.After(time.Duration(i)*3*time.Second, func() {
 			if !r.allCoresHealthy() {
--- a/sim/scenario/deployment.go
+++ b/sim/scenario/deployment.go
@@ -9,30 +9,30 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// Deployment describes the machines, services and load of a mesh.
+// Deployment describes the machines, the services and the load of a simulated mesh.
 type Deployment struct {
 	Name             string
 	Cores            int
-	ExtraCores       int // beyond those that form the first membership
+	ExtraCores       int // cores beyond the initial membership
 	Sidecars         int
 	Zones            int
 	Services         []Service
 	RequestKinds     []world.RequestKind
-	Rate             float64 // requests a second, over all machines
+	Rate             float64 // requests per second over all machines
 	Locks            int
-	Keys             int     // that clients of real processes use; simulated ones use fewer
-	CoordinationRate float64 // coordination operations a second
+	Keys             int     // keys that clients use in runs of real processes; simulated clients use keyCount
+	CoordinationRate float64 // coordination operations per second
 	ConfigInterval   time.Duration
 }
 
-// Service is a service with its number of endpoints.
+// Service describes a service and its number of endpoints.
 type Service struct {
 	Name      ident.Service
 	Host      string
 	Endpoints int
 }
 
-// Deployments are the deployments that are known by name.
+// Deployments holds the built-in deployments by name.
 var Deployments = map[string]Deployment{
 	"prairie": {
 		Name: "prairie", Cores: 3, Sidecars: 9, Zones: 3, Rate: 450, Locks: 80, Keys: 300, CoordinationRate: 50, ConfigInterval: 1500 * time.Millisecond,
@@ -57,8 +57,8 @@
 	},
 }
 
-// WithSidecars is the deployment with another number of sidecars, and endpoints in proportion; 0 leaves it
-// as it is.
+// WithSidecars returns the deployment with n sidecars and a proportional number of endpoints, at least
+// two per service. If n is 0, WithSidecars returns the deployment unchanged.
 func (d Deployment) WithSidecars(n int) Deployment {
 	if n == 0 {
 		return d
@@ -71,13 +71,13 @@
 	return d
 }
 
-// zoneOf is the zone of the machine with an index: machines are spread evenly.
+// zoneOf returns the zone of the machine with an index. Machines are spread evenly over the zones.
 func (d Deployment) zoneOf(index int) ident.Zone {
 	return ident.Zone(fmt.Sprintf("d%d", index%d.Zones))
 }
 
-// clients is how many clients there are when each has a part of the coordination rate, and at
-// least so many.
-func (d Deployment) clients(ratePerClient float64, least int) int {
-	return max(least, int(d.CoordinationRate/ratePerClient))
+// clientCount returns how many clients of ratePerClient operations per second reach the coordination
+// rate, and at least minClients.
+func (d Deployment) clientCount(ratePerClient float64, minClients int) int {
+	return max(minClients, int(d.CoordinationRate/ratePerClient))
 }
--- a/sim/scenario/endpointfaults.go
+++ b/sim/scenario/endpointfaults.go
@@ -8,11 +8,10 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// randomReplicatedEndpoint draws an endpoint whose service has another one, nil if there is
-// none.
+// randomReplicatedEndpoint returns a random endpoint whose service has at least two endpoints, or nil.
 func (r *Run) randomReplicatedEndpoint() *world.Endpoint { return r.randomEndpoint(2) }
 
-// randomEndpoint draws an endpoint whose service has so many at least, nil if there is none.
+// randomEndpoint returns a random endpoint whose service has at least minReplicas endpoints, or nil.
 func (r *Run) randomEndpoint(minReplicas int) *world.Endpoint {
 	count := map[ident.Service]int{}
 	var endpoints []*world.Endpoint
@@ -34,7 +33,7 @@
 	return eligible[r.Rng.IntN(len(eligible))]
 }
 
-// endpointSlow makes an endpoint take several times as long, so that requests wait for it.
+// endpointSlow multiplies the service time of an endpoint by ten, so that requests queue.
 func (r *Run) endpointSlow() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -47,20 +46,20 @@
 	return duration
 }
 
-// endpointFails makes an endpoint respond mostly that it failed.
-func (r *Run) endpointFails() time.Duration {
+// endpointFailures makes most responses of an endpoint report a failure.
+func (r *Run) endpointFailures() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
 		return 0
 	}
 	duration, old := r.randomDuration(time.Second, 5*time.Second), e.Behavior.FailureRate
-	r.Tracef("endpoint %s fails for %v", e.Server, duration)
+	r.Tracef("endpoint %s reports failures for %v", e.Server, duration)
 	e.Behavior.FailureRate = 0.7
 	r.After(duration, func() { e.Behavior.FailureRate = old })
 	return duration
 }
 
-// endpointReplace has an endpoint leave as planned, and another one take its place.
+// endpointReplace drains an endpoint and starts a new endpoint in its place.
 func (r *Run) endpointReplace() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -72,9 +71,9 @@
 	return 3 * time.Second
 }
 
-// endpointLateHeartbeat has an endpoint sign off and serve on; a heartbeat that it sent before comes
-// seconds later. Where endpoints can be asked whether they are healthy, the sidecar may be restarted
-// in between.
+// endpointLateHeartbeat has an endpoint sign off but continue to serve, while a heartbeat that the
+// endpoint sent before the sign-off arrives seconds later. With Options.Platform, where sidecars can
+// ask endpoints whether they are healthy, the sidecar may be restarted in between.
 func (r *Run) endpointLateHeartbeat() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -82,17 +81,17 @@
 	}
 	lateness := r.randomDuration(time.Second, 12*time.Second)
 	s, service := e.Sidecar, e.Service
-	restarted := r.Platform && r.Rng.IntN(2) == 0
-	r.Tracef("endpoint %s signs off; a heartbeat of before comes %v later; its sidecar is restarted: %v", e.Server, lateness, restarted)
+	restart := r.Platform && r.Rng.IntN(2) == 0
+	r.Tracef("endpoint %s signs off; an earlier heartbeat arrives %v later; its sidecar is restarted: %v", e.Server, lateness, restart)
 	e.SignOffBeforeDrain(lateness, lateness+4*time.Second, func() { r.startEndpoint(s, service, "") })
-	if restarted {
+	if restart {
 		r.After(lateness/3, s.Kill)
 		r.After(lateness*2/3, s.Start)
 	}
 	return lateness + 5*time.Second
 }
 
-// endpointReuse kills an endpoint and gives its address to an endpoint of any service.
+// endpointReuse kills an endpoint and starts an endpoint of a random service at the same address.
 func (r *Run) endpointReuse() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -100,14 +99,14 @@
 	}
 	s, old, addr := e.Sidecar, e.Service, e.Addr
 	other := r.deployment.Services[r.Rng.IntN(len(r.deployment.Services))].Name
-	r.Tracef("endpoint %s dies; %s passes to %s in 2s", e.Server, addr, other)
+	r.Tracef("endpoint %s is killed; its address %s passes to a new endpoint of %s in 2s", e.Server, addr, other)
 	e.Kill()
 	r.After(2*time.Second, func() { r.startEndpoint(s, other, addr) })
 	r.After(3*time.Second, func() { r.startEndpoint(s, old, "") })
 	return 4 * time.Second
 }
 
-// endpointFrozenReuse does the same while the sidecar beside it is frozen.
+// endpointFrozenReuse freezes the sidecar of one endpoint and runs the endpointReuse fault meanwhile.
 func (r *Run) endpointFrozenReuse() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -118,25 +117,25 @@
 	return r.endpointReuse()
 }
 
-// endpointBad makes an endpoint lose and garble many responses.
-func (r *Run) endpointBad() time.Duration {
+// endpointBadResponses makes an endpoint lose 30% and corrupt 30% of its responses.
+func (r *Run) endpointBadResponses() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
 		return 0
 	}
 	duration := r.randomDuration(time.Second, 5*time.Second)
 	old := e.Behavior
-	r.Tracef("endpoint %s loses and garbles responses for %v", e.Server, duration)
+	r.Tracef("endpoint %s loses and corrupts responses for %v", e.Server, duration)
 	e.Behavior.NoResponseRate, e.Behavior.MalformedRate = 0.3, 0.3
 	r.After(duration, func() { e.Behavior = old })
 	return duration
 }
 
-// badRelease makes all endpoints of one service lose or garble most responses.
+// badRelease makes all endpoints of one service lose or corrupt most responses, as after a bad release.
 func (r *Run) badRelease() time.Duration {
 	duration := r.randomDuration(2*time.Second, 8*time.Second)
 	service := r.deployment.Services[r.Rng.IntN(len(r.deployment.Services))].Name
-	r.Tracef("every endpoint of %s loses and garbles responses for %v", service, duration)
+	r.Tracef("every endpoint of %s loses and corrupts responses for %v", service, duration)
 	for _, s := range r.Sidecars {
 		for _, e := range s.Endpoints {
 			if e.Service == service {
@@ -149,7 +148,7 @@
 	return duration
 }
 
-// endpointHang makes an endpoint hang for a while; it goes on taking connections.
+// endpointHang makes an endpoint hang for a random time. A hung endpoint still accepts connections.
 func (r *Run) endpointHang() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
@@ -161,23 +160,23 @@
 	return duration
 }
 
-// endpointGone removes an endpoint for good, if its service keeps two.
-func (r *Run) endpointGone() time.Duration {
+// endpointRemove removes an endpoint permanently, if its service keeps at least two endpoints.
+func (r *Run) endpointRemove() time.Duration {
 	e := r.randomEndpoint(3)
 	if e == nil {
 		return 0
 	}
-	r.Tracef("endpoint %s leaves for good", e.Server)
+	r.Tracef("endpoint %s leaves and is not replaced", e.Server)
 	e.Leave(r.randomDuration(100*time.Millisecond, 3*time.Second), nil)
 	return time.Second
 }
 
-// serviceEmpty ends every endpoint of a service, as planned or at once, and starts new ones
-// later.
-func (r *Run) serviceEmpty() time.Duration {
+// serviceReplaceAll stops every endpoint of a service, by draining or by a kill, and starts new
+// endpoints later. Until then the service has no endpoints.
+func (r *Run) serviceReplaceAll() time.Duration {
 	service := r.deployment.Services[r.Rng.IntN(len(r.deployment.Services))].Name
 	duration, planned := r.randomDuration(500*time.Millisecond, 6*time.Second), r.Rng.IntN(2) == 0
-	r.Tracef("every endpoint of %s ends, planned %v, new ones in %v", service, planned, duration)
+	r.Tracef("every endpoint of %s stops, drained: %v, new endpoints in %v", service, planned, duration)
 	r.recordOutage("all endpoints of a service")
 	for _, s := range r.Sidecars {
 		for _, e := range slices.Clone(s.Endpoints) {
--- a/sim/scenario/herd.go
+++ b/sim/scenario/herd.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	// herdReadyDeadline is how soon after a majority of the cores is back every sidecar must
-	// be ready.
+	// herdReadyDeadline is the maximum time from when a majority of the cores is available until
+	// every sidecar of the herd must be ready.
 	herdReadyDeadline = 3 * time.Second
-	// herdCheckInterval is how often it is checked whether a majority is back, and whether
-	// another fault disturbs.
+	// herdCheckInterval is the interval of the checks for a majority of the cores, for ready sidecars
+	// and for other faults.
 	herdCheckInterval = 20 * time.Millisecond
-	// majorityTimeout is how long a majority is waited for.
+	// majorityTimeout is the maximum wait for a majority of the cores.
 	majorityTimeout = 20 * time.Second
-	// startSpread is how far the starts of machines lie apart whose power comes back at once.
+	// startSpread is the maximum difference between the start times of machines whose power returns at
+	// the same time.
 	startSpread = 200 * time.Millisecond
 )
 
-// herdFaults are faults after which many sidecars join together. No run draws them, so known
-// seeds draw what they always drew.
+// herdFaults are faults after which many sidecars, a herd, join at the same time. Random selection
+// excludes these faults, so that known seeds still select the same faults.
 var herdFaults = map[string]Fault{
 	"herd-sidecars": (*Run).herdSidecars,
 	"herd-power":    (*Run).herdPower,
 	"zone-power":    (*Run).zonePower,
 }
 
-// herdSidecars kills every sidecar and starts them together.
+// herdSidecars kills every sidecar and starts all sidecars at the same time.
 func (r *Run) herdSidecars() time.Duration {
 	downtime := r.randomDuration(300*time.Millisecond, 2*time.Second)
-	r.Tracef("all sidecars killed, back together in %v", downtime)
+	r.Tracef("all sidecars killed, all start again in %v", downtime)
 	return r.powerLoss(nil, r.Sidecars, downtime)
 }
 
-// herdPower takes the power of every machine; it comes back at once.
+// herdPower cuts the power of every machine and restores the power of all machines at the same time.
 func (r *Run) herdPower() time.Duration {
 	downtime := r.randomDuration(500*time.Millisecond, 3*time.Second)
 	r.Tracef("all machines lose power for %v", downtime)
 	return r.powerLoss(r.Cores, r.Sidecars, downtime)
 }
 
-// zonePower takes the power of every machine of a zone.
+// zonePower cuts the power of every machine of a zone and restores that power at the same time.
 func (r *Run) zonePower() time.Duration {
 	zone := r.deployment.zoneOf(r.Rng.IntN(r.deployment.Zones))
 	downtime := r.randomDuration(500*time.Millisecond, 3*time.Second)
@@ -53,8 +54,8 @@
 	return r.powerLoss(cores, sidecars, downtime)
 }
 
-// powerLoss ends machines at once, starts them together after a downtime, and checks that the
-// sidecars are ready in time.
+// powerLoss stops cores and sidecars abruptly, starts all of them again after a downtime, and checks
+// that the sidecars are ready in time.
 func (r *Run) powerLoss(cores []*world.Core, sidecars []*world.Sidecar, downtime time.Duration) time.Duration {
 	r.recordOutage("herd")
 	for _, c := range cores {
@@ -69,7 +70,7 @@
 	return downtime + startSpread + 2*herdReadyDeadline
 }
 
-// awaitMajority begins the check once a majority of the cores is back.
+// awaitMajority waits for a majority of the cores and then begins to watch the sidecars.
 func (r *Run) awaitMajority(sidecars []*world.Sidecar, remaining time.Duration) {
 	switch {
 	case remaining <= 0:
@@ -81,19 +82,19 @@
 		for _, s := range sidecars {
 			herd.generations[s.Node] = s.Generation()
 		}
-		r.checkHerd(herd)
+		r.watchHerd(herd)
 	}
 }
 
-// sidecarHerd is a set of sidecars that started together.
+// sidecarHerd is a set of sidecars that started at the same time.
 type sidecarHerd struct {
 	sidecars    []*world.Sidecar
-	generations map[ident.Node]int // of each when the check began
-	majorityAt  monotime.Time      // when a majority of the cores was back
-	wasReady    bool               // all were ready once
+	generations map[ident.Node]int // generation of each sidecar when the check began
+	majorityAt  monotime.Time      // when a majority of the cores was available
+	becameReady bool               // all sidecars have been ready at the same time
 }
 
-// allReady tells whether all sidecars are ready.
+// allReady reports whether all sidecars are ready.
 func (h *sidecarHerd) allReady() bool {
 	for _, s := range h.sidecars {
 		if !s.Ready() {
@@ -103,26 +104,27 @@
 	return true
 }
 
-// checkHerd watches the sidecars until the deadline; another fault excuses them.
-func (r *Run) checkHerd(h *sidecarHerd) {
+// watchHerd watches the sidecars until the deadline. Another fault excuses the whole herd.
+func (r *Run) watchHerd(h *sidecarHerd) {
 	if !r.CoresAndLinksHealthy() {
 		r.Checker.Excuse(invariant.HerdReady, "another fault")
 		return
 	}
 	elapsed := r.Now().Since(h.majorityAt)
-	if !h.wasReady && h.allReady() {
-		h.wasReady = true
-		r.Tracef("all %d sidecars were ready %v after the majority", len(h.sidecars), elapsed)
+	if !h.becameReady && h.allReady() {
+		h.becameReady = true
+		r.Tracef("all %d sidecars were ready %v after a majority of the cores was available", len(h.sidecars), elapsed)
 	}
 	if elapsed < herdReadyDeadline {
-		r.After(herdCheckInterval, func() { r.checkHerd(h) })
+		r.After(herdCheckInterval, func() { r.watchHerd(h) })
 		return
 	}
-	r.judgeHerd(h)
+	r.checkHerdReady(h)
 }
 
-// judgeHerd checks that the sidecars are ready, but for those with a fault of their own.
-func (r *Run) judgeHerd(h *sidecarHerd) {
+// checkHerdReady checks that the sidecars are ready. Sidecars that another fault stopped or restarted
+// are excused.
+func (r *Run) checkHerdReady(h *sidecarHerd) {
 	late := 0
 	for _, s := range h.sidecars {
 		if s.Generation() != h.generations[s.Node] || !s.Running() {
@@ -135,6 +137,6 @@
 		}
 	}
 	if late > 0 {
-		r.Violate(invariant.HerdReady, "%d of %d sidecars were not ready %v after a majority of the cores was there", late, len(h.sidecars), herdReadyDeadline)
+		r.Violate(invariant.HerdReady, "%d of %d sidecars were not ready %v after a majority of the cores was available", late, len(h.sidecars), herdReadyDeadline)
 	}
 }
--- a/sim/scenario/loadfaults.go
+++ b/sim/scenario/loadfaults.go
@@ -6,7 +6,7 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// trafficSurge multiplies the rate of requests.
+// trafficSurge triples the request rate for a random time.
 func (r *Run) trafficSurge() time.Duration {
 	duration := r.randomDuration(2*time.Second, 5*time.Second)
 	r.Tracef("a surge of requests for %v", duration)
@@ -15,8 +15,8 @@
 	return duration
 }
 
-// herd kills many sidecars and one core at once.
-func (r *Run) herd() time.Duration {
+// massRestart kills half of the sidecars and one core at the same time, and starts them again.
+func (r *Run) massRestart() time.Duration {
 	r.Tracef("half of the sidecars are killed")
 	r.recordOutage("herd")
 	for i, s := range r.Sidecars {
@@ -33,11 +33,11 @@
 	return 6 * time.Second
 }
 
-// finalOutage is the last fault of a day: every core loses power at once, and half of the
+// finalOutage is the last fault of a run: every core loses power at the same time, and half of the
 // sidecars are killed.
 func (r *Run) finalOutage() {
-	r.Tracef("the last heavy fault: all cores lose power, half the sidecars are killed")
-	r.recordOutage("everything at once")
+	r.Tracef("final outage: all cores lose power, half of the sidecars are killed")
+	r.recordOutage("final outage")
 	for _, c := range r.Cores {
 		c.Kill(true)
 		r.After(r.randomDuration(time.Second, 3*time.Second), c.Start)
@@ -57,8 +57,8 @@
 	}
 }
 
-// burst proposes many configurations in a short time.
-func (r *Run) burst() time.Duration {
+// proposalBurst proposes twelve configurations, 20 ms apart.
+func (r *Run) proposalBurst() time.Duration {
 	r.Tracef("a burst of proposals")
 	for i := range 12 {
 		r.After(time.Duration(i)*20*time.Millisecond, r.operators.Propose)
@@ -66,9 +66,9 @@
 	return time.Second
 }
 
-// configStorm proposes configurations in quick succession, for longer than one may take to be in
-// force.
-func (r *Run) configStorm() time.Duration {
+// proposalStorm proposes configurations in quick succession, for longer than a configuration may take
+// until every sidecar applies the configuration.
+func (r *Run) proposalStorm() time.Duration {
 	const interval, proposals = 50 * time.Millisecond, 80
 	r.Tracef("%d proposals, %v apart", proposals, interval)
 	for i := range time.Duration(proposals) {
@@ -77,16 +77,17 @@
 	return proposals * interval
 }
 
-// configLarge proposes a very large configuration.
-func (r *Run) configLarge() time.Duration {
-	r.Tracef("a very large configuration")
+// largeProposal proposes a very large configuration.
+func (r *Run) largeProposal() time.Duration {
+	r.Tracef("proposal of a very large configuration")
 	r.largeConfig = true
 	r.operators.Propose()
 	r.largeConfig = false
 	return time.Second
 }
 
-// overload is a surge of requests while a service is slow: more arrive than can be sent.
+// overload multiplies the request rate by five while all endpoints of one service are slow, so that
+// more requests arrive than the sidecars can send.
 func (r *Run) overload() time.Duration {
 	duration := r.randomDuration(2*time.Second, 5*time.Second)
 	service := r.deployment.RequestKinds[0].Service
--- a/sim/scenario/machinefaults.go
+++ b/sim/scenario/machinefaults.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// isolatedRestart cuts all cores from the sidecars and restarts some of these meanwhile: they
-// have nobody to ask but their peers.
-func (r *Run) isolatedRestart() time.Duration {
-	duration := r.coreIsolated()
+// restartWithoutCores partitions all cores from all sidecars and meanwhile restarts some sidecars. A
+// restarted sidecar then can ask only its peers.
+func (r *Run) restartWithoutCores() time.Duration {
+	duration := r.coreSidecarPartition()
 	for range 1 + r.Rng.IntN(4) {
-		r.After(r.randomDuration(0, duration), func() { r.sidecarKill() })
+		r.After(r.randomDuration(0, duration), func() { r.sidecarRestart() })
 	}
 	return duration + 2*time.Second
 }
 
-// machineSuspend suspends an application machine with its endpoints, and resumes it. Its clock
-// goes on, or stops too.
+// machineSuspend suspends and resumes a sidecar's machine with its endpoints. The clock of the machine
+// continues or stops meanwhile, at random.
 func (r *Run) machineSuspend() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(300*time.Millisecond, 20*time.Second)
 	clockStops := r.Rng.IntN(2) == 0
-	r.Tracef("machine %s suspended for %v, clock stops %v", s.Node, duration, clockStops)
+	r.Tracef("machine %s suspended for %v, clock stops: %v", s.Node, duration, clockStops)
 	for _, e := range s.Endpoints {
 		e.Hang(duration)
 	}
@@ -29,7 +29,7 @@
 	return duration
 }
 
-// clockJump makes the clock of a machine jump forward.
+// clockJump moves the clock of a random machine forward.
 func (r *Run) clockJump() time.Duration {
 	duration := r.randomDuration(100*time.Millisecond, 90*time.Second)
 	if r.Rng.IntN(2) == 0 {
--- a/sim/scenario/options.go
+++ b/sim/scenario/options.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// noFaults is the name that stands for no faults in a list of them.
+// noFaults is the name that, as the only element of Options.Faults, selects no faults.
 const noFaults = "none"
 
 // The bounds of the options.
@@ -22,47 +22,47 @@
 	maxCoreMessageCost           = 100 * time.Millisecond
 )
 
-// ScheduledFault is one fault of a schedule, some time after faults begin.
+// ScheduledFault is one fault of a schedule. After is the time since the start of the fault phase.
 type ScheduledFault struct {
 	Fault string
 	After time.Duration
 }
 
-// Options say what a run changes of its deployment and what goes wrong.
+// Options select how a run changes its deployment, and which faults the run injects.
 type Options struct {
 	Seed          uint64
-	Duration      time.Duration    // of the time under faults
-	Faults        []string         // the faults to draw from; empty means all, "none" none
-	Schedule      []ScheduledFault // instead of drawn faults
-	FaultInterval time.Duration    // the longest pause between drawn faults, the default if 0
+	Duration      time.Duration    // length of the fault phase
+	Faults        []string         // random faults are selected from these; empty means all, "none" means none
+	Schedule      []ScheduledFault // instead of random faults
+	FaultInterval time.Duration    // maximum pause between random faults; 0 means 2 s
 	AddCores      int
 	LoseZone      bool
-	FinalOutage   bool    // all cores lose power in the end
-	LossyLinks    bool    // messages are lost, delayed and duplicated throughout
-	LoadFactor    float64 // times the rate of requests
-	Scale         float64 // times the rate of requests, to run faster; 1 if 0
+	FinalOutage   bool    // at the end all cores lose power and half of the sidecars are killed
+	LossyLinks    bool    // links lose, delay and duplicate messages during the whole run
+	LoadFactor    float64 // factor of the request rate
+	Scale         float64 // further factor of the request rate, to shorten a run; 0 means 1
 	Mutant        world.Mutant
-	// Keyspaces says that clients use keyspaces and the platform's locks too. It is an option
-	// because every client draws from the seed: known seeds are worth keeping.
+	// Keyspaces adds clients that use keyspaces and the platform's locks. Every client consumes random
+	// numbers of the seed, so clients that always ran would change the runs of known seeds.
 	Keyspaces bool
-	// Platform sets World.Platform; an option for the same reason.
+	// Platform sets World.Platform. Platform is an option for the same reason.
 	Platform bool
 	// CoreMessageCost sets World.CoreMessageCost.
 	CoreMessageCost time.Duration
 }
 
-// Validate returns every fault of the options, nil if there is none.
+// Validate returns an error that lists every invalid option, or nil.
 func (o Options) Validate() *failure.Error {
-	invalid := failure.New(failure.BadSettings, "the what-if can't be run")
+	invalid := failure.New(failure.BadSettings, "the simulation can't be run")
 	add := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	o.validateFaults(add)
 	if _, ok := world.Mutants[o.Mutant]; !ok && o.Mutant != "" {
-		add("break", "there is no break %q", o.Mutant)
+		add("break", "there is no mutant %q", o.Mutant)
 	}
 	if o.Mutant.NeedsPlatform() && !o.Platform {
-		add("break", "%q needs the platform", o.Mutant)
+		add("break", "mutant %q needs the platform option", o.Mutant)
 	}
 	if o.Duration < minDuration || o.Duration > maxDuration {
 		add("for", "must be from 5s to 1h")
@@ -82,32 +82,32 @@
 	return nil
 }
 
-// validateFaults adds the faults of the lists of faults.
+// validateFaults reports invalid elements of Faults and Schedule.
 func (o Options) validateFaults(add func(path, format string, args ...any)) {
 	for _, name := range o.Faults {
 		if _, ok := Faults[name]; !ok && name != noFaults {
-			add("faults", "there is no fault %q; there are none, %s", name, strings.Join(FaultNames(), ", "))
+			add("faults", "there is no fault %q; known: none, %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
 	for _, scheduled := range o.Schedule {
 		if _, ok := Faults[scheduled.Fault]; !ok {
-			add("at", "there is no fault %q; there are %s", scheduled.Fault, strings.Join(FaultNames(), ", "))
+			add("at", "there is no fault %q; known: %s", scheduled.Fault, strings.Join(FaultNames(), ", "))
 		}
 		if scheduled.After < 0 || scheduled.After > o.Duration {
-			add("at", "%v is not within the run of %v", scheduled.After, o.Duration)
+			add("at", "the time %v is not within the fault phase of %v", scheduled.After, o.Duration)
 		}
 	}
 }
 
-// drawsFaults tells whether faults are drawn.
-func (o Options) drawsFaults() bool {
+// usesRandomFaults reports whether the run injects random faults.
+func (o Options) usesRandomFaults() bool {
 	return len(o.Schedule) == 0 && !slices.Equal(o.Faults, []string{noFaults})
 }
 
-// FaultNames lists the names of all faults.
+// FaultNames returns the sorted names of all faults.
 func FaultNames() []string { return slices.Sorted(maps.Keys(Faults)) }
 
-// MutantNames lists the names of all mutants.
+// MutantNames returns the sorted names of all mutants.
 func MutantNames() []string {
 	var names []string
 	for m := range world.Mutants {
--- a/sim/scenario/partitionfaults.go
+++ b/sim/scenario/partitionfaults.go
@@ -8,39 +8,39 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// partitionFaults are faults that no run draws, only schedules name them: they cut cores off
-// from other cores in one of the ways that networks do, while sidecars still reach them.
+// partitionFaults are faults that partition cores from other cores. Except under seeds-apart, sidecars
+// still reach both sides. Random selection excludes these faults; a schedule must name them.
 var partitionFaults = map[string]Fault{
 	"core-apart":         func(r *Run) time.Duration { _, d := r.corePartition(false); return d },
 	"core-apart-refused": func(r *Run) time.Duration { _, d := r.corePartition(true); return d },
-	"core-apart-alone":   (*Run).corePartitionAlone,
+	"core-apart-alone":   (*Run).corePartitionWithoutPeers,
 	"core-apart-restart": (*Run).corePartitionRestart,
-	"seeds-apart":        (*Run).seedsPartition,
+	"seeds-apart":        (*Run).seedPartition,
 }
 
-// corePartition cuts one core off from the other cores, one way or both, silently or with
-// every connection refused.
+// corePartition partitions one core from the other cores, in one direction or both. Messages are
+// dropped silently, or every connection is refused.
 func (r *Run) corePartition(refused bool) (*world.Core, time.Duration) {
 	c, duration := r.randomCore(), r.randomDuration(2*time.Second, 6*time.Second)
 	direction := r.randomDirection()
-	r.Tracef("core %s cut %s from the other cores for %v, refused %v", c.Addr, direction, duration, refused)
+	r.Tracef("core %s partitioned %s from the other cores for %v, connections refused: %v", c.Addr, direction, duration, refused)
 	r.PartitionDirected([]ident.Addr{c.Addr}, r.coreAddrsExcept(c), direction, refused, duration)
 	return c, duration
 }
 
-// coreAddrsExcept lists the addresses of all cores but some.
-func (r *Run) coreAddrsExcept(excluded ...*world.Core) (out []ident.Addr) {
+// coreAddrsExcept returns the addresses of all cores except the excluded cores.
+func (r *Run) coreAddrsExcept(excluded ...*world.Core) (addrs []ident.Addr) {
 	for _, c := range r.Cores {
 		if !slices.Contains(excluded, c) {
-			out = append(out, c.Addr)
+			addrs = append(addrs, c.Addr)
 		}
 	}
-	return out
+	return addrs
 }
 
-// corePartitionAlone cuts a core off from the others and, for the same time, each sidecar from
-// its peers: what a sidecar knows then comes from cores alone.
-func (r *Run) corePartitionAlone() time.Duration {
+// corePartitionWithoutPeers partitions a core from the other cores and, for the same time, each
+// sidecar from its peers, so that sidecars learn of new configurations only from cores.
+func (r *Run) corePartitionWithoutPeers() time.Duration {
 	_, duration := r.corePartition(r.Rng.IntN(2) == 0)
 	for i, s := range r.Sidecars {
 		for _, o := range r.Sidecars[i+1:] {
@@ -50,7 +50,8 @@
 	return duration
 }
 
-// corePartitionRestart restarts a core while it is cut off from the others, and two sidecars.
+// corePartitionRestart partitions a core from the other cores and meanwhile restarts that core and two
+// sidecars.
 func (r *Run) corePartitionRestart() time.Duration {
 	if !r.allCoresHealthy() {
 		return 0
@@ -60,19 +61,19 @@
 		if !c.Healthy() {
 			return
 		}
-		r.Tracef("core %s restarts, cut off", c.Addr)
+		r.Tracef("core %s restarts while partitioned", c.Addr)
 		c.Kill(false)
 		r.After(300*time.Millisecond, c.Start)
 	})
 	for range 2 {
-		r.After(r.randomDuration(0, duration), func() { r.sidecarKill() })
+		r.After(r.randomDuration(0, duration), func() { r.sidecarRestart() })
 	}
 	return duration
 }
 
-// seedsPartition cuts as many of the seeds as leave a majority off from all other machines, and
-// restarts sidecars meanwhile, which then know no other cores.
-func (r *Run) seedsPartition() time.Duration {
+// seedPartition partitions seed cores, as many as still leave a majority, from all other machines and
+// meanwhile restarts sidecars. A restarted sidecar knows no cores but the seeds.
+func (r *Run) seedPartition() time.Duration {
 	var seedCores []*world.Core
 	for _, c := range r.Cores {
 		if slices.Contains(r.Seeds, c.Addr) && len(seedCores) < (len(r.Cores)-1)/2 {
@@ -82,10 +83,10 @@
 	seeds := coreAddrs(seedCores)
 	duration, refused := r.randomDuration(2*time.Second, 6*time.Second), r.Rng.IntN(2) == 0
 	others := append(r.coreAddrsExcept(seedCores...), sidecarAddrs(r.Sidecars)...)
-	r.Tracef("seeds %v cut off for %v, refused %v", seeds, duration, refused)
+	r.Tracef("seeds %v partitioned from all other machines for %v, connections refused: %v", seeds, duration, refused)
 	r.PartitionDirected(seeds, others, world.BothWays, refused, duration)
 	for range 3 {
-		r.After(r.randomDuration(0, duration), func() { r.sidecarKill() })
+		r.After(r.randomDuration(0, duration), func() { r.sidecarRestart() })
 	}
 	return duration
 }
--- a/sim/scenario/rollout_test.go
+++ b/sim/scenario/rollout_test.go
@@ -17,8 +17,8 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// newRolloutWorld makes a small world with one route, an old service and a new one, whose
-// endpoints behave as given; the function that it returns runs an operation.
+// newRolloutWorld returns a small world with one route, an old service and a new service, and a
+// function that submits an operation. behavior is the behavior of the new service's endpoints.
 func newRolloutWorld(t *testing.T, seed uint64, behavior world.Behavior) (*world.World, func(proposer.Operation) node.Result) {
 	w := world.New(seed)
 	for i := range 3 {
@@ -65,18 +65,18 @@
 }
 
 func readRollout(t *testing.T, submit func(proposer.Operation) node.Result) (r rollout.Rollout, route map[string]any) {
-	e := submit(proposer.Operation{Key: rollout.Key("shop"), Kind: "rollout/read"})
-	must.Nil(t, e.Failure)
-	must.NoError(t, json.Unmarshal(e.Body, &r))
-	e = submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"})
-	must.Nil(t, e.Failure)
-	var h struct {
+	result := submit(proposer.Operation{Key: rollout.Key("shop"), Kind: "rollout/read"})
+	must.Nil(t, result.Failure)
+	must.NoError(t, json.Unmarshal(result.Body, &r))
+	result = submit(proposer.Operation{Key: proposal.Key, Kind: "manifest/read"})
+	must.Nil(t, result.Failure)
+	var response struct {
 		Config struct {
 			Routes map[string]map[string]any `json:"ways"`
 		} `json:"manifest"`
 	}
-	must.NoError(t, json.Unmarshal(e.Body, &h))
-	return r, h.Config.Routes["shop"]
+	must.NoError(t, json.Unmarshal(result.Body, &response))
+	return r, response.Config.Routes["shop"]
 }
 
 func countExecutions(w *world.World, service ident.Service) (n int) {
@@ -88,9 +88,9 @@
 	return n
 }
 
-// A rollout whose new service does well ends with the route at it, also if the core that drives
-// it is killed and another core is frozen meanwhile.
-func TestRolloutEndsAtTheNewService(t *testing.T) {
+// A rollout to a healthy service completes with the route at the new service, although the core that
+// drives the rollout is killed and another core is frozen meanwhile.
+func TestRolloutCompletesDespiteCoreFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		w, submit := newRolloutWorld(t, seed, world.Behavior{ServiceTime: 4 * time.Millisecond})
 		beginRollout(t, submit)
@@ -109,9 +109,9 @@
 	}
 }
 
-// A rollout whose new service does badly is rolled back by itself, before much of the traffic
-// has reached it.
-func TestRolloutIsRolledBack(t *testing.T) {
+// A rollout to a failing service is rolled back automatically, before the new service receives a tenth
+// of the traffic.
+func TestFailingRolloutIsRolledBack(t *testing.T) {
 	for seed := range uint64(8) {
 		w, submit := newRolloutWorld(t, seed, world.Behavior{ServiceTime: 4 * time.Millisecond, MalformedRate: 0.5})
 		before := len(w.Checker.Executions)
@@ -126,32 +126,33 @@
 		must.Nil(t, route["split"])
 		must.StrContains(t, r.Reason, "defect")
 		seen, calls := countExecutions(w, "new.x"), len(w.Checker.Executions)-before
-		t.Logf("seed %d: %d of %d calls reached the bad service", seed, seen, calls)
-		must.Less(t, calls/10, seen, must.Sprintf("seed %d: %d of %d calls reached the bad service", seed, seen, calls))
+		t.Logf("seed %d: %d of %d calls reached the failing service", seed, seen, calls)
+		must.Less(t, calls/10, seen, must.Sprintf("seed %d: %d of %d calls reached the failing service", seed, seen, calls))
 	}
 }
 
-// Of two cores' moves that build on the same step, one is made, in either order.
-func TestRolloutMovesOnce(t *testing.T) {
-	kinds := rollout.Handlers()
+// If two cores request transitions from the same step, only the first transition applies, in either
+// order.
+func TestConcurrentTransitionsApplyOnce(t *testing.T) {
+	handlers := rollout.Handlers()
 	args := operation.Encode(rollout.Rollout{Route: "w", From: "a", To: "b"})
-	v := kinds.Apply(proposer.Context{}, nil, proposer.Operation{Kind: "rollout/begin", Args: args})
-	must.Nil(t, v.Failure)
-	moves := []rollout.Transition{
+	begun := handlers.Apply(proposer.Context{}, nil, proposer.Operation{Kind: "rollout/begin", Args: args})
+	must.Nil(t, begun.Failure)
+	transitions := []rollout.Transition{
 		{Generation: 1, Step: 0, Phase: rollout.Running, NextStep: 1, NextPhase: rollout.Running},
 		{Generation: 1, Step: 0, Phase: rollout.Running, NextStep: 0, NextPhase: rollout.RollingBack, Reason: "bad"},
 	}
 	for _, order := range [][]int{{0, 1}, {1, 0}} {
-		value, won := v.Value, 0
+		state, applied := begun.Value, 0
 		for _, i := range order {
-			got := kinds.Apply(proposer.Context{}, value, proposer.Operation{Kind: "rollout/move", Args: operation.Encode(moves[i])})
-			if got.Failure == nil {
-				value = got.Value
-				won++
+			result := handlers.Apply(proposer.Context{}, state, proposer.Operation{Kind: "rollout/move", Args: operation.Encode(transitions[i])})
+			if result.Failure == nil {
+				state = result.Value
+				applied++
 			}
 		}
-		must.Eq(t, 1, won)
+		must.Eq(t, 1, applied)
 	}
-	again := kinds.Apply(proposer.Context{}, v.Value, proposer.Operation{Kind: "rollout/begin", Args: args})
-	must.NotNil(t, again.Failure, must.Sprint("two rollouts of one route"))
+	again := handlers.Apply(proposer.Context{}, begun.Value, proposer.Operation{Kind: "rollout/begin", Args: args})
+	must.NotNil(t, again.Failure, must.Sprint("a second rollout of the same route began"))
 }
--- a/sim/scenario/run.go
+++ b/sim/scenario/run.go
@@ -1,5 +1,5 @@
-// Package scenario runs days of a simulated mesh: it sets up a deployment, its load and its
-// faults from options and a seed, and judges what happened.
+// Package scenario runs scenarios in the simulated mesh. A scenario sets up a deployment, its load and
+// its faults from options and a seed; after the run the invariants are checked.
 package scenario
 
 import (
@@ -11,33 +11,34 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// The stages of a day: machines start, clients of the control plane begin, requests begin, and
-// then there are faults. After them, and after the time that a final outage takes, everything
-// is healed, and the state is read back some time later.
+// The phases of a run: machines start, clients of the control plane begin, requests begin, and then
+// faults are injected for Options.Duration. After the faults, and after finalOutageDuration if there
+// is a final outage, all links are healed; after healDuration the state is read back.
 const (
-	startTime       = 2 * time.Second
-	clientsTime     = 2 * time.Second
-	normalTime      = 5 * time.Second
-	zoneLossDelay   = 2 * time.Second
-	finalOutageTime = 17 * time.Second
-	healTime        = 8 * time.Second
-	readBackTime    = 5 * time.Second
+	startupDuration     = 2 * time.Second
+	clientsDuration     = 2 * time.Second
+	baselineDuration    = 5 * time.Second
+	zoneLossDelay       = 2 * time.Second
+	finalOutageDuration = 17 * time.Second
+	healDuration        = 8 * time.Second
+	readBackDuration    = 5 * time.Second
 )
 
-// historyRetention is how long keyspaces retain their puts.
+// historyRetention is how long keyspaces retain the history of their puts.
 const historyRetention = 20 * time.Second
 
-// seedCount is how many cores the others know when they first start.
+// seedCount is how many cores are the seeds, the cores that every machine knows at its first start.
 const seedCount = 3
 
-// The links of Options.LossyLinks.
+// The rates of lost, duplicated and delayed messages under Options.LossyLinks.
 const (
 	lossRate      = 0.01
 	duplicateRate = 0.02
 	delayRate     = 0.01
 )
 
-// What the clients of the control plane use, and the intervals at which they do.
+// The numbers of sequences, keys, keyspaces, entries and locks that clients of the control plane use,
+// and the intervals between the operations of a client.
 const (
 	sequenceCount     = 4
 	keyCount          = 12
@@ -53,7 +54,7 @@
 	platformLockInterval = 500 * time.Millisecond
 )
 
-// Run is one simulated day.
+// Run is one run of a scenario.
 type Run struct {
 	*world.World
 	deployment      Deployment
@@ -62,31 +63,31 @@
 	keyClients      *world.KeyClients
 	keyspaceClients *world.KeyspaceClients // nil without Options.Keyspaces
 	requestRate     float64
-	serial          int  // of the newest endpoint or replaced machine
-	largeConfig     bool // the next configuration is very large
+	lastSerial      int  // serial number of the newest endpoint or replaced machine
+	largeConfig     bool // the next proposed configuration is very large
 }
 
-// Simulate runs one day and judges it.
+// Simulate runs one scenario and checks the invariants. The report is World.Report.
 func Simulate(deployment Deployment, options Options) *world.World {
 	r := newRun(deployment, options)
 	r.startMachines()
-	r.RunFor(startTime)
+	r.RunFor(startupDuration)
 	r.startEndpoints()
 	r.startClients()
-	r.RunFor(clientsTime)
+	r.RunFor(clientsDuration)
 	loadBegan := r.Now()
 	for i, s := range r.Sidecars {
 		r.startCallers(s, i)
 	}
-	r.RunFor(normalTime)
+	r.RunFor(baselineDuration)
 	faultsEnded := r.runFaults()
 	r.Links.HealAll()
-	r.RunFor(healTime)
-	r.judge(loadBegan, faultsEnded)
+	r.RunFor(healDuration)
+	r.runFinalChecks(loadBegan, faultsEnded)
 	return r.World
 }
 
-// newRun makes the world of a day, still without machines.
+// newRun returns a run whose world has no machines yet.
 func newRun(deployment Deployment, options Options) *Run {
 	w := world.New(options.Seed)
 	w.Mutant, w.Platform = options.Mutant, options.Platform
@@ -101,7 +102,7 @@
 	return r
 }
 
-// startMachines starts the cores and then the sidecars.
+// startMachines creates and starts the cores and then the sidecars.
 func (r *Run) startMachines() {
 	d := r.deployment
 	for i := range d.Cores + d.ExtraCores + r.options.AddCores {
@@ -133,46 +134,47 @@
 	}
 }
 
-// startClients starts the operators and the other clients of the control plane.
+// startClients starts the operators, which propose configurations, and the other clients of the
+// control plane.
 func (r *Run) startClients() {
 	d := r.deployment
 	r.operators = r.StartOperators(d.ConfigInterval, r.configDocument)
-	r.StartLockClients(d.clients(8, 2), d.Locks, lockInterval)
-	r.StartSequenceClients(d.clients(12, 2), sequenceCount, sequenceInterval)
-	r.keyClients = r.StartKeyClients(d.clients(4, 3), keyCount, keyInterval)
+	r.StartLockClients(d.clientCount(8, 2), d.Locks, lockInterval)
+	r.StartSequenceClients(d.clientCount(12, 2), sequenceCount, sequenceInterval)
+	r.keyClients = r.StartKeyClients(d.clientCount(4, 3), keyCount, keyInterval)
 	r.StartWatcher(watchInterval)
 	if r.options.Keyspaces {
-		r.keyspaceClients = r.StartKeyspaceClients(d.clients(8, 3), keyspaceCount, entryCount, keyspaceInterval)
-		r.StartPlatformLockClients(d.clients(8, 3), platformLockCount, platformLockInterval)
+		r.keyspaceClients = r.StartKeyspaceClients(d.clientCount(8, 3), keyspaceCount, entryCount, keyspaceInterval)
+		r.StartPlatformLockClients(d.clientCount(8, 3), platformLockCount, platformLockInterval)
 	}
 }
 
-// runFaults runs the time under faults and ends the load; it returns when the faults ended.
+// runFaults runs the fault phase, ends the load and returns the time when the faults ended.
 func (r *Run) runFaults() monotime.Time {
 	end := r.Now().Add(r.options.Duration)
 	for _, scheduled := range r.options.Schedule {
 		r.After(scheduled.After, func() { Faults[scheduled.Fault](r) })
 	}
-	if r.options.drawsFaults() {
-		r.injectFaults(end)
+	if r.options.usesRandomFaults() {
+		r.injectRandomFaults(end)
 	}
 	if r.options.LoseZone {
-		r.After(zoneLossDelay, func() { r.cutZone(r.options.Duration) })
+		r.After(zoneLossDelay, func() { r.isolateZone(r.options.Duration) })
 	}
 	r.World.Run(end)
 	if r.options.FinalOutage {
 		r.finalOutage()
-		r.RunFor(finalOutageTime)
+		r.RunFor(finalOutageDuration)
 	}
 	r.requestRate, r.ClientsStopped = 0, true
 	return r.Now()
 }
 
-// judge reads the state back and checks what can be judged only at the end.
-func (r *Run) judge(loadBegan, faultsEnded monotime.Time) {
+// runFinalChecks reads the state back and runs the checks that need the whole run.
+func (r *Run) runFinalChecks(loadBegan, faultsEnded monotime.Time) {
 	r.operators.CheckFinalConfig()
 	r.operators.CheckAuditLog()
-	r.RunFor(readBackTime)
+	r.RunFor(readBackDuration)
 	r.operators.ExcusePending()
 	r.CompareReplicas()
 	r.keyClients.CheckHistories()
@@ -182,20 +184,20 @@
 	r.Checker.Finish(loadBegan, faultsEnded)
 }
 
-// startEndpoint starts an endpoint beside a sidecar, at a new address if none is given.
+// startEndpoint starts an endpoint beside a sidecar, at a new address if addr is empty.
 func (r *Run) startEndpoint(s *world.Sidecar, service ident.Service, addr ident.Addr) *world.Endpoint {
-	r.serial++
+	r.lastSerial++
 	if addr == "" {
-		addr = ident.Addr(fmt.Sprintf("10.0.2.%d:%d", r.serial%250+1, 8000+r.serial))
+		addr = ident.Addr(fmt.Sprintf("10.0.2.%d:%d", r.lastSerial%250+1, 8000+r.lastSerial))
 	}
 	behavior := world.Behavior{ServiceTime: 6 * time.Millisecond, NoResponseRate: 0.002, MalformedRate: 0.002, SlowRate: 0.002}
 	if r.Platform {
 		behavior.ServiceTime, behavior.Slots, behavior.QueueLimit, behavior.FailureRate = 16*time.Millisecond, 2, 2, 0.005
 	}
-	return s.NewEndpoint(ident.Server(fmt.Sprintf("srv%d", r.serial)), service, addr, behavior)
+	return s.NewEndpoint(ident.Server(fmt.Sprintf("srv%d", r.lastSerial)), service, addr, behavior)
 }
 
-// startCallers sends requests beside a sidecar, at its part of the rate.
+// startCallers starts the requests of one sidecar's clients, at an equal share of the request rate.
 func (r *Run) startCallers(s *world.Sidecar, index int) {
 	var next func()
 	next = func() {
@@ -209,17 +211,17 @@
 	r.After(time.Duration(index)*time.Millisecond, next)
 }
 
-// randomRequestKind draws a kind of request by its weight.
+// randomRequestKind returns a random kind of request, weighted by RequestKind.Weight.
 func (r *Run) randomRequestKind() world.RequestKind {
 	kinds := r.deployment.RequestKinds
 	total := 0
 	for _, k := range kinds {
 		total += k.Weight
 	}
-	ticket := r.Rng.IntN(total)
+	offset := r.Rng.IntN(total)
 	i := 0
-	for ticket >= kinds[i].Weight {
-		ticket -= kinds[i].Weight
+	for offset >= kinds[i].Weight {
+		offset -= kinds[i].Weight
 		i++
 	}
 	return kinds[i]
--- a/sim/scenario/sidecarfaults.go
+++ b/sim/scenario/sidecarfaults.go
@@ -7,8 +7,8 @@
 	"cottonarch.example/cottonarch/sim/world"
 )
 
-// sidecarKill kills a sidecar and starts it again.
-func (r *Run) sidecarKill() time.Duration {
+// sidecarRestart kills a sidecar and starts the sidecar again after a random time.
+func (r *Run) sidecarRestart() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(300*time.Millisecond, 3*time.Second)
 	r.Tracef("sidecar %s killed for %v", s.Node, duration)
 	s.Kill()
@@ -16,9 +16,9 @@
 	return duration
 }
 
-// sidecarRoll restarts a few sidecars one by one, each by a planned stop.
-func (r *Run) sidecarRoll() time.Duration {
-	r.Tracef("sidecars are restarted one by one")
+// sidecarRollingRestart restarts three sidecars one after the other, each by a planned stop.
+func (r *Run) sidecarRollingRestart() time.Duration {
+	r.Tracef("rolling restart of sidecars")
 	for i := range 3 {
 		s := r.Sidecars[(i+r.Rng.IntN(len(r.Sidecars)))%len(r.Sidecars)]
 		r.After(time.Duration(i)*2500*time.Millisecond, func() {
@@ -28,7 +28,7 @@
 	return 8 * time.Second
 }
 
-// sidecarFreeze freezes a sidecar for a while.
+// sidecarFreeze freezes a sidecar for a random time.
 func (r *Run) sidecarFreeze() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(300*time.Millisecond, 5*time.Second)
 	r.Tracef("sidecar %s frozen for %v", s.Node, duration)
@@ -36,34 +36,35 @@
 	return duration
 }
 
-// sidecarCut cuts a sidecar from all other machines for a while, in some direction.
-func (r *Run) sidecarCut() time.Duration {
+// sidecarIsolation isolates the machine of a sidecar from all other machines for a random time, in a
+// random direction.
+func (r *Run) sidecarIsolation() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(500*time.Millisecond, 5*time.Second)
 	direction := r.randomDirection()
-	r.Tracef("machine %s cut %s for %v", s.Node, direction, duration)
+	r.Tracef("machine %s isolated %s for %v", s.Node, direction, duration)
 	r.Isolate([]ident.Addr{s.Addr}, direction, duration)
 	return duration
 }
 
-// sidecarCutFromCores cuts a sidecar from all cores for a while.
-func (r *Run) sidecarCutFromCores() time.Duration {
+// sidecarCorePartition partitions a sidecar from all cores for a random time.
+func (r *Run) sidecarCorePartition() time.Duration {
 	s, duration := r.randomSidecar(), r.randomDuration(500*time.Millisecond, 5*time.Second)
-	r.Tracef("machine %s cut from the core for %v", s.Node, duration)
+	r.Tracef("machine %s partitioned from all cores for %v", s.Node, duration)
 	r.Partition([]ident.Addr{s.Addr}, coreAddrs(r.Cores), duration)
 	return duration
 }
 
-// zoneCut cuts a zone off for a while, as an outage.
-func (r *Run) zoneCut() time.Duration {
+// zoneIsolation isolates a random zone for a random time and records an outage.
+func (r *Run) zoneIsolation() time.Duration {
 	duration := r.randomDuration(time.Second, 5*time.Second)
-	r.Tracef("a zone is cut off for %v", duration)
+	r.Tracef("a zone is isolated for %v", duration)
 	r.recordOutage("zone")
-	r.cutZone(duration)
+	r.isolateZone(duration)
 	return duration
 }
 
-// cutZone cuts some zone off for a while.
-func (r *Run) cutZone(duration time.Duration) {
+// isolateZone isolates the machines of a random zone from all other machines.
+func (r *Run) isolateZone(duration time.Duration) {
 	zone := r.deployment.zoneOf(r.Rng.IntN(r.deployment.Zones))
 	cores, sidecars := r.machinesIn(zone)
 	r.Isolate(append(coreAddrs(cores), sidecarAddrs(sidecars)...), world.BothWays, duration)
