--- a/sim/mutant/handlers.go
+++ b/sim/mutant/handlers.go
@@ -1,5 +1,5 @@
-// Package mutant makes faulty variants of parts of cottonarch: operation handlers and folders
-// that break one rule each. The simulator and the model checker use them to show that their
+// Package mutant provides faulty variants of operation handlers and of a storage folder. Each variant
+// violates one rule. The simulator and the model checker use the variants to show that their
 // invariants detect the fault.
 package mutant
 
@@ -25,7 +25,7 @@
 	mutate func(original operation.Handler, all operation.Table) operation.Handler
 }
 
-// mutations are the faulty handlers by the name of their mutant.
+// mutations holds the faulty handlers by the name of the mutant.
 var mutations = map[string]mutation{
 	"lock":         {lock.AcquireKind, expireLeasesAtOnce},
 	"offer":        {proposal.ProposeKind, ignoreBaseRevision},
@@ -33,16 +33,16 @@
 	"cell-twice":   {keyspace.PutKind, repeatRevisions},
 	"cell-old":     {keyspace.ReadKind, readOldest},
 	"cell-skip":    {keyspace.SinceKind, skipFirstEvent},
-	"cell-history": {keyspace.PutKind, retainNextToNothing},
+	"cell-history": {keyspace.PutKind, retainForOneNanosecond},
 	"cell-keep":    {lock.AcquireKind, shareToken},
 	"history":      {keyvalue.WriteKind, forgetHistory},
 }
 
-// faultyRevision is the distance of the revisions at which some mutants are faulty.
+// faultyRevision is the interval of the revisions at which some mutants fail: every fifth revision.
 const faultyRevision = 5
 
-// Handlers returns the handlers of all operations, with the one that the named mutant breaks
-// replaced; other names change nothing. history is how long a keyspace retains its puts.
+// Handlers returns the handlers of all operations, and replaces the handler that the named mutant
+// breaks. Names of other mutants replace no handler. history is how long a keyspace retains its puts.
 func Handlers(name string, history time.Duration) operation.Table {
 	table := node.Handlers(history)
 	if m, ok := mutations[name]; ok {
@@ -51,7 +51,7 @@
 	return table
 }
 
-// expireLeasesAtOnce moves the clock of a lock so far that each lease has expired.
+// expireLeasesAtOnce moves the clock of a lock forward by an hour, so that every lease has expired.
 func expireLeasesAtOnce(acquire operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		ctx.TermEventTimes, ctx.TermStartedAt = nil, 0
@@ -60,7 +60,7 @@
 	}
 }
 
-// ignoreBaseRevision accepts a proposal whatever revision it was based on.
+// ignoreBaseRevision accepts a proposal whatever its base revision.
 func ignoreBaseRevision(propose operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		var decoded proposal.Args
@@ -70,7 +70,7 @@
 	}
 }
 
-// omitAuditEntries acknowledges every fifth revision without an audit entry.
+// omitAuditEntries acknowledges every fifth revision without appending its audit entry.
 func omitAuditEntries(appendEntry operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		var decoded segment.AppendArgs
@@ -81,14 +81,14 @@
 	}
 }
 
-// repeatRevisions answers every fifth put with the revision before its own.
+// repeatRevisions answers the put of every fifth revision with the preceding revision.
 func repeatRevisions(put operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		result := put(ctx, state, args)
-		var done keyspace.Put
-		if result.State != nil && json.Unmarshal(result.Body, &done) == nil && done.Revision%faultyRevision == 0 {
-			done.Revision--
-			result.Body = operation.Encode(done)
+		var response keyspace.Put
+		if result.State != nil && json.Unmarshal(result.Body, &response) == nil && response.Revision%faultyRevision == 0 {
+			response.Revision--
+			result.Body = operation.Encode(response)
 		}
 		return result
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// skipFirstEvent leaves out the first of several puts that a watch asks for.
+// skipFirstEvent omits the first put from the response to a watch if there are several puts.
 func skipFirstEvent(since operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		result := since(ctx, state, args)
@@ -124,12 +124,13 @@
 	}
 }
 
-// retainNextToNothing retains the puts of a keyspace for a nanosecond.
-func retainNextToNothing(operation.Handler, operation.Table) operation.Handler {
+// retainForOneNanosecond retains the puts of a keyspace for one nanosecond.
+func retainForOneNanosecond(operation.Handler, operation.Table) operation.Handler {
 	return keyspace.Handlers(1)[keyspace.PutKind]
 }
 
-// shareToken grants a held lock, with the holder's fencing token, to whoever asks for it.
+// shareToken grants a held lock, with the fencing token of the holder, to any client that acquires the
+// lock and keeps its fencing token.
 func shareToken(acquire operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		var held lock.State
@@ -141,7 +142,7 @@
 	}
 }
 
-// forgetHistory keeps only the newest change of a key.
+// forgetHistory retains only the newest change of a key.
 func forgetHistory(write operation.Handler, _ operation.Table) operation.Handler {
 	return func(ctx proposer.Context, state, args json.RawMessage) operation.Result {
 		result := write(ctx, state, args)
--- a/sim/mutant/lazysync.go
+++ b/sim/mutant/lazysync.go
@@ -2,11 +2,11 @@
 
 import "cottonarch.example/cottonarch/storage/ring"
 
-// LazySyncFolder is a folder whose files sync only what was written through them: opening a
-// ring then leaves unsynced what an earlier process wrote.
+// LazySyncFolder is a folder whose files skip a sync unless a write through the same open file
+// preceded the sync. Opening a ring then does not sync the writes of an earlier process.
 type LazySyncFolder struct{ ring.Folder }
 
-// Open opens a file of the folder.
+// Open opens a file of the folder with a lazy sync.
 func (l LazySyncFolder) Open(name string, size int64) (ring.File, error) {
 	f, err := l.Folder.Open(name, size)
 	return &lazySyncFile{File: f}, err
@@ -17,13 +17,13 @@
 	dirty bool
 }
 
-// WriteAt writes through to the file.
+// WriteAt writes to the underlying file and marks the file as dirty.
 func (f *lazySyncFile) WriteAt(p []byte, off int64) (int, error) {
 	f.dirty = true
 	return f.File.WriteAt(p, off)
 }
 
-// Sync syncs the file, or does nothing if nothing was written through it since the last sync.
+// Sync syncs the underlying file if there was a write through f since the last sync.
 func (f *lazySyncFile) Sync() error {
 	if !f.dirty {
 		return nil
