--- a/explore/canon/canon.go
+++ b/explore/canon/canon.go
@@ -1,5 +1,5 @@
-// Package canon writes the state of a state machine as bytes that depend on nothing but its
-// content, and hashes them: two states with the same bytes behave alike.
+// Package canon encodes the state of a state machine in a canonical form, which depends only on the
+// content of the state, and hashes the encoding. Two states with the same encoding behave alike.
 package canon
 
 import (
@@ -15,34 +15,34 @@
 	"cottonarch.example/cottonarch/base/monotime"
 )
 
-// Encoder writes values in a canonical form. Invariants: maps are written in the order of
-// their encoded entries; pointers are followed; functions are written as set or not set; a
-// time is written as its distance from Now, because state machines only compare distances,
-// and the zero time, which means never, stays apart from all others.
+// Encoder encodes values in a canonical form. Invariants: the entries of a map are sorted by their
+// encoding; pointers are followed; functions are encoded as nil or not nil; a time is encoded as its
+// difference from Now, because state machines only compare differences of times; the zero time, which
+// means never, is encoded differently from all other times.
 type Encoder struct {
-	// Now is the time that others are written relative to.
+	// Now is the time to which other times are relative.
 	Now    monotime.Time
 	filter *FieldFilter
 	buf    bytes.Buffer
 }
 
-// FieldFilter says which fields of struct types are written. Many encoders may share one,
-// also at the same time.
+// FieldFilter selects the fields of struct types that are encoded. Encoders may share a FieldFilter
+// concurrently.
 type FieldFilter struct {
 	skipped    map[reflect.Type][]string
-	fieldCache sync.Map // reflect.Type to []int
+	fieldCache sync.Map // maps a reflect.Type to its []int of field indexes
 	encoders   sync.Pool
 }
 
-// SkippedFields names fields of one struct type that are not written.
+// SkippedFields names the fields of one struct type that are not encoded.
 type SkippedFields struct {
 	structType reflect.Type
 	fields     []string
 }
 
-// Skip leaves out fields of the struct type T that do not change what a later step does,
-// such as counters. It panics if T has no field of one of the names: a renamed field that
-// is written unnoticed would tell equal states apart.
+// Skip returns fields of the struct type T that are not encoded, because they do not influence later
+// steps; counters are an example. Skip panics if T has no field of a given name: if a skipped field
+// were renamed and then encoded unnoticed, equivalent states would have different encodings.
 func Skip[T any](fields ...string) SkippedFields {
 	structType := reflect.TypeFor[T]()
 	for _, name := range fields {
@@ -53,7 +53,7 @@
 	return SkippedFields{structType, fields}
 }
 
-// NewFieldFilter makes a filter that leaves out the given fields.
+// NewFieldFilter returns a filter that skips the given fields.
 func NewFieldFilter(skipped ...SkippedFields) *FieldFilter {
 	f := &FieldFilter{skipped: map[reflect.Type][]string{}}
 	for _, s := range skipped {
@@ -62,7 +62,7 @@
 	return f
 }
 
-// Encoder returns an empty encoder. Its user returns it by Release.
+// Encoder returns an empty encoder from a pool. The caller must call Release after use.
 func (f *FieldFilter) Encoder() *Encoder {
 	if e, ok := f.encoders.Get().(*Encoder); ok {
 		e.buf.Reset()
@@ -71,10 +71,10 @@
 	return &Encoder{filter: f}
 }
 
-// Release returns the encoder to its filter, to be used again.
+// Release returns the encoder to the pool of its filter.
 func (e *Encoder) Release() { e.filter.encoders.Put(e) }
 
-// fieldsOf lists the indexes of the fields of a struct type that are written.
+// fieldsOf returns the indexes of the fields of a struct type that are encoded.
 func (f *FieldFilter) fieldsOf(structType reflect.Type) []int {
 	if known, ok := f.fieldCache.Load(structType); ok {
 		return known.([]int)
@@ -89,16 +89,16 @@
 	return indexes
 }
 
-// Put appends one value.
+// Put appends the encoding of a value.
 func (e *Encoder) Put(value any) { e.putValue(reflect.ValueOf(value)) }
 
-// Bytes returns what was written so far.
+// Bytes returns the encoding so far. The slice is valid until the next call of Put or Release.
 func (e *Encoder) Bytes() []byte { return e.buf.Bytes() }
 
-// Hash is the 64-bit hash of what was written so far.
+// Hash returns the 64-bit hash of the encoding so far.
 func (e *Encoder) Hash() uint64 { return Hash(e.buf.Bytes()) }
 
-// Hash is the first 64 bits of the SHA-256 of the bytes.
+// Hash returns the first 64 bits of the SHA-256 hash of data.
 func Hash(data []byte) uint64 {
 	sum := sha256.Sum256(data)
 	return binary.LittleEndian.Uint64(sum[:])
@@ -116,8 +116,8 @@
 	e.buf.WriteString(s)
 }
 
-func (e *Encoder) putBool(on bool) {
-	if on {
+func (e *Encoder) putBool(value bool) {
+	if value {
 		e.buf.WriteByte(1)
 		return
 	}
@@ -190,21 +190,21 @@
 	}
 }
 
-// putMap writes each entry on its own and puts the entries in order of their bytes.
+// putMap encodes each entry separately and appends the encoded entries in sorted order.
 func (e *Encoder) putMap(v reflect.Value) {
-	rows := make([][]byte, 0, v.Len())
-	row := e.filter.Encoder()
-	defer row.Release()
-	row.Now = e.Now
+	entries := make([][]byte, 0, v.Len())
+	entryEncoder := e.filter.Encoder()
+	defer entryEncoder.Release()
+	entryEncoder.Now = e.Now
 	for iter := v.MapRange(); iter.Next(); {
-		row.buf.Reset()
-		row.putValue(iter.Key())
-		row.putValue(iter.Value())
-		rows = append(rows, bytes.Clone(row.buf.Bytes()))
-	}
-	slices.SortFunc(rows, bytes.Compare)
-	e.putUvarint(uint64(len(rows)))
-	for _, row := range rows {
-		e.buf.Write(row)
+		entryEncoder.buf.Reset()
+		entryEncoder.putValue(iter.Key())
+		entryEncoder.putValue(iter.Value())
+		entries = append(entries, bytes.Clone(entryEncoder.buf.Bytes()))
+	}
+	slices.SortFunc(entries, bytes.Compare)
+	e.putUvarint(uint64(len(entries)))
+	for _, entry := range entries {
+		e.buf.Write(entry)
 	}
 }
--- a/explore/search/breadth.go
+++ b/explore/search/breadth.go
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// successor is one state reached from a parent. Invariant: the parent's path and choice lead
-// to it.
+// successor is a state reached from a parent state. Invariant: the path of the parent, followed by
+// choice, leads to the successor.
 type successor struct {
 	choice    Choice
 	hash      uint64
 	violation *Violation
 }
 
-// noParent is the parent of the first state.
+// noParent is the parent index of the initial state.
 const noParent = -1
 
-// defaultWorkers is how many runs are made at a time at most, if the limits do not say.
+// defaultWorkers is the maximum number of concurrent runs if Limits.Workers is not set.
 const defaultWorkers = 2
 
-// node is a remembered state: the choice that led to it, and the index of the state before.
+// node is a remembered state: the index of its parent state and the choice that led from there.
 type node struct {
 	parent int32
 	choice Choice
@@ -32,12 +32,12 @@
 	report   Report
 	seen     map[uint64]bool
 	nodes    []node
-	frontier []int32 // the states that the last layer found first
+	frontier []int32 // new states that the last layer found
 	ended    bool
 }
 
-// BreadthFirst explores layer by layer until a violation, the limits, or the end. States are
-// remembered by hash alone; a path to one is made again from its choices.
+// BreadthFirst explores the states layer by layer until a violation, a limit, or the last reachable
+// state. States are remembered only by their hash; a state is reconstructed by replaying its path.
 func BreadthFirst(newSystem Factory, limits Limits) Report {
 	first := newSystem()
 	search := &breadthSearch{limits: limits, seen: map[uint64]bool{first.Hash(): true}, nodes: []node{{parent: noParent}}, frontier: []int32{0}}
@@ -52,7 +52,7 @@
 	return search.report
 }
 
-// exploreLayer explores one more layer.
+// exploreLayer explores the successors of the frontier, which become the next frontier.
 func (s *breadthSearch) exploreLayer(newSystem Factory) {
 	expansions := expandLayer(newSystem, s.limits, s.nodes, s.frontier)
 	s.frontier = nil
@@ -69,7 +69,7 @@
 	}
 }
 
-// record notes one state reached; the search ends at a violation or the last state that is
+// record records one successor. The search ends at a violation, or when Limits.States states are
 // remembered.
 func (s *breadthSearch) record(parent int32, reached successor) {
 	s.report.Runs++
@@ -89,7 +89,7 @@
 	s.ended = s.report.States >= s.limits.States
 }
 
-// pathTo lists the choices that lead to a remembered state.
+// pathTo returns the choices that lead from the initial state to a remembered state.
 func pathTo(nodes []node, index int32) []Choice {
 	var choices []Choice
 	for ; nodes[index].parent != noParent; index = nodes[index].parent {
@@ -99,15 +99,16 @@
 	return choices
 }
 
-// expansion is what one remembered state leads to; it is skipped if the search was stopped.
+// expansion holds the successors of one remembered state. skipped says that the search was stopped
+// before the state was expanded.
 type expansion struct {
 	parent     int32
 	successors []successor
 	skipped    bool
 }
 
-// expandLayer tries every choice of every state of a layer. The expansions are in the order of
-// the layer, whichever worker made them.
+// expandLayer applies every choice of every state of a layer. The expansions have the order of the
+// layer, so that the result does not depend on the scheduling of the workers.
 func expandLayer(newSystem Factory, limits Limits, nodes []node, layer []int32) []expansion {
 	out := make([]expansion, len(layer))
 	workers := limits.Workers
@@ -138,7 +139,7 @@
 	return out
 }
 
-// successorsOf makes one run for each choice that a path leaves.
+// successorsOf returns the successors of the state at the end of a path, with one run per choice.
 func successorsOf(newSystem Factory, trace []Choice) (out []successor) {
 	system := replay(newSystem, trace)
 	for i, choice := range system.Choices() {
@@ -151,7 +152,7 @@
 	return out
 }
 
-// replay makes the choices of a path again.
+// replay applies the choices of a path to a new system.
 func replay(newSystem Factory, trace []Choice) System {
 	system := newSystem()
 	for _, choice := range trace {
--- a/explore/search/search.go
+++ b/explore/search/search.go
@@ -1,5 +1,5 @@
-// Package search explores a deterministic system over all orders of its choices: breadth
-// first with visited states remembered, and by guided random walks beyond that bound.
+// Package search explores the orders of a deterministic system's choices: all orders up to a limit by a
+// breadth-first search that remembers visited states, and longer orders by guided random walks.
 package search
 
 import (
@@ -11,85 +11,86 @@
 // Kind is the kind of a choice.
 type Kind string
 
-// Choice is one thing that may happen next. Invariant: the same choices from the same first state
-// lead to the same state, so a list of them is a whole run.
+// Choice is one possible next step of a system. Invariant: the same choices from the same initial state
+// lead to the same state, so a list of choices determines a whole run.
 type Choice struct {
 	Kind Kind `json:"kind"`
-	// Fault says that the choice is a fault, of which there is a bounded number.
+	// Fault says that the choice is a fault. The number of faults in a run is limited.
 	Fault bool `json:"fault,omitempty"`
-	// Member and Other are members by number, from 1; 0 is none.
+	// Member and Other are numbers of members, from 1; 0 means none.
 	Member int `json:"member,omitempty"`
 	Other  int `json:"other,omitempty"`
-	// Client is a client by number, from 1; Key is the index of a key.
+	// Client is the number of a client, from 1; Key is the index of a key.
 	Client int `json:"client,omitempty"`
 	Key    int `json:"key,omitempty"`
-	// Operation is what a client asks for.
+	// Operation is the operation that a client requests.
 	Operation string `json:"deed,omitempty"`
 	// Message identifies a message in transit by the hash of its content.
 	Message uint64 `json:"message,omitempty"`
-	// Mask has one bit for each unsynced write that is kept.
+	// Mask has one bit per unsynced write; a set bit means that the write survives.
 	Mask uint64 `json:"mask,omitempty"`
-	// Span is how much time passes.
+	// Span is the time that passes.
 	Span time.Duration `json:"span,omitempty"`
 }
 
-// Violation is an invariant that does not hold.
+// Violation describes an invariant that a run violated.
 type Violation struct {
 	Rule string `json:"rule"`
 	Note string `json:"note"`
 }
 
-// String returns the rule and the note.
+// String formats the violation as its rule and its note.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Note) }
 
-// System is one run of what is explored. Invariants: Choices lists in a fixed order; two systems
-// of one Factory with the same Hash have the same choices and, after each of them, the same Hash.
+// System is one run of the explored system. Invariants: Choices returns the choices in a fixed order;
+// two systems of one Factory with the same Hash have the same choices and, after the same choice, again
+// the same Hash.
 type System interface {
-	// Choices lists what may happen next.
+	// Choices lists the possible next choices.
 	Choices() []Choice
 	// Describe describes a choice, before it is applied.
 	Describe(Choice) string
-	// Apply makes one of the choices.
+	// Apply executes one of the choices.
 	Apply(Choice)
 	// Hash identifies the state.
 	Hash() uint64
-	// Violation is the invariant that the run so far has broken, nil if none.
+	// Violation returns the violation of the run so far, or nil.
 	Violation() *Violation
-	// Settle ends the run without further faults, to check what must hold in the end.
+	// Settle completes the run without further faults, to check the invariants of a settled state.
 	Settle()
 }
 
-// Factory makes a system in its first state.
+// Factory returns a new system in its initial state.
 type Factory func() System
 
-// Limits say how far searches go; 0 States or Walks are none.
+// Limits bound the searches. With 0 States or 0 Walks, the respective search is skipped.
 type Limits struct {
-	// Depth is how many choices long a run of the breadth-first search is.
+	// Depth is the maximum number of choices of a run in the breadth-first search.
 	Depth int
-	// States is how many states the breadth-first search remembers at most.
+	// States is the maximum number of states that the breadth-first search remembers.
 	States int
-	// Walks is how many random walks follow, of Steps choices each.
+	// Walks is the number of random walks, Steps the maximum number of choices in each.
 	Walks, Steps int
 	Seed         uint64
-	// Workers is how many runs are made at a time; what is found does not depend on it.
+	// Workers is the number of concurrent runs. The result does not depend on Workers.
 	Workers int
-	// Stop, when set, is asked between runs and ends the search early.
+	// Stop, if set, is called between runs; a true result ends the search early.
 	Stop func() bool
 }
 
-// Report is what searches did.
+// Report holds the result of the searches.
 type Report struct {
-	// States counts the different states met breadth first, Runs the runs made for them.
+	// States counts the distinct states that the breadth-first search visited, Runs its runs.
 	States, Runs int
-	// Depth is the number of choices up to which every order was tried; Complete says that no
-	// state was left unexplored, so more depth would show nothing new.
+	// Depth is the number of choices up to which the search tried every order. Complete says that the
+	// search explored every reachable state, so that a higher limit would find no further state.
 	Depth    int
 	Complete bool
-	// Walks counts the random walks, WalkStates the different states that they met.
+	// Walks counts the random walks, WalkStates the distinct states that the walks visited.
 	Walks, WalkStates int
-	// ChoiceCounts counts the choices made, by kind, over all runs.
+	// ChoiceCounts counts the applied choices of all runs by kind.
 	ChoiceCounts map[Kind]int
-	// Trace and Breach are the shortest run found that broke an invariant.
+	// Trace and Violation describe the shortest run found that violates an invariant.
 	Trace     []Choice
 	Violation *Violation
 }
@@ -105,11 +106,11 @@
 	}
 }
 
-// stopRequested tells whether the search is to end early.
-func (b Limits) stopRequested() bool { return b.Stop != nil && b.Stop() }
+// stopRequested reports whether the search must end early.
+func (l Limits) stopRequested() bool { return l.Stop != nil && l.Stop() }
 
-// Follow makes those choices of a trace that are possible, and settles unless something was
-// violated before. It returns the choices made and the violation.
+// Follow applies the choices of a trace, skips choices that are not possible, and settles the system
+// unless there was a violation. Follow returns the applied choices and the violation.
 func Follow(newSystem Factory, trace []Choice) (followed []Choice, violation *Violation) {
 	system := newSystem()
 	for _, choice := range trace {
@@ -126,13 +127,13 @@
 	return followed, system.Violation()
 }
 
-// Shorten leaves out choices of a trace without which the same rule is still violated, first many
-// at a time, then one by one.
+// Shorten removes choices from a trace as long as the remaining choices still violate the same rule,
+// first in large chunks, then one by one.
 func Shorten(newSystem Factory, trace []Choice, rule string) []Choice {
-	for span := max(1, len(trace)/2); span > 0; {
-		shorter := removeSpans(newSystem, trace, rule, span)
+	for chunkSize := max(1, len(trace)/2); chunkSize > 0; {
+		shorter := removeChunks(newSystem, trace, rule, chunkSize)
 		if len(shorter) == len(trace) {
-			span /= 2
+			chunkSize /= 2
 			continue
 		}
 		trace = shorter
@@ -140,16 +141,17 @@
 	return trace
 }
 
-// removeSpans leaves out span choices in a row wherever the rule is still violated without them.
-func removeSpans(newSystem Factory, trace []Choice, rule string, span int) []Choice {
-	for start := 0; start+span <= len(trace); {
-		candidate := append(append([]Choice{}, trace[:start]...), trace[start+span:]...)
+// removeChunks removes every chunk of chunkSize consecutive choices without which the trace still
+// violates the rule.
+func removeChunks(newSystem Factory, trace []Choice, rule string, chunkSize int) []Choice {
+	for start := 0; start+chunkSize <= len(trace); {
+		candidate := append(append([]Choice{}, trace[:start]...), trace[start+chunkSize:]...)
 		followed, violation := Follow(newSystem, candidate)
 		if violation != nil && violation.Rule == rule {
 			trace = followed
 			continue
 		}
-		start += span
+		start += chunkSize
 	}
 	return trace
 }
--- a/explore/search/search_test.go
+++ b/explore/search/search_test.go
@@ -8,8 +8,8 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// jugs is a small system: two jugs of 3 and 5 that are filled, emptied and poured. It violates
-// its rule when the jug of 5 holds 4.
+// jugs is the water pouring puzzle: two jugs of 3 and 5 units can be filled, emptied and poured into
+// each other. The system violates its rule when the jug of 5 holds 4 units.
 type jugs struct{ three, five int }
 
 func (j *jugs) Choices() (out []search.Choice) {
@@ -24,17 +24,17 @@
 func (j *jugs) Describe(choice search.Choice) string { return string(choice.Kind) }
 
 func (j *jugs) Apply(choice search.Choice) {
-	own, other, ownMost, otherMost := &j.three, &j.five, 3, 5
+	own, other, ownCapacity, otherCapacity := &j.three, &j.five, 3, 5
 	if choice.Member == 2 {
-		own, other, ownMost, otherMost = other, own, otherMost, ownMost
+		own, other, ownCapacity, otherCapacity = other, own, otherCapacity, ownCapacity
 	}
 	switch choice.Kind {
 	case "fill":
-		*own = ownMost
+		*own = ownCapacity
 	case "empty":
 		*own = 0
 	case "pour":
-		n := min(*own, otherMost-*other)
+		n := min(*own, otherCapacity-*other)
 		*own, *other = *own-n, *other+n
 	}
 }
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// jugsWithoutRule is the same without a rule.
+// jugsWithoutRule is the puzzle without a rule, so that the search never ends with a violation.
 type jugsWithoutRule struct{ jugs }
 
 func (j *jugsWithoutRule) Violation() *search.Violation { return nil }
 
-// Breadth first the shortest run is found, whichever worker makes the runs.
-func TestBreadthFindsTheShortest(t *testing.T) {
+// The breadth-first search finds a shortest trace, with any number of workers.
+func TestBreadthFirstFindsShortestTrace(t *testing.T) {
 	for workers := 1; workers <= 3; workers++ {
 		r := search.BreadthFirst(func() search.System { return &jugs{} }, search.Limits{Depth: 20, States: 100, Workers: workers})
 		must.NotNil(t, r.Violation)
@@ -64,8 +64,9 @@
 	}
 }
 
-// Every state that can be reached is met once: 16 of the jugs' 24.
-func TestBreadthMeetsEveryState(t *testing.T) {
+// The breadth-first search visits every reachable state once: 16 of the 24 states of the jugs. A limit
+// of 10 states ends the search as incomplete.
+func TestBreadthFirstVisitsEveryState(t *testing.T) {
 	r := search.BreadthFirst(func() search.System { return &jugsWithoutRule{} }, search.Limits{Depth: 20, States: 100})
 	must.True(t, r.Complete)
 	must.Eq(t, 16, r.States)
@@ -74,23 +75,23 @@
 	must.Eq(t, 10, bounded.States)
 }
 
-// A walk finds it too, and its trace is shortened until no choice can be left out.
-func TestWalksFindAndShorten(t *testing.T) {
+// Random walks find the violation, and the trace is shortened until every choice is necessary.
+func TestRandomWalksFindAndShortenTrace(t *testing.T) {
 	r := search.RandomWalks(func() search.System { return &jugs{} }, search.Limits{Walks: 20000, Steps: 60, Seed: 3})
 	must.NotNil(t, r.Violation)
 	followed, violation := search.Follow(func() search.System { return &jugs{} }, r.Trace)
 	must.Eq(t, r.Violation, violation)
 	must.Eq(t, r.Trace, followed)
-	for i := range r.Trace { // no choice can be left out
+	for i := range r.Trace { // every choice is necessary
 		candidate := append(append([]search.Choice{}, r.Trace[:i]...), r.Trace[i+1:]...)
 		_, violation := search.Follow(func() search.System { return &jugs{} }, candidate)
 		must.Nil(t, violation)
 	}
 }
 
-// A search that is stopped ends.
-func TestStop(t *testing.T) {
-	b := search.Limits{Depth: 20, States: 100, Walks: 5, Steps: 5, Stop: func() bool { return true }}
-	must.False(t, search.BreadthFirst(func() search.System { return &jugsWithoutRule{} }, b).Complete)
-	must.Eq(t, 0, search.RandomWalks(func() search.System { return &jugsWithoutRule{} }, b).Walks)
+// A true result of Limits.Stop ends both searches.
+func TestStopEndsSearch(t *testing.T) {
+	limits := search.Limits{Depth: 20, States: 100, Walks: 5, Steps: 5, Stop: func() bool { return true }}
+	must.False(t, search.BreadthFirst(func() search.System { return &jugsWithoutRule{} }, limits).Complete)
+	must.Eq(t, 0, search.RandomWalks(func() search.System { return &jugsWithoutRule{} }, limits).Walks)
 }
