--- a/explore/mutants.go
+++ b/explore/mutants.go
@@ -7,19 +7,19 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// detection is where a mutant is detected: the model, the keys that it concerns and, if given,
-// the faults that it needs in place of the model's own.
+// detection describes how a mutant is detected: the model, the kinds of keys and, if set, the faults
+// that replace those of the model.
 type detection struct {
 	model  Model
 	keys   []cluster.KeyKind
 	faults faultLimits
-	// singleClient has one client ask for more operations, one after the other; waitSpans, if
-	// given, are spans of time in place of the model's own.
-	singleClient bool
-	waitSpans    []time.Duration
+	// singleClient replaces the clients by one client that requests more operations in sequence.
+	// waitDurations, if set, replace those of the model.
+	singleClient  bool
+	waitDurations []time.Duration
 }
 
-// mutants lists the mutants and where each is detected.
+// mutants holds the mutants and how each is detected.
 var mutants = map[cluster.Mutant]detection{
 	cluster.MutantQuorum:     {model: Register, keys: []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey}},
 	cluster.MutantAcceptor:   {model: Register, keys: []cluster.KeyKind{cluster.ValueKey, cluster.SequenceKey}},
@@ -36,11 +36,11 @@
 	"cell-twice":             {model: Register, keys: []cluster.KeyKind{cluster.KeyspaceKey}},
 	"cell-old":               {model: Register, keys: []cluster.KeyKind{cluster.KeyspaceKey}},
 	"cell-skip":              {model: Register, keys: []cluster.KeyKind{cluster.KeyspaceKey}},
-	"cell-history":           {model: Register, keys: []cluster.KeyKind{cluster.KeyspaceKey}, faults: faultLimits{cluster.TimeAdvance: 3}, singleClient: true, waitSpans: []time.Duration{5 * time.Second}},
+	"cell-history":           {model: Register, keys: []cluster.KeyKind{cluster.KeyspaceKey}, faults: faultLimits{cluster.TimeAdvance: 3}, singleClient: true, waitDurations: []time.Duration{5 * time.Second}},
 }
 
-// Focused narrows options with a mutant to where it is detected.
-func (o Options) Focused() Options {
+// NarrowedToMutant returns the options, limited to the search that detects Options.Mutant.
+func (o Options) NarrowedToMutant() Options {
 	detected, known := mutants[o.Mutant]
 	if !known {
 		return o
@@ -50,14 +50,14 @@
 	if len(o.Faults) == 0 {
 		o.Faults = detected.faults
 	}
-	o.Waits = detected.waitSpans
+	o.Waits = detected.waitDurations
 	if detected.singleClient {
 		o.Operators, o.Operations = 1, operationsSingleClient
 	}
 	return o
 }
 
-// MutantNames lists the names of all mutants.
+// MutantNames returns the sorted names of all mutants.
 func MutantNames() []string {
 	var names []string
 	for m := range mutants {
--- a/explore/mutants_test.go
+++ b/explore/mutants_test.go
@@ -10,13 +10,13 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// ciOptions are the limits of these tests; they count states and walks, so they are the same on
-// every machine.
-func ciOptions(b cluster.Mutant) explore.Options {
-	return explore.Options{Model: explore.Register, Members: 3, Keys: 2, Operators: 2, Depth: 40, States: 1500, Walks: 1600, Steps: 80, Seed: 1, Mutant: b}
+// ciOptions returns the options of these tests. The limits count states and walks instead of time, so
+// that the results are the same on every machine.
+func ciOptions(mutant cluster.Mutant) explore.Options {
+	return explore.Options{Model: explore.Register, Members: 3, Keys: 2, Operators: 2, Depth: 40, States: 1500, Walks: 1600, Steps: 80, Seed: 1, Mutant: mutant}
 }
 
-// expectedRules are the invariants that detect each mutant.
+// expectedRules holds the rules that detect each mutant.
 var expectedRules = map[cluster.Mutant][]string{
 	"quorum": {cluster.RuleLostWrite}, "replica": {cluster.RuleLostWrite}, "offer": {cluster.RuleBaseConflict}, "lock": {cluster.RuleMutualExclusion}, "clock": {cluster.RuleMutualExclusion},
 	"cell-keep": {cluster.RuleMutualExclusion}, "mend": {cluster.RuleNotRepaired}, "soft": {cluster.RuleDiskError}, "stop": {cluster.RuleDroppedOperations}, "audit": {cluster.RuleLostWrite, cluster.RuleRevisionConflict},
@@ -24,8 +24,8 @@
 	"cell-skip": {cluster.RuleIncompleteHistory}, "cell-history": {cluster.RuleIncompleteHistory},
 }
 
-// Every mutant is found within the limits.
-func TestEveryMutantIsFound(t *testing.T) {
+// The search detects every mutant within the limits, by an expected rule.
+func TestEveryMutantIsDetected(t *testing.T) {
 	for _, name := range explore.MutantNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -37,39 +37,40 @@
 	}
 }
 
-// Without a mutant nothing is violated, within the very limits in which each mutant is found.
-func TestNothingIsViolatedWithoutAMutant(t *testing.T) {
+// Without a mutant no rule is violated, within the same limits within which each mutant is detected.
+func TestNoViolationWithoutMutant(t *testing.T) {
 	done := map[string]bool{}
 	for _, name := range explore.MutantNames() {
-		o := ciOptions(cluster.Mutant(name)).Focused()
+		o := ciOptions(cluster.Mutant(name)).NarrowedToMutant()
 		o.Mutant = ""
-		same := fmt.Sprint(o)
-		if done[same] {
+		key := fmt.Sprint(o)
+		if done[key] {
 			continue
 		}
-		done[same] = true
-		t.Run("as for "+name, func(t *testing.T) { checkHolds(t, o) })
+		done[key] = true
+		t.Run("as for "+name, func(t *testing.T) { checkNoViolation(t, o) })
 	}
 }
 
-// The models hold with four members, and membership, which no mutant concerns, with three.
-func TestModelsHold(t *testing.T) {
+// No rule is violated in any model with four members, and in the membership model, which no mutant
+// covers, with three.
+func TestModelsBreakNoRule(t *testing.T) {
 	for _, model := range explore.Models() {
 		for members := 3; members <= 4; members++ {
 			if members == 3 && model != explore.Membership {
-				continue // as for the mutants
+				continue // covered by TestNoViolationWithoutMutant
 			}
 			t.Run(fmt.Sprintf("%s of %d", model, members), func(t *testing.T) {
 				o := ciOptions("")
 				o.Model, o.Members, o.States, o.Walks = model, members, 800, 150
-				checkHolds(t, o)
+				checkNoViolation(t, o)
 			})
 		}
 	}
 }
 
-// checkHolds checks that the options are valid and that nothing is violated.
-func checkHolds(t *testing.T, o explore.Options) {
+// checkNoViolation checks that the options are valid and that the search finds no violation.
+func checkNoViolation(t *testing.T, o explore.Options) {
 	t.Parallel()
 	must.Nil(t, o.Validate())
 	runs := explore.Run(o)
@@ -79,8 +80,8 @@
 	t.Log("\n" + explore.Text(runs))
 }
 
-// Invalid options are reported with all their faults.
-func TestBadOptions(t *testing.T) {
+// Validate reports every invalid option, not only the first.
+func TestValidateListsEveryInvalidOption(t *testing.T) {
 	o := ciOptions("nope")
 	o.Members, o.Model, o.Faults = 2, "none", map[cluster.Fault]int{"flood": 1}
 	invalid := o.Validate()
--- a/explore/options.go
+++ b/explore/options.go
@@ -1,6 +1,6 @@
-// Package explore checks the state machines of the control plane against all orders of messages
-// and faults up to a limit, and beyond it by guided random walks. Other programs may embed it;
-// cottonarch explore is its command.
+// Package explore is a model checker for the state machines of the control plane. The model checker
+// tries all orders of messages and faults up to a limit, and longer orders by guided random walks.
+// Other programs may embed the package; cottonarch explore is its command.
 package explore
 
 import (
@@ -15,32 +15,33 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// Options say what is explored and how far.
+// Options select what is explored and within which limits.
 type Options struct {
 	Model     Model `json:"model"`
 	Members   int   `json:"members"`
 	Keys      int   `json:"keys"`
 	Operators int   `json:"operators"`
-	// Operations is how many operations an operator asks for, if not as many as the search sets.
+	// Operations is the number of operations that each client requests; 0 means the default of the
+	// search.
 	Operations int `json:"deeds,omitempty"`
-	// Waits are the spans by which time may pass, in place of the model's own.
+	// Waits, if set, replace the durations of the model by which time may advance.
 	Waits []time.Duration `json:"waits,omitempty"`
-	// Depth bounds the breadth-first search by choices, States by remembered states.
+	// Depth limits the choices of a run in the breadth-first search, States its remembered states.
 	Depth  int `json:"depth"`
 	States int `json:"states"`
-	// KeyKinds are the kinds of the keys, in place of Keys of the model's own.
+	// KeyKinds, if set, are the kinds of the keys and replace Keys keys of the model.
 	KeyKinds []cluster.KeyKind `json:"kinds,omitempty"`
-	// Faults are the limits of faults, in place of the model's own.
+	// Faults, if set, replace the fault limits of the model.
 	Faults map[cluster.Fault]int `json:"faults,omitempty"`
-	// Walks is how many random walks follow, of Steps choices each.
+	// Walks is the number of random walks, Steps the maximum number of choices in each.
 	Walks int    `json:"walks"`
 	Steps int    `json:"steps"`
 	Seed  uint64 `json:"seed"`
-	// Mutant is the rule that is broken on purpose, none if empty.
+	// Mutant names the fault that is built in on purpose, empty for none.
 	Mutant cluster.Mutant `json:"break,omitempty"`
-	// Ring has members write to the daemon's ring, which is slower.
+	// Ring lets members write to the ring that the daemon uses as its disk format. Ring is slower.
 	Ring bool `json:"ring,omitempty"`
-	// Stop, when set, is asked between runs and ends the search early.
+	// Stop, if set, is called between runs; a true result ends the search early.
 	Stop func() bool `json:"-"`
 }
 
@@ -54,23 +55,23 @@
 	maxFaults              = 100
 )
 
-// How many operations each client asks for in a breadth-first search, in a walk, and if it is
-// the only client.
+// The number of operations that each client requests in a breadth-first search, in a random walk, and
+// as the only client.
 const (
 	operationsBreadthFirst = 2
 	operationsPerWalk      = 5
 	operationsSingleClient = 9
 )
 
-// faultMixes lists the faults of each breadth-first search of a model.
-func (o Options) faultMixes(model Model) []faultLimits {
+// breadthFirstFaults returns the fault limits of each breadth-first search of a model.
+func (o Options) breadthFirstFaults(model Model) []faultLimits {
 	if len(o.Faults) > 0 {
 		return []faultLimits{o.Faults}
 	}
-	return modelDefinitions[model].faultMixes
+	return modelDefinitions[model].breadthFirstFaults
 }
 
-// walkFaults are the faults of the walks of a model.
+// walkFaults returns the fault limits of the random walks of a model.
 func (o Options) walkFaults(model Model) faultLimits {
 	if len(o.Faults) > 0 {
 		return o.Faults
@@ -78,12 +79,12 @@
 	return modelDefinitions[model].walkFaults
 }
 
-// settings are the settings of a cluster for one model and some faults.
+// settings returns the settings of a cluster for one model and its fault limits.
 func (o Options) settings(model Model, allowed faultLimits, operations int) cluster.Settings {
 	definition := modelDefinitions[model]
 	settings := cluster.Settings{
 		Members: o.Members, Spares: definition.spares, Clients: o.Operators, Operations: cmp.Or(o.Operations, operations), Proposers: definition.proposers,
-		Waits: definition.waitSpans, Faults: maps.Clone(allowed), ImmediateSelfDelivery: true, Ring: o.Ring, Mutant: o.Mutant,
+		Waits: definition.waitDurations, Faults: maps.Clone(allowed), ImmediateSelfDelivery: true, Ring: o.Ring, Mutant: o.Mutant,
 	}
 	if len(o.Waits) > 0 {
 		settings.Waits = o.Waits
@@ -94,41 +95,41 @@
 	}
 	for i := range o.Keys {
 		if model == Configuration && i > 0 {
-			break // there is one configuration
+			break // there is only one configuration key
 		}
 		settings.Keys = append(settings.Keys, definition.keys[i%len(definition.keys)])
 	}
 	return settings
 }
 
-// Validate returns every fault of the options, nil if there is none.
+// Validate returns an error that lists every invalid option, or nil.
 func (o Options) Validate() *failure.Error {
-	invalid := failure.New(failure.BadSettings, "this can't be explored")
-	add := func(path, format string, args ...any) {
+	invalid := failure.New(failure.BadSettings, "the exploration can't be run")
+	addFault := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
-	between := func(path string, n, lowest, highest int) {
+	checkRange := func(path string, n, lowest, highest int) {
 		if n < lowest || n > highest {
-			add(path, "must be from %d to %d", lowest, highest)
+			addFault(path, "must be from %d to %d", lowest, highest)
 		}
 	}
 	if _, known := modelDefinitions[o.Model]; !known && o.Model != All {
-		add("model", "there is no model %q", o.Model)
+		addFault("model", "there is no model %q", o.Model)
 	}
-	between("members", o.Members, minMembers, maxMembers)
-	between("keys", o.Keys, 1, maxKeys)
-	between("operators", o.Operators, 1, maxOperators)
-	between("depth", o.Depth, 0, maxDepth)
-	between("walks", o.Walks, 0, maxWalks)
-	between("steps", o.Steps, 1, maxWalks)
+	checkRange("members", o.Members, minMembers, maxMembers)
+	checkRange("keys", o.Keys, 1, maxKeys)
+	checkRange("operators", o.Operators, 1, maxOperators)
+	checkRange("depth", o.Depth, 0, maxDepth)
+	checkRange("walks", o.Walks, 0, maxWalks)
+	checkRange("steps", o.Steps, 1, maxWalks)
 	for f, n := range o.Faults {
 		if !slices.Contains(cluster.Faults(), f) {
-			add("faults", "there is no fault %q", f)
+			addFault("faults", "there is no fault %q", f)
 		}
-		between("faults", n, 0, maxFaults)
+		checkRange("faults", n, 0, maxFaults)
 	}
 	if _, known := mutants[o.Mutant]; !known && o.Mutant != "" {
-		add("break", "there is no break %q; known are %s", o.Mutant, strings.Join(MutantNames(), ", "))
+		addFault("break", "there is no mutant %q; known: %s", o.Mutant, strings.Join(MutantNames(), ", "))
 	}
 	if len(invalid.Faults) == 0 {
 		return nil
--- a/explore/run.go
+++ b/explore/run.go
@@ -7,7 +7,7 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// SearchRun is one search of a run: of a model and some faults, breadth first or by walks.
+// SearchRun is one search of a model under fault limits, either breadth first or by random walks.
 type SearchRun struct {
 	Model       Model
 	Faults      map[cluster.Fault]int
@@ -16,10 +16,10 @@
 	settings cluster.Settings
 }
 
-// Run explores, model after model, every mix of faults breadth first and then by walks. It ends
-// with the first violation, which is that of the last search.
+// Run runs the searches of each model: breadth first under each set of fault limits, then random walks.
+// Run stops after the first search that finds a violation, which is the last of the result.
 func Run(o Options) []SearchRun {
-	o = o.Focused()
+	o = o.NarrowedToMutant()
 	models := []Model{o.Model}
 	if o.Model == All {
 		models = Models()
@@ -37,20 +37,20 @@
 	return out
 }
 
-// searchRuns lists the searches of a model.
+// searchRuns returns the searches of a model, which have not run yet.
 func (o Options) searchRuns(model Model) []SearchRun {
 	var out []SearchRun
-	for _, mix := range o.faultMixes(model) {
-		out = append(out, SearchRun{Model: model, Faults: maps.Clone(mix), settings: o.settings(model, mix, operationsBreadthFirst)})
+	for _, faults := range o.breadthFirstFaults(model) {
+		out = append(out, SearchRun{Model: model, Faults: maps.Clone(faults), settings: o.settings(model, faults, operationsBreadthFirst)})
 	}
 	walkFaults := o.walkFaults(model)
 	return append(out, SearchRun{Model: model, Faults: maps.Clone(walkFaults), RandomWalks: true, settings: o.settings(model, walkFaults, operationsPerWalk)})
 }
 
-// search makes the search. The breadth-first searches of a model share the remembered states
-// evenly.
+// search runs the search. The limit of remembered states is divided evenly among the breadth-first
+// searches of a model.
 func (r *SearchRun) search(o Options) {
-	limits := search.Limits{Depth: o.Depth, States: o.States / len(o.faultMixes(r.Model)), Walks: o.Walks, Steps: o.Steps, Seed: o.Seed, Stop: o.Stop}
+	limits := search.Limits{Depth: o.Depth, States: o.States / len(o.breadthFirstFaults(r.Model)), Walks: o.Walks, Steps: o.Steps, Seed: o.Seed, Stop: o.Stop}
 	if r.RandomWalks {
 		r.Report = search.RandomWalks(r.settings.Factory(), limits)
 		return
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -11,35 +11,35 @@
 	"cottonarch.example/cottonarch/explore/search"
 )
 
-// Trace is a run that can be made again. Invariant: Lines describe Choices.
+// Trace is a recorded run that can be replayed. Invariant: Lines describe Choices.
 type Trace struct {
-	Settings cluster.Settings  `json:"settings"`
-	Breach   *search.Violation `json:"breach"`
-	Lines    []string          `json:"lines"`
-	Choices  []search.Choice   `json:"choices"`
+	Settings  cluster.Settings  `json:"settings"`
+	Violation *search.Violation `json:"breach"`
+	Lines     []string          `json:"lines"`
+	Choices   []search.Choice   `json:"choices"`
 }
 
-// settledLine describes the end of a run, without further faults.
+// settledLine describes the last step of a run, in which the system settles without further faults.
 const settledLine = "all members start, all messages arrive, and every key is read"
 
-// Trace is the run that violated an invariant.
+// Trace returns the run that violated an invariant.
 func (r SearchRun) Trace() Trace {
-	t := Trace{Settings: r.settings, Breach: r.Violation, Choices: r.Report.Trace}
+	t := Trace{Settings: r.settings, Violation: r.Violation, Choices: r.Report.Trace}
 	t.Lines, _, _ = t.Replay()
 	return t
 }
 
-// Encode encodes the trace for a file.
+// Encode encodes the trace as indented JSON.
 func (t Trace) Encode() []byte {
 	out, _ := json.MarshalIndent(t, "", "  ")
 	return append(out, '\n')
 }
 
-// Decode reads the content of a file.
+// Decode decodes a trace and validates its settings.
 func Decode(raw []byte) (Trace, *failure.Error) {
 	var t Trace
 	if err := json.Unmarshal(raw, &t); err != nil {
-		return t, failure.New(failure.BadSettings, "this is no trace: %v", err)
+		return t, failure.New(failure.BadSettings, "can't decode the trace: %v", err)
 	}
 	if invalid := t.Settings.Validate(); invalid != nil {
 		return t, invalid
@@ -47,12 +47,13 @@
 	return t, nil
 }
 
-// Replay makes the choices again and describes them; the violation is nil if there is none.
+// Replay replays the choices and returns their descriptions and the violation, nil if there is none.
+// Replay fails if a choice is not possible.
 func (t Trace) Replay() (lines []string, violation *search.Violation, invalid *failure.Error) {
 	s := t.Settings.Factory()()
 	for i, c := range t.Choices {
 		if !slices.Contains(s.Choices(), c) {
-			return lines, nil, failure.New(failure.BadSettings, "choice %d, %s, is not possible in this build", i+1, c.Kind)
+			return lines, nil, failure.New(failure.BadSettings, "choice %d, %s, of the trace is not possible in this build", i+1, c.Kind)
 		}
 		lines = append(lines, fmt.Sprintf("%3d  %s", i+1, s.Describe(c)))
 		s.Apply(c)
@@ -65,7 +66,7 @@
 	return lines, s.Violation(), nil
 }
 
-// Text reports what a run explored and found.
+// Text returns a report of what the searches explored and of the violation, if any.
 func Text(runs []SearchRun) string {
 	var text strings.Builder
 	for _, run := range runs {
@@ -80,7 +81,7 @@
 	return text.String()
 }
 
-// summary reports one search.
+// summary returns a one-line report of a search.
 func (r SearchRun) summary() string {
 	faults := formatFaults(r.Faults)
 	if r.RandomWalks {
@@ -88,12 +89,12 @@
 	}
 	bound := fmt.Sprintf("every order up to %d choices", r.Depth)
 	if r.Complete {
-		bound = "every order there is"
+		bound = "every possible order"
 	}
 	return fmt.Sprintf("%s, %s: %d states by %d runs, %s", r.Model, faults, r.States, r.Runs, bound)
 }
 
-// formatFaults lists limits of faults in a fixed order.
+// formatFaults formats fault limits in a fixed order.
 func formatFaults(limits map[cluster.Fault]int) string {
 	var out []string
 	for _, f := range cluster.Faults() {
--- a/explore/trace_test.go
+++ b/explore/trace_test.go
@@ -9,9 +9,9 @@
 	"cottonarch.example/cottonarch/explore/cluster"
 )
 
-// A saved run violates the same rule in the same way when it is replayed, found breadth first or
-// by a walk.
-func TestReplayFindsTheSameViolation(t *testing.T) {
+// The replay of a saved run gives the same violation and the same lines, for a run found by the
+// breadth-first search and for a run found by a random walk.
+func TestReplayReproducesViolation(t *testing.T) {
 	for _, name := range []string{"offer", "cell-old"} {
 		t.Run(name, func(t *testing.T) {
 			runs := explore.Run(ciOptions(cluster.Mutant(name)))
@@ -27,14 +27,14 @@
 	}
 }
 
-// The same options find the same run, however the work is distributed.
-func TestRunsAreTheSame(t *testing.T) {
+// Two runs with the same options give the same report, however the work is distributed.
+func TestRunIsDeterministic(t *testing.T) {
 	first, second := explore.Run(ciOptions("cell-old")), explore.Run(ciOptions("cell-old"))
 	must.Eq(t, explore.Text(first), explore.Text(second))
 }
 
-// A file that is no trace, or one whose choices are not possible, is refused.
-func TestBadTraces(t *testing.T) {
+// Decode rejects invalid JSON and invalid settings; Replay rejects a choice that is not possible.
+func TestInvalidTracesAreRejected(t *testing.T) {
 	_, invalid := explore.Decode([]byte("no"))
 	must.NotNil(t, invalid)
 	_, invalid = explore.Decode([]byte(`{"settings":{"Members":99}}`))
