--- a/explore/search/search.go
+++ b/explore/search/search.go
@@ -63,7 +63,7 @@
 // Factory returns a new system in its initial state.
 type Factory func() System
 
-// Limits bound the searches. With 0 States or 0 Walks, the respective search is skipped.
+// Limits bound the searches. 0 States or 0 Walks is a limit of zero, not the absence of a limit.
 type Limits struct {
 	// Depth is the maximum number of choices of a run in the breadth-first search.
 	Depth int
--- a/sim/scenario/endpointfaults.go
+++ b/sim/scenario/endpointfaults.go
@@ -117,7 +117,7 @@
 	return r.endpointReuse()
 }
 
-// endpointBadResponses makes an endpoint lose 30% and corrupt 30% of its responses.
+// endpointBadResponses makes an endpoint lose and corrupt many responses.
 func (r *Run) endpointBadResponses() time.Duration {
 	e := r.randomReplicatedEndpoint()
 	if e == nil {
--- a/sim/scenario/herd_test.go
+++ b/sim/scenario/herd_test.go
@@ -51,7 +51,7 @@
 
 // Herd faults run only if they are selected by name: as random faults they would change which faults
 // known seeds select.
-func TestHerdFaultsAreNotDrawn(t *testing.T) {
+func TestHerdFaultsAreNotRandom(t *testing.T) {
 	for _, platform := range []bool{false, true} {
 		r := &Run{World: &world.World{Platform: platform}}
 		for fault := range herdFaults {
--- a/sim/scenario/partitionfaults_test.go
+++ b/sim/scenario/partitionfaults_test.go
@@ -50,7 +50,7 @@
 
 // Partition faults run only if a schedule names them: as random faults they would change which faults
 // known seeds select.
-func TestPartitionFaultsAreNotDrawn(t *testing.T) {
+func TestPartitionFaultsAreNotRandom(t *testing.T) {
 	for _, platform := range []bool{false, true} {
 		r := &Run{World: Simulate(Deployments["prairie"], Options{Seed: 1, Duration: 5 * time.Second, LoadFactor: 0.01, Faults: []string{"none"}})}
 		r.Platform = platform
