--- a/capacity/calllatency/histogram.go
+++ b/capacity/calllatency/histogram.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles are the percentiles that are noted, with their names in a Point.
+// Quantiles lists the reported percentiles with their names in the maps of a Point.
 var Quantiles = []struct {
 	Name       string
 	Percentile float64
@@ -23,12 +23,12 @@
 	return hdrhistogram.New(int64(minDuration), int64(maxDuration), significantDigits)
 }
 
-// recordDuration records a duration, or the end of the histogram's range that it lies beyond.
+// recordDuration records a duration, clamped to the histogram's range.
 func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	_ = histogram.RecordValue(int64(max(minDuration, min(duration, maxDuration))))
 }
 
-// quantiles gives the Quantiles in milliseconds.
+// quantiles returns the values of the Quantiles in milliseconds, by name.
 func quantiles(histogram *hdrhistogram.Histogram) map[string]float64 {
 	values := map[string]float64{}
 	for _, quantile := range Quantiles {
--- a/capacity/calllatency/measure.go
+++ b/capacity/calllatency/measure.go
@@ -1,5 +1,5 @@
-// Package calllatency measures the time that the two sidecars add to a call. Each call is made
-// once through both and once directly at the endpoint, by the same client, one after the other.
+// Package calllatency measures the latency that the two sidecars of a call add. One client makes each
+// call twice, one after the other: through both sidecars and directly at the endpoint.
 package calllatency
 
 import (
@@ -17,13 +17,13 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// Point is the latency at one size. Times are in milliseconds, by the names of Quantiles.
-// Added is the difference of each pair of calls.
+// Point is the call latency at one mesh size. Latencies are in milliseconds, by the names of Quantiles.
+// Added holds the quantiles of the difference between the two calls of a pair.
 type Point struct {
-	Records     int                `json:"records"` // endpoints in the registry
+	Records     int                `json:"records"` // number of endpoints in the registry
 	Routes      int                `json:"ways"`
 	Pairs       int64              `json:"pairs"`
-	Failed      int                `json:"failed,omitempty"` // pairs in which a call failed
+	Failed      int                `json:"failed,omitempty"` // number of pairs in which a call failed
 	Added       map[string]float64 `json:"added"`
 	ThroughMesh map[string]float64 `json:"through"`
 	Direct      map[string]float64 `json:"direct"`
@@ -32,32 +32,33 @@
 // Options describes a measurement.
 type Options struct {
 	ProcessCommand []string // command line that runs process.Run
-	Dir            string   // for the cores' disk folders
+	Dir            string   // parent of the cores' data directories
 	Target         plan.Target
-	Records        int // endpoints that the registry is to hold
+	Records        int // number of endpoints in the registry
 	Routes         int
-	Duration       time.Duration // of the calls
-	ReadyTimeout   time.Duration // of each wait for the mesh to come up
+	Duration       time.Duration // how long calls are made
+	ReadyTimeout   time.Duration // bounds each wait while the mesh starts
 }
 
 const (
-	// The mesh has a full node for the client, one for the endpoints, and hollow nodes, which
-	// stand in for the other endpoints of the registry.
+	// The mesh has one full node for the client, one full node for the called endpoints, and hollow
+	// nodes that hold the other endpoints of the registry.
 	fullNodes   = 2
 	hollowNodes = 4
-	// Hollow nodes' endpoints must not belong to the called service, which is the last one.
+	// The called service is the last service. With fewer services, endpoints of hollow nodes could
+	// belong to the called service.
 	minServices = 2 * hollowNodes
 
 	callTimeout  = 5 * time.Second
-	warmUpPairs  = 100 // not counted: connections and tables warm up
+	warmUpPairs  = 100 // not counted, because connections and tables are not warmed up yet
 	maxIdleConns = 64
 )
 
-// Measure starts a mesh, makes calls for the duration and ends the mesh.
+// Measure starts a mesh, measures calls for the duration and stops the mesh.
 func Measure(options Options) (point Point, err error) {
 	target := options.Target
 	if target.Services < minServices {
-		return point, failure.New(failure.BadSettings, "the call latency needs at least %d services", minServices)
+		return point, failure.New(failure.BadSettings, "measuring the call latency needs at least %d services", minServices)
 	}
 	point = Point{Records: options.Records, Routes: max(options.Routes, target.Services)}
 	target.Routes, target.Cores = point.Routes, 1
@@ -85,16 +86,17 @@
 	return point, err
 }
 
-// endpoints are the called endpoints, all of the last service and beside the second node.
+// endpoints holds the called endpoints, which all belong to the last service and run on the second full
+// node.
 type endpoints struct {
 	service ident.Service
-	path    string // of a call that the service's route covers
+	path    string // request path, which matches the service's route
 	addrs   []ident.Addr
 	servers []*http.Server
 }
 
-// startEndpoints starts endpoints and waits until every node knows them. What it returns is to
-// be closed even after an error.
+// startEndpoints starts endpoints and waits until every node has the endpoints in its registry. The
+// caller must close the returned endpoints, also after an error.
 func startEndpoints(mesh *testbed.Mesh, count int, readyTimeout time.Duration) (*endpoints, error) {
 	last := mesh.Target.Services - 1
 	e := &endpoints{service: mesh.Target.Service(last), path: plan.RoutePath(last) + "call"}
@@ -112,15 +114,15 @@
 	mesh.SendHeartbeats(mesh.FullNodes[1].Addr, heartbeats...)
 	result, err := mesh.Await(process.Condition{Ready: true, Healthy: wanted}, readyTimeout).Result()
 	if err != nil {
-		return e, failure.Wrap(err, failure.DeadlineExceeded, "wait for nodes to know the called endpoints")
+		return e, failure.Wrap(err, failure.DeadlineExceeded, "wait for all nodes to learn of the called endpoints")
 	}
 	if result.Missing > 0 {
-		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not come to know the called endpoints in %v", result.Missing, readyTimeout)
+		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not learn of the called endpoints within %v", result.Missing, readyTimeout)
 	}
 	return e, nil
 }
 
-// start starts one endpoint, which responds at once.
+// start starts one endpoint that responds without delay, and returns the endpoint's address.
 func (e *endpoints) start(ip string) (ident.Addr, error) {
 	listener, err := process.Listen(ip)
 	if err != nil {
@@ -146,17 +148,16 @@
 	}
 }
 
-// measurePairs makes pairs of calls for a while and fills the point. Which call of a pair comes
-// first alternates.
+// measurePairs makes pairs of calls for the duration and stores the results in the point.
 func measurePairs(point *Point, sidecar ident.Addr, e *endpoints, duration time.Duration) error {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}
 	defer client.CloseIdleConnections()
 	added, through, direct := newHistogram(), newHistogram(), newHistogram()
-	began := time.Now()
-	for n := 0; !time.Now().After(began.Add(duration)); n++ {
+	startedAt := time.Now()
+	for n := 0; !time.Now().After(startedAt.Add(duration)); n++ {
 		throughMesh, directly, ok := e.callPair(client, sidecar, n)
 		if n < warmUpPairs {
-			began = time.Now()
+			startedAt = time.Now()
 			continue
 		}
 		if !ok {
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// callPair makes the n-th pair of calls.
+// callPair makes the n-th pair of calls. The call through the mesh comes first in every other pair.
 func (e *endpoints) callPair(client *http.Client, sidecar ident.Addr, n int) (throughMesh, direct time.Duration, ok bool) {
 	endpointAddr := e.addrs[n%len(e.addrs)]
 	var meshOK, directOK bool
@@ -189,7 +190,7 @@
 	return throughMesh, direct, meshOK && directOK
 }
 
-// call makes one call and tells how long it took and whether the response was right.
+// call makes one call and returns the call's duration and whether the response was correct.
 func (e *endpoints) call(client *http.Client, addr ident.Addr) (elapsed time.Duration, ok bool) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+string(addr)+e.path, nil)
 	if err != nil {
--- a/capacity/plan/plan.go
+++ b/capacity/plan/plan.go
@@ -1,6 +1,5 @@
-// Package plan describes the mesh whose cost is asked about: its size, the budgets that its
-// cost is held against, its configuration, and the loopback address of each machine when a
-// smaller one is measured.
+// Package plan describes the target mesh of a capacity estimate: the size, the cost budgets, the
+// configuration, and the loopback addresses of the machines when a smaller mesh is measured.
 package plan
 
 import (
@@ -11,19 +10,19 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Budget is what a mesh may cost.
+// Budget holds the cost limits of a mesh.
 type Budget struct {
-	AddedLatencyMs       float64 `json:"addedMs"`     // that both sidecars add to a call, at AddedLatencyQuantile
-	AddedLatencyQuantile float64 `json:"addedPart"`   // of the calls
-	ApplySeconds         float64 `json:"inForceS"`    // until a change of configuration is in force everywhere
-	NodeCores            float64 `json:"nodeCores"`   // processor cores that a node's control traffic takes
-	NodeBytesPerSecond   float64 `json:"nodeBytesS"`  // of a node's control traffic, sent and received
-	NodeMemoryBytes      float64 `json:"nodeMemory"`  // of a sidecar
-	CoreMachines         int     `json:"coreMachine"` // machines set aside for cores
+	AddedLatencyMs       float64 `json:"addedMs"`     // latency that both sidecars together add to a call, at AddedLatencyQuantile
+	AddedLatencyQuantile float64 `json:"addedPart"`   // quantile of the calls, 0 to 1
+	ApplySeconds         float64 `json:"inForceS"`    // until a configuration change is in force at all nodes
+	NodeCores            float64 `json:"nodeCores"`   // CPU cores that a node's control traffic uses
+	NodeBytesPerSecond   float64 `json:"nodeBytesS"`  // sent and received control traffic of a node
+	NodeMemoryBytes      float64 `json:"nodeMemory"`  // memory of a sidecar
+	CoreMachines         int     `json:"coreMachine"` // machines reserved for cores
 }
 
-// Target is the mesh that is asked about. Invariant: every figure is above zero and Zones is a
-// multiple of Regions.
+// Target is the mesh whose cost is estimated. Invariant: every value that Validate checks is above zero,
+// and Zones is a multiple of Regions.
 type Target struct {
 	Nodes            int     `json:"nodes"`
 	Services         int     `json:"services"`
@@ -32,17 +31,17 @@
 	Regions          int     `json:"regions"`
 	Zones            int     `json:"districts"`
 	CallsPerSecond   float64 `json:"callsS"`
-	CallDepth        int     `json:"deep"` // calls that one call from outside leads to, one after the other
+	CallDepth        int     `json:"deep"` // sequential calls inside the mesh per external call
 	ChangesPerDay    float64 `json:"changesDay"`
 	RestartsPerDay   int     `json:"restartsDay"`
 	LossesPerDay     float64 `json:"lossesDay"`
-	PartitionMinutes float64 `json:"apartMinutes"` // that regions may be cut apart
+	PartitionMinutes float64 `json:"apartMinutes"` // how long regions may be partitioned
 	Budget           Budget  `json:"budget"`
-	NodesPerProcess  int     `json:"nodesAProcess"` // when a mesh is measured
-	NodesPerWave     int     `json:"nodesAWave"`    // that start together when a measured mesh is brought up
+	NodesPerProcess  int     `json:"nodesAProcess"` // nodes per process in a measured mesh
+	NodesPerWave     int     `json:"nodesAWave"`    // nodes that start together in a measured mesh
 }
 
-// Default is the size that the project's users ask about.
+// Default returns the default target, the mesh size that users of the project ask about.
 func Default() Target {
 	return Target{
 		Nodes:            600,
@@ -71,7 +70,8 @@
 	}
 }
 
-// Read reads a JSON file over the default; an empty name gives the default alone.
+// Read returns the default target with the values of a JSON file, or the default alone if the file name
+// is empty.
 func Read(file string) (Target, error) {
 	t := Default()
 	if file != "" {
@@ -92,7 +92,7 @@
 	return t, nil
 }
 
-// Validate returns every fault of the target, or nil.
+// Validate returns an error that lists every invalid value of the target, or nil.
 func (t Target) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the target is invalid")
 	require := func(path string, ok bool, note string) {
@@ -103,10 +103,10 @@
 	require("nodes", t.Nodes > 0 && t.Nodes <= 100000, "must be from 1 to 100000")
 	require("services", t.Services > 0 && t.Services <= 5000, "must be from 1 to 5000")
 	require("ways", t.Routes >= t.Services && t.Routes <= 20000, "must be from the number of services to 20000")
-	require("cores", t.Cores > 0 && t.Cores <= 9 && t.Cores%2 == 1, "must be odd and at most 9")
-	require("regions", t.Regions > 0 && t.Regions <= t.Zones, "must be from 1 to the districts")
+	require("cores", t.Cores > 0 && t.Cores <= 9 && t.Cores%2 == 1, "must be an odd number from 1 to 9")
+	require("regions", t.Regions > 0 && t.Regions <= t.Zones, "must be from 1 to the number of districts")
 	require("districts", t.Zones > 0 && t.Zones <= 60 && t.Regions > 0 && t.Zones%t.Regions == 0,
-		"must be from 1 to 60 and a multiple of the regions")
+		"must be from 1 to 60 and a multiple of the number of regions")
 	require("nodesAProcess", t.NodesPerProcess > 0 && t.NodesPerProcess <= 1000, "must be from 1 to 1000")
 	require("nodesAWave", t.NodesPerWave > 0, "must be above 0")
 	require("callsS", t.CallsPerSecond > 0 && t.CallDepth > 0 && t.ChangesPerDay > 0, "callsS, deep and changesDay must be above 0")
@@ -119,9 +119,9 @@
 // MaxWait bounds any single wait of a measurement.
 const MaxWait = 60 * time.Second
 
-// Size of a measured core's disk: the smallest ring files that a core's settings allow, which
-// have room for configurations.
+// Size and number of the ring files on a measured core's disk. RingBytes is the smallest size that the
+// settings of a core allow; files of this size have room for configurations.
 const (
-	RingBytes = 12 << 20 // of a file
+	RingBytes = 12 << 20 // size of a file
 	RingFiles = 4
 )
--- a/capacity/plan/plan_test.go
+++ b/capacity/plan/plan_test.go
@@ -13,7 +13,7 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-func TestAddresses(t *testing.T) {
+func TestAddressesAreUniqueAndInTheirRegion(t *testing.T) {
 	target := Default()
 	seen := map[string]bool{}
 	for i := range 5000 {
@@ -50,7 +50,7 @@
 	must.NotEq(t, target.Config(1), target.Config(2))
 }
 
-func TestTargets(t *testing.T) {
+func TestReadValidatesTargets(t *testing.T) {
 	for text, valid := range map[string]bool{
 		`{}`:                            true,
 		`{"nodes":90,"cores":3}`:        true,
@@ -68,7 +68,7 @@
 		_, err := Read(file)
 		must.Eq(t, valid, err == nil, must.Sprint(text))
 	}
-	target, err := Read(filepath.Join("..", "..", "samples", "capacity.json")) // what the how-to shows is the default
+	target, err := Read(filepath.Join("..", "..", "samples", "capacity.json")) // the sample that the documentation shows equals the default
 	must.NoError(t, err)
 	must.Eq(t, Default(), target)
 	_, err = Read(filepath.Join(t.TempDir(), "none"))
