--- a/capacity/meter/activity.go
+++ b/capacity/meter/activity.go
@@ -2,39 +2,39 @@
 
 import "strings"
 
-// Activity is what processor time or messages are spent on, with the packages that carry it.
-// Figures of earlier runs are stored under the names of activities, so these stay.
+// Activity is a purpose that CPU time or messages are spent on, with the packages that implement the
+// activity. Results of earlier runs are stored under the names of activities, so the names must not
+// change.
 type Activity struct{ Name, Package string }
 
-// The activities of the mesh and of what lies below it.
+// The activities of the mesh, of the measurement and of the Go runtime.
 var (
-	leases        = Activity{"leases", "mesh/lease, control/leasetable"}
-	joins         = Activity{"entry", "daemon/api/mesh, control/coordination"}
-	budgetShares  = Activity{"shares", "control/coordination/quota"}
-	registry      = Activity{"registry", "mesh/registry, control/registry, control/leasetable"}
-	configuration = Activity{"manifests", "control/config, daemon/api/mesh"}
-	coreMessages  = Activity{"core to core", "control/core, control/register"}
-	antiEntropy   = Activity{"sweep", "control/register/quorumread"}
-	peerCache     = Activity{"witness", "mesh/configcache"}
-	heartbeats    = Activity{"beats", "mesh/endpoint"}
-	coordination  = Activity{"coordination", "control/coordination"}
-	disk          = Activity{"disk", "storage/ring"}
-	coreLoop      = Activity{"loop of the core", "daemon/core"}
-	sidecarLoops  = Activity{"loops of the sidecar", "daemon/sidecar"}
-	measuring     = Activity{"the measuring itself", "capacity"}
-	transport     = Activity{"transport", "net/http, kratos"}
-	collection    = Activity{"garbage collection", "Go runtime"}
-	scheduling    = Activity{"scheduling, timers", "Go runtime"}
+	leases            = Activity{"leases", "mesh/lease, control/leasetable"}
+	joins             = Activity{"entry", "daemon/api/mesh, control/coordination"}
+	budgetShares      = Activity{"shares", "control/coordination/quota"}
+	registry          = Activity{"registry", "mesh/registry, control/registry, control/leasetable"}
+	configuration     = Activity{"manifests", "control/config, daemon/api/mesh"}
+	coreMessages      = Activity{"core to core", "control/core, control/register"}
+	antiEntropy       = Activity{"sweep", "control/register/quorumread"}
+	peerCache         = Activity{"witness", "mesh/configcache"}
+	heartbeats        = Activity{"beats", "mesh/endpoint"}
+	coordination      = Activity{"coordination", "control/coordination"}
+	disk              = Activity{"disk", "storage/ring"}
+	coreLoop          = Activity{"loop of the core", "daemon/core"}
+	sidecarLoops      = Activity{"loops of the sidecar", "daemon/sidecar"}
+	measurement       = Activity{"the measuring itself", "capacity"}
+	httpTransport     = Activity{"transport", "net/http, kratos"}
+	garbageCollection = Activity{"garbage collection", "Go runtime"}
+	runtimeScheduling = Activity{"scheduling, timers", "Go runtime"}
 )
 
-// Names for what is not in the tables.
+// Names for activities and packages that are not in the tables.
 const (
 	otherActivity  = "other"
 	unknownPackage = "?"
 )
 
-// activityByPath gives the activity of each HTTP path; a path that is not here is an activity
-// of its own.
+// activityByPath maps HTTP paths to activities. A path that is not in the map is an activity of its own.
 var activityByPath = map[string]Activity{
 	"/cottonarch/v1/renew":    leases,
 	"/cottonarch/v1/claim":    joins,
@@ -53,7 +53,7 @@
 	"/watch":                  coordination,
 }
 
-// functionActivity gives the activity of functions whose name starts with a prefix.
+// functionActivity assigns functions whose name starts with a prefix to an activity.
 type functionActivity struct {
 	prefix   string
 	activity Activity
@@ -61,8 +61,8 @@
 
 const modulePrefix = "cottonarch.example/cottonarch/"
 
-// activityByFunction gives the activity of work that has no path, by the prefix of a
-// function's name below modulePrefix. The first that fits counts.
+// activityByFunction maps functions of this module to activities, for samples without a path label.
+// Each entry holds a prefix of function names without modulePrefix. The first match applies.
 var activityByFunction = []functionActivity{
 	{"daemon/api/mesh.handlers.renew", leases},
 	{"daemon/api/mesh.handlers.watch", registry},
@@ -78,7 +78,7 @@
 	{"control/config", configuration},
 	{"control/audit", configuration},
 	{"daemon/core.(*Core).NewestConfig", configuration},
-	{"daemon/core.(*Core).sendTo", coreMessages},
+	{"daemon/core.(*Core).sendLoop", coreMessages},
 	{"daemon/core.(*Core).journalLoop", disk},
 	{"storage/ring", disk},
 	{"control/", coreMessages},
@@ -97,21 +97,21 @@
 	{"daemon/sidecar.(*Sidecar).notifyPeer", peerCache},
 	{"daemon/sidecar.(*peerQuerier)", peerCache},
 	{"daemon/sidecar", sidecarLoops},
-	{"capacity/", measuring},
+	{"capacity/", measurement},
 }
 
-// activityByOutermost gives the activity of work in which no function of this project is
-// found, by the prefix of the outermost function's whole name.
-var activityByOutermost = []functionActivity{
-	{"net/http.", transport},
-	{"runtime.gcBgMarkWorker", collection},
-	{"runtime.bgsweep", collection},
-	{"runtime.bgscavenge", collection},
-	{"runtime.", scheduling},
+// activityByOutermostFunction maps the outermost function of a stack to an activity, for samples without
+// a known function of this module. Each entry holds a prefix of full function names.
+var activityByOutermostFunction = []functionActivity{
+	{"net/http.", httpTransport},
+	{"runtime.gcBgMarkWorker", garbageCollection},
+	{"runtime.bgsweep", garbageCollection},
+	{"runtime.bgscavenge", garbageCollection},
+	{"runtime.", runtimeScheduling},
 }
 
-// activityOfFunction finds the first entry of a table that a function's name fits.
-func activityOfFunction(table []functionActivity, name string) (Activity, bool) {
+// lookUpActivity returns the activity of the first entry in a table that matches a function name.
+func lookUpActivity(table []functionActivity, name string) (Activity, bool) {
 	for _, entry := range table {
 		if strings.HasPrefix(name, entry.prefix) {
 			return entry.activity, true
@@ -120,7 +120,7 @@
 	return Activity{}, false
 }
 
-// ActivityOf gives the activity of a path.
+// ActivityOf returns the activity of an HTTP path.
 func ActivityOf(path string) Activity {
 	if activity, ok := activityByPath[path]; ok {
 		return activity
@@ -128,14 +128,14 @@
 	return Activity{strings.TrimPrefix(path, "/cottonarch"), unknownPackage}
 }
 
-// PackageOf gives the packages that carry an activity, by its name.
+// PackageOf returns the packages that implement the activity with the given name.
 func PackageOf(name string) string {
 	for _, activity := range activityByPath {
 		if activity.Name == name {
 			return activity.Package
 		}
 	}
-	for _, table := range [][]functionActivity{activityByFunction, activityByOutermost} {
+	for _, table := range [][]functionActivity{activityByFunction, activityByOutermostFunction} {
 		for _, entry := range table {
 			if entry.activity.Name == name {
 				return entry.activity.Package
--- a/capacity/meter/activity_test.go
+++ b/capacity/meter/activity_test.go
@@ -16,8 +16,8 @@
 
 const moduleRoot = "../.."
 
-// functionNames lists the functions of a folder as a profile names them, from the folder's
-// path on: folder.Function, folder.Type.Method, folder.(*Type).Method.
+// functionNames returns the functions of a folder under the names that a profile uses, without the module
+// path: folder.Function, folder.Type.Method, folder.(*Type).Method.
 func functionNames(t *testing.T, folder string) (names []string) {
 	files, err := filepath.Glob(filepath.Join(moduleRoot, folder, "*.go"))
 	must.NoError(t, err)
@@ -29,14 +29,14 @@
 		must.NoError(t, err)
 		for _, declaration := range parsed.Decls {
 			if function, ok := declaration.(*ast.FuncDecl); ok {
-				names = append(names, folder+"."+receiver(function)+function.Name.Name)
+				names = append(names, folder+"."+receiverPrefix(function)+function.Name.Name)
 			}
 		}
 	}
 	return names
 }
 
-func receiver(function *ast.FuncDecl) string {
+func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
 	}
@@ -58,8 +58,8 @@
 	return name.Name + "."
 }
 
-// Each function, type and folder that the tables name exists: a rename elsewhere that leaves the
-// tables behind would silently count its work as another activity's.
+// Every function, type and folder in the tables exists. After a rename that does not update the tables,
+// the work of the renamed function would silently count as another activity.
 func TestNamedFunctionsExist(t *testing.T) {
 	var missing []string
 	for _, entry := range activityByFunction {
--- a/capacity/meter/meter.go
+++ b/capacity/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter counts the messages and bytes that a process receives and sends, by HTTP path and by
-// the address of the other side; reads its processor time, by activity, and its memory; and can cut
-// the network between regions.
+// Package meter measures the current process: messages and bytes received and sent, by HTTP path and by
+// peer address; CPU time, by activity; and memory. The package can also partition the network between
+// regions.
 package meter
 
 import (
@@ -12,35 +12,36 @@
 	"sync/atomic"
 )
 
-// PathLabel is the profile label that names the path a sample was spent on.
+// PathLabel is the profile label for the HTTP path of the request that a sample belongs to.
 const PathLabel = "path"
 
-// Bytes of an HTTP head besides method, URI, host and headers: separators and the version of
-// a request line, and a status line without its text.
+// Sizes of the parts of an HTTP head other than the method, the URI, the host and the headers: the
+// separators and the version of a request line, and a status line without the reason phrase.
 const (
 	requestLineOverhead = 21
 	statusLineBytes     = 19
-	headerOverhead      = 4 // of each header: colon, space and line end
+	headerOverhead      = 4 // per header: colon, space and line end
 )
 
-// Meter is the counters of one process.
+// Meter holds the traffic counters of one process.
 type Meter struct {
 	paths, peers counterTable
 	partition    *partition
 }
 
-// New makes a meter. regionOf tells in which region an IP lies, -1 for none.
+// New creates a meter. regionOf returns the region of an IP address, or -1 for an IP address without a
+// region.
 func New(regionOf func(ip string) int) *Meter { return &Meter{partition: newPartition(regionOf)} }
 
-// Paths reads the traffic by path.
+// Paths returns the current traffic by normalized path.
 func (m *Meter) Paths() map[string]Traffic { return m.paths.read() }
 
-// Peers reads the traffic by the other side's IP.
+// Peers returns the current traffic by the peer's IP address.
 func (m *Meter) Peers() map[string]Traffic { return m.peers.read() }
 
-// CountedPath is the name under which a path is counted: the mesh's own paths whole, of
-// others the first element.
-func CountedPath(path string) string {
+// NormalizePath returns the name under which the traffic of a path is counted: the whole path for the
+// mesh's own paths, the first path element for all others.
+func NormalizePath(path string) string {
 	if strings.HasPrefix(path, "/cottonarch/") {
 		return path
 	}
@@ -48,40 +49,40 @@
 	return "/" + head
 }
 
-// countedBody is a request body whose bytes are counted as they are read.
-type countedBody struct {
+// countingBody is a request body that counts the bytes read.
+type countingBody struct {
 	io.ReadCloser
 	bytes *atomic.Int64
 }
 
-func (b countedBody) Read(p []byte) (int, error) {
+func (b countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.bytes.Add(int64(n))
 	return n, err
 }
 
-// countedWriter counts the bytes of a response's body and keeps its status.
-type countedWriter struct {
+// countingWriter counts the bytes of a response's body and records the status code.
+type countingWriter struct {
 	http.ResponseWriter
 	counter *trafficCounter
 	status  int
 }
 
-func (w *countedWriter) WriteHeader(code int) {
+func (w *countingWriter) WriteHeader(code int) {
 	w.status = code
 	w.ResponseWriter.WriteHeader(code)
 }
 
-func (w *countedWriter) Write(p []byte) (int, error) {
+func (w *countingWriter) Write(p []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(p)
 	w.counter.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// Unwrap gives http.ResponseController the underlying writer.
-func (w *countedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// headerSize is the length of headers as text.
+// headerSize returns the size of headers in HTTP/1.1 text form.
 func headerSize(header http.Header) (size int64) {
 	for name, values := range header {
 		for _, value := range values {
@@ -91,17 +92,18 @@
 	return size
 }
 
-// WrapHandler counts what a handler serves, and labels its work for the profile.
+// WrapHandler counts the requests, failures and bytes of a handler by path, and labels the handler's work
+// for the CPU profile.
 func (m *Meter) WrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name := CountedPath(r.URL.Path)
+		name := NormalizePath(r.URL.Path)
 		counter := m.paths.counter(name)
 		counter.messages.Add(1)
 		counter.bytesIn.Add(int64(len(r.Method)+len(r.RequestURI)+len(r.Host)+requestLineOverhead) + headerSize(r.Header))
 		if r.Body != nil {
-			r.Body = countedBody{r.Body, &counter.bytesIn}
+			r.Body = countingBody{r.Body, &counter.bytesIn}
 		}
-		out := &countedWriter{ResponseWriter: w, counter: counter, status: http.StatusOK}
+		out := &countingWriter{ResponseWriter: w, counter: counter, status: http.StatusOK}
 		pprof.Do(r.Context(), pprof.Labels(PathLabel, name), func(context.Context) { next.ServeHTTP(out, r) })
 		counter.bytesOut.Add(statusLineBytes + headerSize(w.Header()))
 		if out.status >= http.StatusBadRequest {
--- a/capacity/meter/meter_test.go
+++ b/capacity/meter/meter_test.go
@@ -12,7 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// startServer serves a handler behind a meter on loopback; 127.64 and 127.65 are two regions.
+// startServer serves a handler behind a meter on a loopback address. The networks 127.64 and 127.65 are
+// two regions.
 func startServer(t *testing.T, h http.Handler) (*Meter, string) {
 	m := New(func(ip string) int {
 		switch {
@@ -39,7 +40,7 @@
 	return c
 }
 
-func TestCounts(t *testing.T) {
+func TestMeterCountsTraffic(t *testing.T) {
 	m, addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.URL.Path == "/keys/no" {
@@ -72,7 +73,7 @@
 	must.Eq(t, paths, Subtract(Sum(paths, paths), paths))
 }
 
-func TestRegionsPartitioned(t *testing.T) {
+func TestPartitionDelaysTrafficBetweenRegions(t *testing.T) {
 	m, addr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "yes") }))
 	const request = "GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
 	receives := func(c net.Conn) chan bool {
@@ -90,18 +91,18 @@
 		must.NoError(t, err)
 	}
 	delayed := receives(otherRegion)
-	must.True(t, <-receives(sameRegion)) // the same region goes on
+	must.True(t, <-receives(sameRegion)) // traffic within a region continues
 	select {
 	case <-delayed:
-		t.Fatal("a byte passed between regions that are apart")
+		t.Fatal("a byte passed between partitioned regions")
 	default:
 	}
 	must.Eq(t, 0, m.Peers()["127.65.0.2"].BytesIn)
 	m.SetPartitioned(false)
-	must.True(t, <-delayed) // what waited comes through
+	must.True(t, <-delayed) // the delayed request completes
 }
 
-func TestActivities(t *testing.T) {
+func TestShareByActivity(t *testing.T) {
 	stack := func(v int64, label string, names ...string) *profile.Sample {
 		s := &profile.Sample{Value: []int64{v}}
 		if label != "" {
--- a/capacity/meter/partition.go
+++ b/capacity/meter/partition.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// partition is the network between regions, which can be cut. Invariant: while it is cut, a
-// byte between two regions waits, in both directions, and is not lost unless its connection
-// is closed meanwhile.
+// partition is a network partition between regions that can be active or not. Invariant: while the
+// partition is active, bytes between two regions are delayed in both directions, and are lost only if
+// their connection is closed meanwhile.
 type partition struct {
 	regionOf func(ip string) int
 	mu       sync.Mutex
-	active   bool          // the regions are cut apart
+	active   bool          // the regions are partitioned
 	changed  chan struct{} // closed and replaced whenever active is set
 }
 
@@ -19,7 +19,7 @@
 	return &partition{regionOf: regionOf, changed: make(chan struct{})}
 }
 
-// SetPartitioned cuts the regions apart, or joins them again.
+// SetPartitioned partitions the regions, or heals the partition.
 func (m *Meter) SetPartitioned(partitioned bool) {
 	m.partition.mu.Lock()
 	defer m.partition.mu.Unlock()
@@ -28,46 +28,46 @@
 	m.partition.changed = make(chan struct{})
 }
 
-// state tells whether the regions are cut apart; changed is closed when that is set anew.
+// state reports whether the partition is active. changed is closed at the next call of SetPartitioned.
 func (p *partition) state() (active bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.active, p.changed
 }
 
-// crosses tells whether two IPs lie in different regions.
-func (p *partition) crosses(a, b string) bool {
+// crossesRegions reports whether two IP addresses belong to different regions.
+func (p *partition) crossesRegions(a, b string) bool {
 	regionA, regionB := p.regionOf(a), p.regionOf(b)
 	return regionA >= 0 && regionB >= 0 && regionA != regionB
 }
 
-// listener counts what passes through its connections and subjects them to the partition.
-type listener struct {
+// countingListener wraps each accepted connection in a countingConn.
+type countingListener struct {
 	net.Listener
 	meter *Meter
 }
 
-// WrapListener counts what passes through a listener's connections, and lets those between
-// regions wait while the regions are cut apart.
-func (m *Meter) WrapListener(l net.Listener) net.Listener { return listener{l, m} }
+// WrapListener counts the bytes of a listener's connections by peer, and delays the bytes of connections
+// between regions while the regions are partitioned.
+func (m *Meter) WrapListener(l net.Listener) net.Listener { return countingListener{l, m} }
 
-// Accept waits for the next connection.
-func (l listener) Accept() (net.Conn, error) {
+// Accept waits for the next connection and wraps the connection.
+func (l countingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	localIP, remoteIP := hostIP(accepted.LocalAddr()), hostIP(accepted.RemoteAddr())
-	return &conn{
+	return &countingConn{
 		Conn:           accepted,
 		counter:        l.meter.peers.counter(remoteIP),
 		partition:      l.meter.partition,
-		crossesRegions: l.meter.partition.crosses(localIP, remoteIP),
+		crossesRegions: l.meter.partition.crossesRegions(localIP, remoteIP),
 		closed:         make(chan struct{}),
 	}, nil
 }
 
-// hostIP is the IP of a TCP address, empty for any other.
+// hostIP returns the IP of a TCP address, or the empty string for other addresses.
 func hostIP(addr net.Addr) string {
 	if tcp, ok := addr.(*net.TCPAddr); ok {
 		return tcp.IP.String()
@@ -75,19 +75,20 @@
 	return ""
 }
 
-// conn is an accepted connection whose bytes are counted.
-type conn struct {
+// countingConn is an accepted connection that counts its bytes and delays them while the partition is
+// active.
+type countingConn struct {
 	net.Conn
 	counter        *trafficCounter
 	partition      *partition
-	crossesRegions bool // its ends are in two regions
+	crossesRegions bool // the ends of the connection are in different regions
 	closeOnce      sync.Once
 	closed         chan struct{}
 }
 
-// waitUntilJoined waits while the connection's regions are cut apart, or fails when it is
+// waitUntilHealed waits while the connection's regions are partitioned, and fails if the connection is
 // closed meanwhile.
-func (c *conn) waitUntilJoined() error {
+func (c *countingConn) waitUntilHealed() error {
 	for c.crossesRegions {
 		active, changed := c.partition.state()
 		if !active {
@@ -102,17 +103,17 @@
 	return nil
 }
 
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if waitErr := c.waitUntilJoined(); waitErr != nil {
+	if waitErr := c.waitUntilHealed(); waitErr != nil {
 		return 0, waitErr
 	}
 	c.counter.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *conn) Write(p []byte) (int, error) {
-	if err := c.waitUntilJoined(); err != nil {
+func (c *countingConn) Write(p []byte) (int, error) {
+	if err := c.waitUntilHealed(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
@@ -120,7 +121,7 @@
 	return n, err
 }
 
-func (c *conn) Close() error {
+func (c *countingConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/capacity/meter/profile.go
+++ b/capacity/meter/profile.go
@@ -11,24 +11,24 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Profile samples this process for a while and returns each activity's share of its processor
-// time; the shares sum to 1. Work done under a request's label is that path's; other work is
-// that of the innermost function of this project.
+// Profile takes a CPU profile of this process for the duration and returns each activity's share of the
+// CPU time. The shares sum to 1. A sample with a path label counts for the activity of the path; any other
+// sample counts for the activity of the innermost known function of this module.
 func Profile(duration time.Duration) (map[string]float64, error) {
 	var raw bytes.Buffer
 	if err := pprof.StartCPUProfile(&raw); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "profile")
+		return nil, failure.Wrap(err, failure.Internal, "start the CPU profile")
 	}
 	time.Sleep(duration)
 	pprof.StopCPUProfile()
 	parsed, err := profile.Parse(&raw)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "profile")
+		return nil, failure.Wrap(err, failure.Internal, "parse the CPU profile")
 	}
 	return ShareByActivity(parsed), nil
 }
 
-// ShareByActivity sums a profile by activity and divides by its total.
+// ShareByActivity returns each activity's share of the total of a profile.
 func ShareByActivity(parsed *profile.Profile) map[string]float64 {
 	shares, total := map[string]float64{}, 0.0
 	for _, sample := range parsed.Sample {
@@ -42,28 +42,28 @@
 	return shares
 }
 
-// activityOfSample gives the name of the activity that a sample was spent on.
+// activityOfSample returns the name of the activity that a sample belongs to.
 func activityOfSample(sample *profile.Sample) string {
 	if labels := sample.Label[PathLabel]; len(labels) > 0 {
 		return ActivityOf(labels[0]).Name
 	}
 	outermost := ""
-	for _, location := range sample.Location { // from the innermost function out
+	for _, location := range sample.Location { // from the innermost function to the outermost
 		for _, line := range location.Line {
 			if line.Function == nil {
 				continue
 			}
 			outermost = line.Function.Name
-			name, ours := strings.CutPrefix(outermost, modulePrefix)
-			if !ours {
+			name, inModule := strings.CutPrefix(outermost, modulePrefix)
+			if !inModule {
 				continue
 			}
-			if activity, ok := activityOfFunction(activityByFunction, name); ok {
+			if activity, ok := lookUpActivity(activityByFunction, name); ok {
 				return activity.Name
 			}
 		}
 	}
-	if activity, ok := activityOfFunction(activityByOutermost, outermost); ok {
+	if activity, ok := lookUpActivity(activityByOutermostFunction, outermost); ok {
 		return activity.Name
 	}
 	return otherActivity
--- a/capacity/meter/traffic.go
+++ b/capacity/meter/traffic.go
@@ -6,8 +6,9 @@
 	"sync/atomic"
 )
 
-// Traffic is the messages and bytes that one path or one address received and sent. Bytes of a path
-// are those of bodies and of heads as text; bytes of an address are all that TCP carried.
+// Traffic holds the messages and bytes received and sent for one path or one peer address. The bytes of a
+// path are the sizes of HTTP bodies and of HTTP heads in text form; the bytes of an address are all bytes
+// that TCP carried.
 type Traffic struct {
 	Messages int64 `json:"messages,omitempty"`
 	Failed   int64 `json:"failed,omitempty"`
@@ -15,7 +16,7 @@
 	BytesOut int64 `json:"out"`
 }
 
-// Sub is the increase since an older reading.
+// Sub returns the increase since an older reading.
 func (t Traffic) Sub(older Traffic) Traffic {
 	return Traffic{
 		Messages: t.Messages - older.Messages,
@@ -25,7 +26,7 @@
 	}
 }
 
-// Add is the sum of both.
+// Add returns the sum of both readings.
 func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{
 		Messages: t.Messages + other.Messages,
@@ -35,10 +36,10 @@
 	}
 }
 
-// Bytes is the bytes in both directions.
+// Bytes returns the number of bytes in both directions.
 func (t Traffic) Bytes() float64 { return float64(t.BytesIn + t.BytesOut) }
 
-// Subtract takes an older reading off a newer one, and leaves out what did not change.
+// Subtract subtracts an older reading from a newer reading by name, and omits names without a change.
 func Subtract(newer, older map[string]Traffic) map[string]Traffic {
 	out := map[string]Traffic{}
 	for name, traffic := range newer {
@@ -49,7 +50,7 @@
 	return out
 }
 
-// Sum adds two readings name by name.
+// Sum adds two readings by name.
 func Sum(a, b map[string]Traffic) map[string]Traffic {
 	out := maps.Clone(a)
 	if out == nil {
@@ -68,13 +69,13 @@
 	return Traffic{c.messages.Load(), c.failed.Load(), c.bytesIn.Load(), c.bytesOut.Load()}
 }
 
-// counterTable is counters by path or address. Invariant: a name's counter is never replaced.
+// counterTable holds counters by path or address. Invariant: a name's counter is never replaced.
 type counterTable struct {
 	mu     sync.RWMutex
 	byName map[string]*trafficCounter
 }
 
-// counter finds a name's counter, or makes it.
+// counter returns the counter of a name, which is created if necessary.
 func (t *counterTable) counter(name string) *trafficCounter {
 	t.mu.RLock()
 	c := t.byName[name]
--- a/capacity/meter/usage.go
+++ b/capacity/meter/usage.go
@@ -8,34 +8,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now reads the machine's monotonic clock, in nanoseconds. All processes of a machine share
-// it, so that readings of different processes can be compared.
+// Now returns the time of the machine's monotonic clock in nanoseconds. All processes of a machine share
+// the clock, so readings of different processes can be compared.
 func Now() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return t.Nano()
 }
 
-// Usage is a reading of what this process has used.
+// Usage is a reading of the resources that this process has used.
 type Usage struct {
-	ReadAt        int64   `json:"at"`     // by Now
-	CPUSeconds    float64 `json:"cores"`  // processor time, user and system (getrusage)
-	ResidentBytes float64 `json:"memory"` // now
-	PeakBytes     float64 `json:"peak"`   // most that were ever resident
+	ReadAt        int64   `json:"at"`     // time of the reading, by Now
+	CPUSeconds    float64 `json:"cores"`  // CPU time in seconds, user and system (getrusage)
+	ResidentBytes float64 `json:"memory"` // current resident memory
+	PeakBytes     float64 `json:"peak"`   // peak resident memory
 }
 
-// CPUTicks is the time of all processors of this machine since its start, and the part of it
-// that they were idle, in the system's clock ticks.
+// CPUTicks holds the total and the idle time of all CPUs of this machine since the machine started, in
+// clock ticks of the system.
 type CPUTicks struct{ Total, Idle float64 }
 
-// Fields of the first line of /proc/stat (proc_stat(5)), counted from its label.
+// Indexes of fields in the first line of /proc/stat (proc_stat(5)); the line's label has index 0.
 const (
 	statIdle   = 4
 	statIOWait = 5
-	statSteal  = 8 // the fields after it are guests' time, which user time holds already
+	statSteal  = 8 // the fields after steal are guest time, which user time already includes
 )
 
-// ReadCPUTicks reads the processor time of the whole machine, zero if it can't be read.
+// ReadCPUTicks reads the CPU time of the whole machine, or returns zero if /proc/stat can't be read.
 func ReadCPUTicks() (ticks CPUTicks) {
 	raw, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -55,8 +55,8 @@
 	return ticks
 }
 
-// CPUUtilization is the part of all processors that was used between two readings, 0 if the clock
-// did not advance between them.
+// CPUUtilization returns the used share of all CPUs between two readings, or 0 if the clock did not advance
+// between the readings.
 func CPUUtilization(before, after CPUTicks) float64 {
 	if after.Total <= before.Total {
 		return 0
@@ -64,7 +64,7 @@
 	return 1 - (after.Idle-before.Idle)/(after.Total-before.Total)
 }
 
-// ProcessUsage reads what this process has used; what can't be read stays zero.
+// ProcessUsage reads the resources that this process has used. Values that can't be read are zero.
 func ProcessUsage() Usage {
 	usage := Usage{ReadAt: Now()}
 	var rusage unix.Rusage
