--- a/fleet/run/clients_key.go
+++ b/fleet/run/clients_key.go
@@ -82,7 +82,7 @@
 		c.fleet.recordViolation(ruleStaleRead, "key %s has revision %d, revision %d was confirmed before", key, response.Revision, confirmed)
 	}
 	if known && previous != value {
-		c.fleet.recordViolation(ruleNumberRepeated, "key %s, revision %d: value was %s and is %s", key, response.Revision, previous, value)
+		c.fleet.recordViolation(ruleSequenceRepeated, "key %s, revision %d: value was %s and is %s", key, response.Revision, previous, value)
 	}
 }
 
@@ -110,7 +110,7 @@
 			continue
 		}
 		if age := time.Since(lastResponse); code == http.StatusGone && age < watchRetention {
-			c.fleet.recordViolation(ruleWatchCompacted, "a watch position %v old was compacted", age)
+			c.fleet.recordViolation(ruleWatchIncomplete, "a watch position %v old was compacted", age)
 			position = ""
 		}
 		c.fleet.sleep(ctx, watchPause)
@@ -120,9 +120,9 @@
 // checkEvents checks that no event was skipped; seen holds the newest revision of each key.
 func (c *coordinationClients) checkEvents(seen map[string]ident.Revision, events []keyEvent) {
 	for _, event := range events {
-		c.fleet.recordObservation(ruleWatchCompacted)
+		c.fleet.recordObservation(ruleWatchIncomplete)
 		if last, ok := seen[event.Key]; ok && event.Revision != last+1 {
-			c.fleet.recordViolation(ruleWatchCompacted, "key %s: watch reported revision %d after revision %d", event.Key, event.Revision, last)
+			c.fleet.recordViolation(ruleWatchIncomplete, "key %s: watch reported revision %d after revision %d", event.Key, event.Revision, last)
 		}
 		seen[event.Key] = event.Revision
 	}
--- a/fleet/run/clients_lock.go
+++ b/fleet/run/clients_lock.go
@@ -79,10 +79,10 @@
 	if err != nil || code != http.StatusOK {
 		return
 	}
-	c.fleet.recordObservation(ruleNumberRepeated)
+	c.fleet.recordObservation(ruleSequenceRepeated)
 	repeated := c.recordNumber(name, response.Number)
 	if repeated || response.Number <= confirmed {
-		c.fleet.recordViolation(ruleNumberRepeated, "sequence %s returned %d (returned before: %v), %d was confirmed before", name, response.Number, repeated, confirmed)
+		c.fleet.recordViolation(ruleSequenceRepeated, "sequence %s returned %d (returned before: %v), %d was confirmed before", name, response.Number, repeated, confirmed)
 	}
 }
 
--- a/fleet/run/config.go
+++ b/fleet/run/config.go
@@ -150,7 +150,7 @@
 		f.Checker.Violate(f.sinceStart(confirmedAt), ruleConfigRejected, "invalid or outdated proposal %s was confirmed as revision %d", p.marker, revision)
 	}
 	if f.confirmedRevisions[revision] {
-		f.Checker.Violate(f.sinceStart(confirmedAt), ruleNumberRepeated, "configuration revision %d was confirmed twice", revision)
+		f.Checker.Violate(f.sinceStart(confirmedAt), ruleSequenceRepeated, "configuration revision %d was confirmed twice", revision)
 	}
 	f.confirmedRevisions[revision] = true
 	f.newestRevision = max(f.newestRevision, revision)
--- a/fleet/run/endpoints.go
+++ b/fleet/run/endpoints.go
@@ -147,7 +147,7 @@
 	if e.Leave() {
 		f.mu.Lock()
 		f.leaveConfirmations[e.Server] = time.Now()
-		f.Checker.Observe(ruleLateToLeaver)
+		f.Checker.Observe(ruleRequestAfterLeave)
 		f.mu.Unlock()
 	}
 	e.Stop(endpointStopTimeout)
--- a/fleet/run/faults_endpoint.go
+++ b/fleet/run/faults_endpoint.go
@@ -66,7 +66,7 @@
 	if confirmed {
 		f.mu.Lock()
 		f.leaveConfirmations[e.Server] = time.Now()
-		f.Checker.Observe(ruleLateToLeaver)
+		f.Checker.Observe(ruleRequestAfterLeave)
 		f.mu.Unlock()
 	}
 	f.sleep(ctx, minLateness+time.Duration(f.rng.Int64N(int64(latenessSpread))))
@@ -104,7 +104,7 @@
 	f.mu.Lock()
 	hang := &outage{from: time.Now(), cause: causeHung}
 	f.endpointOutages[e.Server] = append(f.endpointOutages[e.Server], hang)
-	f.Checker.Observe(ruleLateToLeaver)
+	f.Checker.Observe(ruleRequestAfterLeave)
 	f.mu.Unlock()
 	f.sleep(ctx, 4*time.Second)
 	f.mu.Lock()
