--- a/capacity/calllatency/measure.go
+++ b/capacity/calllatency/measure.go
@@ -116,8 +116,8 @@
 	if err != nil {
 		return e, failure.Wrap(err, failure.DeadlineExceeded, "wait for all nodes to learn of the called endpoints")
 	}
-	if result.Missing > 0 {
-		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not learn of the called endpoints within %v", result.Missing, readyTimeout)
+	if result.TimedOut > 0 {
+		return e, failure.New(failure.DeadlineExceeded, "%d nodes did not learn of the called endpoints within %v", result.TimedOut, readyTimeout)
 	}
 	return e, nil
 }
--- a/capacity/process/await.go
+++ b/capacity/process/await.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	pollInterval   = 5 * time.Millisecond
-	maxAwaitedTime = 2 * time.Minute
+	pollInterval     = 5 * time.Millisecond
+	maxAwaitDuration = 2 * time.Minute
 )
 
 // progress is how far a node has got in a condition's lists: the endpoints before healthy and
@@ -24,12 +24,12 @@
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	lastPoll := meter.Now()
-	for deadline := lastPoll + int64(min(command.Duration, maxAwaitedTime)); len(waiting) > 0 && meter.Now() < deadline; {
+	for deadline := lastPoll + int64(min(command.Duration, maxAwaitDuration)); len(waiting) > 0 && meter.Now() < deadline; {
 		now := meter.Now()
 		response.MaxStall, lastPoll = max(response.MaxStall, time.Duration(now-lastPoll)-pollInterval), now
 		for n, p := range waiting {
-			if n.meets(command.Condition, p) {
-				response.KnownAt = append(response.KnownAt, meter.Now())
+			if n.satisfies(command.Condition, p) {
+				response.MetAt = append(response.MetAt, meter.Now())
 				delete(waiting, n)
 			}
 		}
@@ -39,7 +39,7 @@
 			return response, nil
 		}
 	}
-	response.Missing = len(waiting)
+	response.TimedOut = len(waiting)
 	return response, nil
 }
 
@@ -53,26 +53,26 @@
 	return waiting
 }
 
-// meets tells whether a node meets the whole condition.
-func (n *node) meets(condition Condition, p *progress) bool {
+// satisfies tells whether a node meets the whole condition.
+func (n *node) satisfies(condition Condition, p *progress) bool {
 	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
 		return false
 	}
 	for ; p.healthy < len(condition.Healthy); p.healthy++ {
-		if !n.knowsHealthy(condition.Healthy[p.healthy]) {
+		if !n.registryHasHealthy(condition.Healthy[p.healthy]) {
 			return false
 		}
 	}
 	for ; p.unhealthy < len(condition.Unhealthy); p.unhealthy++ {
-		if n.knowsHealthy(condition.Unhealthy[p.unhealthy]) {
+		if n.registryHasHealthy(condition.Unhealthy[p.unhealthy]) {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsHealthy tells whether the node's registry has an endpoint as healthy.
-func (n *node) knowsHealthy(e Endpoint) bool {
+// registryHasHealthy tells whether the node's registry has an endpoint as healthy.
+func (n *node) registryHasHealthy(e Endpoint) bool {
 	entry, ok := n.sidecar.Lookup(e.Service, e.ID)
 	return ok && !entry.Lapsed && entry.Status == record.Healthy
 }
--- a/capacity/process/message.go
+++ b/capacity/process/message.go
@@ -67,8 +67,8 @@
 	return endpoint.Heartbeat{Server: e.ID, Service: e.Service, Addr: addr, State: endpoint.Alive, Weight: 1}
 }
 
-// SilentAddr is an address on which nothing listens, of endpoints that take no calls.
-func SilentAddr(ip string) ident.Addr { return ident.Addr(ip + ":9") }
+// DiscardAddr is an address on which nothing listens, of endpoints that take no calls.
+func DiscardAddr(ip string) ident.Addr { return ident.Addr(ip + ":9") }
 
 // Response is the line that answers a command. Instants are readings of meter.Now.
 type Response struct {
@@ -80,8 +80,8 @@
 	ByPeer      map[string]meter.Traffic `json:"peers,omitempty"`
 	Counters    map[string]int64         `json:"board,omitempty"`  // of the daemons, summed
 	CPUShares   map[string]float64       `json:"duties,omitempty"` // of the processor time, by activity
-	KnownAt     []int64                  `json:"times,omitempty"`  // when each node met the condition
-	Missing     int                      `json:"missing,omitempty"`
+	MetAt       []int64                  `json:"times,omitempty"`  // when each node met the condition
+	TimedOut    int                      `json:"missing,omitempty"`
 	MaxStall    time.Duration            `json:"held,omitempty"` // longest time by which a poll of the wait came late
 	Addrs       []ident.Addr             `json:"addrs,omitempty"`
 	ClientAddrs []ident.Addr             `json:"callers,omitempty"`
--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	seedsOfNode        = 3
+	seedsPerNode       = 3
 	sidecarStopTimeout = time.Second
 	incarnationLength  = 8    // of the part of an id that tells a node's incarnations apart
 	firstExtraPort     = 1024 // of the endpoints that a hollow node stands in for
@@ -78,8 +78,8 @@
 	if n.clientAddr, err = FreeAddr(ip); err != nil {
 		return nil, err
 	}
-	own := n.endpoint.AliveHeartbeat(SilentAddr(ip))
-	n.heartbeat.Store(&own)
+	ownHeartbeat := n.endpoint.AliveHeartbeat(DiscardAddr(ip))
+	n.heartbeat.Store(&ownHeartbeat)
 	for k := range w.extraEndpoints {
 		extra := Endpoint{
 			ID:      ident.Server(fmt.Sprintf("fill%05d-%05d", i, k)),
@@ -119,8 +119,8 @@
 
 // sidecarSettings is the settings of the i-th node's sidecar. The caller holds mu.
 func (w *worker) sidecarSettings(i int, n *node) settings.Sidecar {
-	seeds := make([]ident.Addr, 0, seedsOfNode)
-	for k := range min(seedsOfNode, len(w.seeds)) {
+	seeds := make([]ident.Addr, 0, seedsPerNode)
+	for k := range min(seedsPerNode, len(w.seeds)) {
 		seeds = append(seeds, w.seeds[(i+k)%len(w.seeds)])
 	}
 	s := settings.Sidecar{
@@ -216,7 +216,7 @@
 func (w *worker) stopNodes(command Command) (Response, error) {
 	return w.forEachNode(command, func(i int, n *node) error {
 		delete(w.nodes, i)
-		w.stopping.Go(n.stop)
+		w.stoppingNodes.Go(n.stop)
 		return nil
 	})
 }
--- a/capacity/process/worker.go
+++ b/capacity/process/worker.go
@@ -26,7 +26,7 @@
 	meter  *meter.Meter
 	closed chan struct{}
 
-	stopping sync.WaitGroup // nodes that are being stopped
+	stoppingNodes sync.WaitGroup // nodes that are being stopped
 
 	mu             sync.Mutex
 	core           *core
@@ -87,7 +87,7 @@
 
 // handle executes a command and completes its response.
 func (w *worker) handle(command Command) Response {
-	response, err := w.execute(command)
+	response, err := w.dispatch(command)
 	response.ID = command.ID
 	if err != nil {
 		response.Error = err.Error()
@@ -95,7 +95,7 @@
 	return response
 }
 
-func (w *worker) execute(command Command) (Response, error) {
+func (w *worker) dispatch(command Command) (Response, error) {
 	handler, ok := handlers[command.Operation]
 	if !ok {
 		known := strings.Join(slices.Sorted(maps.Keys(handlers)), ", ")
@@ -160,7 +160,7 @@
 	close(w.closed)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	defer w.stopping.Wait()
+	defer w.stoppingNodes.Wait()
 	for _, n := range w.nodes {
 		n.stop()
 	}
--- a/capacity/report/plot.go
+++ b/capacity/report/plot.go
@@ -8,64 +8,64 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// series is a row in a plot.
-type series struct{ load, name, label string }
+// plotSeries is a row in a plot.
+type plotSeries struct{ workload, name, label string }
 
 // plot is figures of one unit in one picture; the lines run on to the target's size.
 type plot struct {
 	file   string // without its suffix
 	title  string
-	series []series
+	series []plotSeries
 }
 
-const knownToAll = "mesh/known to all/seconds"
+const convergenceTime = "mesh/known to all/seconds"
 
 var plots = []plot{
-	{"processor", "processor cores", []series{
+	{"processor", "processor cores", []plotSeries{
 		{"steady", "core/busiest/processor cores", "busiest core"},
 		{"steady", "core/all/processor cores", "core, mean"},
 		{"steady", "sidecar/all/processor cores", "sidecar"},
 	}},
-	{"messages", "messages a second at each core", []series{
+	{"messages", "messages a second at each core", []plotSeries{
 		{"steady", "core/all/messages a second", "all"},
 		{"steady", "core/leases/messages a second", "leases"},
 		{"steady", "core/registry/messages a second", "registry"},
 	}},
-	{"bytes", "bytes a second", []series{
+	{"bytes", "bytes a second", []plotSeries{
 		{"steady", "sidecar/all/bytes a second", "sidecar"},
 	}},
-	{"memory", "bytes of memory", []series{
+	{"memory", "bytes of memory", []plotSeries{
 		{"steady", "core/all/memory", "core"},
 		{"steady", "sidecar/all/memory", "sidecar"},
 	}},
-	{"times", "seconds until known to all", []series{
-		{"leave", knownToAll, "an endpoint leaves"},
-		{"changes", knownToAll, "a change"},
-		{"manifest", knownToAll, "a whole configuration"},
-		{"restart", knownToAll, "restarts"},
-		{"zone back", knownToAll, "a zone back"},
-		{"apart", knownToAll, "regions joined"},
-		{"start", knownToAll, "all start at once"},
+	{"times", "seconds until known to all", []plotSeries{
+		{"leave", convergenceTime, "an endpoint leaves"},
+		{"changes", convergenceTime, "a change"},
+		{"manifest", convergenceTime, "a whole configuration"},
+		{"restart", convergenceTime, "restarts"},
+		{"zone back", convergenceTime, "a zone back"},
+		{"apart", convergenceTime, "regions joined"},
+		{"start", convergenceTime, "all start at once"},
 	}},
 }
 
 // Appearance of plots, in pixels.
 const (
-	plotWidth    = 760
-	plotHeight   = 420
-	titleSpace   = 50
-	edgeSpace    = 20
-	dotWidth     = 4
-	lineSteps    = 40   // points that a line is drawn by
-	verticalRoom = 1.05 // height of the axis, times the highest value
+	plotWidth     = 760
+	plotHeight    = 420
+	titlePadding  = 50
+	edgePadding   = 20
+	dotWidth      = 4
+	lineSegments  = 40   // points that a line is drawn by
+	yAxisHeadroom = 1.05 // height of the axis, times the highest value
 )
 
-// draw draws the plot as SVG; nil when there is nothing to see.
-func (p plot) draw(result *run.Result, rows []Row) ([]byte, error) {
-	var drawn []chart.Series
+// renderSVG draws the plot as SVG; nil when there is nothing to see.
+func (p plot) renderSVG(result *run.Result, rows []Row) ([]byte, error) {
+	var chartSeries []chart.Series
 	highest := 0.0
 	for i, s := range p.series {
-		row, ok := findRow(rows, s.load, s.name)
+		row, ok := findRow(rows, s.workload, s.name)
 		if !ok {
 			continue
 		}
@@ -73,7 +73,7 @@
 		for _, y := range append(append([]float64{}, dots.YValues...), line.YValues...) {
 			highest = max(highest, y)
 		}
-		drawn = append(drawn, dots, line)
+		chartSeries = append(chartSeries, dots, line)
 	}
 	if highest <= 0 {
 		return nil, nil
@@ -82,10 +82,10 @@
 		Title:      p.title,
 		Width:      plotWidth,
 		Height:     plotHeight,
-		Background: chart.Style{Padding: chart.Box{Top: titleSpace, Left: edgeSpace, Right: edgeSpace, Bottom: edgeSpace}},
+		Background: chart.Style{Padding: chart.Box{Top: titlePadding, Left: edgePadding, Right: edgePadding, Bottom: edgePadding}},
 		XAxis:      chart.XAxis{Name: "nodes"},
-		YAxis:      chart.YAxis{Name: p.title, ValueFormatter: formatAxis, Range: &chart.ContinuousRange{Min: 0, Max: highest * verticalRoom}},
-		Series:     drawn,
+		YAxis:      chart.YAxis{Name: p.title, ValueFormatter: formatAxis, Range: &chart.ContinuousRange{Min: 0, Max: highest * yAxisHeadroom}},
+		Series:     chartSeries,
 	}
 	picture.Elements = []chart.Renderable{chart.LegendThin(&picture)}
 	var out bytes.Buffer
@@ -116,8 +116,8 @@
 	}
 	line = chart.ContinuousSeries{Name: label + ", line", Style: chart.Style{StrokeColor: color, StrokeWidth: 1}}
 	end := max(targetNodes, r.Line.MaxSize)
-	for step := range lineSteps + 1 {
-		x := r.Line.MinSize + (end-r.Line.MinSize)*float64(step)/lineSteps
+	for step := range lineSegments + 1 {
+		x := r.Line.MinSize + (end-r.Line.MinSize)*float64(step)/lineSegments
 		line.XValues, line.YValues = append(line.XValues, x), append(line.YValues, r.Line.ValueAt(x))
 	}
 	return dots, line
--- a/capacity/report/report_test.go
+++ b/capacity/report/report_test.go
@@ -19,14 +19,14 @@
 	r := &run.Result{Commit: "c", Target: plan.Default(), Sizes: []int{10, 20, 40, 80}}
 	for _, n := range r.Sizes {
 		x := float64(n)
-		steady := workload.Point{Nodes: n, Load: "steady", Values: map[string]float64{
+		steady := workload.Point{Nodes: n, Workload: "steady", Values: map[string]float64{
 			"sidecar/all/processor cores":   cores * x,
 			"core/leases/messages a second": 4 * x,
 			"core/busiest/processor cores":  x / 1000,
 			"sidecar/all/memory":            30e6 + x*1000,
 			"sidecar/all/bytes a second":    5000,
 		}}
-		changes := workload.Point{Nodes: n, Load: "changes", MeshCPU: meshCPU, Values: map[string]float64{
+		changes := workload.Point{Nodes: n, Workload: "changes", MeshCPU: meshCPU, Values: map[string]float64{
 			"mesh/known to all/seconds":     x / 50,
 			"sidecar/all/processor seconds": 2.88,
 			"sidecar/all/bytes":             288000,
@@ -37,18 +37,18 @@
 	return r
 }
 
-func TestBudget(t *testing.T) {
+func TestBudgetAndTables(t *testing.T) {
 	result := sampleResult(0.00001, 0)
 	got := map[string]BudgetLine{}
-	for _, s := range BudgetLines(result, Rows(result)) {
-		got[s.What] = s
+	for _, line := range BudgetLines(result, Rows(result)) {
+		got[line.Metric] = line
 	}
 	// 600 nodes, and 300 changes of 2.88 s over a day.
-	must.InDelta(t, 0.006+0.01, got["a node's control, processor"].Figure, 1e-4)
+	must.InDelta(t, 0.006+0.01, got["a node's control, processor"].Value, 1e-4)
 	must.InDelta(t, 1.6, got["a node's control, processor"].Ratio(), 0.01)
-	must.InDelta(t, 5000+1000, got["a node's control, both ways"].Figure, 1)
-	must.InDelta(t, 30.6e6, got["a node's memory, steady"].Figure, 1e4)
-	must.InDelta(t, 12, got["changes: in force everywhere"].Figure, 0.1)
+	must.InDelta(t, 5000+1000, got["a node's control, both ways"].Value, 1)
+	must.InDelta(t, 30.6e6, got["a node's memory, steady"].Value, 1e4)
+	must.InDelta(t, 12, got["changes: in force everywhere"].Value, 0.1)
 	must.InDelta(t, 0.9, got["added to a call, 99 in 100"].Ratio(), 0.001)
 	text := Tables(result)
 	for _, want := range []string{"**over, ×1.6**", "| fits |", "×7.5", "16 × p50", "| leases | mesh/lease, control/leasetable | 2400 |"} {
@@ -62,13 +62,13 @@
 	must.StrContains(t, Tables(result), "left out of the fits")
 }
 
-func TestFilesAndPage(t *testing.T) {
+func TestWriteAndUpdatePage(t *testing.T) {
 	dir, result := t.TempDir(), sampleResult(0.00001, 0)
 	text, err := Write(result, dir)
 	must.NoError(t, err)
-	back, err := ReadResult(filepath.Join(dir, FiguresFile))
+	reread, err := ReadResult(filepath.Join(dir, ResultFile))
 	must.NoError(t, err)
-	must.Eq(t, text, Tables(back))
+	must.Eq(t, text, Tables(reread))
 	svg, err := os.ReadFile(filepath.Join(dir, "processor.svg"))
 	must.NoError(t, err)
 	must.True(t, strings.HasPrefix(string(svg), "<svg"))
--- a/capacity/report/rows.go
+++ b/capacity/report/rows.go
@@ -15,12 +15,12 @@
 // Row is one figure over all sizes. Its name is role/activity/unit. Line is nil when there are
 // fewer sizes than a fit needs.
 type Row struct {
-	Load     string
-	Name     string
-	Points   []fit.Point
-	Line     *fit.Curve
-	AtTarget float64 // the line's value at the target's size
-	Skipped  int     // points left out because the machine was crowded or stalled
+	Workload      string
+	Name          string
+	Points        []fit.Point
+	Line          *fit.Curve
+	AtTarget      float64 // the line's value at the target's size
+	SkippedPoints int     // points left out because the machine was crowded or stalled
 }
 
 // Role is the part of the mesh that the figure is of: core, sidecar or mesh.
@@ -40,22 +40,22 @@
 	return ""
 }
 
-// inSeconds tells whether the figure is a time, which only an idle enough machine measures.
-func (r Row) inSeconds() bool { return r.Unit() == "seconds" }
+// isDuration tells whether the figure is a time, which only an idle enough machine measures.
+func (r Row) isDuration() bool { return r.Unit() == "seconds" }
 
 // isMemory tells whether the figure is memory, which is never too small to be seen.
 func (r Row) isMemory() bool { return strings.HasPrefix(r.Unit(), "memory") }
 
 // rowKey names a row.
-type rowKey struct{ load, name string }
+type rowKey struct{ workload, name string }
 
 // Rows gives every figure, by load in the order in which they ran, then by name.
 func Rows(result *run.Result) []Row {
 	rows := collectRows(result)
 	var all []Row
-	for _, load := range loads(result) {
-		for _, name := range namesOf(rows, load) {
-			row := rows[rowKey{load, name}]
+	for _, workload := range workloadsOf(result) {
+		for _, name := range metricNames(rows, workload) {
+			row := rows[rowKey{workload, name}]
 			row.addZeros(result)
 			row.fit(result.Target.Nodes)
 			all = append(all, *row)
@@ -69,14 +69,14 @@
 	rows := map[rowKey]*Row{}
 	for _, point := range result.Points {
 		for name, value := range point.Values {
-			key := rowKey{point.Load, name}
+			key := rowKey{point.Workload, name}
 			row := rows[key]
 			if row == nil {
-				row = &Row{Load: point.Load, Name: name}
+				row = &Row{Workload: point.Workload, Name: name}
 				rows[key] = row
 			}
-			if row.inSeconds() && !point.Clean() {
-				row.Skipped++
+			if row.isDuration() && !point.HasReliableTimes() {
+				row.SkippedPoints++
 				continue
 			}
 			row.Points = append(row.Points, fit.Point{X: float64(point.Nodes), Y: value})
@@ -85,20 +85,20 @@
 	return rows
 }
 
-// loads lists the loads in the order in which they ran.
-func loads(result *run.Result) (names []string) {
+// workloadsOf lists the loads in the order in which they ran.
+func workloadsOf(result *run.Result) (names []string) {
 	for _, point := range result.Points {
-		if !slices.Contains(names, point.Load) {
-			names = append(names, point.Load)
+		if !slices.Contains(names, point.Workload) {
+			names = append(names, point.Workload)
 		}
 	}
 	return names
 }
 
-// namesOf lists the figures of a load, sorted.
-func namesOf(rows map[rowKey]*Row, load string) (names []string) {
+// metricNames lists the figures of a load, sorted.
+func metricNames(rows map[rowKey]*Row, workload string) (names []string) {
 	for key := range maps.Keys(rows) {
-		if key.load == load {
+		if key.workload == workload {
 			names = append(names, key.name)
 		}
 	}
@@ -108,11 +108,11 @@
 
 // addZeros adds the sizes at which the figure was too small to be seen.
 func (r *Row) addZeros(result *run.Result) {
-	if r.inSeconds() || r.isMemory() {
+	if r.isDuration() || r.isMemory() {
 		return
 	}
 	for _, point := range result.Points {
-		if _, ok := point.Values[r.Name]; point.Load == r.Load && !ok {
+		if _, ok := point.Values[r.Name]; point.Workload == r.Workload && !ok {
 			r.Points = append(r.Points, fit.Point{X: float64(point.Nodes)})
 		}
 	}
@@ -127,9 +127,9 @@
 }
 
 // findRow finds a row that has a line.
-func findRow(rows []Row, load, name string) (Row, bool) {
+func findRow(rows []Row, workload, name string) (Row, bool) {
 	for _, row := range rows {
-		if row.Load == load && row.Name == name && row.Line != nil {
+		if row.Workload == workload && row.Name == name && row.Line != nil {
 			return row, true
 		}
 	}
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -28,105 +28,109 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// table is Markdown text with tables.
-type table struct{ text strings.Builder }
+// markdownWriter is Markdown text with tables.
+type markdownWriter struct{ text strings.Builder }
 
-func (t *table) row(cells ...string) { t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+func (t *markdownWriter) writeRow(cells ...string) {
+	t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
+}
 
-func (t *table) header(cells ...string) {
-	t.row(cells...)
-	t.row(slices.Repeat([]string{"---"}, len(cells))...)
+func (t *markdownWriter) writeHeader(cells ...string) {
+	t.writeRow(cells...)
+	t.writeRow(slices.Repeat([]string{"---"}, len(cells))...)
 }
 
-// printf writes a line outside of a table.
-func (t *table) printf(format string, args ...any) { fmt.Fprintf(&t.text, format+"\n", args...) }
+// writeLine writes a line outside of a table.
+func (t *markdownWriter) writeLine(format string, args ...any) {
+	fmt.Fprintf(&t.text, format+"\n", args...)
+}
 
 // Tables is the whole text, as it stands on the page.
 func Tables(result *run.Result) string {
-	rows, t := Rows(result), &table{}
-	t.printf("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
-	t.machine(result)
-	t.omissions(result)
-	t.budget(result, rows)
-	t.activities(result, rows, "core", "Each core")
-	t.activities(result, rows, "sidecar", "The sidecar")
-	t.callLatency(result)
-	t.figures(result, rows)
+	rows, t := Rows(result), &markdownWriter{}
+	t.writeLine("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
+	t.writeMachineCPU(result)
+	t.writeOmissions(result)
+	t.writeBudget(result, rows)
+	t.writeActivities(result, rows, "core", "Each core")
+	t.writeActivities(result, rows, "sidecar", "The sidecar")
+	t.writeCallLatency(result)
+	t.writeMetrics(result, rows)
 	return t.text.String()
 }
 
-// machine tells how busy the machine was.
-func (t *table) machine(result *run.Result) {
+// writeMachineCPU tells how busy the machine was.
+func (t *markdownWriter) writeMachineCPU(result *run.Result) {
 	lowest, highest := 1.0, 0.0
 	for _, point := range result.Points {
 		lowest, highest = min(lowest, point.MachineCPU), max(highest, point.MachineCPU)
 	}
 	if highest > 0 {
-		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; "+
+		t.writeLine("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; "+
 			"times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
 	}
 }
 
-// omissions lists the sizes that were not measured and the times that are left out of the fits.
-func (t *table) omissions(result *run.Result) {
+// writeOmissions lists the sizes that were not measured and the times that are left out of the fits.
+func (t *markdownWriter) writeOmissions(result *run.Result) {
 	for _, skipped := range result.Skipped {
-		t.printf("- left out: %s", skipped)
+		t.writeLine("- left out: %s", skipped)
 	}
 	for _, point := range result.Points {
-		if point.Missing > 0 {
-			t.printf("- %s at %d nodes: %d did not come to know in time", point.Load, point.Nodes, point.Missing)
+		if point.TimedOut > 0 {
+			t.writeLine("- %s at %d nodes: %d did not come to know in time", point.Workload, point.Nodes, point.TimedOut)
 		}
-		if !point.Clean() {
-			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and "+
+		if !point.HasReliableTimes() {
+			t.writeLine("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and "+
 				"a process was held up for %.1f s; its times are left out of the fits",
-				point.Load, point.Nodes, 100*point.MeshCPU, point.MaxStall)
+				point.Workload, point.Nodes, 100*point.MeshCPU, point.MaxStall)
 		}
 	}
 }
 
-// budget holds the figures at the target's size against the budgets.
-func (t *table) budget(result *run.Result, rows []Row) {
+// writeBudget holds the figures at the target's size against the budgets.
+func (t *markdownWriter) writeBudget(result *run.Result, rows []Row) {
 	lines := BudgetLines(result, rows)
 	if len(lines) == 0 {
 		return
 	}
-	t.printf("\n### At %d nodes, against the budget\n", result.Target.Nodes)
-	t.header("what", "figure", "budget", "", "reached by")
+	t.writeLine("\n### At %d nodes, against the budget\n", result.Target.Nodes)
+	t.writeHeader("what", "figure", "budget", "", "reached by")
 	for _, line := range lines {
 		verdict := "fits"
 		if line.Ratio() > 1 {
 			verdict = fmt.Sprintf("**over, ×%.3g**", line.Ratio())
 		}
-		t.row(line.What, formatNumber(line.Figure)+" "+line.Unit, formatNumber(line.Budget), verdict, line.ReachedBy)
+		t.writeRow(line.Metric, formatNumber(line.Value)+" "+line.Unit, formatNumber(line.Budget), verdict, line.Basis)
 	}
-	t.cores(result, rows)
-	t.deepCall(result)
+	t.writeCoreRows(result, rows)
+	t.writeCallChain(result)
 }
 
-// cores adds the cores' figures, whose budget is a number of machines.
-func (t *table) cores(result *run.Result, rows []Row) {
+// writeCoreRows adds the cores' figures, whose budget is a number of machines.
+func (t *markdownWriter) writeCoreRows(result *run.Result, rows []Row) {
 	targetNodes := float64(result.Target.Nodes)
 	for _, name := range []string{"core/busiest/processor cores", "core/all/memory", "core/all/messages a second", "core/all/bytes a second"} {
 		row, ok := findRow(rows, "steady", name)
 		if !ok {
 			continue
 		}
-		what := "each core: "
+		metric := "each core: "
 		if row.Activity() == "busiest" {
-			what = "the busiest core: "
+			metric = "the busiest core: "
 		}
 		machines := fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines)
-		t.row(what+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), machines, "", row.reachedBy(targetNodes))
+		t.writeRow(metric+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), machines, "", row.basis(targetNodes))
 	}
 }
 
-// deepCall adds the added latency of a call that leads to a chain of others.
-func (t *table) deepCall(result *run.Result) {
+// writeCallChain adds the added latency of a call that leads to a chain of others.
+func (t *markdownWriter) writeCallChain(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
 	depth, latency := result.Target.CallDepth, result.CallLatency[len(result.CallLatency)-1]
-	t.row(fmt.Sprintf("a call %d deep, at the half of calls", depth),
+	t.writeRow(fmt.Sprintf("a call %d deep, at the half of calls", depth),
 		formatNumber(float64(depth)*latency.Added["p50"])+" ms", "", "",
 		fmt.Sprintf("%d × p50", depth))
 }
@@ -134,11 +138,11 @@
 // activityUnits are the units in which activities are shown side by side.
 var activityUnits = []string{"messages a second", "body bytes a second", "processor cores"}
 
-// wholeActivities are names that stand for all activities together.
-var wholeActivities = []string{"all", "busiest", "hollow, mean"}
+// aggregateActivities are names that stand for all activities together.
+var aggregateActivities = []string{"all", "busiest", "hollow, mean"}
 
-// activities is one role's work by activity at the target's size.
-func (t *table) activities(result *run.Result, rows []Row, role, title string) {
+// writeActivities is one role's work by activity at the target's size.
+func (t *markdownWriter) writeActivities(result *run.Result, rows []Row, role, title string) {
 	figure := func(activity, unit string) string {
 		if row, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
 			return formatNumber(row.AtTarget)
@@ -149,16 +153,16 @@
 	if len(activities) == 0 {
 		return
 	}
-	t.printf("\n### %s, steady state at %d nodes, by activity\n", title, result.Target.Nodes)
-	t.header(append([]string{"activity", "package"}, activityUnits...)...)
+	t.writeLine("\n### %s, steady state at %d nodes, by activity\n", title, result.Target.Nodes)
+	t.writeHeader(append([]string{"activity", "package"}, activityUnits...)...)
 	for _, activity := range activities {
 		cells := []string{activity, meter.PackageOf(activity)}
 		for _, unit := range activityUnits {
 			cells = append(cells, figure(activity, unit))
 		}
-		t.row(cells...)
+		t.writeRow(cells...)
 	}
-	t.row("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
+	t.writeRow("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
 }
 
 // activitiesOf lists the activities of a role that have a line in the steady state.
@@ -166,9 +170,9 @@
 	for _, row := range rows {
 		activity := row.Activity()
 		switch {
-		case row.Load != "steady" || row.Role() != role || row.Line == nil:
+		case row.Workload != "steady" || row.Role() != role || row.Line == nil:
 		case !slices.Contains(activityUnits, row.Unit()):
-		case slices.Contains(wholeActivities, activity) || slices.Contains(activities, activity):
+		case slices.Contains(aggregateActivities, activity) || slices.Contains(activities, activity):
 		default:
 			activities = append(activities, activity)
 		}
@@ -176,30 +180,30 @@
 	return activities
 }
 
-func (t *table) callLatency(result *run.Result) {
+func (t *markdownWriter) writeCallLatency(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
-	t.printf("\n### Call latency: what both sidecars add to a call, ms\n")
-	t.header("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
+	t.writeLine("\n### Call latency: what both sidecars add to a call, ms\n")
+	t.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
 	for _, point := range result.CallLatency {
-		t.row(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
+		t.writeRow(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
 			formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
 			formatNumber(point.ThroughMesh["p50"]), formatNumber(point.ThroughMesh["p99"]),
 			formatNumber(point.Direct["p50"]), formatNumber(point.Direct["p99"]))
 	}
 }
 
-// figures lists every figure of every load with its line.
-func (t *table) figures(result *run.Result, rows []Row) {
-	last := ""
+// writeMetrics lists every figure of every load with its line.
+func (t *markdownWriter) writeMetrics(result *run.Result, rows []Row) {
+	lastWorkload := ""
 	for _, row := range rows {
 		if len(row.Points) == 0 {
 			continue
 		}
-		if row.Load != last {
-			last = row.Load
-			t.figuresHeader(result, last)
+		if row.Workload != lastWorkload {
+			lastWorkload = row.Workload
+			t.writeMetricsHeader(result, lastWorkload)
 		}
 		cells := []string{strings.ReplaceAll(row.Name, "/", ": ")}
 		for _, size := range result.Sizes {
@@ -212,19 +216,19 @@
 				row.Line.Formula(),
 				fmt.Sprintf("%.0f %%", 100*row.Line.MaxRelativeError),
 				formatNumber(row.AtTarget),
-				row.reachedBy(float64(result.Target.Nodes)))
+				row.basis(float64(result.Target.Nodes)))
 		}
-		t.row(cells...)
+		t.writeRow(cells...)
 	}
 }
 
-func (t *table) figuresHeader(result *run.Result, load string) {
-	t.printf("\n### Load: %s\n", load)
+func (t *markdownWriter) writeMetricsHeader(result *run.Result, workload string) {
+	t.writeLine("\n### Load: %s\n", workload)
 	cells := []string{"figure"}
 	for _, size := range result.Sizes {
 		cells = append(cells, fmt.Sprint(size))
 	}
-	t.header(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
+	t.writeHeader(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
 }
 
 // valueAtSize shows the figure that was measured at a size, empty if there is none.
--- a/capacity/report/write.go
+++ b/capacity/report/write.go
@@ -12,8 +12,8 @@
 
 // Files of a report, besides its plots.
 const (
-	FiguresFile = "capacity.json" // what was measured
-	TablesFile  = "tables.md"
+	ResultFile = "capacity.json" // what was measured
+	TablesFile = "tables.md"
 )
 
 // ReadResult reads the figures of an earlier run.
@@ -39,10 +39,10 @@
 		return "", failure.Wrap(err, failure.Internal, "figures")
 	}
 	text := Tables(result)
-	files := map[string][]byte{FiguresFile: append(raw, '\n'), TablesFile: []byte(text)}
+	files := map[string][]byte{ResultFile: append(raw, '\n'), TablesFile: []byte(text)}
 	rows := Rows(result)
 	for _, p := range plots {
-		svg, err := p.draw(result, rows)
+		svg, err := p.renderSVG(result, rows)
 		if err != nil {
 			return "", failure.Wrap(err, failure.Internal, "plot "+p.file)
 		}
--- a/capacity/run/options.go
+++ b/capacity/run/options.go
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// unknownMemory is taken for the machine's memory when it can't be read.
-const unknownMemory = 8 << 30
+// assumedMemory is taken for the machine's memory when it can't be read.
+const assumedMemory = 8 << 30
 
 // HalfOfMemory is half of this machine's memory, in bytes.
 func HalfOfMemory() float64 {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
-		return unknownMemory / 2
+		return assumedMemory / 2
 	}
 	for line := range strings.Lines(string(raw)) {
 		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "MemTotal:" {
@@ -90,11 +90,11 @@
 			return kibibytes * 1024 / 2
 		}
 	}
-	return unknownMemory / 2
+	return assumedMemory / 2
 }
 
-// shortCommit is how much of a commit's hash is noted.
-const shortCommit = 12
+// commitHashLength is how much of a commit's hash is noted.
+const commitHashLength = 12
 
 // BuildCommit is the commit that this program was built from, as the build holds it.
 func BuildCommit() string {
@@ -106,7 +106,7 @@
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
-			commit = setting.Value[:min(shortCommit, len(setting.Value))]
+			commit = setting.Value[:min(commitHashLength, len(setting.Value))]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
 			modified = " with changes"
 		}
--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -32,10 +32,10 @@
 }
 
 const (
-	// minSizeTime is the shortest time for which a size is begun.
-	minSizeTime = 3 * time.Second
-	// latencyStartTime is set aside, besides the window, for each size's call latency.
-	latencyStartTime = 8 * time.Second
+	// minSizeDuration is the shortest time for which a size is begun.
+	minSizeDuration = 3 * time.Second
+	// latencySetupTime is set aside, besides the window, for each size's call latency.
+	latencySetupTime = 8 * time.Second
 	// minReadyTimeout is how long nodes may always take to be ready.
 	minReadyTimeout = 5 * time.Second
 	gigabyte        = 1e9
@@ -58,7 +58,7 @@
 	if onlyLatency := wantLatency && len(options.Workloads) == 1; !onlyLatency {
 		deadline := m.deadline
 		if wantLatency {
-			deadline = deadline.Add(-time.Duration(len(options.Sizes)) * (options.Window + latencyStartTime))
+			deadline = deadline.Add(-time.Duration(len(options.Sizes)) * (options.Window + latencySetupTime))
 		}
 		m.measureSizes(deadline)
 	}
@@ -87,8 +87,8 @@
 	return result
 }
 
-// skipSize notes why a size was not measured.
-func (m *measurement) skipSize(size int, reason string) {
+// recordSkippedSize notes why a size was not measured.
+func (m *measurement) recordSkippedSize(size int, reason string) {
 	note := fmt.Sprintf("%d nodes: %s", size, reason)
 	m.result.Skipped = append(m.result.Skipped, note)
 	m.Logf("%s", note)
@@ -101,14 +101,14 @@
 		// The remaining time is divided anew, so that time a smaller size did not use goes to the larger.
 		share := time.Until(deadline) / time.Duration(len(m.Sizes)-i)
 		if reason := m.exceedsBounds(i, lastPeak, share); reason != "" {
-			m.skipSize(size, reason)
+			m.recordSkippedSize(size, reason)
 			continue
 		}
 		began := time.Now()
 		peak, err := m.measureSize(size, began.Add(share))
 		m.Logf("%d nodes: %.1f s, %.2f GB at its peak", size, time.Since(began).Seconds(), peak/gigabyte)
 		if err != nil {
-			m.skipSize(size, err.Error())
+			m.recordSkippedSize(size, err.Error())
 			return
 		}
 		lastPeak = peak
@@ -130,7 +130,7 @@
 			return fmt.Sprintf("would need about %.1f GB, at most %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
 		}
 	}
-	if share < minSizeTime {
+	if share < minSizeDuration {
 		return "no time is left"
 	}
 	return ""
@@ -149,10 +149,10 @@
 		return 0, err
 	}
 	defer mesh.Close()
-	run := &workload.Run{Mesh: mesh, Window: m.Window, MaxWait: plan.MaxWait, Deadline: deadline}
-	err = run.RunAll(m.Workloads)
-	m.result.Points = append(m.result.Points, run.Points...)
-	if reading, readErr := mesh.Read(); readErr == nil {
+	runner := &workload.Runner{Mesh: mesh, Window: m.Window, MaxWait: plan.MaxWait, Deadline: deadline}
+	err = runner.RunAll(m.Workloads)
+	m.result.Points = append(m.result.Points, runner.Points...)
+	if reading, readErr := mesh.ReadUsage(); readErr == nil {
 		for _, response := range reading.Responses() {
 			peakBytes += response.Usage.PeakBytes
 		}
@@ -165,8 +165,8 @@
 func (m *measurement) measureLatencies() {
 	for i, size := range m.Sizes {
 		remaining := time.Until(m.deadline) - m.Window
-		if remaining < minSizeTime {
-			m.skipLatency(i, "no time is left")
+		if remaining < minSizeDuration {
+			m.recordSkippedLatency(i, "no time is left")
 			return
 		}
 		share := float64(size) / float64(m.Sizes[len(m.Sizes)-1])
@@ -180,7 +180,7 @@
 			ReadyTimeout:   min(plan.MaxWait, remaining),
 		})
 		if err != nil {
-			m.skipLatency(i, err.Error())
+			m.recordSkippedLatency(i, err.Error())
 			return
 		}
 		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms",
@@ -189,7 +189,7 @@
 	}
 }
 
-// skipLatency notes why the call latency was not measured from the i-th size on.
-func (m *measurement) skipLatency(i int, reason string) {
+// recordSkippedLatency notes why the call latency was not measured from the i-th size on.
+func (m *measurement) recordSkippedLatency(i int, reason string) {
 	m.result.Skipped = append(m.result.Skipped, fmt.Sprintf("%s %d: %s", CallLatencyWorkload, i+1, reason))
 }
--- a/capacity/run/run_test.go
+++ b/capacity/run/run_test.go
@@ -23,13 +23,13 @@
 }
 
 // A small mesh of real processes goes through every workload.
-func TestSmallMesh(t *testing.T) {
+func TestMeasureSmallMesh(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	target := plan.Default()
 	target.Cores, target.Routes, target.Services, target.NodesPerProcess = 1, 60, 12, 3
-	res, err := Measure(Options{
+	result, err := Measure(Options{
 		ProcessCommand: []string{os.Args[0], "capacity-part"},
 		Dir:            t.TempDir(),
 		Target:         target,
@@ -42,31 +42,31 @@
 		Logf:           t.Logf,
 	})
 	must.NoError(t, err)
-	must.SliceEmpty(t, res.Skipped)
+	must.SliceEmpty(t, result.Skipped)
 	seen := map[string]bool{}
-	for _, point := range res.Points {
-		seen[point.Load] = true
+	for _, point := range result.Points {
+		seen[point.Workload] = true
 		must.Eq(t, 6, point.Nodes)
-		must.Eq(t, 0, point.Missing, must.Sprint(point.Load))
-		if point.Load != "steady" {
-			must.Positive(t, point.Values["mesh/known to all/seconds"], must.Sprint(point.Load))
+		must.Eq(t, 0, point.TimedOut, must.Sprint(point.Workload))
+		if point.Workload != "steady" {
+			must.Positive(t, point.Values["mesh/known to all/seconds"], must.Sprint(point.Workload))
 		}
 	}
-	for _, l := range []string{"steady", "leave", "changes", "manifest", "restart", "zone lost", "zone back", "apart", "start"} {
-		must.True(t, seen[l], must.Sprint(l))
+	for _, name := range []string{"steady", "leave", "changes", "manifest", "restart", "zone lost", "zone back", "apart", "start"} {
+		must.True(t, seen[name], must.Sprint(name))
 	}
-	values := res.Points[0].Values
-	for _, n := range []string{"core/all/processor cores", "core/all/memory", "core/all/messages a second", "core/leases/messages a second",
+	values := result.Points[0].Values
+	for _, name := range []string{"core/all/processor cores", "core/all/memory", "core/all/messages a second", "core/leases/messages a second",
 		"sidecar/all/processor cores", "sidecar/all/memory", "sidecar/all/bytes a second", "sidecar/its endpoint/bytes a second"} {
-		must.Positive(t, values[n], must.Sprint(n))
+		must.Positive(t, values[name], must.Sprint(name))
 	}
-	must.SliceLen(t, 1, res.CallLatency)
-	must.Positive(t, res.CallLatency[0].Pairs)
-	must.Zero(t, res.CallLatency[0].Failed)
+	must.SliceLen(t, 1, result.CallLatency)
+	must.Positive(t, result.CallLatency[0].Pairs)
+	must.Zero(t, result.CallLatency[0].Failed)
 }
 
 // What does not fit within a bound is left out, and named.
-func TestBounds(t *testing.T) {
+func TestBoundsAndInvalidOptions(t *testing.T) {
 	target := plan.Default()
 	options := Options{
 		ProcessCommand: []string{os.Args[0], "capacity-part"},
@@ -80,19 +80,19 @@
 		MaxProcesses:   10,
 		Logf:           t.Logf,
 	}
-	res, err := Measure(options)
+	result, err := Measure(options)
 	must.Error(t, err)
-	must.SliceLen(t, 2, res.Skipped)
-	for _, bad := range []func(*Options){
+	must.SliceLen(t, 2, result.Skipped)
+	for _, invalidate := range []func(*Options){
 		func(options *Options) { options.Sizes = []int{10, 15} },
 		func(options *Options) { options.Sizes = nil },
 		func(options *Options) { options.Sizes = []int{1} },
 		func(options *Options) { options.Workloads = []string{"no such"} },
 		func(options *Options) { options.Window = time.Hour },
 	} {
-		c := options
-		bad(&c)
-		_, err := Measure(c)
+		changed := options
+		invalidate(&changed)
+		_, err := Measure(changed)
 		must.Error(t, err)
 	}
 }
--- a/capacity/testbed/child.go
+++ b/capacity/testbed/child.go
@@ -83,8 +83,8 @@
 	return result
 }
 
-// run sends a command and waits for its response.
-func (c *child) run(command process.Command, timeout time.Duration) (process.Response, error) {
+// call sends a command and waits for its response.
+func (c *child) call(command process.Command, timeout time.Duration) (process.Response, error) {
 	return c.wait(c.send(command), timeout)
 }
 
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -59,8 +59,8 @@
 
 // WaitResult tells when nodes met a condition.
 type WaitResult struct {
-	KnownAt  []int64       // when each node did, in order, as readings of meter.Now
-	Missing  int           // nodes that did not in time
+	MetAt    []int64       // when each node did, in order, as readings of meter.Now
+	TimedOut int           // nodes that did not in time
 	MaxStall time.Duration // longest time by which a poll of a waiting process came late
 }
 
@@ -77,11 +77,11 @@
 		return result, err
 	}
 	for _, response := range responses {
-		result.KnownAt = append(result.KnownAt, response.KnownAt...)
-		result.Missing += response.Missing
+		result.MetAt = append(result.MetAt, response.MetAt...)
+		result.TimedOut += response.TimedOut
 		result.MaxStall = max(result.MaxStall, response.MaxStall)
 	}
-	slices.Sort(result.KnownAt)
+	slices.Sort(result.MetAt)
 	return result, nil
 }
 
@@ -149,7 +149,7 @@
 }
 
 // SetPartitioned cuts the regions apart or joins them, and returns when it had an effect.
-func (m *Mesh) SetPartitioned(partitioned bool) (at int64, err error) {
+func (m *Mesh) SetPartitioned(partitioned bool) (appliedAt int64, err error) {
 	responses, err := broadcast(m.allProcesses(), process.Command{Operation: process.SetPartition, Partitioned: partitioned}, commandTimeout)
 	if err != nil {
 		return 0, err
@@ -157,8 +157,8 @@
 	return responses[len(responses)-1].StartedAt, nil
 }
 
-// Reading is what all processes and the machine had used at an instant.
-type Reading struct {
+// UsageReading is what all processes and the machine had used at an instant.
+type UsageReading struct {
 	ReadAt       int64
 	MachineTicks meter.CPUTicks
 	Cores        []process.Response
@@ -167,12 +167,12 @@
 }
 
 // Responses lists those of all processes.
-func (r Reading) Responses() []process.Response {
+func (r UsageReading) Responses() []process.Response {
 	return append(append(slices.Clone(r.Cores), r.SharedNodes...), r.FirstNode)
 }
 
-// Read reads what all processes and the machine have used.
-func (m *Mesh) Read() (reading Reading, err error) {
+// ReadUsage reads what all processes and the machine have used.
+func (m *Mesh) ReadUsage() (reading UsageReading, err error) {
 	command := process.Command{Operation: process.ReadUsage}
 	if reading.Cores, err = broadcast(m.cores, command, commandTimeout); err != nil {
 		return reading, err
--- a/capacity/testbed/mesh.go
+++ b/capacity/testbed/mesh.go
@@ -21,7 +21,7 @@
 	commandTimeout  = 90 * time.Second
 	operatorTimeout = 30 * time.Second // of one request to a core
 	seedCount       = 3                // cores that are seeds of the others
-	firstSerial     = 0                // of the configuration that a mesh starts with
+	initialSerial   = 0                // of the configuration that a mesh starts with
 )
 
 // Options is what a mesh needs to start.
@@ -86,7 +86,7 @@
 	if err := m.startCores(); err != nil {
 		return err
 	}
-	if _, err := m.Propose(http.MethodPut, m.Target.Config(firstSerial), commandTimeout); err != nil {
+	if _, err := m.Propose(http.MethodPut, m.Target.Config(initialSerial), commandTimeout); err != nil {
 		return err
 	}
 	for started := 0; started < m.NodeCount; {
@@ -128,7 +128,7 @@
 			Founders: m.coreAddrs,
 			DataDir:  filepath.Join(m.dir, fmt.Sprint("core", i)),
 		}
-		if _, err := c.run(process.Command{Operation: process.StartCore, Core: &settings}, commandTimeout); err != nil {
+		if _, err := c.call(process.Command{Operation: process.StartCore, Core: &settings}, commandTimeout); err != nil {
 			return err
 		}
 	}
@@ -137,7 +137,7 @@
 
 // begin gives a process the target, which comes before any other command.
 func (m *Mesh) begin(c *child) error {
-	_, err := c.run(process.Command{Operation: process.Begin, Target: &m.Target}, commandTimeout)
+	_, err := c.call(process.Command{Operation: process.Begin, Target: &m.Target}, commandTimeout)
 	return err
 }
 
@@ -174,7 +174,7 @@
 
 // startWave starts nodes together and waits until they are ready.
 func (m *Mesh) startWave(c *child, nodes []int, full bool) error {
-	response, err := c.run(process.Command{
+	response, err := c.call(process.Command{
 		Operation:      process.StartNodes,
 		Nodes:          nodes,
 		Seeds:          m.coreAddrs,
@@ -190,17 +190,17 @@
 			m.FullNodes = append(m.FullNodes, NodeAddrs{response.Addrs[k], response.ClientAddrs[k]})
 		}
 		if full && !m.options.NoHeartbeats {
-			m.SendHeartbeats(response.Addrs[k], response.Endpoints[k].AliveHeartbeat(process.SilentAddr(m.Target.NodeIP(node))))
+			m.SendHeartbeats(response.Addrs[k], response.Endpoints[k].AliveHeartbeat(process.DiscardAddr(m.Target.NodeIP(node))))
 		}
 	}
 	ready := process.Command{Operation: process.Await, Condition: process.Condition{Ready: true}, Duration: m.options.ReadyTimeout}
-	waited, err := c.run(ready, m.options.ReadyTimeout+commandTimeout)
+	waited, err := c.call(ready, m.options.ReadyTimeout+commandTimeout)
 	if err != nil {
 		return failure.Wrap(err, failure.DeadlineExceeded, "wait for nodes to be ready")
 	}
-	if waited.Missing > 0 {
+	if waited.TimedOut > 0 {
 		return failure.New(failure.DeadlineExceeded, "%d of %d nodes, which start %d at a time, were not ready in %v",
-			waited.Missing, nodes[len(nodes)-1]+1, m.Target.NodesPerWave, m.options.ReadyTimeout)
+			waited.TimedOut, nodes[len(nodes)-1]+1, m.Target.NodesPerWave, m.options.ReadyTimeout)
 	}
 	return nil
 }
--- a/capacity/testbed/operator.go
+++ b/capacity/testbed/operator.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	proposalInterval  = 50 * time.Millisecond // between tries
-	heartbeatTimeout  = time.Second
-	idempotencyHeader = "Idempotency-Key"
+	proposalRetryInterval = 50 * time.Millisecond // between tries
+	heartbeatTimeout      = time.Second
+	idempotencyHeader     = "Idempotency-Key"
 )
 
 // Propose sends a configuration to a core of the first region until it is confirmed, within
@@ -30,7 +30,7 @@
 	}
 	m.proposalCount++
 	key := fmt.Sprintf("capacity-%d", m.proposalCount)
-	ticker := time.NewTicker(proposalInterval)
+	ticker := time.NewTicker(proposalRetryInterval)
 	defer ticker.Stop()
 	var lastErr error = failure.New(failure.DeadlineExceeded, "no time was left to send it")
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); <-ticker.C {
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -16,28 +16,28 @@
 
 // Names of the workloads, as operators choose them and figures are stored.
 const (
-	steadyLoad  = "steady"   // heartbeats and nothing else
-	leaveLoad   = "leave"    // an endpoint leaves
-	changesLoad = "changes"  // one route of the configuration changes
-	configLoad  = "manifest" // the whole configuration is replaced
-	restartLoad = "restart"  // nodes restart, as many as in a day
-	zoneLoad    = "zone"     // a zone is lost and comes back
-	apartLoad   = "apart"    // regions that were cut apart are joined
-	startLoad   = "start"    // all nodes start at once
+	steadyWorkload        = "steady"   // heartbeats and nothing else
+	leaveWorkload         = "leave"    // an endpoint leaves
+	routeChangeWorkload   = "changes"  // one route of the configuration changes
+	configReplaceWorkload = "manifest" // the whole configuration is replaced
+	restartWorkload       = "restart"  // nodes restart, as many as in a day
+	zoneFailureWorkload   = "zone"     // a zone is lost and comes back
+	partitionWorkload     = "apart"    // regions that were cut apart are joined
+	restartAllWorkload    = "start"    // all nodes start at once
 )
 
 // Names lists the workloads in the order in which they run.
-var Names = []string{steadyLoad, leaveLoad, changesLoad, configLoad, restartLoad, zoneLoad, apartLoad, startLoad}
-
-var workloads = map[string]func(*Run) error{
-	steadyLoad:  (*Run).steady,
-	leaveLoad:   (*Run).leave,
-	changesLoad: (*Run).changeRoute,
-	configLoad:  (*Run).replaceConfig,
-	restartLoad: (*Run).restart,
-	zoneLoad:    (*Run).loseZone,
-	apartLoad:   (*Run).joinRegions,
-	startLoad:   (*Run).startAll,
+var Names = []string{steadyWorkload, leaveWorkload, routeChangeWorkload, configReplaceWorkload, restartWorkload, zoneFailureWorkload, partitionWorkload, restartAllWorkload}
+
+var workloads = map[string]func(*Runner) error{
+	steadyWorkload:        (*Runner).runSteady,
+	leaveWorkload:         (*Runner).leaveEndpoints,
+	routeChangeWorkload:   (*Runner).changeRoute,
+	configReplaceWorkload: (*Runner).replaceConfig,
+	restartWorkload:       (*Runner).restartNodes,
+	zoneFailureWorkload:   (*Runner).failAndRestoreZone,
+	partitionWorkload:     (*Runner).healPartition,
+	restartAllWorkload:    (*Runner).restartAllNodes,
 }
 
 // Known tells whether there is a workload of that name.
@@ -47,13 +47,13 @@
 // example core/leases/messages a second. Invariant: values of a workload that is an event are
 // what it cost above the steady state.
 type Point struct {
-	Nodes  int                `json:"nodes"`
-	Load   string             `json:"load"`
-	Values map[string]float64 `json:"values"`
-	// Missing is how many nodes did not learn of the event in time.
-	Missing int `json:"missing,omitempty"`
+	Nodes    int                `json:"nodes"`
+	Workload string             `json:"load"`
+	Values   map[string]float64 `json:"values"`
+	// TimedOut is how many nodes did not learn of the event in time.
+	TimedOut int `json:"missing,omitempty"`
 	// MeshCPU is the part of this machine's processors that the mesh used meanwhile; above
-	// MaxCleanCPU, times are the machine's rather than the mesh's.
+	// MaxReliableCPU, times are the machine's rather than the mesh's.
 	MeshCPU float64 `json:"busy"`
 	// MachineCPU is the part of all this machine's processors that any process used meanwhile. If it
 	// is high while MeshCPU is low, other programs loaded the machine.
@@ -62,45 +62,47 @@
 	MaxStall float64 `json:"held,omitempty"`
 }
 
-// MaxCleanCPU is the part of the machine above which times are left out of fits.
-const MaxCleanCPU = 0.85
+// MaxReliableCPU is the part of the machine above which times are left out of fits.
+const MaxReliableCPU = 0.85
 
-// MaxCleanStall is the stall in seconds above which times are left out of fits.
-const MaxCleanStall = 0.5
+// MaxReliableStall is the stall in seconds above which times are left out of fits.
+const MaxReliableStall = 0.5
 
-// Clean tells whether times of this point are the mesh's own.
-func (p Point) Clean() bool { return p.MeshCPU <= MaxCleanCPU && p.MaxStall <= MaxCleanStall }
+// HasReliableTimes tells whether times of this point are the mesh's own.
+func (p Point) HasReliableTimes() bool {
+	return p.MeshCPU <= MaxReliableCPU && p.MaxStall <= MaxReliableStall
+}
 
-// Run is the measurement of one size.
-type Run struct {
+// Runner is the measurement of one size.
+type Runner struct {
 	*testbed.Mesh
 	Window   time.Duration // of the steady state, and how long regions are cut apart
 	MaxWait  time.Duration // of any one wait
 	Deadline time.Time     // of the measurement; a wait does not go on beyond it
 	Points   []Point
 
-	baseline steadyRates
-	serial   int // of the last configuration proposed
+	baseline     steadyRates
+	configSerial int // of the last configuration proposed
 }
 
-// minWait is how long a wait may take even after the deadline, so that an event that has begun can end.
-const minWait = 5 * time.Second
+// minWaitTimeout is how long a wait may take even after the deadline, so that an event that has begun can end.
+const minWaitTimeout = 5 * time.Second
 
-func (r *Run) waitTimeout() time.Duration {
-	return max(minWait, min(r.MaxWait, time.Until(r.Deadline)))
+func (r *Runner) waitTimeout() time.Duration {
+	return max(minWaitTimeout, min(r.MaxWait, time.Until(r.Deadline)))
 }
 
 // RunAll runs the workloads; the steady state comes first whether it is named or not. It ends
 // early, with what it has, once the deadline has passed.
-func (r *Run) RunAll(names []string) error {
-	if err := r.awaitSettled(); err != nil {
+func (r *Runner) RunAll(names []string) error {
+	if err := r.awaitConverged(); err != nil {
 		return err
 	}
 	for _, name := range Names {
-		if name != steadyLoad && !slices.Contains(names, name) {
+		if name != steadyWorkload && !slices.Contains(names, name) {
 			continue
 		}
-		if r.baseline.known && time.Now().After(r.Deadline) {
+		if r.baseline.measured && time.Now().After(r.Deadline) {
 			return nil
 		}
 		if err := workloads[name](r); err != nil {
@@ -110,20 +112,20 @@
 	return nil
 }
 
-// awaitSettled waits until every node is ready and knows every endpoint.
-func (r *Run) awaitSettled() error {
+// awaitConverged waits until every node is ready and knows every endpoint.
+func (r *Runner) awaitConverged() error {
 	timeout := r.waitTimeout()
 	result, err := r.Await(process.Condition{Ready: true, Healthy: r.Endpoints()}, timeout).Result()
-	if err == nil && result.Missing > 0 {
+	if err == nil && result.TimedOut > 0 {
 		err = failure.New(failure.DeadlineExceeded, "%d of %d nodes did not come to know every endpoint in %v; their counters: %s",
-			result.Missing, r.NodeCount, timeout, r.failureCounters())
+			result.TimedOut, r.NodeCount, timeout, r.failureCounters())
 	}
 	return err
 }
 
 // failureCounters shows the counters of failures, summed over nodes and cores.
-func (r *Run) failureCounters() string {
-	reading, err := r.Read()
+func (r *Runner) failureCounters() string {
+	reading, err := r.ReadUsage()
 	if err != nil {
 		return err.Error()
 	}
--- a/capacity/workload/steady.go
+++ b/capacity/workload/steady.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// steadyAttempts is how often the steady state is measured before the machine counts as
+	// maxSteadyAttempts is how often the steady state is measured before the machine counts as
 	// unfit.
-	steadyAttempts = 4
+	maxSteadyAttempts = 4
 	// A measurement is discarded, since the machine was too busy, when it took longer than its window
-	// by more than lateShare of the window plus lateSeconds.
-	lateShare   = 0.25
-	lateSeconds = 0.5
+	// by more than maxOverrunShare of the window plus maxOverrunSeconds.
+	maxOverrunShare   = 0.25
+	maxOverrunSeconds = 0.5
 	// coreMessagePath is the path of messages from core to core, which no sidecar sends.
 	coreMessagePath = "/cottonarch/v1/messages"
-	// tinyCPU avoids a division by 0 where no processor time was used.
-	tinyCPU = 1e-9
+	// minTotalCPU avoids a division by 0 where no processor time was used.
+	minTotalCPU = 1e-9
 )
 
 // coreCounters are the counters of the cores whose rates are noted.
 var coreCounters = []string{"sweeps", "deeds", "rounds"}
 
 // steady measures the steady state, again when the machine was held up meanwhile.
-func (r *Run) steady() error {
+func (r *Runner) runSteady() error {
 	var lastErr error
-	for range steadyAttempts {
+	for range maxSteadyAttempts {
 		m, err := r.measureSteady()
 		if err != nil {
 			return err
 		}
-		if window := r.Window.Seconds(); m.seconds-window > window*lateShare+lateSeconds {
+		if window := r.Window.Seconds(); m.seconds-window > window*maxOverrunShare+maxOverrunSeconds {
 			lastErr = failure.New(failure.DeadlineExceeded, "a measurement of %v took %.1f s: the machine was held up", r.Window, m.seconds)
 			continue
 		}
 		r.baseline = m.rates()
-		r.Points = append(r.Points, Point{Nodes: r.NodeCount, Load: steadyLoad, Values: m.values(), MeshCPU: m.meshCPU, MachineCPU: m.machineCPU})
+		r.Points = append(r.Points, Point{Nodes: r.NodeCount, Workload: steadyWorkload, Values: m.values(), MeshCPU: m.meshCPU, MachineCPU: m.machineCPU})
 		return nil
 	}
 	return lastErr
@@ -52,8 +52,8 @@
 	nodeMemory   float64            // bytes of node 0
 }
 
-func (r *Run) measureSteady() (m steadyMeasurement, err error) {
-	before, err := r.Read()
+func (r *Runner) measureSteady() (m steadyMeasurement, err error) {
+	before, err := r.ReadUsage()
 	if err != nil {
 		return m, err
 	}
@@ -61,7 +61,7 @@
 	if m.coreProfiles, m.nodeProfiles, err = r.Profile(r.Window); err != nil {
 		return m, err
 	}
-	after, err := r.Read()
+	after, err := r.ReadUsage()
 	if err != nil {
 		return m, err
 	}
@@ -77,18 +77,18 @@
 func (m steadyMeasurement) values() map[string]float64 {
 	rates, coreCount := m.rates(), float64(len(m.coreCPU))
 	values := map[string]float64{
-		"core/all/processor cores":            rates.cores / coreCount,
-		"core/busiest/processor cores":        rates.busiestCore,
+		"core/all/processor cores":            rates.coresCPU / coreCount,
+		"core/busiest/processor cores":        rates.busiestCoreCPU,
 		"core/all/messages a second":          rates.messages / coreCount,
 		"core/all/bytes a second":             rates.coreBytes / coreCount,
 		"core/all/memory":                     m.coreMemory,
-		"sidecar/all/processor cores":         rates.node,
+		"sidecar/all/processor cores":         rates.nodeCPU,
 		"sidecar/all/bytes a second":          rates.nodeBytes,
 		"sidecar/its endpoint/bytes a second": m.heartbeatBytes / m.seconds,
 		"sidecar/all/memory":                  m.nodeMemory,
 	}
 	if m.nodeCount > 1 {
-		values["sidecar/hollow, mean/processor cores"] = rates.sharedNodes / float64(m.nodeCount-1)
+		values["sidecar/hollow, mean/processor cores"] = rates.sharedNodesCPU / float64(m.nodeCount-1)
 	}
 	for _, counter := range coreCounters {
 		values["core/"+counter+"/a second"] = float64(m.counters[counter]) / m.seconds / coreCount
@@ -137,6 +137,6 @@
 		}
 	}
 	for activity, cpu := range byActivity {
-		values["sidecar/"+activity+"/processor cores"] = cpu / max(total, tinyCPU) * m.nodeCPU() / m.seconds
+		values["sidecar/"+activity+"/processor cores"] = cpu / max(total, minTotalCPU) * m.nodeCPU() / m.seconds
 	}
 }
--- a/capacity/workload/usage.go
+++ b/capacity/workload/usage.go
@@ -13,14 +13,14 @@
 // steadyRates is what the mesh costs a second while nothing happens. Processor time is in
 // seconds.
 type steadyRates struct {
-	known       bool
-	cores       float64 // processor time of all cores
-	busiestCore float64 // processor time
-	node        float64 // processor time of node 0
-	sharedNodes float64 // processor time of all other nodes
-	messages    float64 // to all cores
-	coreBytes   float64 // of all cores, sent and received
-	nodeBytes   float64 // of node 0 with the mesh
+	measured       bool
+	coresCPU       float64 // processor time of all cores
+	busiestCoreCPU float64 // processor time
+	nodeCPU        float64 // processor time of node 0
+	sharedNodesCPU float64 // processor time of all other nodes
+	messages       float64 // to all cores
+	coreBytes      float64 // of all cores, sent and received
+	nodeBytes      float64 // of node 0 with the mesh
 }
 
 // usage is what passed between two readings. Processor time is in seconds.
@@ -37,7 +37,7 @@
 	counters       map[string]int64 // of the cores
 }
 
-func (r *Run) usageBetween(before, after testbed.Reading) usage {
+func (r *Runner) usageBetween(before, after testbed.UsageReading) usage {
 	u := usage{
 		seconds:    float64(after.ReadAt-before.ReadAt) / float64(time.Second),
 		machineCPU: meter.CPUUtilization(before.MachineTicks, after.MachineTicks),
@@ -115,13 +115,13 @@
 // rates divides by the time.
 func (u usage) rates() steadyRates {
 	return steadyRates{
-		known:       true,
-		cores:       u.totalCoreCPU() / u.seconds,
-		busiestCore: u.busiestCoreCPU() / u.seconds,
-		node:        u.nodeCPU() / u.seconds,
-		sharedNodes: u.sharedNodeCPU() / u.seconds,
-		messages:    u.messageCount() / u.seconds,
-		coreBytes:   u.coreTraffic.Bytes() / u.seconds,
-		nodeBytes:   u.nodeBytes / u.seconds,
+		measured:       true,
+		coresCPU:       u.totalCoreCPU() / u.seconds,
+		busiestCoreCPU: u.busiestCoreCPU() / u.seconds,
+		nodeCPU:        u.nodeCPU() / u.seconds,
+		sharedNodesCPU: u.sharedNodeCPU() / u.seconds,
+		messages:       u.messageCount() / u.seconds,
+		coreBytes:      u.coreTraffic.Bytes() / u.seconds,
+		nodeBytes:      u.nodeBytes / u.seconds,
 	}
 }
