--- a/capacity/process/await.go
+++ b/capacity/process/await.go
@@ -12,12 +12,13 @@
 	maxAwaitDuration = 2 * time.Minute
 )
 
-// progress is how far a node has got in a condition's lists: the endpoints before healthy and
-// unhealthy were found as the condition asks, and are not checked again.
+// progress holds, for one node, the index of the first endpoint in Condition.Healthy and in
+// Condition.Unhealthy that is not yet in the required state. Endpoints before that index were in
+// the required state in an earlier poll and are not checked again.
 type progress struct{ healthy, unhealthy int }
 
-// await polls this process's nodes until each meets the condition, for the command's duration
-// at most.
+// await polls the nodes of this process until each node meets the condition, but no longer than
+// the duration of the command.
 func (w *worker) await(command Command) (Response, error) {
 	waiting := w.waitingNodes()
 	response := Response{}
@@ -43,6 +44,7 @@
 	return response, nil
 }
 
+// waitingNodes returns all running nodes, each with no endpoint checked yet.
 func (w *worker) waitingNodes() map[*node]*progress {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,7 +55,7 @@
 	return waiting
 }
 
-// satisfies tells whether a node meets the whole condition.
+// satisfies reports whether the node meets every part of the condition. It advances p.
 func (n *node) satisfies(condition Condition, p *progress) bool {
 	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
 		return false
@@ -71,7 +73,7 @@
 	return true
 }
 
-// registryHasHealthy tells whether the node's registry has an endpoint as healthy.
+// registryHasHealthy reports whether the node's registry lists the endpoint as healthy.
 func (n *node) registryHasHealthy(e Endpoint) bool {
 	entry, ok := n.sidecar.Lookup(e.Service, e.ID)
 	return ok && !entry.Lapsed && entry.Status == record.Healthy
--- a/capacity/process/core.go
+++ b/capacity/process/core.go
@@ -12,21 +12,23 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// core is the real core daemon, served behind the meter.
+// core is a production core daemon whose HTTP traffic is counted by the meter.
 type core struct {
 	daemon *coredaemon.Core
 	server *http.Server
 }
 
+// stop closes the HTTP server and the daemon.
 func (c *core) stop() {
 	_ = c.server.Close()
 	c.daemon.Close()
 }
 
+// startCore starts the core that the command describes.
 func (w *worker) startCore(command Command) (Response, error) {
 	requested := command.Core
 	if requested == nil {
-		return Response{}, failure.New(failure.Invalid, "%s needs the core's settings", StartCore)
+		return Response{}, failure.New(failure.Invalid, "command %q has no core settings", StartCore)
 	}
 	coreDaemon, server, err := daemon.Core(settings.Core{
 		Addr:          requested.Addr,
--- a/capacity/process/message.go
+++ b/capacity/process/message.go
@@ -9,37 +9,37 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// Operations that a process is commanded to do. Begin comes first.
+// Operations of commands. Begin must be the first command of a process.
 const (
 	Begin        = "begin"   // sets the target
-	StartCore    = "core"    // starts the core of Command.Core
-	StartNodes   = "nodes"   // starts nodes, or starts anew those that were stopped
-	StopNodes    = "stop"    // ends nodes at once, as the loss of their machine would
+	StartCore    = "core"    // starts a core with the settings in Command.Core
+	StartNodes   = "nodes"   // starts new nodes, or restarts stopped nodes
+	StopNodes    = "stop"    // stops nodes abruptly, like the loss of their machine
 	SetState     = "beat"    // makes the nodes' endpoints report Command.State
 	Await        = "await"   // waits until each node meets Command.Condition
-	ReadUsage    = "read"    // reads what the process has used
-	Profile      = "profile" // samples the process for Command.Duration
-	SetPartition = "apart"   // cuts the regions apart, or joins them again
+	ReadUsage    = "read"    // reads the resource usage of the process
+	Profile      = "profile" // takes a CPU profile of the process for Command.Duration
+	SetPartition = "apart"   // partitions the network between regions, or heals the partition
 )
 
-// Command is one line to a process. The response bears the same ID; commands but Begin run
-// side by side.
+// Command is one line of input to a process. Its response has the same ID. All commands except
+// Begin run concurrently.
 type Command struct {
 	ID             int            `json:"id"`
 	Operation      string         `json:"do"`
 	Target         *plan.Target   `json:"target,omitempty"`
 	Core           *CoreSettings  `json:"core,omitempty"`
-	Nodes          []int          `json:"nodes,omitempty"` // by number
+	Nodes          []int          `json:"nodes,omitempty"` // numbers of the nodes
 	Seeds          []ident.Addr   `json:"seeds,omitempty"`
-	Full           bool           `json:"whole,omitempty"` // nodes as a deployment runs them, not hollow ones
-	ExtraEndpoints int            `json:"fill,omitempty"`  // further endpoints that each hollow node stands in for
+	Full           bool           `json:"whole,omitempty"` // start full nodes instead of hollow nodes
+	ExtraEndpoints int            `json:"fill,omitempty"`  // simulated endpoints on each hollow node, besides its own
 	State          endpoint.State `json:"state,omitempty"`
 	Partitioned    bool           `json:"on,omitempty"`
-	Duration       time.Duration  `json:"for,omitempty"` // of a profile; bound of a wait
+	Duration       time.Duration  `json:"for,omitempty"` // length of a profile, or timeout of Await
 	Condition      Condition      `json:"want"`
 }
 
-// CoreSettings is what a core needs to start.
+// CoreSettings holds the settings with which a core starts.
 type CoreSettings struct {
 	Index    int          `json:"index"`
 	Addr     ident.Addr   `json:"addr"`
@@ -48,41 +48,42 @@
 	DataDir  string       `json:"data"`
 }
 
-// Condition is what a node must know for a wait to end. A field that is empty is not checked.
+// Condition is the state that each node must reach for Await to end. Empty fields are not checked.
 type Condition struct {
-	Revision  ident.ConfigRevision `json:"epoch,omitempty"`   // in force, or a newer one
-	Ready     bool                 `json:"ready,omitempty"`   // the node itself
-	Healthy   []Endpoint           `json:"servers,omitempty"` // endpoints known as healthy
-	Unhealthy []Endpoint           `json:"gone,omitempty"`    // endpoints not known as healthy any more
+	Revision  ident.ConfigRevision `json:"epoch,omitempty"`   // the node has applied this revision or a newer revision
+	Ready     bool                 `json:"ready,omitempty"`   // the node is ready
+	Healthy   []Endpoint           `json:"servers,omitempty"` // endpoints that are healthy in the registry of the node
+	Unhealthy []Endpoint           `json:"gone,omitempty"`    // endpoints that are not healthy in that registry
 }
 
-// Endpoint names one endpoint of the mesh.
+// Endpoint identifies one endpoint of the mesh.
 type Endpoint struct {
 	ID      ident.Server  `json:"id"`
 	Service ident.Service `json:"service"`
 }
 
-// AliveHeartbeat is the heartbeat by which the endpoint reports that it is well, at an address.
+// AliveHeartbeat returns the heartbeat that reports the endpoint as alive at an address.
 func (e Endpoint) AliveHeartbeat(addr ident.Addr) endpoint.Heartbeat {
 	return endpoint.Heartbeat{Server: e.ID, Service: e.Service, Addr: addr, State: endpoint.Alive, Weight: 1}
 }
 
-// DiscardAddr is an address on which nothing listens, of endpoints that take no calls.
+// DiscardAddr returns the address of an endpoint that takes no calls: the discard port (9), on
+// which nothing listens.
 func DiscardAddr(ip string) ident.Addr { return ident.Addr(ip + ":9") }
 
-// Response is the line that answers a command. Instants are readings of meter.Now.
+// Response is one line of output: the response to a command. Instants are readings of meter.Now.
 type Response struct {
 	ID          int                      `json:"id"`
 	Error       string                   `json:"fault,omitempty"`
-	StartedAt   int64                    `json:"at,omitempty"` // when the operation began to take effect
+	StartedAt   int64                    `json:"at,omitempty"` // when the operation started
 	Usage       meter.Usage              `json:"spent"`
 	ByPath      map[string]meter.Traffic `json:"paths,omitempty"`
 	ByPeer      map[string]meter.Traffic `json:"peers,omitempty"`
-	Counters    map[string]int64         `json:"board,omitempty"`  // of the daemons, summed
-	CPUShares   map[string]float64       `json:"duties,omitempty"` // of the processor time, by activity
-	MetAt       []int64                  `json:"times,omitempty"`  // when each node met the condition
-	TimedOut    int                      `json:"missing,omitempty"`
-	MaxStall    time.Duration            `json:"held,omitempty"` // longest time by which a poll of the wait came late
+	Counters    map[string]int64         `json:"board,omitempty"`   // metrics counters, summed over the daemons
+	CPUShares   map[string]float64       `json:"duties,omitempty"`  // share of the CPU time of each activity
+	MetAt       []int64                  `json:"times,omitempty"`   // when each node met the condition of Await
+	TimedOut    int                      `json:"missing,omitempty"` // nodes that did not meet the condition in time
+	MaxStall    time.Duration            `json:"held,omitempty"`    // longest delay of a poll in Await
 	Addrs       []ident.Addr             `json:"addrs,omitempty"`
 	ClientAddrs []ident.Addr             `json:"callers,omitempty"`
 	Endpoints   []Endpoint               `json:"servers,omitempty"`
--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -18,7 +18,7 @@
 	"cottonarch.example/cottonarch/settings"
 )
 
-// Settings of a full node's sidecar: the defaults of a settings file.
+// Settings of a full node's sidecar, equal to the defaults of a settings file.
 const (
 	defaultSenders  = 256
 	defaultQueue    = 512
@@ -28,15 +28,18 @@
 const (
 	seedsPerNode       = 3
 	sidecarStopTimeout = time.Second
-	incarnationLength  = 8    // of the part of an id that tells a node's incarnations apart
-	firstExtraPort     = 1024 // of the endpoints that a hollow node stands in for
+	incarnationLength  = 8    // of the part of an endpoint ID that distinguishes the incarnations of a node
+	firstExtraPort     = 1024 // of the extra endpoints of a hollow node
 )
 
-// node is a real sidecar daemon with its listener towards the mesh and one endpoint that sends
-// heartbeats and takes no calls. A hollow node shares its process with others, has a single
-// sender and no listener for clients; its endpoints' heartbeats are handed to the sidecar
-// without a connection. A full node has many senders and that listener, and its endpoint sends over
-// the wire.
+// node is a production sidecar daemon with a listener for the mesh and one endpoint, which sends
+// heartbeats and takes no calls.
+//
+// A hollow node shares its process with other nodes. Its sidecar has a single sender and no listener
+// for clients, and the heartbeats of its endpoints are passed to the sidecar by function calls.
+//
+// A full node has the default number of senders and a listener for clients, and its endpoint sends
+// heartbeats over the network.
 type node struct {
 	sidecar         *sidecar.Sidecar
 	servers         []*http.Server
@@ -48,14 +51,14 @@
 	closed          chan struct{}
 }
 
-// Listen listens on a free port of an IP.
+// Listen opens a TCP listener on a free port of an IP address.
 func Listen(ip string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", ip+":0")
-	return listener, failure.Wrap(err, failure.Internal, "port")
+	return listener, failure.Wrap(err, failure.Internal, "listen on a free port of "+ip)
 }
 
-// FreeAddr finds an address with a free port on an IP. Another process may take the port
-// before it is bound; the start of what is to listen there then fails.
+// FreeAddr finds a free port on an IP address. Another process may take the port before the caller
+// binds the port; the caller's listener then fails to start.
 func FreeAddr(ip string) (ident.Addr, error) {
 	listener, err := Listen(ip)
 	if err != nil {
@@ -65,7 +68,7 @@
 	return ident.Addr(listener.Addr().String()), nil
 }
 
-// newNode makes the i-th node as a new incarnation, without its daemon. The caller holds mu.
+// newNode creates a new incarnation of the i-th node, without its daemon. The caller holds w.mu.
 func (w *worker) newNode(i int, incarnation string) (n *node, err error) {
 	ip := w.target.NodeIP(i)
 	n = &node{
@@ -91,7 +94,7 @@
 	return n, nil
 }
 
-// launchNode starts the i-th node as a new incarnation. The caller holds mu.
+// launchNode starts a new incarnation of the i-th node. The caller holds w.mu.
 func (w *worker) launchNode(i int, incarnation string) (*node, error) {
 	n, err := w.newNode(i, incarnation)
 	if err != nil {
@@ -117,7 +120,7 @@
 	return n, nil
 }
 
-// sidecarSettings is the settings of the i-th node's sidecar. The caller holds mu.
+// sidecarSettings returns the settings of the i-th node's sidecar. The caller holds w.mu.
 func (w *worker) sidecarSettings(i int, n *node) settings.Sidecar {
 	seeds := make([]ident.Addr, 0, seedsPerNode)
 	for k := range min(seedsPerNode, len(w.seeds)) {
@@ -141,8 +144,8 @@
 	return s
 }
 
-// sendHeartbeats sends the heartbeats of a hollow node's endpoints, at the interval that endpoints
-// must keep, until the node stops.
+// sendHeartbeats sends the heartbeats of a hollow node's endpoints every endpoint.HeartbeatInterval
+// until the node stops.
 func (n *node) sendHeartbeats() {
 	ticker := time.NewTicker(endpoint.HeartbeatInterval)
 	defer ticker.Stop()
@@ -159,7 +162,7 @@
 	}
 }
 
-// stop ends a node at once, as the loss of its machine would.
+// stop stops the node abruptly, like the loss of its machine.
 func (n *node) stop() {
 	close(n.closed)
 	for _, server := range n.servers {
@@ -168,8 +171,8 @@
 	n.sidecar.Close()
 }
 
-// startNodes starts nodes, or starts anew those that were stopped: a command without seeds
-// keeps the options of the one before.
+// startNodes starts new nodes or restarts stopped nodes. A command without seeds keeps the options
+// of the previous StartNodes command.
 func (w *worker) startNodes(command Command) (Response, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,7 +182,7 @@
 	response := Response{StartedAt: meter.Now()}
 	for _, i := range command.Nodes {
 		if w.nodes[i] != nil {
-			return response, failure.New(failure.Conflict, "node %d runs already", i)
+			return response, failure.New(failure.Conflict, "node %d is already running", i)
 		}
 		n, err := w.launchNode(i, ident.NewID()[:incarnationLength])
 		if err != nil {
@@ -193,8 +196,8 @@
 	return response, nil
 }
 
-// forEachNode acts on each node that a command names and responds with the nodes' endpoints. The
-// first node that does not run, or whose action fails, ends it.
+// forEachNode runs the action on each node of the command and returns the endpoints of the nodes. The
+// loop ends at the first node that is not running or whose action fails.
 func (w *worker) forEachNode(command Command, action func(i int, n *node) error) (Response, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,7 +205,7 @@
 	for _, i := range command.Nodes {
 		n := w.nodes[i]
 		if n == nil {
-			return response, failure.New(failure.NotFound, "node %d does not run", i)
+			return response, failure.New(failure.NotFound, "node %d is not running", i)
 		}
 		if err := action(i, n); err != nil {
 			return response, err
@@ -212,7 +215,8 @@
 	return response, nil
 }
 
-// stopNodes ends nodes. It does not wait until their daemons have closed: worker.close does.
+// stopNodes stops nodes in the background. Only worker.close waits until the daemons of the stopped
+// nodes have closed.
 func (w *worker) stopNodes(command Command) (Response, error) {
 	return w.forEachNode(command, func(i int, n *node) error {
 		delete(w.nodes, i)
@@ -221,7 +225,8 @@
 	})
 }
 
-// setState changes the state that endpoints report, and reports it at once.
+// setState changes the state that the nodes' endpoints report, and sends a heartbeat with the new
+// state immediately.
 func (w *worker) setState(command Command) (Response, error) {
 	return w.forEachNode(command, func(_ int, n *node) error {
 		heartbeat := *n.heartbeat.Load()
--- a/capacity/process/worker.go
+++ b/capacity/process/worker.go
@@ -1,6 +1,6 @@
-// Package process is one process of a measured mesh: a core, or many nodes. It reads commands
-// as lines of JSON from its input and ends when that ends, so that no process outlives the one
-// that measures.
+// Package process implements one process of a measured mesh, which runs a core or many nodes. The
+// process reads commands as lines of JSON from its standard input and exits at the end of the input,
+// so that no process outlives the measuring process.
 package process
 
 import (
@@ -20,23 +20,23 @@
 	"cottonarch.example/cottonarch/capacity/plan"
 )
 
-// worker is the state of the process. Invariant: mu guards the fields below it.
+// worker holds the state of the process. Invariant: mu guards the fields below mu.
 type worker struct {
-	target plan.Target // set by Begin, with meter
+	target plan.Target // set by Begin together with meter
 	meter  *meter.Meter
 	closed chan struct{}
 
-	stoppingNodes sync.WaitGroup // nodes that are being stopped
+	stoppingNodes sync.WaitGroup // nodes whose daemons are closing
 
 	mu             sync.Mutex
 	core           *core
-	nodes          map[int]*node // by number
+	nodes          map[int]*node // by node number
 	seeds          []ident.Addr
 	fullNodes      bool
 	extraEndpoints int
 }
 
-// handlers is the table of operations.
+// handlers maps operations to their handlers.
 var handlers = map[string]func(*worker, Command) (Response, error){
 	Begin:        (*worker).begin,
 	StartCore:    (*worker).startCore,
@@ -49,8 +49,8 @@
 	SetPartition: (*worker).setPartition,
 }
 
-// Run executes commands until the input ends, then closes all daemons. Commands that still run then
-// end with the process.
+// Run executes commands until the end of the input, then closes all daemons. Commands that are still
+// running at that time are abandoned when the process exits.
 func Run(in io.Reader, out io.Writer) error {
 	w := &worker{nodes: map[int]*node{}, closed: make(chan struct{})}
 	defer w.close()
@@ -59,11 +59,11 @@
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return nil // the measuring process has closed the input, or has ended
+			return nil // the measuring process has closed the input or has exited
 		}
 		var command Command
 		if err := json.Unmarshal(line, &command); err != nil {
-			return failure.Wrap(err, failure.Malformed, "command")
+			return failure.Wrap(err, failure.Malformed, "decode a command")
 		}
 		if command.Operation == Begin {
 			responses.write(w.handle(command))
@@ -73,7 +73,7 @@
 	}
 }
 
-// responseWriter writes responses one at a time.
+// responseWriter serializes the writing of responses by concurrent commands.
 type responseWriter struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
@@ -85,7 +85,7 @@
 	_ = r.encoder.Encode(response)
 }
 
-// handle executes a command and completes its response.
+// handle executes a command and sets the ID and the error of its response.
 func (w *worker) handle(command Command) Response {
 	response, err := w.dispatch(command)
 	response.ID = command.ID
@@ -95,32 +95,35 @@
 	return response
 }
 
+// dispatch calls the handler of the command's operation.
 func (w *worker) dispatch(command Command) (Response, error) {
 	handler, ok := handlers[command.Operation]
 	if !ok {
 		known := strings.Join(slices.Sorted(maps.Keys(handlers)), ", ")
-		return Response{}, failure.New(failure.Invalid, "no operation %q; known: %s", command.Operation, known)
+		return Response{}, failure.New(failure.Invalid, "unknown operation %q; known operations: %s", command.Operation, known)
 	}
 	if command.Operation != Begin && w.meter == nil {
-		return Response{}, failure.New(failure.Invalid, "%s must be the first command", Begin)
+		return Response{}, failure.New(failure.Invalid, "the first command must be %q", Begin)
 	}
 	return handler(w, command)
 }
 
+// begin sets the target and creates the meter.
 func (w *worker) begin(command Command) (Response, error) {
 	if command.Target == nil {
-		return Response{}, failure.New(failure.Invalid, "%s needs a target", Begin)
+		return Response{}, failure.New(failure.Invalid, "command %q has no target", Begin)
 	}
 	w.target, w.meter = *command.Target, meter.New(command.Target.Region)
 	return Response{}, nil
 }
 
+// setPartition partitions the network between regions or heals the partition.
 func (w *worker) setPartition(command Command) (Response, error) {
 	w.meter.SetPartitioned(command.Partitioned)
 	return Response{StartedAt: meter.Now()}, nil
 }
 
-// readUsage reads what the process has used, and the counters of its daemons.
+// readUsage reads the resource usage of the process and the metrics counters of its daemons.
 func (w *worker) readUsage(Command) (Response, error) {
 	response := Response{Usage: meter.ProcessUsage(), ByPath: w.meter.Paths(), ByPeer: w.meter.Peers()}
 	w.mu.Lock()
@@ -139,23 +142,24 @@
 	return response, nil
 }
 
+// profile takes a CPU profile of the process.
 func (w *worker) profile(command Command) (Response, error) {
 	shares, err := meter.Profile(min(command.Duration, plan.MaxWait))
 	return Response{CPUShares: shares}, err
 }
 
-// serve runs a daemon's server on a listener whose traffic is counted.
+// serve runs a daemon's HTTP server on a new listener; the meter counts the traffic.
 func (w *worker) serve(server *http.Server, addr ident.Addr) error {
 	listener, err := net.Listen("tcp", string(addr))
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "listen")
+		return failure.Wrap(err, failure.Internal, "open a listener")
 	}
 	server.Handler = w.meter.WrapHandler(server.Handler)
 	go func() { _ = server.Serve(w.meter.WrapListener(listener)) }()
 	return nil
 }
 
-// close ends the waits of commands, all nodes and the core.
+// close ends running Await commands and stops all nodes and the core.
 func (w *worker) close() {
 	close(w.closed)
 	w.mu.Lock()
