--- a/capacity/testbed/child.go
+++ b/capacity/testbed/child.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	stopTimeout    = 5 * time.Second // that a process may take to end once its input is closed
+	stopTimeout    = 5 * time.Second // for a process to exit after its input is closed
 	readBufferSize = 1 << 16
 )
 
-// child is one process and the commands that it has not responded to yet. Invariant: each command
-// gets exactly one response, or wait fails for it when the process ends first.
+// child is one process of the mesh and its pending commands. Invariant: each command receives
+// exactly one response, or child.wait fails for the command if the process exits first.
 type child struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 
-	mu      sync.Mutex // guards the fields below and writes to stdin
+	mu      sync.Mutex // guards the fields below mu and serializes writes to stdin
 	stdin   io.WriteCloser
 	lastID  int
-	pending map[int]chan process.Response
+	pending map[int]chan process.Response // by command ID
 }
 
-// startChild starts a process.
+// startChild starts a process with a command line.
 func startChild(commandLine []string) (*child, error) {
 	c := &child{
 		cmd:     exec.Command(commandLine[0], commandLine[1:]...),
@@ -40,20 +40,20 @@
 	c.cmd.Stderr = os.Stderr
 	var err error
 	if c.stdin, err = c.cmd.StdinPipe(); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "process")
+		return nil, failure.Wrap(err, failure.Internal, "open the standard input of a process")
 	}
 	stdout, err := c.cmd.StdoutPipe()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "process")
+		return nil, failure.Wrap(err, failure.Internal, "open the standard output of a process")
 	}
 	if err := c.cmd.Start(); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "process")
+		return nil, failure.Wrap(err, failure.Internal, "start a process")
 	}
-	go c.readResponses(stdout) // ends with the process, which stop awaits
+	go c.readResponses(stdout) // returns when the process exits; child.stop waits for the exit
 	return c, nil
 }
 
-// readResponses hands each response to the command that it answers, until the process ends.
+// readResponses delivers each response to the command with the same ID until the process exits.
 func (c *child) readResponses(stdout io.Reader) {
 	reader := bufio.NewReaderSize(stdout, readBufferSize)
 	for {
@@ -73,8 +73,8 @@
 	close(c.exited)
 }
 
-// takePending removes a command from those without a response and returns its channel; nil if the
-// command is not among them.
+// takePending removes a command from the pending commands and returns the channel for its response.
+// It returns nil if the command is not pending.
 func (c *child) takePending(id int) chan process.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	return c.wait(c.send(command), timeout)
 }
 
-// send sends a command. Its response comes on the channel, to be received by wait.
+// send sends a command. The returned channel receives the response; pass the channel to child.wait.
 func (c *child) send(command process.Command) <-chan process.Response {
 	result := make(chan process.Response, 1)
 	c.mu.Lock()
@@ -107,25 +107,25 @@
 	return result
 }
 
-// wait waits for a response. It fails when that bears an error, when the process ends, and
-// after the timeout.
+// wait waits for a response. It returns an error if the response holds an error, if the process exits
+// first, or after the timeout.
 func (c *child) wait(result <-chan process.Response, timeout time.Duration) (process.Response, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case response := <-result:
 		if response.Error != "" {
-			return response, failure.New(failure.Internal, "process: %s", response.Error)
+			return response, failure.New(failure.Internal, "the command failed: %s", response.Error)
 		}
 		return response, nil
 	case <-c.exited:
-		return process.Response{}, failure.New(failure.LostResponse, "the process ended before it responded")
+		return process.Response{}, failure.New(failure.LostResponse, "the process exited before it responded to the command")
 	case <-timer.C:
-		return process.Response{}, failure.New(failure.DeadlineExceeded, "the process did not respond within %v", timeout)
+		return process.Response{}, failure.New(failure.DeadlineExceeded, "the process did not respond to the command within %v", timeout)
 	}
 }
 
-// stop closes the process's input, on which it ends, and kills it if it does not.
+// stop closes the input of the process and kills the process if it does not exit within stopTimeout.
 func (c *child) stop() {
 	_ = c.stdin.Close()
 	timer := time.NewTimer(stopTimeout)
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -9,22 +9,23 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// waitMargin is how much longer than the nodes' own wait a response may take.
+// waitMargin is added to the timeout of Await for the response to arrive.
 const waitMargin = 10 * time.Second
 
-// pendingCommand is a command that was sent to several processes, whose responses are awaited.
+// pendingCommand is a command that was sent to several processes and whose responses are pending.
 type pendingCommand struct {
 	children  []*child
 	responses []<-chan process.Response
 }
 
+// send sends the command, or one process's variant of the command, to a process.
 func (p *pendingCommand) send(c *child, command process.Command) {
 	p.children = append(p.children, c)
 	p.responses = append(p.responses, c.send(command))
 }
 
-// wait collects the responses in the order of sending. It waits for all, and returns the
-// first error.
+// wait waits for all responses and returns the responses in the order in which the commands were sent.
+// The returned error is the first error in that order.
 func (p *pendingCommand) wait(timeout time.Duration) ([]process.Response, error) {
 	responses := make([]process.Response, len(p.children))
 	var firstErr error
@@ -37,7 +38,7 @@
 	return responses, firstErr
 }
 
-// sendAll sends one command to several processes at once.
+// sendAll sends one command to several processes without waiting for their responses.
 func sendAll(children []*child, command process.Command) *pendingCommand {
 	pending := &pendingCommand{}
 	for _, c := range children {
@@ -46,31 +47,31 @@
 	return pending
 }
 
-// broadcast sends one command to several processes at once and waits for all.
+// broadcast sends one command to several processes and waits for all responses.
 func broadcast(children []*child, command process.Command, timeout time.Duration) ([]process.Response, error) {
 	return sendAll(children, command).wait(timeout)
 }
 
-// ConditionWait is a wait for all nodes that has begun.
+// ConditionWait is a wait in progress, for all nodes to meet a condition.
 type ConditionWait struct {
 	pending *pendingCommand
 	timeout time.Duration
 }
 
-// WaitResult tells when nodes met a condition.
+// WaitResult holds when the nodes met a condition.
 type WaitResult struct {
-	MetAt    []int64       // when each node did, in order, as readings of meter.Now
-	TimedOut int           // nodes that did not in time
-	MaxStall time.Duration // longest time by which a poll of a waiting process came late
+	MetAt    []int64       // when each node met the condition, sorted; readings of meter.Now
+	TimedOut int           // nodes that did not meet the condition in time
+	MaxStall time.Duration // longest delay of a poll in a process of nodes
 }
 
-// Await begins to wait until every node that runs now meets a condition.
+// Await starts to wait until every node that is running at this time meets a condition.
 func (m *Mesh) Await(condition process.Condition, timeout time.Duration) *ConditionWait {
 	command := process.Command{Operation: process.Await, Condition: condition, Duration: timeout}
 	return &ConditionWait{pending: sendAll(m.nodeProcesses(), command), timeout: timeout}
 }
 
-// Result waits until all nodes meet the condition or the timeout has passed.
+// Result waits until all nodes meet the condition or the timeout expires.
 func (w *ConditionWait) Result() (result WaitResult, err error) {
 	responses, err := w.pending.wait(w.timeout + waitMargin)
 	if err != nil {
@@ -85,8 +86,9 @@
 	return result, nil
 }
 
-// sendToNodes sends each process its share of a list of nodes. It returns when the first
-// process began and the endpoints of the nodes.
+// sendToNodes sends the command to the processes of the nodes, to each process with its own part of
+// the nodes. It returns the instant when the first process started the operation, and the endpoints of
+// the nodes.
 func (m *Mesh) sendToNodes(nodes []int, command process.Command) (startedAt int64, endpoints []process.Endpoint, err error) {
 	nodesByProcess := map[*child][]int{}
 	for _, node := range nodes {
@@ -116,25 +118,26 @@
 	return startedAt, endpoints, nil
 }
 
-// StopNodes ends nodes at once, as the loss of their machines would. It returns when that
-// began and the endpoints that end with the nodes.
+// StopNodes stops nodes abruptly, like the loss of their machines. It returns the instant when the
+// operation started, and the endpoints of the stopped nodes.
 func (m *Mesh) StopNodes(nodes []int) (startedAt int64, endpoints []process.Endpoint, err error) {
 	return m.sendToNodes(nodes, process.Command{Operation: process.StopNodes})
 }
 
-// StartNodes starts nodes that were stopped, as new incarnations with new endpoints. It
-// returns when that began and those endpoints.
+// StartNodes restarts stopped nodes as new incarnations with new endpoints. It returns the instant
+// when the operation started, and the new endpoints.
 func (m *Mesh) StartNodes(nodes []int) (startedAt int64, endpoints []process.Endpoint, err error) {
 	return m.sendToNodes(nodes, process.Command{Operation: process.StartNodes})
 }
 
-// SetState changes the state that nodes' endpoints report, and returns when that began.
+// SetState changes the state that the nodes' endpoints report. It returns the instant when the
+// operation started.
 func (m *Mesh) SetState(nodes []int, state endpoint.State) (startedAt int64, err error) {
 	startedAt, _, err = m.sendToNodes(nodes, process.Command{Operation: process.SetState, State: state})
 	return startedAt, err
 }
 
-// Endpoints lists the endpoints of some nodes, or of all if none is named.
+// Endpoints returns the endpoints of the given nodes, or of all nodes if none is given.
 func (m *Mesh) Endpoints(nodes ...int) []process.Endpoint {
 	if len(nodes) == 0 {
 		for node := range m.NodeCount {
@@ -148,7 +151,8 @@
 	return endpoints
 }
 
-// SetPartitioned cuts the regions apart or joins them, and returns when it had an effect.
+// SetPartitioned partitions the network between regions or heals the partition. It returns the instant
+// when the last process in the order of allProcesses had applied the change.
 func (m *Mesh) SetPartitioned(partitioned bool) (appliedAt int64, err error) {
 	responses, err := broadcast(m.allProcesses(), process.Command{Operation: process.SetPartition, Partitioned: partitioned}, commandTimeout)
 	if err != nil {
@@ -157,21 +161,21 @@
 	return responses[len(responses)-1].StartedAt, nil
 }
 
-// UsageReading is what all processes and the machine had used at an instant.
+// UsageReading is the resource usage of all processes and of the machine at an instant.
 type UsageReading struct {
 	ReadAt       int64
 	MachineTicks meter.CPUTicks
 	Cores        []process.Response
-	FirstNode    process.Response   // of the process of node 0
-	SharedNodes  []process.Response // of the other processes that hold nodes
+	FirstNode    process.Response   // from the process of node 0
+	SharedNodes  []process.Response // from the processes of all other nodes
 }
 
-// Responses lists those of all processes.
+// Responses returns the responses of all processes.
 func (r UsageReading) Responses() []process.Response {
 	return append(append(slices.Clone(r.Cores), r.SharedNodes...), r.FirstNode)
 }
 
-// ReadUsage reads what all processes and the machine have used.
+// ReadUsage reads the resource usage of all processes and of the machine.
 func (m *Mesh) ReadUsage() (reading UsageReading, err error) {
 	command := process.Command{Operation: process.ReadUsage}
 	if reading.Cores, err = broadcast(m.cores, command, commandTimeout); err != nil {
@@ -186,8 +190,8 @@
 	return reading, nil
 }
 
-// Profile samples all processes for a while. It returns the responses of the cores and of the
-// processes that hold nodes, that of node 0 first.
+// Profile takes a CPU profile of all processes. It returns the responses of the cores' processes and
+// of the nodes' processes, the process of node 0 first.
 func (m *Mesh) Profile(duration time.Duration) (cores, nodes []process.Response, err error) {
 	responses, err := broadcast(m.allProcesses(), process.Command{Operation: process.Profile, Duration: duration}, duration+commandTimeout)
 	if err != nil {
--- a/capacity/testbed/mesh.go
+++ b/capacity/testbed/mesh.go
@@ -1,5 +1,5 @@
-// Package testbed runs a mesh of real cores and hollow nodes as processes on loopback
-// addresses, to be measured.
+// Package testbed runs a mesh of production cores and hollow nodes as processes on loopback addresses,
+// for measurements.
 package testbed
 
 import (
@@ -17,40 +17,40 @@
 )
 
 const (
-	// commandTimeout is how long a process may take to answer a command that does not wait.
+	// commandTimeout limits the response time of a command, besides the duration of Await and Profile.
 	commandTimeout  = 90 * time.Second
-	operatorTimeout = 30 * time.Second // of one request to a core
-	seedCount       = 3                // cores that are seeds of the others
-	initialSerial   = 0                // of the configuration that a mesh starts with
+	operatorTimeout = 30 * time.Second // of one HTTP request to a core
+	seedCount       = 3                // number of cores that serve as seeds for the other cores
+	initialSerial   = 0                // serial number of the first configuration
 )
 
-// Options is what a mesh needs to start.
+// Options configures a mesh.
 type Options struct {
 	ProcessCommand []string // command line that runs process.Run
-	Dir            string   // for the cores' disk folders; the system's temporary one if empty
+	Dir            string   // parent of the cores' data folders; the system's temporary folder if empty
 	Target         plan.Target
 	NodeCount      int
-	FullNodes      int           // how many nodes, from the first on, are full and alone in their process; 1 if not given
-	ReadyTimeout   time.Duration // that nodes which start together may take to be ready
-	NoHeartbeats   bool          // the endpoints of full nodes send no heartbeats
-	ExtraEndpoints int           // further endpoints that each hollow node stands in for
+	FullNodes      int           // number of full nodes, each alone in its process, from node 0 on; 0 means 1
+	ReadyTimeout   time.Duration // for the nodes of one wave to become ready
+	NoHeartbeats   bool          // whether the endpoints of full nodes send no heartbeats
+	ExtraEndpoints int           // simulated endpoints on each hollow node, besides its own
 }
 
-// Mesh is a running mesh. Node 0 is full and alone in its process; most others are hollow and
-// share processes. Nodes are named by their numbers from 0 on.
+// Mesh is a running mesh. Nodes are numbered from 0. The first nodes are full nodes, each alone in its
+// process; all other nodes are hollow nodes, which share processes.
 type Mesh struct {
 	Target    plan.Target
 	NodeCount int
-	FullNodes []NodeAddrs // of the full nodes, by number
+	FullNodes []NodeAddrs // addresses of the full nodes, by node number
 
 	options         Options
 	dir             string
 	cores           []*child
 	coreAddrs       []ident.Addr
-	firstProcess    *child   // of node 0
-	sharedProcesses []*child // of all other nodes
-	processByNode   []*child
-	endpointByNode  map[int]process.Endpoint // of each node's newest incarnation
+	firstProcess    *child                   // process of node 0
+	sharedProcesses []*child                 // processes of all other nodes
+	processByNode   []*child                 // by node number
+	endpointByNode  map[int]process.Endpoint // by node number; endpoint of the newest incarnation
 	httpClient      *http.Client
 	proposalCount   int
 	closed          chan struct{}
@@ -58,11 +58,12 @@
 	heartbeats      sync.WaitGroup
 }
 
-// NodeAddrs is where a node is reached: by the mesh, and by clients on its machine.
+// NodeAddrs holds the addresses of a node's listeners: Addr for the mesh, ClientAddr for clients on the
+// node's machine.
 type NodeAddrs struct{ Addr, ClientAddr ident.Addr }
 
-// Start brings a mesh up. When it returns, every node has joined and has the configuration in
-// force.
+// Start starts a mesh. When Start returns without an error, every node has joined the mesh and has
+// applied the configuration.
 func Start(options Options) (*Mesh, error) {
 	m := &Mesh{
 		Target:         options.Target,
@@ -79,9 +80,10 @@
 	return m, nil
 }
 
+// start starts the cores, proposes the first configuration and starts the nodes.
 func (m *Mesh) start() (err error) {
 	if m.dir, err = os.MkdirTemp(m.options.Dir, "capacity"); err != nil {
-		return failure.Wrap(err, failure.Internal, "folder")
+		return failure.Wrap(err, failure.Internal, "create the data folder of the mesh")
 	}
 	if err := m.startCores(); err != nil {
 		return err
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// startCores starts one process for each core.
+// startCores starts one process for each core, and the cores in these processes.
 func (m *Mesh) startCores() error {
 	for i := range m.Target.Cores {
 		addr, err := process.FreeAddr(m.Target.CoreIP(i))
@@ -135,14 +137,14 @@
 	return nil
 }
 
-// begin gives a process the target, which comes before any other command.
+// begin sends the target to a process, which must be the first command.
 func (m *Mesh) begin(c *child) error {
 	_, err := c.call(process.Command{Operation: process.Begin, Target: &m.Target}, commandTimeout)
 	return err
 }
 
-// startNodeProcess starts a process with count nodes, from the number first on. Its nodes come
-// in waves: how many start at once is a load that is measured on its own.
+// startNodeProcess starts a process with count nodes, numbered from first on. The nodes start in waves,
+// because the simultaneous start of many nodes is measured by a separate workload.
 func (m *Mesh) startNodeProcess(first, count int, full bool) error {
 	c, err := startChild(m.options.ProcessCommand)
 	if err != nil {
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// startWave starts nodes together and waits until they are ready.
+// startWave starts nodes simultaneously and waits until all nodes of the process are ready.
 func (m *Mesh) startWave(c *child, nodes []int, full bool) error {
 	response, err := c.call(process.Command{
 		Operation:      process.StartNodes,
@@ -199,16 +201,16 @@
 		return failure.Wrap(err, failure.DeadlineExceeded, "wait for nodes to be ready")
 	}
 	if waited.TimedOut > 0 {
-		return failure.New(failure.DeadlineExceeded, "%d of %d nodes, which start %d at a time, were not ready in %v",
+		return failure.New(failure.DeadlineExceeded, "%d of %d nodes, started %d at a time, were not ready within %v",
 			waited.TimedOut, nodes[len(nodes)-1]+1, m.Target.NodesPerWave, m.options.ReadyTimeout)
 	}
 	return nil
 }
 
-// ProcessCount counts the processes of the mesh.
+// ProcessCount returns the number of processes of the mesh.
 func (m *Mesh) ProcessCount() int { return len(m.cores) + len(m.nodeProcesses()) }
 
-// nodeProcesses lists the processes that hold nodes, that of node 0 first.
+// nodeProcesses returns the processes of nodes, the process of node 0 first.
 func (m *Mesh) nodeProcesses() []*child {
 	if m.firstProcess == nil {
 		return m.sharedProcesses
@@ -216,12 +218,12 @@
 	return append([]*child{m.firstProcess}, m.sharedProcesses...)
 }
 
-// allProcesses lists the cores' processes, then those that hold nodes.
+// allProcesses returns the processes of the cores, then the processes of the nodes.
 func (m *Mesh) allProcesses() []*child {
 	return append(append([]*child{}, m.cores...), m.nodeProcesses()...)
 }
 
-// Close ends everything that Start started.
+// Close stops all processes and heartbeats and removes the data folder of the mesh.
 func (m *Mesh) Close() {
 	m.closeOnce.Do(func() { close(m.closed) })
 	m.heartbeats.Wait()
--- a/capacity/testbed/operator.go
+++ b/capacity/testbed/operator.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	proposalRetryInterval = 50 * time.Millisecond // between tries
+	proposalRetryInterval = 50 * time.Millisecond // between attempts
 	heartbeatTimeout      = time.Second
 	idempotencyHeader     = "Idempotency-Key"
 )
 
-// Propose sends a configuration to a core of the first region until it is confirmed, within
-// the timeout, and returns its revision. All tries have one idempotency key.
+// Propose sends a configuration to core 0, which lies in the first region, until the core confirms the
+// configuration or the timeout expires. It returns the confirmed revision. All attempts have the same
+// idempotency key.
 func (m *Mesh) Propose(method string, config plan.Config, timeout time.Duration) (ident.ConfigRevision, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Malformed, "configuration")
+		return 0, failure.Wrap(err, failure.Malformed, "encode the configuration")
 	}
 	m.proposalCount++
 	key := fmt.Sprintf("capacity-%d", m.proposalCount)
 	ticker := time.NewTicker(proposalRetryInterval)
 	defer ticker.Stop()
-	var lastErr error = failure.New(failure.DeadlineExceeded, "no time was left to send it")
+	var lastErr error = failure.New(failure.DeadlineExceeded, "no time was left to send the configuration")
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); <-ticker.C {
 		revision, status, err := m.proposeOnce(method, raw, key)
 		if err == nil {
@@ -40,22 +41,22 @@
 		}
 		lastErr = err
 		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity || status == http.StatusRequestEntityTooLarge {
-			break // another try would fail alike
+			break // another attempt would fail with the same status
 		}
 	}
-	return 0, failure.Wrap(lastErr, failure.DeadlineExceeded, "no core took the configuration")
+	return 0, failure.Wrap(lastErr, failure.DeadlineExceeded, "the core did not confirm the configuration")
 }
 
-// proposeOnce sends a configuration once. status is 0 when there was no response.
+// proposeOnce sends a configuration once. status is 0 if no response was received.
 func (m *Mesh) proposeOnce(method string, raw []byte, key string) (revision ident.ConfigRevision, status int, err error) {
 	request, err := http.NewRequest(method, "http://"+string(m.coreAddrs[0])+"/manifest", bytes.NewReader(raw))
 	if err != nil {
-		return 0, 0, failure.Wrap(err, failure.Malformed, "configuration")
+		return 0, 0, failure.Wrap(err, failure.Malformed, "create the request with the configuration")
 	}
 	request.Header.Set(idempotencyHeader, key)
 	response, err := m.httpClient.Do(request)
 	if err != nil {
-		return 0, 0, failure.Wrap(err, failure.Unreachable, "core")
+		return 0, 0, failure.Wrap(err, failure.Unreachable, "send the configuration to the core")
 	}
 	body, _ := io.ReadAll(response.Body)
 	_ = response.Body.Close()
@@ -65,11 +66,11 @@
 	if response.StatusCode == http.StatusOK && json.Unmarshal(body, &confirmed) == nil {
 		return confirmed.Revision, response.StatusCode, nil
 	}
-	return 0, response.StatusCode, failure.New(failure.BadResponse, "status %d: %.200s", response.StatusCode, body)
+	return 0, response.StatusCode, failure.New(failure.BadResponse, "the core responded with status %d: %.200s", response.StatusCode, body)
 }
 
-// SendHeartbeats keeps sending heartbeats of one node's endpoints to its sidecar over the
-// wire, from the node's own address, until Close.
+// SendHeartbeats sends the heartbeats of one node's endpoints to the node's sidecar every
+// endpoint.HeartbeatInterval until Close. It sends over the network, from the IP address of the node.
 func (m *Mesh) SendHeartbeats(sidecar ident.Addr, heartbeats ...endpoint.Heartbeat) {
 	m.heartbeats.Go(func() {
 		transport := &http.Transport{DialContext: (&net.Dialer{Timeout: heartbeatTimeout, LocalAddr: sidecar.DialSource()}).DialContext}
@@ -90,7 +91,7 @@
 	})
 }
 
-// sendHeartbeat sends one heartbeat; one that is lost is followed by the next.
+// sendHeartbeat sends one heartbeat. It ignores errors, because the next heartbeat follows a lost one.
 func sendHeartbeat(client *http.Client, sidecar ident.Addr, heartbeat endpoint.Heartbeat) {
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
