--- a/capacity/workload/events.go
+++ b/capacity/workload/events.go
@@ -12,10 +12,11 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// repetitions is how often small events are measured.
+// repetitions is how many times small events are measured.
 const repetitions = 3
 
-// leaveEndpoints lets endpoints leave, one after the other, from the last node on.
+// leaveEndpoints measures the leaving of endpoints, one at a time, starting with the endpoint of the
+// last node.
 func (r *Runner) leaveEndpoints() error {
 	if r.NodeCount < 2 {
 		return nil
@@ -34,7 +35,7 @@
 	return r.replaceLeftEndpoints(left)
 }
 
-// replaceLeftEndpoints restarts nodes whose endpoints have left, so that they get new ones.
+// replaceLeftEndpoints restarts nodes whose endpoints have left, so that the nodes get new endpoints.
 func (r *Runner) replaceLeftEndpoints(nodes []int) error {
 	if _, _, err := r.StopNodes(nodes); err != nil {
 		return err
@@ -45,7 +46,7 @@
 	return r.awaitConverged()
 }
 
-// changeRoute changes one route of the configuration.
+// changeRoute measures the change of one route of the configuration.
 func (r *Runner) changeRoute() error {
 	return r.measureEvent(routeChangeWorkload, repetitions, func() (int64, *testbed.ConditionWait, error) {
 		r.configSerial++
@@ -53,7 +54,7 @@
 	})
 }
 
-// replaceConfig replaces the whole configuration.
+// replaceConfig measures the replacement of the whole configuration.
 func (r *Runner) replaceConfig() error {
 	return r.measureEvent(configReplaceWorkload, 1, func() (int64, *testbed.ConditionWait, error) {
 		r.configSerial++
@@ -61,7 +62,8 @@
 	})
 }
 
-// proposeAndAwait proposes a configuration; time counts from when the operator sent it.
+// proposeAndAwait proposes a configuration. The convergence time starts when the proposal is sent to
+// the core.
 func (r *Runner) proposeAndAwait(method string, config plan.Config) (int64, *testbed.ConditionWait, error) {
 	sentAt := meter.Now()
 	revision, err := r.Propose(method, config, r.waitTimeout())
@@ -71,20 +73,20 @@
 	return sentAt, r.Await(process.Condition{Revision: revision}, r.waitTimeout()), nil
 }
 
-// restartNodes restarts nodes together: as many as the target restarts in a day, in proportion to the
-// size.
+// restartNodes measures the simultaneous restart of several nodes. Their number is the target's number
+// of restarts per day, scaled to the size of the measured mesh.
 func (r *Runner) restartNodes() error {
 	count := int(math.Round(float64(r.Target.RestartsPerDay) * float64(r.NodeCount) / float64(r.Target.Nodes)))
 	nodes := r.sharedNodes()
 	return r.restartTogether(restartWorkload, nodes[:min(max(1, count), len(nodes))])
 }
 
-// restartAllNodes lets every node but the full one start anew at the same time.
+// restartAllNodes measures the simultaneous restart of all nodes except node 0.
 func (r *Runner) restartAllNodes() error {
 	return r.restartTogether(restartAllWorkload, r.sharedNodes())
 }
 
-// sharedNodes lists all nodes but node 0, whose usage is measured.
+// sharedNodes returns all nodes except node 0, whose usage is measured.
 func (r *Runner) sharedNodes() []int {
 	nodes := []int{}
 	for node := 1; node < r.NodeCount; node++ {
@@ -93,7 +95,7 @@
 	return nodes
 }
 
-// restartTogether stops nodes and starts them again; time counts from the stop.
+// restartTogether stops and restarts nodes. The convergence time starts with the stop.
 func (r *Runner) restartTogether(name string, nodes []int) error {
 	if len(nodes) == 0 {
 		return nil
@@ -108,7 +110,8 @@
 	})
 }
 
-// startAndAwait starts nodes that were stopped and waits until all nodes know their endpoints.
+// startAndAwait restarts stopped nodes and starts to wait until all nodes are ready and know the
+// endpoints of the restarted nodes.
 func (r *Runner) startAndAwait(nodes []int) (startedAt int64, wait *testbed.ConditionWait, err error) {
 	startedAt, started, err := r.StartNodes(nodes)
 	if err != nil {
@@ -117,8 +120,9 @@
 	return startedAt, r.Await(process.Condition{Ready: true, Healthy: started}, r.waitTimeout()), nil
 }
 
-// failAndRestoreZone stops the nodes of one zone at once and starts them again: the last zone of the
-// first region, which has no core as long as there are fewer cores than zones.
+// failAndRestoreZone measures the simultaneous stop and the simultaneous restart of all nodes of one
+// zone: the last zone of the first region, which has no core as long as there are fewer cores than
+// zones.
 func (r *Runner) failAndRestoreZone() error {
 	lastZone := r.Target.ZonesPerRegion() - 1
 	var nodes []int
@@ -143,8 +147,9 @@
 	return r.measureEvent("zone back", 1, func() (int64, *testbed.ConditionWait, error) { return r.startAndAwait(nodes) })
 }
 
-// healPartition cuts the regions apart for a while, changes the configuration meanwhile on the
-// side of the majority, and joins the regions; time counts from the join.
+// healPartition measures the healing of a partition between regions. The partition lasts for Window, and
+// the configuration changes on the majority side before the partition heals. The convergence time
+// starts when the partition heals.
 func (r *Runner) healPartition() error {
 	if r.Target.Regions < 2 {
 		return nil
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -1,5 +1,5 @@
-// Package workload puts a running mesh under one kind of load after the other and measures the cost
-// of each.
+// Package workload runs one workload after the other on a running mesh and measures the cost of each
+// workload.
 package workload
 
 import (
@@ -14,19 +14,19 @@
 	"cottonarch.example/cottonarch/capacity/testbed"
 )
 
-// Names of the workloads, as operators choose them and figures are stored.
+// Names of the workloads in options and in stored results.
 const (
-	steadyWorkload        = "steady"   // heartbeats and nothing else
+	steadyWorkload        = "steady"   // only heartbeats
 	leaveWorkload         = "leave"    // an endpoint leaves
 	routeChangeWorkload   = "changes"  // one route of the configuration changes
 	configReplaceWorkload = "manifest" // the whole configuration is replaced
-	restartWorkload       = "restart"  // nodes restart, as many as in a day
-	zoneFailureWorkload   = "zone"     // a zone is lost and comes back
-	partitionWorkload     = "apart"    // regions that were cut apart are joined
-	restartAllWorkload    = "start"    // all nodes start at once
+	restartWorkload       = "restart"  // as many nodes restart as in one day
+	zoneFailureWorkload   = "zone"     // a zone fails and recovers
+	partitionWorkload     = "apart"    // a partition between regions heals
+	restartAllWorkload    = "start"    // all nodes except node 0 restart simultaneously
 )
 
-// Names lists the workloads in the order in which they run.
+// Names lists the workloads in the order of execution.
 var Names = []string{steadyWorkload, leaveWorkload, routeChangeWorkload, configReplaceWorkload, restartWorkload, zoneFailureWorkload, partitionWorkload, restartAllWorkload}
 
 var workloads = map[string]func(*Runner) error{
@@ -40,60 +40,64 @@
 	restartAllWorkload:    (*Runner).restartAllNodes,
 }
 
-// Known tells whether there is a workload of that name.
+// Known reports whether a workload of this name exists.
 func Known(name string) bool { return workloads[name] != nil }
 
-// Point is what one workload cost at one size. A value's name is role/activity/unit, for
-// example core/leases/messages a second. Invariant: values of a workload that is an event are
-// what it cost above the steady state.
+// Point is the cost of one workload at one size. The name of a value is role/activity/unit, for example
+// "core/leases/messages a second". Invariant: the CPU, message and byte values of a workload other than
+// steady are the cost of the workload's event in excess of the steady state.
 type Point struct {
 	Nodes    int                `json:"nodes"`
 	Workload string             `json:"load"`
 	Values   map[string]float64 `json:"values"`
-	// TimedOut is how many nodes did not learn of the event in time.
+	// TimedOut is the number of nodes that did not learn of the event in time.
 	TimedOut int `json:"missing,omitempty"`
-	// MeshCPU is the part of this machine's processors that the mesh used meanwhile; above
-	// MaxReliableCPU, times are the machine's rather than the mesh's.
+	// MeshCPU is the mesh's CPU utilization, from 0 to 1, of the processors available to the program.
+	// Above MaxReliableCPU, times depend on the speed of the machine more than on the mesh.
 	MeshCPU float64 `json:"busy"`
-	// MachineCPU is the part of all this machine's processors that any process used meanwhile. If it
-	// is high while MeshCPU is low, other programs loaded the machine.
+	// MachineCPU is the CPU utilization of the whole machine, from 0 to 1, by all programs. A high
+	// MachineCPU with a low MeshCPU means that other programs loaded the machine.
 	MachineCPU float64 `json:"machine"`
-	// MaxStall is the longest time in seconds by which a process of the mesh was scheduled late.
+	// MaxStall is the longest delay, in seconds, with which a process of the mesh was scheduled.
 	MaxStall float64 `json:"held,omitempty"`
 }
 
-// MaxReliableCPU is the part of the machine above which times are left out of fits.
+// MaxReliableCPU is the MeshCPU above which times are excluded from fits.
 const MaxReliableCPU = 0.85
 
-// MaxReliableStall is the stall in seconds above which times are left out of fits.
+// MaxReliableStall is the MaxStall, in seconds, above which times are excluded from fits.
 const MaxReliableStall = 0.5
 
-// HasReliableTimes tells whether times of this point are the mesh's own.
+// HasReliableTimes reports whether the times of the point are properties of the mesh and not of an
+// overloaded machine.
 func (p Point) HasReliableTimes() bool {
 	return p.MeshCPU <= MaxReliableCPU && p.MaxStall <= MaxReliableStall
 }
 
-// Runner is the measurement of one size.
+// Runner runs the workloads on a mesh of one size and collects the points.
 type Runner struct {
 	*testbed.Mesh
-	Window   time.Duration // of the steady state, and how long regions are cut apart
-	MaxWait  time.Duration // of any one wait
-	Deadline time.Time     // of the measurement; a wait does not go on beyond it
+	Window   time.Duration // length of the steady measurement and of the partition between regions
+	MaxWait  time.Duration // limit of each wait
+	Deadline time.Time     // end of the measurement; limits waits to the remaining time, but to no less than minWaitTimeout
 	Points   []Point
 
 	baseline     steadyRates
-	configSerial int // of the last configuration proposed
+	configSerial int // serial number of the last configuration that was proposed
 }
 
-// minWaitTimeout is how long a wait may take even after the deadline, so that an event that has begun can end.
+// minWaitTimeout is the timeout of a wait close to the deadline or after the deadline, so that an event
+// in progress can end.
 const minWaitTimeout = 5 * time.Second
 
+// waitTimeout returns the timeout of a wait that starts at this time.
 func (r *Runner) waitTimeout() time.Duration {
 	return max(minWaitTimeout, min(r.MaxWait, time.Until(r.Deadline)))
 }
 
-// RunAll runs the workloads; the steady state comes first whether it is named or not. It ends
-// early, with what it has, once the deadline has passed.
+// RunAll runs the named workloads in the order of Names. The steady workload always runs first, whether
+// named or not. After the deadline, no further workload starts and RunAll returns nil; the points that
+// were measured remain.
 func (r *Runner) RunAll(names []string) error {
 	if err := r.awaitConverged(); err != nil {
 		return err
@@ -106,24 +110,24 @@
 			return nil
 		}
 		if err := workloads[name](r); err != nil {
-			return failure.Wrap(err, failure.Internal, "load "+name)
+			return failure.Wrap(err, failure.Internal, "workload "+name)
 		}
 	}
 	return nil
 }
 
-// awaitConverged waits until every node is ready and knows every endpoint.
+// awaitConverged waits until every node is ready and has every endpoint in its registry as healthy.
 func (r *Runner) awaitConverged() error {
 	timeout := r.waitTimeout()
 	result, err := r.Await(process.Condition{Ready: true, Healthy: r.Endpoints()}, timeout).Result()
 	if err == nil && result.TimedOut > 0 {
-		err = failure.New(failure.DeadlineExceeded, "%d of %d nodes did not come to know every endpoint in %v; their counters: %s",
+		err = failure.New(failure.DeadlineExceeded, "%d of %d nodes were not ready or did not learn of every endpoint within %v; failure counters: %s",
 			result.TimedOut, r.NodeCount, timeout, r.failureCounters())
 	}
 	return err
 }
 
-// failureCounters shows the counters of failures, summed over nodes and cores.
+// failureCounters formats the failure counters, summed over nodes and cores.
 func (r *Runner) failureCounters() string {
 	reading, err := r.ReadUsage()
 	if err != nil {
@@ -144,8 +148,8 @@
 	return strings.Join(lines, ", ")
 }
 
-// countsFailures tells whether a counter rises when something fails; "claims" counts joins, which
-// repeat when they fail.
+// countsFailures reports whether a counter increases on failures. The counter "claims" counts attempts
+// to join, which are repeated after a failure.
 func countsFailures(counter string) bool {
 	return counter == "claims" || strings.HasSuffix(counter, "_failed") || strings.HasSuffix(counter, "turned_away")
 }
--- a/capacity/workload/steady.go
+++ b/capacity/workload/steady.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// maxSteadyAttempts is how often the steady state is measured before the machine counts as
-	// unfit.
+	// maxSteadyAttempts is the number of measurements of the steady state after which the machine is
+	// considered too busy.
 	maxSteadyAttempts = 4
-	// A measurement is discarded, since the machine was too busy, when it took longer than its window
-	// by more than maxOverrunShare of the window plus maxOverrunSeconds.
+	// A measurement that exceeded its window by more than maxOverrunShare of the window plus
+	// maxOverrunSeconds is discarded, because the machine was too busy.
 	maxOverrunShare   = 0.25
 	maxOverrunSeconds = 0.5
-	// coreMessagePath is the path of messages from core to core, which no sidecar sends.
+	// coreMessagePath is the path of messages between cores; sidecars send no messages to this path.
 	coreMessagePath = "/cottonarch/v1/messages"
-	// minTotalCPU avoids a division by 0 where no processor time was used.
+	// minTotalCPU, in seconds, avoids a division by zero if no CPU time was used.
 	minTotalCPU = 1e-9
 )
 
-// coreCounters are the counters of the cores whose rates are noted.
+// coreCounters are the metrics counters of the cores whose rates are recorded.
 var coreCounters = []string{"sweeps", "deeds", "rounds"}
 
-// steady measures the steady state, again when the machine was held up meanwhile.
+// runSteady measures the steady state and repeats measurements during which the machine was too busy.
 func (r *Runner) runSteady() error {
 	var lastErr error
 	for range maxSteadyAttempts {
@@ -32,7 +32,7 @@
 			return err
 		}
 		if window := r.Window.Seconds(); m.seconds-window > window*maxOverrunShare+maxOverrunSeconds {
-			lastErr = failure.New(failure.DeadlineExceeded, "a measurement of %v took %.1f s: the machine was held up", r.Window, m.seconds)
+			lastErr = failure.New(failure.DeadlineExceeded, "a measurement of %v took %.1f s: the machine was too busy", r.Window, m.seconds)
 			continue
 		}
 		r.baseline = m.rates()
@@ -42,16 +42,17 @@
 	return lastErr
 }
 
-// steadyMeasurement is the usage of a window, with profiles taken in it.
+// steadyMeasurement is the usage during a window and the CPU profiles of the window.
 type steadyMeasurement struct {
 	usage
 	nodeCount    int
 	coreProfiles []process.Response
-	nodeProfiles []process.Response // by process that holds nodes, that of node 0 first
-	coreMemory   float64            // bytes of the largest core
-	nodeMemory   float64            // bytes of node 0
+	nodeProfiles []process.Response // by process of nodes, the process of node 0 first
+	coreMemory   float64            // bytes, of the largest core
+	nodeMemory   float64            // bytes, of node 0
 }
 
+// measureSteady measures the usage during one window.
 func (r *Runner) measureSteady() (m steadyMeasurement, err error) {
 	before, err := r.ReadUsage()
 	if err != nil {
@@ -73,7 +74,8 @@
 	return m, nil
 }
 
-// values gives the figures: those of cores are means over them unless they say otherwise.
+// values returns the values of the point. Values of the role "core" are means over the cores, except
+// "core/busiest" and the memory, which is the memory of the largest core.
 func (m steadyMeasurement) values() map[string]float64 {
 	rates, coreCount := m.rates(), float64(len(m.coreCPU))
 	values := map[string]float64{
@@ -99,7 +101,7 @@
 	return values
 }
 
-// addTraffic adds the messages and bytes of the cores' paths, by activity.
+// addTraffic adds the messages and bytes of the requests that the cores served, by activity.
 func (m steadyMeasurement) addTraffic(values map[string]float64) {
 	perCore := 1 / m.seconds / float64(len(m.coreCPU))
 	sidecarMessages := 0.0
@@ -117,7 +119,7 @@
 	values["sidecar/all/messages a second"] = sidecarMessages / m.seconds / float64(m.nodeCount)
 }
 
-// addCoreActivities divides the cores' processor time by activity, with the shares of their profiles.
+// addCoreActivities adds the CPU time of the cores by activity, according to the cores' profiles.
 func (m steadyMeasurement) addCoreActivities(values map[string]float64) {
 	for i, profile := range m.coreProfiles {
 		for activity, share := range profile.CPUShares {
@@ -126,8 +128,8 @@
 	}
 }
 
-// addNodeActivities divides the processor time of node 0 by activity. The profile of that node alone
-// has too few samples for that, so the shares are those of all nodes.
+// addNodeActivities adds the CPU time of node 0 by activity. The profile of node 0 alone has too few
+// samples, so the shares of the activities are averages over all nodes.
 func (m steadyMeasurement) addNodeActivities(values map[string]float64) {
 	total, byActivity := 0.0, map[string]float64{}
 	for i, profile := range m.nodeProfiles {
--- a/capacity/workload/usage.go
+++ b/capacity/workload/usage.go
@@ -10,33 +10,33 @@
 	"cottonarch.example/cottonarch/capacity/testbed"
 )
 
-// steadyRates is what the mesh costs a second while nothing happens. Processor time is in
-// seconds.
+// steadyRates is the resource usage of the mesh per second in the steady state. CPU time is in seconds.
 type steadyRates struct {
 	measured       bool
-	coresCPU       float64 // processor time of all cores
-	busiestCoreCPU float64 // processor time
-	nodeCPU        float64 // processor time of node 0
-	sharedNodesCPU float64 // processor time of all other nodes
-	messages       float64 // to all cores
-	coreBytes      float64 // of all cores, sent and received
-	nodeBytes      float64 // of node 0 with the mesh
+	coresCPU       float64 // of all cores together
+	busiestCoreCPU float64 // of the core with the highest CPU time
+	nodeCPU        float64 // of the process of node 0
+	sharedNodesCPU float64 // of the processes of all other nodes
+	messages       float64 // received by all cores
+	coreBytes      float64 // received and sent by all cores
+	nodeBytes      float64 // between node 0 and the mesh
 }
 
-// usage is what passed between two readings. Processor time is in seconds.
+// usage is the resource usage between two readings. CPU time is in seconds.
 type usage struct {
 	seconds        float64
 	byPath         map[string]meter.Traffic // at the cores
 	coreCPU        []float64                // by core
-	nodeProcessCPU []float64                // by process that holds nodes, that of node 0 first
-	nodeBytes      float64                  // of node 0, with the mesh
-	heartbeatBytes float64                  // of node 0, with its endpoint
+	nodeProcessCPU []float64                // by process of nodes, the process of node 0 first
+	nodeBytes      float64                  // between node 0 and the mesh
+	heartbeatBytes float64                  // between node 0 and its endpoint
 	coreTraffic    meter.Traffic
-	meshCPU        float64          // part of the processors that the mesh was given
-	machineCPU     float64          // part of all processors that anything used
-	counters       map[string]int64 // of the cores
+	meshCPU        float64          // utilization, from 0 to 1, of the processors available to the program
+	machineCPU     float64          // utilization of the whole machine, from 0 to 1
+	counters       map[string]int64 // metrics counters, summed over the cores
 }
 
+// usageBetween returns the usage between two readings.
 func (r *Runner) usageBetween(before, after testbed.UsageReading) usage {
 	u := usage{
 		seconds:    float64(after.ReadAt-before.ReadAt) / float64(time.Second),
@@ -55,11 +55,12 @@
 	return u
 }
 
+// cpuBetween returns the CPU time, in seconds, that a process used between two readings.
 func cpuBetween(before, after process.Response) float64 {
 	return after.Usage.CPUSeconds - before.Usage.CPUSeconds
 }
 
-// addCore adds a core's process. nodeIP is that of node 0.
+// addCore adds the usage of a core's process. nodeIP is the IP address of node 0.
 func (u *usage) addCore(before, after process.Response, nodeIP string) {
 	u.byPath = meter.Sum(u.byPath, meter.Subtract(after.ByPath, before.ByPath))
 	peers := meter.Subtract(after.ByPeer, before.ByPeer)
@@ -73,8 +74,8 @@
 	}
 }
 
-// addFirstNode adds the process of node 0: what it exchanges with its own IP is its endpoint's
-// heartbeats.
+// addFirstNode adds the usage of the process of node 0. The traffic between node 0 and its own IP
+// address consists of the heartbeats of its endpoint.
 func (u *usage) addFirstNode(before, after process.Response, nodeIP string) {
 	u.nodeProcessCPU = append(u.nodeProcessCPU, cpuBetween(before, after))
 	for peer, traffic := range meter.Subtract(after.ByPeer, before.ByPeer) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// addSharedNodes adds another process that holds nodes.
+// addSharedNodes adds the usage of a process of other nodes. nodeIP is the IP address of node 0.
 func (u *usage) addSharedNodes(before, after process.Response, nodeIP string) {
 	u.nodeProcessCPU = append(u.nodeProcessCPU, cpuBetween(before, after))
 	u.nodeBytes += meter.Subtract(after.ByPeer, before.ByPeer)[nodeIP].Bytes()
@@ -104,7 +105,7 @@
 func (u usage) nodeCPU() float64        { return u.nodeProcessCPU[0] }
 func (u usage) sharedNodeCPU() float64  { return sum(u.nodeProcessCPU[1:]) }
 
-// messageCount is how many messages the cores were sent.
+// messageCount returns the number of messages that the cores received.
 func (u usage) messageCount() (count float64) {
 	for _, traffic := range u.byPath {
 		count += float64(traffic.Messages)
@@ -112,7 +113,7 @@
 	return count
 }
 
-// rates divides by the time.
+// rates returns the usage per second.
 func (u usage) rates() steadyRates {
 	return steadyRates{
 		measured:       true,
