--- a/capacity/report/budget.go
+++ b/capacity/report/budget.go
@@ -9,39 +9,40 @@
 
 const secondsPerDay = 86400
 
-// BudgetLine is one line of the budget.
+// BudgetLine compares one metric with its budget.
 type BudgetLine struct {
-	Metric string
+	Metric string // description of the metric
 	Unit   string
-	Basis  string  // how the figure comes about: measured, or by which extrapolation
-	Value  float64 // at the target's size
+	Basis  string  // how Value was obtained: by measurement, or with which factor of extrapolation
+	Value  float64 // at the size of the target
 	Budget float64
 }
 
-// Ratio is how many times the budget the figure is.
+// Ratio returns the value divided by the budget.
 func (l BudgetLine) Ratio() float64 { return l.Value / l.Budget }
 
-// basis tells how a row's figure at the target's size comes about.
+// basis describes how the value of a row at the target size was obtained: by measurement, or by
+// extrapolation and with which factor beyond the largest measured size.
 func (r Row) basis(targetNodes float64) string {
-	if r.Line.MaxSize >= targetNodes {
+	if r.Curve.MaxSize >= targetNodes {
 		return "measured"
 	}
-	return fmt.Sprintf("×%.3g", targetNodes/r.Line.MaxSize)
+	return fmt.Sprintf("×%.3g", targetNodes/r.Curve.MaxSize)
 }
 
-// budgetBuilder collects the lines of the budget.
+// budgetBuilder builds the lines of the budget.
 type budgetBuilder struct {
 	target plan.Target
 	rows   []Row
 	lines  []BudgetLine
 }
 
-// BudgetLines works out the figures that the budgets are for.
+// BudgetLines returns the comparison of the metrics with their budgets, at the size of the target.
 func BudgetLines(result *run.Result, rows []Row) []BudgetLine {
 	builder := &budgetBuilder{target: result.Target, rows: rows}
 	budget := result.Target.Budget
-	builder.addDailyAverage("a node's control, processor", "cores", "processor cores", "processor seconds", budget.NodeCores)
-	builder.addDailyAverage("a node's control, both ways", "bytes a second", "bytes a second", "bytes", budget.NodeBytesPerSecond)
+	builder.addDailyAverage("sidecar CPU", "cores", "processor cores", "processor seconds", budget.NodeCores)
+	builder.addDailyAverage("sidecar control traffic, sent and received", "bytes a second", "bytes a second", "bytes", budget.NodeBytesPerSecond)
 	builder.addPeakMemory()
 	builder.addConfigPropagation("changes")
 	builder.addConfigPropagation("manifest")
@@ -49,79 +50,81 @@
 	return builder.lines
 }
 
-// addLine adds a line whose figure follows from a row.
-func (s *budgetBuilder) addLine(metric, unit string, row Row, value, budget float64) {
-	s.lines = append(s.lines, BudgetLine{
+// addLine adds a line whose value is derived from a row.
+func (b *budgetBuilder) addLine(metric, unit string, row Row, value, budget float64) {
+	b.lines = append(b.lines, BudgetLine{
 		Metric: metric,
 		Unit:   unit,
-		Basis:  row.basis(float64(s.target.Nodes)),
+		Basis:  row.basis(float64(b.target.Nodes)),
 		Value:  value,
 		Budget: budget,
 	})
 }
 
-// addDailyAverage adds what a sidecar uses in the steady state, with the day's changes and restarts
-// spread over the day. steadyUnit is a rate, eventUnit what one event costs.
-func (s *budgetBuilder) addDailyAverage(metric, unit, steadyUnit, eventUnit string, budget float64) {
-	steady, ok := findRow(s.rows, "steady", "sidecar/all/"+steadyUnit)
+// addDailyAverage adds the usage of a sidecar in the steady state plus the cost of one day's changes and
+// restarts, averaged over the day. steadyUnit is the unit of a rate, eventUnit the unit of the cost of
+// one event.
+func (b *budgetBuilder) addDailyAverage(metric, unit, steadyUnit, eventUnit string, budget float64) {
+	steady, ok := findRow(b.rows, "steady", "sidecar/all/"+steadyUnit)
 	if !ok {
 		return
 	}
 	value := steady.AtTarget
-	if change, ok := findRow(s.rows, "changes", "sidecar/all/"+eventUnit); ok {
-		value += change.AtTarget * s.target.ChangesPerDay / secondsPerDay
+	if change, ok := findRow(b.rows, "changes", "sidecar/all/"+eventUnit); ok {
+		value += change.AtTarget * b.target.ChangesPerDay / secondsPerDay
 	}
-	if restarts, ok := findRow(s.rows, "restart", "sidecar/all/"+eventUnit); ok {
-		value += restarts.AtTarget / secondsPerDay // all restarts of a day are one event
+	if restarts, ok := findRow(b.rows, "restart", "sidecar/all/"+eventUnit); ok {
+		value += restarts.AtTarget / secondsPerDay // the restart workload is one event with all restarts of a day
 	}
-	s.addLine(metric, unit, steady, value, budget)
+	b.addLine(metric, unit, steady, value, budget)
 }
 
-// addPeakMemory adds the load in which a sidecar takes the most memory.
-func (s *budgetBuilder) addPeakMemory() {
+// addPeakMemory adds the memory of a sidecar in the workload with the highest memory usage.
+func (b *budgetBuilder) addPeakMemory() {
 	highest := Row{}
 	for _, workload := range []string{"steady", "changes", "manifest", "restart"} {
 		for _, name := range []string{"sidecar/all/memory", "sidecar/all/memory at its peak"} {
-			if row, ok := findRow(s.rows, workload, name); ok && row.AtTarget > highest.AtTarget {
+			if row, ok := findRow(b.rows, workload, name); ok && row.AtTarget > highest.AtTarget {
 				highest = row
 			}
 		}
 	}
-	if highest.Line != nil {
-		s.addLine("a node's memory, "+highest.Workload, "bytes", highest, highest.AtTarget, s.target.Budget.NodeMemoryBytes)
+	if highest.Curve != nil {
+		b.addLine("sidecar memory, "+highest.Workload, "bytes", highest, highest.AtTarget, b.target.Budget.NodeMemoryBytes)
 	}
 }
 
-// addConfigPropagation adds how long a configuration takes to be in force everywhere, and its traffic.
-func (s *budgetBuilder) addConfigPropagation(workload string) {
-	budget := s.target.Budget
-	if row, ok := findRow(s.rows, workload, "mesh/known to all/seconds"); ok {
-		s.addLine(workload+": in force everywhere", "seconds", row, row.AtTarget, budget.ApplySeconds)
+// addConfigPropagation adds the time until all nodes have applied a configuration, and the traffic to
+// one node in that time.
+func (b *budgetBuilder) addConfigPropagation(workload string) {
+	budget := b.target.Budget
+	if row, ok := findRow(b.rows, workload, "mesh/known to all/seconds"); ok {
+		b.addLine(workload+": applied on all nodes", "seconds", row, row.AtTarget, budget.ApplySeconds)
 	}
-	if row, ok := findRow(s.rows, workload, "mesh/known to all, less the other nodes' work/seconds"); ok {
-		s.addLine(workload+": in force everywhere, nodes on machines of their own", "seconds", row, row.AtTarget, budget.ApplySeconds)
+	if row, ok := findRow(b.rows, workload, "mesh/known to all, less the other nodes' work/seconds"); ok {
+		b.addLine(workload+": applied on all nodes, each node on its own machine", "seconds", row, row.AtTarget, budget.ApplySeconds)
 	}
-	if row, ok := findRow(s.rows, workload, "sidecar/all/bytes"); ok {
-		s.addLine(workload+": bytes to one node, spread over the time to be in force", "bytes a second",
+	if row, ok := findRow(b.rows, workload, "sidecar/all/bytes"); ok {
+		b.addLine(workload+": traffic of one node, averaged over the budgeted time to apply", "bytes a second",
 			row, row.AtTarget/budget.ApplySeconds, budget.NodeBytesPerSecond)
 	}
 }
 
-// addCallLatency adds the call latency at the largest size that was measured.
-func (s *budgetBuilder) addCallLatency(result *run.Result) {
+// addCallLatency adds the call latency at the largest measured size.
+func (b *budgetBuilder) addCallLatency(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
 	latency := result.CallLatency[len(result.CallLatency)-1]
 	basis := "measured"
-	if latency.Records < s.target.Nodes {
-		basis = fmt.Sprintf("at %d records", latency.Records)
+	if latency.Records < b.target.Nodes {
+		basis = fmt.Sprintf("measured at %d records", latency.Records)
 	}
-	s.lines = append(s.lines, BudgetLine{
-		Metric: "added to a call, 99 in 100",
+	b.lines = append(b.lines, BudgetLine{
+		Metric: "added call latency, p99",
 		Unit:   "ms",
 		Basis:  basis,
 		Value:  latency.Added["p99"],
-		Budget: s.target.Budget.AddedLatencyMs,
+		Budget: b.target.Budget.AddedLatencyMs,
 	})
 }
--- a/capacity/report/plot.go
+++ b/capacity/report/plot.go
@@ -8,16 +8,17 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// plotSeries is a row in a plot.
+// plotSeries identifies a row that a plot shows, and the label of the row.
 type plotSeries struct{ workload, name, label string }
 
-// plot is figures of one unit in one picture; the lines run on to the target's size.
+// plot describes one chart with metrics of the same unit. The curves extend to the size of the target.
 type plot struct {
-	file   string // without its suffix
+	file   string // name without the extension
 	title  string
 	series []plotSeries
 }
 
+// convergenceTime is the name of the metric of the time until all nodes know of an event.
 const convergenceTime = "mesh/known to all/seconds"
 
 var plots = []plot{
@@ -38,44 +39,44 @@
 		{"steady", "core/all/memory", "core"},
 		{"steady", "sidecar/all/memory", "sidecar"},
 	}},
-	{"times", "seconds until known to all", []plotSeries{
-		{"leave", convergenceTime, "an endpoint leaves"},
-		{"changes", convergenceTime, "a change"},
-		{"manifest", convergenceTime, "a whole configuration"},
+	{"times", "convergence time in seconds", []plotSeries{
+		{"leave", convergenceTime, "endpoint leaves"},
+		{"changes", convergenceTime, "route change"},
+		{"manifest", convergenceTime, "whole configuration"},
 		{"restart", convergenceTime, "restarts"},
-		{"zone back", convergenceTime, "a zone back"},
-		{"apart", convergenceTime, "regions joined"},
-		{"start", convergenceTime, "all start at once"},
+		{"zone back", convergenceTime, "zone recovers"},
+		{"apart", convergenceTime, "partition heals"},
+		{"start", convergenceTime, "all nodes restart"},
 	}},
 }
 
-// Appearance of plots, in pixels.
+// Appearance of plots. Lengths are in pixels.
 const (
 	plotWidth     = 760
 	plotHeight    = 420
 	titlePadding  = 50
 	edgePadding   = 20
 	dotWidth      = 4
-	lineSegments  = 40   // points that a line is drawn by
-	yAxisHeadroom = 1.05 // height of the axis, times the highest value
+	curveSegments = 40   // segments of each drawn curve
+	yAxisHeadroom = 1.05 // maximum of the y axis, relative to the highest value
 )
 
-// renderSVG draws the plot as SVG; nil when there is nothing to see.
+// renderSVG renders the plot as SVG. It returns nil if the plot has no value above zero.
 func (p plot) renderSVG(result *run.Result, rows []Row) ([]byte, error) {
-	var chartSeries []chart.Series
-	highest := 0.0
+	var renderedSeries []chart.Series
+	maxY := 0.0
 	for i, s := range p.series {
 		row, ok := findRow(rows, s.workload, s.name)
 		if !ok {
 			continue
 		}
-		dots, line := row.chartSeries(s.label, i, float64(result.Target.Nodes))
-		for _, y := range append(append([]float64{}, dots.YValues...), line.YValues...) {
-			highest = max(highest, y)
+		dots, curve := row.chartSeries(s.label, i, float64(result.Target.Nodes))
+		for _, y := range append(append([]float64{}, dots.YValues...), curve.YValues...) {
+			maxY = max(maxY, y)
 		}
-		chartSeries = append(chartSeries, dots, line)
+		renderedSeries = append(renderedSeries, dots, curve)
 	}
-	if highest <= 0 {
+	if maxY <= 0 {
 		return nil, nil
 	}
 	picture := chart.Chart{
@@ -84,8 +85,8 @@
 		Height:     plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: titlePadding, Left: edgePadding, Right: edgePadding, Bottom: edgePadding}},
 		XAxis:      chart.XAxis{Name: "nodes"},
-		YAxis:      chart.YAxis{Name: p.title, ValueFormatter: formatAxis, Range: &chart.ContinuousRange{Min: 0, Max: highest * yAxisHeadroom}},
-		Series:     chartSeries,
+		YAxis:      chart.YAxis{Name: p.title, ValueFormatter: formatAxis, Range: &chart.ContinuousRange{Min: 0, Max: maxY * yAxisHeadroom}},
+		Series:     renderedSeries,
 	}
 	picture.Elements = []chart.Renderable{chart.LegendThin(&picture)}
 	var out bytes.Buffer
@@ -95,6 +96,7 @@
 	return out.Bytes(), nil
 }
 
+// formatAxis formats a value on the y axis.
 func formatAxis(value any) string {
 	if number, ok := value.(float64); ok {
 		return formatNumber(number)
@@ -102,8 +104,8 @@
 	return ""
 }
 
-// chartSeries gives what was measured as dots and the fit as a line up to the target's size.
-func (r Row) chartSeries(label string, colorIndex int, targetNodes float64) (dots, line chart.ContinuousSeries) {
+// chartSeries returns the measured points as dots, and the fitted curve up to the size of the target.
+func (r Row) chartSeries(label string, colorIndex int, targetNodes float64) (dots, curve chart.ContinuousSeries) {
 	color := chart.GetDefaultColor(colorIndex)
 	dots = chart.ContinuousSeries{Name: label, Style: chart.Style{
 		StrokeWidth: chart.Disabled,
@@ -114,11 +116,11 @@
 	for _, point := range r.Points {
 		dots.XValues, dots.YValues = append(dots.XValues, point.X), append(dots.YValues, point.Y)
 	}
-	line = chart.ContinuousSeries{Name: label + ", line", Style: chart.Style{StrokeColor: color, StrokeWidth: 1}}
-	end := max(targetNodes, r.Line.MaxSize)
-	for step := range lineSegments + 1 {
-		x := r.Line.MinSize + (end-r.Line.MinSize)*float64(step)/lineSegments
-		line.XValues, line.YValues = append(line.XValues, x), append(line.YValues, r.Line.ValueAt(x))
+	curve = chart.ContinuousSeries{Name: label + ", line", Style: chart.Style{StrokeColor: color, StrokeWidth: 1}}
+	maxX := max(targetNodes, r.Curve.MaxSize)
+	for step := range curveSegments + 1 {
+		x := r.Curve.MinSize + (maxX-r.Curve.MinSize)*float64(step)/curveSegments
+		curve.XValues, curve.YValues = append(curve.XValues, x), append(curve.YValues, r.Curve.ValueAt(x))
 	}
-	return dots, line
+	return dots, curve
 }
--- a/capacity/report/rows.go
+++ b/capacity/report/rows.go
@@ -1,5 +1,5 @@
-// Package report fits lines through what was measured, extrapolates them to the target's size
-// and writes figures, tables and plots.
+// Package report fits curves to the measurements, extrapolates the curves to the size of the target and
+// writes the measurements, tables and plots.
 package report
 
 import (
@@ -12,26 +12,27 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// Row is one figure over all sizes. Its name is role/activity/unit. Line is nil when there are
-// fewer sizes than a fit needs.
+// Row is one metric of one workload at all sizes. The name of the metric is role/activity/unit. Curve is
+// nil if there are fewer points than a fit needs.
 type Row struct {
 	Workload      string
 	Name          string
 	Points        []fit.Point
-	Line          *fit.Curve
-	AtTarget      float64 // the line's value at the target's size
-	SkippedPoints int     // points left out because the machine was crowded or stalled
+	Curve         *fit.Curve
+	AtTarget      float64 // value of the curve at the size of the target
+	SkippedPoints int     // points excluded because the machine was overloaded or stalled
 }
 
-// Role is the part of the mesh that the figure is of: core, sidecar or mesh.
+// Role returns the part of the mesh that the metric describes: core, sidecar or mesh.
 func (r Row) Role() string { return namePart(r.Name, 0) }
 
-// Activity is what the role spends the figure on; all for the whole.
+// Activity returns the activity that the metric is attributed to; "all" is the total.
 func (r Row) Activity() string { return namePart(r.Name, 1) }
 
-// Unit is what the figure is counted in.
+// Unit returns the unit of the metric.
 func (r Row) Unit() string { return namePart(r.Name, 2) }
 
+// namePart returns the i-th part of a metric name, or an empty string if the name has fewer parts.
 func namePart(name string, i int) string {
 	parts := strings.SplitN(name, "/", 3)
 	if i < len(parts) {
@@ -40,16 +41,16 @@
 	return ""
 }
 
-// isDuration tells whether the figure is a time, which only an idle enough machine measures.
+// isDuration reports whether the metric is a duration, which is reliable only on a lightly loaded machine.
 func (r Row) isDuration() bool { return r.Unit() == "seconds" }
 
-// isMemory tells whether the figure is memory, which is never too small to be seen.
+// isMemory reports whether the metric is memory, which is never too small to be measured.
 func (r Row) isMemory() bool { return strings.HasPrefix(r.Unit(), "memory") }
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct{ workload, name string }
 
-// Rows gives every figure, by load in the order in which they ran, then by name.
+// Rows returns the rows of all metrics: by workload in the order of execution, then by name.
 func Rows(result *run.Result) []Row {
 	rows := collectRows(result)
 	var all []Row
@@ -57,14 +58,14 @@
 		for _, name := range metricNames(rows, workload) {
 			row := rows[rowKey{workload, name}]
 			row.addZeros(result)
-			row.fit(result.Target.Nodes)
+			row.fitCurve(result.Target.Nodes)
 			all = append(all, *row)
 		}
 	}
 	return all
 }
 
-// collectRows gathers the points of each figure.
+// collectRows collects the points of each metric.
 func collectRows(result *run.Result) map[rowKey]*Row {
 	rows := map[rowKey]*Row{}
 	for _, point := range result.Points {
@@ -85,7 +86,7 @@
 	return rows
 }
 
-// workloadsOf lists the loads in the order in which they ran.
+// workloadsOf returns the names of the workloads in the order of execution.
 func workloadsOf(result *run.Result) (names []string) {
 	for _, point := range result.Points {
 		if !slices.Contains(names, point.Workload) {
@@ -95,7 +96,7 @@
 	return names
 }
 
-// metricNames lists the figures of a load, sorted.
+// metricNames returns the sorted names of the metrics of a workload.
 func metricNames(rows map[rowKey]*Row, workload string) (names []string) {
 	for key := range maps.Keys(rows) {
 		if key.workload == workload {
@@ -106,7 +107,8 @@
 	return names
 }
 
-// addZeros adds the sizes at which the figure was too small to be seen.
+// addZeros adds a zero for each size at which the metric is absent because its value was too small to be
+// measured.
 func (r *Row) addZeros(result *run.Result) {
 	if r.isDuration() || r.isMemory() {
 		return
@@ -119,17 +121,17 @@
 	slices.SortFunc(r.Points, func(a, b fit.Point) int { return cmp.Compare(a.X, b.X) })
 }
 
-// fit fits a line, if there are enough points.
-func (r *Row) fit(targetNodes int) {
-	if line, ok := fit.BestCurve(r.Points); ok {
-		r.Line, r.AtTarget = &line, line.ValueAt(float64(targetNodes))
+// fitCurve fits a curve if there are enough points.
+func (r *Row) fitCurve(targetNodes int) {
+	if curve, ok := fit.BestCurve(r.Points); ok {
+		r.Curve, r.AtTarget = &curve, curve.ValueAt(float64(targetNodes))
 	}
 }
 
-// findRow finds a row that has a line.
+// findRow finds a row that has a curve.
 func findRow(rows []Row, workload, name string) (Row, bool) {
 	for _, row := range rows {
-		if row.Workload == workload && row.Name == name && row.Line != nil {
+		if row.Workload == workload && row.Name == name && row.Curve != nil {
 			return row, true
 		}
 	}
