--- a/capacity/run/options.go
+++ b/capacity/run/options.go
@@ -14,30 +14,30 @@
 	"cottonarch.example/cottonarch/capacity/workload"
 )
 
-// CallLatencyWorkload is the name of the call latency among the workloads.
+// CallLatencyWorkload is the name of the workload that measures the call latency.
 const CallLatencyWorkload = "walk"
 
-// WorkloadNames lists all workloads.
+// WorkloadNames returns the names of all workloads: workload.Names and CallLatencyWorkload.
 func WorkloadNames() []string { return append(slices.Clone(workload.Names), CallLatencyWorkload) }
 
-// Options is what is to be measured, and its bounds.
+// Options describes a measurement and its limits.
 type Options struct {
 	ProcessCommand []string // command line that runs process.Run
-	Commit         string   // that the program was built from, where the build does not hold it
-	Command        string   // to be noted with the figures
-	Dir            string   // for disk folders; the system's temporary one if empty
+	Commit         string   // commit that the program was built from; BuildCommit if empty
+	Command        string   // command line, which is stored in the result
+	Dir            string   // parent of the cores' data folders; the system's temporary folder if empty
 	Target         plan.Target
-	Sizes          []int         // numbers of nodes
-	Workloads      []string      // of WorkloadNames
-	Window         time.Duration // of the steady state and of the call latency
-	TimeLimit      time.Duration // of the whole
-	MemoryLimit    float64       // bytes that all processes together may take
-	MaxProcesses   int
+	Sizes          []int         // numbers of nodes to measure
+	Workloads      []string      // names from WorkloadNames
+	Window         time.Duration // length of the steady measurement and of each measurement of the call latency
+	TimeLimit      time.Duration // limit of the duration of the whole measurement
+	MemoryLimit    float64       // limit of the memory of all processes together, in bytes
+	MaxProcesses   int           // limit of the number of processes
 	Logf           func(format string, args ...any)
-	OnSize         func(*Result) // is given what there is after each size; may be nil
+	OnSize         func(*Result) // called with the result so far after each size; may be nil
 }
 
-// Bounds of what may be asked.
+// Limits of the options.
 const (
 	minSize   = 2
 	maxSize   = 10000
@@ -45,25 +45,25 @@
 	maxWindow = 10 * time.Minute
 )
 
-// Validate returns every fault of the options, or nil.
+// Validate returns an error that lists every invalid option, or nil.
 func (o Options) Validate() *failure.Error {
-	invalid := failure.New(failure.BadSettings, "the capacity can't be measured")
+	invalid := failure.New(failure.BadSettings, "the options of the capacity measurement are invalid")
 	addFault := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	last := 0
 	for _, size := range o.Sizes {
 		if size < minSize || size > maxSize || size < 2*last {
-			addFault("sizes", "%d: sizes are from %d to %d, each at least double the last", size, minSize, maxSize)
+			addFault("sizes", "size %d must be from %d to %d and at least double the previous size", size, minSize, maxSize)
 		}
 		last = size
 	}
 	if len(o.Sizes) == 0 {
-		addFault("sizes", "at least one size")
+		addFault("sizes", "at least one size is required")
 	}
 	for _, name := range o.Workloads {
 		if !slices.Contains(WorkloadNames(), name) {
-			addFault("loads", "no load %q; known: %s", name, strings.Join(WorkloadNames(), ", "))
+			addFault("loads", "unknown workload %q; known workloads: %s", name, strings.Join(WorkloadNames(), ", "))
 		}
 	}
 	if o.Window < minWindow || o.Window > maxWindow {
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// assumedMemory is taken for the machine's memory when it can't be read.
+// assumedMemory is the assumed size of the machine's memory, in bytes, if /proc/meminfo can't be read.
 const assumedMemory = 8 << 30
 
-// HalfOfMemory is half of this machine's memory, in bytes.
+// HalfOfMemory returns half of the machine's memory, in bytes.
 func HalfOfMemory() float64 {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -93,10 +93,11 @@
 	return assumedMemory / 2
 }
 
-// commitHashLength is how much of a commit's hash is noted.
+// commitHashLength is the number of hexadecimal digits of a commit hash that are stored.
 const commitHashLength = 12
 
-// BuildCommit is the commit that this program was built from, as the build holds it.
+// BuildCommit returns the commit recorded in the program's build information, or "unknown". The suffix
+// " with changes" marks a build from a modified work tree.
 func BuildCommit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -1,5 +1,4 @@
-// Package run measures a mesh at one size after the other, within bounds of time, memory and
-// processes.
+// Package run measures meshes of increasing size, within limits of time, memory and number of processes.
 package run
 
 import (
@@ -16,10 +15,10 @@
 	"cottonarch.example/cottonarch/capacity/workload"
 )
 
-// Result is the figures of a run, with the options and the build that they were measured with.
+// Result holds the measurements of a run, the options of the run and the build of the program.
 type Result struct {
 	Commit      string              `json:"commit"`
-	Command     string              `json:"command"` // as it was given, without the program's folder
+	Command     string              `json:"command"` // command line without the program's folder
 	Processors  int                 `json:"processors"`
 	Go          string              `json:"go"`
 	Target      plan.Target         `json:"target"`
@@ -27,28 +26,29 @@
 	Window      string              `json:"window"`
 	Points      []workload.Point    `json:"points"`
 	CallLatency []calllatency.Point `json:"walk"`
-	// Skipped names what was not measured, and why.
+	// Skipped lists the measurements that were skipped, with the reasons.
 	Skipped []string `json:"left,omitempty"`
 }
 
 const (
-	// minSizeDuration is the shortest time for which a size is begun.
+	// minSizeDuration is the remaining time below which the measurement of a size does not start.
 	minSizeDuration = 3 * time.Second
-	// latencySetupTime is set aside, besides the window, for each size's call latency.
+	// latencySetupTime is reserved for the call latency of each size, in addition to the window.
 	latencySetupTime = 8 * time.Second
-	// minReadyTimeout is how long nodes may always take to be ready.
+	// minReadyTimeout is the minimum timeout for nodes to become ready, even close to the deadline.
 	minReadyTimeout = 5 * time.Second
 	gigabyte        = 1e9
 )
 
-// measurement is a run in progress.
+// measurement holds the state of a run in progress.
 type measurement struct {
 	Options
 	deadline time.Time
 	result   *Result
 }
 
-// Measure measures all sizes. What does not fit within a bound is left out and named.
+// Measure measures all sizes. Sizes that would exceed a limit are skipped and listed in Result.Skipped.
+// The error is not nil if nothing could be measured.
 func Measure(options Options) (*Result, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -71,6 +71,7 @@
 	return m.result, nil
 }
 
+// newResult returns a result without measurements.
 func newResult(options Options) *Result {
 	result := &Result{
 		Commit:     options.Commit,
@@ -87,26 +88,28 @@
 	return result
 }
 
-// recordSkippedSize notes why a size was not measured.
+// recordSkippedSize records and logs why a size was not measured.
 func (m *measurement) recordSkippedSize(size int, reason string) {
 	note := fmt.Sprintf("%d nodes: %s", size, reason)
 	m.result.Skipped = append(m.result.Skipped, note)
 	m.Logf("%s", note)
 }
 
-// measureSizes puts the mesh under load at each size that fits, until the deadline.
+// measureSizes runs the workloads at each size within the limits, until the deadline. It ends at the
+// first size whose measurement fails.
 func (m *measurement) measureSizes(deadline time.Time) {
-	lastPeak := 0.0 // memory of the last size that was measured
+	lastPeak := 0.0 // peak memory, in bytes, at the last measured size
 	for i, size := range m.Sizes {
-		// The remaining time is divided anew, so that time a smaller size did not use goes to the larger.
+		// The remaining time is divided again before each size, so that time which a smaller size did
+		// not use is available to the larger sizes.
 		share := time.Until(deadline) / time.Duration(len(m.Sizes)-i)
-		if reason := m.exceedsBounds(i, lastPeak, share); reason != "" {
+		if reason := m.exceedsLimits(i, lastPeak, share); reason != "" {
 			m.recordSkippedSize(size, reason)
 			continue
 		}
 		began := time.Now()
 		peak, err := m.measureSize(size, began.Add(share))
-		m.Logf("%d nodes: %.1f s, %.2f GB at its peak", size, time.Since(began).Seconds(), peak/gigabyte)
+		m.Logf("%d nodes: measured in %.1f s, peak memory %.2f GB", size, time.Since(began).Seconds(), peak/gigabyte)
 		if err != nil {
 			m.recordSkippedSize(size, err.Error())
 			return
@@ -118,25 +121,26 @@
 	}
 }
 
-// exceedsBounds tells why the i-th size does not fit, empty if it does. lastPeak is the memory
-// of the size before, 0 if none was measured; share is the time there is.
-func (m *measurement) exceedsBounds(i int, lastPeak float64, share time.Duration) (reason string) {
+// exceedsLimits returns the reason why the i-th size would exceed a limit, or an empty string. lastPeak
+// is the peak memory at the previous size, or 0 if no size was measured. share is the available time.
+func (m *measurement) exceedsLimits(i int, lastPeak float64, share time.Duration) (reason string) {
 	size := m.Sizes[i]
 	if processes := m.Target.Cores + 1 + size/m.Target.NodesPerProcess; processes > m.MaxProcesses {
-		return fmt.Sprintf("would need %d processes, at most %d may run", processes, m.MaxProcesses)
+		return fmt.Sprintf("would need %d processes, but the limit is %d", processes, m.MaxProcesses)
 	}
 	if lastPeak > 0 {
 		if need := lastPeak * float64(size) / float64(m.Sizes[i-1]); need > m.MemoryLimit {
-			return fmt.Sprintf("would need about %.1f GB, at most %.1f may be used", need/gigabyte, m.MemoryLimit/gigabyte)
+			return fmt.Sprintf("would need about %.1f GB of memory, but the limit is %.1f GB", need/gigabyte, m.MemoryLimit/gigabyte)
 		}
 	}
 	if share < minSizeDuration {
-		return "no time is left"
+		return "not enough time is left"
 	}
 	return ""
 }
 
-// measureSize measures one size and gives the peak of its memory, over all processes.
+// measureSize runs the workloads at one size. It returns the sum of the peak memory of all processes,
+// in bytes.
 func (m *measurement) measureSize(size int, deadline time.Time) (peakBytes float64, err error) {
 	mesh, err := testbed.Start(testbed.Options{
 		ProcessCommand: m.ProcessCommand,
@@ -160,13 +164,13 @@
 	return peakBytes, err
 }
 
-// measureLatencies measures the call latency once for each size, with as large a part of the
-// target's records and routes as the size is of the largest one.
+// measureLatencies measures the call latency once for each size. The numbers of records and routes are
+// those of the target, scaled by the ratio of the size to the largest size.
 func (m *measurement) measureLatencies() {
 	for i, size := range m.Sizes {
 		remaining := time.Until(m.deadline) - m.Window
 		if remaining < minSizeDuration {
-			m.recordSkippedLatency(i, "no time is left")
+			m.recordSkippedLatency(i, "not enough time is left")
 			return
 		}
 		share := float64(size) / float64(m.Sizes[len(m.Sizes)-1])
@@ -183,13 +187,13 @@
 			m.recordSkippedLatency(i, err.Error())
 			return
 		}
-		m.Logf("call latency, %d records, %d routes: %d pairs, added p50 %.3f ms, p99 %.3f ms",
+		m.Logf("call latency with %d records and %d routes: %d pairs of calls, added p50 %.3f ms, added p99 %.3f ms",
 			point.Records, point.Routes, point.Pairs, point.Added["p50"], point.Added["p99"])
 		m.result.CallLatency = append(m.result.CallLatency, point)
 	}
 }
 
-// recordSkippedLatency notes why the call latency was not measured from the i-th size on.
+// recordSkippedLatency records why the call latency was not measured from the i-th size on.
 func (m *measurement) recordSkippedLatency(i int, reason string) {
 	m.result.Skipped = append(m.result.Skipped, fmt.Sprintf("%s %d: %s", CallLatencyWorkload, i+1, reason))
 }
--- a/capacity/run/run_test.go
+++ b/capacity/run/run_test.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/capacity/process"
 )
 
-// TestMain lets this test's own program be the processes of a mesh.
+// TestMain runs the test binary as a process of a mesh if the first argument is capacity-part.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "capacity-part" {
 		if process.Run(os.Stdin, os.Stdout) != nil {
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// A small mesh of real processes goes through every workload.
+// TestMeasureSmallMesh runs every workload on a mesh of six nodes in real processes.
 func TestMeasureSmallMesh(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -65,7 +65,8 @@
 	must.Zero(t, result.CallLatency[0].Failed)
 }
 
-// What does not fit within a bound is left out, and named.
+// TestBoundsAndInvalidOptions checks that sizes which would exceed a limit are skipped and listed, and
+// that invalid options are rejected.
 func TestBoundsAndInvalidOptions(t *testing.T) {
 	target := plan.Default()
 	options := Options{
