--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -54,7 +54,7 @@
 // Listen opens a TCP listener on a free port of an IP address.
 func Listen(ip string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", ip+":0")
-	return listener, failure.Wrap(err, failure.Internal, "listen on a free port of "+ip)
+	return listener, failure.Wrap(err, failure.Internal, "listen on a free port")
 }
 
 // FreeAddr finds a free port on an IP address. Another process may take the port before the caller
--- a/capacity/report/budget.go
+++ b/capacity/report/budget.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// addConfigPropagation adds the time until all nodes have applied a configuration, and the traffic to
-// one node in that time.
+// addConfigPropagation adds the time until all nodes have applied a configuration, and the traffic that
+// the configuration causes at one node.
 func (b *budgetBuilder) addConfigPropagation(workload string) {
 	budget := b.target.Budget
 	if row, ok := findRow(b.rows, workload, "mesh/known to all/seconds"); ok {
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -11,7 +11,7 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// formatNumber formats a value with three significant digits and a metric prefix.
+// formatNumber formats a value with three significant digits and an SI prefix.
 func formatNumber(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case value == 0:
@@ -138,7 +138,7 @@
 		fmt.Sprintf("%d × p50", depth))
 }
 
-// activityUnits are the columns of the tables of activities.
+// activityUnits are the units that the tables of activities show, one unit per column.
 var activityUnits = []string{"messages a second", "body bytes a second", "processor cores"}
 
 // aggregateActivities are the activity names of values that are not attributed to a single activity.
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -18,7 +18,7 @@
 	responses []<-chan process.Response
 }
 
-// send sends the command, or one process's variant of the command, to a process.
+// send sends the command to a process. The commands of several processes may differ in their nodes.
 func (p *pendingCommand) send(c *child, command process.Command) {
 	p.children = append(p.children, c)
 	p.responses = append(p.responses, c.send(command))
--- a/capacity/workload/events.go
+++ b/capacity/workload/events.go
@@ -73,8 +73,8 @@
 	return sentAt, r.Await(process.Condition{Revision: revision}, r.waitTimeout()), nil
 }
 
-// restartNodes measures the simultaneous restart of several nodes. Their number is the target's number
-// of restarts per day, scaled to the size of the measured mesh.
+// restartNodes measures the simultaneous restart of several nodes. The number of nodes is the target's
+// number of restarts per day, scaled to the size of the measured mesh.
 func (r *Runner) restartNodes() error {
 	count := int(math.Round(float64(r.Target.RestartsPerDay) * float64(r.NodeCount) / float64(r.Target.Nodes)))
 	nodes := r.sharedNodes()
@@ -147,9 +147,9 @@
 	return r.measureEvent("zone back", 1, func() (int64, *testbed.ConditionWait, error) { return r.startAndAwait(nodes) })
 }
 
-// healPartition measures the healing of a partition between regions. The partition lasts for Window, and
-// the configuration changes on the majority side before the partition heals. The convergence time
-// starts when the partition heals.
+// healPartition measures the healing of a partition between regions. The partition lasts for Window and
+// until the majority side has then accepted a change of the configuration. The convergence time starts
+// when the partition heals.
 func (r *Runner) healPartition() error {
 	if r.Target.Regions < 2 {
 		return nil
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -29,6 +29,7 @@
 // Names lists the workloads in the order of execution.
 var Names = []string{steadyWorkload, leaveWorkload, routeChangeWorkload, configReplaceWorkload, restartWorkload, zoneFailureWorkload, partitionWorkload, restartAllWorkload}
 
+// workloads maps the name of each workload to its implementation.
 var workloads = map[string]func(*Runner) error{
 	steadyWorkload:        (*Runner).runSteady,
 	leaveWorkload:         (*Runner).leaveEndpoints,
@@ -79,7 +80,7 @@
 	*testbed.Mesh
 	Window   time.Duration // length of the steady measurement and of the partition between regions
 	MaxWait  time.Duration // limit of each wait
-	Deadline time.Time     // end of the measurement; limits waits to the remaining time, but to no less than minWaitTimeout
+	Deadline time.Time     // end of the measurement; waits end by Deadline or after minWaitTimeout
 	Points   []Point
 
 	baseline     steadyRates
