--- a/capacity/process/await.go
+++ b/capacity/process/await.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	pollInterval   = 5 * time.Millisecond
-	maxAwaitedTime = 2 * time.Minute
+	pollInterval     = 5 * time.Millisecond
+	maxAwaitDuration = 2 * time.Minute
 )
 
-// progress is how far a node has got in a condition's lists: the endpoints before healthy and
-// unhealthy were found as the condition asks, and are not checked again.
+// progress holds, for one node, the index of the first endpoint in Condition.Healthy and in
+// Condition.Unhealthy that is not yet in the required state. Endpoints before that index were in
+// the required state in an earlier poll and are not checked again.
 type progress struct{ healthy, unhealthy int }
 
-// await polls this process's nodes until each meets the condition, for the command's duration
-// at most.
+// await polls the nodes of this process until each node meets the condition, but no longer than
+// the duration of the command.
 func (w *worker) await(command Command) (Response, error) {
 	waiting := w.waitingNodes()
 	response := Response{}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	lastPoll := meter.Now()
-	for deadline := lastPoll + int64(min(command.Duration, maxAwaitedTime)); len(waiting) > 0 && meter.Now() < deadline; {
+	for deadline := lastPoll + int64(min(command.Duration, maxAwaitDuration)); len(waiting) > 0 && meter.Now() < deadline; {
 		now := meter.Now()
 		response.MaxStall, lastPoll = max(response.MaxStall, time.Duration(now-lastPoll)-pollInterval), now
 		for n, p := range waiting {
-			if n.meets(command.Condition, p) {
-				response.KnownAt = append(response.KnownAt, meter.Now())
+			if n.satisfies(command.Condition, p) {
+				response.MetAt = append(response.MetAt, meter.Now())
 				delete(waiting, n)
 			}
 		}
@@ -39,10 +40,11 @@
 			return response, nil
 		}
 	}
-	response.Missing = len(waiting)
+	response.TimedOut = len(waiting)
 	return response, nil
 }
 
+// waitingNodes returns all running nodes, each with no endpoint checked yet.
 func (w *worker) waitingNodes() map[*node]*progress {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,26 +55,26 @@
 	return waiting
 }
 
-// meets tells whether a node meets the whole condition.
-func (n *node) meets(condition Condition, p *progress) bool {
+// satisfies reports whether the node meets every part of the condition. It advances p.
+func (n *node) satisfies(condition Condition, p *progress) bool {
 	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
 		return false
 	}
 	for ; p.healthy < len(condition.Healthy); p.healthy++ {
-		if !n.knowsHealthy(condition.Healthy[p.healthy]) {
+		if !n.registryHasHealthy(condition.Healthy[p.healthy]) {
 			return false
 		}
 	}
 	for ; p.unhealthy < len(condition.Unhealthy); p.unhealthy++ {
-		if n.knowsHealthy(condition.Unhealthy[p.unhealthy]) {
+		if n.registryHasHealthy(condition.Unhealthy[p.unhealthy]) {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsHealthy tells whether the node's registry has an endpoint as healthy.
-func (n *node) knowsHealthy(e Endpoint) bool {
+// registryHasHealthy reports whether the node's registry lists the endpoint as healthy.
+func (n *node) registryHasHealthy(e Endpoint) bool {
 	entry, ok := n.sidecar.Lookup(e.Service, e.ID)
 	return ok && !entry.Lapsed && entry.Status == record.Healthy
 }
--- a/capacity/report/budget.go
+++ b/capacity/report/budget.go
@@ -9,119 +9,122 @@
 
 const secondsPerDay = 86400
 
-// BudgetLine is one line of the budget.
+// BudgetLine compares one metric with its budget.
 type BudgetLine struct {
-	What      string
-	Unit      string
-	ReachedBy string  // how the figure comes about: measured, or by which extrapolation
-	Figure    float64 // at the target's size
-	Budget    float64
+	Metric string // description of the metric
+	Unit   string
+	Basis  string  // how Value was obtained: by measurement, or with which factor of extrapolation
+	Value  float64 // at the size of the target
+	Budget float64
 }
 
-// Ratio is how many times the budget the figure is.
-func (l BudgetLine) Ratio() float64 { return l.Figure / l.Budget }
+// Ratio returns the value divided by the budget.
+func (l BudgetLine) Ratio() float64 { return l.Value / l.Budget }
 
-// reachedBy tells how a row's figure at the target's size comes about.
-func (r Row) reachedBy(targetNodes float64) string {
-	if r.Line.MaxSize >= targetNodes {
+// basis describes how the value of a row at the target size was obtained: by measurement, or by
+// extrapolation and with which factor beyond the largest measured size.
+func (r Row) basis(targetNodes float64) string {
+	if r.Curve.MaxSize >= targetNodes {
 		return "measured"
 	}
-	return fmt.Sprintf("×%.3g", targetNodes/r.Line.MaxSize)
+	return fmt.Sprintf("×%.3g", targetNodes/r.Curve.MaxSize)
 }
 
-// budgetSheet collects the lines of the budget.
-type budgetSheet struct {
+// budgetBuilder builds the lines of the budget.
+type budgetBuilder struct {
 	target plan.Target
 	rows   []Row
 	lines  []BudgetLine
 }
 
-// BudgetLines works out the figures that the budgets are for.
+// BudgetLines returns the comparison of the metrics with their budgets, at the size of the target.
 func BudgetLines(result *run.Result, rows []Row) []BudgetLine {
-	sheet := &budgetSheet{target: result.Target, rows: rows}
+	builder := &budgetBuilder{target: result.Target, rows: rows}
 	budget := result.Target.Budget
-	sheet.addOverDay("a node's control, processor", "cores", "processor cores", "processor seconds", budget.NodeCores)
-	sheet.addOverDay("a node's control, both ways", "bytes a second", "bytes a second", "bytes", budget.NodeBytesPerSecond)
-	sheet.addMemory()
-	sheet.addConfig("changes")
-	sheet.addConfig("manifest")
-	sheet.addLatency(result)
-	return sheet.lines
+	builder.addDailyAverage("sidecar CPU", "cores", "processor cores", "processor seconds", budget.NodeCores)
+	builder.addDailyAverage("sidecar control traffic, sent and received", "bytes a second", "bytes a second", "bytes", budget.NodeBytesPerSecond)
+	builder.addPeakMemory()
+	builder.addConfigPropagation("changes")
+	builder.addConfigPropagation("manifest")
+	builder.addCallLatency(result)
+	return builder.lines
 }
 
-// add adds a line whose figure follows from a row.
-func (s *budgetSheet) add(what, unit string, row Row, figure, budget float64) {
-	s.lines = append(s.lines, BudgetLine{
-		What:      what,
-		Unit:      unit,
-		ReachedBy: row.reachedBy(float64(s.target.Nodes)),
-		Figure:    figure,
-		Budget:    budget,
+// addLine adds a line whose value is derived from a row.
+func (b *budgetBuilder) addLine(metric, unit string, row Row, value, budget float64) {
+	b.lines = append(b.lines, BudgetLine{
+		Metric: metric,
+		Unit:   unit,
+		Basis:  row.basis(float64(b.target.Nodes)),
+		Value:  value,
+		Budget: budget,
 	})
 }
 
-// addOverDay adds what a sidecar uses in the steady state, with the day's changes and restarts
-// spread over the day. steadyUnit is a rate, eventUnit what one event costs.
-func (s *budgetSheet) addOverDay(what, unit, steadyUnit, eventUnit string, budget float64) {
-	steady, ok := findRow(s.rows, "steady", "sidecar/all/"+steadyUnit)
+// addDailyAverage adds the usage of a sidecar in the steady state plus the cost of one day's changes and
+// restarts, averaged over the day. steadyUnit is the unit of a rate, eventUnit the unit of the cost of
+// one event.
+func (b *budgetBuilder) addDailyAverage(metric, unit, steadyUnit, eventUnit string, budget float64) {
+	steady, ok := findRow(b.rows, "steady", "sidecar/all/"+steadyUnit)
 	if !ok {
 		return
 	}
-	figure := steady.AtTarget
-	if change, ok := findRow(s.rows, "changes", "sidecar/all/"+eventUnit); ok {
-		figure += change.AtTarget * s.target.ChangesPerDay / secondsPerDay
+	value := steady.AtTarget
+	if change, ok := findRow(b.rows, "changes", "sidecar/all/"+eventUnit); ok {
+		value += change.AtTarget * b.target.ChangesPerDay / secondsPerDay
 	}
-	if restarts, ok := findRow(s.rows, "restart", "sidecar/all/"+eventUnit); ok {
-		figure += restarts.AtTarget / secondsPerDay // all restarts of a day are one event
+	if restarts, ok := findRow(b.rows, "restart", "sidecar/all/"+eventUnit); ok {
+		value += restarts.AtTarget / secondsPerDay // the restart workload is one event with all restarts of a day
 	}
-	s.add(what, unit, steady, figure, budget)
+	b.addLine(metric, unit, steady, value, budget)
 }
 
-// addMemory adds the load in which a sidecar takes the most memory.
-func (s *budgetSheet) addMemory() {
+// addPeakMemory adds the memory of a sidecar in the workload with the highest memory usage.
+func (b *budgetBuilder) addPeakMemory() {
 	highest := Row{}
-	for _, load := range []string{"steady", "changes", "manifest", "restart"} {
+	for _, workload := range []string{"steady", "changes", "manifest", "restart"} {
 		for _, name := range []string{"sidecar/all/memory", "sidecar/all/memory at its peak"} {
-			if row, ok := findRow(s.rows, load, name); ok && row.AtTarget > highest.AtTarget {
+			if row, ok := findRow(b.rows, workload, name); ok && row.AtTarget > highest.AtTarget {
 				highest = row
 			}
 		}
 	}
-	if highest.Line != nil {
-		s.add("a node's memory, "+highest.Load, "bytes", highest, highest.AtTarget, s.target.Budget.NodeMemoryBytes)
+	if highest.Curve != nil {
+		b.addLine("sidecar memory, "+highest.Workload, "bytes", highest, highest.AtTarget, b.target.Budget.NodeMemoryBytes)
 	}
 }
 
-// addConfig adds how long a configuration takes to be in force everywhere, and its traffic.
-func (s *budgetSheet) addConfig(load string) {
-	budget := s.target.Budget
-	if row, ok := findRow(s.rows, load, "mesh/known to all/seconds"); ok {
-		s.add(load+": in force everywhere", "seconds", row, row.AtTarget, budget.ApplySeconds)
+// addConfigPropagation adds the time until all nodes have applied a configuration, and the traffic that
+// the configuration causes at one node.
+func (b *budgetBuilder) addConfigPropagation(workload string) {
+	budget := b.target.Budget
+	if row, ok := findRow(b.rows, workload, "mesh/known to all/seconds"); ok {
+		b.addLine(workload+": applied on all nodes", "seconds", row, row.AtTarget, budget.ApplySeconds)
 	}
-	if row, ok := findRow(s.rows, load, "mesh/known to all, less the other nodes' work/seconds"); ok {
-		s.add(load+": in force everywhere, nodes on machines of their own", "seconds", row, row.AtTarget, budget.ApplySeconds)
+	if row, ok := findRow(b.rows, workload, "mesh/known to all, less the other nodes' work/seconds"); ok {
+		b.addLine(workload+": applied on all nodes, each node on its own machine", "seconds", row, row.AtTarget, budget.ApplySeconds)
 	}
-	if row, ok := findRow(s.rows, load, "sidecar/all/bytes"); ok {
-		s.add(load+": bytes to one node, spread over the time to be in force", "bytes a second",
+	if row, ok := findRow(b.rows, workload, "sidecar/all/bytes"); ok {
+		b.addLine(workload+": traffic of one node, averaged over the budgeted time to apply", "bytes a second",
 			row, row.AtTarget/budget.ApplySeconds, budget.NodeBytesPerSecond)
 	}
 }
 
-// addLatency adds the call latency at the largest size that was measured.
-func (s *budgetSheet) addLatency(result *run.Result) {
+// addCallLatency adds the call latency at the largest measured size.
+func (b *budgetBuilder) addCallLatency(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
 	latency := result.CallLatency[len(result.CallLatency)-1]
-	reachedBy := "measured"
-	if latency.Records < s.target.Nodes {
-		reachedBy = fmt.Sprintf("at %d records", latency.Records)
+	basis := "measured"
+	if latency.Records < b.target.Nodes {
+		basis = fmt.Sprintf("measured at %d records", latency.Records)
 	}
-	s.lines = append(s.lines, BudgetLine{
-		What:      "added to a call, 99 in 100",
-		Unit:      "ms",
-		ReachedBy: reachedBy,
-		Figure:    latency.Added["p99"],
-		Budget:    s.target.Budget.AddedLatencyMs,
+	b.lines = append(b.lines, BudgetLine{
+		Metric: "added call latency, p99",
+		Unit:   "ms",
+		Basis:  basis,
+		Value:  latency.Added["p99"],
+		Budget: b.target.Budget.AddedLatencyMs,
 	})
 }
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -11,134 +11,141 @@
 	"cottonarch.example/cottonarch/capacity/run"
 )
 
-// formatNumber shows a figure with three significant digits.
-func formatNumber(v float64) string {
-	switch a := math.Abs(v); {
-	case v == 0:
+// formatNumber formats a value with three significant digits and an SI prefix.
+func formatNumber(value float64) string {
+	switch magnitude := math.Abs(value); {
+	case value == 0:
 		return "0"
-	case a >= 1e9:
-		return fmt.Sprintf("%.3g G", v/1e9)
-	case a >= 1e6:
-		return fmt.Sprintf("%.3g M", v/1e6)
-	case a >= 1e4:
-		return fmt.Sprintf("%.3g k", v/1e3)
-	case a >= 100:
-		return fmt.Sprintf("%.0f", v)
-	}
-	return fmt.Sprintf("%.3g", v)
+	case magnitude >= 1e9:
+		return fmt.Sprintf("%.3g G", value/1e9)
+	case magnitude >= 1e6:
+		return fmt.Sprintf("%.3g M", value/1e6)
+	case magnitude >= 1e4:
+		return fmt.Sprintf("%.3g k", value/1e3)
+	case magnitude >= 100:
+		return fmt.Sprintf("%.0f", value)
+	}
+	return fmt.Sprintf("%.3g", value)
 }
 
-// table is Markdown text with tables.
-type table struct{ text strings.Builder }
+// markdownWriter writes Markdown text with tables.
+type markdownWriter struct{ text strings.Builder }
 
-func (t *table) row(cells ...string) { t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+// writeRow writes a row of a table.
+func (w *markdownWriter) writeRow(cells ...string) {
+	w.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
+}
 
-func (t *table) header(cells ...string) {
-	t.row(cells...)
-	t.row(slices.Repeat([]string{"---"}, len(cells))...)
+// writeHeader writes the header row of a table and the separator below.
+func (w *markdownWriter) writeHeader(cells ...string) {
+	w.writeRow(cells...)
+	w.writeRow(slices.Repeat([]string{"---"}, len(cells))...)
 }
 
-// printf writes a line outside of a table.
-func (t *table) printf(format string, args ...any) { fmt.Fprintf(&t.text, format+"\n", args...) }
+// writeLine writes a formatted line outside of a table.
+func (w *markdownWriter) writeLine(format string, args ...any) {
+	fmt.Fprintf(&w.text, format+"\n", args...)
+}
 
-// Tables is the whole text, as it stands on the page.
+// Tables returns the report as Markdown text, as embedded in the page.
 func Tables(result *run.Result) string {
-	rows, t := Rows(result), &table{}
-	t.printf("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
-	t.machine(result)
-	t.omissions(result)
-	t.budget(result, rows)
-	t.activities(result, rows, "core", "Each core")
-	t.activities(result, rows, "sidecar", "The sidecar")
-	t.callLatency(result)
-	t.figures(result, rows)
-	return t.text.String()
-}
-
-// machine tells how busy the machine was.
-func (t *table) machine(result *run.Result) {
+	rows, w := Rows(result), &markdownWriter{}
+	w.writeLine("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
+	w.writeMachineCPU(result)
+	w.writeOmissions(result)
+	w.writeBudget(result, rows)
+	w.writeActivities(result, rows, "core", "Each core")
+	w.writeActivities(result, rows, "sidecar", "The sidecar")
+	w.writeCallLatency(result)
+	w.writeMetrics(result, rows)
+	return w.text.String()
+}
+
+// writeMachineCPU writes the range of the CPU utilization of the machine.
+func (w *markdownWriter) writeMachineCPU(result *run.Result) {
 	lowest, highest := 1.0, 0.0
 	for _, point := range result.Points {
 		lowest, highest = min(lowest, point.MachineCPU), max(highest, point.MachineCPU)
 	}
 	if highest > 0 {
-		t.printf("The machine as a whole, with all else that ran on it, was used to %.0f to %.0f %% meanwhile; "+
-			"times of a crowded machine are not the mesh's.\n", 100*lowest, 100*highest)
+		w.writeLine("The CPU utilization of the whole machine, other programs included, was %.0f to %.0f %%; "+
+			"times measured on an overloaded machine do not describe the mesh.\n", 100*lowest, 100*highest)
 	}
 }
 
-// omissions lists the sizes that were not measured and the times that are left out of the fits.
-func (t *table) omissions(result *run.Result) {
+// writeOmissions writes the sizes that were not measured and the times that are excluded from the fits.
+func (w *markdownWriter) writeOmissions(result *run.Result) {
 	for _, skipped := range result.Skipped {
-		t.printf("- left out: %s", skipped)
+		w.writeLine("- not measured: %s", skipped)
 	}
 	for _, point := range result.Points {
-		if point.Missing > 0 {
-			t.printf("- %s at %d nodes: %d did not come to know in time", point.Load, point.Nodes, point.Missing)
+		if point.TimedOut > 0 {
+			w.writeLine("- %s at %d nodes: %d nodes did not learn of the event in time", point.Workload, point.Nodes, point.TimedOut)
 		}
-		if !point.Clean() {
-			t.printf("- %s at %d nodes: the mesh used %.0f %% of the processors given to it and "+
-				"a process was held up for %.1f s; its times are left out of the fits",
-				point.Load, point.Nodes, 100*point.MeshCPU, point.MaxStall)
+		if !point.HasReliableTimes() {
+			w.writeLine("- %s at %d nodes: the mesh used %.0f %% of the available CPU and "+
+				"a process stalled for %.1f s; the times are excluded from the fits",
+				point.Workload, point.Nodes, 100*point.MeshCPU, point.MaxStall)
 		}
 	}
 }
 
-// budget holds the figures at the target's size against the budgets.
-func (t *table) budget(result *run.Result, rows []Row) {
+// writeBudget writes the comparison of the values at the target size with the budgets.
+func (w *markdownWriter) writeBudget(result *run.Result, rows []Row) {
 	lines := BudgetLines(result, rows)
 	if len(lines) == 0 {
 		return
 	}
-	t.printf("\n### At %d nodes, against the budget\n", result.Target.Nodes)
-	t.header("what", "figure", "budget", "", "reached by")
+	w.writeLine("\n### At %d nodes, against the budget\n", result.Target.Nodes)
+	w.writeHeader("what", "figure", "budget", "", "basis")
 	for _, line := range lines {
 		verdict := "fits"
 		if line.Ratio() > 1 {
 			verdict = fmt.Sprintf("**over, ×%.3g**", line.Ratio())
 		}
-		t.row(line.What, formatNumber(line.Figure)+" "+line.Unit, formatNumber(line.Budget), verdict, line.ReachedBy)
+		w.writeRow(line.Metric, formatNumber(line.Value)+" "+line.Unit, formatNumber(line.Budget), verdict, line.Basis)
 	}
-	t.cores(result, rows)
-	t.deepCall(result)
+	w.writeCoreRows(result, rows)
+	w.writeCallChain(result)
 }
 
-// cores adds the cores' figures, whose budget is a number of machines.
-func (t *table) cores(result *run.Result, rows []Row) {
+// writeCoreRows writes the rows of the cores, whose budget is a number of machines.
+func (w *markdownWriter) writeCoreRows(result *run.Result, rows []Row) {
 	targetNodes := float64(result.Target.Nodes)
 	for _, name := range []string{"core/busiest/processor cores", "core/all/memory", "core/all/messages a second", "core/all/bytes a second"} {
 		row, ok := findRow(rows, "steady", name)
 		if !ok {
 			continue
 		}
-		what := "each core: "
+		metric := "each core: "
 		if row.Activity() == "busiest" {
-			what = "the busiest core: "
+			metric = "the busiest core: "
 		}
 		machines := fmt.Sprintf("%d machines", result.Target.Budget.CoreMachines)
-		t.row(what+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), machines, "", row.reachedBy(targetNodes))
+		w.writeRow(metric+strings.TrimPrefix(row.Unit(), "processor "), formatNumber(row.AtTarget), machines, "", row.basis(targetNodes))
 	}
 }
 
-// deepCall adds the added latency of a call that leads to a chain of others.
-func (t *table) deepCall(result *run.Result) {
+// writeCallChain writes the added latency of a call that causes a chain of further calls, estimated as
+// the added median latency of one call, times the depth of the chain.
+func (w *markdownWriter) writeCallChain(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
 	depth, latency := result.Target.CallDepth, result.CallLatency[len(result.CallLatency)-1]
-	t.row(fmt.Sprintf("a call %d deep, at the half of calls", depth),
+	w.writeRow(fmt.Sprintf("added latency of a call chain %d calls deep, p50", depth),
 		formatNumber(float64(depth)*latency.Added["p50"])+" ms", "", "",
 		fmt.Sprintf("%d × p50", depth))
 }
 
-// activityUnits are the units in which activities are shown side by side.
+// activityUnits are the units that the tables of activities show, one unit per column.
 var activityUnits = []string{"messages a second", "body bytes a second", "processor cores"}
 
-// wholeActivities are names that stand for all activities together.
-var wholeActivities = []string{"all", "busiest", "hollow, mean"}
+// aggregateActivities are the activity names of values that are not attributed to a single activity.
+var aggregateActivities = []string{"all", "busiest", "hollow, mean"}
 
-// activities is one role's work by activity at the target's size.
-func (t *table) activities(result *run.Result, rows []Row, role, title string) {
+// writeActivities writes the steady-state usage of one role by activity, at the size of the target.
+func (w *markdownWriter) writeActivities(result *run.Result, rows []Row, role, title string) {
 	figure := func(activity, unit string) string {
 		if row, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
 			return formatNumber(row.AtTarget)
@@ -149,26 +156,26 @@
 	if len(activities) == 0 {
 		return
 	}
-	t.printf("\n### %s, steady state at %d nodes, by activity\n", title, result.Target.Nodes)
-	t.header(append([]string{"activity", "package"}, activityUnits...)...)
+	w.writeLine("\n### %s, steady state at %d nodes, by activity\n", title, result.Target.Nodes)
+	w.writeHeader(append([]string{"activity", "package"}, activityUnits...)...)
 	for _, activity := range activities {
 		cells := []string{activity, meter.PackageOf(activity)}
 		for _, unit := range activityUnits {
 			cells = append(cells, figure(activity, unit))
 		}
-		t.row(cells...)
+		w.writeRow(cells...)
 	}
-	t.row("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
+	w.writeRow("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
 }
 
-// activitiesOf lists the activities of a role that have a line in the steady state.
+// activitiesOf returns the activities of a role that have a curve in the steady state.
 func activitiesOf(rows []Row, role string) (activities []string) {
 	for _, row := range rows {
 		activity := row.Activity()
 		switch {
-		case row.Load != "steady" || row.Role() != role || row.Line == nil:
+		case row.Workload != "steady" || row.Role() != role || row.Curve == nil:
 		case !slices.Contains(activityUnits, row.Unit()):
-		case slices.Contains(wholeActivities, activity) || slices.Contains(activities, activity):
+		case slices.Contains(aggregateActivities, activity) || slices.Contains(activities, activity):
 		default:
 			activities = append(activities, activity)
 		}
@@ -176,58 +183,61 @@
 	return activities
 }
 
-func (t *table) callLatency(result *run.Result) {
+// writeCallLatency writes the table of the call latency at each size.
+func (w *markdownWriter) writeCallLatency(result *run.Result) {
 	if len(result.CallLatency) == 0 {
 		return
 	}
-	t.printf("\n### Call latency: what both sidecars add to a call, ms\n")
-	t.header("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
+	w.writeLine("\n### Call latency: what both sidecars add to a call, ms\n")
+	w.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
 	for _, point := range result.CallLatency {
-		t.row(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
+		w.writeRow(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
 			formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
 			formatNumber(point.ThroughMesh["p50"]), formatNumber(point.ThroughMesh["p99"]),
 			formatNumber(point.Direct["p50"]), formatNumber(point.Direct["p99"]))
 	}
 }
 
-// figures lists every figure of every load with its line.
-func (t *table) figures(result *run.Result, rows []Row) {
-	last := ""
+// writeMetrics writes one table for each workload, with the measured values and the curve of each metric.
+func (w *markdownWriter) writeMetrics(result *run.Result, rows []Row) {
+	lastWorkload := ""
 	for _, row := range rows {
 		if len(row.Points) == 0 {
 			continue
 		}
-		if row.Load != last {
-			last = row.Load
-			t.figuresHeader(result, last)
+		if row.Workload != lastWorkload {
+			lastWorkload = row.Workload
+			w.writeMetricsHeader(result, lastWorkload)
 		}
 		cells := []string{strings.ReplaceAll(row.Name, "/", ": ")}
 		for _, size := range result.Sizes {
 			cells = append(cells, valueAtSize(row.Points, size))
 		}
-		if row.Line == nil {
-			cells = append(cells, fmt.Sprintf("%d sizes are too few", len(row.Points)), "", "", "")
+		if row.Curve == nil {
+			cells = append(cells, fmt.Sprintf("%d sizes are too few for a fit", len(row.Points)), "", "", "")
 		} else {
 			cells = append(cells,
-				row.Line.Formula(),
-				fmt.Sprintf("%.0f %%", 100*row.Line.MaxRelativeError),
+				row.Curve.Formula(),
+				fmt.Sprintf("%.0f %%", 100*row.Curve.MaxRelativeError),
 				formatNumber(row.AtTarget),
-				row.reachedBy(float64(result.Target.Nodes)))
+				row.basis(float64(result.Target.Nodes)))
 		}
-		t.row(cells...)
+		w.writeRow(cells...)
 	}
 }
 
-func (t *table) figuresHeader(result *run.Result, load string) {
-	t.printf("\n### Load: %s\n", load)
+// writeMetricsHeader writes the heading and the table header of a workload.
+func (w *markdownWriter) writeMetricsHeader(result *run.Result, workload string) {
+	w.writeLine("\n### Load: %s\n", workload)
 	cells := []string{"figure"}
 	for _, size := range result.Sizes {
 		cells = append(cells, fmt.Sprint(size))
 	}
-	t.header(append(cells, "line", "farthest off", fmt.Sprintf("at %d", result.Target.Nodes), "reached by")...)
+	w.writeHeader(append(cells, "line", "largest error", fmt.Sprintf("at %d", result.Target.Nodes), "basis")...)
 }
 
-// valueAtSize shows the figure that was measured at a size, empty if there is none.
+// valueAtSize formats the value that was measured at a size. It returns an empty string if there is no
+// value.
 func valueAtSize(points []fit.Point, size int) string {
 	for _, point := range points {
 		if point.X == float64(size) {
--- a/capacity/workload/events.go
+++ b/capacity/workload/events.go
@@ -12,16 +12,17 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// repetitions is how often small events are measured.
+// repetitions is how many times small events are measured.
 const repetitions = 3
 
-// leave lets endpoints leave, one after the other, from the last node on.
-func (r *Run) leave() error {
+// leaveEndpoints measures the leaving of endpoints, one at a time, starting with the endpoint of the
+// last node.
+func (r *Runner) leaveEndpoints() error {
 	if r.NodeCount < 2 {
 		return nil
 	}
 	left, node := []int{}, r.NodeCount
-	err := r.measureEvent(leaveLoad, min(repetitions, r.NodeCount-1), func() (int64, *testbed.ConditionWait, error) {
+	err := r.measureEvent(leaveWorkload, min(repetitions, r.NodeCount-1), func() (int64, *testbed.ConditionWait, error) {
 		node--
 		left = append(left, node)
 		wait := r.Await(process.Condition{Unhealthy: r.Endpoints(node)}, r.waitTimeout())
@@ -31,38 +32,39 @@
 	if err != nil {
 		return err
 	}
-	return r.renewEndpoints(left)
+	return r.replaceLeftEndpoints(left)
 }
 
-// renewEndpoints restarts nodes whose endpoints have left, so that they get new ones.
-func (r *Run) renewEndpoints(nodes []int) error {
+// replaceLeftEndpoints restarts nodes whose endpoints have left, so that the nodes get new endpoints.
+func (r *Runner) replaceLeftEndpoints(nodes []int) error {
 	if _, _, err := r.StopNodes(nodes); err != nil {
 		return err
 	}
 	if _, _, err := r.StartNodes(nodes); err != nil {
 		return err
 	}
-	return r.awaitSettled()
+	return r.awaitConverged()
 }
 
-// changeRoute changes one route of the configuration.
-func (r *Run) changeRoute() error {
-	return r.measureEvent(changesLoad, repetitions, func() (int64, *testbed.ConditionWait, error) {
-		r.serial++
-		return r.proposeAndAwait(http.MethodPatch, r.Target.Patch(r.serial))
+// changeRoute measures the change of one route of the configuration.
+func (r *Runner) changeRoute() error {
+	return r.measureEvent(routeChangeWorkload, repetitions, func() (int64, *testbed.ConditionWait, error) {
+		r.configSerial++
+		return r.proposeAndAwait(http.MethodPatch, r.Target.Patch(r.configSerial))
 	})
 }
 
-// replaceConfig replaces the whole configuration.
-func (r *Run) replaceConfig() error {
-	return r.measureEvent(configLoad, 1, func() (int64, *testbed.ConditionWait, error) {
-		r.serial++
-		return r.proposeAndAwait(http.MethodPut, r.Target.Config(r.serial))
+// replaceConfig measures the replacement of the whole configuration.
+func (r *Runner) replaceConfig() error {
+	return r.measureEvent(configReplaceWorkload, 1, func() (int64, *testbed.ConditionWait, error) {
+		r.configSerial++
+		return r.proposeAndAwait(http.MethodPut, r.Target.Config(r.configSerial))
 	})
 }
 
-// proposeAndAwait proposes a configuration; time counts from when the operator sent it.
-func (r *Run) proposeAndAwait(method string, config plan.Config) (int64, *testbed.ConditionWait, error) {
+// proposeAndAwait proposes a configuration. The convergence time starts when the proposal is sent to
+// the core.
+func (r *Runner) proposeAndAwait(method string, config plan.Config) (int64, *testbed.ConditionWait, error) {
 	sentAt := meter.Now()
 	revision, err := r.Propose(method, config, r.waitTimeout())
 	if err != nil {
@@ -71,19 +73,21 @@
 	return sentAt, r.Await(process.Condition{Revision: revision}, r.waitTimeout()), nil
 }
 
-// restart restarts nodes together: as many as the target restarts in a day, in proportion to the
-// size.
-func (r *Run) restart() error {
+// restartNodes measures the simultaneous restart of several nodes. The number of nodes is the target's
+// number of restarts per day, scaled to the size of the measured mesh.
+func (r *Runner) restartNodes() error {
 	count := int(math.Round(float64(r.Target.RestartsPerDay) * float64(r.NodeCount) / float64(r.Target.Nodes)))
 	nodes := r.sharedNodes()
-	return r.restartTogether(restartLoad, nodes[:min(max(1, count), len(nodes))])
+	return r.restartTogether(restartWorkload, nodes[:min(max(1, count), len(nodes))])
 }
 
-// startAll lets every node but the full one start anew at the same time.
-func (r *Run) startAll() error { return r.restartTogether(startLoad, r.sharedNodes()) }
+// restartAllNodes measures the simultaneous restart of all nodes except node 0.
+func (r *Runner) restartAllNodes() error {
+	return r.restartTogether(restartAllWorkload, r.sharedNodes())
+}
 
-// sharedNodes lists all nodes but node 0, whose usage is measured.
-func (r *Run) sharedNodes() []int {
+// sharedNodes returns all nodes except node 0, whose usage is measured.
+func (r *Runner) sharedNodes() []int {
 	nodes := []int{}
 	for node := 1; node < r.NodeCount; node++ {
 		nodes = append(nodes, node)
@@ -91,8 +95,8 @@
 	return nodes
 }
 
-// restartTogether stops nodes and starts them again; time counts from the stop.
-func (r *Run) restartTogether(name string, nodes []int) error {
+// restartTogether stops and restarts nodes. The convergence time starts with the stop.
+func (r *Runner) restartTogether(name string, nodes []int) error {
 	if len(nodes) == 0 {
 		return nil
 	}
@@ -106,8 +110,9 @@
 	})
 }
 
-// startAndAwait starts nodes that were stopped and waits until all nodes know their endpoints.
-func (r *Run) startAndAwait(nodes []int) (startedAt int64, wait *testbed.ConditionWait, err error) {
+// startAndAwait restarts stopped nodes and starts to wait until all nodes are ready and know the
+// endpoints of the restarted nodes.
+func (r *Runner) startAndAwait(nodes []int) (startedAt int64, wait *testbed.ConditionWait, err error) {
 	startedAt, started, err := r.StartNodes(nodes)
 	if err != nil {
 		return 0, nil, err
@@ -115,52 +120,54 @@
 	return startedAt, r.Await(process.Condition{Ready: true, Healthy: started}, r.waitTimeout()), nil
 }
 
-// loseZone stops the nodes of one zone at once and starts them again: the last zone of the
-// first region, which has no core as long as there are fewer cores than zones.
-func (r *Run) loseZone() error {
-	zone := r.Target.ZonesPerRegion() - 1
+// failAndRestoreZone measures the simultaneous stop and the simultaneous restart of all nodes of one
+// zone: the last zone of the first region, which has no core as long as there are fewer cores than
+// zones.
+func (r *Runner) failAndRestoreZone() error {
+	lastZone := r.Target.ZonesPerRegion() - 1
 	var nodes []int
 	for _, node := range r.sharedNodes() {
-		if node%r.Target.Zones == zone {
+		if node%r.Target.Zones == lastZone {
 			nodes = append(nodes, node)
 		}
 	}
 	if len(nodes) == 0 {
 		return nil
 	}
-	lost := func() (int64, *testbed.ConditionWait, error) {
+	failNodes := func() (int64, *testbed.ConditionWait, error) {
 		startedAt, stopped, err := r.StopNodes(nodes)
 		if err != nil {
 			return 0, nil, err
 		}
 		return startedAt, r.Await(process.Condition{Unhealthy: stopped}, r.waitTimeout()), nil
 	}
-	if err := r.measureEvent("zone lost", 1, lost); err != nil {
+	if err := r.measureEvent("zone lost", 1, failNodes); err != nil {
 		return err
 	}
 	return r.measureEvent("zone back", 1, func() (int64, *testbed.ConditionWait, error) { return r.startAndAwait(nodes) })
 }
 
-// joinRegions cuts the regions apart for a while, changes the configuration meanwhile on the
-// side of the majority, and joins the regions; time counts from the join.
-func (r *Run) joinRegions() error {
+// healPartition measures the healing of a partition between regions. The partition lasts for Window and
+// until the majority side has then accepted a change of the configuration. The convergence time starts
+// when the partition heals.
+func (r *Runner) healPartition() error {
 	if r.Target.Regions < 2 {
 		return nil
 	}
-	return r.measureEvent(apartLoad, 1, func() (int64, *testbed.ConditionWait, error) {
+	return r.measureEvent(partitionWorkload, 1, func() (int64, *testbed.ConditionWait, error) {
 		if _, err := r.SetPartitioned(true); err != nil {
 			return 0, nil, err
 		}
 		time.Sleep(r.Window)
-		r.serial++
-		revision, proposeErr := r.Propose(http.MethodPatch, r.Target.Patch(r.serial), r.waitTimeout())
-		joinedAt, err := r.SetPartitioned(false)
+		r.configSerial++
+		revision, proposeErr := r.Propose(http.MethodPatch, r.Target.Patch(r.configSerial), r.waitTimeout())
+		healedAt, err := r.SetPartitioned(false)
 		if proposeErr != nil {
 			err = proposeErr
 		}
 		if err != nil {
 			return 0, nil, err
 		}
-		return joinedAt, r.Await(process.Condition{Revision: revision, Ready: true, Healthy: r.Endpoints()}, r.waitTimeout()), nil
+		return healedAt, r.Await(process.Condition{Revision: revision, Ready: true, Healthy: r.Endpoints()}, r.waitTimeout()), nil
 	})
 }
