--- a/control/core/joinqueue/queue_test.go
+++ b/control/core/joinqueue/queue_test.go
@@ -92,8 +92,8 @@
 		outcomes[r.Ticket] = r.Failure.Outcome
 	}
 	must.Eq(t, map[uint64]failure.Outcome{1: failure.OutcomeUnknown, 3: failure.NotExecuted}, outcomes)
-	must.Len(t, 0, q.RefuseWaiting(start-1, failure.Stopping, "the core stops"))
-	refused := q.RefuseWaiting(start, failure.Stopping, "the core stops")
+	must.Len(t, 0, q.RefuseWaiting(start-1, failure.Stopping, "the core is stopping"))
+	refused := q.RefuseWaiting(start, failure.Stopping, "the core is stopping")
 	must.Len(t, 1, refused)
 	must.Eq(t, 4, refused[0].Ticket)
 	must.Eq(t, [][]uint64{nil, {2}}, q.EndBatch(earlyDeadline, true))
--- a/daemon/sidecar/stop.go
+++ b/daemon/sidecar/stop.go
@@ -16,7 +16,7 @@
 	if s.leaving.Swap(true) {
 		return
 	}
-	s.Log.Info("planned stop begins")
+	s.Log.Info("planned stop started")
 	s.mu.Lock()
 	s.applyEndpointChange(s.endpoints.DrainAll(s.clock()))
 	s.mu.Unlock()
