--- a/daemon/sidecar/config_test.go
+++ b/daemon/sidecar/config_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync/atomic"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -46,6 +47,16 @@
 // setConfig sets a configuration with routeCount routes, the first of which has the given timeout.
 func (s *configSource) setConfig(t *testing.T, revision ident.ConfigRevision, routeCount, timeout int) delta.Snapshot {
 	t.Helper()
+	raw := encodeConfig(routeCount, timeout)
+	tree, fail := decode.Parse(raw)
+	must.Nil(t, fail)
+	s.source.Revision, s.source.Raw, s.source.Compressed = revision, raw, delta.NewCompressed(raw)
+	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
+}
+
+// encodeConfig returns a configuration with routeCount routes, the first of which has the given
+// timeout.
+func encodeConfig(routeCount, timeout int) json.RawMessage {
 	routes := map[string]any{}
 	for i := range routeCount {
 		routes[fmt.Sprintf("route-%d", i)] = map[string]any{
@@ -56,11 +67,7 @@
 		}
 	}
 	routes["route-0"].(map[string]any)["timeoutMs"] = timeout
-	raw := operation.Encode(map[string]any{"services": map[string]any{"s.prairie": map[string]any{}}, "ways": routes})
-	tree, fail := decode.Parse(raw)
-	must.Nil(t, fail)
-	s.source.Revision, s.source.Raw, s.source.Compressed = revision, raw, delta.NewCompressed(raw)
-	return delta.Snapshot{Revision: revision, Tree: tree, Raw: raw}
+	return operation.Encode(map[string]any{"services": map[string]any{"s.prairie": map[string]any{}}, "ways": routes})
 }
 
 // activeConfigOf returns the active configuration of a sidecar.
@@ -144,25 +151,32 @@
 
 // Each request during a fetch in several parts finds a newer revision, and the fetch still
 // completes. Guards against a fetch that never completes because every newer revision restarts it.
+// All configurations exist before the fetch, because the time to build one would count against the
+// timeout of the fetch.
 func TestFetchInPartsCompletesUnderFrequentChanges(t *testing.T) {
 	const routes, maxRequests = 12000, 20
+	configs := make([]json.RawMessage, maxRequests) // by revision, from 1 on
+	for i := range configs {
+		configs[i] = encodeConfig(routes, 501+i)
+	}
 	source := &configSource{earlierRelease: true}
-	revision := ident.ConfigRevision(0)
+	var requests atomic.Int64 // the handler of a request that timed out may still be running
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if len(source.queries) == maxRequests {
+		n := requests.Add(1)
+		if n > maxRequests {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		revision++
-		source.setConfig(t, revision, routes, int(500+revision))
+		source.source.Revision, source.source.Raw = ident.ConfigRevision(n), configs[n-1]
 		source.ServeHTTP(w, r)
 	}))
 	defer server.Close()
 	s := New(settings.Sidecar{}, zap.NewNop())
 	s.config.cache.MarkJoined()
-	must.NoError(t, s.fetchConfig(ident.Addr(strings.TrimPrefix(server.URL, "http://"))), must.Sprint(len(source.queries), " requests"))
+	err := s.fetchConfig(ident.Addr(strings.TrimPrefix(server.URL, "http://")))
+	must.NoError(t, err, must.Sprint(requests.Load(), " requests"))
 	must.Greater(t, 2*mesh.DefaultPartBytes, len(source.source.Raw), must.Sprint("the configuration must need several parts"))
 	active, raw := activeConfigOf(s)
-	must.Eq(t, revision, active)
+	must.Eq(t, ident.ConfigRevision(requests.Load()), active)
 	must.Eq(t, string(source.source.Raw), string(raw))
 }
