--- a/daemon/sidecar/clientleaves_test.go
+++ b/daemon/sidecar/clientleaves_test.go
@@ -93,6 +93,52 @@
 	}
 }
 
+// peerTraffic tracks the connections to the endpoint's sidecar and the requests that it serves.
+type peerTraffic struct {
+	mu      sync.Mutex
+	open    map[net.Conn]bool // true for each open connection
+	serving []string          // ids of the requests that the sidecar serves
+}
+
+// trackConn is a hook for http.Server.ConnState.
+func (p *peerTraffic) trackConn(c net.Conn, state http.ConnState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		p.open[c] = true
+	case http.StateClosed:
+		delete(p.open, c)
+	}
+}
+
+// track returns a handler that calls serve and tracks the request meanwhile.
+func (p *peerTraffic) track(serve func(http.ResponseWriter, *http.Request) bool) func(http.ResponseWriter, *http.Request) bool {
+	return func(w http.ResponseWriter, r *http.Request) bool {
+		id := r.Header.Get(testIDHeader)
+		p.mu.Lock()
+		p.serving = append(p.serving, id)
+		p.mu.Unlock()
+		defer func() {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			i := slices.Index(p.serving, id)
+			p.serving = slices.Delete(p.serving, i, i+1)
+		}()
+		return serve(w, r)
+	}
+}
+
+// settled reports whether every open connection carries a request that is being served, and the
+// only requests of disconnected clients among them are running. No connection is used for a second
+// request before the endpoint has responded, so no unread request remains on the connections.
+func (p *peerTraffic) settled(running, disconnected map[string]bool) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.open) == len(p.serving) &&
+		!slices.ContainsFunc(p.serving, func(id string) bool { return disconnected[id] && !running[id] })
+}
+
 // disconnectHarness is a sidecar for callers and a blocking endpoint, either behind the same
 // sidecar or behind another one.
 type disconnectHarness struct {
@@ -100,7 +146,9 @@
 	callerSidecar   *Sidecar
 	endpointSidecar *Sidecar // the sidecar on the endpoint's machine
 	endpoint        *blockingEndpoint
-	addr            string // address for callers
+	addr            string       // address for callers
+	peerTraffic     *peerTraffic // to endpointSidecar, nil if that is callerSidecar
+	peerAddr        ident.Addr   // address of endpointSidecar for callerSidecar
 }
 
 // startDisconnectHarness starts a harness with the given number of slots at the endpoint and of
@@ -109,10 +157,11 @@
 	h := &disconnectHarness{t: t, endpoint: startBlockingEndpoint(t)}
 	h.callerSidecar = newTestSidecar("a", "127.0.0.1:1")
 	h.endpointSidecar = h.callerSidecar
-	besideAddr := ident.Addr("127.0.0.1:1")
+	h.peerAddr = "127.0.0.1:1"
 	if remote {
 		h.endpointSidecar = newTestSidecar("b", "127.0.0.1:2")
-		besideAddr = ident.Addr(h.listen(h.endpointSidecar.ServePeer))
+		h.peerTraffic = &peerTraffic{open: map[net.Conn]bool{}}
+		h.peerAddr = ident.Addr(h.listen(h.peerTraffic.track(h.endpointSidecar.ServePeer), h.peerTraffic.trackConn))
 	}
 	admissionSettings := admission.DefaultSettings()
 	admissionSettings.ExtraRequests = 0
@@ -126,14 +175,16 @@
 		Seq:     1,
 	})
 	h.callerSidecar.sendQueue = priorityqueue.New[*queuedRequest](senders, maxQueued)
-	h.callerSidecar.addWorkloads("b", besideAddr, "e0")
-	h.addr = h.listen(h.callerSidecar.HandleCaller)
+	h.callerSidecar.addWorkloads("b", h.peerAddr, "e0")
+	h.addr = h.listen(h.callerSidecar.HandleCaller, nil)
 	return h
 }
 
-// listen starts a server with the options that the daemon uses.
-func (h *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool) string {
+// listen starts a server with the options that the daemon uses; connState, if not nil, is told the
+// states of its connections.
+func (h *disconnectHarness) listen(serve func(http.ResponseWriter, *http.Request) bool, connState func(net.Conn, http.ConnState)) string {
 	front := server.New("127.0.0.1:0", serve, server.DeadPeerTimeout(3*time.Second), server.PolledCloseDetection())
+	front.ConnState = connState
 	endpointURL, err := front.Endpoint()
 	must.NoError(h.t, err)
 	done := make(chan struct{})
@@ -326,9 +377,14 @@
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
 	h.await("the arrival of all requests", func() bool { return h.routedRequests() == disconnectClients })
+	if h.peerTraffic != nil {
+		h.awaitLastAbandonedSend(disconnectClients - len(disconnected))
+	}
 	h.await("the end of the abandoned requests", func() bool {
 		_, running, _ := h.endpoint.state()
-		return h.holdsOnly(disconnectClients-len(disconnected), countAbandonedRequests(running, disconnected)) && !hasAbandonedRepeatableRequest(running, disconnected, paths)
+		return h.holdsOnly(disconnectClients-len(disconnected), countAbandonedRequests(running, disconnected)) &&
+			!hasAbandonedRepeatableRequest(running, disconnected, paths) &&
+			(h.peerTraffic == nil || h.peerTraffic.settled(running, disconnected))
 	})
 	releasedIDs := map[string]bool{}
 	h.await("the end of all requests", func() bool {
@@ -343,6 +399,18 @@
 	h.checkArrivals(paths)
 }
 
+// awaitLastAbandonedSend waits until the caller's sidecar holds only the given number of requests of
+// remaining clients, so that it sends no abandoned request any more, and until the endpoint's sidecar
+// has accepted all earlier connections. The endpoint's sidecar detects the close of a connection
+// later than the caller's sidecar closes it, and may begin to execute the request until then.
+func (h *disconnectHarness) awaitLastAbandonedSend(staying int) {
+	h.await("the end of the abandoned requests at the caller's sidecar", func() bool { return inFlight(h.callerSidecar) == staying })
+	client := &http.Client{Timeout: conditionTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Get("http://" + string(h.peerAddr)) // on a connection that is accepted after the earlier ones
+	must.NoError(h.t, err)
+	must.NoError(h.t, resp.Body.Close())
+}
+
 // routedRequests returns the number of requests that the caller's sidecar has routed.
 func (h *disconnectHarness) routedRequests() uint64 {
 	h.callerSidecar.mu.Lock()
