--- a/sim/invariant/report.go
+++ b/sim/invariant/report.go
@@ -19,11 +19,11 @@
 		verdict := "held"
 		switch {
 		case violations[rule] > 0:
-			verdict = "VIOLATED"
+			verdict = "BROKEN"
 		case slices.Contains(inconclusive, rule):
-			verdict = "undecided"
+			verdict = "not judged"
 		case onDemandRules[rule] && c.Observed[rule] == 0:
-			verdict = "not tested"
+			verdict = "not asked"
 		}
 		fmt.Fprintf(&b, "%-18s %-10s observed %d, violated %d", rule, verdict, c.Observed[rule], violations[rule])
 		writeCauses(&b, "excused", c.Excused[rule])
