--- a/wire/server/conn.go
+++ b/wire/server/conn.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// wakeIfUnused interrupts the read from an unused connection, which closes the connection.
+// wakeIfUnused interrupts the read from an unused connection, so that Read ends with an error and
+// net/http closes the connection, unless a request has arrived in the meantime.
 func (c *conn) wakeIfUnused(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/wire/server/listener.go
+++ b/wire/server/listener.go
@@ -22,11 +22,11 @@
 // listener opens the socket at the first call of open, as the listener of kratos does.
 type listener struct {
 	addr                 ident.Addr
-	deadPeerTimeout      time.Duration
-	polledCloseDetection bool
-	once                 sync.Once
+	deadPeerTimeout      time.Duration // set by the option DeadPeerTimeout; 0 means no timeout
+	polledCloseDetection bool          // set by the option PolledCloseDetection
+	once                 sync.Once     // guards the opening; stop uses once to prevent a later opening
 	*net.TCPListener
-	err error
+	err error // the result of open
 
 	mu sync.Mutex
 	// acceptUntil is the time until which a stopped listener accepts connections; zero before
@@ -110,7 +110,8 @@
 	return !l.acceptUntil.IsZero()
 }
 
-// hasPending reports whether a connection is waiting to be accepted.
+// hasPending reports whether a connection is waiting to be accepted on a stopped listener. hasPending
+// also moves the deadline that stop has set, so that the connection can still be accepted.
 func (l *listener) hasPending() bool {
 	_ = l.SetDeadline(l.acceptUntil.Add(acceptGrace))
 	raw, err := l.SyscallConn()
--- a/wire/server/stop.go
+++ b/wire/server/stop.go
@@ -8,7 +8,7 @@
 
 const (
 	// minStopPollInterval and maxStopPollInterval limit the interval at which a stopping server
-	// looks for unused connections. The interval doubles from the minimum to the maximum, as in
+	// closes unused connections. The interval doubles from the minimum to the maximum, as in
 	// http.Server.Shutdown.
 	minStopPollInterval = time.Millisecond
 	maxStopPollInterval = 500 * time.Millisecond
@@ -17,8 +17,9 @@
 )
 
 // Stop stops the server gracefully. The server accepts no more connections, answers every request of
-// which a part was read, closes each connection after the response, closes unused connections
-// immediately, and Stop returns when no connection is open. If ctx ends first, Stop returns the error
+// which a part was read, closes each connection after the response, and closes unused connections: an
+// idle connection immediately, a new connection after firstRequestTimeout. Stop returns when no
+// connection is open. If ctx ends first, Stop returns the error
 // of ctx: connections that are unused or on which only a part of a head was read are closed, and
 // handlers continue to run.
 //
