--- a/cmd/cottonarch/core.go
+++ b/cmd/cottonarch/core.go
@@ -15,10 +15,10 @@
 // coreCmd runs a core.
 type coreCmd struct{ settingsFlags }
 
-// Run reads the settings and runs a core until the process is told to stop.
+// Run reads the settings and runs a core until the process receives SIGTERM or SIGINT.
 func (c coreCmd) Run() error { return startDaemon(c.settingsFlags, settings.ReadCore, runCore) }
 
-// runCore runs a core with the given settings until the process is told to stop.
+// runCore runs a core with the given settings until the process receives SIGTERM or SIGINT.
 func runCore(config settings.Core, log *zap.Logger) error {
 	core, meshServer, err := daemon.Core(config, log)
 	if err != nil {
--- a/standin/client/client.go
+++ b/standin/client/client.go
@@ -23,7 +23,7 @@
 	maxIdleConns = 64
 	maxConns     = 256
 	idleTimeout  = 5 * time.Second
-	// seedStream is the second half of the seed of the random generator.
+	// seedStream is the second seed of the random generator; the first is Options.Seed.
 	seedStream = 99
 )
 
@@ -79,8 +79,8 @@
 		kind := drawKind(rng, options.RequestKinds)
 		id := fmt.Sprintf("%s-%d", options.Name, n)
 		if options.AbandonShare > 0 && rng.Float64() < options.AbandonShare {
-			stay := time.Duration(rng.Int64N(int64(options.MaxAbandonDelay)))
-			pending.Go(func() { options.Log.Add(SendAndAbandon(client, options, kind, id, stay)) })
+			abandonDelay := time.Duration(rng.Int64N(int64(options.MaxAbandonDelay)))
+			pending.Go(func() { options.Log.Add(SendAndAbandon(client, options, kind, id, abandonDelay)) })
 			continue
 		}
 		pending.Go(func() { options.Log.Add(Send(client, options, kind, id)) })
--- a/standin/client/result.go
+++ b/standin/client/result.go
@@ -5,25 +5,31 @@
 	"time"
 )
 
-// Outcome is what a client learned about the result of a request.
+// Outcome is the result of a request as the client can determine the result.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	Served      Outcome = "served"
+	// Served is the outcome of a request that was answered by an endpoint of the right service,
+	// whatever the status of the response.
+	Served Outcome = "served"
+	// NotExecuted is the outcome of a request whose response says that no endpoint executed the request.
 	NotExecuted Outcome = "not-run"
-	Unknown     Outcome = "unknown"
+	// Unknown is the outcome of a request whose response leaves open whether an endpoint executed the
+	// request.
+	Unknown Outcome = "unknown"
 	// Dropped is the outcome of a request without a complete HTTP response.
 	Dropped Outcome = "dropped"
-	// Wrong is the outcome of a request whose response belongs to another request.
+	// Wrong is the outcome of a request whose response can't be decoded or belongs to another request.
 	Wrong Outcome = "wrong"
 	// Abandoned is the outcome of a request whose client closed the connection before a response
 	// arrived.
 	Abandoned Outcome = "left"
 )
 
-// Result is what a client knows about a request. Detail is the error, or the body of the response if
-// the outcome is not Served.
+// Result is the result of a request at the client. Detail is the error, or the body of the response,
+// and empty if the outcome is Served. Duration is the time from Start until the response was complete
+// or the request failed.
 type Result struct {
 	ID          string
 	RequestKind *RequestKind
--- a/standin/endpoint/execution.go
+++ b/standin/endpoint/execution.go
@@ -7,9 +7,10 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Execution is one request that an endpoint executed. ReceivedAt is when the request reached the
-// endpoint and WorkTime how long the execution was meant to take. EndedAt is when the execution ended,
-// zero while the execution goes on; the close of the client's connection ends an execution early.
+// Execution is one execution of a request by an endpoint. ReceivedAt is when the request reached the
+// endpoint; WorkTime is the planned duration of the execution. EndedAt is when the execution ended, or
+// zero while the execution is in progress. If the client closes the connection, the execution ends
+// early.
 type Execution struct {
 	ID         string
 	Server     ident.Server
--- a/standin/endpoint/hang.go
+++ b/standin/endpoint/hang.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, but neither reads
-// from nor writes to connections before the endpoint resumes, and sends no heartbeats.
+// SetHung makes the endpoint hang or resume. A hung endpoint accepts connections, but sends no
+// heartbeats, and reads and writes on connections wait until the endpoint resumes.
 func (e *Endpoint) SetHung(hung bool) {
 	e.SetHeartbeatsMuted(hung)
 	e.hangMu.Lock()
@@ -21,7 +21,8 @@
 	}
 }
 
-// waitWhileHung waits while the endpoint hangs, and returns whether the endpoint was hung.
+// waitWhileHung waits until a hung endpoint resumes or stops, and reports whether the endpoint was hung
+// at the time of the call.
 func (e *Endpoint) waitWhileHung() bool {
 	e.hangMu.Lock()
 	resumed := e.resumed
@@ -50,7 +51,7 @@
 	delayedByHang atomic.Bool // whether the last read waited for the endpoint to resume
 }
 
-// connContextKey is the context key of a request's connection.
+// connContextKey is the key of the *hangingConn in the context of a request.
 type connContextKey struct{}
 
 // Accept accepts a connection, whether the endpoint hangs or not.
