--- a/capacity/fit/fit_test.go
+++ b/capacity/fit/fit_test.go
@@ -6,6 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
+// BestCurve selects the expected exponent and extrapolates to size 600 within the expected error. Fewer
+// than MinPoints points give no curve.
 func TestBestCurve(t *testing.T) {
 	for name, c := range map[string]struct {
 		points   []Point
@@ -21,13 +23,13 @@
 		"one value too small to be measured": {[]Point{{10, 0}, {20, 2}, {40, 4}, {80, 8}}, 1, 60, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, ok := BestCurve(c.points)
+			curve, ok := BestCurve(c.points)
 			must.True(t, ok)
-			must.Eq(t, c.exponent, l.Exponent)
-			must.GreaterEq(t, 0, l.Intercept)
-			must.InDelta(t, 1, l.ValueAt(600)/c.at600, max(c.maxError, 0.02))
-			must.Eq(t, 10, l.MinSize)
-			must.Eq(t, 80, l.MaxSize)
+			must.Eq(t, c.exponent, curve.Exponent)
+			must.GreaterEq(t, 0, curve.Intercept)
+			must.InDelta(t, 1, curve.ValueAt(600)/c.at600, max(c.maxError, 0.02))
+			must.Eq(t, 10, curve.MinSize)
+			must.Eq(t, 80, curve.MaxSize)
 		})
 	}
 	_, ok := BestCurve([]Point{{10, 1}, {20, 2}, {40, 4}})
--- a/capacity/meter/activity_test.go
+++ b/capacity/meter/activity_test.go
@@ -36,6 +36,8 @@
 	return names
 }
 
+// receiverPrefix returns the receiver of a method as in functionNames, with a dot, or the empty string
+// for a function.
 func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -58,8 +60,8 @@
 	return name.Name + "."
 }
 
-// Every function, type and folder in the tables exists. After a rename that does not update the tables,
-// the work of the renamed function would silently count as another activity.
+// Every function, type and folder that activityByFunction names exists. After a rename that does not
+// update the table, the CPU time of the renamed function would be counted as another activity.
 func TestNamedFunctionsExist(t *testing.T) {
 	var missing []string
 	for _, entry := range activityByFunction {
@@ -79,6 +81,7 @@
 	must.SliceEmpty(t, missing)
 }
 
+// Every folder that an activity of activityByPath or activityByFunction names as its package exists.
 func TestNamedPackagesExist(t *testing.T) {
 	activities := []Activity{}
 	for _, activity := range activityByPath {
--- a/capacity/meter/partition.go
+++ b/capacity/meter/partition.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// partition is a network partition between regions that can be active or not. Invariant: while the
-// partition is active, bytes between two regions are delayed in both directions, and are lost only if
-// their connection is closed meanwhile.
+// partition simulates a network partition between regions, which SetPartitioned begins and ends.
+// Invariant: while the partition is active, bytes between two regions are delayed in both directions,
+// and are lost only if their connection is closed meanwhile.
 type partition struct {
 	regionOf func(ip string) int
 	mu       sync.Mutex
@@ -19,7 +19,7 @@
 	return &partition{regionOf: regionOf, changed: make(chan struct{})}
 }
 
-// SetPartitioned partitions the regions, or heals the partition.
+// SetPartitioned begins or ends the network partition between the regions.
 func (m *Meter) SetPartitioned(partitioned bool) {
 	m.partition.mu.Lock()
 	defer m.partition.mu.Unlock()
