--- a/sim/world/callattempt.go
+++ b/sim/world/callattempt.go
@@ -12,16 +12,16 @@
 // is cut.
 const cutDetectionLatency = 300 * time.Millisecond
 
-// callAttempt is one attempt of a call, at the sidecar of the client.
+// callAttempt is one attempt of a call, as seen by the client's sidecar.
 type callAttempt struct {
-	sidecar    *Sidecar // of the client
-	generation int      // of that sidecar
+	sidecar    *Sidecar // the client's sidecar
+	generation int      // of the client's sidecar when the attempt began
 	queued     *queuedCall
 	decision   attempt.Decision
 	ended      bool
 }
 
-// tryNext makes the next attempt of a call, or ends it.
+// tryNext makes the next attempt of a call, or ends the call if the router allows no attempt.
 func (s *Sidecar) tryNext(generation int, queued *queuedCall) {
 	if queued.call.Attempts() == 0 {
 		queued.record.LastAttemptEnded = s.world.now // the call waited in the queue until now
@@ -45,8 +45,8 @@
 	s.world.endCall(queued.record, failed)
 }
 
-// finish handles the result of the attempt: it makes the next attempt or ends the call. Only the
-// first call of finish has an effect.
+// finish handles the result of the attempt, and then makes the next attempt or ends the call. Only the
+// first use of finish has an effect, because a response and the timeout may both report a result.
 func (a *callAttempt) finish(result attempt.Result) {
 	if a.ended {
 		return
@@ -79,9 +79,9 @@
 	return attempt.Result{Outcome: attempt.Unknown, Failure: failure.NewUnknown(kind, "the attempt got no response"), Unreachable: kind == failure.LostResponse}
 }
 
-// unreachable returns the result of an attempt that never left the client's sidecar.
-func unreachable(note string) attempt.Result {
-	return attempt.Result{Outcome: attempt.NotExecuted, Failure: failure.New(failure.Unreachable, "%s", note), Unreachable: true}
+// unreachable returns the result of an attempt that was not sent to the endpoint. message says why.
+func unreachable(message string) attempt.Result {
+	return attempt.Result{Outcome: attempt.NotExecuted, Failure: failure.New(failure.Unreachable, "%s", message), Unreachable: true}
 }
 
 // rejected returns the result of an attempt that was rejected without being executed.
@@ -116,8 +116,8 @@
 	return func(target *Sidecar, done func(attempt.Result)) { target.submitForAdmission(admission, done) }
 }
 
-// sendTo sends the attempt to another sidecar. The result is lost if that sidecar ends or the
-// link back is cut before the response is sent.
+// sendTo sends the attempt to another sidecar. The result is lost if the other sidecar ends before the
+// response is sent, or if the link to the client's sidecar is cut when the response is sent.
 func (a *callAttempt) sendTo(target *Sidecar, handle func(*Sidecar, func(attempt.Result))) {
 	w, generation := a.sidecar.world, target.generation
 	w.After(w.linkDelay(), func() {
--- a/sim/world/corecluster_test.go
+++ b/sim/world/corecluster_test.go
@@ -133,7 +133,7 @@
 }
 
 // awaitCatchUp waits until a core votes, has the newest configuration and returns that
-// configuration to a reader. It returns the duration of the wait.
+// configuration to a reader. awaitCatchUp returns the duration of the wait.
 func (cluster *coreCluster) awaitCatchUp(c *Core) time.Duration {
 	began, newest := cluster.world.now, cluster.newestAcknowledged
 	for cluster.world.now.Since(began) <= catchUpDeadline {
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// awaitReplica waits until the core's own disk holds the newest state. It returns the duration of
-// the wait.
+// awaitReplica waits until the core's own disk holds the newest state, and returns the duration of the
+// wait.
 func (cluster *coreCluster) awaitReplica(c *Core) time.Duration {
 	began := cluster.world.now
 	for range 2000 {
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -14,8 +14,8 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// followConfig reads the newest confirmed configuration, as the daemon does. It does nothing while
-// a read is in progress or the core has no majority.
+// followConfig reads the newest confirmed configuration, as the daemon does. followConfig does nothing
+// while a read is in progress or the core can't reach a majority.
 func (c *Core) followConfig() {
 	if c.readingConfig || !c.node.HasMajority(c.limitedTime()) {
 		return
@@ -24,8 +24,8 @@
 	c.ReadConfig(func(bool) { c.readingConfig = false })
 }
 
-// ReadConfig reads the configuration with an operation and installs the result. done is called
-// with whether the read succeeded.
+// ReadConfig reads the configuration with an operation of the control plane and installs the result.
+// ok is true if the read succeeded.
 func (c *Core) ReadConfig(done func(ok bool)) {
 	c.Submit(proposer.Operation{Key: proposal.Key, Kind: proposal.ReadKind}, time.Second, func(result node.Result) {
 		if result.Failure != nil {
--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -157,7 +157,7 @@
 }
 
 // Leave drains the endpoint: the endpoint reports that it is leaving, keeps serving for the drain
-// time, reports that it is gone, and ends. If then is not nil, it is called after that.
+// time, reports that it is gone, and ends. If then is not nil, then is called at the end.
 func (e *Endpoint) Leave(drain time.Duration, then func()) {
 	if !e.running {
 		return
@@ -177,7 +177,7 @@
 }
 
 // SignOffBeforeDrain makes the endpoint sign off first, keep serving for the duration serveOn, and
-// end; then is called after that. The last heartbeat before the sign-off arrives late, after the
+// end; then is called at the end. The last heartbeat before the sign-off arrives late, after the
 // duration lateness.
 func (e *Endpoint) SignOffBeforeDrain(lateness, serveOn time.Duration, then func()) {
 	if !e.running || e.signedOff {
--- a/sim/world/replicas.go
+++ b/sim/world/replicas.go
@@ -9,9 +9,9 @@
 	"cottonarch.example/cottonarch/sim/invariant"
 )
 
-// CompareReplicas checks that every voter holds the same record of every key. It is called after a
-// time without faults, in which read repair and the anti-entropy pass must have repaired all stale
-// replicas.
+// CompareReplicas checks that every voter holds the same record of every key. The caller must let the
+// world run without faults first, so that read repair and the anti-entropy pass have repaired all
+// stale replicas.
 func (w *World) CompareReplicas() {
 	var reference *Core
 	var expected map[ident.Key]quorum.Record
--- a/sim/world/rpc.go
+++ b/sim/world/rpc.go
@@ -8,40 +8,40 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-// reply is the result of a request to another process: a value, a failure that the server returned,
-// or a lost response.
-type reply[T any] struct {
+// rpcResult is the result of a request to another process: a value, a failure that the server
+// returned, or lost if no response arrived.
+type rpcResult[T any] struct {
 	value   T
 	failure *failure.Error
 	lost    bool
 }
 
 // rpc sends a request from a sidecar to another process. The request or the response may be lost.
-// serve runs in the server and responds at most once; done runs in the sidecar and gets a lost
-// reply after the timeout.
-func rpc[T any](s *Sidecar, server *process, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(reply[T])) {
+// serve runs in the server and responds at most once. done runs in the sidecar once, at the latest
+// after the timeout, unless the sidecar has restarted.
+func rpc[T any](s *Sidecar, server *process, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(rpcResult[T])) {
 	rpcWithCost(s, server, server.messageCost, timeout, serve, done)
 }
 
 // rpcWithCost is like rpc, with a given processing time of the request at the server.
-func rpcWithCost[T any](s *Sidecar, server *process, cost, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(reply[T])) {
+func rpcWithCost[T any](s *Sidecar, server *process, cost, timeout time.Duration, serve func(respond func(T, *failure.Error)), done func(rpcResult[T])) {
 	w, generation, ended := s.world, s.generation, false
-	end := func(r reply[T]) {
+	end := func(r rpcResult[T]) {
 		if !ended {
 			ended = true
 			s.runInGeneration(generation, func() { done(r) })
 		}
 	}
-	loseReply := func() { end(reply[T]{lost: true}) }
-	w.After(timeout, loseReply)
+	reportLost := func() { end(rpcResult[T]{lost: true}) }
+	w.After(timeout, reportLost)
 	if !server.running {
-		w.After(connectLatency, loseReply)
+		w.After(connectLatency, reportLost)
 		return
 	}
 	from, to, serverGeneration := s.Addr, server.Addr, server.generation
 	if !w.Links.openBothWays(from, to) {
 		if w.Links.refusesConnections(from, to) {
-			w.After(connectLatency, loseReply)
+			w.After(connectLatency, reportLost)
 		}
 		return
 	}
@@ -49,7 +49,7 @@
 		server.handleMessage(serverGeneration, cost, func() {
 			serve(func(value T, failed *failure.Error) {
 				if w.Links.Open(to, from) {
-					w.After(w.linkDelay(), func() { end(reply[T]{value: value, failure: failed}) })
+					w.After(w.linkDelay(), func() { end(rpcResult[T]{value: value, failure: failed}) })
 				}
 			})
 		})
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -52,8 +52,8 @@
 
 	hasLease       bool
 	joinPending    bool
-	joinAttempts   int // number of joins begun with MutantBypassJoinQueue; it selects the core
-	joinCount      int // number of joins that succeeded; it identifies the next join request
+	joinAttempts   int // number of joins begun with MutantBypassJoinQueue; selects the core
+	joinCount      int // number of joins that succeeded; part of the id of the next join request
 	leaseEpoch     ident.LeaseEpoch
 	reportSequence uint64
 
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -31,7 +31,7 @@
 	for _, p := range peers[:min(len(peers), configcache.MaxNotifiedPeers)] {
 		rpc(s, &p.process, announceTimeout, func(respond func(struct{}, *failure.Error)) {
 			p.handleConfigAnnouncement(config, func() { respond(struct{}{}, nil) })
-		}, func(r reply[struct{}]) {
+		}, func(r rpcResult[struct{}]) {
 			s.configCache.HandleAck(config.Revision, !r.lost)
 			s.enforceReadyConfig()
 		})
@@ -60,7 +60,7 @@
 	})
 }
 
-// enforceReadyConfig puts the cached configuration in force, if there is one that is ready.
+// enforceReadyConfig enforces the cached configuration that is ready, if any is ready.
 func (s *Sidecar) enforceReadyConfig() {
 	if config := s.configCache.TakeReady(s.localTime()); config != nil && s.router.Enforce(config) {
 		s.world.Checker.ConfigShown(s.world.now, "sidecar "+string(s.Node), config, &s.enforcedRevision)
@@ -95,7 +95,7 @@
 	for _, p := range peers[:min(len(peers), maxQueriedPeers)] {
 		rpc(s, &p.process, peerTimeout, func(respond func(peerResponse, *failure.Error)) {
 			respond(p.servePeerQuery(), nil)
-		}, func(r reply[peerResponse]) {
+		}, func(r rpcResult[peerResponse]) {
 			if !r.lost {
 				s.handlePeerResponse(r.value)
 			}
--- a/sim/world/sidecarendpoints.go
+++ b/sim/world/sidecarendpoints.go
@@ -20,8 +20,8 @@
 )
 
 // recordLosses records the endpoints whose heartbeat timeout has ended, by the local clock and the
-// accepted heartbeats. The tracker is not used, because the invariants check the tracker against
-// these records.
+// accepted heartbeats. recordLosses does not use the sidecar's endpoint tracker, because the
+// invariants check the tracker's decisions against these records.
 func (s *Sidecar) recordLosses() {
 	for _, e := range s.Endpoints {
 		if e.lossConfirmedAt == 0 && e.lastHeartbeat != 0 && s.localTime().Since(e.lastHeartbeat) > s.world.heartbeatTimeout() {
@@ -58,12 +58,12 @@
 	var probe func()
 	probe = func() {
 		s.runInGeneration(generation, func() {
-			newcomer, wanted := s.unverifiedHeartbeat(server)
-			if !wanted {
+			heartbeat, unverified := s.unverifiedHeartbeat(server)
+			if !unverified {
 				delete(s.verifying, server)
 				return
 			}
-			if s.router.Revision() > 0 && s.world.answersAsHealthy(newcomer) {
+			if s.router.Revision() > 0 && s.world.respondsAsHealthy(heartbeat) {
 				s.handleEndpointChange(s.tracker.MarkVerified(s.localTime(), server))
 			}
 			s.world.After(verifyPause, probe)
@@ -72,8 +72,8 @@
 	s.world.After(probeLatency, probe)
 }
 
-// unverifiedHeartbeat returns the newest heartbeat of a server that must be verified. It returns
-// false if the server need not be verified.
+// unverifiedHeartbeat returns the newest heartbeat of a server that the tracker lists as unverified.
+// The second result is false if the tracker does not list the server.
 func (s *Sidecar) unverifiedHeartbeat(server ident.Server) (endpoint.Heartbeat, bool) {
 	for _, heartbeat := range s.tracker.Unverified() {
 		if heartbeat.Server == server {
@@ -83,9 +83,9 @@
 	return endpoint.Heartbeat{}, false
 }
 
-// answersAsHealthy reports whether the process at a heartbeat's address is the server of that
+// respondsAsHealthy reports whether the process at a heartbeat's address is the server of that
 // heartbeat and is healthy.
-func (w *World) answersAsHealthy(heartbeat endpoint.Heartbeat) bool {
+func (w *World) respondsAsHealthy(heartbeat endpoint.Heartbeat) bool {
 	e := w.endpoints[heartbeat.Addr]
 	return e != nil && e.running && !e.hung && e.Server == heartbeat.Server && e.state == endpoint.Alive
 }
@@ -118,7 +118,8 @@
 	s.admittedEndpoints = admitting
 }
 
-// setSlots sets the number of slots that a heartbeat reports in the admission queue.
+// setSlots sets the endpoint's number of slots in the admission queue to the number that a heartbeat
+// reports.
 func (s *Sidecar) setSlots(heartbeat endpoint.Heartbeat) {
 	if !s.world.Platform || heartbeat.State != endpoint.Alive || heartbeat.Slots == 0 {
 		return
@@ -129,8 +130,8 @@
 	s.deliverVerdicts(s.admission.SetSlots(s.localTime(), heartbeat.Server, heartbeat.Slots, 0))
 }
 
-// probeFirstEndpoint probes the first local endpoint once after a start of the sidecar, as the
-// daemon does.
+// probeFirstEndpoint probes the first local endpoint once after a start of the sidecar, when a
+// configuration is active. The daemon does so too, but repeats a failed probe.
 func (s *Sidecar) probeFirstEndpoint() {
 	if s.probed || s.router.Revision() == 0 {
 		return
--- a/sim/world/sidecarjoin.go
+++ b/sim/world/sidecarjoin.go
@@ -42,14 +42,14 @@
 	request := joinqueue.Request{Node: s.Node, Run: fmt.Sprintf("%d.%d", s.generation, s.joinCount)}
 	rpc(s, &c.process, joiner.JoinTimeout, func(respond func(node.JoinResult, *failure.Error)) {
 		c.Join(request, respondResult(respond))
-	}, func(r reply[node.JoinResult]) {
+	}, func(r rpcResult[node.JoinResult]) {
 		s.joinPending = false
-		s.handleJoinReply(c.Addr, r)
+		s.handleJoinResult(c.Addr, r)
 	})
 }
 
-// handleJoinReply handles a core's reply to a join request.
-func (s *Sidecar) handleJoinReply(core ident.Addr, r reply[node.JoinResult]) {
+// handleJoinResult handles the result of a join request to a core.
+func (s *Sidecar) handleJoinResult(core ident.Addr, r rpcResult[node.JoinResult]) {
 	switch {
 	case !r.lost && r.failure == nil:
 		s.startLease(r.value)
@@ -81,7 +81,7 @@
 	c := s.world.Cores[s.joinAttempts%len(s.world.Cores)]
 	rpc(s, &c.process, queuelessJoinTimeout, func(respond func(node.JoinResult, *failure.Error)) {
 		c.joinWithoutQueue(s.Node, respond)
-	}, func(r reply[node.JoinResult]) {
+	}, func(r rpcResult[node.JoinResult]) {
 		s.joinPending = false
 		if !r.lost && r.failure == nil {
 			s.startLease(r.value)
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -14,16 +14,20 @@
 )
 
 const (
-	configTimeout = time.Second
-	shareBudget   = 3 * time.Second
-	shareTimeout  = 3500 * time.Millisecond
+	// configRequestTimeout bounds a request for a core's configuration.
+	configRequestTimeout = time.Second
+	// shareOperationTimeout bounds the operation at the core that changes a share of the retry budget;
+	// shareRequestTimeout bounds the sidecar's request for the operation.
+	shareOperationTimeout = 3 * time.Second
+	shareRequestTimeout   = 3500 * time.Millisecond
 )
 
-// allCoresVersion is the version of the list of cores in a renewal response. It is constant, because
-// the simulation always sends the full list.
+// allCoresVersion is the version of the list of cores in a renewal response. The version is constant,
+// because the simulation always sends the full list.
 const allCoresVersion = "all"
 
-// renew renews the lease at its registrars if a renewal is due, as the daemon does.
+// renew renews the lease if a renewal is due, as the daemon does. The renewal is sent to every core that
+// the lease holder selects.
 func (s *Sidecar) renew() {
 	now := s.localTime()
 	s.lease.ChooseRegistrar(now, s.Node, s.Zone, s.world.coreAddrs())
@@ -55,7 +59,7 @@
 	}
 	rpc(s, &c.process, holder.RenewTimeout, func(respond func(record.RenewalResponse, *failure.Error)) {
 		respond(c.renewLease(renewal))
-	}, func(r reply[record.RenewalResponse]) {
+	}, func(r rpcResult[record.RenewalResponse]) {
 		switch {
 		case r.lost:
 			s.lease.HandleFailure(s.localTime(), addr)
@@ -107,9 +111,9 @@
 
 // fetchConfig requests the configuration of a core.
 func (s *Sidecar) fetchConfig(c *Core) {
-	rpc(s, &c.process, configTimeout, func(respond func(*validation.Config, *failure.Error)) {
+	rpc(s, &c.process, configRequestTimeout, func(respond func(*validation.Config, *failure.Error)) {
 		respond(c.config, nil)
-	}, func(r reply[*validation.Config]) {
+	}, func(r rpcResult[*validation.Config]) {
 		if !r.lost {
 			s.addConfig(r.value)
 		}
@@ -124,10 +128,10 @@
 		return
 	}
 	c := s.world.Cores[s.world.Rng.IntN(len(s.world.Cores))]
-	rpc(s, &c.process, shareTimeout, func(respond func(quota.Share, *failure.Error)) {
+	rpc(s, &c.process, shareRequestTimeout, func(respond func(quota.Share, *failure.Error)) {
 		op := proposer.Operation{Key: quota.Key, Kind: quota.TakeKind, Args: operation.Encode(args)}
-		c.Submit(op, shareBudget, respondResult(respond))
-	}, func(r reply[quota.Share]) {
+		c.Submit(op, shareOperationTimeout, respondResult(respond))
+	}, func(r rpcResult[quota.Share]) {
 		if r.lost || args.LeaseEpoch != s.leaseEpoch {
 			return
 		}
--- a/sim/world/sidecarpoll.go
+++ b/sim/world/sidecarpoll.go
@@ -76,15 +76,15 @@
 	}
 	rpcWithCost(s, &c.process, cost, pollTimeout, func(respond func(pollResponse, *failure.Error)) {
 		respond(pollResponse{c.generation, c.node.Leases.FeedVersion(), c.node.Leases.ChangesSince(after), c.config, c.node.Stale()}, nil)
-	}, func(r reply[pollResponse]) {
+	}, func(r rpcResult[pollResponse]) {
 		if pollNumber == s.feed.pollNumber {
-			s.handlePollReply(r)
+			s.handlePollResult(r)
 		}
 	})
 }
 
-// handlePollReply handles the reply to the poll in flight.
-func (s *Sidecar) handlePollReply(r reply[pollResponse]) {
+// handlePollResult handles the result of the poll in flight.
+func (s *Sidecar) handlePollResult(r rpcResult[pollResponse]) {
 	s.feed.polling = false
 	if r.lost {
 		s.feed.generation = 0
