--- a/explore/cluster/join.go
+++ b/explore/cluster/join.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// wipeDisk turns a member's disk into a new, empty disk, because another disk has taken its slot.
+// wipeDisk turns a member's disk into a new, empty disk. A node does so when another disk has taken its
+// slot in the membership.
 func (c *Cluster) wipeDisk(m *member) {
 	var records []ring.Record
 	for _, key := range m.registerAcceptor.RingKeys() {
@@ -64,27 +65,27 @@
 // maxVoters is the maximum number of slots of a membership.
 const maxVoters = 5
 
-// canPromoteJoining reports whether a member in a new slot may become a counted voter: all voters
-// outside new slots must be healthy, and the number of voters must stay odd, alone or together with
-// another healthy member in a new slot.
+// canPromoteJoining reports whether a member in a new slot may become a counted voter. All voters whose
+// slots are not new must be healthy. The number of voters must be odd after the promotion, or after the
+// promotion of another healthy member in a new slot as well.
 func (c *Cluster) canPromoteJoining(m *member) bool {
-	others := 0
+	otherJoining := 0
 	for _, v := range m.membershipAcceptor.Current.Voters {
 		other := c.memberWithDisk(v.Disk)
 		healthy := other != nil && other.running && !other.presumedDead && !other.stopping
 		switch {
 		case v.Joining && other != m && healthy:
-			others++
+			otherJoining++
 		case !v.Joining && !healthy:
 			return false
 		}
 	}
-	return m.membershipAcceptor.Current.Size()%2 == 0 || others > 0
+	return m.membershipAcceptor.Current.Size()%2 == 0 || otherJoining > 0
 }
 
-// mergeCopy writes the records that a majority held to the member's disk. As in a node, the copy is
-// complete only once the records are synced: a message of the member to itself, which waits for that
-// sync, reports the completion.
+// mergeCopy writes the records that were read from a majority to the member's disk. As in a node, the
+// copy is complete only once the records are synced: a message of the member to itself, which waits
+// for the sync, reports the completion.
 func (c *Cluster) mergeCopy(m *member) {
 	copied := m.copyReader.Entries()
 	for _, k := range c.keys() {
@@ -98,7 +99,8 @@
 	m.unsyncedResponses = append(m.unsyncedResponses, newEnvelope(m.number, m.number, message.Message{ScanResponse: &synced}))
 }
 
-// handleCopySynced handles the message that the copied records are synced.
+// handleCopySynced handles the message that the copied records are synced. The copy counts as complete
+// only if the membership has not changed since the copy began.
 func (m *member) handleCopySynced(response quorum.ScanResponse) {
 	m.copySyncRound = 0
 	if response.Membership == m.membershipAcceptor.Current.Epoch {
--- a/fleet/idlecost/report.go
+++ b/fleet/idlecost/report.go
@@ -21,8 +21,8 @@
 	SystemCalls   float64 // reads and writes per second
 }
 
-// Traffic is the traffic of all links of a kind, in bytes per second. CrossZoneBytes is the part of
-// Bytes between different zones.
+// Traffic is the traffic of a group of links, in bytes per second. CrossZoneBytes is the part of Bytes
+// that is sent between different zones.
 type Traffic struct {
 	Bytes          float64
 	CrossZoneBytes float64
@@ -41,8 +41,8 @@
 		role, u.CPUPercent, u.MaxCPUPercent, u.Wakeups, u.SystemCalls)
 }
 
-// summarizeUsage returns the mean rates of the processes between two readings, and the CPU usage of
-// the busiest process.
+// summarizeUsage returns the mean rates over the processes between two readings, and the CPU usage of
+// the busiest process. The readings must have the processes in the same order.
 func summarizeUsage(before, after []processUsage, elapsed time.Duration) (mean RoleUsage) {
 	count, seconds := float64(len(before)), elapsed.Seconds()
 	for i := range before {
--- a/fleet/idlecost/traffic.go
+++ b/fleet/idlecost/traffic.go
@@ -9,7 +9,7 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// link is one direction between two machines, which are identified by their IPs.
+// link is the pair of a sending and a receiving machine, both identified by their IPs.
 type link struct{ from, to string }
 
 // readBytesSent returns the number of bytes sent on the established connections of this machine, by
