--- a/daemon/sidecar/cores.go
+++ b/daemon/sidecar/cores.go
@@ -24,7 +24,7 @@
 )
 
 // coreList holds the known cores and which of the seeds are sidecars. A seed may be a core or a
-// sidecar; only its responses tell which. Sidecar.mu guards the list.
+// sidecar, which only the responses of the seed show. Sidecar.mu guards the list.
 type coreList struct {
 	seeds       []ident.Addr
 	addrs       []ident.Addr                 // the seeds and the recently listed cores
@@ -47,7 +47,8 @@
 	return list
 }
 
-// usable returns the cores. Seeds that are sidecars are included only if nothing else is known.
+// usable returns the addresses of the cores. If all known addresses belong to sidecars, usable returns
+// the sidecars.
 func (l *coreList) usable() []ident.Addr {
 	cores := slices.DeleteFunc(slices.Clone(l.addrs), func(addr ident.Addr) bool { return l.isSidecar[addr] })
 	if len(cores) == 0 {
@@ -90,8 +91,8 @@
 	return true
 }
 
-// handleSeedResponse derives from the result of a peer query whether the seed is a sidecar or a
-// core: a core has no such path.
+// handleSeedResponse derives from the result of a peer query whether the seed is a sidecar or a core. A
+// core has no PeerStatePath and responds with the failure NotFound.
 func (l *coreList) handleSeedResponse(now monotime.Time, seed ident.Addr, err error) {
 	if !slices.Contains(l.seeds, seed) {
 		return
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -18,7 +18,7 @@
 	// endpointMarginMs is how many milliseconds the timeout sent to the endpoint is shorter than
 	// the sidecar's own, so that the endpoint's response to a timeout still arrives in time.
 	endpointMarginMs = 10
-	// maxIdleAge is how long after its last use a kept connection to an endpoint is reused. An
+	// maxIdleAge is how long after its last use an open connection to an endpoint is reused. An
 	// endpoint may close an idle connection just as the next request is sent.
 	maxIdleAge = 2 * time.Second
 )
@@ -103,7 +103,7 @@
 
 // executionContext returns the context of a request's execution. A request that can't be repeated
 // is executed to its end even if its client disconnects, because a canceled execution may have
-// taken effect in part, and nobody could tell.
+// taken effect in part, which no response would report.
 func executionContext(ctx context.Context, request endpointRequest) context.Context {
 	if request.hints.repeatable {
 		return ctx
@@ -231,7 +231,7 @@
 		call.RequiredHeader, call.RejectEncoded = headers.SuccessMark, true
 	}
 	if id := firstValue(call.Header, headers.RequestID); id == "" {
-		// Without an id, a stray response on a kept connection can't be told apart from the
+		// Without an id, a late response on an open connection can't be told apart from the
 		// response to this request, so each request gets a connection of its own.
 		call.SingleUse = true
 	} else {
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -18,8 +18,10 @@
 )
 
 // These tests run all sequences of behaviors of endpoints and relays over the daemon's own code and
-// real sockets, and check every response against the requests that the endpoints received. The
-// faulty builds that the tests detect are listed in docs/design/control-safety/exactly-once.md.
+// real sockets, and check every response against the requests that the endpoints received. A relay
+// stands between two sidecars and injects faults. Requests with a path under /once/ must not be
+// executed more than once; requests under /again/ are repeatable. The faulty builds that the tests
+// detect are listed in docs/design/control-safety/exactly-once.md.
 
 // patientLimit is the timeout of a request that must not time out; shortLimit is the timeout of a
 // request to a peer that hangs.
@@ -32,7 +34,7 @@
 // executed.
 var notExecutedStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// topology places the two endpoints of a service and returns the sidecar for callers.
+// topology sets up the sidecars for the two endpoints of a service and returns the callers' sidecar.
 type topology func(*faultHarness) *Sidecar
 
 func localEndpoints(h *faultHarness) *Sidecar {
@@ -51,25 +53,25 @@
 // runScenario sends requests one after another against one sequence of behaviors. The responses are
 // checked immediately and again at the end of the test, because a rejected request must never be
 // executed later.
-func (h *faultHarness) runScenario(t *testing.T, place topology, limit time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
-	played, number := newScenario(script, relays), fmt.Sprint(h.scenarioCount.Add(1))
-	h.scenarios.Store(number, played)
-	s := place(h)
+func (h *faultHarness) runScenario(t *testing.T, setUp topology, timeout time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
+	sc, number := newScenario(script, relays), fmt.Sprint(h.scenarioCount.Add(1))
+	h.scenarios.Store(number, sc)
+	s := setUp(h)
 	defer h.closeConnections(s)
 	responses := make([]*httptest.ResponseRecorder, len(paths))
 	for n, path := range paths {
-		responses[n] = s.sendAsCaller(path, fmt.Sprint(number, "-r", n), limit)
+		responses[n] = s.sendAsCaller(path, fmt.Sprint(number, "-r", n), timeout)
 	}
 	checkAll := func() {
 		for n, path := range paths {
-			played.checkResponse(t, path, fmt.Sprint(number, "-r", n), responses[n], describeScenario(paths, script, relays))
+			sc.checkResponse(t, path, fmt.Sprint(number, "-r", n), responses[n], describeScenario(paths, script, relays))
 		}
 	}
 	checkAll()
 	t.Cleanup(checkAll)
 }
 
-// closeConnections closes the kept connections of the sidecars.
+// closeConnections closes the idle connections of the callers' sidecar and of the peer.
 func (h *faultHarness) closeConnections(s *Sidecar) {
 	for _, sidecar := range []*Sidecar{s, h.peer.Swap(nil)} {
 		if sidecar == nil {
@@ -93,8 +95,8 @@
 	return strings.Join(names, "; ")
 }
 
-// checkResponse checks the response to one request against what the endpoints received of the
-// request.
+// checkResponse checks the response to one request against the attempts of the request that the
+// endpoints received.
 func (sc *scenario) checkResponse(t *testing.T, path, id string, got *httptest.ResponseRecorder, description string) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -141,6 +143,7 @@
 	return list
 }
 
+// pathPairs lists the paths of two successive requests of a scenario.
 var pathPairs = [][]string{{"/once/x", "/once/y"}, {"/again/x", "/once/y"}, {"/once/x", "/again/y"}}
 
 // behaviorsNamed returns the endpoint behaviors with the given names.
@@ -172,8 +175,8 @@
 	}
 }
 
-// All sequences of two behaviors of the relay between sidecars and two of the endpoints behind the
-// relay.
+// All sequences of two behaviors of the relay between sidecars, combined with all sequences of two
+// behaviors of the endpoints behind the relay.
 func TestAllScenariosWithRemoteEndpoints(t *testing.T) {
 	endpoints := behaviorsNamed("responds", "responds and closes", "responds twice", "rejects as not executed", "executes and resets")
 	must.SliceLen(t, 5, endpoints)
@@ -182,9 +185,9 @@
 			t.Parallel()
 			h := newFaultHarness(t)
 			for _, second := range relayBehaviors {
-				for _, one := range endpoints {
-					for _, two := range endpoints {
-						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointBehavior{one, two}, []relayBehavior{first, second})
+				for _, firstEndpoint := range endpoints {
+					for _, secondEndpoint := range endpoints {
+						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[0], []endpointBehavior{firstEndpoint, secondEndpoint}, []relayBehavior{first, second})
 					}
 				}
 			}
@@ -203,8 +206,8 @@
 			h := newFaultHarness(t)
 			for _, second := range relayBehaviors {
 				for _, third := range relayBehaviors {
-					for _, one := range endpoints {
-						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointBehavior{one}, []relayBehavior{first, second, third})
+					for _, endpoint := range endpoints {
+						h.runScenario(t, remoteEndpoints, patientLimit, pathPairs[1], []endpointBehavior{endpoint}, []relayBehavior{first, second, third})
 					}
 				}
 			}
@@ -233,10 +236,10 @@
 	}
 }
 
-// Concurrent requests on connections that random behaviors keep or close: no two requests are
-// confused, and each response is checked as in the other tests.
+// Concurrent requests on connections that random behaviors leave open or close: no request gets the
+// response to another request, and each response is checked as in the other tests.
 func TestConcurrentRequests(t *testing.T) {
-	const callers, each = 8, 30
+	const callers, requestsPerCaller = 8, 30
 	for seed := range uint64(6) {
 		for name, setUp := range map[string]topology{"local": localEndpoints, "remote": remoteEndpoints} {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
@@ -244,38 +247,38 @@
 				rng := rand.New(rand.NewPCG(seed, 1))
 				var script []endpointBehavior
 				var relays []relayBehavior
-				for range 2 * callers * each { // half of the behaviors are faultless
+				for range 2 * callers * requestsPerCaller { // at least half of the behaviors are without a fault
 					script = append(script, endpointBehaviors[0], randomElement(rng, behaviorsWithoutHang()))
 					relays = append(relays, relayBehaviors[0], randomElement(rng, relayBehaviors))
 				}
 				harness := newFaultHarness(t)
-				played := newScenario(script, relays)
-				harness.scenarios.Store("1", played)
+				sc := newScenario(script, relays)
+				harness.scenarios.Store("1", sc)
 				s := setUp(harness)
 				defer harness.closeConnections(s)
-				var responses [callers][each]*httptest.ResponseRecorder
+				var responses [callers][requestsPerCaller]*httptest.ResponseRecorder
 				path := func(n int) string { return []string{"/once/x", "/again/y"}[n%2] }
 				id := func(caller, n int) string { return fmt.Sprintf("1-%d-%d", caller, n) }
 				var senders sync.WaitGroup
 				for caller := range callers {
 					senders.Go(func() {
-						for n := range each {
+						for n := range requestsPerCaller {
 							responses[caller][n] = s.sendAsCaller(path(n), id(caller, n), patientLimit)
 						}
 					})
 				}
 				senders.Wait()
-				served := 0
+				successes := 0
 				for caller := range callers {
-					for n := range each {
+					for n := range requestsPerCaller {
 						got := responses[caller][n]
-						played.checkResponse(t, path(n), id(caller, n), got, fmt.Sprint("seed ", seed))
+						sc.checkResponse(t, path(n), id(caller, n), got, fmt.Sprint("seed ", seed))
 						if got.Code == http.StatusOK {
-							served++
+							successes++
 						}
 					}
 				}
-				must.Greater(t, callers*each/4, served) // otherwise the faults leave too few successful responses to check
+				must.Greater(t, callers*requestsPerCaller/4, successes) // otherwise the faults leave too few successful responses to check
 			})
 		}
 	}
--- a/daemon/sidecar/faultharness_test.go
+++ b/daemon/sidecar/faultharness_test.go
@@ -27,7 +27,7 @@
 	"cottonarch.example/cottonarch/wire/server"
 )
 
-// connectionEnd is what the far end does with its connection after a behavior.
+// connectionEnd is what an endpoint or the relay does with the connection after a behavior.
 type connectionEnd int
 
 const (
@@ -38,7 +38,7 @@
 	hangs             // sends nothing more until the other end closes
 )
 
-// evidence is what the response to a request proves about its execution.
+// evidence is what the response to a request proves about the execution of the request.
 type evidence int
 
 const (
@@ -110,7 +110,7 @@
 	previousIDs      []string
 	arrivals         map[string][]endpointBehavior // behaviors of the endpoints that received a request, by id
 	outcomeUnknown   map[string]bool               // a relay left the outcome of the request unknown, by id
-	connectionClosed bool                          // the far end has closed or reset a connection
+	connectionClosed bool                          // an endpoint or the relay has closed or reset a connection
 }
 
 func (sc *scenario) nextBehavior(id string) (endpointBehavior, []string) {
@@ -169,7 +169,7 @@
 	scenarios     sync.Map
 	endpoints     []ident.Addr
 	peer          atomic.Pointer[Sidecar]
-	relayAddr     ident.Addr // address of the relay before the peer
+	relayAddr     ident.Addr // address of the relay that forwards to the peer
 }
 
 func newFaultHarness(t *testing.T) *faultHarness {
@@ -184,8 +184,8 @@
 // scenarioOf returns the scenario to which a request id belongs.
 func (h *faultHarness) scenarioOf(id string) *scenario {
 	number, _, _ := strings.Cut(id, "-")
-	played, _ := h.scenarios.Load(number)
-	return played.(*scenario)
+	found, _ := h.scenarios.Load(number)
+	return found.(*scenario)
 }
 
 // startEndpoint starts an endpoint that behaves according to the scenarios.
@@ -239,8 +239,8 @@
 	return behavior
 }
 
-// startRelay starts the relay between two sidecars. It forwards requests either to a sidecar that
-// has endpoints or to a restarted one.
+// startRelay starts the relay between two sidecars. The relay forwards a request either to peer, a
+// sidecar with endpoints, or to restarted, a sidecar that has restarted and has no endpoint yet.
 func (h *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
 	return listen(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
@@ -342,13 +342,13 @@
 }
 
 // sendAsCaller sends a request to a sidecar as a caller does.
-func (s *Sidecar) sendAsCaller(path, id string, limit time.Duration) *httptest.ResponseRecorder {
+func (s *Sidecar) sendAsCaller(path, id string, timeout time.Duration) *httptest.ResponseRecorder {
 	r := httptest.NewRequest("POST", path, strings.NewReader(`{"to":"`+id+`"}`))
 	r.Host = "h"
 	if id != "" {
 		r.Header.Set(testIDHeader, id)
 	}
-	r.Header.Set("X-Limit-Left-Ms", fmt.Sprint(limit.Milliseconds()))
+	r.Header.Set("X-Limit-Left-Ms", fmt.Sprint(timeout.Milliseconds()))
 	w := httptest.NewRecorder()
 	s.ServeCaller(w, r)
 	return w
--- a/daemon/sidecar/hints.go
+++ b/daemon/sidecar/hints.go
@@ -18,30 +18,31 @@
 	maxHintMicroseconds = 1 << 40
 	maxHintBytes        = 1 << 30
 	hintRateScale       = 1000
-	// earlyRejectionFraction is the divisor of the latency target within which a rejection costs
-	// the caller nothing: after a rejection in the first quarter of the target, another endpoint
+	// The latency target divided by earlyRejectionDivisor is the period in which a rejection has no
+	// cost for the caller: after a rejection in the first quarter of the target, another endpoint
 	// can still respond in time.
-	earlyRejectionFraction = 4
+	earlyRejectionDivisor = 4
 )
 
 // admissionHints is the information about a request that the caller's sidecar sends to the
-// admission queue at the endpoint. All times are relative to now, because the clocks of two
-// machines differ. The encoded form has nine integers in the order of the fields: times in
-// microseconds, the rate in thousandths.
+// admission queue at the endpoint. All times are relative to the time at which the hints are built or
+// decoded, because the clocks of two machines differ. The encoded form has nine integers in the order
+// of the fields: times in microseconds, the rate in thousandths, and bools as 0 or 1.
 type admissionHints struct {
 	priority            int
 	expectedServiceTime time.Duration // expected service time at the endpoint; 0 if unknown
-	earlyRejection      time.Duration // how long from now a rejection costs the caller nothing
-	latencyTarget       time.Duration // how long from now a response has its full value
+	earlyRejection      time.Duration // how long from now a rejection has no cost for the caller
+	latencyTarget       time.Duration // how long from now until the latency target
 	peerFailureRate     float64       // failure rate of the service's other endpoints, 0 to 1
-	lastResort          bool          // no other endpoint is left to send the request to
-	responseBytes       int           // mean size of the responses to such requests
-	repeatable          bool          // an execution may be canceled when the client disconnects
+	lastResort          bool          // the request can't be sent to any other endpoint
+	responseBytes       int           // expected size of the response: a mean of earlier responses
+	repeatable          bool          // the request may be executed again, so its execution may be canceled when the client disconnects
 	nested              bool          // the execution of another request waits for this one
 }
 
 // hintsFor returns the hints of a call for the selected endpoint. The latency target of a nested
-// call is its deadline: any response before the deadline lets the waiting execution succeed.
+// call, and of a call whose route has no target, is the deadline of the call. For a nested call, any
+// response before the deadline lets the waiting execution succeed.
 func hintsFor(now, receivedAt monotime.Time, call *attempt.Call, decision attempt.Decision) admissionHints {
 	target := call.Route.TargetLatency
 	if target <= 0 || call.Nested {
@@ -50,7 +51,7 @@
 	return admissionHints{
 		priority:            call.Route.Priority,
 		expectedServiceTime: decision.MeanServiceTime,
-		earlyRejection:      receivedAt.Add(target / earlyRejectionFraction).Since(now),
+		earlyRejection:      receivedAt.Add(target / earlyRejectionDivisor).Since(now),
 		latencyTarget:       receivedAt.Add(target).Since(now),
 		peerFailureRate:     decision.PeerFailureRate,
 		lastResort:          decision.LastResort,
--- a/daemon/sidecar/inbound_test.go
+++ b/daemon/sidecar/inbound_test.go
@@ -51,13 +51,13 @@
 // as not executed before its body is sent, while a small request is still accepted. Once the link
 // is free, the large request is accepted too.
 func TestFullInboundLinkRejectsLargeBodies(t *testing.T) {
-	const large, comingIn = 300 << 10, 2_000_000
+	const large, admittedBytes = 300 << 10, 2_000_000
 	harness := newFaultHarness(t)
-	played := newScenario(nil, nil)
-	harness.scenarios.Store("1", played)
+	sc := newScenario(nil, nil)
+	harness.scenarios.Store("1", sc)
 	destination := newTestSidecar("b", "127.0.0.1:2", harness.endpoints...)
 	destination.inboundLink = bandwidth.NewInbound(11 * settings.BytesPerMegabit)
-	_, ok := destination.inboundLink.Admit(comingIn)
+	_, ok := destination.inboundLink.Admit(admittedBytes)
 	must.True(t, ok)
 	harness.peer.Store(destination)
 	bodies := &countedBodies{}
@@ -79,9 +79,9 @@
 	must.Positive(t, destination.Metrics.Counter(counterInboundLinkFull).Load())
 	must.Eq(t, http.StatusOK, post("1-small", 100).Code)
 	destination.mu.Lock()
-	destination.inboundLink.Received(comingIn)
+	destination.inboundLink.Received(admittedBytes)
 	destination.mu.Unlock()
 	must.Eq(t, http.StatusOK, post("1-free", large).Code)
-	must.Eq(t, 0, len(played.arrivals["1-large"]))
-	must.Eq(t, 1, len(played.arrivals["1-free"]))
+	must.Eq(t, 0, len(sc.arrivals["1-large"]))
+	must.Eq(t, 1, len(sc.arrivals["1-free"]))
 }
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -90,7 +90,7 @@
 		j.joiner.HandleFailure(s.clock(), addr)
 	}
 	answered := fail != nil && fail.Kind != failure.LostResponse
-	isSidecar := fail != nil && fail.Kind == failure.NotFound // a sidecar has no such path, but knows the cores
+	isSidecar := fail != nil && fail.Kind == failure.NotFound // a sidecar has no path for joins, but can list the cores
 	if answered {
 		s.mu.Lock()
 		s.cores.isSidecar[addr] = isSidecar
--- a/daemon/sidecar/join_test.go
+++ b/daemon/sidecar/join_test.go
@@ -23,7 +23,8 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// fakeCore responds to joins with answerJoin and lists the given cores.
+// fakeCore is a process that responds to join requests with the result of handleJoin and to requests
+// for the list of cores with cores. If isCore is false, the list says that the process is a sidecar.
 type fakeCore struct {
 	addr          ident.Addr
 	mu            sync.Mutex
@@ -111,8 +112,8 @@
 	}
 }
 
-// A sidecar waits for a busy core's Retry-After, and the repeated join has the same attempt id; the
-// next join after a granted lease has another one.
+// After a busy core's rejection, a sidecar waits for about the Retry-After, and the repeated join has
+// the same attempt id. The next join after a granted lease has a different attempt id.
 func TestRepeatedJoinKeepsAttemptIDAndRetryAfter(t *testing.T) {
 	f := newFakeCore(t)
 	f.handleJoin = rejectJoin
@@ -130,8 +131,8 @@
 	must.NotEq(t, f.joinRequests[1].AttemptID, f.joinRequests[2].AttemptID)
 }
 
-// After a core that refuses connections, or a seed that is a sidecar, the next process is tried
-// soon.
+// After an attempt at a process that refuses connections, or at a seed that is a sidecar, the sidecar
+// tries the next process within 600 ms.
 func TestJoinSkipsProcessesThatAreNotCores(t *testing.T) {
 	f, sidecarSeed := newFakeCore(t), newFakeCore(t)
 	f.handleJoin = grantJoin
@@ -148,8 +149,8 @@
 	must.Eq(t, 1, f.joins())
 }
 
-// After a join, a configuration that is already held is not fetched again, but a newer one is, and
-// the lowest revision that the join allows is kept.
+// After a join, the sidecar fetches a configuration only if the configuration is newer than the held
+// one, and does not activate a revision older than the revision in the response to the join.
 func TestJoinFetchesOnlyWhatIsNewer(t *testing.T) {
 	f := newFakeCore(t)
 	f.handleJoin = func(mesh.JoinRequest) (mesh.JoinResponse, *failure.Error) {
@@ -178,7 +179,7 @@
 	s.cores.nextQueryAt = map[ident.Addr]monotime.Time{}
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
 	must.False(t, s.peerQuerier.mayQuerySeed(f.addr))
-	s.peerQuerier.query(f.addr, true) // responds that it has no such path, as a core does
+	s.peerQuerier.query(f.addr, true) // fakeCore has no PeerStatePath, like a core
 	must.Between(t, unknownSeedInterval, s.cores.nextQueryAt[f.addr].Since(s.clock()), coreSeedInterval)
 	s.peerQuerier.handleSeedResponse(f.addr, nil)
 	must.True(t, s.peerQuerier.mayQuerySeed(f.addr))
--- a/daemon/sidecar/maintenance.go
+++ b/daemon/sidecar/maintenance.go
@@ -40,7 +40,7 @@
 func (s *Sidecar) tick(now monotime.Time) {
 	s.activatePending()
 	s.planner.RetryBudget.Tick(now)
-	s.stepLimitedClock() // this clock advances by a bounded step per reading and so must be read often
+	s.stepLimitedClock() // advances by a bounded step per reading, so must be read often
 	s.applyEndpointChange(s.endpoints.Tick(now))
 	s.slots.deliver(s.slots.queue.Tick(now))
 }
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -12,9 +12,9 @@
 	// Requests of callers, and of other sidecars, that ended after their client had disconnected.
 	counterCallersDisconnected = "callers_left"
 	counterPeersDisconnected   = "peers_left"
-	// Calls that this machine's endpoint made while executing a request, and those of them that
-	// ended without a response, by kind of failure. Each of the latter may have wasted the
-	// execution.
+	// Calls that this machine's endpoint made while executing a request, and the number of such calls
+	// without a response, by kind of failure. A call without a response may make the execution of the
+	// request useless.
 	counterNested                  = "nested_calls"
 	counterNestedFailedPrefix      = "nested_calls_failed_"
 	counterQueueFull               = "rejected_queue_full"
--- a/daemon/sidecar/peerqueries.go
+++ b/daemon/sidecar/peerqueries.go
@@ -28,19 +28,21 @@
 	peerQueryTimeout = 400 * time.Millisecond
 )
 
-// PeerState is a sidecar's state as reported to a peer that can't reach the cores. Sets is omitted
-// if the peer has the same sets or does not want them.
+// PeerState is a sidecar's state as reported to a peer that queries the sidecar. Sets is the sidecar's
+// copy of the registry, omitted if the querying peer has an identical copy or does not want one.
 type PeerState struct {
 	// ConfigRevision is the newest revision that the sidecar holds.
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
-	// NewestKnownRevision is the newest revision known to be held by some sidecar.
+	// NewestKnownRevision is the newest revision that some sidecar is known to hold.
 	NewestKnownRevision ident.ConfigRevision `json:"heard"`
-	Joined              bool                 `json:"entered"`
-	Sets                []record.Set         `json:"sets,omitempty"`
+	// Joined reports whether the sidecar holds a lease.
+	Joined bool         `json:"entered"`
+	Sets   []record.Set `json:"sets,omitempty"`
 }
 
-// peerQuerier is the background loop that queries peers for a newer configuration, and for their
-// copy of the registry, while no core responds.
+// peerQuerier is the background loop that queries peers for a newer configuration, when no core
+// responds or a newer revision is known but not held. While no core responds, the loop also queries
+// peers for their copy of the registry.
 type peerQuerier struct{ sidecar *Sidecar }
 
 // run queries peers whenever a query is due, until Close.
@@ -54,13 +56,13 @@
 			return
 		}
 		if peers, wantRegistry, due := q.queryDue(); due {
-			q.queryAll(q.withSeeds(peers), wantRegistry)
+			q.queryPeers(q.withSeeds(peers), wantRegistry)
 		}
 	}
 }
 
-// queryDue reports whether peers should be queried now, and returns the known peers and whether
-// their registry is wanted.
+// queryDue reports whether peers should be queried now, and returns the known peers and whether to
+// request a peer's copy of the registry.
 func (q *peerQuerier) queryDue() (peers []ident.Addr, wantRegistry, due bool) {
 	s := q.sidecar
 	now := s.clock()
@@ -79,8 +81,8 @@
 }
 
 // peersByLease returns the addresses of the other sidecars in the registry: live holds those with a
-// valid lease, lapsed those whose lease has lapsed and which may be gone for good. The caller must
-// hold mu.
+// valid lease, lapsed those whose lease has lapsed and which may have been removed permanently. The
+// caller must hold mu.
 func (s *Sidecar) peersByLease() (live, lapsed []ident.Addr) {
 	lapsedByAddr := map[ident.Addr]bool{}
 	for _, set := range s.planner.Index.Sets() {
@@ -103,9 +105,9 @@
 	return live, lapsed
 }
 
-// peersToNotify randomly selects the peers to notify of a new configuration: peers with a valid
-// lease, and peers with a lapsed lease only as far as the former are too few for the required
-// acknowledgements. The caller must hold mu.
+// peersToNotify randomly selects the peers to notify of a new configuration. Peers with a lapsed lease
+// are selected only if there are fewer peers with a valid lease than required acknowledgements. The
+// caller must hold mu.
 func (s *Sidecar) peersToNotify() []ident.Addr {
 	live, lapsed := s.peersByLease()
 	shuffle(live)
@@ -115,7 +117,7 @@
 	return append(peers, lapsed[:min(len(lapsed), missing)]...)
 }
 
-// withSeeds appends the seeds that may be queried as peers now.
+// withSeeds appends to peers the seeds that may be queried as peers now.
 func (q *peerQuerier) withSeeds(peers []ident.Addr) []ident.Addr {
 	for _, seed := range q.sidecar.Settings.Seeds {
 		if !slices.Contains(peers, seed) && q.mayQuerySeed(seed) {
@@ -139,9 +141,9 @@
 	s.cores.handleSeedResponse(s.clock(), seed, err)
 }
 
-// queryAll queries randomly selected peers and waits for the responses. Only one of the peers is
-// asked for its registry, because the copies of all of them would fill a slow link.
-func (q *peerQuerier) queryAll(peers []ident.Addr, wantRegistry bool) {
+// queryPeers queries randomly selected peers and waits for the responses. Only one of the peers is
+// asked for its copy of the registry, because the copies of all peers would fill a slow link.
+func (q *peerQuerier) queryPeers(peers []ident.Addr, wantRegistry bool) {
 	shuffle(peers)
 	var queries sync.WaitGroup
 	for i, peer := range peers[:min(len(peers), maxPeersQueried)] {
@@ -154,7 +156,8 @@
 	queries.Wait()
 }
 
-// query requests the state of one peer and applies the parts of it that are newer.
+// query requests the state of one peer, merges the peer's copy of the registry, and fetches the peer's
+// configuration if the configuration is newer.
 func (q *peerQuerier) query(peer ident.Addr, wantRegistry bool) {
 	s := q.sidecar
 	ctx, cancel := context.WithTimeout(context.Background(), peerQueryTimeout)
@@ -170,8 +173,9 @@
 	}
 }
 
-// peerStateQuery returns the path of a request for a peer's state. If the registry is wanted, the
-// path includes the digest of the local copy, so that an identical copy is not sent.
+// peerStateQuery returns the path and the query string of a request for a peer's state. If the peer's
+// copy of the registry is wanted, the query string has the digest of the local copy, so that the peer
+// does not send an identical copy.
 func (s *Sidecar) peerStateQuery(wantRegistry bool) string {
 	if !wantRegistry {
 		return PeerStatePath + "?brief=1"
@@ -183,7 +187,7 @@
 
 // mergeState merges a peer's state and reports whether the peer's configuration is newer and may be
 // fetched.
-func (q *peerQuerier) mergeState(state PeerState) (newer bool) {
+func (q *peerQuerier) mergeState(state PeerState) (fetchable bool) {
 	s := q.sidecar
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/peerrejection_test.go
+++ b/daemon/sidecar/peerrejection_test.go
@@ -18,8 +18,8 @@
 // unaffected.
 func TestPeerRejectsALargeRequestEarly(t *testing.T) {
 	harness := newFaultHarness(t)
-	played := newScenario(nil, nil)
-	harness.scenarios.Store("1", played)
+	sc := newScenario(nil, nil)
+	harness.scenarios.Store("1", sc)
 	accepting, rejecting := newTestSidecar("b", "127.0.0.1:2", harness.endpoints...), newTestSidecar("b", "127.0.0.1:2", harness.endpoints...)
 	rejecting.Settings.MaxInFlight = 0
 	s := newTestSidecar("a", "127.0.0.1:1")
@@ -40,6 +40,6 @@
 		harness.peer.Store(accepting)
 		must.Eq(t, http.StatusOK, s.sendAsCaller("/once/y", "1-small", patientLimit).Code)
 	}
-	must.Eq(t, 0, len(played.arrivals["1-large"]))
-	must.Eq(t, 2, len(played.arrivals["1-small"]))
+	must.Eq(t, 0, len(sc.arrivals["1-large"]))
+	must.Eq(t, 2, len(sc.arrivals["1-small"]))
 }
--- a/daemon/sidecar/stop.go
+++ b/daemon/sidecar/stop.go
@@ -4,8 +4,9 @@
 
 const (
 	// stopCheckInterval is the interval between checks for requests in flight during a planned
-	// stop, and stopIdleChecks is how many consecutive checks must find none. Sidecars elsewhere
-	// need that second to learn from their registry copies that this machine is leaving.
+	// stop, and stopIdleChecks is how many consecutive checks must find none. The checks take a
+	// second, in which the other sidecars' copies of the registry receive the change that this
+	// machine is leaving.
 	stopCheckInterval = 50 * time.Millisecond
 	stopIdleChecks    = 20
 )
--- a/daemon/sidecar/verification.go
+++ b/daemon/sidecar/verification.go
@@ -17,9 +17,9 @@
 )
 
 // verifyNewEndpoints starts a health check of every endpoint that is known only by heartbeats. A
-// heartbeat may arrive seconds late, and the sign-off that followed it may have been received by an
-// earlier process of this sidecar, which stores nothing on disk: only the endpoint itself can tell.
-// An endpoint whose service has no health check path counts as verified, and an endpoint whose
+// heartbeat may arrive seconds late, when an earlier process of this sidecar has already received the
+// endpoint's sign-off. The sidecar stores nothing on disk, so only a health check shows whether the
+// endpoint still serves. An endpoint whose service has no health check path counts as verified, and an endpoint whose
 // service is not configured must wait. The caller must hold mu.
 func (s *Sidecar) verifyNewEndpoints() {
 	config := s.planner.Config()
