--- a/sim/scenario/options.go
+++ b/sim/scenario/options.go
@@ -35,17 +35,18 @@
 	Faults        []string         // random faults are selected from these; empty means all, "none" means none
 	Schedule      []ScheduledFault // instead of random faults
 	FaultInterval time.Duration    // maximum pause between random faults; 0 means 2 s
-	AddCores      int
-	LoseZone      bool
-	FinalOutage   bool    // at the end all cores lose power and half of the sidecars are killed
-	LossyLinks    bool    // links lose, delay and duplicate messages during the whole run
-	LoadFactor    float64 // factor of the request rate
-	Scale         float64 // further factor of the request rate, to shorten a run; 0 means 1
+	AddCores      int              // number of cores in addition to the cores of the deployment
+	LoseZone      bool             // isolates a zone from the other zones for the rest of the run
+	FinalOutage   bool             // at the end all cores lose power and half of the sidecars are killed
+	LossyLinks    bool             // links lose, delay and duplicate messages during the whole run
+	LoadFactor    float64          // factor of the request rate
+	Scale         float64          // multiplies the request rate in addition to LoadFactor, to shorten a run; 0 means 1
 	Mutant        world.Mutant
-	// Keyspaces adds clients that use keyspaces and the platform's locks. Every client consumes random
-	// numbers of the seed, so clients that always ran would change the runs of known seeds.
+	// Keyspaces adds clients that use keyspaces and the platform's locks. The clients are optional,
+	// because every client draws random numbers from the generator of the run: clients in every run
+	// would change the runs of known seeds.
 	Keyspaces bool
-	// Platform sets World.Platform. Platform is an option for the same reason.
+	// Platform sets World.Platform, which is optional because it changes the runs of known seeds.
 	Platform bool
 	// CoreMessageCost sets World.CoreMessageCost.
 	CoreMessageCost time.Duration
@@ -54,27 +55,27 @@
 // Validate returns an error that lists every invalid option, or nil.
 func (o Options) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the simulation can't be run")
-	add := func(path, format string, args ...any) {
+	addInvalid := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
-	o.validateFaults(add)
+	o.validateFaults(addInvalid)
 	if _, ok := world.Mutants[o.Mutant]; !ok && o.Mutant != "" {
-		add("break", "there is no mutant %q", o.Mutant)
+		addInvalid("break", "there is no mutant %q", o.Mutant)
 	}
 	if o.Mutant.NeedsPlatform() && !o.Platform {
-		add("break", "mutant %q needs the platform option", o.Mutant)
+		addInvalid("break", "mutant %q needs the platform option", o.Mutant)
 	}
 	if o.Duration < minDuration || o.Duration > maxDuration {
-		add("for", "must be from 5s to 1h")
+		addInvalid("for", "must be from 5s to 1h")
 	}
 	if o.LoadFactor < minLoadFactor || o.LoadFactor > maxLoadFactor {
-		add("burden", "must be from %v to %v", minLoadFactor, maxLoadFactor)
+		addInvalid("burden", "must be from %v to %v", minLoadFactor, maxLoadFactor)
 	}
 	if o.AddCores < 0 || o.AddCores > maxAddedCores {
-		add("add-cores", "must be from 0 to %d", maxAddedCores)
+		addInvalid("add-cores", "must be from 0 to %d", maxAddedCores)
 	}
 	if o.CoreMessageCost < 0 || o.CoreMessageCost > maxCoreMessageCost {
-		add("cost", "must be from 0 to %v", maxCoreMessageCost)
+		addInvalid("cost", "must be from 0 to %v", maxCoreMessageCost)
 	}
 	if len(invalid.Faults) > 0 {
 		return invalid
@@ -83,18 +84,18 @@
 }
 
 // validateFaults reports invalid elements of Faults and Schedule.
-func (o Options) validateFaults(add func(path, format string, args ...any)) {
+func (o Options) validateFaults(addInvalid func(path, format string, args ...any)) {
 	for _, name := range o.Faults {
 		if _, ok := Faults[name]; !ok && name != noFaults {
-			add("faults", "there is no fault %q; known: none, %s", name, strings.Join(FaultNames(), ", "))
+			addInvalid("faults", "there is no fault %q; known: none, %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
 	for _, scheduled := range o.Schedule {
 		if _, ok := Faults[scheduled.Fault]; !ok {
-			add("at", "there is no fault %q; known: %s", scheduled.Fault, strings.Join(FaultNames(), ", "))
+			addInvalid("at", "there is no fault %q; known: %s", scheduled.Fault, strings.Join(FaultNames(), ", "))
 		}
 		if scheduled.After < 0 || scheduled.After > o.Duration {
-			add("at", "the time %v is not within the fault phase of %v", scheduled.After, o.Duration)
+			addInvalid("at", "the time %v is not within the fault phase of %v", scheduled.After, o.Duration)
 		}
 	}
 }
