--- a/cmd/cottonarch/simulate.go
+++ b/cmd/cottonarch/simulate.go
@@ -41,7 +41,7 @@
 	Mutant          string        `name:"break" default:"" help:"Break a rule on purpose (a mutant), to check that the violation is found. Known: ${breaks}."`
 }
 
-// Run simulates the seeds. Of several seeds, Run prints only those that broke a rule.
+// Run simulates the seeds. Of several seeds, Run prints only the seeds whose runs violated a rule.
 func (c simulateCmd) Run() error {
 	deployment, options, fail := c.readOptions()
 	if fail != nil {
--- a/daemon/sidecar/attempts.go
+++ b/daemon/sidecar/attempts.go
@@ -14,10 +14,10 @@
 	// approxHeaderBytes approximates the size of the headers of a request and its response between
 	// sidecars.
 	approxHeaderBytes = 800
-	// The timeout sent to a peer is shorter than the attempt's timeout by a tenth of the latter,
-	// but by at most maxPeerMargin, so that the peer's response to a timeout still arrives in time.
-	peerMarginFraction = 10
-	maxPeerMargin      = 20 * time.Millisecond
+	// The timeout sent to a peer is a tenth shorter than the attempt's timeout, but shorter by at
+	// most maxPeerMargin, so that the peer's response to a timeout still arrives in time.
+	peerMarginDivisor = 10
+	maxPeerMargin     = 20 * time.Millisecond
 )
 
 // sendWithRetries sends a request to one endpoint after another until a response arrives or no
@@ -123,7 +123,7 @@
 func peerCall(request endpointRequest, limit time.Duration, urgent bool) exchange.Call {
 	call := request.call
 	call.Deadline, call.ExpectContinue = request.deadline, true
-	peerLimit := limit - min(limit/peerMarginFraction, maxPeerMargin)
+	peerLimit := limit - min(limit/peerMarginDivisor, maxPeerMargin)
 	call.HeaderOverrides = append(make([]exchange.HeaderField, 0, 8), request.call.HeaderOverrides...)
 	call.HeaderOverrides = append(call.HeaderOverrides,
 		exchange.HeaderField{Name: TargetHeader, Value: string(request.server)},
--- a/daemon/sidecar/caller.go
+++ b/daemon/sidecar/caller.go
@@ -118,8 +118,8 @@
 	return request
 }
 
-// isNested reports whether this machine's endpoint made the request while executing another one,
-// and counts such requests; the caller must hold mu.
+// isNested reports whether this machine's endpoint made the request while executing another request,
+// and counts the nested requests; the caller must hold mu.
 func (s *Sidecar) isNested(request *queuedRequest) bool {
 	header := s.Settings.Headers.RequestID
 	if header == "" || !s.activeRequests.containsParentOf(firstValue(request.outgoing.Header, header)) {
--- a/daemon/sidecar/callerconnection_test.go
+++ b/daemon/sidecar/callerconnection_test.go
@@ -63,7 +63,8 @@
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", method, path, testIDHeader, id, len(body), body)
 }
 
-// smuggled is a complete request placed inside a body: no endpoint may execute it.
+// smuggled is a complete request placed inside the body of another request, as in request smuggling. No
+// endpoint may execute the inner request.
 var smuggled = rawRequest("POST", "/once/smuggled", "smuggled", "s")
 
 // connectionCase is the input that a caller sends on one connection, with the expected responses
--- a/daemon/sidecar/classify_test.go
+++ b/daemon/sidecar/classify_test.go
@@ -58,8 +58,8 @@
 	} {
 		must.Eq(t, hints, parseHints(hints.encode()))
 	}
-	// Earlier releases do not say whether an execution may be canceled: the default is that it may
-	// not.
+	// Earlier releases do not say whether an execution may be canceled: by default, an execution may
+	// not be canceled.
 	must.False(t, parseHints("2,1000,2000,3000,250,1,900").repeatable)
 	for _, text := range []string{"", ",,,", "x,y", "-1,-1,-1,-1,-1,-1", "99999999999999999999,1,1,1,1,1"} {
 		hints := parseHints(text)
--- a/daemon/sidecar/configactivation_test.go
+++ b/daemon/sidecar/configactivation_test.go
@@ -37,8 +37,8 @@
 }
 
 // Configurations arrive every 80 ms for four seconds while no peer responds. At any time, the
-// active configuration is at most two seconds behind the newest one, and the active configuration
-// and the one served to peers are complete. Guards against frequent changes that keep every
+// active configuration is at most two seconds behind the newest configuration; both the active
+// configuration and the configuration that is served to peers are complete. Guards against frequent changes that keep every
 // configuration from becoming active.
 func TestFrequentConfigsAreActivated(t *testing.T) {
 	const gap, maxDelay, changes = 80 * time.Millisecond, 2 * time.Second, 50
--- a/daemon/sidecar/configwatch_test.go
+++ b/daemon/sidecar/configwatch_test.go
@@ -72,8 +72,8 @@
 	return s
 }
 
-// Over a saturated link, all cores respond late to renewals. The poll continues at the first core;
-// canceled with each renewal, it would never return anything.
+// Over a saturated link, all cores respond late to renewals. The poll continues at the first core: if
+// each renewal canceled the poll, no poll would ever return a change.
 func TestPollContinuesWhileAllCoresAreLate(t *testing.T) {
 	const renewalsFailed = 5
 	a, b := &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}, &slowCore{renewAfter: holder.RenewTimeout + 100*time.Millisecond}
--- a/daemon/sidecar/endpointcall.go
+++ b/daemon/sidecar/endpointcall.go
@@ -30,7 +30,7 @@
 	service          ident.Service
 	call             exchange.Call
 	deadline         time.Time
-	retryProbability float64 // probability that the request repeats one that was executed
+	retryProbability float64 // probability that the request repeats an executed request
 	hints            admissionHints
 }
 
@@ -163,7 +163,7 @@
 }
 
 // checkAddrUnchanged is the last check before the first byte: while the connection was being
-// established, the endpoint may have stopped and another one may have taken over its address.
+// established, the endpoint may have stopped and another endpoint may have taken over the address.
 func (s *Sidecar) checkAddrUnchanged(request endpointRequest, addr ident.Addr) *failure.Error {
 	current, fail := s.checkEndpoint(request)
 	if fail == nil && current != addr {
@@ -208,9 +208,9 @@
 	}
 }
 
-// classifyResponse distinguishes the endpoint's response to the request from its statement that it
-// did not execute the request. The exchange has already checked that the response is complete and
-// belongs to this request.
+// classifyResponse distinguishes the response of an executed request from a response by which the
+// endpoint states that the endpoint did not execute the request. The exchange has already checked that
+// the response is complete and belongs to this request.
 func classifyResponse(headers settings.Headers, resp *exchange.Response) endpointResult {
 	if resp.Status == http.StatusMisdirectedRequest || headers.NotExecuted != "" && firstValue(resp.Header, headers.NotExecuted) != "" {
 		fail := failure.New(failure.Busy, "the endpoint rejected the request").WithRetryAfter(retryAfterSeconds)
--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -196,7 +196,7 @@
 }
 
 // All sequences of three behaviors of the relay, with a repeatable request before a non-repeatable
-// one.
+// request.
 func TestAllRelayScenariosForRepeatableRequests(t *testing.T) {
 	endpoints := behaviorsNamed("responds", "executes and resets")
 	must.SliceLen(t, 2, endpoints)
--- a/daemon/sidecar/fuzz_test.go
+++ b/daemon/sidecar/fuzz_test.go
@@ -58,7 +58,7 @@
 
 // A caller or another sidecar sends anything that net/http parses as a request: the request gets a
 // response and leaves nothing in flight. The endpoint reads at most one request, which is the
-// caller's own, with the mesh's own headers and without forged ones.
+// caller's own, with the headers that the mesh sets and without mesh headers from the caller.
 func FuzzIntake(f *testing.F) {
 	for _, seed := range []string{
 		rawRequest("POST", "/once/x", "r1", "one"), rawRequest("HEAD", "//x//y/../z?q=%2F&a=;b", "r1", ""), "GET http://other.example/x HTTP/1.1\r\nHost: h\r\n\r\n",
--- a/daemon/sidecar/join.go
+++ b/daemon/sidecar/join.go
@@ -129,7 +129,7 @@
 func (j *leaseJoiner) complete(addr ident.Addr, granted mesh.JoinResponse) {
 	s := j.sidecar
 	haveRevision := s.applyLease(granted)
-	j.attemptID = "" // a later join is a new one
+	j.attemptID = "" // a later join must have another id
 	j.joiner.Reset()
 	s.leaseHeld.Store(true)
 	if granted.ConfigRevision > haveRevision {
--- a/daemon/sidecar/metrics.go
+++ b/daemon/sidecar/metrics.go
@@ -87,8 +87,8 @@
 // deprecatedPrefixes lists the prefixes in deprecatedNames.
 var deprecatedPrefixes = []string{counterRequestsFailedPrefix, counterAdmissionRejectedPrefix, gaugeRetriesPrefix}
 
-// deprecatedName returns the deprecated name of a counter or gauge and reports whether there is
-// one.
+// deprecatedName returns the deprecated name of a counter or gauge, and reports whether the counter or
+// gauge has a deprecated name.
 func deprecatedName(name string) (string, bool) {
 	if deprecated, ok := deprecatedNames[name]; ok {
 		return deprecated, true
--- a/daemon/sidecar/peernotices.go
+++ b/daemon/sidecar/peernotices.go
@@ -15,8 +15,8 @@
 
 	// noticeTimeout bounds the notice to one peer.
 	noticeTimeout = 250 * time.Millisecond
-	// The handler of a notice waits for a fetch in progress: it checks every fetchWaitInterval, at
-	// most maxFetchWaits times.
+	// The handler of a notice waits until no fetch is in progress. The handler checks every
+	// fetchWaitInterval, at most maxFetchWaits times.
 	fetchWaitInterval = 10 * time.Millisecond
 	maxFetchWaits     = 15
 )
--- a/daemon/sidecar/peerresult.go
+++ b/daemon/sidecar/peerresult.go
@@ -24,7 +24,7 @@
 	// resultNoCapacity: no byte of the request was sent, because the endpoint or the link would not
 	// have had capacity in time.
 	resultNoCapacity peerResult = "bay"
-	// resultShed: the endpoint itself stated that it did not execute the request.
+	// resultShed: the endpoint itself stated that the request was not executed.
 	resultShed peerResult = "shed"
 	// resultUnknown: the endpoint may have executed the request.
 	resultUnknown peerResult = "unsure"
@@ -69,8 +69,8 @@
 	return nil, result
 }
 
-// peerFailure decodes the failure that comes with a result, and reports whether there is a valid
-// one. The response to a HEAD request has no body, so its failure follows from the result alone.
+// peerFailure decodes the failure that comes with a result, and reports whether the failure is valid.
+// The response to a HEAD request has no body, so its failure follows from the result alone.
 func peerFailure(call exchange.Call, resp *exchange.Response, received peerResult) (*failure.Error, bool) {
 	if _, known := attemptResults[received]; known && call.Method == http.MethodHead {
 		return failureWithoutBody(received), true
--- a/daemon/sidecar/peerserver.go
+++ b/daemon/sidecar/peerserver.go
@@ -11,9 +11,9 @@
 	"cottonarch.example/cottonarch/wire/response"
 )
 
-// urgentReserveFraction reserves one in this many of the requests that may be in flight, a quarter,
-// for urgent requests.
-const urgentReserveFraction = 4
+// urgentReserveDivisor is the divisor of the maximum number of requests in flight: the result, a quarter
+// of the maximum, is reserved for urgent requests.
+const urgentReserveDivisor = 4
 
 // peerRejection is the reason why a request of another sidecar is not sent to the endpoint.
 type peerRejection struct {
@@ -56,7 +56,7 @@
 func (s *Sidecar) beginPeerRequest(urgent bool) bool {
 	limit := s.Settings.MaxInFlight
 	if !urgent {
-		limit -= limit / urgentReserveFraction
+		limit -= limit / urgentReserveDivisor
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/daemon/sidecar/probe.go
+++ b/daemon/sidecar/probe.go
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.endpoints.Workloads()) == 0 {
-		_ = s.applyHeartbeat(heartbeat) // the next heartbeat makes up for a rejected one
+		_ = s.applyHeartbeat(heartbeat) // if the heartbeat is rejected, the next heartbeat of the endpoint replaces it
 		s.applyEndpointChange(s.endpoints.MarkVerified(s.clock(), heartbeat.Server))
 	}
 	return true
@@ -119,7 +119,7 @@
 }
 
 // heartbeatFromProbe converts the response to a probe into a heartbeat. There is no heartbeat
-// unless the response says that the endpoint is healthy and identifies it.
+// unless the response says that the endpoint is healthy and names the server.
 func (s *Sidecar) heartbeatFromProbe(resp *exchange.Response) (endpoint.Heartbeat, bool) {
 	server := s.healthyServer(resp)
 	if server == "" {
--- a/daemon/sidecar/probe_test.go
+++ b/daemon/sidecar/probe_test.go
@@ -11,8 +11,8 @@
 	"cottonarch.example/cottonarch/wire/exchange"
 )
 
-// When a sidecar starts, only an endpoint whose response reports it as healthy, and identifies it,
-// counts as healthy.
+// When a sidecar starts, an endpoint counts as healthy only if the response to a probe says so and names
+// the server.
 func TestHeartbeatFromProbe(t *testing.T) {
 	s := New(settings.Sidecar{
 		EndpointAddr:    "127.0.0.1:9",
--- a/daemon/sidecar/renewal.go
+++ b/daemon/sidecar/renewal.go
@@ -245,8 +245,8 @@
 	}
 }
 
-// endLease gives up the lease if it still has the given epoch, and reports whether it did; the
-// caller must hold mu.
+// endLease gives up the lease if the lease still has the given epoch, and reports whether the lease was
+// given up; the caller must hold mu.
 func (s *Sidecar) endLease(leaseEpoch ident.LeaseEpoch, err error) bool {
 	if leaseEpoch != s.leaseEpoch {
 		return false
