--- a/sim/world/links.go
+++ b/sim/world/links.go
@@ -30,7 +30,7 @@
 	LossRate, DuplicateRate float64
 	DelayRate               float64      // fraction of messages with an additional delay of up to longDelay
 	cuts                    map[link]int // number of faults that cut a link now
-	refused                 map[link]int // number of those faults that refuse connections
+	refused                 map[link]int // number of faults that cut a link and refuse connections now
 	healCount               int
 	LostMessages            int
 	SentMessages            int
--- a/sim/world/sidecarpoll.go
+++ b/sim/world/sidecarpoll.go
@@ -11,9 +11,8 @@
 
 const (
 	pollTimeout = time.Second
-	// ignoredPollRatio is the average number of due polls of which one is sent with
-	// MutantIgnoreUpdates.
-	ignoredPollRatio = 100
+	// With MutantIgnoreUpdates, a sidecar sends on average one of pollsPerSentPoll due polls.
+	pollsPerSentPoll = 100
 )
 
 // registryFeed is the position up to which a sidecar has read the registry at one core.
@@ -57,7 +56,7 @@
 	if target := s.lease.PollTarget(); target != s.feed.core {
 		s.feed.switchTo(target)
 	}
-	if s.feed.polling || s.world.Mutant == MutantIgnoreUpdates && s.world.Rng.IntN(ignoredPollRatio) > 0 {
+	if s.feed.polling || s.world.Mutant == MutantIgnoreUpdates && s.world.Rng.IntN(pollsPerSentPoll) > 0 {
 		return
 	}
 	c := s.world.coreAt(s.feed.core)
--- a/sim/world/world.go
+++ b/sim/world/world.go
@@ -100,7 +100,7 @@
 	return interval/2 + w.randomUpTo(interval)
 }
 
-// machineAddrs returns the addresses of all machines, those of the cores first.
+// machineAddrs returns the addresses of all machines, beginning with the cores.
 func (w *World) machineAddrs() []ident.Addr {
 	addrs := w.coreAddrs()
 	for _, s := range w.Sidecars {
