--- a/fleet/run/faults_core.go
+++ b/fleet/run/faults_core.go
@@ -9,14 +9,14 @@
 	"cottonarch.example/cottonarch/fleet/process"
 )
 
-// Indexes of the machines that replace lost cores, above the indexes of the founding cores.
+// Indexes of the machines of replacement cores, above the indexes of the cores that the run starts with.
 const (
 	firstReplacementIndex = 20
 	replacementIndexes    = 200
 )
 
-// replacementVoteTimeout bounds how long a core on a new machine takes to vote. The timeout is longer
-// than voteTimeout because the other processes must first learn the new core's address.
+// replacementVoteTimeout bounds how long a core on a new machine takes to become a voter. The timeout is
+// longer than voteTimeout because the other processes must first learn the new core's address.
 const replacementVoteTimeout = 25 * time.Second
 
 // configFromPeersTimeout is the time within which a sidecar that starts without access to any core
@@ -31,7 +31,8 @@
 	f.restart(core)
 }
 
-// coreDiskLoss kills a core and restarts the core with an empty disk. The core must vote again.
+// coreDiskLoss kills a core and restarts the core with an empty disk. The core must become a
+// voter again.
 func (f *Fleet) coreDiskLoss(ctx context.Context) {
 	core := f.randomProcess(f.Cores)
 	core.Kill()
@@ -44,8 +45,8 @@
 	f.increment("new disks that vote")
 }
 
-// coreReplace kills a core for good. A core with an empty disk and a new address, whose seeds are one
-// core and two sidecars, takes the slot of the lost core.
+// coreReplace kills a core without restarting the core. A replacement with an empty disk and a new
+// address, whose seeds are one core and two sidecars, takes the slot of the killed core.
 func (f *Fleet) coreReplace(context.Context) {
 	cores := f.currentCores()
 	slot := f.rng.IntN(len(cores))
@@ -96,8 +97,8 @@
 }
 
 // controlPlaneIsolation cuts the links between all cores and all sidecars, and kills and restarts a
-// sidecar meanwhile. The sidecar must serve again with the configuration of peers, and must not have
-// an older revision in force than before the restart.
+// sidecar meanwhile. The restarted sidecar must have a configuration from peers in force within
+// configFromPeersTimeout. sampleCounters checks that the revision is not older than before the restart.
 func (f *Fleet) controlPlaneIsolation(ctx context.Context) {
 	f.recordMajorOutage("cores isolated from sidecars")
 	var endOutages []func()
@@ -121,7 +122,8 @@
 	f.awaitReady(restarted)
 }
 
-// checkServing checks that a sidecar that could not join a core has a configuration in force.
+// checkServing checks that a sidecar that started without access to any core has a configuration in
+// force.
 func (f *Fleet) checkServing(sidecar *process.Process) {
 	var status struct {
 		Revision ident.ConfigRevision `json:"manifest"`
--- a/fleet/run/processes.go
+++ b/fleet/run/processes.go
@@ -38,7 +38,7 @@
 // seedCount is the number of cores that are seeds.
 const seedCount = 3
 
-// startCores starts the founding cores of the deployment and returns the addresses of the seeds.
+// startCores starts the cores that form the first membership of the deployment, and returns the addresses of the seeds.
 func (f *Fleet) startCores() (seeds []string, err error) {
 	var founders []string
 	for i := range f.Deployment.Cores {
@@ -173,7 +173,7 @@
 	}
 }
 
-// awaitVote checks that a core votes in time, such as a core that started with an empty disk.
+// awaitVote checks that a core that started with an empty disk becomes a voter within the timeout.
 func (f *Fleet) awaitVote(core *process.Process, timeout time.Duration) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -185,7 +185,7 @@
 			return
 		}
 	}
-	f.recordViolation(ruleSlowRecovery, "%s does not vote after %v", core.Name, timeout)
+	f.recordViolation(ruleSlowRecovery, "%s did not become a voter within %v", core.Name, timeout)
 }
 
 // stopOrKill stops a process gracefully, as planned maintenance does. A process that does not end
