--- a/explore/options.go
+++ b/explore/options.go
@@ -1,6 +1,6 @@
 // Package explore is a model checker for the state machines of the control plane. The model checker
-// tries all orders of messages and faults up to a limit, and longer orders by guided random walks.
-// Other programs may embed the package; cottonarch explore is its command.
+// tries all orders of messages and faults up to a limit, and longer orders by guided random walks. The
+// command cottonarch explore runs the model checker; other programs may use the package directly.
 package explore
 
 import (
@@ -17,19 +17,22 @@
 
 // Options select what is explored and within which limits.
 type Options struct {
-	Model     Model `json:"model"`
-	Members   int   `json:"members"`
-	Keys      int   `json:"keys"`
-	Operators int   `json:"operators"`
+	Model Model `json:"model"`
+	// Members is the number of members of the initial membership, Keys the number of keys, and
+	// Operators the number of concurrent clients.
+	Members   int `json:"members"`
+	Keys      int `json:"keys"`
+	Operators int `json:"operators"`
 	// Operations is the number of operations that each client requests; 0 means the default of the
 	// search.
 	Operations int `json:"deeds,omitempty"`
-	// Waits, if set, replace the durations of the model by which time may advance.
+	// Waits, if set, are the durations by which time may advance, in place of the model's durations.
 	Waits []time.Duration `json:"waits,omitempty"`
-	// Depth limits the choices of a run in the breadth-first search, States its remembered states.
+	// Depth limits the number of choices in a run of a breadth-first search. States limits the number
+	// of states that the breadth-first searches of a model remember together.
 	Depth  int `json:"depth"`
 	States int `json:"states"`
-	// KeyKinds, if set, are the kinds of the keys and replace Keys keys of the model.
+	// KeyKinds, if set, holds the kind of each key. Keys and the kinds of the model are then not used.
 	KeyKinds []cluster.KeyKind `json:"kinds,omitempty"`
 	// Faults, if set, replace the fault limits of the model.
 	Faults map[cluster.Fault]int `json:"faults,omitempty"`
@@ -37,9 +40,10 @@
 	Walks int    `json:"walks"`
 	Steps int    `json:"steps"`
 	Seed  uint64 `json:"seed"`
-	// Mutant names the fault that is built in on purpose, empty for none.
+	// Mutant names the fault that is put into the code under test on purpose, empty for none.
 	Mutant cluster.Mutant `json:"break,omitempty"`
-	// Ring lets members write to the ring that the daemon uses as its disk format. Ring is slower.
+	// Ring makes members store their records in a ring, the daemon's file format, instead of a simple
+	// model of a disk. A search with Ring is slower.
 	Ring bool `json:"ring,omitempty"`
 	// Stop, if set, is called between runs; a true result ends the search early.
 	Stop func() bool `json:"-"`
@@ -105,16 +109,16 @@
 // Validate returns an error that lists every invalid option, or nil.
 func (o Options) Validate() *failure.Error {
 	invalid := failure.New(failure.BadSettings, "the exploration can't be run")
-	addFault := func(path, format string, args ...any) {
+	addInvalid := func(path, format string, args ...any) {
 		invalid.Faults = append(invalid.Faults, failure.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 	checkRange := func(path string, n, lowest, highest int) {
 		if n < lowest || n > highest {
-			addFault(path, "must be from %d to %d", lowest, highest)
+			addInvalid(path, "must be from %d to %d", lowest, highest)
 		}
 	}
 	if _, known := modelDefinitions[o.Model]; !known && o.Model != All {
-		addFault("model", "there is no model %q", o.Model)
+		addInvalid("model", "there is no model %q", o.Model)
 	}
 	checkRange("members", o.Members, minMembers, maxMembers)
 	checkRange("keys", o.Keys, 1, maxKeys)
@@ -124,12 +128,12 @@
 	checkRange("steps", o.Steps, 1, maxWalks)
 	for f, n := range o.Faults {
 		if !slices.Contains(cluster.Faults(), f) {
-			addFault("faults", "there is no fault %q", f)
+			addInvalid("faults", "there is no fault %q", f)
 		}
 		checkRange("faults", n, 0, maxFaults)
 	}
 	if _, known := mutants[o.Mutant]; !known && o.Mutant != "" {
-		addFault("break", "there is no mutant %q; known: %s", o.Mutant, strings.Join(MutantNames(), ", "))
+		addInvalid("break", "there is no mutant %q; known: %s", o.Mutant, strings.Join(MutantNames(), ", "))
 	}
 	if len(invalid.Faults) == 0 {
 		return nil
