--- a/control/register/quorum/patch_test.go
+++ b/control/register/quorum/patch_test.go
@@ -28,7 +28,8 @@
 }
 
 // A patch reproduces the next value byte for byte from its base, wherever the two values differ and
-// whichever characters lie at the boundaries. Its text is at most half as long as the value.
+// whichever characters lie at the boundaries of the difference. Middle, the text of the patch, is at
+// most half as long as the next value.
 func TestPatchReproducesValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	parts := []string{"a", `"`, `\`, "ä", "日本", "🚀", "<&>", "\u2028", "aaaa", ",", "\x00", "\xff"}
@@ -39,7 +40,7 @@
 		}
 		return b.String()
 	}
-	made, none := 0, 0
+	patches, withoutPatch := 0, 0
 	for i := range 20000 {
 		baseValue := text(rng.IntN(900))
 		from, to := rng.IntN(len(baseValue)+1), rng.IntN(len(baseValue)+1)
@@ -53,26 +54,26 @@
 		}
 		p := quorum.Diff(base, ownBallot, []byte(next))
 		if p == nil {
-			none++
+			withoutPatch++
 			continue
 		}
-		made++
+		patches++
 		must.LessEq(t, len(next)/2, len(p.Middle))
 		got, ok := roundTrip(t, p).Apply(base, ownBallot)
 		must.True(t, ok)
 		must.Eq(t, next, string(got))
 	}
-	must.Positive(t, none)
-	must.Greater(t, 2000, made)
+	must.Positive(t, withoutPatch)
+	must.Greater(t, 2000, patches)
 }
 
-// For values that differ in several places, such as one with counts at the front and a history at
-// the end, the patch reproduces the next value byte for byte, and its size grows only with the
-// number of differences.
+// If two values differ in several places, for example in counts at the front and in a history at the
+// end, the patch reproduces the next value byte for byte, and the size of the patch grows only with
+// the number of differences.
 func TestPatchInPiecesReproducesValue(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	parts := []string{"ä", "日本", "🚀", "way", `"host":"h.example"`, "500", ","}
-	divided := 0
+	patchesInPieces := 0
 	for i := range 300 {
 		var items []string
 		for j := range 300 {
@@ -97,7 +98,7 @@
 		if p.Pieces == nil {
 			continue
 		}
-		divided++
+		patchesInPieces++
 		must.Negative(t, p.Prefix)
 		raw, err := json.Marshal(p)
 		must.NoError(t, err)
@@ -116,7 +117,7 @@
 			must.False(t, ok, must.Sprint(name))
 		}
 	}
-	must.Greater(t, 200, divided)
+	must.Greater(t, 200, patchesInPieces)
 }
 
 // A patch is not applied to any record but its base.
@@ -149,7 +150,8 @@
 	must.Nil(t, quorum.Diff(base, ownBallot, []byte("short")), must.Sprint("a short value"))
 }
 
-// Measures JSON encoding and decoding of a batch with a value of 10 KB, sent whole and as a patch.
+// Measures the JSON encoding and decoding of a batch with one request whose value of 10 KB is sent
+// whole or as a patch.
 func BenchmarkBatch(b *testing.B) {
 	var list []string
 	for i := range 300 {
--- a/control/rollout/reconcile/reconciler_test.go
+++ b/control/rollout/reconcile/reconciler_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// next returns the next operation. It reports false if no operation is due.
+// next returns the reconciler's next operation, or false if no operation is due.
 func (f *fixture) next() (proposer.Operation, bool) {
 	config := &validation.Config{
 		Revision: 7,
@@ -62,7 +62,8 @@
 	must.False(f.t, due, must.Sprint(op.Kind, string(op.Args)))
 }
 
-// mustPropose checks that the next operation proposes a patch based on the examined revision.
+// mustPropose checks that the next operation proposes a patch whose base is the revision of the
+// configuration that the reconciler examined.
 func (f *fixture) mustPropose(patch string) {
 	f.t.Helper()
 	op, due := f.next()
@@ -75,8 +76,8 @@
 	must.Eq(f.t, patch, string(args.Body))
 }
 
-// mustMove checks that the next operation is a transition to the given step and phase.
-func (f *fixture) mustMove(step int, phase state.Phase) {
+// mustTransition checks that the next operation is a transition to the given step and phase.
+func (f *fixture) mustTransition(step int, phase state.Phase) {
 	f.t.Helper()
 	op, due := f.next()
 	must.True(f.t, due)
@@ -88,22 +89,24 @@
 	must.Eq(f.t, phase == state.RollingBack, transition.Reason != "")
 }
 
-// sendTenPercent puts the share of the first step in force.
-func (f *fixture) sendTenPercent() {
+// applyFirstStep changes the route as the proposal of the first step does: 10 percent of the calls
+// go to service b.
+func (f *fixture) applyFirstStep() {
 	f.route.Split = []validation.WeightedService{{Service: "b", Percent: 10}}
 }
 
-// A rollout without failures completes its steps in order: each share is proposed and stays in
-// force for the duration of the step and the minimum number of calls before the next share.
+// A rollout without failures completes its steps in order: the share of each step is proposed, and
+// stays in force for the duration of the step and the minimum number of calls before the share of
+// the next step is proposed.
 func TestStepsWithoutFailures(t *testing.T) {
 	f := newFixture(t)
 	f.mustPropose(`{"ways":{"r":{"service":"a","split":{"b":10}}}}`)
-	f.sendTenPercent()
+	f.applyFirstStep()
 	f.mustWait()
 	f.counts.Total = 100
 	f.mustWait() // the duration of the step has not passed
 	f.now = f.now.Add(6 * time.Second)
-	f.mustMove(1, state.Running)
+	f.mustTransition(1, state.Running)
 	f.rollout.Step = 1
 	f.mustPropose(`{"ways":{"r":{"service":"b","split":null}}}`)
 	f.route.Service, f.route.Split = "b", nil
@@ -111,7 +114,7 @@
 	f.now = f.now.Add(6 * time.Second)
 	f.mustWait() // too few calls since the step began
 	f.counts.Total += 20
-	f.mustMove(1, state.Done)
+	f.mustTransition(1, state.Done)
 	f.rollout.Phase = state.Done
 	f.mustWait()
 }
@@ -120,26 +123,26 @@
 // route must return to the old service before the rollout ends.
 func TestFailuresRollBack(t *testing.T) {
 	f := newFixture(t)
-	f.sendTenPercent()
-	f.counts = reconcile.CallCounts{Total: 1000, Failed: 900} // from before the step
+	f.applyFirstStep()
+	f.counts = reconcile.CallCounts{Total: 1000, Failed: 900} // calls before the step
 	f.mustWait()
 	f.counts = reconcile.CallCounts{Total: 1019, Failed: 919}
 	f.mustWait()
 	f.counts = reconcile.CallCounts{Total: 1030, Failed: 903}
 	f.mustWait() // exactly the allowed failure ratio
 	f.counts.Failed++
-	f.mustMove(0, state.RollingBack)
+	f.mustTransition(0, state.RollingBack)
 	f.rollout.Phase = state.RollingBack
 	f.mustPropose(`{"ways":{"r":{"service":"a","split":null}}}`)
 	f.route.Split = nil
-	f.mustMove(0, state.RolledBack)
+	f.mustTransition(0, state.RolledBack)
 }
 
-// Counts below the baseline come from another core and must restart the observation of the step.
-// A new generation of the rollout must restart the observation, too.
+// Call counts below the baseline of the observation come from another core and must restart the
+// observation of the step. A new generation of the rollout must restart the observation, too.
 func TestStepObservationRestarts(t *testing.T) {
 	f := newFixture(t)
-	f.sendTenPercent()
+	f.applyFirstStep()
 	f.counts = reconcile.CallCounts{Total: 500}
 	f.mustWait()
 	f.now = f.now.Add(6 * time.Second)
@@ -157,11 +160,11 @@
 func TestRemovedRouteOrService(t *testing.T) {
 	f := newFixture(t)
 	f.route.Name = "renamed"
-	f.mustMove(0, state.RollingBack)
+	f.mustTransition(0, state.RollingBack)
 	f.rollout.Phase = state.RollingBack
-	f.mustMove(0, state.RolledBack)
+	f.mustTransition(0, state.RolledBack)
 
 	f = newFixture(t)
 	f.rollout.To = "none"
-	f.mustMove(0, state.RollingBack)
+	f.mustTransition(0, state.RollingBack)
 }
