--- a/control/core/message/message.go
+++ b/control/core/message/message.go
@@ -15,9 +15,10 @@
 	"cottonarch.example/cottonarch/control/rollout/reconcile"
 )
 
-// Message is an envelope for one of the message types below. Invariants: exactly one field besides
-// From and To is set; To is empty or the InstanceID of the run that the message is addressed to,
-// and any other run drops the message; the sender sends each message at most once.
+// Message is an envelope for one of the message types below. A run is the lifetime of one core
+// process; each run has a unique InstanceID. Invariants: exactly one field besides From and To is
+// set; To is empty or the InstanceID of the run that the message is addressed to, and any other run
+// drops the message; a message that may have arrived is never transmitted again.
 type Message struct {
 	From               ident.Addr           `json:"from,omitempty"`
 	To                 string               `json:"to,omitempty"`
@@ -54,8 +55,8 @@
 	// sender's copy of the receiver's leases: the sender knows of every lease renewal that the
 	// receiver got before that heartbeat.
 	AckSeq uint64 `json:"ack,omitempty"`
-	// ReceivedSeq is the Seq of the newest heartbeat received from the receiver, whatever its
-	// LeaseChecksum; 0 if that Seq equals AckSeq.
+	// ReceivedSeq is the Seq of the newest heartbeat that the sender has received from the
+	// receiver, whether or not the LeaseChecksum matched; 0 if that Seq equals AckSeq.
 	ReceivedSeq uint64 `json:"heard,omitempty"`
 	// LeaseChecksum is the checksum of the leases that are registered at the sender.
 	LeaseChecksum   uint64                `json:"sum,omitempty"`
@@ -64,11 +65,15 @@
 	// ConfigAgeMs is one more than the number of milliseconds since the sender last knew that no
 	// revision newer than ConfigRevision was confirmed; 0 if the sender has never known that.
 	ConfigAgeMs int64 `json:"ageMs,omitempty"`
-	// HoldsSingletonRole reports that the sender holds the singleton role.
+	// HoldsSingletonRole reports that the sender holds the singleton role: the periodic work that
+	// only a single core performs at a time.
 	HoldsSingletonRole bool `json:"duty,omitempty"`
-	// RolloutActive reports that a rollout is in progress and the sender needs CallOutcomes.
-	RolloutActive bool                                   `json:"rolling,omitempty"`
-	CallOutcomes  map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
+	// RolloutActive reports that a rollout is in progress and the sender needs the CallOutcomes of
+	// the other cores.
+	RolloutActive bool `json:"rolling,omitempty"`
+	// CallOutcomes holds, by service, the numbers of completed and failed attempts that sidecars
+	// reported in renewals at the sender; nil if the sender knows of no rollout in progress.
+	CallOutcomes map[ident.Service]reconcile.CallCounts `json:"ends,omitempty"`
 
 	// A brief heartbeat omits the fields below.
 
@@ -114,8 +119,8 @@
 	Leases    bool `json:"kept,omitempty"`
 }
 
-// SilenceCheck asks a voter which of the listed nodes have been silent there for
-// leasetable.SilenceTimeout, or answers that question.
+// SilenceCheck asks a voter which of the listed nodes have been silent at the voter for
+// leasetable.SilenceTimeout, or is the voter's response and lists the silent nodes.
 type SilenceCheck struct {
 	Round     uint64       `json:"turn"`
 	Responder ident.Disk   `json:"says,omitempty"` // empty in the request
--- a/control/core/node/departure.go
+++ b/control/core/node/departure.go
@@ -16,13 +16,13 @@
 
 const (
 	// voteInDoubtFor is the time after a vote of this disk during which the vote's round may still
-	// be in progress. No round lasts longer than 1.2 s.
+	// be in progress. No round lasts longer than the proposer's roundTimeout of 1.2 s.
 	voteInDoubtFor = 1300 * time.Millisecond
 	// successorWait is the maximum time that a leaving voter waits for its successor to be counted.
 	successorWait = 2 * time.Second
-	// compareTimeout is the time limit of one comparison of the copies.
+	// compareTimeout is the time limit of one comparison of the voters' copies of the records.
 	compareTimeout = time.Second
-	// comparePause is the pause between two comparisons.
+	// comparePause is the pause between two comparisons of the copies.
 	comparePause = 20 * time.Millisecond
 )
 
@@ -32,9 +32,10 @@
 	castAt monotime.Time
 }
 
-// departure tracks a voter's planned leave. Invariants: while votingStopped is set, this disk
-// answers no proposer, so that every majority consists of voters that stay; votesResolved is set
-// only when every round that an earlier vote of this disk may have completed has ended.
+// departure tracks how this core's voter leaves the membership during a planned stop of the core.
+// Invariants: while votingStopped is set, this disk answers no proposer, so that every majority
+// consists of voters that stay; votesResolved is set only when every round that an earlier vote of
+// this disk may have completed has ended.
 type departure struct {
 	startedAt     monotime.Time
 	votingStopped bool
@@ -71,8 +72,8 @@
 	n.recentVotes = append(n.recentVotes, castVote{key, now})
 }
 
-// continueDeparture performs the next step of a planned leave. It returns true once no confirmed
-// value depends on this disk, or if no voter that could take over stays.
+// continueDeparture performs the next step of the leave of this core's voter. It returns true once
+// no confirmed value depends on this disk, or if no voter stays that could take over.
 //
 //   - If another core can replace this voter, the successor is counted first and this voter's slot
 //     is dropped afterwards, so that the number of counted voters never falls below the initial
@@ -120,7 +121,7 @@
 	return staying, othersMayStay
 }
 
-// announcedLeave reports whether the last heartbeat of a disk's core announced a planned leave.
+// announcedLeave reports whether the last heartbeat of a disk's core announced a planned stop.
 func (n *Node) announcedLeave(d ident.Disk) bool {
 	for _, p := range n.peers {
 		if p.heartbeat.Disk == d {
@@ -131,7 +132,7 @@
 }
 
 // onlyLeaversUnhealthy reports whether at least one counted voter that still sends heartbeats is
-// leaving as planned, and every other voter with a slot is healthy.
+// leaving in a planned stop, and every other voter with a slot is healthy.
 func (n *Node) onlyLeaversUnhealthy(now monotime.Time, current quorum.Membership) bool {
 	healthy, leaving := n.healthyDisks(now), false
 	for _, v := range current.Voters {
@@ -175,7 +176,7 @@
 	return ""
 }
 
-// isSuccessor reports whether this disk is the successor of a leaving voter.
+// isSuccessor reports whether this disk is the successor of a leaving voter, see successor.
 func (n *Node) isSuccessor(now monotime.Time, current quorum.Membership) bool {
 	return current.Size()%2 != 0 && !n.leaving && n.successor(now, current) == n.Disk
 }
@@ -265,7 +266,8 @@
 }
 
 // dropDeadVoter drops the slot of a voter that is presumed dead if the number of slots is even.
-// With one slot fewer the cluster tolerates the next failure; with the empty slot it would not.
+// With one slot fewer, the cluster tolerates the next failure; with the dead voter's slot, the
+// cluster would not.
 // Only the first healthy counted voter of the membership proposes the drop.
 func (n *Node) dropDeadVoter(now monotime.Time, current quorum.Membership, fx *Effects) {
 	if current.Size()%2 != 0 || now.Since(n.startedAt) <= voterDeadAfter {
--- a/control/core/node/join.go
+++ b/control/core/node/join.go
@@ -20,7 +20,7 @@
 	// and for the batch that contains the join.
 	JoinBudget = 1800 * time.Millisecond
 	// majorityWait is the time that a join waits at a core without a majority before the core
-	// refuses it, so that the sidecar tries another core.
+	// refuses the join, so that the sidecar tries another core.
 	majorityWait = 600 * time.Millisecond
 	// batchBudget is the time limit of the operations of one batch.
 	batchBudget = 1500 * time.Millisecond
@@ -110,8 +110,9 @@
 	}}, fx)
 }
 
-// joinArgs returns the arguments of a batch's join operation. They include each node's lease epoch
-// in the lease table, so that the new lease epoch is higher even if the node's share was removed.
+// joinArgs returns the arguments of a batch's join operation. The arguments include each node's
+// lease epoch in the lease table, so that the new lease epoch is higher even if the node's share was
+// removed.
 func (n *Node) joinArgs(requests []joinqueue.Request) (args quota.JoinArgs) {
 	for _, r := range requests {
 		args.Nodes = append(args.Nodes, quota.Joiner{
--- a/control/core/node/join_test.go
+++ b/control/core/node/join_test.go
@@ -15,8 +15,8 @@
 	"cottonarch.example/cottonarch/control/core/node"
 )
 
-func joinRequest(n int, attempt string) joinqueue.Request {
-	return joinqueue.Request{Node: ident.Node(fmt.Sprint("node-", n)), Run: attempt}
+func joinRequest(n int, run string) joinqueue.Request {
+	return joinqueue.Request{Node: ident.Node(fmt.Sprint("node-", n)), Run: run}
 }
 
 // join submits a sidecar's join request to a core.
@@ -87,19 +87,19 @@
 	must.Greater(t, first.LeaseEpoch, cluster.joinResult(t, 4).LeaseEpoch)
 }
 
-// A core without a majority must queue a join for a while and then refuse it. If the core regains
-// the majority in time, it must grant the join.
+// A core without a majority must queue a join for majorityWait and then refuse the join. If the core
+// regains the majority before that, the core must grant the join.
 func TestJoinWaitsForAMajority(t *testing.T) {
 	cluster := newThreeCores(t)
 	cluster.drop = func(to ident.Addr, m message.Message) bool { return (to == "a:1") != (m.From == "a:1") }
 	cluster.advance(2 * time.Second)
 	cluster.join("a:1", 1, joinRequest(1, "run"))
 	cluster.advance(time.Second)
-	e := cluster.ticketResult(1)
-	must.NotNil(t, e)
-	must.Eq(t, failure.NoMajority, e.Failure.Kind)
-	must.Eq(t, failure.NotExecuted, e.Failure.Outcome)
-	must.Positive(t, e.Failure.RetryAfter)
+	refused := cluster.ticketResult(1)
+	must.NotNil(t, refused)
+	must.Eq(t, failure.NoMajority, refused.Failure.Kind)
+	must.Eq(t, failure.NotExecuted, refused.Failure.Outcome)
+	must.Positive(t, refused.Failure.RetryAfter)
 	cluster.join("a:1", 2, joinRequest(1, "run"))
 	cluster.drop = nil
 	cluster.advance(1500 * time.Millisecond)
--- a/control/core/node/leave.go
+++ b/control/core/node/leave.go
@@ -53,7 +53,7 @@
 }
 
 // ContinueLeave performs the next step of a planned stop. It returns true once no request is in
-// progress and the planned leave of this core's voter is complete, see continueDeparture.
+// progress and the leave of this core's voter is complete, see continueDeparture.
 func (n *Node) ContinueLeave(now monotime.Time) (bool, Effects) {
 	var fx Effects
 	done, effects := n.proposer.Release()
--- a/control/core/node/silentnodes.go
+++ b/control/core/node/silentnodes.go
@@ -13,8 +13,10 @@
 	"cottonarch.example/cottonarch/control/register/proposer"
 )
 
-// silenceRound is a query to all voters about which of the given sidecar nodes have been silent for
-// leasetable.SilenceTimeout. A node's retry budget share is reclaimed only after such a round.
+// silenceRound is a query to all voters about which sidecar nodes, out of a list, have been silent
+// for leasetable.SilenceTimeout: no core has heard from a silent node. A node's retry budget share
+// is reclaimed only after a majority of the voters has confirmed in one round that the node is
+// silent.
 type silenceRound struct {
 	round uint64
 	// leaseEpochs maps each node to the lease epoch of its share at the start of the round.
@@ -58,7 +60,7 @@
 
 // onSilenceCheck handles the query of a silence round or a voter's answer to the query. Invariants:
 // a core reports a node as silent only if the core has run for longer than leasetable.SilenceTimeout;
-// a share is reclaimed only if a majority of the voters reported its node as silent.
+// a share is reclaimed only if a majority of the voters reported the share's node as silent.
 func (n *Node) onSilenceCheck(now monotime.Time, m message.Message, fx *Effects) bool {
 	check := m.SilenceCheck
 	if check == nil {
