--- a/control/leasetable/feed.go
+++ b/control/leasetable/feed.go
@@ -19,8 +19,8 @@
 }
 
 // SetConfig applies a configuration if its revision is above the current revision, and reports
-// whether the configuration was applied. A set whose records do not change keeps its feed version;
-// only its ConfigRevision is updated.
+// whether the configuration was applied. A sidecar's set whose records do not change keeps its feed
+// version; only the set's ConfigRevision is updated.
 func (t *Table) SetConfig(config *validation.Config) bool {
 	if t.config != nil && config.Revision <= t.config.Revision {
 		return false
@@ -59,7 +59,8 @@
 	}
 }
 
-// FeedVersion returns the feed version of the newest change to any set.
+// FeedVersion returns the feed version of the newest change to any set. The feed is the sequence of
+// changes to the record sets, which sidecars follow by polling; feed versions number the changes.
 func (t *Table) FeedVersion() uint64 { return t.feedVersion }
 
 // ChangesSince returns the sets that changed after the given feed version of this table.
--- a/control/leasetable/members.go
+++ b/control/leasetable/members.go
@@ -16,7 +16,7 @@
 	ConfigRevision ident.ConfigRevision `json:"manifest"`
 	Ready          bool                 `json:"ready"`
 	Lapsed         bool                 `json:"lapsed"`
-	Servers        int                  `json:"servers"`
+	Servers        int                  `json:"servers"` // number of workloads of the sidecar
 }
 
 // Members returns all known sidecars in order of node name.
@@ -57,7 +57,7 @@
 }
 
 // SilentNodes returns the given sidecars that no core is known to have heard from within
-// SilenceTimeout.
+// SilenceTimeout, including the sidecars that this table does not contain.
 func (t *Table) SilentNodes(now monotime.Time, nodes []ident.Node) []ident.Node {
 	var silent []ident.Node
 	for _, node := range nodes {
--- a/control/leasetable/registrar.go
+++ b/control/leasetable/registrar.go
@@ -16,16 +16,17 @@
 }
 
 // hash returns the hash of one entry of a registrar's list. Cores of different releases compare
-// sums of these hashes, so the hashed text must not change.
+// checksums that combine these hashes, so the hashed text must not change.
 func (v leaseVersion) hash(node ident.Node) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%d", node, v.epoch, v.seq)
 	return hashing.Mix(hash.Sum64())
 }
 
-// registrar is the list of the sidecars that renew at one core. Invariants: checksum is the XOR of
-// the hashes of the list's entries, with which two cores compare their copies of the list;
-// lastHeard is the time at which the list was last confirmed to be current.
+// registrar is the list of one registrar: the sidecars that renew their leases at one core.
+// Invariants: checksum is the XOR of the hashes of the list's entries, with which two cores compare
+// their copies of the list; lastHeard is the time at which the list was last confirmed to be
+// current.
 type registrar struct {
 	leases    map[ident.Node]leaseVersion
 	checksum  uint64
--- a/control/leasetable/table.go
+++ b/control/leasetable/table.go
@@ -1,11 +1,11 @@
 // Package leasetable implements the table of sidecar leases that each core keeps: which sidecars
 // renew, at which core, and what each sidecar reports about its machine. The table is kept in
-// memory only; cores replicate their part of the table to each other.
+// memory only; each core replicates its part of the table to the other cores.
 //
-// A core is the registrar of the sidecars that renew at it. A registrar sends changes of its list
-// to the other cores. Each of its heartbeats carries the checksum of the list; a matching checksum
-// confirms that all sidecars on the list are alive. A Table is a step function: it does no I/O and
-// does not read the clock.
+// A core is the registrar of the sidecars that renew their leases at this core. A registrar sends
+// changes of its list to the other cores. Each heartbeat of the registrar carries the checksum of
+// the list; a matching checksum confirms that all sidecars on the list are alive. A Table is a step
+// function: it does no I/O and does not read the clock.
 package leasetable
 
 import (
--- a/control/registry/record/record.go
+++ b/control/registry/record/record.go
@@ -24,7 +24,8 @@
 	Draining Status = "DRAINING"
 )
 
-// Network is the name of the only network of the mesh. Fully qualified references contain it.
+// Network is the name of the only network of the mesh. The lookup of a workload by address uses the
+// key "network/ip:port".
 const Network = "default"
 
 // Workload is one endpoint. Invariants: UID identifies one run of one endpoint; on a machine, an
@@ -41,7 +42,7 @@
 	Identity    string        `json:"identity,omitempty"` // SPIFFE ID
 	Weight      uint32        `json:"weight"`
 	Status      Status        `json:"status"`
-	Load        float64       `json:"burden"` // as reported by the endpoint
+	Load        float64       `json:"burden"` // as reported in the endpoint's heartbeat
 }
 
 // Service is a named group of workloads.
@@ -50,7 +51,8 @@
 	Hostname          ident.Service `json:"hostname"`
 	DrainSeconds      float64       `json:"drainS"`
 	ReuseAfterSeconds float64       `json:"reuseAfterS"` // delay before an address may belong to another workload
-	Hosts             []string      `json:"hosts,omitempty"`
+	// Hosts are the hosts of the routes to the service.
+	Hosts []string `json:"hosts,omitempty"`
 }
 
 // Address is the union of Workload and Service. Invariant: exactly one of the fields is set.
@@ -108,7 +110,7 @@
 }
 
 // EqualExceptLoad reports whether two reports describe the same state apart from the load of the
-// workloads, which is carried by the responses to requests.
+// workloads. Callers learn the current load from the load reports in responses instead.
 func (r Report) EqualExceptLoad(other Report) bool {
 	return r.Addr == other.Addr && r.Zone == other.Zone && r.Ready == other.Ready && r.Leaving == other.Leaving &&
 		slices.EqualFunc(r.Workloads, other.Workloads, equalExceptLoad)
