--- a/control/config/decode/faults.go
+++ b/control/config/decode/faults.go
@@ -10,7 +10,7 @@
 const maxFaults = 100
 
 // Faults collects the faults of one document. Invariant: List holds the first maxFaults faults;
-// Total is the number of all faults.
+// Total is the number of all faults, including the faults that List does not hold.
 type Faults struct {
 	List  []failure.Fault
 	Total int
@@ -18,7 +18,7 @@
 	AllowUnknown bool
 }
 
-// Add records a fault at a path. The note is formatted as by fmt.Sprintf.
+// Add records a fault at a path. The fault's message is formatted as by fmt.Sprintf.
 func (f *Faults) Add(path, format string, args ...any) {
 	f.Total++
 	if len(f.List) < maxFaults {
--- a/control/config/delta/delta_test.go
+++ b/control/config/delta/delta_test.go
@@ -14,7 +14,7 @@
 	"cottonarch.example/cottonarch/control/coordination/operation"
 )
 
-// newSnapshot returns the snapshot of a document, encoded as cores store it.
+// newSnapshot returns the snapshot of a document, in the encoding in which cores store snapshots.
 func newSnapshot(t testing.TB, revision ident.ConfigRevision, raw string) Snapshot {
 	t.Helper()
 	tree, err := decode.Parse([]byte(raw))
@@ -22,8 +22,8 @@
 	return Snapshot{Revision: revision, Tree: tree, Raw: operation.Encode(tree)}
 }
 
-// manyRoutes returns a configuration with the given number of routes; timeout applies to the first
-// route.
+// manyRoutes returns a configuration with the given number of routes; timeout, in milliseconds,
+// applies to the first route, and the other routes have a timeout of 500 ms.
 func manyRoutes(t testing.TB, revision ident.ConfigRevision, routes, timeout int) Snapshot {
 	routeObjects := map[string]any{}
 	for i := range routes {
@@ -113,7 +113,8 @@
 }
 
 // The history returns a delta to the newest snapshot from every other retained snapshot only, and
-// stays within its bounds. The newest two snapshots are always retained.
+// retains no more snapshots than maxHistorySnapshots and maxHistoryBytes allow. The newest two
+// snapshots are always retained.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for revision := ident.ConfigRevision(1); revision <= 3*maxHistorySnapshots; revision++ {
@@ -136,7 +137,8 @@
 	must.NotNil(t, h.Since(1000))
 }
 
-// Decompress restores the compressed configuration, and rejects malformed or too large data.
+// Decompress restores the compressed configuration, and rejects malformed data and data whose
+// decompressed size exceeds the limit.
 func TestCompressionRoundTrip(t *testing.T) {
 	raw := manyRoutes(t, 1, 300, 5).Raw
 	compressed := NewCompressed(raw).Bytes()
--- a/control/config/merge/merge.go
+++ b/control/config/merge/merge.go
@@ -2,7 +2,8 @@
 package merge
 
 // Merge returns base with the overlay applied: objects are merged field by field, null removes a
-// field, and any other value replaces the field. Neither input is changed.
+// field, and any other value replaces the field. Neither input is changed, but the result shares
+// nested values with the inputs.
 func Merge(base, overlay map[string]any) map[string]any {
 	merged := make(map[string]any, len(base)+len(overlay))
 	for name, value := range base {
--- a/control/config/validation/config.go
+++ b/control/config/validation/config.go
@@ -1,5 +1,5 @@
-// Package validation converts a configuration document to its typed form and reports every fault
-// with its path.
+// Package validation converts a configuration document to its typed form, Config, and reports each
+// fault of the document with the path of the field.
 package validation
 
 import (
@@ -31,18 +31,19 @@
 	// AddressReuseDelay is the minimum time before the address of an endpoint that left may belong
 	// to another service.
 	AddressReuseDelay time.Duration `json:"reuse"`
-	// RetryRatio is the ratio of the service's requests that may be retried. Invariant: at most 0.2.
+	// RetryRatio is the maximum ratio of retries to requests of the service. Invariant: at most 0.2.
 	RetryRatio float64 `json:"part"`
 	// CallerWeights holds the weights with which the callers of the service share its retry budget.
 	CallerWeights map[string]float64 `json:"callers,omitempty"`
-	// HealthCheckPath is the path of the endpoints' health check, empty if they have none.
+	// HealthCheckPath is the path of the endpoints' health check, empty if the endpoints have no
+	// health check.
 	HealthCheckPath string `json:"checkPath,omitempty"`
 	// MaxConnections limits the connections to one endpoint; 0 means no limit.
 	MaxConnections int `json:"connections,omitempty"`
 }
 
-// Limits holds the limits on client requests: the sizes of header and body, the time to receive a
-// request's header, and the time for which a connection may be idle.
+// Limits holds the limits on client requests: the sizes of a request's header and body, the time to
+// receive the header, and the time for which a connection may be idle.
 type Limits struct {
 	MaxHeaderBytes int64         `json:"headBytes"`
 	MaxBodyBytes   int64         `json:"bodyBytes"`
--- a/control/config/validation/names.go
+++ b/control/config/validation/names.go
@@ -22,8 +22,8 @@
 	return strings.TrimSuffix(strings.ToLower(name), ".")
 }
 
-// isStrictName reports whether s consists of letters and digits, with dots, dashes and underscores
-// between letters and digits.
+// isStrictName reports whether s consists of at most maxNameLength ASCII letters, digits, dots,
+// dashes and underscores, and begins and ends with a letter or a digit.
 func isStrictName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -35,7 +35,8 @@
 	return s != "" && len(s) <= maxNameLength
 }
 
-// isLenientName reports whether s contains neither spaces nor control characters.
+// isLenientName reports whether s is not empty, has at most maxNameLength bytes, and contains
+// neither spaces nor control characters of ASCII.
 func isLenientName(s string) bool {
 	for _, c := range s {
 		if c <= ' ' || c == 0x7f {
@@ -45,7 +46,8 @@
 	return s != "" && len(s) <= maxNameLength
 }
 
-// nameRules holds the functions that check the names in a document.
+// nameRules holds the functions that check the names in a document. Strict uses strictNames, and
+// Lenient uses lenientNames.
 type nameRules struct {
 	routeName, hostName, serviceName func(string) bool
 }
