--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -254,7 +254,7 @@
 }
 
 // feasible returns, of the waiting requests that can still meet their target, the index of the
-// first one and the index of the one with the least slack. Both are -1 if there is none.
+// first request and the index of the request with the least slack. Both are -1 if no request can.
 func (e *endpointQueue) feasible(now monotime.Time, expectedRun func(*Request) time.Duration) (first, leastSlackIndex int) {
 	first, leastSlackIndex = -1, -1
 	leastSlack := time.Duration(0)
--- a/mesh/admission/queue.go
+++ b/mesh/admission/queue.go
@@ -3,9 +3,10 @@
 // sidecar therefore knows the order of the requests, and knows that a rejected request was not
 // executed.
 //
-// Each endpoint has a number of slots. A request is admitted to a free slot, waits for a slot in
-// the order of rank and target, or is rejected as soon as the request is expected to be late,
-// while there is still time to try another endpoint.
+// Each endpoint has a number of slots. A request is admitted to a free slot, waits for a slot, or is
+// rejected. Waiting requests are ordered by rank, then nested requests before client requests, then
+// by target, see Request. While there is still time to try another endpoint, a request is rejected
+// as soon as the request is expected to miss its target.
 package admission
 
 import (
@@ -54,8 +55,9 @@
 	return q.process(now, endpoint)
 }
 
-// Submit adds a request. Submit returns the verdict on the request, unless the request waits, and
-// the verdict on a request that it displaced.
+// Submit adds a request. Submit returns the verdict on the request, unless the request waits. If the
+// request displaces a waiting request from a full queue, Submit also returns the verdict on the
+// displaced request.
 func (q *Queue) Submit(now monotime.Time, server ident.Server, request Request) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	endpoint := q.endpoint(server)
@@ -96,8 +98,8 @@
 	return q.process(now, endpoint)
 }
 
-// Tick rejects waiting requests that can no longer be in time, and admits waiting requests to free
-// slots.
+// Tick rejects waiting requests that are too late, see checkWaiting, and admits waiting requests to
+// free slots.
 func (q *Queue) Tick(now monotime.Time) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	for _, server := range q.sortedServers() {
@@ -121,7 +123,7 @@
 }
 
 // RejectAll rejects all requests that wait for an endpoint that is leaving or unhealthy. Requests
-// in flight continue, and the estimates still learn from them.
+// in flight continue, and Done still updates the estimates.
 func (q *Queue) RejectAll(server ident.Server) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	if endpoint := q.endpoints[server]; endpoint != nil {
@@ -154,8 +156,8 @@
 // sortedServers returns the servers in a fixed order, so that simulations are reproducible.
 func (q *Queue) sortedServers() []ident.Server { return slices.Sorted(maps.Keys(q.endpoints)) }
 
-// process rejects waiting requests of an endpoint that can no longer be in time, and admits
-// waiting requests to free slots.
+// process rejects waiting requests of an endpoint that are too late, and admits waiting requests to
+// free slots.
 func (q *Queue) process(now monotime.Time, endpoint *endpointQueue) []Verdict {
 	q.verdicts = q.verdicts[:0]
 	q.rejectLate(now, endpoint)
@@ -173,12 +175,12 @@
 	}
 }
 
-// rejectLate rejects the waiting requests of an endpoint that can no longer be in time.
+// rejectLate rejects the waiting requests of an endpoint that are too late, see checkWaiting.
 func (q *Queue) rejectLate(now monotime.Time, endpoint *endpointQueue) {
 	ahead, keep := time.Duration(0), endpoint.waiting[:0]
 	for i, request := range endpoint.waiting {
-		// The first requests are admitted immediately afterwards, because a slot is free for each
-		// of them.
+		// The first freeSlots requests are kept unchecked, because each of these requests is
+		// admitted to a free slot immediately afterwards.
 		if i >= endpoint.freeSlots() {
 			if reason := endpoint.checkWaiting(now, &request, ahead); reason != "" {
 				q.reject(request.ID, reason, endpoint.retryAfter(now, request))
--- a/mesh/attempt/loadreport_test.go
+++ b/mesh/attempt/loadreport_test.go
@@ -9,9 +9,9 @@
 	"cottonarch.example/cottonarch/mesh/loadreport"
 )
 
-// Load reports reach the balancer with every kind of result. After a rejection by an admission
-// queue, the next attempt goes to another endpoint as a last resort; the rejecting endpoint counts
-// as busy, not as suspect.
+// Load reports reach the balancer both with a rejection and with a completed attempt. After a
+// rejection by an admission queue, the next attempt goes to another endpoint and is marked as
+// LastResort; the endpoint that rejected the attempt counts as busy, not as suspect.
 func TestLoadReportsReachTheBalancer(t *testing.T) {
 	planner, call := newPlanner(), &Call{Host: "h", Path: "/x", Method: "POST"}
 	must.Nil(t, planner.Route(start, call, 0))
@@ -37,7 +37,8 @@
 		entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 		must.NotEq(t, first.Entry.UID, entry.UID)
 	}
-	// A suspect endpoint would not be chosen here.
+	// After a report of low load, the endpoint that rejected the attempt is chosen again. The
+	// balancer would not choose a suspect endpoint.
 	planner.Balancer.HandleReport(start, first.Entry.UID, loadreport.Report{Slots: 6, RelativeTime: 0.1})
 	entry, _ := planner.Balancer.ChooseForRoute(start, "w", planner.Index.Workloads("a"), nil)
 	must.Eq(t, first.Entry.UID, entry.UID)
--- a/mesh/loadbalancer/balancer.go
+++ b/mesh/loadbalancer/balancer.go
@@ -148,7 +148,7 @@
 }
 
 // LastResort reports whether a chosen workload is an outlier. An outlier is chosen only if no
-// better workload is left, so the request must run there even though it may fail.
+// better workload is left, so the request must run at the outlier even though the run may fail.
 func (b *Balancer) LastResort(now monotime.Time, server ident.Server) bool {
 	endpoint := b.endpoints[server]
 	return endpoint != nil && outlierEjection{&b.Settings}.isOutlier(now, endpoint)
--- a/mesh/loadbalancer/outlier.go
+++ b/mesh/loadbalancer/outlier.go
@@ -6,11 +6,13 @@
 // rate of its service. A workload above this tolerance plus Settings.MaxFailureRate is an outlier.
 const peerFailureFactor = 1.5
 
-// outlierEjection ejects workloads that fail more often than their peers, up to a limited share of
-// a service. If many workloads fail, the cause is not in the workloads.
+// outlierEjection ejects workloads that fail more often than their peers. If more than
+// Settings.MaxEjectedShare of the candidates are outliers, no workload is ejected, because the cause
+// of so many failures is probably outside the workloads.
 type outlierEjection struct{ *Settings }
 
-// isOutlier reports whether a workload fails more often than its peers.
+// isOutlier reports whether a workload fails more often than its peers, according to the workload's
+// last load report. The weight of the report decreases with age.
 func (o outlierEjection) isOutlier(now monotime.Time, endpoint *endpointStats) bool {
 	if endpoint.reportedAt == 0 || endpoint.service == nil || endpoint.report.FailureRate <= o.MaxFailureRate {
 		return false
--- a/mesh/loadbalancer/settings.go
+++ b/mesh/loadbalancer/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings configures a balancer. Every choice reads the settings, so they may be changed at any
-// time.
+// Settings configures a balancer. Every choice reads the settings, so the settings may be changed at
+// any time.
 type Settings struct {
 	// SampleSize is the number of random workloads that are compared, 0 for all workloads. With a
 	// larger sample, sidecars that choose at the same time more often choose the same workload.
--- a/mesh/loadbalancer/stats.go
+++ b/mesh/loadbalancer/stats.go
@@ -12,19 +12,20 @@
 const (
 	// maxReportedLoad limits the influence of one load report on the mean load of its service.
 	maxReportedLoad = 4
-	// Smoothing factors: each sample moves a mean by 1/factor of the difference.
+	// Smoothing factors: each sample moves a mean by 1/factor of the difference between the sample
+	// and the mean.
 	loadSmoothing        = 16
 	failureRateSmoothing = 32
 	routeSmoothing       = 32
-	// A run counts in the mean of its route as at most maxSampleFactor times the mean plus
-	// serviceTimeAllowance.
+	// A run is the execution of one request at an endpoint. The time of a run counts in the mean of
+	// the run's route as at most maxSampleFactor times the mean plus serviceTimeAllowance.
 	maxSampleFactor      = 8
 	serviceTimeAllowance = time.Millisecond
 )
 
 // endpointStats holds the statistics of one workload. Invariant: inFlight is the number of
-// requests of this sidecar at the workload; inFlightAtReport of those requests were in flight when
-// the load report arrived, and are included in the report.
+// requests of this sidecar at the workload; inFlightAtReport is how many of these requests were
+// already in flight when the last load report arrived, and are therefore included in the report.
 type endpointStats struct {
 	server           ident.Server
 	service          *serviceStats
@@ -44,7 +45,7 @@
 	meanLoad        float64 // running and waiting requests per slot
 	meanFailureRate float64 // fraction of failed runs
 	reported        bool    // a load report was received
-	initialized     bool    // a list of entries was processed before
+	initialized     bool    // false until the first list of entries was processed
 	lastUsed        monotime.Time
 }
 
@@ -75,8 +76,8 @@
 	r.meanBytes += (float64(size) - r.meanBytes) / routeSmoothing
 }
 
-// decay returns the weight of a load report by age: one half at the half-life, and a decreasing
-// rate of decline afterwards.
+// decay returns the weight of a load report by age: one half at the half-life, one third at twice
+// the half-life, and so on.
 func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
