--- a/mesh/lease/holder/budgetshare.go
+++ b/mesh/lease/holder/budgetshare.go
@@ -12,7 +12,7 @@
 const (
 	// raiseInterval is how often a sidecar requests a larger share.
 	raiseInterval = 5 * time.Second
-	// requestTimeout is how long a request may go unanswered before a new one may be sent.
+	// requestTimeout is how long a request may go unanswered before a new request may be sent.
 	requestTimeout = 4 * time.Second
 )
 
--- a/mesh/lease/holder/budgetshare_test.go
+++ b/mesh/lease/holder/budgetshare_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// deliver delivers the messages that are due; delivering a request may add its response.
+// deliver delivers the messages that are due. The delivery of a request may add the response to the
+// messages in flight.
 func (m *budgetShareModel) deliver() {
 	due := m.inFlight
 	m.inFlight = nil
@@ -76,8 +77,8 @@
 	}
 }
 
-// sendDueRequest lets a sidecar send its request, if one is due. The request is lost, or arrives
-// once or twice.
+// sendDueRequest lets a sidecar send its request for a share, if a request is due. The request is
+// lost, or arrives once or twice.
 func (m *budgetShareModel) sendDueRequest(n int, share *BudgetShare) {
 	if m.rng.IntN(3) == 0 {
 		share.SetMemberCount(m.now, len(m.shares))
@@ -97,7 +98,8 @@
 	}
 }
 
-// usableInWindow sums the maximum that each sidecar could use within the window that ends now.
+// usableInWindow returns the sum, over all sidecars, of the largest usable share that the sidecar
+// had within the window that ends now.
 func (m *budgetShareModel) usableInWindow() (sum int) {
 	for n, share := range m.shares {
 		m.usable[n] = append(m.usable[n], share.Usable())
--- a/mesh/retrybudget/limits.go
+++ b/mesh/retrybudget/limits.go
@@ -12,17 +12,19 @@
 	DefaultRatio  = 0.2
 )
 
-// Limits define the limit that all sidecars of a mesh keep together, for each service: within any
-// Window, the number of attempts that reach an endpoint, beyond the first attempt of each request,
-// is at most Ratio times the number of requests, plus Extra. Limits come from the settings. A
-// field that is 0 takes its default; the default of Extra is quota.DefaultTotal. A negative Extra
-// or Ratio means none.
+// Limits define, for each service, the limit that holds for all sidecars of a mesh together: within
+// any Window, the number of attempts that reach an endpoint, beyond the first attempt of each
+// request, is at most Ratio times the number of requests, plus Extra. Limits come from the settings.
+// A field that is 0 takes its default; the default of Extra is quota.DefaultTotal. A negative Extra
+// allows no extra retries, and a negative Ratio allows no retries in proportion to the requests.
 type Limits struct {
 	Window time.Duration
 	Ratio  float64
 	Extra  int
-	// CountNested makes calls by endpoints count as requests for the called service. Unless all
-	// such calls are known to be recognized as nested, they save nothing.
+	// CountNested makes nested calls, which are calls by endpoints, count as requests for the called
+	// service, so that each nested call saves its ratio for retries. CountNested may be set only if
+	// all calls by endpoints are known to be recognized as nested. While CountNested is false,
+	// nested calls save nothing.
 	CountNested bool
 }
 
@@ -41,8 +43,9 @@
 	return l
 }
 
-// SettleTime returns how long a sidecar must have used a lower share before the sidecar may
-// promise to the cores not to exceed that share: a whole window, plus a margin for clock drift.
+// SettleTime returns how long a sidecar must have used a lower share before the sidecar may confirm
+// to the cores that its retries within a window do not exceed the lower share: a whole window, plus
+// one tenth as a margin for clock drift.
 func (l Limits) SettleTime() time.Duration {
 	window := l.WithDefaults().Window
 	return window + window/10
--- a/mesh/routetable/table.go
+++ b/mesh/routetable/table.go
@@ -10,7 +10,7 @@
 	"cottonarch.example/cottonarch/control/config/validation"
 )
 
-// Table holds the routes of one configuration by host.
+// Table holds the routes of one configuration, grouped by host.
 type Table struct{ hosts map[string]*hostRoutes }
 
 // hostRoutes holds the routes of one host. Invariants: routes are sorted by path prefix; parent[i]
@@ -78,8 +78,8 @@
 	return h.routes[index]
 }
 
-// Find returns the route of a request. The routes of host "*" apply if no route of the request's own
-// host matches.
+// Find returns the route of a request, or fails with NoRoute. The routes of host "*" apply if no
+// route of the request's own host matches.
 func (t *Table) Find(host, path string) (validation.Route, *failure.Error) {
 	host = validation.NormalizeHost(host)
 	for _, name := range [...]string{host, "*"} {
