--- a/base/ident/ident_test.go
+++ b/base/ident/ident_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// IDs created at the same time differ, because they do not depend on a clock.
+// NewID must return a different ID on every call, also for calls at the same time of the clock.
 func TestIDsAreUniqueWithoutAClock(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10000 {
--- a/storage/ring/ring.go
+++ b/storage/ring/ring.go
@@ -1,8 +1,8 @@
 // Package ring implements a circular log of keyed records in a fixed set of preallocated files, and
-// keeps the newest record of each key. Before a file is overwritten, the live records of the file
-// are moved to the current file, so the log never grows and no index is stored. Opening a ring
-// distinguishes a torn tail, which a loss of power leaves, from corruption of synced data, which is
-// reported and never skipped.
+// keeps the newest record of each key, the live record. Before a file is overwritten, the live
+// records of the file are moved to the current file, so the log never grows and no index is stored.
+// Open distinguishes a torn tail, the incomplete unsynced writes that a loss of power leaves, from
+// corruption of synced data, which is reported and never skipped.
 package ring
 
 import (
@@ -12,7 +12,8 @@
 	"cottonarch.example/cottonarch/base/failure"
 )
 
-// Options holds the dimensions of a ring. Invariant: the options never change once the files exist.
+// Options holds the number and size of a ring's files. Invariant: the options never change once the
+// files exist.
 type Options struct {
 	FileCount int
 	FileSize  int64 // bytes
