--- a/daemon/api/coordination/entries.go
+++ b/daemon/api/coordination/entries.go
@@ -69,7 +69,8 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		// KeyChanged is called before the read, so that no change between the two is missed.
+		// KeyChanged is called before the read, so that no change between the call and the read is
+		// missed.
 		changed := c.KeyChanged(keyspace.ControlKey(name))
 		changes, err := changesAfter(ctx, c, name, after, budget)
 		if err != nil {
--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// keyPrefix is the prefix of the control keys that hold the keys of applications.
+	// keyPrefix is the prefix of the control keys that store the keys of applications: the
+	// application's key "a" is stored under the control key "key/a".
 	keyPrefix = "key/"
 	// maxListedKeys is the maximum number of keys in a list and in a watch.
 	maxListedKeys = 10000
@@ -79,8 +80,8 @@
 	response.WriteJSON(w, http.StatusOK, keyList{listed})
 }
 
-// currentValue returns the value of a key from a quorum read. If the majority does not agree on the
-// record, currentValue reads the key through its proposer.
+// currentValue returns the value of a key from the result of a quorum read. If the voters that were
+// read do not agree on the record, currentValue reads the key through its proposer.
 func (h handlers) currentValue(ctx context.Context, controlKey ident.Key, found quorumread.Entry) (keyvalue.Response, *failure.Error) {
 	if !found.Agreed {
 		return h.readThroughProposer(ctx, controlKey, nil)
--- a/daemon/api/coordination/watch.go
+++ b/daemon/api/coordination/watch.go
@@ -51,7 +51,8 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		// KeysChanged is called before the read, so that no change between the two is missed.
+		// KeysChanged is called before the read, so that no change between the call and the read is
+		// missed.
 		changed := k.core.KeysChanged()
 		events, err := k.pendingEvents(r.Context())
 		if err != nil {
@@ -89,7 +90,7 @@
 	if len(revisions) > maxListedKeys {
 		return nil, tooManyKeys()
 	}
-	// A watcher that has received any key is no longer new.
+	// Once a read has found any key, the cursor is not empty, and later reads return only changes.
 	initial := k.initial && len(k.cursor) == 0
 	var events []watch.Event
 	for _, key := range k.cursor.StaleKeys(revisions) {
--- a/daemon/core/changes.go
+++ b/daemon/core/changes.go
@@ -51,7 +51,8 @@
 }
 
 // KeyChanged returns a channel that is closed when this core next learns of a change of the key.
-// Callers must call KeyChanged before they read the key, or a change between the two is missed.
+// Callers must call KeyChanged before they read the key, or a change between the read and the call is
+// missed.
 func (c *Core) KeyChanged(key ident.Key) <-chan struct{} {
 	c.changes.mu.Lock()
 	defer c.changes.mu.Unlock()
--- a/daemon/core/requests.go
+++ b/daemon/core/requests.go
@@ -13,14 +13,14 @@
 )
 
 // resultMargin is how long after the end of its budget a request is abandoned. The node ends every
-// request within its budget unless loop is delayed.
+// request within its budget unless Core.loop, which runs the node's steps, is delayed.
 const resultMargin = time.Second
 
 // resultWaiters holds the result channels of the pending requests, by ticket.
 type resultWaiters struct {
-	mu       sync.Mutex
-	last     uint64
-	byTicket map[uint64]chan node.Result
+	mu         sync.Mutex
+	lastTicket uint64
+	byTicket   map[uint64]chan node.Result
 }
 
 func newResultWaiters() resultWaiters {
@@ -32,9 +32,9 @@
 	result := make(chan node.Result, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last++
-	w.byTicket[w.last] = result
-	return w.last, result
+	w.lastTicket++
+	w.byTicket[w.lastTicket] = result
+	return w.lastTicket, result
 }
 
 // remove deletes a ticket whose result is no longer awaited.
@@ -76,7 +76,7 @@
 
 // Execute runs one operation and waits for its result, for at most budget plus resultMargin. The time
 // in the step queue counts against budget, so that a delayed process does not start an operation whose
-// caller has given up.
+// caller no longer waits.
 func (c *Core) Execute(ctx context.Context, operation proposer.Operation, budget time.Duration) node.Result {
 	c.Metrics.Add("deeds", 1)
 	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
@@ -104,8 +104,8 @@
 	})
 }
 
-// QuorumRead reads the records of all keys with a prefix from a majority, with or without their
-// values.
+// QuorumRead reads the records of all keys with a prefix from a majority of the voters, with or
+// without the values of the keys.
 func (c *Core) QuorumRead(ctx context.Context, prefix string, values bool, budget time.Duration) node.Result {
 	c.Metrics.Add("surveys", 1)
 	ctx, cancel := context.WithTimeout(ctx, budget+resultMargin)
--- a/daemon/core/stop.go
+++ b/daemon/core/stop.go
@@ -10,9 +10,9 @@
 // leavePollInterval is the time between two calls of continueLeave during a planned stop.
 const leavePollInterval = 30 * time.Millisecond
 
-// Leave performs a planned stop: the core hands its keys over to successors and completes the
-// requests in progress. Leave returns when both are done, or after the limit. A second call returns
-// immediately.
+// Leave performs a planned stop: the core hands its keys over to their next proposers, completes the
+// requests in progress, and waits until no confirmed value depends on its disk. Leave returns when the
+// stop is complete, or after the limit. A second call returns immediately.
 func (c *Core) Leave(limit time.Duration) {
 	if c.leaving.Swap(true) {
 		return
--- a/daemon/integration/keyvalue_test.go
+++ b/daemon/integration/keyvalue_test.go
@@ -19,8 +19,8 @@
 
 func testValue(i int) json.RawMessage { return json.RawMessage(fmt.Sprintf(`"v%d"`, i)) }
 
-// keyspaceClient uses the keyspace "g." at any core. keyspaceClient retries a put or get that fails,
-// for example because a busy machine delays the message to the proposer, as clients do. A retried put
+// keyspaceClient uses the keyspace "g." at any core. As clients do, keyspaceClient retries a put or
+// get that fails, for example because a busy machine delays the message to the proposer. A retried put
 // that was already executed keeps its revision.
 type keyspaceClient struct {
 	*coreCluster
@@ -67,8 +67,8 @@
 
 // Guards against stale reads and skipped changes in a keyspace used through three cores. A put at one
 // core must immediately be visible at every core and must wake a watch at another core, whichever core
-// is the proposer of the keyspace. After the loss of a core, which may be the proposer, a watch must
-// continue from its position at another core without skipping a change.
+// is the proposer of the keyspace. After a core, possibly the proposer, is powered off, a watch must
+// continue at another core from a given revision without skipping a change.
 func TestKeyspaceAcrossCores(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*eventualTimeout)
 	defer cancel()
@@ -97,7 +97,7 @@
 	stored := k.put(0, "g.a", testValue(200))
 	must.Eq(t, last+1, stored.Revision)
 	var changes coordination.Changes
-	eventually(t, "a watch after the loss", func() bool {
+	eventually(t, "a watch after the power-off of a core", func() bool {
 		var fail *failure.Error
 		changes, fail = k.watch(2, 3, time.Second)
 		return fail == nil
