--- a/control/config/validation/reader.go
+++ b/control/config/validation/reader.go
@@ -16,7 +16,7 @@
 	maxRoutes     = 20000
 	maxCallers    = 1000
 	maxPathPrefix = 2048
-	// maxRetryRatio bounds the ratio of a service's requests that may be retried.
+	// maxRetryRatio bounds the ratio of retries to requests of a service.
 	maxRetryRatio = 0.2
 	// maxInt32 bounds numbers that are converted to int, which may have 32 bits.
 	maxInt32           = 1<<31 - 1
--- a/control/config/validation/split.go
+++ b/control/config/validation/split.go
@@ -105,8 +105,8 @@
 	return weights, sum
 }
 
-// mergeByService sorts the weights by service and sums those of a service that is listed
-// more than once. The result reuses the slice of weights.
+// mergeByService sorts the weights by service and sums the weights of a service that is listed more
+// than once. The result reuses the slice of weights.
 func mergeByService(weights []serviceWeight) []serviceWeight {
 	slices.SortStableFunc(weights, func(a, b serviceWeight) int { return strings.Compare(string(a.service), string(b.service)) })
 	merged := weights[:1]
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -288,8 +288,8 @@
 	}
 }
 
-// onResendRequest handles a peer's resend request: the next heartbeat to the peer is a full one,
-// and the full list of leases is sent if the peer requested the list.
+// onResendRequest handles a peer's resend request: the next heartbeat to the peer is a full
+// heartbeat, and the full list of leases is sent if the peer requested the list.
 func (n *Node) onResendRequest(now monotime.Time, m message.Message, fx *Effects) bool {
 	if m.ResendRequest == nil {
 		return false
--- a/control/core/node/singletonrole.go
+++ b/control/core/node/singletonrole.go
@@ -23,8 +23,8 @@
 	singletonRoleTTLMs         = 3000
 	singletonRoleRenewInterval = time.Second
 	// rolloutReadInterval is the interval at which the holder reads the rollouts while a rollout is
-	// known to be active. idleRolloutReadInterval is the interval otherwise; it is needed because
-	// the announcement of a new rollout may be lost.
+	// known to be active. idleRolloutReadInterval is the interval otherwise; the reads are needed
+	// because the announcement of a new rollout may be lost.
 	rolloutReadInterval     = 500 * time.Millisecond
 	idleRolloutReadInterval = 2500 * time.Millisecond
 	// auditReadInterval is the minimum time between two reads of the audit log.
--- a/control/register/quorum/membership.go
+++ b/control/register/quorum/membership.go
@@ -2,8 +2,8 @@
 
 import "cottonarch.example/cottonarch/base/ident"
 
-// Voter is one slot of the membership. Responses of a voter count toward a majority only if it is
-// Counted. Invariants: a voter that still copies the control state is not Counted, but its slot
+// Voter is one slot of the membership. Responses of a voter count toward a majority only if the voter
+// is Counted. Invariants: a voter that still copies the control state is not Counted, but its slot
 // is included in the number of slots that the majority is computed from. A voter that is Joining
 // has a new slot, which is not included yet, and is not Counted.
 type Voter struct {
@@ -30,7 +30,7 @@
 	return m.Size()/2 + 1
 }
 
-// Size returns the number of slots that the majority is computed from: all that are not Joining.
+// Size returns the number of slots that the majority is computed from: all slots that are not Joining.
 func (m Membership) Size() int {
 	n := 0
 	for _, voter := range m.Voters {
--- a/control/register/quorum/patch.go
+++ b/control/register/quorum/patch.go
@@ -64,8 +64,8 @@
 	return p
 }
 
-// commonEnds returns the lengths of the common prefix and suffix of two values. Neither splits a
-// UTF-8 character of next, because the bytes between them are sent as a JSON string.
+// commonEnds returns the lengths of the common prefix and suffix of two values. Neither length splits
+// a UTF-8 character of next, because the bytes between prefix and suffix are sent as a JSON string.
 func commonEnds(baseValue, next []byte) (head, tail int) {
 	shorter := min(len(baseValue), len(next))
 	for head < shorter && baseValue[head] == next[head] {
--- a/control/register/quorum/quorum.go
+++ b/control/register/quorum/quorum.go
@@ -51,7 +51,7 @@
 	return h != nil && record.Accepted == h.Accepted && record.Revision == h.Revision
 }
 
-// Response answers a Request. Invariant: it is sent only after the state that it reports is synced.
+// Response answers a Request. Invariant: a response is sent only after the reported state is synced.
 // Record is empty if a patch was accepted. Record.Value is set only in the response to a prepare,
 // unless the request's Held identifies the same accepted state.
 type Response struct {
--- a/control/register/quorum/scan.go
+++ b/control/register/quorum/scan.go
@@ -9,9 +9,9 @@
 	"cottonarch.example/cottonarch/base/ident"
 )
 
-// Scan requests one page of an acceptor's records whose keys have a prefix. With Buckets it
-// requests a digest of each bucket of keys instead; with Buckets and OnlyBuckets, the records of
-// the keys in the listed buckets.
+// Scan requests one page of an acceptor's records whose keys have a prefix. With Buckets, a Scan
+// requests a digest of each bucket of keys instead; with Buckets and OnlyBuckets, a Scan requests
+// the records of the keys in the listed buckets.
 type Scan struct {
 	Round      uint64                `json:"turn"`
 	Membership ident.MembershipEpoch `json:"roster"`
@@ -35,7 +35,7 @@
 
 // AddToDigests adds a record's accepted state to the digest of its key's bucket; digests holds the
 // digests of all buckets. A digest is the sum of the hashes of the accepted states in the bucket,
-// so it does not depend on the order in which the states are added.
+// so the digest does not depend on the order in which the states are added.
 func AddToDigests(digests []byte, key ident.Key, record Record) {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s\x00%d", key, record.Accepted.Epoch, record.Accepted.Proposer, record.Revision)
