--- a/mesh/admission/endpointqueue.go
+++ b/mesh/admission/endpointqueue.go
@@ -125,7 +125,7 @@
 	for _, run := range e.inFlight {
 		sum += run.serviceTime
 	}
-	// The mean run time of the requests in flight stands for the time until a slot becomes free.
+	// The mean run time of the requests in flight approximates the time until a slot becomes free.
 	// Requests in flight beyond the number of slots occupy a slot first.
 	nextFree := float64(sum) / float64(len(e.inFlight)) * float64(len(e.inFlight)-e.slots+1) * e.relativeTime(now) * e.slowStartFactor(now)
 	return (time.Duration(nextFree) + ahead) / time.Duration(e.slots)
@@ -171,8 +171,8 @@
 			e.nextTrial = now.Add(e.settings.TrialInterval)
 			return "", 0
 		}
-		// An idle endpoint still gets one request at a time; otherwise the endpoint could never
-		// prove that it has become faster.
+		// An idle endpoint still gets one request at a time; otherwise no run would show that the
+		// endpoint has become faster.
 		if len(e.inFlight) > 0 && e.relativeTime(now) > slowRelativeTime && e.missesTarget(now, &request, run) {
 			return Slow, e.settings.MinRetryAfter
 		}
@@ -234,10 +234,10 @@
 }
 
 // takeNext removes the next request to admit from the queue and returns the request. While few
-// requests wait, takeNext picks, of the requests that can still meet their target, the one with
+// requests wait, takeNext picks, of the requests that can still meet their target, the request with
 // the least slack, unless a request of a higher rank would then miss its target. Otherwise
 // takeNext picks the first request in the queue that can still meet its target, or the first
-// request if none can.
+// request if no request can.
 func (e *endpointQueue) takeNext(now monotime.Time) Request {
 	factor := e.slowdown(now)
 	expectedRun := func(request *Request) time.Duration {
@@ -307,8 +307,8 @@
 	e.estimate.record(outcome, float64(elapsed)/e.slowStartFactor(now), serviceTime)
 }
 
-// failsTooOften reports whether the failure rate of the endpoint exceeds the rate of its peers by
-// too much.
+// failsTooOften reports whether the failure rate of the endpoint exceeds Settings.MaxFailureRate plus
+// one and a half times the failure rate of its peers.
 func (e *endpointQueue) failsTooOften(peers float64) bool {
 	return e.estimate.failureRate > e.settings.MaxFailureRate+1.5*peers
 }
--- a/mesh/admission/estimate.go
+++ b/mesh/admission/estimate.go
@@ -52,7 +52,7 @@
 		e.failureRate += (failed - e.failureRate) / failureRateSmoothing
 	}
 	// The time until a failure gives no information about the service time. A run that was given
-	// up later than expected does count, because it would have taken even longer.
+	// up later than expected does count, because the run would have taken even longer.
 	if elapsed <= 0 || outcome == Failed || outcome == GivenUp && elapsed <= float64(serviceTime)*e.actualTime/e.expectedTime {
 		return
 	}
--- a/mesh/attempt/planner.go
+++ b/mesh/attempt/planner.go
@@ -237,7 +237,7 @@
 	p.outcomeCounts[call.Route.Service] = counts
 }
 
-// reportToBalancer passes on what an attempt reveals about its endpoint.
+// reportToBalancer reports the outcome and the load report of an attempt to the balancer.
 func (p *Planner) reportToBalancer(now monotime.Time, call *Call, result Result) {
 	uncertain := result.Outcome == Unknown && !result.ClientLeft
 	p.Balancer.Finished(now, call.current, uncertain, result.Unreachable && !result.ClientLeft)
--- a/mesh/attempt/planner_test.go
+++ b/mesh/attempt/planner_test.go
@@ -59,7 +59,7 @@
 	return planner
 }
 
-// Covers every sequence of three outcomes, for a repeatable method and for one that is not: a call
+// Covers every sequence of three outcomes, for a repeatable and for an unrepeatable method: a call
 // that may have been executed is retried only if the call is repeatable, no failure claims "not
 // executed" after an unknown outcome, and no server is tried twice.
 func TestAllOrdersOfOutcomes(t *testing.T) {
--- a/mesh/lease/holder/holder.go
+++ b/mesh/lease/holder/holder.go
@@ -1,4 +1,4 @@
-// Package holder is the sidecar's side of its lease: when the lease is renewed and at which core,
+// Package holder implements the sidecar's part of its lease: when the lease is renewed and at which core,
 // which core the sidecar polls for changes, and how much of the retry budget the sidecar may spend.
 //
 // A sidecar renews its lease at one core, its registrar, which informs the other cores. A Holder is
@@ -36,7 +36,7 @@
 
 // Holder holds a sidecar's lease. Invariants: a renewal is sent only after the previous renewal has
 // completed at every core to which that renewal was sent; for every renewal sent at or before
-// majorityAsOf, a majority of the voters knows that renewal or a later one.
+// majorityAsOf, a majority of the voters knows that renewal or a later renewal.
 type Holder struct {
 	registrarSelector
 
@@ -67,10 +67,10 @@
 }
 
 // PollTarget returns the core to poll for changes, "" if there is none. Invariant: the poll target
-// is a registrar that responded in time, or the first registrar that was chosen. A registrar that
-// was chosen because the previous one was late becomes the poll target only after responding. On a
-// saturated link all cores are late, and a poll that is aborted at each new choice of a registrar
-// would never finish.
+// is a registrar that responded within RenewTimeout, or the first registrar that was chosen. A
+// registrar that was chosen because the previous registrar was late becomes the poll target only
+// after responding. On a saturated link all cores are late, and a poll that is aborted at each new
+// choice of a registrar would never finish.
 func (h *Holder) PollTarget() ident.Addr {
 	if h.pollTarget == "" || h.respondingCores[h.registrar] {
 		h.pollTarget = h.registrar
@@ -93,7 +93,7 @@
 // ExpediteRenewal makes the next renewal due immediately, because the registrar may be unavailable.
 func (h *Holder) ExpediteRenewal() { h.renewNow = true }
 
-// ReportChanged reports whether a report differs from the one that was sent last.
+// ReportChanged reports whether a report differs from the report that was sent last.
 func (h *Holder) ReportChanged(leaseEpoch ident.LeaseEpoch, report record.Report) bool {
 	return leaseEpoch != h.leaseEpoch || !report.EqualExceptLoad(h.lastReport)
 }
@@ -175,8 +175,8 @@
 }
 
 // HandleLateResponse processes a response that arrived after its renewal had timed out. The core is
-// no longer silent, so that while all cores are avoided, this core is preferred to silent ones. The
-// acknowledged renewal in the response counts like that of a timely response.
+// no longer silent, so that while all cores are avoided, this core is preferred to silent cores. The
+// acknowledged renewal in a late response counts like the acknowledged renewal in a timely response.
 func (h *Holder) HandleLateResponse(core ident.Addr, response record.RenewalResponse) {
 	h.SetCores(response.CoresVersion, response.Cores)
 	h.recordMajority(response.AcknowledgedRenewal)
--- a/mesh/lease/holder/registrarselector.go
+++ b/mesh/lease/holder/registrarselector.go
@@ -73,7 +73,7 @@
 
 // registrarSelector chooses the registrar. Invariants: the registrar is the first core that is not
 // avoided, ordered by distance and then by weight. While all cores are avoided, cores that responded
-// precede silent ones, so that a core that responds stays the registrar; silent cores are ordered by
+// precede silent cores, so that a core that responds stays the registrar; silent cores are ordered by
 // the time of the last attempt, oldest first.
 type registrarSelector struct {
 	registrar  ident.Addr
--- a/mesh/retrybudget/budget_test.go
+++ b/mesh/retrybudget/budget_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// tickUntil ticks a budget from one time to another and returns the latter.
+// tickUntil ticks a budget from one time to another and returns the end time.
 func tickUntil(budget *Budget, from, to time.Duration) monotime.Time {
 	for d := from; d <= to; d += 40 * time.Millisecond {
 		budget.Tick(monotime.Time(d))
@@ -124,7 +124,7 @@
 }
 
 // With several callers, a single caller cannot spend the whole share, and a caller with a weight
-// gets the part of its weight. An only caller may spend the whole share.
+// gets the part of its weight. The only caller of a service may spend the whole share.
 func TestShareIsDividedAmongCallers(t *testing.T) {
 	named := testService
 	named.CallerWeights = map[string]float64{"big": 4, "small": 1}
@@ -148,7 +148,7 @@
 }
 
 // After a burst, no requests arrive for ten seconds while all sidecars spend as many retries as
-// they can. They spend at most sixty in total.
+// they can. The sidecars spend at most sixty retries in total.
 func TestRequestsOfAnEndedBurstPayForNoRetries(t *testing.T) {
 	spent := 0
 	for range 10 {
@@ -171,9 +171,9 @@
 	must.Between(t, 30, spent, 60)
 }
 
-// All sidecars of a mesh have restarted after having spent their shares: they spend only what
-// their requests save, however many services and callers are new to them. Later, a service that is
-// new to all sidecars costs one share.
+// All sidecars of a mesh have restarted after having spent their shares: the sidecars spend only what
+// their requests save, however many services and callers are new to the sidecars. Later, for a
+// service that is new to all sidecars, the sidecars spend one share.
 func TestRestartedNodesStayWithinExtraBudget(t *testing.T) {
 	const nodes, extra = 84, 208
 	for uptime, maxRetries := range map[time.Duration]int{time.Second: 0, 12 * time.Second: extra} {
@@ -193,7 +193,7 @@
 	}
 }
 
-// The limit also holds for other settings.
+// The limit on retries also holds for limits other than the defaults.
 func TestLimitHoldsForOtherSettings(t *testing.T) {
 	for _, limits := range []Limits{
 		{Window: 4 * time.Second, Ratio: 0.1, Extra: 4},
