--- a/daemon/core/discovery.go
+++ b/daemon/core/discovery.go
@@ -23,7 +23,7 @@
 // KnownCores is the response to a request at CoresPath: the cores that a process knows.
 type KnownCores struct {
 	Cores []ident.Addr `json:"cores"`
-	// FromCore reports that the response is from a core, so every address in Cores is that of a
+	// FromCore reports that the response is from a core, so every address in Cores belongs to a
 	// core. The response of a sidecar may contain seeds that the sidecar has not contacted yet.
 	FromCore bool `json:"core,omitempty"`
 }
--- a/daemon/core/journal.go
+++ b/daemon/core/journal.go
@@ -11,7 +11,7 @@
 
 // journalLoop writes the records of queued effects in batches. Each batch is synced once, and its
 // effects are dispatched only after the sync succeeds. After a failed write or sync, journalLoop
-// dispatches no effects any more.
+// dispatches no further effects.
 func (c *Core) journalLoop() {
 	var batch []node.Effects
 	for {
--- a/storage/ring/reader.go
+++ b/storage/ring/reader.go
@@ -13,7 +13,7 @@
 	// reading all of its files.
 	readAhead = 256 << 10
 	// maxZeroRun is the number of consecutive zero bytes after which the search for lost records
-	// ends. It is larger than any gap that a loss of power leaves between two syncs.
+	// ends. maxZeroRun is larger than any gap that a loss of power leaves between two syncs.
 	maxZeroRun = 4 * readAhead
 )
 
