--- a/control/core/node/antientropy_test.go
+++ b/control/core/node/antientropy_test.go
@@ -22,7 +22,7 @@
 	return passes[0]
 }
 
-// An anti-entropy pass must count the keys of a disk that lost all records as lagging until they
+// An anti-entropy pass must count the keys of a disk that lost all records as lagging until the keys
 // are repaired, and must not count a disk that does not answer as read.
 func TestAntiEntropyReportsLaggingCopies(t *testing.T) {
 	cluster := newThreeCores(t)
--- a/control/core/node/heartbeat.go
+++ b/control/core/node/heartbeat.go
@@ -92,9 +92,9 @@
 
 // heartbeatIntervalTo returns the time between two heartbeats to a peer. Of two cores, the core
 // with the lower address sends first and the core with the higher address replies with its own
-// heartbeat. The core with the higher address sends unprompted only if no heartbeat arrived in
-// time. Heartbeats between two non-voters do not affect the placement of keys, so they are sent
-// less often.
+// heartbeat. The core with the higher address sends unprompted only if no heartbeat arrived within
+// the interval plus secondSenderDelay. Heartbeats between two non-voters do not affect the placement
+// of keys, so non-voters send heartbeats to each other less often.
 func (n *Node) heartbeatIntervalTo(a ident.Addr, p *peer) time.Duration {
 	interval := heartbeatInterval
 	if !n.membership.Current.IsCounted(n.Disk) && !n.membership.Current.IsCounted(p.heartbeat.Disk) {
@@ -107,7 +107,7 @@
 }
 
 // sendHeartbeats sends a heartbeat to each of the given cores. Cores that do not know this core's
-// current state receive a full heartbeat, the others a brief heartbeat.
+// current state receive a full heartbeat, and the other cores receive a brief heartbeat.
 func (n *Node) sendHeartbeats(now monotime.Time, to []ident.Addr, fx *Effects) {
 	n.heartbeats.seq++
 	n.heartbeats.recordSent(now)
--- a/control/core/node/instance_test.go
+++ b/control/core/node/instance_test.go
@@ -13,7 +13,7 @@
 
 // A core restarts while responses to its earlier run's quorum read are in transit. The new run also
 // begins a quorum read, whose own responses are lost. The old responses must not complete the new
-// read, because they predate a put that was acknowledged in the meantime.
+// read, because the old responses predate a put that was acknowledged in the meantime.
 func TestResponsesToEarlierRunAreIgnored(t *testing.T) {
 	cluster := newThreeCores(t)
 	put := func(ticket uint64, value string) {
--- a/control/core/node/leaseupdate_test.go
+++ b/control/core/node/leaseupdate_test.go
@@ -92,7 +92,7 @@
 				must.Greater(t, 25*time.Second, cluster.now.Since(ackedAt), must.Sprint(name))
 			}
 		}
-		// If only the heartbeats to the registrar are lost, its messages still reach the others.
+		// If only the heartbeats to the registrar are lost, the registrar's messages still reach the other cores.
 		must.Eq(t, name != "heartbeats to it", reclaimed, must.Sprint(name))
 	}
 }
--- a/control/core/node/partition_test.go
+++ b/control/core/node/partition_test.go
@@ -260,10 +260,10 @@
 	}
 }
 
-// A core is partitioned for 20 s. A spare core takes its slot in the membership, and the others
-// change the keys for which it was the proposer. The partitioned core must answer every call with
-// 503 or 504. After the partition has healed, the core must have a new disk identifier without the
-// old records, and must return the newest values.
+// A core is partitioned for 20 s. A spare core takes the slot of the partitioned core in the
+// membership, and the other cores change the keys for which the partitioned core was the proposer.
+// The partitioned core must answer every call with 503 or 504. After the partition has healed, the
+// core must have a new disk identifier without the old records, and must return the newest values.
 func TestCoreReplacedWhilePartitioned(t *testing.T) {
 	const budget = 900 * time.Millisecond
 	next, read := operationOf("number/n", "number/next", nil), operationOf("number/n", "number/read", nil)
@@ -294,7 +294,7 @@
 				)
 			}
 		}
-		if direction != "in" { // with "in", the core's heartbeats still reach the others
+		if direction != "in" { // with "in", the core's heartbeats still reach the other cores
 			_, in := cluster.nodes["b:1"].Membership().Find(disk)
 			must.False(t, in, must.Sprint(direction, ": the spare core did not take the slot"))
 		}
--- a/control/core/node/votercopy_test.go
+++ b/control/core/node/votercopy_test.go
@@ -17,7 +17,7 @@
 
 // A new voter must request to be counted only after its copy is synced. Guards against a fault that
 // a scripted run of explore/cluster found: the membership requests were sent immediately, and a
-// power failure after them left a counted disk without the acknowledged values.
+// power failure after the requests left a counted disk without the acknowledged values.
 func TestCopyIsSyncedBeforeTheDiskCounts(t *testing.T) {
 	members := acceptor.New("d4")
 	members.Adopt(quorum.Membership{Epoch: 2, Voters: []quorum.Voter{
