--- a/daemon/api/coordination/keys.go
+++ b/daemon/api/coordination/keys.go
@@ -89,7 +89,7 @@
 	var current keyvalue.State
 	if rawState := operation.State(found.Record.Value); len(rawState) > 0 {
 		if err := json.Unmarshal(rawState, &current); err != nil {
-			return keyvalue.Response{}, failure.New(failure.Corrupted, "key %s: %v", controlKey, err)
+			return keyvalue.Response{}, failure.New(failure.Corrupted, "cannot decode the state of key %q: %v", controlKey, err)
 		}
 	}
 	latest := current.Latest()
@@ -108,7 +108,7 @@
 	}
 	var current keyvalue.Response
 	if err := json.Unmarshal(result.Body, &current); err != nil {
-		return keyvalue.Response{}, failure.New(failure.Corrupted, "key %s: %v", controlKey, err)
+		return keyvalue.Response{}, failure.New(failure.Corrupted, "cannot decode the result of the read of key %q: %v", controlKey, err)
 	}
 	return current, nil
 }
