--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -47,7 +47,7 @@
 	fmt.Fprintf(&w.text, format+"\n", args...)
 }
 
-// Tables returns the report as Markdown text, as embedded in the page.
+// Tables returns the report as Markdown text, which UpdatePage embeds in a page of the documentation.
 func Tables(result *run.Result) string {
 	rows, w := Rows(result), &markdownWriter{}
 	w.writeLine("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
@@ -146,7 +146,7 @@
 
 // writeActivities writes the steady-state usage of one role by activity, at the size of the target.
 func (w *markdownWriter) writeActivities(result *run.Result, rows []Row, role, title string) {
-	figure := func(activity, unit string) string {
+	valueOf := func(activity, unit string) string {
 		if row, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
 			return formatNumber(row.AtTarget)
 		}
@@ -161,11 +161,11 @@
 	for _, activity := range activities {
 		cells := []string{activity, meter.PackageOf(activity)}
 		for _, unit := range activityUnits {
-			cells = append(cells, figure(activity, unit))
+			cells = append(cells, valueOf(activity, unit))
 		}
 		w.writeRow(cells...)
 	}
-	w.writeRow("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
+	w.writeRow("all", "", valueOf("all", "messages a second"), valueOf("all", "bytes a second")+" (TCP)", valueOf("all", "processor cores"))
 }
 
 // activitiesOf returns the activities of a role that have a curve in the steady state.
