--- a/daemon/sidecar/exactlyonce_test.go
+++ b/daemon/sidecar/exactlyonce_test.go
@@ -46,22 +46,22 @@
 func remoteEndpoints(h *faultHarness) *Sidecar {
 	h.peer.Store(newTestSidecar("b", "127.0.0.1:2", h.endpoints...))
 	s := newTestSidecar("a", "127.0.0.1:1")
-	s.addWorkloads("b", h.relayAddr, "b0", "b1")
+	s.addWorkloads("b", h.relay.addr, "b0", "b1")
 	return s
 }
 
 // runScenario sends requests one after another against one sequence of behaviors. The responses are
-// checked immediately and again at the end of the test, because a rejected request must never be
-// executed later.
+// checked as soon as every request that was sent has arrived, and again at the end of the test,
+// because a rejected request must never be executed later. A request may arrive after its deadline.
 func (h *faultHarness) runScenario(t *testing.T, setUp topology, timeout time.Duration, paths []string, script []endpointBehavior, relays []relayBehavior) {
 	sc, number := newScenario(script, relays), fmt.Sprint(h.scenarioCount.Add(1))
 	h.scenarios.Store(number, sc)
 	s := setUp(h)
-	defer h.closeConnections(s)
 	responses := make([]*httptest.ResponseRecorder, len(paths))
 	for n, path := range paths {
 		responses[n] = s.sendAsCaller(path, fmt.Sprint(number, "-r", n), timeout)
 	}
+	h.closeConnections(t, s)
 	checkAll := func() {
 		for n, path := range paths {
 			sc.checkResponse(t, path, fmt.Sprint(number, "-r", n), responses[n], describeScenario(paths, script, relays))
@@ -71,16 +71,25 @@
 	t.Cleanup(checkAll)
 }
 
-// closeConnections closes the idle connections of the callers' sidecar and of the peer.
-func (h *faultHarness) closeConnections(s *Sidecar) {
-	for _, sidecar := range []*Sidecar{s, h.peer.Swap(nil)} {
-		if sidecar == nil {
-			continue
-		}
-		for _, addr := range append(h.endpoints, h.relayAddr) {
-			sidecar.endpointExchange.Drop(addr)
-			sidecar.peerExchange.Drop(addr)
-		}
+// closeConnections closes the idle connections of the callers' sidecar and of the peer, and waits
+// until the relay and the endpoints have served their connections to the end. The relay still
+// forwards a request whose sender has timed out, so the peer remains until the relay has finished.
+func (h *faultHarness) closeConnections(t *testing.T, s *Sidecar) {
+	h.dropConnections(s)
+	h.relay.settle(t)
+	if peer := h.peer.Swap(nil); peer != nil {
+		h.dropConnections(peer)
+	}
+	for _, endpointServer := range h.endpointServers {
+		endpointServer.settle(t)
+	}
+}
+
+// dropConnections closes the connections of a sidecar to the endpoints and the relay.
+func (h *faultHarness) dropConnections(s *Sidecar) {
+	for _, addr := range append(slices.Clone(h.endpoints), h.relay.addr) {
+		s.endpointExchange.Drop(addr)
+		s.peerExchange.Drop(addr)
 	}
 }
 
@@ -255,7 +264,7 @@
 				sc := newScenario(script, relays)
 				harness.scenarios.Store("1", sc)
 				s := setUp(harness)
-				defer harness.closeConnections(s)
+				defer harness.closeConnections(t, s)
 				var responses [callers][requestsPerCaller]*httptest.ResponseRecorder
 				path := func(n int) string { return []string{"/once/x", "/again/y"}[n%2] }
 				id := func(caller, n int) string { return fmt.Sprintf("1-%d-%d", caller, n) }
--- a/daemon/sidecar/faultharness_test.go
+++ b/daemon/sidecar/faultharness_test.go
@@ -127,21 +127,94 @@
 	return behavior, previous
 }
 
+// connectionServer serves every connection of a listener until the test ends.
+type connectionServer struct {
+	addr  ident.Addr
+	mu    sync.Mutex
+	open  map[*net.TCPConn]bool // accepted connections that are being served
+	ended *sync.Cond            // signals that a connection was removed from open
+}
+
 // listen serves every connection of a new listener until the test ends.
 func listen(t testing.TB, serve func(*net.TCPConn)) ident.Addr {
+	return startConnectionServer(t, serve).addr
+}
+
+// startConnectionServer starts a connectionServer. At the end of the test, the server closes the
+// listener and its connections, and waits for its goroutines.
+func startConnectionServer(t testing.TB, serve func(*net.TCPConn)) *connectionServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	cs := &connectionServer{addr: ident.Addr(l.Addr().String()), open: map[*net.TCPConn]bool{}}
+	cs.ended = sync.NewCond(&cs.mu)
+	accepting := make(chan struct{})
 	go func() {
+		defer close(accepting)
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c.(*net.TCPConn))
+			cs.start(c.(*net.TCPConn), serve)
 		}
 	}()
-	return ident.Addr(l.Addr().String())
+	t.Cleanup(func() {
+		_ = l.Close()
+		<-accepting
+		cs.closeConnections()
+		cs.awaitEnd()
+	})
+	return cs
+}
+
+// start serves a connection in a goroutine of its own.
+func (cs *connectionServer) start(c *net.TCPConn, serve func(*net.TCPConn)) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.open[c] = true
+	go func() {
+		defer func() {
+			cs.mu.Lock()
+			defer cs.mu.Unlock()
+			delete(cs.open, c)
+			cs.ended.Broadcast()
+		}()
+		serve(c)
+	}()
+}
+
+func (cs *connectionServer) closeConnections() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for c := range cs.open {
+		_ = c.Close()
+	}
+}
+
+// awaitEnd waits until no accepted connection is being served.
+func (cs *connectionServer) awaitEnd() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for len(cs.open) > 0 {
+		cs.ended.Wait()
+	}
+}
+
+// settle waits until every connection that was established before has been accepted and served to
+// its end. The clients must have closed these connections; a request that they sent before is still
+// read. settle requires a server that closes a connection after a malformed request. Connections
+// are accepted in the order of their establishment, so settle sends a malformed request on a new
+// connection and waits until the server closes that connection.
+func (cs *connectionServer) settle(t *testing.T) {
+	c, err := net.Dial("tcp", string(cs.addr))
+	must.NoError(t, err)
+	defer func() { _ = c.Close() }()
+	must.NoError(t, c.(*net.TCPConn).SetLinger(0)) // leaves no local port in TIME_WAIT
+	_, err = io.WriteString(c, "malformed\r\n\r\n")
+	must.NoError(t, err)
+	_, err = io.Copy(io.Discard, c)
+	must.NoError(t, err)
+	cs.awaitEnd()
 }
 
 // applyConnectionEnd ends a connection as the behavior requires and reports whether the connection
@@ -165,19 +238,23 @@
 // scenario has sidecars of its own. Request ids begin with the number of their scenario, so that a
 // request is still recorded if it arrives after its scenario has ended.
 type faultHarness struct {
-	scenarioCount atomic.Int64
-	scenarios     sync.Map
-	endpoints     []ident.Addr
-	peer          atomic.Pointer[Sidecar]
-	relayAddr     ident.Addr // address of the relay that forwards to the peer
+	scenarioCount   atomic.Int64
+	scenarios       sync.Map
+	endpointServers []*connectionServer
+	endpoints       []ident.Addr // addresses of endpointServers
+	peer            atomic.Pointer[Sidecar]
+	relay           *connectionServer // forwards to the peer
 }
 
 func newFaultHarness(t *testing.T) *faultHarness {
 	h := &faultHarness{}
-	h.endpoints = []ident.Addr{h.startEndpoint(t), h.startEndpoint(t)}
+	for range 2 {
+		endpointServer := h.startEndpoint(t)
+		h.endpointServers, h.endpoints = append(h.endpointServers, endpointServer), append(h.endpoints, endpointServer.addr)
+	}
 	peer := startPeerServer(t, func() *Sidecar { return h.peer.Load() })
 	restarted := newTestSidecar("b", "127.0.0.1:2")
-	h.relayAddr = h.startRelay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
+	h.relay = h.startRelay(t, peer, startPeerServer(t, func() *Sidecar { return restarted }))
 	return h
 }
 
@@ -189,8 +266,8 @@
 }
 
 // startEndpoint starts an endpoint that behaves according to the scenarios.
-func (h *faultHarness) startEndpoint(t *testing.T) ident.Addr {
-	return listen(t, func(c *net.TCPConn) {
+func (h *faultHarness) startEndpoint(t *testing.T) *connectionServer {
+	return startConnectionServer(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, _ []byte) bool {
 			id := req.Header.Get(testIDHeader)
 			behavior, previous := h.scenarioOf(id).nextBehavior(id)
@@ -241,8 +318,8 @@
 
 // startRelay starts the relay between two sidecars. The relay forwards a request either to peer, a
 // sidecar with endpoints, or to restarted, a sidecar that has restarted and has no endpoint yet.
-func (h *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) ident.Addr {
-	return listen(t, func(c *net.TCPConn) {
+func (h *faultHarness) startRelay(t *testing.T, peer, restarted ident.Addr) *connectionServer {
+	return startConnectionServer(t, func(c *net.TCPConn) {
 		serveRequests(c, func(r *bufio.Reader, req *http.Request, body []byte) bool {
 			req.Body = io.NopCloser(bytes.NewReader(body))
 			id := req.Header.Get(testIDHeader)
@@ -252,7 +329,11 @@
 				target = restarted
 			}
 			if behavior.forwards {
-				response := forwardRequest(t, target, req)
+				response, err := forwardRequest(target, req)
+				if err != nil {
+					t.Errorf("forward %s: %v", id, err)
+					return false
+				}
 				_, _ = c.Write(response[:behavior.truncate(len(response))])
 			}
 			return applyConnectionEnd(c, r, behavior.end)
@@ -261,16 +342,20 @@
 }
 
 // forwardRequest forwards a request over a new connection and returns the bytes of the response.
-func forwardRequest(t *testing.T, target ident.Addr, req *http.Request) []byte {
+func forwardRequest(target ident.Addr, req *http.Request) ([]byte, error) {
 	c, err := net.Dial("tcp", string(target))
-	must.NoError(t, err)
+	if err != nil {
+		return nil, err
+	}
 	defer func() { _ = c.Close() }()
-	must.NoError(t, req.Write(c))
+	if err := req.Write(c); err != nil {
+		return nil, err
+	}
 	response, err := http.ReadResponse(bufio.NewReader(c), req)
-	must.NoError(t, err)
-	raw, err := httputil.DumpResponse(response, true)
-	must.NoError(t, err)
-	return raw
+	if err != nil {
+		return nil, err
+	}
+	return httputil.DumpResponse(response, true)
 }
 
 var testConfig = &validation.Config{
