--- a/capacity/plan/plan.go
+++ b/capacity/plan/plan.go
@@ -14,7 +14,7 @@
 type Budget struct {
 	AddedLatencyMs       float64 `json:"addedMs"`     // latency that both sidecars together add to a call, at AddedLatencyQuantile
 	AddedLatencyQuantile float64 `json:"addedPart"`   // quantile of the calls, 0 to 1
-	ApplySeconds         float64 `json:"inForceS"`    // until a configuration change is in force at all nodes
+	ApplySeconds         float64 `json:"inForceS"`    // until all nodes have applied a configuration change
 	NodeCores            float64 `json:"nodeCores"`   // CPU cores that a node's control traffic uses
 	NodeBytesPerSecond   float64 `json:"nodeBytesS"`  // sent and received control traffic of a node
 	NodeMemoryBytes      float64 `json:"nodeMemory"`  // memory of a sidecar
--- a/capacity/process/await.go
+++ b/capacity/process/await.go
@@ -9,7 +9,7 @@
 
 const (
 	pollInterval     = 5 * time.Millisecond
-	maxAwaitDuration = 2 * time.Minute
+	maxAwaitDuration = 2 * time.Minute // limit of the duration of an Await command
 )
 
 // progress holds, for one node, the index of the first endpoint in Condition.Healthy and in
@@ -17,8 +17,8 @@
 // the required state in an earlier poll and are not checked again.
 type progress struct{ healthy, unhealthy int }
 
-// await polls the nodes of this process until each node meets the condition, but no longer than
-// the duration of the command.
+// await polls the nodes of this process until each node meets the condition, until the duration of
+// the command or maxAwaitDuration has passed, or until the worker closes.
 func (w *worker) await(command Command) (Response, error) {
 	waiting := w.waitingNodes()
 	response := Response{}
@@ -55,7 +55,8 @@
 	return waiting
 }
 
-// satisfies reports whether the node meets every part of the condition. It advances p.
+// satisfies reports whether the node meets every part of the condition, and advances p past the
+// endpoints that are in the required state.
 func (n *node) satisfies(condition Condition, p *progress) bool {
 	if condition.Ready && !n.sidecar.Ready() || n.sidecar.ConfigRevision() < condition.Revision {
 		return false
--- a/capacity/process/node.go
+++ b/capacity/process/node.go
@@ -28,18 +28,18 @@
 const (
 	seedsPerNode       = 3
 	sidecarStopTimeout = time.Second
-	incarnationLength  = 8    // of the part of an endpoint ID that distinguishes the incarnations of a node
-	firstExtraPort     = 1024 // of the extra endpoints of a hollow node
+	incarnationLength  = 8    // length of the part of an endpoint ID that distinguishes the incarnations of a node
+	firstExtraPort     = 1024 // port of the first extra endpoint of a hollow node
 )
 
 // node is a production sidecar daemon with a listener for the mesh and one endpoint, which sends
 // heartbeats and takes no calls.
 //
-// A hollow node shares its process with other nodes. Its sidecar has a single sender and no listener
-// for clients, and the heartbeats of its endpoints are passed to the sidecar by function calls.
+// A hollow node shares its process with other nodes. The sidecar of a hollow node has a single sender
+// and no listener for clients, and receives the heartbeats of the endpoints by function calls.
 //
-// A full node has the default number of senders and a listener for clients, and its endpoint sends
-// heartbeats over the network.
+// The sidecar of a full node has the default number of senders and a listener for clients, and receives
+// the heartbeats of the endpoint over the network.
 type node struct {
 	sidecar         *sidecar.Sidecar
 	servers         []*http.Server
--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -47,7 +47,7 @@
 	fmt.Fprintf(&w.text, format+"\n", args...)
 }
 
-// Tables returns the report as Markdown text, as embedded in the page.
+// Tables returns the report as Markdown text, which UpdatePage embeds in a page of the documentation.
 func Tables(result *run.Result) string {
 	rows, w := Rows(result), &markdownWriter{}
 	w.writeLine("Commit %s, %s, %d processors, window %s. `%s`\n", result.Commit, result.Go, result.Processors, result.Window, result.Command)
@@ -97,7 +97,7 @@
 		return
 	}
 	w.writeLine("\n### At %d nodes, against the budget\n", result.Target.Nodes)
-	w.writeHeader("what", "figure", "budget", "", "basis")
+	w.writeHeader("metric", "value", "budget", "", "basis")
 	for _, line := range lines {
 		verdict := "fits"
 		if line.Ratio() > 1 {
@@ -146,7 +146,7 @@
 
 // writeActivities writes the steady-state usage of one role by activity, at the size of the target.
 func (w *markdownWriter) writeActivities(result *run.Result, rows []Row, role, title string) {
-	figure := func(activity, unit string) string {
+	valueOf := func(activity, unit string) string {
 		if row, ok := findRow(rows, "steady", role+"/"+activity+"/"+unit); ok {
 			return formatNumber(row.AtTarget)
 		}
@@ -161,11 +161,11 @@
 	for _, activity := range activities {
 		cells := []string{activity, meter.PackageOf(activity)}
 		for _, unit := range activityUnits {
-			cells = append(cells, figure(activity, unit))
+			cells = append(cells, valueOf(activity, unit))
 		}
 		w.writeRow(cells...)
 	}
-	w.writeRow("all", "", figure("all", "messages a second"), figure("all", "bytes a second")+" (TCP)", figure("all", "processor cores"))
+	w.writeRow("all", "", valueOf("all", "messages a second"), valueOf("all", "bytes a second")+" (TCP)", valueOf("all", "processor cores"))
 }
 
 // activitiesOf returns the activities of a role that have a curve in the steady state.
@@ -189,7 +189,7 @@
 		return
 	}
 	w.writeLine("\n### Call latency: what both sidecars add to a call, ms\n")
-	w.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
+	w.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through the mesh p50", "p99", "direct p50", "p99")
 	for _, point := range result.CallLatency {
 		w.writeRow(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
 			formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
@@ -228,12 +228,12 @@
 
 // writeMetricsHeader writes the heading and the table header of a workload.
 func (w *markdownWriter) writeMetricsHeader(result *run.Result, workload string) {
-	w.writeLine("\n### Load: %s\n", workload)
-	cells := []string{"figure"}
+	w.writeLine("\n### Workload: %s\n", workload)
+	cells := []string{"metric"}
 	for _, size := range result.Sizes {
 		cells = append(cells, fmt.Sprint(size))
 	}
-	w.writeHeader(append(cells, "line", "largest error", fmt.Sprintf("at %d", result.Target.Nodes), "basis")...)
+	w.writeHeader(append(cells, "curve", "largest error", fmt.Sprintf("at %d", result.Target.Nodes), "basis")...)
 }
 
 // valueAtSize formats the value that was measured at a size. It returns an empty string if there is no
--- a/capacity/run/run.go
+++ b/capacity/run/run.go
@@ -122,7 +122,8 @@
 }
 
 // exceedsLimits returns the reason why the i-th size would exceed a limit, or an empty string. lastPeak
-// is the peak memory at the previous size, or 0 if no size was measured. share is the available time.
+// is the peak memory at the last measured size, or 0 if no size was measured; the estimate assumes that
+// the last measured size is the previous size. share is the available time.
 func (m *measurement) exceedsLimits(i int, lastPeak float64, share time.Duration) (reason string) {
 	size := m.Sizes[i]
 	if processes := m.Target.Cores + 1 + size/m.Target.NodesPerProcess; processes > m.MaxProcesses {
@@ -195,5 +196,5 @@
 
 // recordSkippedLatency records why the call latency was not measured from the i-th size on.
 func (m *measurement) recordSkippedLatency(i int, reason string) {
-	m.result.Skipped = append(m.result.Skipped, fmt.Sprintf("%s %d: %s", CallLatencyWorkload, i+1, reason))
+	m.result.Skipped = append(m.result.Skipped, fmt.Sprintf("%s, from %d nodes on: %s", CallLatencyWorkload, m.Sizes[i], reason))
 }
--- a/capacity/testbed/command.go
+++ b/capacity/testbed/command.go
@@ -86,9 +86,9 @@
 	return result, nil
 }
 
-// sendToNodes sends the command to the processes of the nodes, to each process with its own part of
-// the nodes. It returns the instant when the first process started the operation, and the endpoints of
-// the nodes.
+// sendToNodes sends the command to the processes of the nodes. The command to each process names only
+// the nodes of that process. sendToNodes returns the instant when the first process started the
+// operation, and the endpoints of the nodes.
 func (m *Mesh) sendToNodes(nodes []int, command process.Command) (startedAt int64, endpoints []process.Endpoint, err error) {
 	nodesByProcess := map[*child][]int{}
 	for _, node := range nodes {
--- a/capacity/testbed/mesh.go
+++ b/capacity/testbed/mesh.go
@@ -20,7 +20,7 @@
 	// commandTimeout limits the response time of a command, besides the duration of Await and Profile.
 	commandTimeout  = 90 * time.Second
 	operatorTimeout = 30 * time.Second // of one HTTP request to a core
-	seedCount       = 3                // number of cores that serve as seeds for the other cores
+	seedCount       = 3                // number of cores that serve as seeds for all cores
 	initialSerial   = 0                // serial number of the first configuration
 )
 
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// begin sends the target to a process, which must be the first command.
+// begin sends the command Begin, which sets the target of a process. Begin must be the first command.
 func (m *Mesh) begin(c *child) error {
 	_, err := c.call(process.Command{Operation: process.Begin, Target: &m.Target}, commandTimeout)
 	return err
--- a/capacity/testbed/operator.go
+++ b/capacity/testbed/operator.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	proposalRetryInterval = 50 * time.Millisecond // between attempts
-	heartbeatTimeout      = time.Second
+	proposalRetryInterval = 50 * time.Millisecond // between two attempts of a proposal
+	heartbeatTimeout      = time.Second           // of one request with a heartbeat
 	idempotencyHeader     = "Idempotency-Key"
 )
 
 // Propose sends a configuration to core 0, which lies in the first region, until the core confirms the
-// configuration or the timeout expires. It returns the confirmed revision. All attempts have the same
-// idempotency key.
+// configuration, the core rejects the configuration as invalid or too large, or the timeout expires.
+// Propose returns the confirmed revision. All attempts have the same idempotency key.
 func (m *Mesh) Propose(method string, config plan.Config, timeout time.Duration) (ident.ConfigRevision, error) {
 	raw, err := json.Marshal(config)
 	if err != nil {
@@ -70,7 +70,8 @@
 }
 
 // SendHeartbeats sends the heartbeats of one node's endpoints to the node's sidecar every
-// endpoint.HeartbeatInterval until Close. It sends over the network, from the IP address of the node.
+// endpoint.HeartbeatInterval until Close. The heartbeats are sent over the network, from the IP address
+// of the node.
 func (m *Mesh) SendHeartbeats(sidecar ident.Addr, heartbeats ...endpoint.Heartbeat) {
 	m.heartbeats.Go(func() {
 		transport := &http.Transport{DialContext: (&net.Dialer{Timeout: heartbeatTimeout, LocalAddr: sidecar.DialSource()}).DialContext}
@@ -91,7 +92,8 @@
 	})
 }
 
-// sendHeartbeat sends one heartbeat. It ignores errors, because the next heartbeat follows a lost one.
+// sendHeartbeat sends one heartbeat and ignores errors, because the next heartbeat replaces a lost
+// heartbeat.
 func sendHeartbeat(client *http.Client, sidecar ident.Addr, heartbeat endpoint.Heartbeat) {
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
--- a/capacity/workload/events.go
+++ b/capacity/workload/events.go
@@ -12,7 +12,7 @@
 	"cottonarch.example/cottonarch/mesh/endpoint"
 )
 
-// repetitions is how many times small events are measured.
+// repetitions is how many times an event that changes a single endpoint or a single route is measured.
 const repetitions = 3
 
 // leaveEndpoints measures the leaving of endpoints, one at a time, starting with the endpoint of the
@@ -86,7 +86,7 @@
 	return r.restartTogether(restartAllWorkload, r.sharedNodes())
 }
 
-// sharedNodes returns all nodes except node 0, whose usage is measured.
+// sharedNodes returns all nodes except node 0. Node 0 must keep running, because its usage is measured.
 func (r *Runner) sharedNodes() []int {
 	nodes := []int{}
 	for node := 1; node < r.NodeCount; node++ {
@@ -121,8 +121,8 @@
 }
 
 // failAndRestoreZone measures the simultaneous stop and the simultaneous restart of all nodes of one
-// zone: the last zone of the first region, which has no core as long as there are fewer cores than
-// zones.
+// zone: the last zone of the first region. That zone has no core unless there are more cores than
+// Target.Zones - Target.Regions. The cores keep running in any case.
 func (r *Runner) failAndRestoreZone() error {
 	lastZone := r.Target.ZonesPerRegion() - 1
 	var nodes []int
@@ -147,9 +147,9 @@
 	return r.measureEvent("zone back", 1, func() (int64, *testbed.ConditionWait, error) { return r.startAndAwait(nodes) })
 }
 
-// healPartition measures the healing of a partition between regions. The partition lasts for Window and
-// until the majority side has then accepted a change of the configuration. The convergence time starts
-// when the partition heals.
+// healPartition measures the healing of a partition between regions. The partition lasts for Window
+// plus the time until the side with the majority of the cores has accepted a change of the
+// configuration. The convergence time starts when the partition heals.
 func (r *Runner) healPartition() error {
 	if r.Target.Regions < 2 {
 		return nil
--- a/capacity/workload/run.go
+++ b/capacity/workload/run.go
@@ -14,7 +14,8 @@
 	"cottonarch.example/cottonarch/capacity/testbed"
 )
 
-// Names of the workloads in options and in stored results.
+// Names of the workloads in options and in stored results. The stored results of zoneFailureWorkload
+// have the names "zone lost" and "zone back".
 const (
 	steadyWorkload        = "steady"   // only heartbeats
 	leaveWorkload         = "leave"    // an endpoint leaves
@@ -59,7 +60,8 @@
 	// MachineCPU is the CPU utilization of the whole machine, from 0 to 1, by all programs. A high
 	// MachineCPU with a low MeshCPU means that other programs loaded the machine.
 	MachineCPU float64 `json:"machine"`
-	// MaxStall is the longest delay, in seconds, with which a process of the mesh was scheduled.
+	// MaxStall is the longest delay, in seconds, of a poll in a process of nodes. A long delay means
+	// that the machine did not schedule the process in time.
 	MaxStall float64 `json:"held,omitempty"`
 }
 
