--- a/explore/cluster/client.go
+++ b/explore/cluster/client.go
@@ -17,12 +17,12 @@
 type clientOperation struct {
 	Ticket     uint64 // unique in the run
 	Client     int    // number of the client, from 1
-	Number     int    // of the operation among the operations of the client, from 1
+	Number     int    // number of the operation among the operations of the client, from 1
 	Object     int    // index of the object
-	Name       string // of the operation in traces, as listed by object.operations
+	Name       string // name of the operation in traces, as listed by object.operations
 	SentAt     monotime.Time
 	LowerBound uint64
-	Kind       string // of the operation in the control plane
+	Kind       string // kind of the operation in the control plane
 	Args       json.RawMessage
 	Resent     bool
 	Base       uint64 // revision that the operation is based on
@@ -85,7 +85,8 @@
 }
 
 // handleOutcome handles the outcome of an operation. If the outcome is unknown, neither a success
-// nor a rejection is recorded.
+// nor a rejection is recorded. A failure of the kind failure.Compacted is no rejection: the succeeded
+// method of the object checks that failure.
 func (c *Cluster) handleOutcome(m *member, out proposer.Outcome) {
 	op := m.operations[out.Operation.Ticket]
 	if op == nil {
@@ -105,7 +106,7 @@
 	c.completeOperation(op)
 }
 
-// outcomeUnknown reports whether an outcome leaves open if the operation took effect.
+// outcomeUnknown reports whether an outcome does not show whether the operation took effect.
 func (c *Cluster) outcomeUnknown(out proposer.Outcome) bool {
 	if out.Abandoned {
 		return out.MayHaveTakenEffect && c.settings.Mutant != MutantOutcome
--- a/explore/cluster/configobject.go
+++ b/explore/cluster/configobject.go
@@ -108,7 +108,7 @@
 		c.recordViolation(RuleLostWrite, "revision %d has the content of proposal %s, but proposal %s was acknowledged", held.Revision, body.By, old)
 	}
 	if o.Rejected[body.By] {
-		c.recordViolation(RuleRejectedApplied, "proposal %s was rejected but is in force as revision %d", body.By, held.Revision)
+		c.recordViolation(RuleRejectedApplied, "proposal %s was rejected but took effect as revision %d", body.By, held.Revision)
 	}
 }
 
--- a/explore/cluster/copy_test.go
+++ b/explore/cluster/copy_test.go
@@ -37,8 +37,9 @@
 
 // A member that has copied all records must sync the copy before becoming a counted voter: otherwise
 // a power loss leaves a counted disk without the acknowledged records. In this test m1 and m2
-// acknowledge a write; m2 loses its disk; the new disk takes the slot, copies the records and loses
-// power before the sync, when m2 must not be counted yet.
+// acknowledge a write; m2 loses its disk; m2 with a new disk takes the slot of the lost disk in the
+// membership, copies the records and loses power before the sync. m2 must not be counted before the
+// sync.
 func TestCopyIsSyncedBeforeDiskIsCounted(t *testing.T) {
 	settings := testSettings()
 	settings.Spares, settings.Operations = 0, 1
--- a/explore/cluster/network.go
+++ b/explore/cluster/network.go
@@ -68,7 +68,8 @@
 	return c.members[e.to-1].running && !c.isCut(e.from, e.to)
 }
 
-// deliverAndSync delivers a message, syncs the resulting writes and delivers the responses at once.
+// deliverAndSync delivers a message, syncs the resulting writes and delivers the responses immediately,
+// except for responses over a cut link or to a stopped member, which stay in transit.
 func (c *Cluster) deliverAndSync(e envelope) {
 	m := c.members[e.to-1]
 	responses := c.handle(m, e.from, e.msg)
@@ -85,7 +86,8 @@
 	}
 }
 
-// deliverUnsynced delivers a message. The responses wait for a later sync.
+// deliverUnsynced delivers a message without syncing the resulting writes. The responses are sent by
+// the next sync of the member.
 func (c *Cluster) deliverUnsynced(e envelope) {
 	m := c.members[e.to-1]
 	for _, msg := range c.handle(m, e.from, e.msg) {
--- a/explore/cluster/object.go
+++ b/explore/cluster/object.go
@@ -21,7 +21,8 @@
 	AuditKey    KeyKind = "audit"
 )
 
-// objectFactories holds the constructor of each kind of object. The argument is the key's index.
+// objectFactories holds the constructor of each kind of object. The argument is the
+// index of the key in Settings.Keys.
 var objectFactories = map[KeyKind]func(int) object{
 	ValueKey: newValue, SequenceKey: newSequence, KeyspaceKey: newKeyspace, ConfigKey: newConfig, LockKey: newLock, AuditKey: newAudit,
 }
@@ -35,7 +36,8 @@
 	// prepare returns the kind and the arguments of an operation, and sets the operation's
 	// LowerBound.
 	prepare(op *clientOperation) (kind string, args json.RawMessage)
-	// succeeded checks and records the response to an operation that certainly took effect.
+	// succeeded checks and records the outcome of an operation that certainly took effect, or that
+	// failed with failure.Compacted.
 	succeeded(c *Cluster, op *clientOperation, out proposer.Outcome)
 	// rejected records that an operation certainly did not take effect.
 	rejected(op *clientOperation)
--- a/explore/cluster/settings.go
+++ b/explore/cluster/settings.go
@@ -89,7 +89,7 @@
 	Waits []time.Duration
 	// Faults holds the maximum number of faults of each kind.
 	Faults map[Fault]int
-	// ImmediateSelfDelivery delivers the messages of a member to itself at once.
+	// ImmediateSelfDelivery delivers the messages of a member to itself immediately.
 	ImmediateSelfDelivery bool `json:"Instant"`
 	// Ring makes members write to the ring of the daemon instead of a list of records.
 	Ring bool
