--- a/sim/world/admittedrun.go
+++ b/sim/world/admittedrun.go
@@ -10,7 +10,8 @@
 	"cottonarch.example/cottonarch/mesh/attempt"
 )
 
-// serverSideAttempt is an attempt at the sidecar of its endpoint, from the admission queue on.
+// serverSideAttempt is an attempt while the sidecar on the machine of the called endpoint handles the
+// attempt, from the submission to the admission queue until the result.
 type serverSideAttempt struct {
 	sidecar       *Sidecar
 	generation    int // of the sidecar
@@ -22,7 +23,8 @@
 	ended         bool
 }
 
-// onVerdict starts or rejects the attempt, as the admission queue decided.
+// onVerdict starts or rejects the attempt, according to the decision of the admission queue. With
+// MutantExecuteRejected, a rejected attempt starts as well.
 func (r *serverSideAttempt) onVerdict(verdict admission.Verdict) {
 	if verdict.Decision == admission.Admit {
 		r.start()
@@ -36,7 +38,7 @@
 	}
 }
 
-// expire ends the attempt if it still waits in the admission queue at its deadline.
+// expire ends the attempt if the attempt still waits in the admission queue at the deadline.
 func (r *serverSideAttempt) expire() {
 	s := r.sidecar
 	if s.waiters[r.id] == nil {
@@ -47,7 +49,7 @@
 	r.done(shed(failure.New(failure.DeadlineExceeded, "the request left the admission queue at its deadline without a decision")))
 }
 
-// start checks the endpoint again and connects to it.
+// start checks the endpoint and the retry budget, and connects to the endpoint.
 func (r *serverSideAttempt) start() {
 	s, entry := r.sidecar, r.attempt.decision.Entry
 	addr, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service)
@@ -72,7 +74,7 @@
 		r.reject(failed)
 		return
 	}
-	if now, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service); rejection != nil || now != addr {
+	if currentAddr, _, rejection := s.tracker.Check(s.localTime(), entry.UID, entry.Service); rejection != nil || currentAddr != addr {
 		r.reject(failure.New(failure.EndpointRejected, "server %q is no longer at its checked address", entry.UID))
 		return
 	}
@@ -96,13 +98,13 @@
 	})
 }
 
-// reject ends the attempt before it reached its endpoint.
+// reject ends the attempt before the request has reached the endpoint.
 func (r *serverSideAttempt) reject(failed *failure.Error) {
 	r.end(rejected(failed), admission.GivenUp, 0)
 }
 
-// end reports the result to the admission queue and to the client. Only the first call has an
-// effect.
+// end reports the result to the admission queue and to the caller of submitForAdmission. Only the first
+// call has an effect.
 func (r *serverSideAttempt) end(result attempt.Result, outcome admission.Outcome, elapsed time.Duration) {
 	s := r.sidecar
 	s.runInGeneration(r.generation, func() {
--- a/sim/world/core.go
+++ b/sim/world/core.go
@@ -67,7 +67,7 @@
 	return c.stepLimiter.Observe(c.localTime())
 }
 
-// Healthy reports whether the core runs and is not frozen, its disk works, and it is a voter.
+// Healthy reports whether the core runs, is not frozen, has a working disk and is a voter.
 func (c *Core) Healthy() bool {
 	return c.running && !c.frozen && !c.diskFailed && c.node != nil && c.node.IsVoter()
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// Kill ends the process at once. With powerLost, unsynced writes may be lost too.
+// Kill ends the process immediately. With powerLost, unsynced writes may be lost too.
 func (c *Core) Kill(powerLost bool) {
 	if !c.running {
 		return
--- a/sim/world/corecluster_test.go
+++ b/sim/world/corecluster_test.go
@@ -23,7 +23,8 @@
 	// catchUpDeadline is the time within which a restarted machine must be a full voter with the
 	// newest configuration. The users' platform calls this setting catchUpS.
 	catchUpDeadline = 4 * time.Second
-	// maxElectionTime is longer than the time from the first request of a term until the term holds.
+	// maxElectionTime is longer than the time from the first request of a term until the term is
+	// established.
 	maxElectionTime = 2500 * time.Millisecond
 	// proposalRetryDelay is the delay between two attempts of a proposal.
 	proposalRetryDelay = 100 * time.Millisecond
@@ -39,7 +40,7 @@
 	ballots            map[ident.Ballot]bool // ballots of the terms that were checked
 }
 
-// acknowledgement records that a revision was the newest acknowledged one from a time on.
+// acknowledgement records the time from which a revision was the newest acknowledged revision.
 type acknowledgement struct {
 	at       monotime.Time
 	revision ident.ConfigRevision
@@ -89,8 +90,8 @@
 	cluster.world.After(coreTickInterval, cluster.checkTerms)
 }
 
-// submit runs an operation at a core until the operation ends or its budget is used up. Without a
-// result, submit returns nil.
+// submit runs an operation at a core until the operation ends or the time budget of the operation is
+// used up. submit returns nil if the operation has no result.
 func (cluster *coreCluster) submit(c *Core, op proposer.Operation, budget time.Duration) (result *node.Result) {
 	if !c.running {
 		return nil
@@ -102,8 +103,8 @@
 	return result
 }
 
-// changeConfig proposes one change of the configuration and resends the proposal until it is
-// acknowledged. The proposal must never be rejected.
+// changeConfig proposes one change of the configuration and resends the proposal until a core
+// acknowledges the proposal. The proposal must never be rejected.
 func (cluster *coreCluster) changeConfig() {
 	base := cluster.version
 	cluster.version++
@@ -161,7 +162,7 @@
 		}
 		cluster.world.RunFor(coreTickInterval)
 	}
-	cluster.Fatalf("the disk of core %s never got revision %d", c.Addr, cluster.newestAcknowledged)
+	cluster.Fatalf("the disk of core %s never stored revision %d", c.Addr, cluster.newestAcknowledged)
 	return 0
 }
 
--- a/sim/world/coreconfig.go
+++ b/sim/world/coreconfig.go
@@ -46,7 +46,7 @@
 	return c.config.Revision
 }
 
-// installConfig installs a confirmed configuration if it is newer than the installed one.
+// installConfig installs a confirmed configuration that is newer than the installed configuration.
 func (c *Core) installConfig(raw json.RawMessage) {
 	var state proposal.State
 	if json.Unmarshal(raw, &state) != nil {
@@ -59,7 +59,7 @@
 	c.world.Checker.Observe(invariant.ConfigInvalid)
 	config, invalid := parseConfig(state.Document)
 	if invalid != nil {
-		c.world.Violate(invariant.ConfigInvalid, "configuration revision %d is in force and invalid: %v", state.Revision, invalid)
+		c.world.Violate(invariant.ConfigInvalid, "the confirmed configuration of revision %d is invalid: %v", state.Revision, invalid)
 		return
 	}
 	config.Revision = state.Revision
--- a/sim/world/endpoint.go
+++ b/sim/world/endpoint.go
@@ -34,7 +34,7 @@
 	MalformedRate  float64 // of responses that can't be parsed
 	SlowRate       float64 // of requests that take slowServiceTime
 	// The following fields are used in worlds with admission queues.
-	Slots       int     // requests that the endpoint executes at once
+	Slots       int     // requests that the endpoint executes concurrently
 	QueueLimit  int     // requests that the endpoint queues when all slots are taken
 	FailureRate float64 // of responses that report a failure of the endpoint
 }
@@ -49,21 +49,21 @@
 	Behavior Behavior
 
 	running          bool
-	signedOff        bool // the endpoint sends no more heartbeats
+	signedOff        bool // the endpoint has reported that it is gone, and sends no more heartbeats
 	hung             bool
 	state            endpoint.State
 	inFlight         int
-	arrivedWhileHung []func() // requests that arrived while the endpoint hung; they run when it resumes
+	arrivedWhileHung []func() // requests that arrived while the endpoint hung, handled when the endpoint resumes
 	requestQueue     []func() // requests that wait for a slot
 
 	heartbeatSequence uint64
 	lastHeartbeat     monotime.Time // when the sidecar last accepted a heartbeat, by the sidecar's clock
-	leaveConfirmedAt  monotime.Time // when the sidecar first accepted that the endpoint leaves, 0 if it has not
-	lossConfirmedAt   monotime.Time // when the sidecar's heartbeat timeout for the endpoint ended, 0 if it has not
+	leaveConfirmedAt  monotime.Time // when the sidecar first accepted that the endpoint leaves, 0 before
+	lossConfirmedAt   monotime.Time // when the sidecar's heartbeat timeout for the endpoint ended, 0 before
 }
 
 // NewEndpoint starts an endpoint on the machine of a sidecar. With World.Platform, the endpoint
-// accepts connections before it sends its first heartbeat.
+// accepts connections for a random time before the endpoint sends the first heartbeat.
 func (s *Sidecar) NewEndpoint(server ident.Server, service ident.Service, addr ident.Addr, behavior Behavior) *Endpoint {
 	e := &Endpoint{world: s.world, Sidecar: s, Server: server, Service: service, Addr: addr, Behavior: behavior, running: true, state: endpoint.Alive}
 	s.Endpoints = append(s.Endpoints, e)
@@ -176,9 +176,9 @@
 	})
 }
 
-// SignOffBeforeDrain makes the endpoint sign off first, keep serving for the duration serveOn, and
-// end; then is called at the end. The last heartbeat before the sign-off arrives late, after the
-// duration lateness.
+// SignOffBeforeDrain makes the endpoint sign off, that is, report that it is gone, then keep serving for
+// the duration serveOn, and end. The function then is called after the end. The last heartbeat from
+// before the sign-off arrives late, after the duration lateness.
 func (e *Endpoint) SignOffBeforeDrain(lateness, serveOn time.Duration, then func()) {
 	if !e.running || e.signedOff {
 		return
@@ -195,7 +195,7 @@
 	})
 }
 
-// Kill ends the endpoint at once.
+// Kill ends the endpoint immediately.
 func (e *Endpoint) Kill() {
 	e.running = false
 	if e.world.endpoints[e.Addr] == e {
--- a/sim/world/endpointserve.go
+++ b/sim/world/endpointserve.go
@@ -9,7 +9,7 @@
 )
 
 // accept handles a request at an endpoint with slots: the endpoint executes the request in a free
-// slot, or queues it if the queue has room. A request that finds the queue full or names another
+// slot, or queues the request if the queue has room. A request that finds the queue full or names another
 // endpoint is rejected without being executed.
 func (e *Endpoint) accept(a *admissionAttempt, remaining time.Duration, done func(attempt.Result)) {
 	w := e.world
--- a/sim/world/keyclients.go
+++ b/sim/world/keyclients.go
@@ -27,7 +27,7 @@
 )
 
 // keyOperations are the operations from which clients choose at random; reads are twice as frequent
-// as each other kind.
+// as each of the other kinds.
 var keyOperations = []keyOperation{readKey, readKey, writeKey, compareAndSetKey}
 
 // keyInput is an operation on a key, as input of the porcupine model.
--- a/sim/world/links.go
+++ b/sim/world/links.go
@@ -58,7 +58,7 @@
 func (l *Links) openBothWays(a, b ident.Addr) bool { return l.Open(a, b) && l.Open(b, a) }
 
 // refusesConnections reports whether the link is cut by a fault that refuses connections, so that
-// the sender learns of the cut at once.
+// the sender learns of the cut immediately.
 func (l *Links) refusesConnections(from, to ident.Addr) bool {
 	return l.refused[link{from, to}] > 0 && l.cuts[link{from, to}] > 0
 }
@@ -106,8 +106,8 @@
 }
 
 // PartitionDirected cuts the links between two groups of machines for a duration, in a direction
-// as seen from the first group. With refused, connections over a cut link are refused at once, as
-// by a reset; otherwise messages are dropped silently.
+// as seen from the first group. With refused, connections over a cut link are refused
+// immediately, as by a reset; otherwise messages are dropped silently.
 func (w *World) PartitionDirected(first, second []ident.Addr, direction Direction, refused bool, duration time.Duration) {
 	cut := linksBetween(first, second, direction)
 	w.cutFor(cut, duration)
--- a/sim/world/mutants.go
+++ b/sim/world/mutants.go
@@ -31,7 +31,7 @@
 	MutantNoReadRepair        Mutant = "mend"      // stale replicas are not repaired
 	MutantIgnoreBase          Mutant = "offer"     // proposals based on an old revision are accepted
 	MutantAuditGaps           Mutant = "audit"     // some audit entries are left out
-	MutantLockExpires         Mutant = "lock"      // locks expire at once
+	MutantLockExpires         Mutant = "lock"      // locks expire immediately
 	MutantUnlimitedClockSteps Mutant = "clock"     // leases are measured by a clock that may jump forward
 	MutantNoHistory           Mutant = "history"   // keys lose the history of their changes
 	MutantAbruptStop          Mutant = "stop"      // planned stops end the process without waiting
@@ -57,7 +57,7 @@
 	MutantIgnoreTarget    Mutant = "fence"    // endpoints execute requests that name another endpoint
 	MutantExecuteShed     Mutant = "shed"     // endpoints execute requests that they shed
 	MutantRetryFailed     Mutant = "failed"   // requests that an endpoint executed and failed are retried
-	MutantLazySync        Mutant = "soft"     // opening a ring does not sync it
+	MutantLazySync        Mutant = "soft"     // opening a ring does not sync the ring
 	MutantUnsyncedFolder  Mutant = "folder"   // the folder of a ring is never synced
 )
 
--- a/sim/world/operatorchecks.go
+++ b/sim/world/operatorchecks.go
@@ -106,7 +106,7 @@
 }
 
 // CheckFinalConfig reads the configuration at every running core at the end of the run, and checks
-// that no core returns a revision older than the newest confirmed one.
+// that no core returns a revision older than the newest confirmed revision.
 func (o *Operators) CheckFinalConfig() {
 	w := o.world
 	for _, c := range w.Cores {
--- a/sim/world/operators.go
+++ b/sim/world/operators.go
@@ -20,7 +20,7 @@
 	interval            time.Duration
 	document            func(marker string) Document
 	proposalCount       int
-	pendingObservations int // pairs of a configuration and a sidecar that is still awaited to enforce it
+	pendingObservations int // pairs of a confirmed configuration and a sidecar that has not enforced that configuration yet
 	newestConfirmed     ident.ConfigRevision
 	markerOf            map[ident.ConfigRevision]string // markers of the confirmed proposals
 }
--- a/sim/world/proposals_test.go
+++ b/sim/world/proposals_test.go
@@ -91,9 +91,9 @@
 }
 
 // Eight operators propose concurrently to five cores. Links lose and duplicate messages, cores are
-// killed and lose power, and one response in three is lost. A proposal that is in force at the end
-// must never have been rejected by any core, and an acknowledged proposal must be in force, so that
-// no proposal was both acknowledged and rejected.
+// killed and lose power, and one response in three is lost. The final configuration must contain every
+// acknowledged proposal and no proposal that any core rejected, so that no proposal was both
+// acknowledged and rejected.
 func TestConcurrentProposalsOverLossyLinks(t *testing.T) {
 	const cores, operators, duration, wanted = 5, 8, 60 * time.Second, 150
 	for seed := range uint64(3) {
@@ -150,10 +150,10 @@
 	must.NoError(t, json.Unmarshal(state.Document, &last))
 	accepted, rejected := 0, 0
 	for _, sent := range p.sent {
-		_, inForce := last.Services[sent.name]
-		must.False(t, inForce && sent.rejected, must.Sprint(sent.name, " was accepted and rejected"))
-		must.False(t, !inForce && sent.acknowledged, must.Sprint(sent.name, " was acknowledged and is not in force"))
-		if inForce {
+		_, inConfig := last.Services[sent.name]
+		must.False(t, inConfig && sent.rejected, must.Sprint(sent.name, " was rejected and is in the final configuration"))
+		must.False(t, !inConfig && sent.acknowledged, must.Sprint(sent.name, " was acknowledged and is not in the final configuration"))
+		if inConfig {
 			accepted++
 		}
 		if sent.rejected {
--- a/sim/world/requests.go
+++ b/sim/world/requests.go
@@ -16,11 +16,12 @@
 	operationTimeout = 6 * time.Second
 )
 
-// connectLatency is the time after which a client learns that its connection is refused.
+// connectLatency is the time after which a client learns that the connection to a stopped core is
+// refused.
 const connectLatency = time.Millisecond
 
 // request sends an operation to a random core, as a client of the control plane does. end is
-// called with the result, or with nil if no response came.
+// called with the result, or with nil if no response arrived in time.
 func (w *World) request(op proposer.Operation, end func(*node.Result)) {
 	w.requestWithin(op, operationBudget, operationTimeout, end)
 }
@@ -60,7 +61,8 @@
 	})
 }
 
-// countOperation counts the result of an operation. A nil result means that no response came.
+// countOperation counts the result of an operation. A nil result means that no response
+// arrived in time.
 func (n *counters) countOperation(result *node.Result) {
 	switch {
 	case result == nil || result.Failure != nil && result.Failure.Outcome == failure.OutcomeUnknown:
--- a/sim/world/restart_test.go
+++ b/sim/world/restart_test.go
@@ -40,7 +40,7 @@
 }
 
 // During a thousand changes, one core fails at every tenth change and restarts after a second; at
-// the end all cores lose power at once. Each core must catch up in time, no term may begin with an
+// the end all cores lose power simultaneously. Each core must catch up in time, no term may begin with an
 // old state, and the reads and writes of a start must be bounded by the size of the ring and of the
 // state, not by the length of the history.
 func TestRestartsThroughAThousandChanges(t *testing.T) {
@@ -61,7 +61,7 @@
 type restartRun struct {
 	*coreCluster
 	slowestCatchUp, slowestReplica time.Duration
-	halves                         [2]diskUse // in the first and the last half of the changes
+	halves                         [2]diskUse // in the first and the second half of the changes
 }
 
 func runRestarts(cluster *coreCluster, disk ring.Options, changes, changesPerRestart, points int) {
@@ -107,8 +107,8 @@
 	use.records = max(use.records, uint64(len(c.ring.Records())))
 }
 
-// loseAllPower cuts the power of all cores at once, restarts them and waits until each has caught
-// up.
+// loseAllPower cuts the power of all cores simultaneously, restarts the cores and waits until each
+// core has caught up.
 func (run *restartRun) loseAllPower() {
 	for _, c := range run.world.Cores {
 		c.PowerOff()
--- a/sim/world/sequenceclients.go
+++ b/sim/world/sequenceclients.go
@@ -12,7 +12,7 @@
 )
 
 // sequenceClients are clients that take numbers from sequences, and check that no sequence repeats
-// a number or returns a lower one.
+// a number or returns a lower number.
 type sequenceClients struct {
 	world         *World
 	sequenceCount int
--- a/sim/world/sidecar.go
+++ b/sim/world/sidecar.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// Ready reports whether the sidecar can serve clients: it runs, holds a lease and has a
-// configuration in force.
+// Ready reports whether the sidecar can serve clients: the sidecar runs, holds a lease and enforces a
+// configuration.
 func (s *Sidecar) Ready() bool { return s.running && s.hasLease && s.router.Revision() > 0 }
 
 // Running reports whether the sidecar runs and is not frozen.
@@ -136,12 +136,12 @@
 // Generation returns the number of starts of the sidecar.
 func (s *Sidecar) Generation() int { return s.generation }
 
-// Kill ends the sidecar at once.
+// Kill ends the sidecar immediately.
 func (s *Sidecar) Kill() { s.running = false }
 
 // Stop performs a planned stop: the sidecar accepts no more requests, its endpoints keep running,
-// and the sidecar ends once no request has been in flight for a second, or after ten seconds. then
-// is called after that.
+// and the sidecar ends once no request has been in flight for a second, or after ten seconds. The
+// function then is called after the end.
 func (s *Sidecar) Stop(then func()) {
 	generation := s.generation
 	s.leaving = true
--- a/sim/world/sidecarconfig.go
+++ b/sim/world/sidecarconfig.go
@@ -39,9 +39,9 @@
 	s.enforceReadyConfig()
 }
 
-// handleConfigAnnouncement handles a peer's announcement of a configuration. If the configuration
-// does not arrive from a core within the fetch delay, it is fetched from that peer. done is called
-// once the sidecar has the configuration.
+// handleConfigAnnouncement handles a peer's announcement of a configuration. If the sidecar does not
+// have the configuration yet, the sidecar adds the configuration after the fetch delay, as if fetched
+// from that peer. done is called once the sidecar has the configuration.
 func (s *Sidecar) handleConfigAnnouncement(config *validation.Config, done func()) {
 	if config.Revision < s.router.MinRevision || s.world.Mutant == MutantIgnoreUpdates {
 		return // a configuration that must not be enforced is not cached either
@@ -60,7 +60,7 @@
 	})
 }
 
-// enforceReadyConfig enforces the cached configuration that is ready, if any is ready.
+// enforceReadyConfig enforces the newest cached configuration that is ready, if there is any.
 func (s *Sidecar) enforceReadyConfig() {
 	if config := s.configCache.TakeReady(s.localTime()); config != nil && s.router.Enforce(config) {
 		s.world.Checker.ConfigShown(s.world.now, "sidecar "+string(s.Node), config, &s.enforcedRevision)
--- a/sim/world/sidecarlease.go
+++ b/sim/world/sidecarlease.go
@@ -104,7 +104,7 @@
 	case addr != s.lease.PollTarget():
 		s.fetchConfig(c)
 	default:
-		s.feed.polling = false // poll again at once: this core has a newer configuration
+		s.feed.polling = false // poll again immediately: this core has a newer configuration
 	}
 	s.poll()
 }
--- a/sim/world/world.go
+++ b/sim/world/world.go
@@ -31,7 +31,7 @@
 	Checker        *invariant.Checker
 	Trace          []string
 	OperationTimes []time.Duration // durations of the operations that succeeded
-	// MaxSenders is the number of requests that a sidecar sends at once, and the size of its queues.
+	// MaxSenders is the number of requests that a sidecar sends concurrently, and the size of its queues.
 	MaxSenders int
 	// HistoryRetention is how long a keyspace retains its puts. 0 selects the default.
 	HistoryRetention time.Duration
