--- a/sim/scenario/config.go
+++ b/sim/scenario/config.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// largeConfigRoutes is the number of additional routes of a very large configuration. One in
-	// largeConfigEvery configurations is very large.
+	// largeConfigRoutes is the number of additional routes of a very large configuration. On average,
+	// one in largeConfigEvery configurations is very large.
 	largeConfigRoutes = 1500
 	largeConfigEvery  = 15
 	// timeoutMs is the timeout of a route, urgentTimeoutMs the timeout of an urgent route.
@@ -20,8 +20,8 @@
 	urgentTimeoutMs = 1500
 )
 
-// configDocument returns the whole configuration of the deployment. The namespace of the first service
-// is the marker.
+// configDocument returns the whole configuration of the deployment. The marker identifies the proposal
+// and becomes the namespace of the first service.
 func (r *Run) configDocument(marker string) world.Document {
 	services, routes := world.Document{}, world.Document{}
 	for i, s := range r.deployment.Services {
--- a/sim/scenario/endpointfaults.go
+++ b/sim/scenario/endpointfaults.go
@@ -71,8 +71,8 @@
 	return 3 * time.Second
 }
 
-// endpointLateHeartbeat has an endpoint sign off but continue to serve, while a heartbeat that the
-// endpoint sent before the sign-off arrives seconds later. With Options.Platform, where sidecars can
+// endpointLateHeartbeat has an endpoint sign off, that is, report that it is gone, but continue to
+// serve, while a heartbeat that the endpoint sent before the sign-off arrives seconds later. With Options.Platform, where sidecars can
 // ask endpoints whether they are healthy, the sidecar may be restarted in between.
 func (r *Run) endpointLateHeartbeat() time.Duration {
 	e := r.randomReplicatedEndpoint()
--- a/sim/scenario/herd.go
+++ b/sim/scenario/herd.go
@@ -14,7 +14,7 @@
 	// every sidecar of the herd must be ready.
 	herdReadyDeadline = 3 * time.Second
 	// herdCheckInterval is the interval of the checks for a majority of the cores, for ready sidecars
-	// and for other faults.
+	// and for faults of cores and links.
 	herdCheckInterval = 20 * time.Millisecond
 	// majorityTimeout is the maximum wait for a majority of the cores.
 	majorityTimeout = 20 * time.Second
@@ -24,7 +24,7 @@
 )
 
 // herdFaults are faults after which many sidecars, a herd, join at the same time. Random selection
-// excludes these faults, so that known seeds still select the same faults.
+// excludes these faults, so that known seeds still select the same faults from the other faults.
 var herdFaults = map[string]Fault{
 	"herd-sidecars": (*Run).herdSidecars,
 	"herd-power":    (*Run).herdPower,
@@ -45,7 +45,8 @@
 	return r.powerLoss(r.Cores, r.Sidecars, downtime)
 }
 
-// zonePower cuts the power of every machine of a zone and restores that power at the same time.
+// zonePower cuts the power of every machine of a zone and restores the power of all these machines at
+// the same time.
 func (r *Run) zonePower() time.Duration {
 	zone := r.deployment.zoneOf(r.Rng.IntN(r.deployment.Zones))
 	downtime := r.randomDuration(500*time.Millisecond, 3*time.Second)
@@ -86,7 +87,7 @@
 	}
 }
 
-// sidecarHerd is a set of sidecars that started at the same time.
+// sidecarHerd is a set of sidecars that start at the same time.
 type sidecarHerd struct {
 	sidecars    []*world.Sidecar
 	generations map[ident.Node]int // generation of each sidecar when the check began
@@ -104,7 +105,8 @@
 	return true
 }
 
-// watchHerd watches the sidecars until the deadline. Another fault excuses the whole herd.
+// watchHerd watches the sidecars until herdReadyDeadline. A fault of a core or a link meanwhile excuses
+// the whole herd.
 func (r *Run) watchHerd(h *sidecarHerd) {
 	if !r.CoresAndLinksHealthy() {
 		r.Checker.Excuse(invariant.HerdReady, "another fault")
--- a/sim/scenario/loadfaults.go
+++ b/sim/scenario/loadfaults.go
@@ -66,8 +66,8 @@
 	return time.Second
 }
 
-// proposalStorm proposes configurations in quick succession, for longer than a configuration may take
-// until every sidecar applies the configuration.
+// proposalStorm proposes configurations in quick succession, for longer than invariant.ConfigDeadline,
+// the time within which every sidecar must apply a configuration.
 func (r *Run) proposalStorm() time.Duration {
 	const interval, proposals = 50 * time.Millisecond, 80
 	r.Tracef("%d proposals, %v apart", proposals, interval)
--- a/sim/scenario/sidecarfaults.go
+++ b/sim/scenario/sidecarfaults.go
@@ -16,7 +16,8 @@
 	return duration
 }
 
-// sidecarRollingRestart restarts three sidecars one after the other, each by a planned stop.
+// sidecarRollingRestart restarts three random sidecars, not necessarily distinct, one after the other,
+// each by a planned stop.
 func (r *Run) sidecarRollingRestart() time.Duration {
 	r.Tracef("rolling restart of sidecars")
 	for i := range 3 {
