--- a/fleet/idlecost/deployment.go
+++ b/fleet/idlecost/deployment.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	seedCount           = 3
+	seedCount           = 3                      // number of cores that serve as seeds
 	configTimeout       = 20 * time.Second       // until a core accepts the configuration
 	configRetryInterval = 200 * time.Millisecond // between attempts
 	requestTimeout      = 30 * time.Second       // of each request to a daemon
@@ -226,11 +226,11 @@
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
-		return failure.Wrap(err, failure.Unreachable, url)
+		return failure.Wrap(err, failure.Unreachable, "send a request to "+url)
 	}
 	_ = response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		return failure.New(failure.BadResponse, "%s: %s", url, response.Status)
+		return failure.New(failure.BadResponse, "%s responded with status %s", url, response.Status)
 	}
 	return nil
 }
--- a/fleet/idlecost/traffic.go
+++ b/fleet/idlecost/traffic.go
@@ -55,7 +55,7 @@
 	return hasOctet(l.from, coreOctet, sidecarOctet) && hasOctet(l.to, coreOctet, sidecarOctet)
 }
 
-// involvesSidecar reports whether an end is a sidecar.
+// involvesSidecar reports whether at least one end is a sidecar.
 func (l link) involvesSidecar() bool {
 	return hasOctet(l.from, sidecarOctet) || hasOctet(l.to, sidecarOctet)
 }
--- a/fleet/linkproxy/network.go
+++ b/fleet/linkproxy/network.go
@@ -19,7 +19,7 @@
 	bufferSize = 32 << 10
 )
 
-// link is one direction between two machines, which are identified by their IPs.
+// link is the path from one machine to another machine. The machines are identified by their IPs.
 type link struct{ from, to string }
 
 // Network holds the proxies of a fleet. Invariant: no byte passes over a cut link. Data sent over a
--- a/fleet/run/clients.go
+++ b/fleet/run/clients.go
@@ -43,9 +43,9 @@
 
 // lockLease is a lock that was granted to a client.
 type lockLease struct {
-	holder    string
-	fence     uint64
-	expiresAt time.Time
+	holder       string
+	fencingToken uint64
+	expiresAt    time.Time
 }
 
 func newCoordinationClients(f *Fleet) *coordinationClients {
--- a/fleet/run/clients_lock.go
+++ b/fleet/run/clients_lock.go
@@ -9,7 +9,7 @@
 
 const (
 	lockTTL  = 1500 * time.Millisecond
-	maxLocks = 12 // for which the clients contend
+	maxLocks = 12 // maximum number of locks that the clients request
 	// One lease in unreleasedOneIn, on average, is not released and expires.
 	unreleasedOneIn = 4
 	sequenceCount   = 4
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	lease.expiresAt = time.Now()
 	c.mu.Unlock()
-	_, _ = c.request(http.MethodPost, "/locks/"+name+"/release", lockRequest{Holder: holder, Fence: lease.fence}, nil)
+	_, _ = c.request(http.MethodPost, "/locks/"+name+"/release", lockRequest{Holder: holder, Fence: lease.fencingToken}, nil)
 }
 
 // checkLease checks a new lease against the previous lease of the same lock.
@@ -57,11 +57,11 @@
 		return
 	}
 	if previous.holder != lease.holder && previous.expiresAt.After(now) && lease.expiresAt.After(now) {
-		c.fleet.recordViolation(ruleLockShared, "lock %s is held by %s (fence %d) and %s (fence %d)",
-			name, previous.holder, previous.fence, lease.holder, lease.fence)
+		c.fleet.recordViolation(ruleLockShared, "lock %s is held by %s (fencing token %d) and %s (fencing token %d)",
+			name, previous.holder, previous.fencingToken, lease.holder, lease.fencingToken)
 	}
-	if lease.fence < previous.fence {
-		c.fleet.recordViolation(ruleLockShared, "lock %s: fence %d after fence %d", name, lease.fence, previous.fence)
+	if lease.fencingToken < previous.fencingToken {
+		c.fleet.recordViolation(ruleLockShared, "lock %s: fencing token %d was granted after fencing token %d", name, lease.fencingToken, previous.fencingToken)
 	}
 }
 
--- a/fleet/run/config.go
+++ b/fleet/run/config.go
@@ -123,7 +123,7 @@
 }
 
 // proposeAndCheck proposes a configuration, checks the response and tracks a confirmed revision
-// until the revision is in force at all sidecars.
+// until all sidecars have applied the revision.
 func (f *Fleet) proposeAndCheck(ctx context.Context, p proposal) {
 	revision, err := f.propose(p.config, p.method, p.query)
 	respondedAt := time.Now()
--- a/fleet/run/counters.go
+++ b/fleet/run/counters.go
@@ -95,8 +95,8 @@
 	return value - last
 }
 
-// checkRevision checks that the configuration revision in force at a sidecar does not decrease.
-// Revision 0 means that no configuration is in force.
+// checkRevision checks that the configuration revision that a sidecar applies does not decrease.
+// Revision 0 means that the sidecar has applied no configuration.
 func (ct *counterTotals) checkRevision(sidecar string, revision ident.ConfigRevision) {
 	if revision == 0 {
 		return
@@ -104,7 +104,7 @@
 	newest := ct.newestRevision[sidecar]
 	ct.fleet.recordObservation(ruleConfigRegressed)
 	if revision < newest {
-		ct.fleet.recordViolation(ruleConfigRegressed, "%s has configuration revision %d in force after revision %d", sidecar, revision, newest)
+		ct.fleet.recordViolation(ruleConfigRegressed, "%s applies configuration revision %d after revision %d", sidecar, revision, newest)
 	}
 	ct.newestRevision[sidecar] = max(newest, revision)
 }
--- a/fleet/run/endpoints.go
+++ b/fleet/run/endpoints.go
@@ -104,7 +104,7 @@
 }
 
 // reserveEndpoint reserves a random endpoint among the services that have at least minimum available
-// endpoints, or returns nil if no service has.
+// endpoints, or returns nil if there is no such service.
 func (f *Fleet) reserveEndpoint(minimum int) *managedEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,8 +141,8 @@
 	return slices.DeleteFunc(slices.Clone(f.endpoints), func(e *managedEndpoint) bool { return e.reserved })
 }
 
-// shutDownEndpoint shuts an endpoint down gracefully: the endpoint announces that the endpoint will
-// leave, drains and stops.
+// shutDownEndpoint shuts an endpoint down gracefully: the endpoint reports that it is leaving, drains
+// and stops.
 func (f *Fleet) shutDownEndpoint(e *managedEndpoint) {
 	if e.Leave() {
 		f.mu.Lock()
--- a/fleet/run/faults_core.go
+++ b/fleet/run/faults_core.go
@@ -20,7 +20,7 @@
 const replacementVoteTimeout = 25 * time.Second
 
 // configFromPeersTimeout is the time within which a sidecar that starts without access to any core
-// must have a configuration from peers in force.
+// must have applied a configuration from peers.
 const configFromPeersTimeout = 4 * time.Second
 
 // coreKill kills a core and restarts the core with the data on its disk.
@@ -97,7 +97,7 @@
 }
 
 // controlPlaneIsolation cuts the links between all cores and all sidecars, and kills and restarts a
-// sidecar meanwhile. The restarted sidecar must have a configuration from peers in force within
+// sidecar meanwhile. The restarted sidecar must have applied a configuration from peers within
 // configFromPeersTimeout. sampleCounters checks that the revision is not older than before the restart.
 func (f *Fleet) controlPlaneIsolation(ctx context.Context) {
 	f.recordMajorOutage("cores isolated from sidecars")
@@ -122,8 +122,8 @@
 	f.awaitReady(restarted)
 }
 
-// checkServing checks that a sidecar that started without access to any core has a configuration in
-// force.
+// checkServing checks that a sidecar that started without access to any core has applied a
+// configuration.
 func (f *Fleet) checkServing(sidecar *process.Process) {
 	var status struct {
 		Revision ident.ConfigRevision `json:"manifest"`
@@ -131,7 +131,7 @@
 	_, err := sidecar.Request(time.Second, http.MethodGet, "/status", nil, &status)
 	f.recordObservation(ruleConfigLate)
 	if err != nil || status.Revision == 0 {
-		f.recordViolation(ruleConfigLate, "%s has no configuration in force %v after a start without access to any core: %v",
+		f.recordViolation(ruleConfigLate, "%s has applied no configuration %v after a start without access to any core: %v",
 			sidecar.Name, configFromPeersTimeout, err)
 	}
 }
--- a/fleet/run/fleet.go
+++ b/fleet/run/fleet.go
@@ -65,7 +65,7 @@
 	processOutages     map[string][]*outage          // by process name, or coreMajority
 	newestRevision     ident.ConfigRevision          // newest revision that a core confirmed
 	confirmedRevisions map[ident.ConfigRevision]bool // revisions that a core confirmed
-	ApplyDelays        []time.Duration               // from the confirmation of a revision until a sidecar has the revision in force
+	ApplyDelays        []time.Duration               // from the confirmation of a revision until a sidecar has applied the revision
 	Counts             map[string]int                // number of events by their label in the report
 }
 
--- a/fleet/run/judge_test.go
+++ b/fleet/run/judge_test.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// A revision that is not in force two seconds after the end of the outage that kept the revision away
-// is a violation. Before that time, or during the outage, a missing revision is no violation.
+// A revision that a sidecar has not applied two seconds after the end of an outage of the sidecar is a
+// violation. Before that time, or during the outage, a missing revision is no violation.
 func TestConfigDeadlineStartsAtOutageEnd(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -223,7 +223,7 @@
 }
 
 // The core of this test breaks all guarantees: every client gets every lock, sequence numbers repeat,
-// keys return old revisions, watch positions are compacted at once, and every configuration is
+// keys return old revisions, watch positions are compacted immediately, and every configuration is
 // confirmed with the same revision. The fleet's clients must detect each violation.
 func TestClientsDetectFaultyCore(t *testing.T) {
 	var keys atomic.Int64
@@ -254,7 +254,7 @@
 	f.Cores = []*process.Process{{Name: "core1", ListenAddr: srv.Listener.Addr().String()}}
 	f.clients = newCoordinationClients(f)
 	ctx, stop := context.WithCancel(context.Background())
-	stop() // with an ended context, clients release locks at once
+	stop() // with an ended context, clients release locks immediately
 	for i := range 12 {
 		f.clients.acquireLock(ctx, fmt.Sprint("app", i))
 		f.clients.nextNumber()
--- a/fleet/run/report.go
+++ b/fleet/run/report.go
@@ -24,7 +24,7 @@
 	}
 	if n := len(f.ApplyDelays); n > 0 {
 		delays := summarize(f.ApplyDelays, time.Millisecond)
-		fmt.Fprintf(&b, "in force after confirm   %s, of %d node epochs\n", delays, n)
+		fmt.Fprintf(&b, "in force after confirm   %s, of %d pairs of sidecar and revision\n", delays, n)
 	}
 	f.writeResponseTimes(&b)
 	b.WriteString(f.Checker.Text())
--- a/fleet/run/revision.go
+++ b/fleet/run/revision.go
@@ -16,24 +16,24 @@
 )
 
 // statusPoll is the result of one status request for the configuration revision that a sidecar has
-// in force.
+// applied.
 type statusPoll struct {
 	sentAt    time.Time // when the request was sent
 	responded bool
-	revision  ident.ConfigRevision // 0 if no configuration is in force
+	revision  ident.ConfigRevision // 0 if the sidecar has applied no configuration
 }
 
-// trackRevision checks that each sidecar has a confirmed revision in force within
-// invariant.ConfigDeadline. The deadline counts from the confirmation, or from the end of an outage
-// that kept the revision from the sidecar.
+// trackRevision checks that each sidecar applies a confirmed revision within invariant.ConfigDeadline.
+// The deadline counts from the confirmation, or from the end of an outage that prevented the sidecar
+// from receiving the revision.
 func (f *Fleet) trackRevision(ctx context.Context, revision ident.ConfigRevision, confirmedAt time.Time) {
 	for _, sidecar := range f.Sidecars {
 		f.revisionWaits.Go(func() { f.awaitRevision(ctx, sidecar, revision, confirmedAt) })
 	}
 }
 
-// awaitRevision polls a sidecar until the sidecar has the revision in force, the deadline is
-// violated, or the run ends.
+// awaitRevision polls a sidecar until the sidecar has applied the revision, the deadline is violated,
+// or the run ends.
 func (f *Fleet) awaitRevision(ctx context.Context, sidecar *process.Process, revision ident.ConfigRevision, confirmedAt time.Time) {
 	ticker := time.NewTicker(revisionPollInterval)
 	defer ticker.Stop()
@@ -62,7 +62,7 @@
 }
 
 // checkPoll checks the result of one poll of a sidecar, and reports whether polling is done. A
-// response with an older revision proves that the new revision was not in force when the request was
+// response with an older revision proves that the new revision was not applied when the request was
 // sent.
 func (f *Fleet) checkPoll(sidecar string, revision ident.ConfigRevision, confirmedAt time.Time, poll statusPoll) (done bool) {
 	f.mu.Lock()
@@ -82,7 +82,7 @@
 	case late && poll.responded:
 		f.Checker.Observe(ruleConfigLate)
 		f.Checker.Violate(f.sinceStart(poll.sentAt), ruleConfigLate,
-			"%s has revision %d in force %v after revision %d was confirmed (last outage: %q)",
+			"%s still applies revision %d, %v after revision %d was confirmed (last outage: %q)",
 			sidecar, poll.revision, poll.sentAt.Sub(confirmedAt), revision, cause)
 		return true
 	case late && elapsed > 2*invariant.ConfigDeadline:
--- a/sim/invariant/checker.go
+++ b/sim/invariant/checker.go
@@ -26,7 +26,7 @@
 
 // Checker collects the events of a run and checks the rules. Invariants: the system under test
 // reads nothing from the checker; each observation is counted once, either in Observed or, with its
-// cause, in Excused. An observation whose time limit ran from the end of a fault is also counted in
+// cause, in Excused. An observation whose deadline counts from the end of a fault is also counted in
 // Delayed.
 type Checker struct {
 	Violations []Violation
@@ -35,7 +35,7 @@
 	Outages    []Outage
 	Observed   map[string]int            // checked observations by rule
 	Excused    map[string]map[string]int // observations that can't be checked, by rule and cause
-	Delayed    map[string]map[string]int // checked observations whose limit ran from the end of a fault, by rule and cause
+	Delayed    map[string]map[string]int // checked observations whose deadline counts from the end of a fault, by rule and cause
 
 	retries           map[ident.Service][]monotime.Time
 	rejectedProposals map[string]string // reason of the rejection by the marker of the proposal
@@ -58,7 +58,7 @@
 // Excuse counts an observation that can't be checked against a rule, by its cause.
 func (c *Checker) Excuse(rule, cause string) { addCount(c.Excused, rule, cause, 1) }
 
-// ObserveDelayed counts an observation whose time limit ran from the end of a fault, by the fault.
+// ObserveDelayed counts an observation whose deadline counts from the end of a fault, by the fault.
 // Observe must count the same observation.
 func (c *Checker) ObserveDelayed(rule, cause string) { addCount(c.Delayed, rule, cause, 1) }
 
--- a/sim/invariant/report.go
+++ b/sim/invariant/report.go
@@ -27,7 +27,7 @@
 		}
 		fmt.Fprintf(&b, "%-18s %-10s observed %d, violated %d", rule, verdict, c.Observed[rule], violations[rule])
 		writeCauses(&b, "excused", c.Excused[rule])
-		writeCauses(&b, "of them with the limit running from the end of", c.Delayed[rule])
+		writeCauses(&b, "deadline extended", c.Delayed[rule])
 		b.WriteString("\n")
 	}
 	return b.String()
--- a/sim/invariant/rules.go
+++ b/sim/invariant/rules.go
@@ -22,7 +22,7 @@
 	SlowRecovery = "slow-recovery"
 	// UrgentRejected: the client's sidecar rejects no urgent request because its queue is full.
 	UrgentRejected = "urgent-turned"
-	// LateFailure: a failure is reported to the client at once after the last attempt.
+	// LateFailure: a failure is reported to the client immediately after the last attempt.
 	LateFailure = "held-back"
 	// DroppedInStop: a planned stop drops no request in flight.
 	DroppedInStop = "dropped-in-stop"
--- a/sim/world/report.go
+++ b/sim/world/report.go
@@ -46,7 +46,7 @@
 	}
 	slices.Sort(w.OperationTimes)
 	at := func(i int) time.Duration { return w.OperationTimes[i].Round(time.Microsecond) }
-	fmt.Fprintf(b, "operations took: median %v, p99 %v, p99.9 %v, max %v\n", at(n/2), at(n*99/100), at(n*999/1000), at(n-1))
+	fmt.Fprintf(b, "operations took: median %v, 99%% %v, 99.9%% %v, most %v\n", at(n/2), at(n*99/100), at(n*999/1000), at(n-1))
 }
 
 // writeFirstViolation writes the earliest violation and the trace before it.
