--- a/capacity/report/tables.go
+++ b/capacity/report/tables.go
@@ -97,7 +97,7 @@
 		return
 	}
 	w.writeLine("\n### At %d nodes, against the budget\n", result.Target.Nodes)
-	w.writeHeader("metric", "value", "budget", "", "basis")
+	w.writeHeader("what", "figure", "budget", "", "basis")
 	for _, line := range lines {
 		verdict := "fits"
 		if line.Ratio() > 1 {
@@ -189,7 +189,7 @@
 		return
 	}
 	w.writeLine("\n### Call latency: what both sidecars add to a call, ms\n")
-	w.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through the mesh p50", "p99", "direct p50", "p99")
+	w.writeHeader("records", "routes", "pairs", "added p50", "p99", "p99.9", "through p50", "p99", "direct p50", "p99")
 	for _, point := range result.CallLatency {
 		w.writeRow(fmt.Sprint(point.Records), fmt.Sprint(point.Routes), fmt.Sprint(point.Pairs),
 			formatNumber(point.Added["p50"]), formatNumber(point.Added["p99"]), formatNumber(point.Added["p99.9"]),
@@ -228,12 +228,12 @@
 
 // writeMetricsHeader writes the heading and the table header of a workload.
 func (w *markdownWriter) writeMetricsHeader(result *run.Result, workload string) {
-	w.writeLine("\n### Workload: %s\n", workload)
-	cells := []string{"metric"}
+	w.writeLine("\n### Load: %s\n", workload)
+	cells := []string{"figure"}
 	for _, size := range result.Sizes {
 		cells = append(cells, fmt.Sprint(size))
 	}
-	w.writeHeader(append(cells, "curve", "largest error", fmt.Sprintf("at %d", result.Target.Nodes), "basis")...)
+	w.writeHeader(append(cells, "line", "largest error", fmt.Sprintf("at %d", result.Target.Nodes), "basis")...)
 }
 
 // valueAtSize formats the value that was measured at a size. It returns an empty string if there is no
